--- a/src/board/mod.rs
+++ b/src/cluster_view/mod.rs
@@ -1,12 +1,12 @@
 //! The blackboard: what controllers read and write in place of calling each other.
 
 mod host_view;
-mod shards;
+mod sharded_map;
 mod upstream_view;
 
 pub use host_view::HostState;
 pub use host_view::HostView;
-pub use shards::Shards;
+pub use sharded_map::Shards;
 pub use upstream_view::UpstreamView;
 
 use std::sync::Arc;
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -47,6 +47,7 @@
 mod queue;
 mod rank_queue;
 mod rate_limit;
+#[path = "rate_limit_tracker.rs"]
 mod rate_limit_book;
 mod read_queue;
 mod recent_count;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,8 +6,8 @@
 
 #![warn(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
-pub mod board;
 pub mod clock;
+pub mod cluster_view;
 pub mod cmd;
 pub mod control;
 pub mod daemon;
@@ -26,3 +26,5 @@
 pub mod units;
 pub mod upstream;
 pub mod yaml;
+
+pub use cluster_view as board;
--- a/tests/exchange_fleet.rs
+++ b/tests/exchange_fleet.rs
@@ -1,15 +1,15 @@
 //! News in fleets of all sizes: how old they are, what they cost, and what becomes of them when
 //! collectors die, stand still, are cut off or are two.
 
-mod news_world;
+mod exchange_world;
 
 use std::time::Duration;
 
 use banyanarch::exchange::LimitNews;
-use news_world::CHANGES_PER_S;
-use news_world::Node;
-use news_world::World;
-use news_world::is_strong;
+use exchange_world::CHANGES_PER_S;
+use exchange_world::Node;
+use exchange_world::World;
+use exchange_world::is_strong;
 use yare::parameterized;
 
 fn ms(ms: u64) -> Duration {
@@ -45,7 +45,7 @@
 )]
 fn news_are_young_and_few_at_every_size(hosts: usize, domains: usize, seed: u64) {
     let mut world = at_work(hosts, domains, seed);
-    world.tally = news_world::Tally::new(hosts);
+    world.tally = exchange_world::Tally::new(hosts);
     for probe in 0..10 {
         world.probe(probe * 7 % hosts);
         world.run_for(ms(200));
