--- a/src/exchange/codec.rs
+++ b/src/exchange/codec.rs
@@ -7,7 +7,7 @@
 use tokio_util::codec::Encoder;
 
 use crate::exchange::ExchangeError;
-use crate::exchange::HostNews;
+use crate::exchange::HostUpdate;
 
 /// The largest payload of a datagram over IPv4.
 const DATAGRAM_LEN_MAX: usize = 65_507;
@@ -17,16 +17,16 @@
 pub struct NewsCodec;
 
 impl Decoder for NewsCodec {
-    type Item = HostNews;
+    type Item = HostUpdate;
     type Error = ExchangeError;
 
-    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<HostNews>, ExchangeError> {
+    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<HostUpdate>, ExchangeError> {
         if src.is_empty() {
             return Ok(None);
         }
         // All of the datagram is taken, also when it can't be read: what is left over would be
         // read as the beginning of the next one.
-        Ok(Some(HostNews::decode(src.split())?))
+        Ok(Some(HostUpdate::decode(src.split())?))
     }
 }
 
--- a/src/exchange/fleet.rs
+++ b/src/exchange/fleet.rs
@@ -18,7 +18,7 @@
 use log::warn;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::exchange::HostNews;
+use crate::exchange::HostUpdate;
 use crate::exchange::ListedHost;
 use crate::exchange::Need;
 use crate::exchange::NewsRoute;
@@ -182,7 +182,7 @@
     }
 
     /// The messages that are due; `own` makes what this host says of itself.
-    pub fn speak(&mut self, own: impl Fn() -> HostNews, now: Instant) -> Vec<Outgoing> {
+    pub fn speak(&mut self, own: impl Fn() -> HostUpdate, now: Instant) -> Vec<Outgoing> {
         self.gathered.forget_silent(now);
         self.choose(now);
         let mut outgoing = Vec::new();
@@ -202,7 +202,7 @@
     }
 
     /// Takes in a message. Returns what it says of work, and what is to be passed on at once.
-    pub fn hear(&mut self, news: HostNews, now: Instant) -> (Vec<HostNews>, Option<Outgoing>) {
+    pub fn hear(&mut self, news: HostUpdate, now: Instant) -> (Vec<HostUpdate>, Option<Outgoing>) {
         let Ok(host) = news.host.parse::<HostId>() else {
             warn!("exchange: news without a host name");
             return (Vec::new(), None);
@@ -227,9 +227,9 @@
     fn hear_domain(
         &mut self,
         host: HostId,
-        news: HostNews,
+        news: HostUpdate,
         now: Instant,
-    ) -> (Vec<HostNews>, Option<Outgoing>) {
+    ) -> (Vec<HostUpdate>, Option<Outgoing>) {
         if let Some(collector) = &self.collector {
             return (Vec::new(), redirect(collector, news));
         }
@@ -247,7 +247,7 @@
         (heard, None)
     }
 
-    fn hear_relay(&mut self, host: &HostId, mut news: HostNews, now: Instant) -> Vec<HostNews> {
+    fn hear_relay(&mut self, host: &HostId, mut news: HostUpdate, now: Instant) -> Vec<HostUpdate> {
         self.collectors.on_seen(host, now);
         self.collectors.on_spoke(host, now);
         let relayed = std::mem::take(&mut news.relayed);
@@ -266,7 +266,7 @@
     }
 
     /// What a collector of another domain says, if it is the one that this host listens to.
-    fn accept(&mut self, speaker: &HostId, news: HostNews, now: Instant) -> Vec<HostNews> {
+    fn accept(&mut self, speaker: &HostId, news: HostUpdate, now: Instant) -> Vec<HostUpdate> {
         match self.domains.get(speaker) {
             Some(domain) if *domain != self.domain => {
                 self.speakers.accept(domain.clone(), speaker, news, now)
@@ -318,7 +318,7 @@
     }
 
     /// What this host says of itself, to all that it tells.
-    fn tell(&self, own: HostNews) -> Vec<Outgoing> {
+    fn tell(&self, own: HostUpdate) -> Vec<Outgoing> {
         if !self.is_large() {
             let to = self.told.clone();
             return vec![Outgoing { to, news: own }];
@@ -343,7 +343,7 @@
         (self.relayed_at + interval).max(self.started_at + LISTENS_FOR)
     }
 
-    fn relay(&mut self, own: HostNews, now: Instant) -> Vec<Outgoing> {
+    fn relay(&mut self, own: HostUpdate, now: Instant) -> Vec<Outgoing> {
         let turn = self.gathered.turn(own, now);
         let relayed = split(turn.relay).into_iter().map(|news| Outgoing {
             to: self.neighbours.clone(),
@@ -359,11 +359,11 @@
 /// Sends a domain's news, which came here because its collector does not know who collects in this one,
 /// to the host that does. Once only: two hosts that take each other for the collector would send it to
 /// and fro without end.
-fn redirect(collector: &ListedHost, news: HostNews) -> Option<Outgoing> {
+fn redirect(collector: &ListedHost, news: HostUpdate) -> Option<Outgoing> {
     if news.is_redirected {
         return None;
     }
-    let news = HostNews {
+    let news = HostUpdate {
         is_redirected: true,
         ..news
     };
@@ -377,7 +377,7 @@
 }
 
 /// Names upstreams by their hashes, which a receiver looks up where it would copy the names.
-fn with_short_names(mut news: HostNews) -> HostNews {
+fn with_short_names(mut news: HostUpdate) -> HostUpdate {
     for load in &mut news.loads {
         load.upstream_hash = UpstreamHash::of(&load.upstream).0;
         load.upstream.clear();
@@ -386,7 +386,7 @@
 }
 
 /// Splits what a collector passes on into messages of a bounded size.
-fn split(mut relay: HostNews) -> Vec<HostNews> {
+fn split(mut relay: HostUpdate) -> Vec<HostUpdate> {
     let relayed = std::mem::take(&mut relay.relayed);
     let mut loads = 0;
     let mut parts = vec![relay.clone()];
--- a/src/exchange/gathered.rs
+++ b/src/exchange/gathered.rs
@@ -5,7 +5,7 @@
 
 use indexmap::IndexMap;
 
-use crate::exchange::HostNews;
+use crate::exchange::HostUpdate;
 use crate::exchange::LimitNews;
 use crate::exchange::PoisonNews;
 use crate::exchange::UpstreamHash;
@@ -45,14 +45,14 @@
     }
 
     /// Takes in what a host of the domain says.
-    pub(crate) fn hear_neighbour(&mut self, host: HostId, news: HostNews, now: Instant) {
+    pub(crate) fn hear_neighbour(&mut self, host: HostId, news: HostUpdate, now: Instant) {
         let new = || Speaker::new(now);
         let neighbour = self.neighbours.entry(host).or_insert_with(new);
         neighbour.hear(news, now);
     }
 
     /// Takes in what another collector says.
-    pub(crate) fn hear_other(&mut self, host: HostId, news: HostNews, now: Instant) {
+    pub(crate) fn hear_other(&mut self, host: HostId, news: HostUpdate, now: Instant) {
         let new = || Speaker::new(now);
         self.others.entry(host).or_insert_with(new).hear(news, now);
     }
@@ -80,8 +80,8 @@
     }
 
     /// What is to be sent now; `own` is what this host says of itself.
-    pub(crate) fn turn(&mut self, own: HostNews, now: Instant) -> Turn {
-        let head = HostNews {
+    pub(crate) fn turn(&mut self, own: HostUpdate, now: Instant) -> Turn {
+        let head = HostUpdate {
             loads: Vec::new(),
             unreachable: Vec::new(),
             cut_off: Vec::new(),
@@ -94,13 +94,13 @@
             self.hear_neighbour(host, own, now);
         }
         let others = self.others.values_mut();
-        let relay = HostNews {
+        let relay = HostUpdate {
             voice: Voice::Relay.into(),
             relayed: others.filter_map(|other| other.part(now)).collect(),
             ..head.clone()
         };
         let poisons = self.poisons(now);
-        let head = HostNews {
+        let head = HostUpdate {
             voice: Voice::Domain.into(),
             poisons,
             ..head
--- a/src/exchange/message.rs
+++ b/src/exchange/message.rs
@@ -9,7 +9,7 @@
 /// What one host tells, of itself or for others. Tag 6 was used before.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-pub struct HostNews {
+pub struct HostUpdate {
     /// The name of the sender.
     #[prost(string, tag = "1")]
     pub host: String,
@@ -46,7 +46,7 @@
     pub is_partial: bool,
     /// What a collector passes on.
     #[prost(message, repeated, tag = "13")]
-    pub relayed: Vec<HostNews>,
+    pub relayed: Vec<HostUpdate>,
     /// Whether a host that does not collect has passed it on to the one that does.
     #[prost(bool, tag = "14")]
     pub is_redirected: bool,
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -32,7 +32,7 @@
 pub use fleet::is_large_fleet;
 pub use listed_host::ListedHost;
 pub use listed_host::strongest;
-pub use message::HostNews;
+pub use message::HostUpdate;
 pub use message::LimitNews;
 pub use message::LoadNews;
 pub use message::PoisonNews;
--- a/src/exchange/outgoing.rs
+++ b/src/exchange/outgoing.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::exchange::HostNews;
+use crate::exchange::HostUpdate;
 
 /// A message and where it goes.
 #[derive(Clone, Debug, PartialEq)]
@@ -10,5 +10,5 @@
     /// The receivers.
     pub to: Vec<SocketAddr>,
     /// The message.
-    pub news: HostNews,
+    pub news: HostUpdate,
 }
--- a/src/exchange/speaker.rs
+++ b/src/exchange/speaker.rs
@@ -5,7 +5,7 @@
 
 use indexmap::IndexMap;
 
-use crate::exchange::HostNews;
+use crate::exchange::HostUpdate;
 use crate::exchange::LimitNews;
 use crate::exchange::LoadNews;
 use crate::exchange::PoisonNews;
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Speaker {
     /// What it said last, without the work.
-    head: HostNews,
+    head: HostUpdate,
     loads: Loads,
     heard_at: Instant,
     /// Whether it has said something since the last part.
@@ -43,7 +43,7 @@
     /// One that has not spoken yet.
     pub(crate) fn new(now: Instant) -> Self {
         Self {
-            head: HostNews::default(),
+            head: HostUpdate::default(),
             loads: Loads::new(),
             heard_at: now,
             is_new: false,
@@ -70,7 +70,7 @@
     }
 
     /// Takes in what it says.
-    pub(crate) fn hear(&mut self, mut news: HostNews, now: Instant) {
+    pub(crate) fn hear(&mut self, mut news: HostUpdate, now: Instant) {
         let loads = std::mem::take(&mut news.loads);
         self.limits.hear(std::mem::take(&mut news.limits), now);
         if news.incarnation != self.head.incarnation {
@@ -93,7 +93,7 @@
     }
 
     /// Replaces its work, of which changes alone are passed on.
-    pub(crate) fn set(&mut self, head: HostNews, loads: Loads, now: Instant) {
+    pub(crate) fn set(&mut self, head: HostUpdate, loads: Loads, now: Instant) {
         self.head = head;
         self.loads = loads;
         self.heard_at = now;
@@ -109,13 +109,13 @@
     }
 
     /// What is to be passed on now; none if it has said nothing since the last part.
-    pub(crate) fn part(&mut self, now: Instant) -> Option<HostNews> {
+    pub(crate) fn part(&mut self, now: Instant) -> Option<HostUpdate> {
         if !std::mem::take(&mut self.is_new) {
             return None;
         }
         let is_due = |at: Instant| now.saturating_duration_since(at) >= WHOLE_INTERVAL;
         let is_whole = self.whole_at.is_none_or(is_due);
-        let mut news = HostNews {
+        let mut news = HostUpdate {
             poisons: self.poisons_to_tell(now),
             limits: self.limits.pending(now),
             is_partial: !is_whole,
--- a/src/exchange/speakers.rs
+++ b/src/exchange/speakers.rs
@@ -5,7 +5,7 @@
 
 use indexmap::IndexMap;
 
-use crate::exchange::HostNews;
+use crate::exchange::HostUpdate;
 use crate::exchange::Voice;
 use crate::units::FailureDomainId;
 use crate::units::HostId;
@@ -30,9 +30,9 @@
         &mut self,
         domain: FailureDomainId,
         speaker: &HostId,
-        news: HostNews,
+        news: HostUpdate,
         now: Instant,
-    ) -> Vec<HostNews> {
+    ) -> Vec<HostUpdate> {
         let mut heard = Vec::new();
         if let Some((known, heard_at)) = self.by_domain.get(&domain)
             && known != speaker
@@ -54,10 +54,10 @@
 }
 
 /// That a collector's domain has no work any more.
-fn nothing_left(collector: &HostId) -> HostNews {
-    HostNews {
+fn nothing_left(collector: &HostId) -> HostUpdate {
+    HostUpdate {
         host: collector.to_string(),
         voice: Voice::Domain.into(),
-        ..HostNews::default()
+        ..HostUpdate::default()
     }
 }
--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -15,7 +15,7 @@
 use tokio_util::udp::UdpFramed;
 
 use crate::exchange::Fleet;
-use crate::exchange::HostNews;
+use crate::exchange::HostUpdate;
 use crate::exchange::ListedHost;
 use crate::exchange::Need;
 use crate::exchange::NewsCodec;
@@ -33,10 +33,10 @@
     fn domain(&self) -> FailureDomainId;
 
     /// What to tell the other hosts now.
-    fn news(&self) -> HostNews;
+    fn news(&self) -> HostUpdate;
 
     /// Takes in what another host tells.
-    fn hear(&self, news: HostNews);
+    fn hear(&self, news: HostUpdate);
 
     /// All hosts, this one included.
     fn hosts(&self) -> Arc<Vec<ListedHost>>;
@@ -103,7 +103,7 @@
         }
     }
 
-    async fn hear(&mut self, news: HostNews) {
+    async fn hear(&mut self, news: HostUpdate) {
         let (heard, on) = self.fleet.hear(news, now());
         for news in heard {
             self.desk.hear(news);
--- a/src/exchange/turn.rs
+++ b/src/exchange/turn.rs
@@ -1,12 +1,12 @@
 //! What a collector sends in one turn.
 
-use crate::exchange::HostNews;
+use crate::exchange::HostUpdate;
 
 /// What a collector sends in one turn.
 #[derive(Debug, Default)]
 pub(crate) struct Turn {
     /// To the hosts of its domain.
-    pub(crate) relay: HostNews,
+    pub(crate) relay: HostUpdate,
     /// To the other collectors.
-    pub(crate) domain: Option<HostNews>,
+    pub(crate) domain: Option<HostUpdate>,
 }
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -17,7 +17,7 @@
 use crate::decide::PoisonMark;
 use crate::decide::ReadSent;
 use crate::decide::SentLately;
-use crate::exchange::HostNews;
+use crate::exchange::HostUpdate;
 use crate::exchange::LimitNews;
 use crate::exchange::ListedHost;
 use crate::exchange::LoadNews;
@@ -53,7 +53,7 @@
         self.conf.domain.clone()
     }
 
-    fn news(&self) -> HostNews {
+    fn news(&self) -> HostUpdate {
         let now = self.clock.now();
         let ledger = self.ledger();
         let loads = ledger.own(now).map(|(id, load)| load_news(id, &load));
@@ -67,7 +67,7 @@
         let unreachable = health.unreachable(now).map(ToString::to_string).collect();
         let cut_off = health.cut_off(now).map(ToString::to_string).collect();
         drop(health);
-        HostNews {
+        HostUpdate {
             proof_age_plus_one_ms: self.proof_age_plus_one_ms(),
             slow: self.slowdowns.own(now).iter().map(slow_news).collect(),
             limits: self
@@ -85,11 +85,11 @@
             sequence: self.news_sent.fetch_add(1, Ordering::Relaxed),
             loads,
             poisons: poisons.iter().map(poison_news).collect(),
-            ..HostNews::default()
+            ..HostUpdate::default()
         }
     }
 
-    fn hear(&self, news: HostNews) {
+    fn hear(&self, news: HostUpdate) {
         let now = self.clock.now();
         let Ok(host) = news.host.parse::<HostId>() else {
             warn!("exchange: news without a host name");
@@ -160,7 +160,7 @@
 
 impl Gateway {
     /// Takes in what a neighbour could not reach. A host of another failure domain has other ways.
-    fn hear_unreachable(&self, host: &HostId, news: &HostNews, now: Instant) {
+    fn hear_unreachable(&self, host: &HostId, news: &HostUpdate, now: Instant) {
         if news.unreachable.is_empty() && news.cut_off.is_empty() {
             return;
         }
@@ -193,7 +193,7 @@
 
     /// Takes in how old a host's lists are. Where this host's own are stale the tasks that read ask
     /// that one at once.
-    fn hear_proof(&self, host: &HostId, news: &HostNews, now: Instant) {
+    fn hear_proof(&self, host: &HostId, news: &HostUpdate, now: Instant) {
         let Some(age_ms) = news.proof_age_plus_one_ms.checked_sub(1) else {
             return;
         };
@@ -208,7 +208,7 @@
     }
 
     /// Wakes the tasks that read if the host that reads for this one has something new.
-    fn hear_versions(&self, host: &HostId, news: &HostNews) {
+    fn hear_versions(&self, host: &HostId, news: &HostUpdate) {
         let (routes, upstreams) = self.held.versions();
         let has_upstreams = news.upstreams_version != 0 && news.upstreams_version != upstreams;
         let has_news = news.routes_version > routes || has_upstreams;
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use banyanarch::exchange::Exchange;
-use banyanarch::exchange::HostNews;
+use banyanarch::exchange::HostUpdate;
 use banyanarch::exchange::ListedHost;
 use banyanarch::exchange::LoadNews;
 use banyanarch::exchange::NewsCodec;
@@ -25,7 +25,7 @@
 struct Desk {
     name: &'static str,
     hosts: Mutex<Arc<Vec<ListedHost>>>,
-    heard: Mutex<Vec<HostNews>>,
+    heard: Mutex<Vec<HostUpdate>>,
     changed: Notify,
     urgent: Notify,
 }
@@ -47,14 +47,14 @@
 }
 
 impl NewsDesk for Desk {
-    fn news(&self) -> HostNews {
-        HostNews {
+    fn news(&self) -> HostUpdate {
+        HostUpdate {
             host: self.name.to_owned(),
-            ..HostNews::default()
+            ..HostUpdate::default()
         }
     }
 
-    fn hear(&self, news: HostNews) {
+    fn hear(&self, news: HostUpdate) {
         self.heard.lock().unwrap().push(news);
     }
 
@@ -91,7 +91,7 @@
     }
 }
 
-fn encoded(news: &HostNews) -> Bytes {
+fn encoded(news: &HostUpdate) -> Bytes {
     Bytes::from(news.encode_to_vec())
 }
 
@@ -107,14 +107,14 @@
 
 #[test]
 fn a_message_is_one_datagram() {
-    let news = HostNews {
+    let news = HostUpdate {
         host: "edge-1".to_owned(),
         loads: vec![LoadNews {
             upstream: "i-7".to_owned(),
             in_flight: 3,
             ..LoadNews::default()
         }],
-        ..HostNews::default()
+        ..HostUpdate::default()
     };
     let mut bytes = BytesMut::new();
     NewsCodec.encode(encoded(&news), &mut bytes).unwrap();
@@ -133,9 +133,9 @@
 
 #[test]
 fn news_that_fits_no_datagram_is_refused() {
-    let news = HostNews {
+    let news = HostUpdate {
         host: "x".repeat(70_000),
-        ..HostNews::default()
+        ..HostUpdate::default()
     };
     let mut bytes = BytesMut::new();
     assert!(NewsCodec.encode(encoded(&news), &mut bytes).is_err());
--- a/tests/exchange_world/mod.rs
+++ b/tests/exchange_world/mod.rs
@@ -14,7 +14,7 @@
 use std::time::Instant;
 
 use banyanarch::decide::HostLoad;
-use banyanarch::exchange::HostNews;
+use banyanarch::exchange::HostUpdate;
 use banyanarch::exchange::ListedHost;
 use banyanarch::exchange::Need;
 use banyanarch::exchange::Outgoing;
@@ -42,7 +42,7 @@
     Deliver {
         to: usize,
         life: u64,
-        news: Arc<HostNews>,
+        news: Arc<HostUpdate>,
     },
     Change(usize),
 }
@@ -292,14 +292,14 @@
         self.schedule(index);
     }
 
-    fn deliver(&mut self, to: usize, news: &Arc<HostNews>) {
+    fn deliver(&mut self, to: usize, news: &Arc<HostUpdate>) {
         if self.nodes[to].is_paused {
             self.nodes[to].missed.push(Arc::clone(news));
             return;
         }
         self.tally.on_received(to);
         let now = self.instant();
-        let on = self.nodes[to].hear(HostNews::clone(news), &self.names, now);
+        let on = self.nodes[to].hear(HostUpdate::clone(news), &self.names, now);
         self.send(to, on.into_iter().collect());
         let known = self.now;
         for probe in &mut self.probes {
--- a/tests/exchange_world/node.rs
+++ b/tests/exchange_world/node.rs
@@ -8,7 +8,7 @@
 use banyanarch::decide::LoadLedger;
 use banyanarch::decide::LoadSource;
 use banyanarch::exchange::Fleet;
-use banyanarch::exchange::HostNews;
+use banyanarch::exchange::HostUpdate;
 use banyanarch::exchange::LimitNews;
 use banyanarch::exchange::ListedHost;
 use banyanarch::exchange::LoadNews;
@@ -28,7 +28,7 @@
     pub is_up: bool,
     pub is_paused: bool,
     pub is_cut: bool,
-    pub missed: Vec<Arc<HostNews>>,
+    pub missed: Vec<Arc<HostUpdate>>,
     pub wakes_at: Option<Duration>,
     /// Its starts so far.
     pub life: u64,
@@ -94,12 +94,12 @@
                 in_flight: *in_flight,
                 ..LoadNews::default()
             });
-            HostNews {
+            HostUpdate {
                 host: host.to_string(),
                 incarnation: life + 1,
                 loads: loads.collect(),
                 limits: sent.into_iter().collect(),
-                ..HostNews::default()
+                ..HostUpdate::default()
             }
         };
         self.fleet.speak(news, now)
@@ -107,7 +107,7 @@
 
     pub fn hear(
         &mut self,
-        news: HostNews,
+        news: HostUpdate,
         names: &IndexMap<UpstreamHash, UpstreamId>,
         now: Instant,
     ) -> Option<Outgoing> {
--- a/tests/gateway_news.rs
+++ b/tests/gateway_news.rs
@@ -6,7 +6,7 @@
 use std::sync::Mutex;
 use std::time::Instant;
 
-use banyanarch::exchange::HostNews;
+use banyanarch::exchange::HostUpdate;
 use banyanarch::exchange::ListedHost;
 use banyanarch::exchange::LoadNews;
 use banyanarch::exchange::NewsDesk;
@@ -30,14 +30,14 @@
     }
 }
 
-fn domain_news(loads: Vec<LoadNews>, is_partial: bool) -> HostNews {
-    HostNews {
+fn domain_news(loads: Vec<LoadNews>, is_partial: bool) -> HostUpdate {
+    HostUpdate {
         host: "far-collector".to_owned(),
         incarnation: 7,
         voice: Voice::Domain.into(),
         is_partial,
         loads,
-        ..HostNews::default()
+        ..HostUpdate::default()
     }
 }
 
