--- a/src/exchange/load_at.rs
+++ b/src/exchange/load_at.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::exchange::LoadNews;
+use crate::exchange::LoadEntry;
 use crate::exchange::UpstreamHash;
 use crate::units::whole_millis_u32;
 
@@ -26,7 +26,7 @@
 
 impl LoadAt {
     /// What a message says that was heard at `now`.
-    pub(crate) fn heard(news: &LoadNews, now: Instant) -> Self {
+    pub(crate) fn heard(news: &LoadEntry, now: Instant) -> Self {
         let after = |ms: u32| now + Duration::from_millis(ms.into());
         Self {
             in_flight: news.in_flight,
@@ -41,9 +41,9 @@
     }
 
     /// What a message says that is sent at `now`.
-    pub(crate) fn news(&self, upstream: UpstreamHash, now: Instant) -> LoadNews {
+    pub(crate) fn news(&self, upstream: UpstreamHash, now: Instant) -> LoadEntry {
         let until = |at: Instant| whole_millis_u32(at.saturating_duration_since(now));
-        LoadNews {
+        LoadEntry {
             upstream: String::new(),
             upstream_hash: upstream.0,
             in_flight: self.in_flight,
@@ -59,11 +59,11 @@
     }
 
     /// That the work has ended. The total is told once more, so that none of it is counted again.
-    pub(crate) fn ended(&self, upstream: UpstreamHash) -> LoadNews {
-        LoadNews {
+    pub(crate) fn ended(&self, upstream: UpstreamHash) -> LoadEntry {
+        LoadEntry {
             upstream_hash: upstream.0,
             read_total_us: self.read_total_us,
-            ..LoadNews::default()
+            ..LoadEntry::default()
         }
     }
 
--- a/src/exchange/message.rs
+++ b/src/exchange/message.rs
@@ -21,7 +21,7 @@
     pub sequence: u64,
     /// The work at upstreams; those without any are left out.
     #[prost(message, repeated, tag = "4")]
-    pub loads: Vec<LoadNews>,
+    pub loads: Vec<LoadEntry>,
     /// The version of the manifest that the sender has read last; 0 if none, or if it does not say.
     #[prost(uint64, tag = "7")]
     pub routes_version: u64,
@@ -65,7 +65,7 @@
 /// The work at one upstream.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-pub struct LoadNews {
+pub struct LoadEntry {
     /// The upstream; empty where its hash is given.
     #[prost(string, tag = "1")]
     pub upstream: String,
@@ -100,7 +100,7 @@
     pub helping: u32,
 }
 
-impl LoadNews {
+impl LoadEntry {
     /// The hash of the upstream's id, by whichever of the two it is named.
     pub fn hash(&self) -> UpstreamHash {
         if self.upstream_hash == 0 {
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -34,7 +34,7 @@
 pub use listed_host::strongest;
 pub use message::HostUpdate;
 pub use message::LimitNews;
-pub use message::LoadNews;
+pub use message::LoadEntry;
 pub use message::PoisonNews;
 pub use message::SlowNews;
 pub use news_route::NewsRoute;
--- a/src/exchange/speaker.rs
+++ b/src/exchange/speaker.rs
@@ -7,7 +7,7 @@
 
 use crate::exchange::HostUpdate;
 use crate::exchange::LimitNews;
-use crate::exchange::LoadNews;
+use crate::exchange::LoadEntry;
 use crate::exchange::PoisonNews;
 use crate::exchange::UpstreamHash;
 use crate::exchange::limits_heard::LimitsHeard;
@@ -144,7 +144,7 @@
         poisons
     }
 
-    fn changes(&self, now: Instant) -> Vec<LoadNews> {
+    fn changes(&self, now: Instant) -> Vec<LoadEntry> {
         let is_news = |upstream: &UpstreamHash, load: &LoadAt| {
             let told = self.told.get(upstream);
             told.is_none_or(|told| load.is_news_to(told))
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -20,7 +20,7 @@
 use crate::exchange::HostUpdate;
 use crate::exchange::LimitNews;
 use crate::exchange::ListedHost;
-use crate::exchange::LoadNews;
+use crate::exchange::LoadEntry;
 use crate::exchange::NewsDesk;
 use crate::exchange::NewsRoute;
 use crate::exchange::PoisonNews;
@@ -224,8 +224,8 @@
     }
 }
 
-fn load_news(id: &UpstreamId, load: &HostLoad) -> LoadNews {
-    LoadNews {
+fn load_news(id: &UpstreamId, load: &HostLoad) -> LoadEntry {
+    LoadEntry {
         upstream: id.to_string(),
         in_flight: load.in_flight,
         short_in_flight: load.short_in_flight,
@@ -235,19 +235,19 @@
         held_tokens: load.held_tokens.0,
         helping: load.helping,
         read_due_ms: load.read_due.map_or(0, whole_millis_u32),
-        ..LoadNews::default()
+        ..LoadEntry::default()
     }
 }
 
 /// The upstream that is spoken of; none if this host has not heard of it yet, and then does not choose
 /// it either.
-fn upstream_of(news: &LoadNews, names: &IndexMap<UpstreamHash, UpstreamId>) -> Option<UpstreamId> {
+fn upstream_of(news: &LoadEntry, names: &IndexMap<UpstreamHash, UpstreamId>) -> Option<UpstreamId> {
     // A name that is known need not be made anew.
     let known = names.get(&news.hash());
     known.cloned().or_else(|| news.upstream.parse().ok())
 }
 
-fn read_load(news: &LoadNews) -> HostLoad {
+fn read_load(news: &LoadEntry) -> HostLoad {
     HostLoad {
         in_flight: news.in_flight,
         short_in_flight: news.short_in_flight,
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -8,7 +8,7 @@
 use banyanarch::exchange::Exchange;
 use banyanarch::exchange::HostUpdate;
 use banyanarch::exchange::ListedHost;
-use banyanarch::exchange::LoadNews;
+use banyanarch::exchange::LoadEntry;
 use banyanarch::exchange::NewsCodec;
 use banyanarch::exchange::NewsDesk;
 use banyanarch::exchange::NewsRoute;
@@ -109,10 +109,10 @@
 fn a_message_is_one_datagram() {
     let news = HostUpdate {
         host: "edge-1".to_owned(),
-        loads: vec![LoadNews {
+        loads: vec![LoadEntry {
             upstream: "i-7".to_owned(),
             in_flight: 3,
-            ..LoadNews::default()
+            ..LoadEntry::default()
         }],
         ..HostUpdate::default()
     };
--- a/tests/exchange_world/node.rs
+++ b/tests/exchange_world/node.rs
@@ -11,7 +11,7 @@
 use banyanarch::exchange::HostUpdate;
 use banyanarch::exchange::LimitNews;
 use banyanarch::exchange::ListedHost;
-use banyanarch::exchange::LoadNews;
+use banyanarch::exchange::LoadEntry;
 use banyanarch::exchange::Outgoing;
 use banyanarch::exchange::UpstreamHash;
 use banyanarch::exchange::Voice;
@@ -89,10 +89,10 @@
         let sent = self.sent;
         let news = || {
             let busy = own.iter().filter(|(_, in_flight)| **in_flight > 0);
-            let loads = busy.map(|(upstream, in_flight)| LoadNews {
+            let loads = busy.map(|(upstream, in_flight)| LoadEntry {
                 upstream: upstream.to_string(),
                 in_flight: *in_flight,
-                ..LoadNews::default()
+                ..LoadEntry::default()
             });
             HostUpdate {
                 host: host.to_string(),
@@ -126,7 +126,7 @@
             } else {
                 Extent::Whole
             };
-            let id = |load: &LoadNews| names[&load.hash()].clone();
+            let id = |load: &LoadEntry| names[&load.hash()].clone();
             let loads = news.loads.iter();
             let loads = loads.map(|load| (id(load), requests(load.in_flight)));
             self.ledger
--- a/tests/gateway_news.rs
+++ b/tests/gateway_news.rs
@@ -8,7 +8,7 @@
 
 use banyanarch::exchange::HostUpdate;
 use banyanarch::exchange::ListedHost;
-use banyanarch::exchange::LoadNews;
+use banyanarch::exchange::LoadEntry;
 use banyanarch::exchange::NewsDesk;
 use banyanarch::exchange::UpstreamHash;
 use banyanarch::exchange::Voice;
@@ -22,15 +22,15 @@
 use gateway_world::upstream::Upstream;
 use tokio::net::TcpListener;
 
-fn load(hash: u64, in_flight: u32) -> LoadNews {
-    LoadNews {
+fn load(hash: u64, in_flight: u32) -> LoadEntry {
+    LoadEntry {
         upstream_hash: hash,
         in_flight,
-        ..LoadNews::default()
+        ..LoadEntry::default()
     }
 }
 
-fn domain_news(loads: Vec<LoadNews>, is_partial: bool) -> HostUpdate {
+fn domain_news(loads: Vec<LoadEntry>, is_partial: bool) -> HostUpdate {
     HostUpdate {
         host: "far-collector".to_owned(),
         incarnation: 7,
