--- a/src/exchange/gathered.rs
+++ b/src/exchange/gathered.rs
@@ -6,7 +6,7 @@
 use indexmap::IndexMap;
 
 use crate::exchange::HostUpdate;
-use crate::exchange::LimitNews;
+use crate::exchange::LimitEntry;
 use crate::exchange::PoisonNews;
 use crate::exchange::UpstreamHash;
 use crate::exchange::Voice;
@@ -122,8 +122,8 @@
         poisons
     }
 
-    fn sum_of_limits(&self, now: Instant) -> Vec<LimitNews> {
-        let mut sum: IndexMap<UpstreamHash, LimitNews> = IndexMap::new();
+    fn sum_of_limits(&self, now: Instant) -> Vec<LimitEntry> {
+        let mut sum: IndexMap<UpstreamHash, LimitEntry> = IndexMap::new();
         for news in self.neighbours.values().flat_map(|n| n.limits(now)) {
             let known = sum.get(&news.upstream());
             let together = known.map_or(news, |known| known.plus(&news));
--- a/src/exchange/limits_heard.rs
+++ b/src/exchange/limits_heard.rs
@@ -5,7 +5,7 @@
 
 use indexmap::IndexMap;
 
-use crate::exchange::LimitNews;
+use crate::exchange::LimitEntry;
 use crate::exchange::UpstreamHash;
 
 /// What was heard this long ago counts no more: the requests that it speaks of are over.
@@ -13,13 +13,13 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Heard {
-    news: LimitNews,
+    news: LimitEntry,
     at: Instant,
     is_passed_on: bool,
 }
 
 impl Heard {
-    fn aged(&self, now: Instant) -> LimitNews {
+    fn aged(&self, now: Instant) -> LimitEntry {
         let since = now.saturating_duration_since(self.at);
         self.news.older_by(since)
     }
@@ -33,7 +33,7 @@
 
 impl LimitsHeard {
     /// Takes in what a message says; upstreams that it doesn't name are as before.
-    pub(crate) fn hear(&mut self, limits: Vec<LimitNews>, now: Instant) {
+    pub(crate) fn hear(&mut self, limits: Vec<LimitEntry>, now: Instant) {
         for news in limits {
             let heard = Heard {
                 news,
@@ -45,14 +45,14 @@
     }
 
     /// What is known now.
-    pub(crate) fn current(&self, now: Instant) -> impl Iterator<Item = LimitNews> {
+    pub(crate) fn current(&self, now: Instant) -> impl Iterator<Item = LimitEntry> {
         let is_kept = move |heard: &&Heard| now.saturating_duration_since(heard.at) < KEPT_FOR;
         let kept = self.by_upstream.values().filter(is_kept);
         kept.map(move |heard| heard.aged(now))
     }
 
     /// What has not been passed on yet.
-    pub(crate) fn pending(&mut self, now: Instant) -> Vec<LimitNews> {
+    pub(crate) fn pending(&mut self, now: Instant) -> Vec<LimitEntry> {
         let new = self.by_upstream.values_mut().filter(|h| !h.is_passed_on);
         let pending = new.map(|heard| {
             heard.is_passed_on = true;
--- a/src/exchange/message.rs
+++ b/src/exchange/message.rs
@@ -59,7 +59,7 @@
     pub slow: Vec<SlowNews>,
     /// Upstreams that have named a limit, and what was sent there. Those that it doesn't name are as before.
     #[prost(message, repeated, tag = "17")]
-    pub limits: Vec<LimitNews>,
+    pub limits: Vec<LimitEntry>,
 }
 
 /// The work at one upstream.
@@ -126,7 +126,7 @@
 /// An upstream that has named a limit of requests a second.
 #[derive(Clone, Copy, PartialEq)]
 #[derive(prost::Message)]
-pub struct LimitNews {
+pub struct LimitEntry {
     /// The hash of the upstream's id.
     #[prost(fixed64, tag = "1")]
     pub upstream_hash: u64,
@@ -144,7 +144,7 @@
     pub sent_in_burst_window: u32,
 }
 
-impl LimitNews {
+impl LimitEntry {
     /// The upstream.
     pub fn upstream(&self) -> UpstreamHash {
         UpstreamHash(self.upstream_hash)
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -33,7 +33,7 @@
 pub use listed_host::ListedHost;
 pub use listed_host::strongest;
 pub use message::HostUpdate;
-pub use message::LimitNews;
+pub use message::LimitEntry;
 pub use message::LoadEntry;
 pub use message::PoisonNews;
 pub use message::SlowNews;
--- a/src/exchange/speaker.rs
+++ b/src/exchange/speaker.rs
@@ -6,7 +6,7 @@
 use indexmap::IndexMap;
 
 use crate::exchange::HostUpdate;
-use crate::exchange::LimitNews;
+use crate::exchange::LimitEntry;
 use crate::exchange::LoadEntry;
 use crate::exchange::PoisonNews;
 use crate::exchange::UpstreamHash;
@@ -65,7 +65,7 @@
     }
 
     /// What it says of upstreams' limits.
-    pub(crate) fn limits(&self, now: Instant) -> impl Iterator<Item = LimitNews> {
+    pub(crate) fn limits(&self, now: Instant) -> impl Iterator<Item = LimitEntry> {
         self.limits.current(now)
     }
 
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -18,7 +18,7 @@
 use crate::decide::ReadSent;
 use crate::decide::SentLately;
 use crate::exchange::HostUpdate;
-use crate::exchange::LimitNews;
+use crate::exchange::LimitEntry;
 use crate::exchange::ListedHost;
 use crate::exchange::LoadEntry;
 use crate::exchange::NewsDesk;
@@ -275,8 +275,8 @@
     Slowdown::new(f64::from(news.slowdown_percent) / 100.0)
 }
 
-fn limit_news((upstream, report): (&UpstreamId, LimitReport)) -> LimitNews {
-    LimitNews {
+fn limit_news((upstream, report): (&UpstreamId, LimitReport)) -> LimitEntry {
+    LimitEntry {
         upstream_hash: UpstreamHash::from(upstream).0,
         limit_per_s: report.limit.map(|limit| limit.0),
         age_ms: whole_millis_u32(report.age),
@@ -285,7 +285,7 @@
     }
 }
 
-fn read_limit(news: &LimitNews) -> LimitReport {
+fn read_limit(news: &LimitEntry) -> LimitReport {
     LimitReport {
         limit: news.limit_per_s.map(RequestsPerSecond),
         age: Duration::from_millis(news.age_ms.into()),
--- a/tests/exchange_fleet.rs
+++ b/tests/exchange_fleet.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use banyanarch::exchange::LimitNews;
+use banyanarch::exchange::LimitEntry;
 use exchange_world::CHANGES_PER_S;
 use exchange_world::Node;
 use exchange_world::World;
@@ -95,11 +95,11 @@
     world.loss = 0.05;
     for sent_in_window in [1, 4] {
         for index in (0..hosts).step_by(3) {
-            world.nodes[index].sent = Some(LimitNews {
+            world.nodes[index].sent = Some(LimitEntry {
                 upstream_hash: 1,
                 limit_per_s: Some(1.7),
                 sent_in_window,
-                ..LimitNews::default()
+                ..LimitEntry::default()
             });
         }
         world.run_for(ms(1_500));
--- a/tests/exchange_world/node.rs
+++ b/tests/exchange_world/node.rs
@@ -9,7 +9,7 @@
 use banyanarch::decide::LoadSource;
 use banyanarch::exchange::Fleet;
 use banyanarch::exchange::HostUpdate;
-use banyanarch::exchange::LimitNews;
+use banyanarch::exchange::LimitEntry;
 use banyanarch::exchange::ListedHost;
 use banyanarch::exchange::LoadEntry;
 use banyanarch::exchange::Outgoing;
@@ -34,7 +34,7 @@
     pub life: u64,
     own: IndexMap<UpstreamId, u32>,
     /// What it has sent to an upstream that has named a limit.
-    pub sent: Option<LimitNews>,
+    pub sent: Option<LimitEntry>,
     sent_heard: IndexMap<LoadSource, u32>,
 }
 
