--- a/src/exchange/gathered.rs
+++ b/src/exchange/gathered.rs
@@ -7,7 +7,7 @@
 
 use crate::exchange::HostUpdate;
 use crate::exchange::LimitEntry;
-use crate::exchange::PoisonNews;
+use crate::exchange::PoisonEntry;
 use crate::exchange::UpstreamHash;
 use crate::exchange::Voice;
 use crate::exchange::limits_told::LimitsTold;
@@ -114,9 +114,9 @@
     }
 
     /// The requests that crashed upstreams, as the hosts of the domain tell them.
-    fn poisons(&mut self, now: Instant) -> Vec<PoisonNews> {
+    fn poisons(&mut self, now: Instant) -> Vec<PoisonEntry> {
         let neighbours = self.neighbours.values_mut();
-        let mut poisons: Vec<PoisonNews> =
+        let mut poisons: Vec<PoisonEntry> =
             neighbours.flat_map(|n| n.poisons_to_tell(now)).collect();
         poisons.dedup();
         poisons
--- a/src/exchange/message.rs
+++ b/src/exchange/message.rs
@@ -36,7 +36,7 @@
     pub cut_off: Vec<String>,
     /// Requests that crashed upstreams lately.
     #[prost(message, repeated, tag = "5")]
-    pub poisons: Vec<PoisonNews>,
+    pub poisons: Vec<PoisonEntry>,
     /// For whom it speaks. A host of a former version knows of its own voice only, and is sent nothing
     /// else.
     #[prost(enumeration = "Voice", tag = "11")]
@@ -184,7 +184,7 @@
 /// A request that crashed upstreams.
 #[derive(Clone, PartialEq, Eq, Hash)]
 #[derive(prost::Message)]
-pub struct PoisonNews {
+pub struct PoisonEntry {
     /// The hash it is recognised by, 16 bytes.
     #[prost(bytes = "vec", tag = "1")]
     pub content: Vec<u8>,
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -35,7 +35,7 @@
 pub use message::HostUpdate;
 pub use message::LimitEntry;
 pub use message::LoadEntry;
-pub use message::PoisonNews;
+pub use message::PoisonEntry;
 pub use message::SlowNews;
 pub use news_route::NewsRoute;
 pub use outgoing::Outgoing;
--- a/src/exchange/speaker.rs
+++ b/src/exchange/speaker.rs
@@ -8,7 +8,7 @@
 use crate::exchange::HostUpdate;
 use crate::exchange::LimitEntry;
 use crate::exchange::LoadEntry;
-use crate::exchange::PoisonNews;
+use crate::exchange::PoisonEntry;
 use crate::exchange::UpstreamHash;
 use crate::exchange::limits_heard::LimitsHeard;
 use crate::exchange::load_at::LoadAt;
@@ -35,7 +35,7 @@
     is_new: bool,
     told: Loads,
     whole_at: Option<Instant>,
-    poisons_told: Vec<(Instant, PoisonNews)>,
+    poisons_told: Vec<(Instant, PoisonEntry)>,
     limits: LimitsHeard,
 }
 
@@ -134,7 +134,7 @@
     }
 
     /// The requests that crashed upstreams, as far as they have not been passed on just now.
-    pub(crate) fn poisons_to_tell(&mut self, now: Instant) -> Vec<PoisonNews> {
+    pub(crate) fn poisons_to_tell(&mut self, now: Instant) -> Vec<PoisonEntry> {
         self.poisons_told
             .retain(|(at, _)| now.saturating_duration_since(*at) < REPEAT_INTERVAL);
         let mut poisons = std::mem::take(&mut self.head.poisons);
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -23,7 +23,7 @@
 use crate::exchange::LoadEntry;
 use crate::exchange::NewsDesk;
 use crate::exchange::NewsRoute;
-use crate::exchange::PoisonNews;
+use crate::exchange::PoisonEntry;
 use crate::exchange::SlowNews;
 use crate::exchange::UpstreamHash;
 use crate::exchange::Voice;
@@ -300,9 +300,9 @@
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-fn poison_news(poison: &Poison) -> PoisonNews {
+fn poison_news(poison: &Poison) -> PoisonEntry {
     let (PoisonMark::Content(hash) | PoisonMark::Key(hash)) = poison.mark;
-    PoisonNews {
+    PoisonEntry {
         content: hash.0.to_be_bytes().to_vec(),
         attempts: poison
             .attempts
@@ -312,7 +312,7 @@
     }
 }
 
-fn read_poison(news: &PoisonNews) -> Option<Poison> {
+fn read_poison(news: &PoisonEntry) -> Option<Poison> {
     let number = |bytes: &Vec<u8>| Some(u128::from_be_bytes(bytes.as_slice().try_into().ok()?));
     let attempts = news.attempts.iter().filter_map(number).map(AttemptId);
     Some(Poison {
