--- a/src/exchange/message.rs
+++ b/src/exchange/message.rs
@@ -56,7 +56,7 @@
     pub proof_age_plus_one_ms: u32,
     /// Engines that the sender has asked and that are slow; those that it speaks of no more are sound.
     #[prost(message, repeated, tag = "16")]
-    pub slow: Vec<SlowNews>,
+    pub slow: Vec<SlowdownEntry>,
     /// Upstreams that have named a limit, and what was sent there. Those that it doesn't name are as before.
     #[prost(message, repeated, tag = "17")]
     pub limits: Vec<LimitEntry>,
@@ -114,7 +114,7 @@
 /// An engine that is slow.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-pub struct SlowNews {
+pub struct SlowdownEntry {
     /// The hash of the engine's id.
     #[prost(fixed64, tag = "1")]
     pub upstream_hash: u64,
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -36,7 +36,7 @@
 pub use message::LimitEntry;
 pub use message::LoadEntry;
 pub use message::PoisonEntry;
-pub use message::SlowNews;
+pub use message::SlowdownEntry;
 pub use news_route::NewsRoute;
 pub use outgoing::Outgoing;
 pub use pace::Need;
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -24,7 +24,7 @@
 use crate::exchange::NewsDesk;
 use crate::exchange::NewsRoute;
 use crate::exchange::PoisonEntry;
-use crate::exchange::SlowNews;
+use crate::exchange::SlowdownEntry;
 use crate::exchange::UpstreamHash;
 use crate::exchange::Voice;
 use crate::gateway::Event;
@@ -264,14 +264,14 @@
 }
 
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn slow_news((engine, slowdown): &(UpstreamId, Slowdown)) -> SlowNews {
-    SlowNews {
+fn slow_news((engine, slowdown): &(UpstreamId, Slowdown)) -> SlowdownEntry {
+    SlowdownEntry {
         upstream_hash: UpstreamHash::from(engine).0,
         slowdown_percent: (slowdown.factor() * 100.0) as u32,
     }
 }
 
-fn read_slowdown(news: &SlowNews) -> Slowdown {
+fn read_slowdown(news: &SlowdownEntry) -> Slowdown {
     Slowdown::new(f64::from(news.slowdown_percent) / 100.0)
 }
 
