--- a/src/exchange/codec.rs
+++ b/src/exchange/codec.rs
@@ -14,9 +14,9 @@
 
 /// Reads and writes messages as whole datagrams.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct NewsCodec;
+pub struct UpdateCodec;
 
-impl Decoder for NewsCodec {
+impl Decoder for UpdateCodec {
     type Item = HostUpdate;
     type Error = ExchangeError;
 
@@ -31,7 +31,7 @@
 }
 
 /// Writes a message that is encoded already.
-impl Encoder<Bytes> for NewsCodec {
+impl Encoder<Bytes> for UpdateCodec {
     type Error = ExchangeError;
 
     fn encode(&mut self, message: Bytes, dst: &mut BytesMut) -> Result<(), ExchangeError> {
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -26,7 +26,7 @@
 mod upstream_hash;
 mod voice;
 
-pub use codec::NewsCodec;
+pub use codec::UpdateCodec;
 pub use error::ExchangeError;
 pub use fleet::Fleet;
 pub use fleet::is_large_fleet;
--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -18,9 +18,9 @@
 use crate::exchange::HostUpdate;
 use crate::exchange::ListedHost;
 use crate::exchange::Need;
-use crate::exchange::NewsCodec;
 use crate::exchange::NewsRoute;
 use crate::exchange::Outgoing;
+use crate::exchange::UpdateCodec;
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
@@ -54,7 +54,7 @@
 /// The task that exchanges news over one socket.
 pub struct Exchange {
     desk: Arc<dyn NewsDesk>,
-    framed: UdpFramed<NewsCodec>,
+    framed: UdpFramed<UpdateCodec>,
     fleet: Fleet,
     route: NewsRoute,
 }
@@ -65,7 +65,7 @@
         let fleet = Fleet::new(desk.host(), desk.domain(), now());
         Self {
             desk,
-            framed: UdpFramed::new(socket, NewsCodec),
+            framed: UdpFramed::new(socket, UpdateCodec),
             fleet,
             route: NewsRoute::default(),
         }
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -9,9 +9,9 @@
 use banyanarch::exchange::HostUpdate;
 use banyanarch::exchange::ListedHost;
 use banyanarch::exchange::LoadEntry;
-use banyanarch::exchange::NewsCodec;
 use banyanarch::exchange::NewsDesk;
 use banyanarch::exchange::NewsRoute;
+use banyanarch::exchange::UpdateCodec;
 use banyanarch::units::FailureDomainId;
 use banyanarch::units::HostId;
 use bytes::Bytes;
@@ -117,8 +117,8 @@
         ..HostUpdate::default()
     };
     let mut bytes = BytesMut::new();
-    NewsCodec.encode(encoded(&news), &mut bytes).unwrap();
-    assert_eq!(NewsCodec.decode(&mut bytes).unwrap(), Some(news));
+    UpdateCodec.encode(encoded(&news), &mut bytes).unwrap();
+    assert_eq!(UpdateCodec.decode(&mut bytes).unwrap(), Some(news));
     assert!(bytes.is_empty());
 }
 
@@ -127,7 +127,7 @@
 #[test]
 fn a_datagram_that_is_no_message_leaves_nothing_behind() {
     let mut bytes = BytesMut::from(&b"\xff\xff\xff not a message"[..]);
-    assert!(NewsCodec.decode(&mut bytes).is_err());
+    assert!(UpdateCodec.decode(&mut bytes).is_err());
     assert!(bytes.is_empty());
 }
 
@@ -138,7 +138,7 @@
         ..HostUpdate::default()
     };
     let mut bytes = BytesMut::new();
-    assert!(NewsCodec.encode(encoded(&news), &mut bytes).is_err());
+    assert!(UpdateCodec.encode(encoded(&news), &mut bytes).is_err());
 }
 
 /// A fleet of 400 hosts: what each may send is spread so far that the others take it for dead, forget
