--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -43,6 +43,6 @@
 pub use pace::Pace;
 pub use pace::news_interval;
 pub use task::Exchange;
-pub use task::NewsDesk;
+pub use task::ExchangeHandler;
 pub use upstream_hash::UpstreamHash;
 pub use voice::Voice;
--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -25,7 +25,7 @@
 use crate::units::HostId;
 
 /// What is told and heard.
-pub trait NewsDesk: Send + Sync {
+pub trait ExchangeHandler: Send + Sync {
     /// This host.
     fn host(&self) -> HostId;
 
@@ -44,7 +44,7 @@
     /// Takes in by which way news come from now on.
     fn on_route(&self, route: NewsRoute);
 
-    /// Notified at each change of what [`NewsDesk::news`] would say.
+    /// Notified at each change of what [`ExchangeHandler::news`] would say.
     fn changed(&self) -> &Notify;
 
     /// Notified at a change that can't wait for this host's turn.
@@ -53,7 +53,7 @@
 
 /// The task that exchanges news over one socket.
 pub struct Exchange {
-    desk: Arc<dyn NewsDesk>,
+    desk: Arc<dyn ExchangeHandler>,
     framed: UdpFramed<UpdateCodec>,
     fleet: Fleet,
     route: NewsRoute,
@@ -61,7 +61,7 @@
 
 impl Exchange {
     /// Exchanges news over a socket.
-    pub fn new(socket: UdpSocket, desk: Arc<dyn NewsDesk>) -> Self {
+    pub fn new(socket: UdpSocket, desk: Arc<dyn ExchangeHandler>) -> Self {
         let fleet = Fleet::new(desk.host(), desk.domain(), now());
         Self {
             desk,
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -17,11 +17,11 @@
 use crate::decide::PoisonMark;
 use crate::decide::ReadSent;
 use crate::decide::SentLately;
+use crate::exchange::ExchangeHandler;
 use crate::exchange::HostUpdate;
 use crate::exchange::LimitEntry;
 use crate::exchange::ListedHost;
 use crate::exchange::LoadEntry;
-use crate::exchange::NewsDesk;
 use crate::exchange::NewsRoute;
 use crate::exchange::PoisonEntry;
 use crate::exchange::SlowdownEntry;
@@ -44,7 +44,7 @@
 /// Marks in one message, the latest. 64 are 4 KB.
 const POISONS_MAX: usize = 64;
 
-impl NewsDesk for Gateway {
+impl ExchangeHandler for Gateway {
     fn host(&self) -> HostId {
         self.conf.host.clone()
     }
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -11,7 +11,7 @@
 
 use crate::daemon::serve_pages;
 use crate::exchange::Exchange;
-use crate::exchange::NewsDesk;
+use crate::exchange::ExchangeHandler;
 use crate::gateway::Catalog;
 use crate::gateway::DrainPhase;
 use crate::gateway::Event;
@@ -59,7 +59,7 @@
     catalog: Arc<dyn Catalog>,
     listeners: Listeners,
 ) -> Result<(), GatewayError> {
-    let desk: Arc<dyn NewsDesk> = Arc::<Gateway>::clone(&gateway);
+    let desk: Arc<dyn ExchangeHandler> = Arc::<Gateway>::clone(&gateway);
     let exchange_addr = listeners.exchange.local_addr();
     let exchange_addr = exchange_addr.map_err(|err| GatewayError::Bind("exchange", err))?;
     gateway.log.note(Event::Started {
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use banyanarch::exchange::Exchange;
+use banyanarch::exchange::ExchangeHandler;
 use banyanarch::exchange::HostUpdate;
 use banyanarch::exchange::ListedHost;
 use banyanarch::exchange::LoadEntry;
-use banyanarch::exchange::NewsDesk;
 use banyanarch::exchange::NewsRoute;
 use banyanarch::exchange::UpdateCodec;
 use banyanarch::units::FailureDomainId;
@@ -46,7 +46,7 @@
     }
 }
 
-impl NewsDesk for Desk {
+impl ExchangeHandler for Desk {
     fn news(&self) -> HostUpdate {
         HostUpdate {
             host: self.name.to_owned(),
--- a/tests/gateway_news.rs
+++ b/tests/gateway_news.rs
@@ -6,10 +6,10 @@
 use std::sync::Mutex;
 use std::time::Instant;
 
+use banyanarch::exchange::ExchangeHandler;
 use banyanarch::exchange::HostUpdate;
 use banyanarch::exchange::ListedHost;
 use banyanarch::exchange::LoadEntry;
-use banyanarch::exchange::NewsDesk;
 use banyanarch::exchange::UpstreamHash;
 use banyanarch::exchange::Voice;
 use banyanarch::gateway::Catalog;
