--- a/src/exchange/fleet.rs
+++ b/src/exchange/fleet.rs
@@ -21,9 +21,9 @@
 use crate::exchange::HostUpdate;
 use crate::exchange::ListedHost;
 use crate::exchange::Need;
-use crate::exchange::NewsRoute;
 use crate::exchange::Outgoing;
 use crate::exchange::Pace;
+use crate::exchange::UpdateRoute;
 use crate::exchange::UpstreamHash;
 use crate::exchange::Voice;
 use crate::exchange::collectors::Collectors;
@@ -152,10 +152,10 @@
     }
 
     /// By which way news come to this host now.
-    pub fn route(&self, now: Instant) -> NewsRoute {
+    pub fn route(&self, now: Instant) -> UpdateRoute {
         let near_age = news_interval(self.told.len());
         if !self.is_large() {
-            return NewsRoute {
+            return UpdateRoute {
                 collector: None,
                 near_age,
                 far_age: near_age,
@@ -163,7 +163,7 @@
         }
         let collector = self.collector.as_ref().map(|listed| &listed.host);
         let has_spoken = |host: &&HostId| self.collectors.has_spoken(host, now);
-        NewsRoute {
+        UpdateRoute {
             collector: collector.filter(has_spoken).cloned(),
             near_age,
             far_age: FAR_AGE,
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -37,7 +37,7 @@
 pub use message::LoadEntry;
 pub use message::PoisonEntry;
 pub use message::SlowdownEntry;
-pub use news_route::NewsRoute;
+pub use news_route::UpdateRoute;
 pub use outgoing::Outgoing;
 pub use pace::Need;
 pub use pace::Pace;
--- a/src/exchange/news_route.rs
+++ b/src/exchange/news_route.rs
@@ -9,7 +9,7 @@
 
 /// By which way news of other hosts come to a host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct NewsRoute {
+pub struct UpdateRoute {
     /// The host that passes on what other failure domains tell; none if all hosts tell each other, or
     /// if it is this one.
     pub collector: Option<HostId>,
@@ -19,7 +19,7 @@
     pub far_age: Duration,
 }
 
-impl NewsRoute {
+impl UpdateRoute {
     /// Whether news come by another collector, or are older or younger by a factor that matters. The fleet
     /// grows and shrinks by a host at a time, and each moves the ages by a few ms.
     pub fn is_another_way_than(&self, other: &Self) -> bool {
--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -18,9 +18,9 @@
 use crate::exchange::HostUpdate;
 use crate::exchange::ListedHost;
 use crate::exchange::Need;
-use crate::exchange::NewsRoute;
 use crate::exchange::Outgoing;
 use crate::exchange::UpdateCodec;
+use crate::exchange::UpdateRoute;
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
@@ -42,7 +42,7 @@
     fn hosts(&self) -> Arc<Vec<ListedHost>>;
 
     /// Takes in by which way news come from now on.
-    fn on_route(&self, route: NewsRoute);
+    fn on_route(&self, route: UpdateRoute);
 
     /// Notified at each change of what [`ExchangeHandler::news`] would say.
     fn changed(&self) -> &Notify;
@@ -56,7 +56,7 @@
     desk: Arc<dyn ExchangeHandler>,
     framed: UdpFramed<UpdateCodec>,
     fleet: Fleet,
-    route: NewsRoute,
+    route: UpdateRoute,
 }
 
 impl Exchange {
@@ -67,7 +67,7 @@
             desk,
             framed: UdpFramed::new(socket, UpdateCodec),
             fleet,
-            route: NewsRoute::default(),
+            route: UpdateRoute::default(),
         }
     }
 
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -22,9 +22,9 @@
 use crate::exchange::LimitEntry;
 use crate::exchange::ListedHost;
 use crate::exchange::LoadEntry;
-use crate::exchange::NewsRoute;
 use crate::exchange::PoisonEntry;
 use crate::exchange::SlowdownEntry;
+use crate::exchange::UpdateRoute;
 use crate::exchange::UpstreamHash;
 use crate::exchange::Voice;
 use crate::gateway::Event;
@@ -137,7 +137,7 @@
         self.beliefs.hosts()
     }
 
-    fn on_route(&self, route: NewsRoute) {
+    fn on_route(&self, route: UpdateRoute) {
         if route.is_another_way_than(&self.logged_route()) {
             self.log.note(Event::NewsRoute {
                 collector: route.collector.as_ref().map(ToString::to_string),
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -20,7 +20,7 @@
 use crate::decide::Poison;
 use crate::decide::PoisonList;
 use crate::decide::RetryWindow;
-use crate::exchange::NewsRoute;
+use crate::exchange::UpdateRoute;
 use crate::gateway::Beliefs;
 use crate::gateway::Call;
 use crate::gateway::DecisionLog;
@@ -91,8 +91,8 @@
     /// Notified when a host was heard that is not on the list.
     pub(crate) hosts_news: Notify,
     pub(crate) news_sent: AtomicU64,
-    news_route: Mutex<NewsRoute>,
-    logged_route: Mutex<NewsRoute>,
+    news_route: Mutex<UpdateRoute>,
+    logged_route: Mutex<UpdateRoute>,
     /// Which host reads the platform for this one.
     pub(crate) readers: Readers,
     /// Which engines are slow.
@@ -158,23 +158,23 @@
     }
 
     /// By which way news of other hosts come.
-    pub(crate) fn news_route(&self) -> NewsRoute {
+    pub(crate) fn news_route(&self) -> UpdateRoute {
         let route = self.news_route.lock();
         route.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// The way that the decision log has told last.
-    pub(crate) fn logged_route(&self) -> NewsRoute {
+    pub(crate) fn logged_route(&self) -> UpdateRoute {
         let route = self.logged_route.lock();
         route.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    pub(crate) fn set_logged_route(&self, route: NewsRoute) {
+    pub(crate) fn set_logged_route(&self, route: UpdateRoute) {
         let logged = self.logged_route.lock();
         *logged.unwrap_or_else(PoisonError::into_inner) = route;
     }
 
-    pub(crate) fn set_news_route(&self, route: NewsRoute) {
+    pub(crate) fn set_news_route(&self, route: UpdateRoute) {
         let mut current = self
             .news_route
             .lock()
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -10,8 +10,8 @@
 use banyanarch::exchange::HostUpdate;
 use banyanarch::exchange::ListedHost;
 use banyanarch::exchange::LoadEntry;
-use banyanarch::exchange::NewsRoute;
 use banyanarch::exchange::UpdateCodec;
+use banyanarch::exchange::UpdateRoute;
 use banyanarch::units::FailureDomainId;
 use banyanarch::units::HostId;
 use bytes::Bytes;
@@ -70,7 +70,7 @@
         self.hosts.lock().unwrap().clone()
     }
 
-    fn on_route(&self, _route: NewsRoute) {}
+    fn on_route(&self, _route: UpdateRoute) {}
 
     fn changed(&self) -> &Notify {
         &self.changed
