--- a/src/exchange/news_route.rs
+++ b/src/exchange/news_route.rs
@@ -14,7 +14,7 @@
     /// if it is this one.
     pub collector: Option<HostId>,
     /// How old news of hosts of this host's domain are at most when nothing is lost.
-    pub near_age: Duration,
+    pub local_age_max: Duration,
     /// The same of hosts of other domains.
     pub far_age: Duration,
 }
@@ -28,7 +28,7 @@
             more > less.mul_f64(AGE_FACTOR)
         };
         self.collector != other.collector
-            || is_other_age(self.near_age, other.near_age)
+            || is_other_age(self.local_age_max, other.local_age_max)
             || is_other_age(self.far_age, other.far_age)
     }
 }
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -141,7 +141,7 @@
         if route.is_another_way_than(&self.logged_route()) {
             self.log.note(Event::NewsRoute {
                 collector: route.collector.as_ref().map(ToString::to_string),
-                near_age_ms: whole_millis(route.near_age),
+                near_age_ms: whole_millis(route.local_age_max),
                 far_age_ms: whole_millis(route.far_age),
             });
             self.set_logged_route(route.clone());
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -188,7 +188,7 @@
         patience_left: call.patience_left(now).max(least),
         time_left: call.time_left(now),
         strictest_pause: routes.strictest_pause(&call.service),
-        news_age: news.near_age,
+        news_age: news.local_age_max,
         far_news_age: news.far_age,
         is_far: false,
         draw: rand::random(),
