--- a/src/exchange/news_route.rs
+++ b/src/exchange/news_route.rs
@@ -16,7 +16,7 @@
     /// How old news of hosts of this host's domain are at most when nothing is lost.
     pub local_age_max: Duration,
     /// The same of hosts of other domains.
-    pub far_age: Duration,
+    pub remote_age_max: Duration,
 }
 
 impl UpdateRoute {
@@ -29,6 +29,6 @@
         };
         self.collector != other.collector
             || is_other_age(self.local_age_max, other.local_age_max)
-            || is_other_age(self.far_age, other.far_age)
+            || is_other_age(self.remote_age_max, other.remote_age_max)
     }
 }
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -142,7 +142,7 @@
             self.log.note(Event::NewsRoute {
                 collector: route.collector.as_ref().map(ToString::to_string),
                 near_age_ms: whole_millis(route.local_age_max),
-                far_age_ms: whole_millis(route.far_age),
+                far_age_ms: whole_millis(route.remote_age_max),
             });
             self.set_logged_route(route.clone());
         }
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -192,7 +192,7 @@
     /// How long it takes until hosts hear of each other's sends.
     pub(crate) fn sends_seen_within(&self) -> Duration {
         let route = self.news_route();
-        route.local_age_max.max(route.far_age) + NEWS_WAY
+        route.local_age_max.max(route.remote_age_max) + NEWS_WAY
     }
 
     fn on_malformed_limit(&self, upstream: &UpstreamId, value: &str) {
