--- a/src/exchange/news_route.rs
+++ b/src/exchange/news_route.rs
@@ -22,7 +22,7 @@
 impl UpdateRoute {
     /// Whether news come by another collector, or are older or younger by a factor that matters. The fleet
     /// grows and shrinks by a host at a time, and each moves the ages by a few ms.
-    pub fn is_another_way_than(&self, other: &Self) -> bool {
+    pub fn differs_noticeably_from(&self, other: &Self) -> bool {
         let is_other_age = |one: Duration, other: Duration| {
             let (less, more) = (one.min(other), one.max(other));
             more > less.mul_f64(AGE_FACTOR)
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -138,7 +138,7 @@
     }
 
     fn on_route(&self, route: UpdateRoute) {
-        if route.is_another_way_than(&self.logged_route()) {
+        if route.differs_noticeably_from(&self.logged_route()) {
             self.log.note(Event::NewsRoute {
                 collector: route.collector.as_ref().map(ToString::to_string),
                 near_age_ms: whole_millis(route.local_age_max),
