--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -42,7 +42,7 @@
     fn hosts(&self) -> Arc<Vec<ListedHost>>;
 
     /// Takes in by which way news come from now on.
-    fn on_route(&self, route: UpdateRoute);
+    fn on_update_route(&self, route: UpdateRoute);
 
     /// Notified at each change of what [`ExchangeHandler::news`] would say.
     fn changed(&self) -> &Notify;
@@ -99,7 +99,7 @@
         let route = self.fleet.route(now());
         if route != self.route {
             self.route = route.clone();
-            self.desk.on_route(route);
+            self.desk.on_update_route(route);
         }
     }
 
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -137,7 +137,7 @@
         self.beliefs.hosts()
     }
 
-    fn on_route(&self, route: UpdateRoute) {
+    fn on_update_route(&self, route: UpdateRoute) {
         if route.differs_noticeably_from(&self.logged_route()) {
             self.log.note(Event::NewsRoute {
                 collector: route.collector.as_ref().map(ToString::to_string),
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -70,7 +70,7 @@
         self.hosts.lock().unwrap().clone()
     }
 
-    fn on_route(&self, _route: UpdateRoute) {}
+    fn on_update_route(&self, _route: UpdateRoute) {}
 
     fn changed(&self) -> &Notify {
         &self.changed
