--- a/src/exchange/fleet.rs
+++ b/src/exchange/fleet.rs
@@ -20,12 +20,12 @@
 
 use crate::exchange::HostUpdate;
 use crate::exchange::ListedHost;
+use crate::exchange::MessageScope;
 use crate::exchange::Need;
 use crate::exchange::Outgoing;
 use crate::exchange::Pace;
 use crate::exchange::UpdateRoute;
 use crate::exchange::UpstreamHash;
-use crate::exchange::Voice;
 use crate::exchange::collectors::Collectors;
 use crate::exchange::gathered::Gathered;
 use crate::exchange::limits_told::LimitsTold;
@@ -211,7 +211,7 @@
             return (Vec::new(), None);
         }
         match news.voice() {
-            Voice::Own => {
+            MessageScope::Host => {
                 if self.domains.get(&host) == Some(&self.domain) && self.is_large() {
                     self.collectors.on_seen(&host, now);
                     self.has_gathered = true;
@@ -219,8 +219,8 @@
                 }
                 (vec![news], None)
             }
-            Voice::Domain => self.hear_domain(host, news, now),
-            Voice::Relay => (self.hear_relay(&host, news, now), None),
+            MessageScope::Domain => self.hear_domain(host, news, now),
+            MessageScope::Relay => (self.hear_relay(&host, news, now), None),
         }
     }
 
--- a/src/exchange/gathered.rs
+++ b/src/exchange/gathered.rs
@@ -7,9 +7,9 @@
 
 use crate::exchange::HostUpdate;
 use crate::exchange::LimitEntry;
+use crate::exchange::MessageScope;
 use crate::exchange::PoisonEntry;
 use crate::exchange::UpstreamHash;
-use crate::exchange::Voice;
 use crate::exchange::limits_told::LimitsTold;
 use crate::exchange::speaker::Loads;
 use crate::exchange::speaker::Speaker;
@@ -95,13 +95,13 @@
         }
         let others = self.others.values_mut();
         let relay = HostUpdate {
-            voice: Voice::Relay.into(),
+            voice: MessageScope::Relay.into(),
             relayed: others.filter_map(|other| other.part(now)).collect(),
             ..head.clone()
         };
         let poisons = self.poisons(now);
         let head = HostUpdate {
-            voice: Voice::Domain.into(),
+            voice: MessageScope::Domain.into(),
             poisons,
             ..head
         };
--- a/src/exchange/message.rs
+++ b/src/exchange/message.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use crate::exchange::MessageScope;
 use crate::exchange::UpstreamHash;
-use crate::exchange::Voice;
 use crate::units::whole_millis_u32;
 
 /// What one host tells, of itself or for others. Tag 6 was used before.
@@ -39,7 +39,7 @@
     pub poisons: Vec<PoisonEntry>,
     /// For whom it speaks. A host of a former version knows of its own voice only, and is sent nothing
     /// else.
-    #[prost(enumeration = "Voice", tag = "11")]
+    #[prost(enumeration = "MessageScope", tag = "11")]
     pub voice: i32,
     /// Whether `loads` names only what has changed since the last message.
     #[prost(bool, tag = "12")]
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -45,4 +45,4 @@
 pub use task::Exchange;
 pub use task::ExchangeHandler;
 pub use upstream_hash::UpstreamHash;
-pub use voice::Voice;
+pub use voice::MessageScope;
--- a/src/exchange/speakers.rs
+++ b/src/exchange/speakers.rs
@@ -6,7 +6,7 @@
 use indexmap::IndexMap;
 
 use crate::exchange::HostUpdate;
-use crate::exchange::Voice;
+use crate::exchange::MessageScope;
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
@@ -57,7 +57,7 @@
 fn nothing_left(collector: &HostId) -> HostUpdate {
     HostUpdate {
         host: collector.to_string(),
-        voice: Voice::Domain.into(),
+        voice: MessageScope::Domain.into(),
         ..HostUpdate::default()
     }
 }
--- a/src/exchange/voice.rs
+++ b/src/exchange/voice.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(prost::Enumeration)]
 #[repr(i32)]
-pub enum Voice {
+pub enum MessageScope {
     /// Of a host, of itself.
     Own = 0,
     /// Of a collector, of all hosts of its failure domain together, to those of other domains.
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -22,11 +22,11 @@
 use crate::exchange::LimitEntry;
 use crate::exchange::ListedHost;
 use crate::exchange::LoadEntry;
+use crate::exchange::MessageScope;
 use crate::exchange::PoisonEntry;
 use crate::exchange::SlowdownEntry;
 use crate::exchange::UpdateRoute;
 use crate::exchange::UpstreamHash;
-use crate::exchange::Voice;
 use crate::gateway::Event;
 use crate::gateway::Gateway;
 use crate::gateway::share::is_fresh;
@@ -108,8 +108,8 @@
         self.hear_proof(&host, &news, now);
         self.hear_unreachable(&host, &news, now);
         let source = match news.voice() {
-            Voice::Domain => LoadSource::Collector(host),
-            Voice::Own | Voice::Relay => LoadSource::Host(host),
+            MessageScope::Domain => LoadSource::Collector(host),
+            MessageScope::Host | MessageScope::Relay => LoadSource::Host(host),
         };
         let extent = if news.is_partial {
             Extent::Changes
--- a/tests/exchange_world/node.rs
+++ b/tests/exchange_world/node.rs
@@ -12,9 +12,9 @@
 use banyanarch::exchange::LimitEntry;
 use banyanarch::exchange::ListedHost;
 use banyanarch::exchange::LoadEntry;
+use banyanarch::exchange::MessageScope;
 use banyanarch::exchange::Outgoing;
 use banyanarch::exchange::UpstreamHash;
-use banyanarch::exchange::Voice;
 use banyanarch::units::UpstreamId;
 use indexmap::IndexMap;
 
@@ -115,7 +115,7 @@
         for news in heard {
             let host = news.host.parse().unwrap();
             let source = match news.voice() {
-                Voice::Domain => LoadSource::Collector(host),
+                MessageScope::Domain => LoadSource::Collector(host),
                 _ => LoadSource::Host(host),
             };
             for limit in &news.limits {
--- a/tests/gateway_news.rs
+++ b/tests/gateway_news.rs
@@ -10,8 +10,8 @@
 use banyanarch::exchange::HostUpdate;
 use banyanarch::exchange::ListedHost;
 use banyanarch::exchange::LoadEntry;
+use banyanarch::exchange::MessageScope;
 use banyanarch::exchange::UpstreamHash;
-use banyanarch::exchange::Voice;
 use banyanarch::gateway::Catalog;
 use banyanarch::units::Millicores;
 use gateway_world::TestHost;
@@ -34,7 +34,7 @@
     HostUpdate {
         host: "far-collector".to_owned(),
         incarnation: 7,
-        voice: Voice::Domain.into(),
+        voice: MessageScope::Domain.into(),
         is_partial,
         loads,
         ..HostUpdate::default()
