--- a/src/exchange/fleet.rs
+++ b/src/exchange/fleet.rs
@@ -210,7 +210,7 @@
         if host == self.host {
             return (Vec::new(), None);
         }
-        match news.voice() {
+        match news.scope() {
             MessageScope::Host => {
                 if self.domains.get(&host) == Some(&self.domain) && self.is_large() {
                     self.collectors.on_seen(&host, now);
--- a/src/exchange/gathered.rs
+++ b/src/exchange/gathered.rs
@@ -95,13 +95,13 @@
         }
         let others = self.others.values_mut();
         let relay = HostUpdate {
-            voice: MessageScope::Relay.into(),
+            scope: MessageScope::Relay.into(),
             relayed: others.filter_map(|other| other.part(now)).collect(),
             ..head.clone()
         };
         let poisons = self.poisons(now);
         let head = HostUpdate {
-            voice: MessageScope::Domain.into(),
+            scope: MessageScope::Domain.into(),
             poisons,
             ..head
         };
--- a/src/exchange/message.rs
+++ b/src/exchange/message.rs
@@ -37,10 +37,10 @@
     /// Requests that crashed upstreams lately.
     #[prost(message, repeated, tag = "5")]
     pub poisons: Vec<PoisonEntry>,
-    /// For whom it speaks. A host of a former version knows of its own voice only, and is sent nothing
+    /// For whom it speaks. A host of a former version knows of its own scope only, and is sent nothing
     /// else.
     #[prost(enumeration = "MessageScope", tag = "11")]
-    pub voice: i32,
+    pub scope: i32,
     /// Whether `loads` names only what has changed since the last message.
     #[prost(bool, tag = "12")]
     pub is_partial: bool,
--- a/src/exchange/speakers.rs
+++ b/src/exchange/speakers.rs
@@ -57,7 +57,7 @@
 fn nothing_left(collector: &HostId) -> HostUpdate {
     HostUpdate {
         host: collector.to_string(),
-        voice: MessageScope::Domain.into(),
+        scope: MessageScope::Domain.into(),
         ..HostUpdate::default()
     }
 }
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -107,7 +107,7 @@
         self.hear_versions(&host, &news);
         self.hear_proof(&host, &news, now);
         self.hear_unreachable(&host, &news, now);
-        let source = match news.voice() {
+        let source = match news.scope() {
             MessageScope::Domain => LoadSource::Collector(host),
             MessageScope::Host | MessageScope::Relay => LoadSource::Host(host),
         };
--- a/tests/exchange_world/node.rs
+++ b/tests/exchange_world/node.rs
@@ -114,7 +114,7 @@
         let (heard, on) = self.fleet.hear(news, now);
         for news in heard {
             let host = news.host.parse().unwrap();
-            let source = match news.voice() {
+            let source = match news.scope() {
                 MessageScope::Domain => LoadSource::Collector(host),
                 _ => LoadSource::Host(host),
             };
--- a/tests/gateway_news.rs
+++ b/tests/gateway_news.rs
@@ -34,7 +34,7 @@
     HostUpdate {
         host: "far-collector".to_owned(),
         incarnation: 7,
-        voice: MessageScope::Domain.into(),
+        scope: MessageScope::Domain.into(),
         is_partial,
         loads,
         ..HostUpdate::default()
