--- a/src/exchange/collectors.rs
+++ b/src/exchange/collectors.rs
@@ -10,7 +10,7 @@
 use indexmap::IndexMap;
 
 use crate::exchange::ListedHost;
-use crate::exchange::strongest;
+use crate::exchange::strongest_host;
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
@@ -99,7 +99,7 @@
             let is_heard = is_within(self.seen.get(host), LIVES_FOR, now);
             host == own || (is_heard && !self.is_unfit(host, now))
         };
-        strongest(neighbours.filter(lives))
+        strongest_host(neighbours.filter(lives))
     }
 
     /// The hosts of another domain that this one tells as a collector: those that spoke lately, else a
--- a/src/exchange/listed_host.rs
+++ b/src/exchange/listed_host.rs
@@ -30,6 +30,6 @@
 
 /// The strongest of several hosts, of equals the first by name: it does what one host of a failure domain
 /// does for all.
-pub fn strongest<'a>(hosts: impl Iterator<Item = &'a ListedHost>) -> Option<&'a ListedHost> {
+pub fn strongest_host<'a>(hosts: impl Iterator<Item = &'a ListedHost>) -> Option<&'a ListedHost> {
     hosts.min_by_key(|listed| (Reverse(listed.processors), &listed.host))
 }
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -31,7 +31,7 @@
 pub use fleet::Fleet;
 pub use fleet::is_large_fleet;
 pub use listed_host::ListedHost;
-pub use listed_host::strongest;
+pub use listed_host::strongest_host;
 pub use message::HostUpdate;
 pub use message::LimitEntry;
 pub use message::LoadEntry;
--- a/src/gateway/engine_reports.rs
+++ b/src/gateway/engine_reports.rs
@@ -13,7 +13,7 @@
 use tokio::time::sleep_until;
 
 use crate::exchange::ListedHost;
-use crate::exchange::strongest;
+use crate::exchange::strongest_host;
 use crate::gateway::Event;
 use crate::gateway::Gateway;
 use crate::gateway::Listed;
@@ -54,7 +54,7 @@
         listed.domain == gateway.conf.domain
             && (listed.host == *own || ledger.is_heard(&listed.host, now))
     };
-    strongest(hosts.iter().filter(lives)).is_some_and(|asking| asking.host == *own)
+    strongest_host(hosts.iter().filter(lives)).is_some_and(|asking| asking.host == *own)
 }
 
 /// The engines of this failure domain that have work, as far as this host knows.
