--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -33,7 +33,7 @@
     fn domain(&self) -> FailureDomainId;
 
     /// What to tell the other hosts now.
-    fn news(&self) -> HostUpdate;
+    fn local_update(&self) -> HostUpdate;
 
     /// Takes in what another host tells.
     fn hear(&self, news: HostUpdate);
@@ -44,7 +44,7 @@
     /// Takes in by which way news come from now on.
     fn on_update_route(&self, route: UpdateRoute);
 
-    /// Notified at each change of what [`ExchangeHandler::news`] would say.
+    /// Notified at each change of what [`ExchangeHandler::local_update`] would say.
     fn changed(&self) -> &Notify;
 
     /// Notified at a change that can't wait for this host's turn.
@@ -92,7 +92,7 @@
 
     async fn speak(&mut self) {
         let desk = Arc::clone(&self.desk);
-        let messages = self.fleet.speak(|| desk.news(), now());
+        let messages = self.fleet.speak(|| desk.local_update(), now());
         for outgoing in messages {
             self.send(outgoing).await;
         }
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -53,7 +53,7 @@
         self.conf.domain.clone()
     }
 
-    fn news(&self) -> HostUpdate {
+    fn local_update(&self) -> HostUpdate {
         let now = self.clock.now();
         let ledger = self.ledger();
         let loads = ledger.own(now).map(|(id, load)| load_news(id, &load));
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -47,7 +47,7 @@
 }
 
 impl ExchangeHandler for Desk {
-    fn news(&self) -> HostUpdate {
+    fn local_update(&self) -> HostUpdate {
         HostUpdate {
             host: self.name.to_owned(),
             ..HostUpdate::default()
