--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -36,7 +36,7 @@
     fn local_update(&self) -> HostUpdate;
 
     /// Takes in what another host tells.
-    fn hear(&self, news: HostUpdate);
+    fn on_update(&self, news: HostUpdate);
 
     /// All hosts, this one included.
     fn hosts(&self) -> Arc<Vec<ListedHost>>;
@@ -106,7 +106,7 @@
     async fn hear(&mut self, news: HostUpdate) {
         let (heard, on) = self.fleet.hear(news, now());
         for news in heard {
-            self.desk.hear(news);
+            self.desk.on_update(news);
         }
         if let Some(outgoing) = on {
             self.send(outgoing).await;
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    fn hear(&self, news: HostUpdate) {
+    fn on_update(&self, news: HostUpdate) {
         let now = self.clock.now();
         let Ok(host) = news.host.parse::<HostId>() else {
             warn!("exchange: news without a host name");
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    fn hear(&self, news: HostUpdate) {
+    fn on_update(&self, news: HostUpdate) {
         self.heard.lock().unwrap().push(news);
     }
 
