--- a/tests/gateway_news.rs
+++ b/tests/gateway_news.rs
@@ -52,16 +52,16 @@
     let host = TestHost::start("host", &catalog).await;
     let hash = |id: &str| UpstreamHash::of(id).0;
     let all = vec![load(hash("a"), 3), load(hash("b"), 2), load(hash("new"), 9)];
-    host.gateway.hear(domain_news(all, false));
+    host.gateway.on_update(domain_news(all, false));
     host.gateway
-        .hear(domain_news(vec![load(hash("a"), 5)], true));
+        .on_update(domain_news(vec![load(hash("a"), 5)], true));
     let in_flight = |id: &str| {
         let ledger = host.gateway.ledger();
         ledger.load(&id.parse().unwrap(), Instant::now()).in_flight
     };
     assert_eq!((in_flight("a"), in_flight("b")), (5, 2));
     host.gateway
-        .hear(domain_news(vec![load(hash("b"), 1)], false));
+        .on_update(domain_news(vec![load(hash("b"), 1)], false));
     assert_eq!((in_flight("a"), in_flight("b")), (0, 1));
 }
 
