--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -45,10 +45,10 @@
     fn on_update_route(&self, route: UpdateRoute);
 
     /// Notified at each change of what [`ExchangeHandler::local_update`] would say.
-    fn changed(&self) -> &Notify;
+    fn change_notify(&self) -> &Notify;
 
     /// Notified at a change that can't wait for this host's turn.
-    fn urgent(&self) -> &Notify;
+    fn urgent_change_notify(&self) -> &Notify;
 }
 
 /// The task that exchanges news over one socket.
@@ -79,8 +79,8 @@
             let due_at = Instant::from_std(self.fleet.due_at());
             tokio::select! {
                 () = sleep_until(due_at) => self.speak().await,
-                () = desk.changed().notified() => self.fleet.on_need(Need::Change),
-                () = desk.urgent().notified() => self.fleet.on_need(Need::UrgentChange),
+                () = desk.change_notify().notified() => self.fleet.on_need(Need::Change),
+                () = desk.urgent_change_notify().notified() => self.fleet.on_need(Need::UrgentChange),
                 heard = self.framed.next() => match heard {
                     Some(Ok((news, _))) => self.hear(news).await,
                     Some(Err(err)) => warn!("exchange: {err}"),
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -149,11 +149,11 @@
         self.set_news_route(route);
     }
 
-    fn changed(&self) -> &Notify {
+    fn change_notify(&self) -> &Notify {
         &self.load_changed
     }
 
-    fn urgent(&self) -> &Notify {
+    fn urgent_change_notify(&self) -> &Notify {
         &self.load_urgent
     }
 }
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -72,11 +72,11 @@
 
     fn on_update_route(&self, _route: UpdateRoute) {}
 
-    fn changed(&self) -> &Notify {
+    fn change_notify(&self) -> &Notify {
         &self.changed
     }
 
-    fn urgent(&self) -> &Notify {
+    fn urgent_change_notify(&self) -> &Notify {
         &self.urgent
     }
 }
