--- a/src/exchange/message.rs
+++ b/src/exchange/message.rs
@@ -53,7 +53,7 @@
     /// One more than the time since the sender's manifest and upstreams were certainly the newest, in ms;
     /// 0 if it does not say, or has not read them yet.
     #[prost(uint32, tag = "15")]
-    pub proof_age_plus_one_ms: u32,
+    pub confirmed_age_plus_one_ms: u32,
     /// Engines that the sender has asked and that are slow; those that it speaks of no more are sound.
     #[prost(message, repeated, tag = "16")]
     pub slow: Vec<SlowdownEntry>,
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -68,7 +68,7 @@
         let cut_off = health.cut_off(now).map(ToString::to_string).collect();
         drop(health);
         HostUpdate {
-            proof_age_plus_one_ms: self.proof_age_plus_one_ms(),
+            confirmed_age_plus_one_ms: self.confirmed_age_plus_one_ms(),
             slow: self.slowdowns.own(now).iter().map(slow_news).collect(),
             limits: self
                 .rate_limits
@@ -185,7 +185,7 @@
         self.health_changed.notify_one();
     }
 
-    fn proof_age_plus_one_ms(&self) -> u32 {
+    fn confirmed_age_plus_one_ms(&self) -> u32 {
         let now = self.clock.since_boot();
         let age = self.held.proved_at().map(|at| now.saturating_sub(at));
         age.map_or(0, |age| whole_millis_u32(age).saturating_add(1))
@@ -194,7 +194,7 @@
     /// Takes in how old a host's lists are. Where this host's own are stale the tasks that read ask
     /// that one at once.
     fn hear_proof(&self, host: &HostId, news: &HostUpdate, now: Instant) {
-        let Some(age_ms) = news.proof_age_plus_one_ms.checked_sub(1) else {
+        let Some(age_ms) = news.confirmed_age_plus_one_ms.checked_sub(1) else {
             return;
         };
         let at = self.clock.since_boot();
