--- a/src/exchange/load_at.rs
+++ b/src/exchange/load_at.rs
@@ -19,7 +19,7 @@
     strictest_pause_ms: Option<u32>,
     held_tokens: u64,
     helping: u32,
-    read_total_us: u64,
+    prefill_total_us: u64,
     read_until: Instant,
     read_due: Option<Instant>,
 }
@@ -34,9 +34,9 @@
             strictest_pause_ms: (news.strictest_pause_ms > 0).then_some(news.strictest_pause_ms),
             held_tokens: news.held_tokens,
             helping: news.helping,
-            read_total_us: news.read_total_us,
-            read_until: after(news.read_remaining_ms),
-            read_due: (news.read_due_ms > 0).then(|| after(news.read_due_ms)),
+            prefill_total_us: news.prefill_total_us,
+            read_until: after(news.prefill_remaining_ms),
+            read_due: (news.prefill_due_ms > 0).then(|| after(news.prefill_due_ms)),
         }
     }
 
@@ -48,13 +48,13 @@
             upstream_hash: upstream.0,
             in_flight: self.in_flight,
             short_in_flight: self.short_in_flight,
-            read_remaining_ms: until(self.read_until),
-            read_total_us: self.read_total_us,
+            prefill_remaining_ms: until(self.read_until),
+            prefill_total_us: self.prefill_total_us,
             strictest_pause_ms: self.strictest_pause_ms.unwrap_or(0),
             held_tokens: self.held_tokens,
             helping: self.helping,
             // What is overdue stays so until its host says otherwise; 0 would say that nothing is due.
-            read_due_ms: self.read_due.map_or(0, |at| until(at).max(1)),
+            prefill_due_ms: self.read_due.map_or(0, |at| until(at).max(1)),
         }
     }
 
@@ -62,7 +62,7 @@
     pub(crate) fn ended(&self, upstream: UpstreamHash) -> LoadEntry {
         LoadEntry {
             upstream_hash: upstream.0,
-            read_total_us: self.read_total_us,
+            prefill_total_us: self.prefill_total_us,
             ..LoadEntry::default()
         }
     }
@@ -73,7 +73,7 @@
         self.short_in_flight += other.short_in_flight;
         self.held_tokens += other.held_tokens;
         self.helping += other.helping;
-        self.read_total_us += other.read_total_us;
+        self.prefill_total_us += other.prefill_total_us;
         self.read_until = self.read_until.max(other.read_until);
         let pauses = [self.strictest_pause_ms, other.strictest_pause_ms];
         self.strictest_pause_ms = pauses.into_iter().flatten().min();
@@ -90,7 +90,7 @@
                 load.strictest_pause_ms,
                 load.held_tokens,
                 load.helping,
-                load.read_total_us,
+                load.prefill_total_us,
             )
         };
         counts(self) != counts(told) || !is_same_due(self.read_due, told.read_due)
--- a/src/exchange/message.rs
+++ b/src/exchange/message.rs
@@ -80,10 +80,10 @@
     pub short_in_flight: u32,
     /// Time until it has read in what the sender sent there, as far as that knows, in ms.
     #[prost(uint32, tag = "4")]
-    pub read_remaining_ms: u32,
+    pub prefill_remaining_ms: u32,
     /// Reading time of all that the sender has sent there since its start, in microseconds.
     #[prost(uint64, tag = "7")]
-    pub read_total_us: u64,
+    pub prefill_total_us: u64,
     /// The shortest pause that a caller of one of them accepts between two events, in ms; 0 if none
     /// says.
     #[prost(uint32, tag = "6")]
@@ -94,7 +94,7 @@
     /// Time until the first of the sender's prompts that are being read there has to have its first
     /// event to be on time, in ms; 0 if none is.
     #[prost(uint32, tag = "8")]
-    pub read_due_ms: u32,
+    pub prefill_due_ms: u32,
     /// Prompts of other engines that it helps to read or keeps a part of; 0 if the sender does not say.
     #[prost(uint32, tag = "10")]
     pub helping: u32,
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -229,12 +229,12 @@
         upstream: id.to_string(),
         in_flight: load.in_flight,
         short_in_flight: load.short_in_flight,
-        read_remaining_ms: whole_millis_u32(load.read.remaining),
-        read_total_us: whole_micros(load.read.total),
+        prefill_remaining_ms: whole_millis_u32(load.read.remaining),
+        prefill_total_us: whole_micros(load.read.total),
         strictest_pause_ms: load.strictest_pause.map_or(0, whole_millis_u32),
         held_tokens: load.held_tokens.0,
         helping: load.helping,
-        read_due_ms: load.read_due.map_or(0, whole_millis_u32),
+        prefill_due_ms: load.read_due.map_or(0, whole_millis_u32),
         ..LoadEntry::default()
     }
 }
@@ -254,12 +254,13 @@
         strictest_pause: (news.strictest_pause_ms > 0)
             .then(|| Duration::from_millis(news.strictest_pause_ms.into())),
         read: ReadSent {
-            total: Duration::from_micros(news.read_total_us),
-            remaining: Duration::from_millis(news.read_remaining_ms.into()),
+            total: Duration::from_micros(news.prefill_total_us),
+            remaining: Duration::from_millis(news.prefill_remaining_ms.into()),
         },
         held_tokens: Tokens(news.held_tokens),
         helping: news.helping,
-        read_due: (news.read_due_ms > 0).then(|| Duration::from_millis(news.read_due_ms.into())),
+        read_due: (news.prefill_due_ms > 0)
+            .then(|| Duration::from_millis(news.prefill_due_ms.into())),
     }
 }
 
