--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -69,7 +69,7 @@
         drop(health);
         HostUpdate {
             confirmed_age_plus_one_ms: self.confirmed_age_plus_one_ms(),
-            slow: self.slowdowns.own(now).iter().map(slow_news).collect(),
+            slowdowns: self.slowdowns.own(now).iter().map(slow_news).collect(),
             limits: self
                 .rate_limits
                 .book()
@@ -119,7 +119,7 @@
         let names = self.beliefs.upstream_names();
         let loads = news.loads.iter();
         let loads = loads.filter_map(|load| Some((upstream_of(load, &names)?, read_load(load))));
-        for slow in &news.slow {
+        for slow in &news.slowdowns {
             if let Some(engine) = names.get(&UpstreamHash(slow.upstream_hash)) {
                 self.slowdowns.hear(engine, read_slowdown(slow), now);
             }
