--- a/src/exchange/message.rs
+++ b/src/exchange/message.rs
@@ -56,7 +56,7 @@
     pub confirmed_age_plus_one_ms: u32,
     /// Engines that the sender has asked and that are slow; those that it speaks of no more are sound.
     #[prost(message, repeated, tag = "16")]
-    pub slow: Vec<SlowdownEntry>,
+    pub slowdowns: Vec<SlowdownEntry>,
     /// Upstreams that have named a limit, and what was sent there. Those that it doesn't name are as before.
     #[prost(message, repeated, tag = "17")]
     pub limits: Vec<LimitEntry>,
