--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -76,8 +76,8 @@
                 .reports(now)
                 .map(limit_news)
                 .collect(),
-            unreachable,
-            cut_off,
+            unreachable_upstreams: unreachable,
+            unreachable_domains: cut_off,
             routes_version,
             upstreams_version,
             host: self.conf.host.to_string(),
@@ -161,7 +161,7 @@
 impl Gateway {
     /// Takes in what a neighbour could not reach. A host of another failure domain has other ways.
     fn hear_unreachable(&self, host: &HostId, news: &HostUpdate, now: Instant) {
-        if news.unreachable.is_empty() && news.cut_off.is_empty() {
+        if news.unreachable_upstreams.is_empty() && news.unreachable_domains.is_empty() {
             return;
         }
         let hosts = self.beliefs.hosts();
@@ -173,11 +173,19 @@
             return;
         };
         let mut health = self.health();
-        for domain in news.cut_off.iter().filter_map(|name| name.parse().ok()) {
+        for domain in news
+            .unreachable_domains
+            .iter()
+            .filter_map(|name| name.parse().ok())
+        {
             health.hear_cut_off(&domain, now);
         }
         for upstream in by_service.values().flatten() {
-            if news.unreachable.iter().any(|id| id == upstream.id.as_str()) {
+            if news
+                .unreachable_upstreams
+                .iter()
+                .any(|id| id == upstream.id.as_str())
+            {
                 health.hear_unreachable(&upstream.id, &upstream.domain, now);
             }
         }
