--- a/src/exchange/gathered.rs
+++ b/src/exchange/gathered.rs
@@ -83,8 +83,8 @@
     pub(crate) fn turn(&mut self, own: HostUpdate, now: Instant) -> Turn {
         let head = HostUpdate {
             loads: Vec::new(),
-            unreachable: Vec::new(),
-            cut_off: Vec::new(),
+            unreachable_upstreams: Vec::new(),
+            unreachable_domains: Vec::new(),
             poisons: Vec::new(),
             limits: Vec::new(),
             is_partial: true,
--- a/src/exchange/message.rs
+++ b/src/exchange/message.rs
@@ -30,10 +30,10 @@
     pub upstreams_version: u64,
     /// Upstreams that the sender could not reach lately.
     #[prost(string, repeated, tag = "9")]
-    pub unreachable: Vec<String>,
+    pub unreachable_upstreams: Vec<String>,
     /// Failure domains that it takes for cut off.
     #[prost(string, repeated, tag = "10")]
-    pub cut_off: Vec<String>,
+    pub unreachable_domains: Vec<String>,
     /// Requests that crashed upstreams lately.
     #[prost(message, repeated, tag = "5")]
     pub poisons: Vec<PoisonEntry>,
