--- a/benches/control.rs
+++ b/benches/control.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use banyanarch::board::HostState;
+use banyanarch::cluster_view::HostState;
 use banyanarch::control::homes::HomeTable;
 use banyanarch::control::homes::pools_of;
 use banyanarch::control::manifests::ManifestAction;
@@ -219,7 +219,7 @@
         let present = present.filter(|view| view.state != HostState::Dead && view.id != *id);
         let (near, far): (Vec<_>, Vec<_>) =
             present.partition(|view| view.domain == host.seed.failure_domain);
-        let ids = |views: Vec<&banyanarch::board::HostView>| -> Vec<HostId> {
+        let ids = |views: Vec<&banyanarch::cluster_view::HostView>| -> Vec<HostId> {
             views.into_iter().map(|view| view.id.clone()).collect()
         };
         let (near, far) = (ids(near), ids(far));
@@ -279,7 +279,7 @@
     }
 
     fn has_settled(&self) -> bool {
-        let is_alive = |view: &&banyanarch::board::HostView| view.state == HostState::Alive;
+        let is_alive = |view: &&banyanarch::cluster_view::HostView| view.state == HostState::Alive;
         let running = self.hosts.values().filter(|host| host.is_running);
         let count = running.clone().count();
         running
--- a/src/control/membership/action.rs
+++ b/src/control/membership/action.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::board::HostView;
+use crate::cluster_view::HostView;
 use crate::peer::Message;
 use crate::peer::message::PoisonNotice;
 use crate::units::HostId;
--- a/src/control/membership/machine/hearing.rs
+++ b/src/control/membership/machine/hearing.rs
@@ -5,8 +5,8 @@
 
 use rand::seq::SliceRandom;
 
-use crate::board::HostState;
-use crate::board::HostView;
+use crate::cluster_view::HostState;
+use crate::cluster_view::HostView;
 use crate::control::membership::Membership;
 use crate::control::membership::MembershipAction;
 use crate::control::membership::conf;
--- a/src/control/membership/machine/mod.rs
+++ b/src/control/membership/machine/mod.rs
@@ -12,8 +12,8 @@
 use rand::seq::IndexedRandom;
 use rand::seq::SliceRandom;
 
-use crate::board::HostState;
-use crate::board::HostView;
+use crate::cluster_view::HostState;
+use crate::cluster_view::HostView;
 use crate::control::homes::Member;
 use crate::control::membership::MembershipAction;
 use crate::control::membership::MembershipConf;
--- a/src/control/membership/record.rs
+++ b/src/control/membership/record.rs
@@ -3,8 +3,8 @@
 use std::net::IpAddr;
 use std::net::SocketAddr;
 
-use crate::board::HostState;
-use crate::board::HostView;
+use crate::cluster_view::HostState;
+use crate::cluster_view::HostView;
 use crate::peer::message::HostRecord;
 use crate::units::Generation;
 use crate::units::Incarnation;
--- a/src/control/membership/roster.rs
+++ b/src/control/membership/roster.rs
@@ -6,8 +6,8 @@
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::board::HostState;
-use crate::board::HostView;
+use crate::cluster_view::HostState;
+use crate::cluster_view::HostView;
 use crate::control::membership::record::to_record;
 use crate::peer::message::HostRecord;
 use crate::units::FailureDomainId;
--- a/src/control/status/report.rs
+++ b/src/control/status/report.rs
@@ -2,9 +2,9 @@
 
 use indexmap::IndexMap;
 
-use crate::board::Board;
-use crate::board::HostState;
-use crate::board::HostView;
+use crate::cluster_view::Board;
+use crate::cluster_view::HostState;
+use crate::cluster_view::HostView;
 use crate::control::manifests::Knowledge;
 use crate::control::status::EventReport;
 use crate::control::status::Events;
--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -13,9 +13,9 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use crate::board::Board;
 use crate::clock::Clock;
 use crate::clock::SystemClock;
+use crate::cluster_view::Board;
 use crate::control::claims::ClaimConf;
 use crate::control::claims::ClaimStore;
 use crate::control::manifests::Manifests;
--- a/src/daemon/machine_list.rs
+++ b/src/daemon/machine_list.rs
@@ -6,8 +6,8 @@
 use log::warn;
 use serde::Deserialize;
 
-use crate::board::Board;
-use crate::board::UpstreamView;
+use crate::cluster_view::Board;
+use crate::cluster_view::UpstreamView;
 use crate::decide::UpstreamHealth;
 use crate::objects::Object;
 use crate::objects::ObjectList;
--- a/src/entry/parts.rs
+++ b/src/entry/parts.rs
@@ -7,8 +7,8 @@
 
 use indexmap::IndexMap;
 
-use crate::board::Board;
 use crate::clock::Clock;
+use crate::cluster_view::Board;
 use crate::decide::Poison;
 use crate::decide::PoisonList;
 use crate::decide::RetryBudget;
--- a/src/fleet/grant_waiters.rs
+++ b/src/fleet/grant_waiters.rs
@@ -2,7 +2,7 @@
 
 use tokio::sync::mpsc;
 
-use crate::board::Shards;
+use crate::cluster_view::Shards;
 use crate::control::home::GrantAnswer;
 use crate::units::RequestId;
 
--- a/src/fleet/home_desk/mod.rs
+++ b/src/fleet/home_desk/mod.rs
@@ -15,10 +15,10 @@
 use log::info;
 use tokio::sync::Notify;
 
-use crate::board::Board;
-use crate::board::HostState;
-use crate::board::Shards;
 use crate::clock::Clock;
+use crate::cluster_view::Board;
+use crate::cluster_view::HostState;
+use crate::cluster_view::Shards;
 use crate::control::home::GrantAnswer;
 use crate::control::home::HomeConf;
 use crate::control::home::HomeController;
--- a/src/fleet/home_table.rs
+++ b/src/fleet/home_table.rs
@@ -7,8 +7,8 @@
 
 use indexmap::IndexMap;
 
-use crate::board::Board;
-use crate::board::UpstreamView;
+use crate::cluster_view::Board;
+use crate::cluster_view::UpstreamView;
 use crate::control::homes::HomeTable;
 use crate::control::homes::Member;
 use crate::control::homes::pools_of;
--- a/src/fleet/live_grants.rs
+++ b/src/fleet/live_grants.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 
-use crate::board::Shards;
+use crate::cluster_view::Shards;
 use crate::decide::LiveGrant;
 use crate::units::GrantId;
 use crate::units::PoolId;
--- a/src/fleet/manifest_desk.rs
+++ b/src/fleet/manifest_desk.rs
@@ -10,9 +10,9 @@
 
 use tokio::sync::Notify;
 
-use crate::board::Board;
-use crate::board::HostState;
 use crate::clock::Clock;
+use crate::cluster_view::Board;
+use crate::cluster_view::HostState;
 use crate::control::manifests::Knowledge;
 use crate::control::manifests::ManifestAction;
 use crate::control::manifests::Manifests;
@@ -126,7 +126,7 @@
             .map(|(_, view)| view);
         let others = views.filter(|view| view.id != self.host && view.state != HostState::Dead);
         let (near, far): (Vec<_>, Vec<_>) = others.partition(|view| view.domain == self.domain);
-        let ids = |views: Vec<crate::board::HostView>| views.into_iter().map(|view| view.id);
+        let ids = |views: Vec<crate::cluster_view::HostView>| views.into_iter().map(|view| view.id);
         (ids(near).collect(), ids(far).collect())
     }
 
--- a/src/fleet/membership_desk.rs
+++ b/src/fleet/membership_desk.rs
@@ -9,10 +9,10 @@
 use log::info;
 use log::warn;
 
-use crate::board::Board;
-use crate::board::HostState;
-use crate::board::HostView;
 use crate::clock::Clock;
+use crate::cluster_view::Board;
+use crate::cluster_view::HostState;
+use crate::cluster_view::HostView;
 use crate::control::homes::Member;
 use crate::control::membership::Membership;
 use crate::control::membership::MembershipAction;
--- a/src/fleet/order_desk.rs
+++ b/src/fleet/order_desk.rs
@@ -10,8 +10,8 @@
 use log::debug;
 use log::info;
 
-use crate::board::Board;
 use crate::clock::Clock;
+use crate::cluster_view::Board;
 use crate::control::orders::LeaseAction;
 use crate::control::orders::OrderAction;
 use crate::control::orders::Orders;
--- a/src/fleet/relay_platform.rs
+++ b/src/fleet/relay_platform.rs
@@ -8,9 +8,9 @@
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
 
-use crate::board::Board;
-use crate::board::HostState;
-use crate::board::HostView;
+use crate::cluster_view::Board;
+use crate::cluster_view::HostState;
+use crate::cluster_view::HostView;
 use crate::control::claims::relay;
 use crate::objects::Expected;
 use crate::objects::Kind;
--- a/src/fleet/upstream_registry.rs
+++ b/src/fleet/upstream_registry.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use crate::board::Board;
-use crate::board::Shards;
+use crate::cluster_view::Board;
+use crate::cluster_view::Shards;
 use crate::entry::UpstreamDirectory;
 use crate::http::HttpClient;
 use crate::units::UpstreamId;
--- a/src/observe/board_totals.rs
+++ b/src/observe/board_totals.rs
@@ -6,8 +6,8 @@
 
 use indexmap::IndexMap;
 
-use crate::board::Board;
-use crate::board::HostState;
+use crate::cluster_view::Board;
+use crate::cluster_view::HostState;
 use crate::decide::UpstreamHealth;
 use crate::observe::HostCounts;
 use crate::units::Generation;
--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -22,7 +22,7 @@
 use prometheus::Registry;
 use prometheus::TextEncoder;
 
-use crate::board::Board;
+use crate::cluster_view::Board;
 use crate::control::outcome::Outcome;
 use crate::decide::LengthClass;
 use crate::manifest::Manifest;
--- a/src/peer/addrs.rs
+++ b/src/peer/addrs.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use crate::board::Board;
-use crate::board::Shards;
+use crate::cluster_view::Board;
+use crate::cluster_view::Shards;
 use crate::settings::PeerSeed;
 use crate::units::HostId;
 
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use banyanarch::board::HostState;
+use banyanarch::cluster_view::HostState;
 use banyanarch::control::membership::Membership;
 use banyanarch::control::membership::MembershipAction;
 use banyanarch::control::membership::MembershipConf;
--- a/tests/observe.rs
+++ b/tests/observe.rs
@@ -5,11 +5,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use banyanarch::board::Board;
-use banyanarch::board::HostState;
-use banyanarch::board::HostView;
-use banyanarch::board::UpstreamView;
 use banyanarch::clock::ManualClock;
+use banyanarch::cluster_view::Board;
+use banyanarch::cluster_view::HostState;
+use banyanarch::cluster_view::HostView;
+use banyanarch::cluster_view::UpstreamView;
 use banyanarch::control::outcome::Outcome;
 use banyanarch::decide::LengthClass;
 use banyanarch::decide::PoolLoad;
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use banyanarch::board::Board;
-use banyanarch::board::HostState;
-use banyanarch::board::HostView;
 use banyanarch::clock::ManualClock;
+use banyanarch::cluster_view::Board;
+use banyanarch::cluster_view::HostState;
+use banyanarch::cluster_view::HostView;
 use banyanarch::control::manifests::Knowledge;
 use banyanarch::control::manifests::Refusal;
 use banyanarch::control::status::Events;
--- a/tests/worlds/manifest_world.rs
+++ b/tests/worlds/manifest_world.rs
@@ -3,9 +3,9 @@
 use std::sync::LazyLock;
 use std::time::Duration;
 
-use banyanarch::board::Board;
 use banyanarch::clock::Clock;
 use banyanarch::clock::ManualClock;
+use banyanarch::cluster_view::Board;
 use banyanarch::control::manifests::ManifestAction;
 use banyanarch::control::manifests::Manifests;
 use banyanarch::control::manifests::PlatformWord;
