--- a/src/cluster_view/mod.rs
+++ b/src/cluster_view/mod.rs
@@ -19,7 +19,7 @@
 
 /// The state that the parts of one host share.
 #[derive(Debug)]
-pub struct Board {
+pub struct ClusterView {
     /// Hosts of the system, by name.
     pub hosts: Shards<HostId, HostView>,
     /// Upstreams, by name.
@@ -27,7 +27,7 @@
     manifest: RwLock<Option<Arc<InForce>>>,
 }
 
-impl Board {
+impl ClusterView {
     /// An empty board.
     pub fn new() -> Self {
         Self {
@@ -62,7 +62,7 @@
     }
 }
 
-impl Default for Board {
+impl Default for ClusterView {
     fn default() -> Self {
         Self::new()
     }
--- a/src/control/status/report.rs
+++ b/src/control/status/report.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 
-use crate::cluster_view::Board;
+use crate::cluster_view::ClusterView;
 use crate::cluster_view::HostState;
 use crate::cluster_view::HostView;
 use crate::control::manifests::Knowledge;
@@ -32,7 +32,7 @@
     /// Its failure domain.
     pub domain: &'a FailureDomainId,
     /// Hosts and upstreams.
-    pub board: &'a Board,
+    pub board: &'a ClusterView,
     /// What it knows of manifests.
     pub manifest: Knowledge,
     /// The homes on this host.
@@ -213,7 +213,7 @@
     }
 }
 
-fn target_reports(board: &Board) -> Vec<TargetReport> {
+fn target_reports(board: &ClusterView) -> Vec<TargetReport> {
     let mut targets: IndexMap<(TargetId, FailureDomainId), (usize, usize)> = IndexMap::new();
     for (_, view) in board.upstreams.snapshot() {
         let (live, leaving) = targets.entry((view.target, view.domain)).or_default();
--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -15,7 +15,7 @@
 
 use crate::clock::Clock;
 use crate::clock::SystemClock;
-use crate::cluster_view::Board;
+use crate::cluster_view::ClusterView;
 use crate::control::claims::ClaimConf;
 use crate::control::claims::ClaimStore;
 use crate::control::manifests::Manifests;
@@ -70,7 +70,7 @@
 pub(crate) struct Host {
     pub(crate) settings: Settings,
     pub(crate) clock: Arc<dyn Clock>,
-    pub(crate) board: Arc<Board>,
+    pub(crate) board: Arc<ClusterView>,
     pub(crate) parts: Arc<EntryParts>,
     pub(crate) homes: Arc<HomeDesk>,
     pub(crate) home_table: Arc<FleetHomes>,
@@ -106,7 +106,7 @@
             listeners.status.local_addr()?
         );
         let clock: Arc<dyn Clock> = Arc::new(SystemClock);
-        let board = Arc::new(Board::new());
+        let board = Arc::new(ClusterView::new());
         let events = Arc::new(Events::new(Arc::clone(&clock)));
         let traffic = Arc::new(Traffic::new(
             Arc::clone(&clock),
--- a/src/daemon/machine_list.rs
+++ b/src/daemon/machine_list.rs
@@ -6,7 +6,7 @@
 use log::warn;
 use serde::Deserialize;
 
-use crate::cluster_view::Board;
+use crate::cluster_view::ClusterView;
 use crate::cluster_view::UpstreamView;
 use crate::decide::UpstreamHealth;
 use crate::objects::Object;
@@ -54,7 +54,7 @@
 /// Puts the upstreams of the platform's list on the board. One that is no longer listed counts as
 /// leaving: its running requests still need its address. The list lags, so what a peer has told of
 /// a later version stays.
-pub(crate) fn take_in(board: &Board, list: &ObjectList) -> Listed {
+pub(crate) fn take_in(board: &ClusterView, list: &ObjectList) -> Listed {
     let mut listed = Listed::default();
     let mut ids: IndexSet<UpstreamId> = IndexSet::new();
     for object in &list.items {
@@ -80,7 +80,7 @@
     listed
 }
 
-fn take_in_upstream(board: &Board, view: UpstreamView) {
+fn take_in_upstream(board: &ClusterView, view: UpstreamView) {
     let known = board.upstreams.get(&view.id);
     let is_news = |known: &UpstreamView| known.version <= view.version && *known != view;
     if known.as_ref().is_none_or(is_news) {
--- a/src/entry/parts.rs
+++ b/src/entry/parts.rs
@@ -8,7 +8,7 @@
 use indexmap::IndexMap;
 
 use crate::clock::Clock;
-use crate::cluster_view::Board;
+use crate::cluster_view::ClusterView;
 use crate::decide::Poison;
 use crate::decide::PoisonList;
 use crate::decide::RetryBudget;
@@ -36,7 +36,7 @@
     /// This host.
     pub host: HostId,
     /// The blackboard.
-    pub board: Arc<Board>,
+    pub board: Arc<ClusterView>,
     /// Grants.
     pub granter: Arc<dyn Granter>,
     /// Claims.
--- a/src/fleet/home_desk/mod.rs
+++ b/src/fleet/home_desk/mod.rs
@@ -16,7 +16,7 @@
 use tokio::sync::Notify;
 
 use crate::clock::Clock;
-use crate::cluster_view::Board;
+use crate::cluster_view::ClusterView;
 use crate::cluster_view::HostState;
 use crate::cluster_view::Shards;
 use crate::control::home::GrantAnswer;
@@ -68,7 +68,7 @@
 pub struct HomeDesk {
     clock: Arc<dyn Clock>,
     host: HostId,
-    board: Arc<Board>,
+    board: Arc<ClusterView>,
     events: Arc<Events>,
     peers: Arc<dyn Peers>,
     map: Arc<dyn HomeMap>,
@@ -87,7 +87,7 @@
     /// This host.
     pub host: HostId,
     /// The blackboard.
-    pub board: Arc<Board>,
+    pub board: Arc<ClusterView>,
     /// What this host did lately.
     pub events: Arc<Events>,
     /// Other hosts.
--- a/src/fleet/home_table.rs
+++ b/src/fleet/home_table.rs
@@ -7,7 +7,7 @@
 
 use indexmap::IndexMap;
 
-use crate::cluster_view::Board;
+use crate::cluster_view::ClusterView;
 use crate::cluster_view::UpstreamView;
 use crate::control::homes::HomeTable;
 use crate::control::homes::Member;
@@ -37,7 +37,7 @@
 
 /// Pools and their homes as this host sees them.
 pub struct FleetHomes {
-    board: Arc<Board>,
+    board: Arc<ClusterView>,
     membership: Arc<MembershipDesk>,
     host: HostId,
     domain: FailureDomainId,
@@ -48,7 +48,7 @@
 impl FleetHomes {
     /// Empty tables, for `host` of `domain`.
     pub fn new(
-        board: Arc<Board>,
+        board: Arc<ClusterView>,
         membership: Arc<MembershipDesk>,
         host: HostId,
         domain: FailureDomainId,
--- a/src/fleet/manifest_desk.rs
+++ b/src/fleet/manifest_desk.rs
@@ -11,7 +11,7 @@
 use tokio::sync::Notify;
 
 use crate::clock::Clock;
-use crate::cluster_view::Board;
+use crate::cluster_view::ClusterView;
 use crate::cluster_view::HostState;
 use crate::control::manifests::Knowledge;
 use crate::control::manifests::ManifestAction;
@@ -27,7 +27,7 @@
 /// Runs the spreading of manifests on this host and puts them in force on the board.
 pub struct ManifestDesk {
     clock: Arc<dyn Clock>,
-    board: Arc<Board>,
+    board: Arc<ClusterView>,
     events: Arc<Events>,
     peers: Arc<dyn Peers>,
     metrics: Arc<Metrics>,
@@ -43,7 +43,7 @@
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The blackboard.
-    pub board: Arc<Board>,
+    pub board: Arc<ClusterView>,
     /// What this host did lately.
     pub events: Arc<Events>,
     /// Other hosts.
--- a/src/fleet/membership_desk.rs
+++ b/src/fleet/membership_desk.rs
@@ -10,7 +10,7 @@
 use log::warn;
 
 use crate::clock::Clock;
-use crate::cluster_view::Board;
+use crate::cluster_view::ClusterView;
 use crate::cluster_view::HostState;
 use crate::cluster_view::HostView;
 use crate::control::homes::Member;
@@ -47,7 +47,7 @@
 /// Runs the membership of this host and keeps the hosts on the board.
 pub struct MembershipDesk {
     clock: Arc<dyn Clock>,
-    board: Arc<Board>,
+    board: Arc<ClusterView>,
     peers: Arc<dyn Peers>,
     events: Arc<Events>,
     host: HostId,
@@ -58,7 +58,7 @@
     /// A desk around a membership.
     pub fn new(
         clock: Arc<dyn Clock>,
-        board: Arc<Board>,
+        board: Arc<ClusterView>,
         peers: Arc<dyn Peers>,
         events: Arc<Events>,
         host: HostId,
--- a/src/fleet/order_desk.rs
+++ b/src/fleet/order_desk.rs
@@ -11,7 +11,7 @@
 use log::info;
 
 use crate::clock::Clock;
-use crate::cluster_view::Board;
+use crate::cluster_view::ClusterView;
 use crate::control::orders::LeaseAction;
 use crate::control::orders::OrderAction;
 use crate::control::orders::Orders;
@@ -46,7 +46,7 @@
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The blackboard.
-    pub board: Arc<Board>,
+    pub board: Arc<ClusterView>,
     /// What this host did lately.
     pub events: Arc<Events>,
     /// Which pools have their home here.
--- a/src/fleet/relay_platform.rs
+++ b/src/fleet/relay_platform.rs
@@ -8,7 +8,7 @@
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
 
-use crate::cluster_view::Board;
+use crate::cluster_view::ClusterView;
 use crate::cluster_view::HostState;
 use crate::cluster_view::HostView;
 use crate::control::claims::relay;
@@ -43,7 +43,7 @@
 pub struct RelayPlatform {
     direct: Arc<dyn Platform>,
     peers: Arc<dyn Peers>,
-    board: Arc<Board>,
+    board: Arc<ClusterView>,
     host: HostId,
     domain: FailureDomainId,
     is_direct_down: AtomicBool,
@@ -56,7 +56,7 @@
     /// Other hosts.
     pub peers: Arc<dyn Peers>,
     /// Which hosts there are.
-    pub board: Arc<Board>,
+    pub board: Arc<ClusterView>,
     /// This host.
     pub host: HostId,
     /// Its failure domain.
--- a/src/fleet/upstream_registry.rs
+++ b/src/fleet/upstream_registry.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::cluster_view::Board;
+use crate::cluster_view::ClusterView;
 use crate::cluster_view::Shards;
 use crate::entry::UpstreamDirectory;
 use crate::http::HttpClient;
@@ -14,13 +14,13 @@
 /// and made anew only when the upstream's address has changed.
 #[derive(Debug)]
 pub struct UpstreamRegistry {
-    board: Arc<Board>,
+    board: Arc<ClusterView>,
     clients: Shards<UpstreamId, HttpClient>,
 }
 
 impl UpstreamRegistry {
     /// A registry of what is on the board.
-    pub fn new(board: Arc<Board>) -> Self {
+    pub fn new(board: Arc<ClusterView>) -> Self {
         Self {
             board,
             clients: Shards::new(),
--- a/src/observe/board_totals.rs
+++ b/src/observe/board_totals.rs
@@ -6,7 +6,7 @@
 
 use indexmap::IndexMap;
 
-use crate::cluster_view::Board;
+use crate::cluster_view::ClusterView;
 use crate::cluster_view::HostState;
 use crate::decide::UpstreamHealth;
 use crate::observe::HostCounts;
@@ -30,7 +30,7 @@
 
 impl BoardTotals {
     /// Counts what the board holds now.
-    pub(crate) fn count(&self, board: &Board) {
+    pub(crate) fn count(&self, board: &ClusterView) {
         let mut totals = Totals {
             generation: board.manifest().map(|in_force| in_force.generation),
             ..Totals::default()
--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -22,7 +22,7 @@
 use prometheus::Registry;
 use prometheus::TextEncoder;
 
-use crate::cluster_view::Board;
+use crate::cluster_view::ClusterView;
 use crate::control::outcome::Outcome;
 use crate::decide::LengthClass;
 use crate::manifest::Manifest;
@@ -99,7 +99,7 @@
 
     /// Takes in what the board holds: the customers of the manifest in force, which get series, and
     /// the counts of hosts and upstreams. To be called often, such as each second.
-    pub fn see_board(&self, board: &Board) {
+    pub fn see_board(&self, board: &ClusterView) {
         let before = self.board.latest().generation;
         self.board.count(board);
         if let Some(in_force) = board.manifest()
--- a/src/peer/addrs.rs
+++ b/src/peer/addrs.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use crate::cluster_view::Board;
+use crate::cluster_view::ClusterView;
 use crate::cluster_view::Shards;
 use crate::settings::PeerSeed;
 use crate::units::HostId;
@@ -17,13 +17,13 @@
 /// The addresses that the membership knows, and for others those of seeds.
 #[derive(Debug)]
 pub struct SeededAddrs {
-    board: Arc<Board>,
+    board: Arc<ClusterView>,
     seeds: Shards<HostId, SocketAddr>,
 }
 
 impl SeededAddrs {
     /// The addresses on the board, and no seeds yet.
-    pub fn new(board: Arc<Board>) -> Self {
+    pub fn new(board: Arc<ClusterView>) -> Self {
         Self {
             board,
             seeds: Shards::new(),
--- a/tests/observe.rs
+++ b/tests/observe.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use banyanarch::clock::ManualClock;
-use banyanarch::cluster_view::Board;
+use banyanarch::cluster_view::ClusterView;
 use banyanarch::cluster_view::HostState;
 use banyanarch::cluster_view::HostView;
 use banyanarch::cluster_view::UpstreamView;
@@ -130,8 +130,8 @@
     }
 }
 
-fn board() -> Board {
-    let board = Board::new();
+fn board() -> ClusterView {
+    let board = ClusterView::new();
     board.advance_manifest(InForce {
         generation: Generation(4),
         hash: ContentHash::of(DESAI.as_bytes()),
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use banyanarch::clock::ManualClock;
-use banyanarch::cluster_view::Board;
+use banyanarch::cluster_view::ClusterView;
 use banyanarch::cluster_view::HostState;
 use banyanarch::cluster_view::HostView;
 use banyanarch::control::manifests::Knowledge;
@@ -25,8 +25,8 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-fn board(host_count: u64) -> Board {
-    let board = Board::new();
+fn board(host_count: u64) -> ClusterView {
+    let board = ClusterView::new();
     for n in 0..host_count {
         let id: HostId = format!("host-{n}").parse().unwrap();
         let view = HostView {
@@ -46,7 +46,7 @@
     board
 }
 
-fn report(board: &Board, events: &Events) -> StatusReport {
+fn report(board: &ClusterView, events: &Events) -> StatusReport {
     StatusReport::new(StatusParts {
         host: &"host-0".parse().unwrap(),
         domain: &"domain-0".parse().unwrap(),
--- a/tests/worlds/manifest_world.rs
+++ b/tests/worlds/manifest_world.rs
@@ -5,7 +5,7 @@
 
 use banyanarch::clock::Clock;
 use banyanarch::clock::ManualClock;
-use banyanarch::cluster_view::Board;
+use banyanarch::cluster_view::ClusterView;
 use banyanarch::control::manifests::ManifestAction;
 use banyanarch::control::manifests::Manifests;
 use banyanarch::control::manifests::PlatformWord;
@@ -59,7 +59,7 @@
 
 struct Host {
     manifests: Manifests,
-    board: Board,
+    board: ClusterView,
 }
 
 pub(crate) struct ManifestWorld {
@@ -96,7 +96,7 @@
         manifests.set_hosts(others.collect(), Vec::new());
         Host {
             manifests,
-            board: Board::new(),
+            board: ClusterView::new(),
         }
     }
 
