--- a/src/control/status/report.rs
+++ b/src/control/status/report.rs
@@ -32,7 +32,7 @@
     /// Its failure domain.
     pub domain: &'a FailureDomainId,
     /// Hosts and upstreams.
-    pub board: &'a ClusterView,
+    pub cluster_view: &'a ClusterView,
     /// What it knows of manifests.
     pub manifest: Knowledge,
     /// The homes on this host.
@@ -142,7 +142,7 @@
     /// The report as it is now.
     pub fn new(parts: StatusParts<'_>) -> Self {
         let mut views: Vec<HostView> = parts
-            .board
+            .cluster_view
             .hosts
             .snapshot()
             .into_iter()
@@ -165,7 +165,7 @@
             suspected_partitions: parts.silent_domains,
             domains: domain_reports(&views),
             homes,
-            upstreams: target_reports(parts.board),
+            upstreams: target_reports(parts.cluster_view),
             hosts: views.iter().take(LIST_MAX).map(host_report).collect(),
             lately: parts.events.latest(EVENTS),
         }
@@ -213,9 +213,9 @@
     }
 }
 
-fn target_reports(board: &ClusterView) -> Vec<TargetReport> {
+fn target_reports(cluster_view: &ClusterView) -> Vec<TargetReport> {
     let mut targets: IndexMap<(TargetId, FailureDomainId), (usize, usize)> = IndexMap::new();
-    for (_, view) in board.upstreams.snapshot() {
+    for (_, view) in cluster_view.upstreams.snapshot() {
         let (live, leaving) = targets.entry((view.target, view.domain)).or_default();
         match view.health {
             UpstreamHealth::Live => *live += 1,
--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -70,7 +70,7 @@
 pub(crate) struct Host {
     pub(crate) settings: Settings,
     pub(crate) clock: Arc<dyn Clock>,
-    pub(crate) board: Arc<ClusterView>,
+    pub(crate) cluster_view: Arc<ClusterView>,
     pub(crate) parts: Arc<EntryParts>,
     pub(crate) homes: Arc<HomeDesk>,
     pub(crate) home_table: Arc<FleetHomes>,
@@ -106,13 +106,13 @@
             listeners.status.local_addr()?
         );
         let clock: Arc<dyn Clock> = Arc::new(SystemClock);
-        let board = Arc::new(ClusterView::new());
+        let cluster_view = Arc::new(ClusterView::new());
         let events = Arc::new(Events::new(Arc::clone(&clock)));
         let traffic = Arc::new(Traffic::new(
             Arc::clone(&clock),
             settings.peers.control_bytes_per_second,
         ));
-        let addrs = Arc::new(SeededAddrs::new(Arc::clone(&board)));
+        let addrs = Arc::new(SeededAddrs::new(Arc::clone(&cluster_view)));
         addrs.learn(&settings.peers.seeds);
         let peers = Arc::new(PeerPool::new(
             settings.host.clone(),
@@ -124,7 +124,7 @@
         let incarnation = first_incarnation(&*clock);
         let membership = Arc::new(MembershipDesk::new(
             Arc::clone(&clock),
-            Arc::clone(&board),
+            Arc::clone(&cluster_view),
             Arc::clone(&peers) as _,
             Arc::clone(&events),
             settings.host.clone(),
@@ -142,19 +142,19 @@
             ),
         ));
         let home_table = Arc::new(FleetHomes::new(
-            Arc::clone(&board),
+            Arc::clone(&cluster_view),
             Arc::clone(&membership),
             settings.host.clone(),
             settings.failure_domain.clone(),
         ));
         let map = Arc::clone(&home_table) as Arc<dyn HomeMap>;
-        let upstreams = Arc::new(UpstreamRegistry::new(Arc::clone(&board)));
+        let upstreams = Arc::new(UpstreamRegistry::new(Arc::clone(&cluster_view)));
         let waiters = Arc::new(GrantWaiters::default());
         let live = Arc::new(LiveGrants::default());
         let homes = Arc::new(HomeDesk::new(HomeDeskParts {
             clock: Arc::clone(&clock),
             host: settings.host.clone(),
-            board: Arc::clone(&board),
+            cluster_view: Arc::clone(&cluster_view),
             events: Arc::clone(&events),
             peers: Arc::clone(&peers) as _,
             map: Arc::clone(&map),
@@ -180,7 +180,7 @@
         let relayed: Arc<dyn Platform> = Arc::new(RelayPlatform::new(RelayPlatformParts {
             direct: Arc::clone(&direct),
             peers: Arc::clone(&peers) as _,
-            board: Arc::clone(&board),
+            cluster_view: Arc::clone(&cluster_view),
             host: settings.host.clone(),
             domain: settings.failure_domain.clone(),
         }));
@@ -193,7 +193,7 @@
         let parts = Arc::new(EntryParts {
             clock: Arc::clone(&clock),
             host: settings.host.clone(),
-            board: Arc::clone(&board),
+            cluster_view: Arc::clone(&cluster_view),
             granter: Arc::clone(&granter) as _,
             claims: Arc::new(claims),
             upstreams: Arc::clone(&upstreams) as _,
@@ -209,7 +209,7 @@
         let manifests = Arc::new(ManifestDesk::new(
             ManifestDeskParts {
                 clock: Arc::clone(&clock),
-                board: Arc::clone(&board),
+                cluster_view: Arc::clone(&cluster_view),
                 events: Arc::clone(&events),
                 peers: Arc::clone(&peers) as _,
                 metrics: Arc::clone(&parts.metrics),
@@ -225,7 +225,7 @@
         ));
         let orders = Arc::new(OrderDesk::new(OrderDeskParts {
             clock: Arc::clone(&clock),
-            board: Arc::clone(&board),
+            cluster_view: Arc::clone(&cluster_view),
             events: Arc::clone(&events),
             map: Arc::clone(&map),
             platform: Arc::clone(&relayed),
@@ -261,7 +261,7 @@
         let host = Arc::new(Self {
             settings,
             clock,
-            board,
+            cluster_view,
             parts,
             homes,
             home_table,
--- a/src/daemon/machine_list.rs
+++ b/src/daemon/machine_list.rs
@@ -54,24 +54,24 @@
 /// Puts the upstreams of the platform's list on the board. One that is no longer listed counts as
 /// leaving: its running requests still need its address. The list lags, so what a peer has told of
 /// a later version stays.
-pub(crate) fn take_in(board: &ClusterView, list: &ObjectList) -> Listed {
+pub(crate) fn take_in(cluster_view: &ClusterView, list: &ObjectList) -> Listed {
     let mut listed = Listed::default();
     let mut ids: IndexSet<UpstreamId> = IndexSet::new();
     for object in &list.items {
         match machine_of(object) {
             Some(Machine::Upstream(view)) => {
                 ids.insert(view.id.clone());
-                take_in_upstream(board, view);
+                take_in_upstream(cluster_view, view);
             }
             Some(Machine::Entry(seed)) => listed.seeds.push(seed),
             None => {}
         }
     }
-    for (id, mut view) in board.upstreams.snapshot() {
+    for (id, mut view) in cluster_view.upstreams.snapshot() {
         let is_gone = !ids.contains(&id) && view.version <= list.version;
         if is_gone && view.health != UpstreamHealth::Leaving {
             view.health = UpstreamHealth::Leaving;
-            board.upstreams.insert(id.clone(), view.clone());
+            cluster_view.upstreams.insert(id.clone(), view.clone());
         }
         if view.health == UpstreamHealth::Leaving {
             listed.leaving.push((id, view.version));
@@ -80,11 +80,11 @@
     listed
 }
 
-fn take_in_upstream(board: &ClusterView, view: UpstreamView) {
-    let known = board.upstreams.get(&view.id);
+fn take_in_upstream(cluster_view: &ClusterView, view: UpstreamView) {
+    let known = cluster_view.upstreams.get(&view.id);
     let is_news = |known: &UpstreamView| known.version <= view.version && *known != view;
     if known.as_ref().is_none_or(is_news) {
-        board.upstreams.insert(view.id.clone(), view);
+        cluster_view.upstreams.insert(view.id.clone(), view);
     }
 }
 
--- a/src/daemon/news.rs
+++ b/src/daemon/news.rs
@@ -24,7 +24,7 @@
 
 impl News {
     fn is_neighbour(&self, host: &HostId) -> bool {
-        let view = self.parts.board.hosts.get(host);
+        let view = self.parts.cluster_view.hosts.get(host);
         view.is_some_and(|view| view.domain == self.domain)
     }
 }
--- a/src/daemon/pages.rs
+++ b/src/daemon/pages.rs
@@ -41,7 +41,7 @@
     fn metrics(&self) -> Page {
         let host = &self.0;
         let metrics = &host.parts.metrics;
-        metrics.see_board(&host.board);
+        metrics.see_board(&host.cluster_view);
         metrics.see_host(HostCounts {
             peer_control_bytes: host.traffic.control_bytes(),
             peer_work_bytes: host.traffic.work_bytes(),
--- a/src/daemon/status_loop.rs
+++ b/src/daemon/status_loop.rs
@@ -28,7 +28,7 @@
     StatusReport::new(StatusParts {
         host: &host.settings.host,
         domain: &host.settings.failure_domain,
-        board: &host.board,
+        cluster_view: &host.cluster_view,
         manifest: host.manifests.knowledge(),
         homes: host.homes.pools(),
         silent_domains: host.membership.silent_domains(),
--- a/src/entry/parts.rs
+++ b/src/entry/parts.rs
@@ -36,7 +36,7 @@
     /// This host.
     pub host: HostId,
     /// The blackboard.
-    pub board: Arc<ClusterView>,
+    pub cluster_view: Arc<ClusterView>,
     /// Grants.
     pub granter: Arc<dyn Granter>,
     /// Claims.
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -135,7 +135,7 @@
         let why = "this host is shutting down".to_owned();
         return reject(reply, (FailReason::Draining, why)).await;
     };
-    let Some(in_force) = parts.board.manifest() else {
+    let Some(in_force) = parts.cluster_view.manifest() else {
         let why = "this host knows no manifest yet".to_owned();
         return reject(reply, (FailReason::NotReady, why)).await;
     };
--- a/src/fleet/home_desk/mod.rs
+++ b/src/fleet/home_desk/mod.rs
@@ -68,7 +68,7 @@
 pub struct HomeDesk {
     clock: Arc<dyn Clock>,
     host: HostId,
-    board: Arc<ClusterView>,
+    cluster_view: Arc<ClusterView>,
     events: Arc<Events>,
     peers: Arc<dyn Peers>,
     map: Arc<dyn HomeMap>,
@@ -87,7 +87,7 @@
     /// This host.
     pub host: HostId,
     /// The blackboard.
-    pub board: Arc<ClusterView>,
+    pub cluster_view: Arc<ClusterView>,
     /// What this host did lately.
     pub events: Arc<Events>,
     /// Other hosts.
@@ -110,7 +110,7 @@
         Self {
             clock: parts.clock,
             host: parts.host,
-            board: parts.board,
+            cluster_view: parts.cluster_view,
             events: parts.events,
             peers: parts.peers,
             map: parts.map,
@@ -242,7 +242,7 @@
 
     fn make(self: &Arc<Self>, pool: &PoolId) -> Option<Arc<Home>> {
         let target = pool.target()?;
-        let in_force = self.board.manifest()?;
+        let in_force = self.cluster_view.manifest()?;
         let upstreams = self.upstreams_seen(pool, &target)?;
         let conf = self.policy_config(pool, &target)?;
         let now = self.clock.now();
@@ -277,7 +277,7 @@
     /// of the living ones, and ends what dead ones have left behind.
     fn tell_hosts(self: &Arc<Self>, pool: &PoolId, home: &Arc<Home>) {
         let domain = pool.domain();
-        for (id, view) in self.board.hosts.snapshot() {
+        for (id, view) in self.cluster_view.hosts.snapshot() {
             if domain.as_ref() != Some(&view.domain) {
                 continue;
             }
@@ -301,7 +301,7 @@
     }
 
     fn refresh_home(self: &Arc<Self>, pool: &PoolId, home: &Arc<Home>) {
-        let Some(in_force) = self.board.manifest() else {
+        let Some(in_force) = self.cluster_view.manifest() else {
             return;
         };
         let Some(upstreams) = self.upstreams_seen(pool, &home.target) else {
--- a/src/fleet/home_desk/seen.rs
+++ b/src/fleet/home_desk/seen.rs
@@ -11,9 +11,12 @@
 
 impl HomeDesk {
     pub(super) fn policy_config(&self, pool: &PoolId, target: &TargetId) -> Option<PolicyConfig> {
-        let in_force = self.board.manifest()?;
+        let in_force = self.cluster_view.manifest()?;
         let of_pool = self.map.upstreams_of(pool).len();
-        let of_target = self.board.upstreams.count(|view| view.target == *target);
+        let of_target = self
+            .cluster_view
+            .upstreams
+            .count(|view| view.target == *target);
         let pool_part = of_pool as f64 / of_target.max(1) as f64;
         PolicyConfig::for_pool(&in_force.manifest, target, pool_part)
     }
@@ -23,10 +26,10 @@
         pool: &PoolId,
         target: &TargetId,
     ) -> Option<Vec<UpstreamSeen>> {
-        let in_force = self.board.manifest()?;
+        let in_force = self.cluster_view.manifest()?;
         let (memory_tokens, slots) = size_of(&in_force.manifest, target)?;
         let seen = |id: UpstreamId| {
-            let health = self.board.upstreams.get(&id)?.health;
+            let health = self.cluster_view.upstreams.get(&id)?.health;
             Some(UpstreamSeen {
                 id,
                 memory_tokens,
--- a/src/fleet/home_table.rs
+++ b/src/fleet/home_table.rs
@@ -37,7 +37,7 @@
 
 /// Pools and their homes as this host sees them.
 pub struct FleetHomes {
-    board: Arc<ClusterView>,
+    cluster_view: Arc<ClusterView>,
     membership: Arc<MembershipDesk>,
     host: HostId,
     domain: FailureDomainId,
@@ -48,13 +48,13 @@
 impl FleetHomes {
     /// Empty tables, for `host` of `domain`.
     pub fn new(
-        board: Arc<ClusterView>,
+        cluster_view: Arc<ClusterView>,
         membership: Arc<MembershipDesk>,
         host: HostId,
         domain: FailureDomainId,
     ) -> Self {
         Self {
-            board,
+            cluster_view,
             membership,
             host,
             domain,
@@ -79,7 +79,10 @@
     /// Whether the board has changed since the last look. Comparing all hosts and upstreams ten times
     /// a second would take a part of a core that grows with the fleet.
     fn has_changed(&self) -> bool {
-        let changes = (self.board.hosts.changes(), self.board.upstreams.changes());
+        let changes = (
+            self.cluster_view.hosts.changes(),
+            self.cluster_view.upstreams.changes(),
+        );
         let mut seen = self
             .seen_changes
             .lock()
@@ -106,7 +109,7 @@
 
     fn inputs(&self) -> Inputs {
         let mut inputs = Inputs::default();
-        let mut views = self.board.upstreams.snapshot();
+        let mut views = self.cluster_view.upstreams.snapshot();
         views.sort_by(|a, b| a.0.cmp(&b.0));
         for (id, UpstreamView { domain, target, .. }) in views {
             inputs.members.entry(domain.clone()).or_default();
--- a/src/fleet/manifest_desk.rs
+++ b/src/fleet/manifest_desk.rs
@@ -27,7 +27,7 @@
 /// Runs the spreading of manifests on this host and puts them in force on the board.
 pub struct ManifestDesk {
     clock: Arc<dyn Clock>,
-    board: Arc<ClusterView>,
+    cluster_view: Arc<ClusterView>,
     events: Arc<Events>,
     peers: Arc<dyn Peers>,
     metrics: Arc<Metrics>,
@@ -43,7 +43,7 @@
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The blackboard.
-    pub board: Arc<ClusterView>,
+    pub cluster_view: Arc<ClusterView>,
     /// What this host did lately.
     pub events: Arc<Events>,
     /// Other hosts.
@@ -61,7 +61,7 @@
     pub fn new(parts: ManifestDeskParts, manifests: Manifests) -> Self {
         Self {
             clock: parts.clock,
-            board: parts.board,
+            cluster_view: parts.cluster_view,
             events: parts.events,
             peers: parts.peers,
             metrics: parts.metrics,
@@ -105,7 +105,7 @@
 
     /// Takes in the hosts, if any has changed since the last look.
     fn hear_hosts(&self, now: Instant) -> Vec<ManifestAction> {
-        let changes = self.board.hosts.changes();
+        let changes = self.cluster_view.hosts.changes();
         if self.seen_hosts.swap(changes, Ordering::Relaxed) == changes {
             return Vec::new();
         }
@@ -119,7 +119,7 @@
 
     fn others(&self) -> (Vec<HostId>, Vec<HostId>) {
         let views = self
-            .board
+            .cluster_view
             .hosts
             .snapshot()
             .into_iter()
@@ -131,7 +131,7 @@
     }
 
     fn generations(&self) -> Vec<(HostId, crate::units::Generation)> {
-        let views = self.board.hosts.snapshot().into_iter();
+        let views = self.cluster_view.hosts.snapshot().into_iter();
         views
             .map(|(id, view)| (id, view.generation))
             .filter(|(id, _)| *id != self.host)
@@ -153,7 +153,7 @@
                     let what = format!("put generation {} in force", in_force.generation);
                     self.events.record("manifests", &what, "it is newer");
                     self.metrics.set_customers(&in_force.manifest);
-                    self.board.advance_manifest(in_force);
+                    self.cluster_view.advance_manifest(in_force);
                 }
             }
         }
--- a/src/fleet/membership_desk.rs
+++ b/src/fleet/membership_desk.rs
@@ -47,7 +47,7 @@
 /// Runs the membership of this host and keeps the hosts on the board.
 pub struct MembershipDesk {
     clock: Arc<dyn Clock>,
-    board: Arc<ClusterView>,
+    cluster_view: Arc<ClusterView>,
     peers: Arc<dyn Peers>,
     events: Arc<Events>,
     host: HostId,
@@ -58,7 +58,7 @@
     /// A desk around a membership.
     pub fn new(
         clock: Arc<dyn Clock>,
-        board: Arc<ClusterView>,
+        cluster_view: Arc<ClusterView>,
         peers: Arc<dyn Peers>,
         events: Arc<Events>,
         host: HostId,
@@ -66,7 +66,7 @@
     ) -> Self {
         Self {
             clock,
-            board,
+            cluster_view,
             peers,
             events,
             host,
@@ -79,7 +79,7 @@
         let now = self.clock.now();
         let actions = {
             let mut membership = self.lock();
-            if let Some(in_force) = self.board.manifest() {
+            if let Some(in_force) = self.cluster_view.manifest() {
                 membership.set_generation(in_force.generation, now);
                 self.note_own_generation(in_force.generation);
             }
@@ -132,9 +132,13 @@
     }
 
     fn note_own_generation(&self, generation: Generation) {
-        let known = self.board.hosts.get(&self.host).map(|view| view.generation);
+        let known = self
+            .cluster_view
+            .hosts
+            .get(&self.host)
+            .map(|view| view.generation);
         if known.is_some_and(|known| known != generation) {
-            self.board
+            self.cluster_view
                 .hosts
                 .update(&self.host, |view| view.generation = generation);
         }
@@ -161,7 +165,7 @@
             }
             MembershipAction::HostChanged { view } => self.host_changed(view),
             MembershipAction::HostForgotten { host } => {
-                self.board.hosts.remove(&host);
+                self.cluster_view.hosts.remove(&host);
                 None
             }
             MembershipAction::Woke { paused } => {
@@ -189,7 +193,7 @@
         let id = view.id.clone();
         let state = view.state;
         let before = self
-            .board
+            .cluster_view
             .hosts
             .insert(id.clone(), view)
             .map(|before| before.state);
@@ -207,7 +211,7 @@
     }
 
     fn upstream_leaves(&self, upstream: &UpstreamId, version: ObjectVersion) {
-        self.board.upstreams.update(upstream, |view| {
+        self.cluster_view.upstreams.update(upstream, |view| {
             if view.version <= version && view.health != UpstreamHealth::Leaving {
                 debug!("membership: upstream {upstream} leaves");
                 view.version = version;
--- a/src/fleet/order_desk.rs
+++ b/src/fleet/order_desk.rs
@@ -46,7 +46,7 @@
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The blackboard.
-    pub board: Arc<ClusterView>,
+    pub cluster_view: Arc<ClusterView>,
     /// What this host did lately.
     pub events: Arc<Events>,
     /// Which pools have their home here.
@@ -72,7 +72,7 @@
 
     /// Does what is due now.
     pub fn tick(self: &Arc<Self>) {
-        let Some(in_force) = self.parts.board.manifest() else {
+        let Some(in_force) = self.parts.cluster_view.manifest() else {
             return;
         };
         let here = self.parts.map.homes_here();
--- a/src/fleet/relay_platform.rs
+++ b/src/fleet/relay_platform.rs
@@ -43,7 +43,7 @@
 pub struct RelayPlatform {
     direct: Arc<dyn Platform>,
     peers: Arc<dyn Peers>,
-    board: Arc<ClusterView>,
+    cluster_view: Arc<ClusterView>,
     host: HostId,
     domain: FailureDomainId,
     is_direct_down: AtomicBool,
@@ -56,7 +56,7 @@
     /// Other hosts.
     pub peers: Arc<dyn Peers>,
     /// Which hosts there are.
-    pub board: Arc<ClusterView>,
+    pub cluster_view: Arc<ClusterView>,
     /// This host.
     pub host: HostId,
     /// Its failure domain.
@@ -75,7 +75,7 @@
         Self {
             direct: parts.direct,
             peers: parts.peers,
-            board: parts.board,
+            cluster_view: parts.cluster_view,
             host: parts.host,
             domain: parts.domain,
             is_direct_down: AtomicBool::new(false),
@@ -129,7 +129,7 @@
     /// Peers that might reach the platform.
     fn relays(&self) -> Vec<HostId> {
         let views = self
-            .board
+            .cluster_view
             .hosts
             .snapshot()
             .into_iter()
--- a/src/fleet/upstream_registry.rs
+++ b/src/fleet/upstream_registry.rs
@@ -14,15 +14,15 @@
 /// and made anew only when the upstream's address has changed.
 #[derive(Debug)]
 pub struct UpstreamRegistry {
-    board: Arc<ClusterView>,
+    cluster_view: Arc<ClusterView>,
     clients: Shards<UpstreamId, HttpClient>,
 }
 
 impl UpstreamRegistry {
     /// A registry of what is on the board.
-    pub fn new(board: Arc<ClusterView>) -> Self {
+    pub fn new(cluster_view: Arc<ClusterView>) -> Self {
         Self {
-            board,
+            cluster_view,
             clients: Shards::new(),
         }
     }
@@ -30,7 +30,7 @@
 
 impl UpstreamDirectory for UpstreamRegistry {
     fn upstream(&self, id: &UpstreamId) -> Option<Arc<dyn Upstream>> {
-        let addr = self.board.upstreams.get(id)?.addr;
+        let addr = self.cluster_view.upstreams.get(id)?.addr;
         let client = self.clients.upsert(
             id,
             || HttpClient::new(addr),
--- a/src/observe/board_totals.rs
+++ b/src/observe/board_totals.rs
@@ -30,15 +30,15 @@
 
 impl BoardTotals {
     /// Counts what the board holds now.
-    pub(crate) fn count(&self, board: &ClusterView) {
+    pub(crate) fn count(&self, cluster_view: &ClusterView) {
         let mut totals = Totals {
-            generation: board.manifest().map(|in_force| in_force.generation),
+            generation: cluster_view.manifest().map(|in_force| in_force.generation),
             ..Totals::default()
         };
-        for (_, host) in board.hosts.snapshot() {
+        for (_, host) in cluster_view.hosts.snapshot() {
             *totals.hosts.entry(state_name(host.state)).or_default() += 1;
         }
-        for (_, upstream) in board.upstreams.snapshot() {
+        for (_, upstream) in cluster_view.upstreams.snapshot() {
             let key = (upstream.target, health_name(upstream.health));
             *totals.upstreams.entry(key).or_default() += 1;
         }
--- a/src/peer/addrs.rs
+++ b/src/peer/addrs.rs
@@ -17,15 +17,15 @@
 /// The addresses that the membership knows, and for others those of seeds.
 #[derive(Debug)]
 pub struct SeededAddrs {
-    board: Arc<ClusterView>,
+    cluster_view: Arc<ClusterView>,
     seeds: Shards<HostId, SocketAddr>,
 }
 
 impl SeededAddrs {
     /// The addresses on the board, and no seeds yet.
-    pub fn new(board: Arc<ClusterView>) -> Self {
+    pub fn new(cluster_view: Arc<ClusterView>) -> Self {
         Self {
-            board,
+            cluster_view,
             seeds: Shards::new(),
         }
     }
@@ -40,7 +40,7 @@
 
 impl PeerAddrs for SeededAddrs {
     fn peer_addr(&self, host: &HostId) -> Option<SocketAddr> {
-        let view = self.board.hosts.get(host);
+        let view = self.cluster_view.hosts.get(host);
         view.map(|view| view.peer_addr)
             .or_else(|| self.seeds.get(host))
     }
--- a/tests/observe.rs
+++ b/tests/observe.rs
@@ -95,7 +95,7 @@
     metrics.retry("refused");
     metrics.in_flight(LengthClass::Short, 1);
     metrics.see_host(counts());
-    metrics.see_board(&board());
+    metrics.see_board(&cluster_view());
     let text = metrics.render().unwrap();
     let names = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
     let names: Vec<&str> = names.filter_map(|rest| rest.split(' ').next()).collect();
@@ -130,9 +130,9 @@
     }
 }
 
-fn board() -> ClusterView {
-    let board = ClusterView::new();
-    board.advance_manifest(InForce {
+fn cluster_view() -> ClusterView {
+    let cluster_view = ClusterView::new();
+    cluster_view.advance_manifest(InForce {
         generation: Generation(4),
         hash: ContentHash::of(DESAI.as_bytes()),
         manifest: Manifest::parse(DESAI, "m.yaml").unwrap(),
@@ -145,7 +145,7 @@
         addr: "127.0.0.1:9".parse().unwrap(),
         health: UpstreamHealth::Live,
     };
-    board.upstreams.insert(upstream.id.clone(), upstream);
+    cluster_view.upstreams.insert(upstream.id.clone(), upstream);
     let host = HostView {
         id: "host-1".parse().unwrap(),
         domain: "navrangpura".parse().unwrap(),
@@ -154,8 +154,8 @@
         state: HostState::Suspect,
         generation: Generation(4),
     };
-    board.hosts.insert(host.id.clone(), host);
-    board
+    cluster_view.hosts.insert(host.id.clone(), host);
+    cluster_view
 }
 
 /// A host starts, gets its first manifest, and later its last upstream vanishes. The customers must
@@ -163,8 +163,8 @@
 #[test]
 fn the_board_is_counted_anew_each_time() {
     let metrics = Metrics::new().unwrap();
-    let board = board();
-    metrics.see_board(&board);
+    let cluster_view = cluster_view();
+    metrics.see_board(&cluster_view);
     metrics.first_token(
         &customer("garba-karaoke"),
         LengthClass::Short,
@@ -176,8 +176,8 @@
     let live = "banyanarch_upstreams{health=\"live\",target=\"geet-model\"}";
     assert!(text.contains(&format!("{live} 1")));
     assert!(text.contains("customer=\"garba-karaoke\""));
-    board.upstreams.retain(|_, _| false);
-    metrics.see_board(&board);
+    cluster_view.upstreams.retain(|_, _| false);
+    metrics.see_board(&cluster_view);
     assert!(!metrics.render().unwrap().contains(live));
 }
 
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -25,8 +25,8 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-fn board(host_count: u64) -> ClusterView {
-    let board = ClusterView::new();
+fn cluster_view(host_count: u64) -> ClusterView {
+    let cluster_view = ClusterView::new();
     for n in 0..host_count {
         let id: HostId = format!("host-{n}").parse().unwrap();
         let view = HostView {
@@ -41,16 +41,16 @@
             },
             generation: Generation(if n == 13 { 4 } else { 5 }),
         };
-        board.hosts.insert(id, view);
+        cluster_view.hosts.insert(id, view);
     }
-    board
+    cluster_view
 }
 
-fn report(board: &ClusterView, events: &Events) -> StatusReport {
+fn report(cluster_view: &ClusterView, events: &Events) -> StatusReport {
     StatusReport::new(StatusParts {
         host: &"host-0".parse().unwrap(),
         domain: &"domain-0".parse().unwrap(),
-        board,
+        cluster_view,
         manifest: Knowledge {
             generation: Some(Generation(5)),
             confirmed_ago: Some(Duration::from_secs(90)),
@@ -92,7 +92,7 @@
     for _ in 0..1_000 {
         events.record("membership", "host-9 is suspect", "no answer");
     }
-    let report = report(&board(400), &events);
+    let report = report(&cluster_view(400), &events);
     assert_eq!(report.lately.len(), 2);
     assert_eq!(report.lately[0].times, 1_000);
     assert_eq!(report.lately[1].ago_s, 60);
--- a/tests/worlds/manifest_world.rs
+++ b/tests/worlds/manifest_world.rs
@@ -59,7 +59,7 @@
 
 struct Host {
     manifests: Manifests,
-    board: ClusterView,
+    cluster_view: ClusterView,
 }
 
 pub(crate) struct ManifestWorld {
@@ -96,7 +96,7 @@
         manifests.set_hosts(others.collect(), Vec::new());
         Host {
             manifests,
-            board: ClusterView::new(),
+            cluster_view: ClusterView::new(),
         }
     }
 
@@ -154,7 +154,7 @@
                 ManifestAction::PutInForce(in_force) => {
                     let index = usize::try_from(in_force.generation.0 - 1).unwrap();
                     assert_eq!(in_force.hash, self.published[index].hash, "another text");
-                    let is_newer = self.hosts[at].board.advance_manifest(in_force);
+                    let is_newer = self.hosts[at].cluster_view.advance_manifest(in_force);
                     assert!(is_newer, "entry-{at} goes back to an earlier manifest");
                 }
             }
@@ -173,7 +173,10 @@
             self.step(Step::Pass { ticks });
             let newest = Some(Generation(self.published.len() as u64));
             for host in &self.hosts {
-                let in_force = host.board.manifest().map(|manifest| manifest.generation);
+                let in_force = host
+                    .cluster_view
+                    .manifest()
+                    .map(|manifest| manifest.generation);
                 assert_eq!(in_force, newest);
             }
         }
