--- a/src/daemon/machine_list.rs
+++ b/src/daemon/machine_list.rs
@@ -51,7 +51,7 @@
     pub(crate) leaving: Vec<(UpstreamId, ObjectVersion)>,
 }
 
-/// Puts the upstreams of the platform's list on the board. One that is no longer listed counts as
+/// Puts the upstreams of the platform's list in the cluster view. One that is no longer listed counts as
 /// leaving: its running requests still need its address. The list lags, so what a peer has told of
 /// a later version stays.
 pub(crate) fn take_in(cluster_view: &ClusterView, list: &ObjectList) -> Listed {
--- a/src/fleet/home_desk/seen.rs
+++ b/src/fleet/home_desk/seen.rs
@@ -1,4 +1,4 @@
-//! What homes are made of: the manifest and the board as they concern one pool.
+//! What homes are made of: the manifest and the cluster view as they concern one pool.
 
 use crate::decide::PolicyConfig;
 use crate::decide::PoolKind;
--- a/src/fleet/home_table.rs
+++ b/src/fleet/home_table.rs
@@ -1,4 +1,4 @@
-//! Pools and their homes, worked out from the board and the membership.
+//! Pools and their homes, worked out from the cluster view and the membership.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -76,7 +76,7 @@
         *self.tables.write().unwrap_or_else(PoisonError::into_inner) = tables;
     }
 
-    /// Whether the board has changed since the last look. Comparing all hosts and upstreams ten times
+    /// Whether the cluster view has changed since the last look. Comparing all hosts and upstreams ten times
     /// a second would take a part of a core that grows with the fleet.
     fn has_changed(&self) -> bool {
         let changes = (
--- a/src/fleet/manifest_desk.rs
+++ b/src/fleet/manifest_desk.rs
@@ -24,7 +24,7 @@
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
-/// Runs the spreading of manifests on this host and puts them in force on the board.
+/// Runs the spreading of manifests on this host and puts them in force in the cluster view.
 pub struct ManifestDesk {
     clock: Arc<dyn Clock>,
     cluster_view: Arc<ClusterView>,
--- a/src/fleet/membership_desk.rs
+++ b/src/fleet/membership_desk.rs
@@ -44,7 +44,7 @@
     Poison(PoisonNotice),
 }
 
-/// Runs the membership of this host and keeps the hosts on the board.
+/// Runs the membership of this host and keeps the hosts in the cluster view.
 pub struct MembershipDesk {
     clock: Arc<dyn Clock>,
     cluster_view: Arc<ClusterView>,
--- a/src/fleet/upstream_registry.rs
+++ b/src/fleet/upstream_registry.rs
@@ -10,7 +10,7 @@
 use crate::upstream::HttpUpstream;
 use crate::upstream::Upstream;
 
-/// Clients of the upstreams on the board. A client keeps its idle connections, so it is made once
+/// Clients of the upstreams in the cluster view. A client keeps its idle connections, so it is made once
 /// and made anew only when the upstream's address has changed.
 #[derive(Debug)]
 pub struct UpstreamRegistry {
@@ -19,7 +19,7 @@
 }
 
 impl UpstreamRegistry {
-    /// A registry of what is on the board.
+    /// A registry of what is in the cluster view.
     pub fn new(cluster_view: Arc<ClusterView>) -> Self {
         Self {
             cluster_view,
--- a/src/observe/board_totals.rs
+++ b/src/observe/board_totals.rs
@@ -29,7 +29,7 @@
 }
 
 impl BoardTotals {
-    /// Counts what the board holds now.
+    /// Counts what the cluster view holds now.
     pub(crate) fn count(&self, cluster_view: &ClusterView) {
         let mut totals = Totals {
             generation: cluster_view.manifest().map(|in_force| in_force.generation),
--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -97,7 +97,7 @@
         Ok(metrics)
     }
 
-    /// Takes in what the board holds: the customers of the manifest in force, which get series, and
+    /// Takes in what the cluster view holds: the customers of the manifest in force, which get series, and
     /// the counts of hosts and upstreams. To be called often, such as each second.
     pub fn see_board(&self, board: &ClusterView) {
         let before = self.board.latest().generation;
--- a/src/peer/addrs.rs
+++ b/src/peer/addrs.rs
@@ -22,7 +22,7 @@
 }
 
 impl SeededAddrs {
-    /// The addresses on the board, and no seeds yet.
+    /// The addresses in the cluster view, and no seeds yet.
     pub fn new(cluster_view: Arc<ClusterView>) -> Self {
         Self {
             cluster_view,
