--- a/src/cluster_view/mod.rs
+++ b/src/cluster_view/mod.rs
@@ -6,7 +6,7 @@
 
 pub use host_view::HostState;
 pub use host_view::HostView;
-pub use sharded_map::Shards;
+pub use sharded_map::ShardedMap;
 pub use upstream_view::UpstreamView;
 
 use std::sync::Arc;
@@ -21,9 +21,9 @@
 #[derive(Debug)]
 pub struct ClusterView {
     /// Hosts of the system, by name.
-    pub hosts: Shards<HostId, HostView>,
+    pub hosts: ShardedMap<HostId, HostView>,
     /// Upstreams, by name.
-    pub upstreams: Shards<UpstreamId, UpstreamView>,
+    pub upstreams: ShardedMap<UpstreamId, UpstreamView>,
     manifest: RwLock<Option<Arc<InForce>>>,
 }
 
@@ -31,8 +31,8 @@
     /// An empty board.
     pub fn new() -> Self {
         Self {
-            hosts: Shards::new(),
-            upstreams: Shards::new(),
+            hosts: ShardedMap::new(),
+            upstreams: ShardedMap::new(),
             manifest: RwLock::new(None),
         }
     }
--- a/src/cluster_view/sharded_map.rs
+++ b/src/cluster_view/sharded_map.rs
@@ -16,13 +16,13 @@
 
 /// A map in shards. No call holds more than one lock, so that no two calls can wait for each other.
 #[derive(Debug)]
-pub struct Shards<K, V> {
+pub struct ShardedMap<K, V> {
     hasher: RandomState,
     shards: Vec<Mutex<IndexMap<K, V>>>,
     changes: AtomicU64,
 }
 
-impl<K: Hash + Eq + Clone, V> Shards<K, V> {
+impl<K: Hash + Eq + Clone, V> ShardedMap<K, V> {
     /// An empty map.
     pub fn new() -> Self {
         let shards = (0..SHARD_COUNT)
@@ -111,7 +111,7 @@
     }
 }
 
-impl<K: Hash + Eq + Clone, V: Clone> Shards<K, V> {
+impl<K: Hash + Eq + Clone, V: Clone> ShardedMap<K, V> {
     /// A copy of one value.
     pub fn get(&self, key: &K) -> Option<V> {
         self.shard(key).get(key).cloned()
@@ -129,7 +129,7 @@
     }
 }
 
-impl<K: Hash + Eq + Clone, V> Default for Shards<K, V> {
+impl<K: Hash + Eq + Clone, V> Default for ShardedMap<K, V> {
     fn default() -> Self {
         Self::new()
     }
--- a/src/fleet/grant_waiters.rs
+++ b/src/fleet/grant_waiters.rs
@@ -2,14 +2,14 @@
 
 use tokio::sync::mpsc;
 
-use crate::cluster_view::Shards;
+use crate::cluster_view::ShardedMap;
 use crate::control::home::GrantAnswer;
 use crate::units::RequestId;
 
 /// Requests that wait for a home's decision, by their id.
 #[derive(Debug, Default)]
 pub struct GrantWaiters {
-    senders: Shards<RequestId, mpsc::UnboundedSender<GrantAnswer>>,
+    senders: ShardedMap<RequestId, mpsc::UnboundedSender<GrantAnswer>>,
 }
 
 impl GrantWaiters {
--- a/src/fleet/home_desk/mod.rs
+++ b/src/fleet/home_desk/mod.rs
@@ -18,7 +18,7 @@
 use crate::clock::Clock;
 use crate::cluster_view::ClusterView;
 use crate::cluster_view::HostState;
-use crate::cluster_view::Shards;
+use crate::cluster_view::ShardedMap;
 use crate::control::home::GrantAnswer;
 use crate::control::home::HomeConf;
 use crate::control::home::HomeController;
@@ -76,7 +76,7 @@
     waiters: Arc<GrantWaiters>,
     live: Arc<LiveGrants>,
     policy: PolicyName,
-    homes: Shards<PoolId, Arc<Home>>,
+    homes: ShardedMap<PoolId, Arc<Home>>,
     is_closed: AtomicBool,
 }
 
@@ -118,7 +118,7 @@
             waiters: parts.waiters,
             live: parts.live,
             policy: parts.policy,
-            homes: Shards::new(),
+            homes: ShardedMap::new(),
             is_closed: AtomicBool::new(false),
         }
     }
--- a/src/fleet/live_grants.rs
+++ b/src/fleet/live_grants.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 
-use crate::cluster_view::Shards;
+use crate::cluster_view::ShardedMap;
 use crate::decide::LiveGrant;
 use crate::units::GrantId;
 use crate::units::PoolId;
@@ -10,7 +10,7 @@
 /// The grants that this host holds and that have not ended, whichever home gave them.
 #[derive(Debug, Default)]
 pub struct LiveGrants {
-    grants: Shards<GrantId, (PoolId, LiveGrant)>,
+    grants: ShardedMap<GrantId, (PoolId, LiveGrant)>,
 }
 
 impl LiveGrants {
--- a/src/fleet/upstream_registry.rs
+++ b/src/fleet/upstream_registry.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::cluster_view::ClusterView;
-use crate::cluster_view::Shards;
+use crate::cluster_view::ShardedMap;
 use crate::entry::UpstreamDirectory;
 use crate::http::HttpClient;
 use crate::units::UpstreamId;
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub struct UpstreamRegistry {
     cluster_view: Arc<ClusterView>,
-    clients: Shards<UpstreamId, HttpClient>,
+    clients: ShardedMap<UpstreamId, HttpClient>,
 }
 
 impl UpstreamRegistry {
@@ -23,7 +23,7 @@
     pub fn new(cluster_view: Arc<ClusterView>) -> Self {
         Self {
             cluster_view,
-            clients: Shards::new(),
+            clients: ShardedMap::new(),
         }
     }
 }
--- a/src/peer/addrs.rs
+++ b/src/peer/addrs.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::cluster_view::ClusterView;
-use crate::cluster_view::Shards;
+use crate::cluster_view::ShardedMap;
 use crate::settings::PeerSeed;
 use crate::units::HostId;
 
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub struct SeededAddrs {
     cluster_view: Arc<ClusterView>,
-    seeds: Shards<HostId, SocketAddr>,
+    seeds: ShardedMap<HostId, SocketAddr>,
 }
 
 impl SeededAddrs {
@@ -26,7 +26,7 @@
     pub fn new(cluster_view: Arc<ClusterView>) -> Self {
         Self {
             cluster_view,
-            seeds: Shards::new(),
+            seeds: ShardedMap::new(),
         }
     }
 
