--- a/src/cluster_view/sharded_map.rs
+++ b/src/cluster_view/sharded_map.rs
@@ -37,7 +37,7 @@
 
     /// A number that grows with each call that may have changed something. Whoever works something
     /// out from the whole map does it again only when this has grown.
-    pub fn changes(&self) -> u64 {
+    pub fn change_count(&self) -> u64 {
         self.changes.load(Ordering::Acquire)
     }
 
--- a/src/fleet/home_table.rs
+++ b/src/fleet/home_table.rs
@@ -80,8 +80,8 @@
     /// a second would take a part of a core that grows with the fleet.
     fn has_changed(&self) -> bool {
         let changes = (
-            self.cluster_view.hosts.changes(),
-            self.cluster_view.upstreams.changes(),
+            self.cluster_view.hosts.change_count(),
+            self.cluster_view.upstreams.change_count(),
         );
         let mut seen = self
             .seen_changes
--- a/src/fleet/manifest_desk.rs
+++ b/src/fleet/manifest_desk.rs
@@ -105,7 +105,7 @@
 
     /// Takes in the hosts, if any has changed since the last look.
     fn hear_hosts(&self, now: Instant) -> Vec<ManifestAction> {
-        let changes = self.cluster_view.hosts.changes();
+        let changes = self.cluster_view.hosts.change_count();
         if self.seen_hosts.swap(changes, Ordering::Relaxed) == changes {
             return Vec::new();
         }
