--- a/src/decide/rate_limit_tracker.rs
+++ b/src/decide/rate_limit_tracker.rs
@@ -58,7 +58,7 @@
 
 /// The limits of upstreams, and the requests that all hosts have sent there.
 #[derive(Debug)]
-pub struct RateLimitBook {
+pub struct RateLimitTracker {
     started_at: Instant,
     hosts: HostsHeard,
     news_age: Duration,
@@ -68,7 +68,7 @@
     told: IndexMap<UpstreamId, IndexMap<LoadSource, Told>>,
 }
 
-impl RateLimitBook {
+impl RateLimitTracker {
     /// The book of a host that starts now and knows of no other.
     pub fn new(now: Instant) -> Self {
         Self {
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -12,7 +12,7 @@
 use crate::decide::HostsHeard;
 use crate::decide::LimitReport;
 use crate::decide::LoadSource;
-use crate::decide::RateLimitBook;
+use crate::decide::RateLimitTracker;
 use crate::exchange::ListedHost;
 use crate::gateway::Event;
 use crate::gateway::Gateway;
@@ -34,7 +34,7 @@
 /// The limits that upstreams name.
 #[derive(Debug)]
 pub(crate) struct RateLimits {
-    book: Mutex<RateLimitBook>,
+    book: Mutex<RateLimitTracker>,
     /// When a malformed limit was logged last.
     malformed_logged_at: Mutex<IndexMap<UpstreamId, Instant>>,
     /// Calls of each service that wait for a limit to allow one more.
@@ -45,13 +45,13 @@
     /// No limits, on a host that starts now.
     pub(crate) fn new(now: Instant) -> Self {
         Self {
-            book: Mutex::new(RateLimitBook::new(now)),
+            book: Mutex::new(RateLimitTracker::new(now)),
             malformed_logged_at: Mutex::default(),
             waiting: Mutex::default(),
         }
     }
 
-    pub(crate) fn book(&self) -> MutexGuard<'_, RateLimitBook> {
+    pub(crate) fn book(&self) -> MutexGuard<'_, RateLimitTracker> {
         self.book.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/tests/decide_rate_limits.rs
+++ b/tests/decide_rate_limits.rs
@@ -9,7 +9,7 @@
 use banyanarch::decide::LIMIT_WINDOW;
 use banyanarch::decide::LimitReport;
 use banyanarch::decide::LoadSource;
-use banyanarch::decide::RateLimitBook;
+use banyanarch::decide::RateLimitTracker;
 use banyanarch::decide::RecentCount;
 use banyanarch::decide::SentLately;
 use banyanarch::units::RequestsPerSecond;
@@ -143,7 +143,7 @@
 #[test]
 fn the_latest_answer_decides_not_the_latest_news() {
     let (now, engine) = (Instant::now(), upstream());
-    let mut book = RateLimitBook::new(now);
+    let mut book = RateLimitTracker::new(now);
     let at = |later_ms: u64| now + ms(later_ms);
     assert!(book.on_answer(&engine, Some(RequestsPerSecond(2.0)), now));
     assert!(book.on_answer(&engine, None, at(500)));
@@ -159,7 +159,7 @@
 #[test]
 fn a_limit_is_told_by_those_that_have_it_from_the_upstream() {
     let (now, engine) = (Instant::now(), upstream());
-    let mut book = RateLimitBook::new(now);
+    let mut book = RateLimitTracker::new(now);
     book.hear(host("a"), &engine, &report(Some(2.0), 0, 1), now);
     assert_eq!(book.reports(now).count(), 0);
     book.on_sent(&engine, now);
@@ -176,13 +176,13 @@
 #[test]
 fn what_a_host_told_is_replaced_and_ends() {
     let (now, engine) = (Instant::now(), upstream());
-    let mut book = RateLimitBook::new(now);
+    let mut book = RateLimitTracker::new(now);
     let hosts = HostsHeard {
         listed: 2,
         heard: 2,
     };
     book.set_fleet(hosts, ms(20));
-    let sent = |book: &mut RateLimitBook, at: Instant| {
+    let sent = |book: &mut RateLimitTracker, at: Instant| {
         let view = book.view(&engine, at);
         view.unwrap().sent.in_window
     };
--- a/tests/limit_world/mod.rs
+++ b/tests/limit_world/mod.rs
@@ -12,7 +12,7 @@
 use banyanarch::decide::HostsHeard;
 use banyanarch::decide::LimitReport;
 use banyanarch::decide::LoadSource;
-use banyanarch::decide::RateLimitBook;
+use banyanarch::decide::RateLimitTracker;
 use banyanarch::units::RequestsPerSecond;
 use banyanarch::units::UpstreamId;
 use rand::Rng;
@@ -53,7 +53,7 @@
 }
 
 struct Host {
-    book: RateLimitBook,
+    book: RateLimitTracker,
     domain: usize,
 }
 
@@ -76,7 +76,7 @@
     pub fn new(site: Site, seed: u64) -> Self {
         let base = Instant::now();
         let host = |_| Host {
-            book: RateLimitBook::new(base),
+            book: RateLimitTracker::new(base),
             domain: 0,
         };
         let mut world = Self {
@@ -127,7 +127,7 @@
             if !self.rng.random_ratio(1, 10) {
                 continue;
             }
-            self.hosts[index].book = RateLimitBook::new(now);
+            self.hosts[index].book = RateLimitTracker::new(now);
         }
     }
 
