--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -128,7 +128,7 @@
 pub use rate_limit::LIMIT_BURST_WINDOW;
 pub use rate_limit::LIMIT_WINDOW;
 pub use rate_limit::RateLimitView;
-pub use rate_limit::SentLately;
+pub use rate_limit::RecentSends;
 pub use rate_limit_tracker::LimitReport;
 pub use rate_limit_tracker::RateLimitTracker;
 pub use read_queue::ReadSent;
--- a/src/decide/rate_limit.rs
+++ b/src/decide/rate_limit.rs
@@ -20,14 +20,14 @@
 
 /// Requests that an upstream got lately.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct SentLately {
+pub struct RecentSends {
     /// Within [`LIMIT_WINDOW`].
     pub in_window: u32,
     /// Within [`LIMIT_BURST_WINDOW`].
     pub in_burst_window: u32,
 }
 
-impl SentLately {
+impl RecentSends {
     /// Both together.
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -43,7 +43,7 @@
     /// The limit.
     pub limit: RequestsPerSecond,
     /// What all hosts that are heard have sent there.
-    pub sent: SentLately,
+    pub sent: RecentSends,
     /// How long the limit has allowed one more request, as far as this host knows; none if it doesn't.
     pub open_for: Option<Duration>,
     /// The hosts that share the limit.
--- a/src/decide/rate_limit_tracker.rs
+++ b/src/decide/rate_limit_tracker.rs
@@ -12,7 +12,7 @@
 use crate::decide::LoadSource;
 use crate::decide::RateLimitView;
 use crate::decide::RecentCount;
-use crate::decide::SentLately;
+use crate::decide::RecentSends;
 use crate::units::RequestsPerSecond;
 use crate::units::UpstreamId;
 
@@ -27,7 +27,7 @@
     /// The time since the upstream said so.
     pub age: Duration,
     /// What they have sent there.
-    pub sent: SentLately,
+    pub sent: RecentSends,
 }
 
 /// What is known of one upstream's limit.
@@ -45,7 +45,7 @@
 /// What a source has told of its sends to one upstream.
 #[derive(Clone, Copy, Debug)]
 struct Told {
-    sent: SentLately,
+    sent: RecentSends,
     at: Instant,
 }
 
@@ -217,15 +217,15 @@
         self.told.retain(|id, _| is_listed(id));
     }
 
-    fn sent_lately(&self, upstream: &UpstreamId, now: Instant) -> SentLately {
+    fn sent_lately(&self, upstream: &UpstreamId, now: Instant) -> RecentSends {
         let told = self.told.get(upstream).into_iter().flat_map(|t| t.values());
         let own = self.own_sent_lately(upstream, now);
         told.filter(|told| told.is_recent(now))
             .fold(own, |sum, told| sum.plus(told.sent))
     }
 
-    fn own_sent_lately(&self, upstream: &UpstreamId, now: Instant) -> SentLately {
-        SentLately {
+    fn own_sent_lately(&self, upstream: &UpstreamId, now: Instant) -> RecentSends {
+        RecentSends {
             in_window: self.own_sent_within(upstream, LIMIT_WINDOW, now),
             in_burst_window: self.own_sent_within(upstream, LIMIT_BURST_WINDOW, now),
         }
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -16,7 +16,7 @@
 use crate::decide::Poison;
 use crate::decide::PoisonMark;
 use crate::decide::ReadSent;
-use crate::decide::SentLately;
+use crate::decide::RecentSends;
 use crate::exchange::ExchangeHandler;
 use crate::exchange::HostUpdate;
 use crate::exchange::LimitEntry;
@@ -298,7 +298,7 @@
     LimitReport {
         limit: news.limit_per_s.map(RequestsPerSecond),
         age: Duration::from_millis(news.age_ms.into()),
-        sent: SentLately {
+        sent: RecentSends {
             in_window: news.sent_in_window,
             in_burst_window: news.sent_in_burst_window,
         },
--- a/tests/decide_rate_limits.rs
+++ b/tests/decide_rate_limits.rs
@@ -11,7 +11,7 @@
 use banyanarch::decide::LoadSource;
 use banyanarch::decide::RateLimitTracker;
 use banyanarch::decide::RecentCount;
-use banyanarch::decide::SentLately;
+use banyanarch::decide::RecentSends;
 use banyanarch::units::RequestsPerSecond;
 use banyanarch::units::UpstreamId;
 use limit_world::Site;
@@ -132,7 +132,7 @@
     LimitReport {
         limit: limit_per_s.map(RequestsPerSecond),
         age: ms(age_ms),
-        sent: SentLately {
+        sent: RecentSends {
             in_window,
             in_burst_window: 0,
         },
