--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -147,7 +147,7 @@
         now: Instant,
     ) {
         let mut book = self.rate_limits.book();
-        let is_change = book.hear(source.clone(), upstream, report, now);
+        let is_change = book.on_report(source.clone(), upstream, report, now);
         drop(book);
         if is_change {
             self.note_limit(upstream, report.limit, Some(source.host()), report.age);
--- a/tests/decide_rate_limits.rs
+++ b/tests/decide_rate_limits.rs
@@ -148,10 +148,10 @@
     assert!(book.on_answer(&engine, Some(RequestsPerSecond(2.0)), now));
     assert!(book.on_answer(&engine, None, at(500)));
     let old = report(Some(2.0), 400, 3);
-    assert!(!book.hear(host("a"), &engine, &old, at(800)));
+    assert!(!book.on_report(host("a"), &engine, &old, at(800)));
     assert_eq!(book.limit(&engine), None);
     let new = report(Some(3.0), 100, 3);
-    assert!(book.hear(host("a"), &engine, &new, at(900)));
+    assert!(book.on_report(host("a"), &engine, &new, at(900)));
     assert_eq!(book.limit(&engine), Some(RequestsPerSecond(3.0)));
 }
 
@@ -160,7 +160,7 @@
 fn a_limit_is_told_by_those_that_have_it_from_the_upstream() {
     let (now, engine) = (Instant::now(), upstream());
     let mut book = RateLimitTracker::new(now);
-    book.hear(host("a"), &engine, &report(Some(2.0), 0, 1), now);
+    book.on_report(host("a"), &engine, &report(Some(2.0), 0, 1), now);
     assert_eq!(book.reports(now).count(), 0);
     book.on_sent(&engine, now);
     let told: Vec<LimitReport> = book.reports(now).map(|(_, report)| report).collect();
@@ -186,9 +186,9 @@
         let view = book.view(&engine, at);
         view.unwrap().sent.in_window
     };
-    book.hear(host("a"), &engine, &report(Some(2.0), 0, 3), now);
-    book.hear(host("a"), &engine, &report(Some(2.0), 0, 4), now);
-    book.hear(host("b"), &engine, &report(Some(2.0), 0, 2), now);
+    book.on_report(host("a"), &engine, &report(Some(2.0), 0, 3), now);
+    book.on_report(host("a"), &engine, &report(Some(2.0), 0, 4), now);
+    book.on_report(host("b"), &engine, &report(Some(2.0), 0, 2), now);
     book.on_sent(&engine, now);
     assert_eq!(sent(&mut book, now), 7);
     assert_eq!(sent(&mut book, now + ms(4_500)), 0);
--- a/tests/limit_world/mod.rs
+++ b/tests/limit_world/mod.rs
@@ -177,7 +177,7 @@
                     let now = self.instant();
                     let source = LoadSource::Host(format!("host-{from}").parse().unwrap());
                     let book = &mut self.hosts[to].book;
-                    if book.hear(source, &self.upstream, &report, now) {
+                    if book.on_report(source, &self.upstream, &report, now) {
                         self.tell(to);
                     }
                 }
