--- a/src/decide/rate_limit_tracker.rs
+++ b/src/decide/rate_limit_tracker.rs
@@ -108,7 +108,7 @@
     }
 
     /// Takes in what another host tells. Returns whether that is another limit than before.
-    pub fn hear(
+    pub fn on_report(
         &mut self,
         source: LoadSource,
         upstream: &UpstreamId,
