--- a/src/decide/rate_limit_tracker.rs
+++ b/src/decide/rate_limit_tracker.rs
@@ -165,7 +165,7 @@
     }
 
     /// Takes in which hosts are heard, and how old news of their sends may be.
-    pub fn set_fleet(&mut self, hosts: HostsHeard, news_age: Duration) {
+    pub fn set_hosts(&mut self, hosts: HostsHeard, news_age: Duration) {
         self.hosts = hosts;
         self.news_age = news_age;
     }
--- a/src/gateway/limit_states.rs
+++ b/src/gateway/limit_states.rs
@@ -31,7 +31,7 @@
         }
         let hosts = gateway.hosts_heard(now);
         let mut book = gateway.rate_limits.book();
-        book.set_fleet(hosts, gateway.sends_seen_within());
+        book.set_hosts(hosts, gateway.sends_seen_within());
         let limited = upstreams.iter().filter_map(|upstream| {
             let view = book.view(&upstream.id, now)?;
             let opens_in = view.opens_in();
--- a/tests/decide_rate_limits.rs
+++ b/tests/decide_rate_limits.rs
@@ -181,7 +181,7 @@
         listed: 2,
         heard: 2,
     };
-    book.set_fleet(hosts, ms(20));
+    book.set_hosts(hosts, ms(20));
     let sent = |book: &mut RateLimitTracker, at: Instant| {
         let view = book.view(&engine, at);
         view.unwrap().sent.in_window
--- a/tests/limit_world/mod.rs
+++ b/tests/limit_world/mod.rs
@@ -209,7 +209,7 @@
         };
         let draw = self.rng.random();
         let book = &mut self.hosts[index].book;
-        book.set_fleet(hosts, Duration::from_millis(NEWS_MS.end));
+        book.set_hosts(hosts, Duration::from_millis(NEWS_MS.end));
         let view = book.view(&self.upstream, now);
         view.is_none_or(|view| view.admits(draw))
     }
