--- a/src/decide/rate_limit.rs
+++ b/src/decide/rate_limit.rs
@@ -84,7 +84,7 @@
     }
 
     /// One host's even part of the limit.
-    pub fn rate_of_one(&self) -> f64 {
+    pub fn host_share_per_s(&self) -> f64 {
         self.limit.0 / self.hosts.listed.max(1) as f64
     }
 
@@ -106,7 +106,7 @@
     /// was started again counts as its even part.
     fn allowed_in(&self, window: Duration) -> f64 {
         let known_for = self.runs_for.min(window);
-        let forgotten = self.rate_of_one() * (window - known_for).as_secs_f64();
+        let forgotten = self.host_share_per_s() * (window - known_for).as_secs_f64();
         let allowed = self.rate() * window.as_secs_f64();
         allowed.max(LEAST_IN_WINDOW) - forgotten
     }
--- a/src/gateway/limit_states.rs
+++ b/src/gateway/limit_states.rs
@@ -84,7 +84,7 @@
         let per_s: f64 = self
             .0
             .values()
-            .map(|limited| limited.view.rate_of_one())
+            .map(|limited| limited.view.host_share_per_s())
             .sum();
         let time = Duration::try_from_secs_f64(f64::from(calls) / per_s);
         time.unwrap_or(Duration::MAX)
