--- a/src/gateway/limit_states.rs
+++ b/src/gateway/limit_states.rs
@@ -68,7 +68,7 @@
         };
         let is_admitted = limited.view.admits(rand::random());
         if !is_admitted {
-            limited.opens_in = limited.view.news_age;
+            limited.opens_in = limited.view.update_age_max;
         }
         is_admitted
     }
