--- a/src/decide/rate_limit.rs
+++ b/src/decide/rate_limit.rs
@@ -51,7 +51,7 @@
     /// The time since this host was started.
     pub runs_for: Duration,
     /// How old the news of what others have sent may be.
-    pub news_age: Duration,
+    pub update_age_max: Duration,
 }
 
 impl RateLimitView {
@@ -78,7 +78,8 @@
         let Some(open_for) = self.open_for else {
             return false;
         };
-        let doublings = open_for.as_secs_f64() / self.news_age.as_secs_f64().max(f64::EPSILON);
+        let doublings =
+            open_for.as_secs_f64() / self.update_age_max.as_secs_f64().max(f64::EPSILON);
         let even_chance = self.free() / self.hosts.heard.max(1) as f64;
         draw < even_chance * doublings.exp2()
     }
--- a/src/decide/rate_limit_tracker.rs
+++ b/src/decide/rate_limit_tracker.rs
@@ -61,7 +61,7 @@
 pub struct RateLimitTracker {
     started_at: Instant,
     hosts: HostsHeard,
-    news_age: Duration,
+    update_age_max: Duration,
     known: IndexMap<UpstreamId, Known>,
     /// This host's sends, also to upstreams without a limit: when one names it, what it got before counts.
     own_sent: IndexMap<UpstreamId, RecentCount>,
@@ -77,7 +77,7 @@
                 listed: 1,
                 heard: 1,
             },
-            news_age: Duration::ZERO,
+            update_age_max: Duration::ZERO,
             known: IndexMap::new(),
             own_sent: IndexMap::new(),
             told: IndexMap::new(),
@@ -165,9 +165,9 @@
     }
 
     /// Takes in which hosts are heard, and how old news of their sends may be.
-    pub fn set_hosts(&mut self, hosts: HostsHeard, news_age: Duration) {
+    pub fn set_hosts(&mut self, hosts: HostsHeard, update_age_max: Duration) {
         self.hosts = hosts;
-        self.news_age = news_age;
+        self.update_age_max = update_age_max;
     }
 
     /// What is known of an upstream that has named a limit; none of the others.
@@ -179,7 +179,7 @@
             open_for: None,
             hosts: self.hosts,
             runs_for: now.saturating_duration_since(self.started_at),
-            news_age: self.news_age,
+            update_age_max: self.update_age_max,
         };
         let known = self.known.get_mut(upstream)?;
         known.open_since = if view.is_open() {
