--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -12,7 +12,7 @@
 use crate::decide::PoisonMark;
 use crate::gateway::CallHead;
 use crate::routing::Route;
-use crate::routing::callers_patience;
+use crate::routing::stream_caller_timeout;
 use crate::units::ContentHash;
 use crate::units::CustomerId;
 use crate::units::ServiceId;
@@ -70,7 +70,7 @@
 
     /// How long the caller still stays without a first event, less what an answer's way takes.
     pub fn patience_left(&self, now: Instant) -> Duration {
-        let stays = callers_patience(self.route.objective, self.route.pause_objective);
+        let stays = stream_caller_timeout(self.route.objective, self.route.pause_objective);
         (self.arrived + stays).saturating_duration_since(now + PATIENCE_MARGIN)
     }
 
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -13,6 +13,6 @@
 pub use limits::CallerLimits;
 pub use route::Route;
 pub use route::Target;
-pub use route::callers_patience;
+pub use route::stream_caller_timeout;
 pub use service::Service;
 pub use table::RouteTable;
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -13,7 +13,7 @@
 const CALLERS_STAY_PAUSES: u32 = 8;
 
 /// How long the caller of a stream stays without an event, by what is on time on its route.
-pub fn callers_patience(objective: Duration, pause_objective: Option<Duration>) -> Duration {
+pub fn stream_caller_timeout(objective: Duration, pause_objective: Option<Duration>) -> Duration {
     let by_objective = objective * CALLERS_STAY_OBJECTIVES;
     let by_pause = pause_objective.unwrap_or_default() * CALLERS_STAY_PAUSES;
     by_objective.max(by_pause).max(CALLERS_STAY_MIN)
--- a/tests/engine_world/world.rs
+++ b/tests/engine_world/world.rs
@@ -7,7 +7,7 @@
 use banyanarch::decide::engines::EngineAsk;
 use banyanarch::decide::engines::EngineChoice;
 use banyanarch::decide::engines::EnginePlan;
-use banyanarch::routing::callers_patience;
+use banyanarch::routing::stream_caller_timeout;
 use banyanarch::units::UpstreamId;
 use rand::Rng;
 use rand::SeedableRng;
@@ -172,7 +172,7 @@
             prompt: asked.prompt,
             output: asked.output_max,
             objective_left: class.objective.saturating_sub(waited),
-            patience_left: callers_patience(class.objective, Some(class.pause))
+            patience_left: stream_caller_timeout(class.objective, Some(class.pause))
                 .saturating_sub(waited),
             time_left,
             strictest_pause: self.site.classes.iter().map(|class| class.pause).min(),
