--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -12,7 +12,7 @@
 pub use keys::CustomerKeys;
 pub use limits::CallerLimits;
 pub use route::Route;
-pub use route::Target;
+pub use route::RouteTarget;
 pub use route::stream_caller_timeout;
 pub use service::Service;
 pub use table::RouteTable;
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -21,7 +21,7 @@
 
 /// A service that a route leads to, with its share of the calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Target {
+pub struct RouteTarget {
     /// The service.
     pub service: ServiceId,
     /// Its share, relative to the other targets; none gets calls by a weight of 0.
@@ -48,7 +48,7 @@
     /// The rank; 0 is served first.
     pub priority: Priority,
     /// The services, with their shares.
-    pub targets: Vec<Target>,
+    pub targets: Vec<RouteTarget>,
     /// How many upstreams may run one call.
     pub runs_max: u32,
     /// Whether calls need no key.
--- a/tests/gateway_world/mod.rs
+++ b/tests/gateway_world/mod.rs
@@ -27,8 +27,8 @@
 use banyanarch::routing::CustomerKeys;
 use banyanarch::routing::Route;
 use banyanarch::routing::RouteTable;
+use banyanarch::routing::RouteTarget;
 use banyanarch::routing::Service;
-use banyanarch::routing::Target;
 use banyanarch::units::Generation;
 use banyanarch::units::Millicores;
 use banyanarch::units::Priority;
@@ -199,7 +199,7 @@
         objective: Duration::from_millis(300),
         pause_objective: None,
         priority: Priority(1),
-        targets: vec![Target {
+        targets: vec![RouteTarget {
             service: service.parse().unwrap(),
             weight: 1,
         }],
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -5,13 +5,13 @@
 use banyanarch::routing::CallKind;
 use banyanarch::routing::Route;
 use banyanarch::routing::RouteTable;
-use banyanarch::routing::Target;
+use banyanarch::routing::RouteTarget;
 use banyanarch::units::Generation;
 use banyanarch::units::Priority;
 use yare::parameterized;
 
 fn route(name: &str, hostname: &str, path_prefix: &str, targets: &[(&str, u32)]) -> Route {
-    let target = |(service, weight): &(&str, u32)| Target {
+    let target = |(service, weight): &(&str, u32)| RouteTarget {
         service: service.parse().unwrap(),
         weight: *weight,
     };
