--- a/src/units/names.rs
+++ b/src/units/names.rs
@@ -79,7 +79,7 @@
 impl UpstreamId {
     /// The id of one life of an upstream. `started` tells it from other lives under the same name;
     /// without it all of them are taken for one.
-    pub fn of_life(name: &UpstreamName, started: Option<u64>) -> Self {
+    pub fn of_instance(name: &UpstreamName, started: Option<u64>) -> Self {
         match started {
             Some(started) => Self(format!("{name}@{started}").into()),
             None => Self(name.0.clone()),
--- a/tests/gateway_world/catalog.rs
+++ b/tests/gateway_world/catalog.rs
@@ -113,7 +113,7 @@
         let mut state = self.state.lock().unwrap();
         let entry = state.upstreams.iter().find(|u| u.name.as_str() == name);
         let mut entry = entry.unwrap().clone();
-        entry.id = UpstreamId::of_life(&entry.name, Some(started));
+        entry.id = UpstreamId::of_instance(&entry.name, Some(started));
         let id = entry.id.clone();
         state.change(entry);
         id
