--- a/src/entry/granter.rs
+++ b/src/entry/granter.rs
@@ -35,7 +35,7 @@
     /// Stands in for the grant of an earlier sending whose answer is read; it is never given back.
     pub fn followed(claim: &Claim, work: &Work) -> Self {
         Self {
-            pool: PoolId::of_followed(),
+            pool: PoolId::placeholder(),
             grant: GrantId(claim.attempt.0),
             upstreams: vec![claim.upstream.clone()],
             waited: Duration::ZERO,
--- a/src/units/names.rs
+++ b/src/units/names.rs
@@ -71,7 +71,7 @@
     }
 
     /// Stands for no pool: the answer of an earlier sending is read without a grant.
-    pub fn of_followed() -> Self {
+    pub fn placeholder() -> Self {
         Self("followed".into())
     }
 }
