--- a/src/decide/engines/short.rs
+++ b/src/decide/engines/short.rs
@@ -141,7 +141,7 @@
         .collect();
     others.sort_by_cached_key(|engine| {
         let stretches = !engine.has_room(model, part_time);
-        let read_in = engine.backlog() + engine.slowdown.stretch(part_time);
+        let read_in = engine.backlog() + engine.slowdown.scale(part_time);
         (stretches, read_in, engine.load.in_flight)
     });
     others
--- a/src/decide/engines/view.rs
+++ b/src/decide/engines/view.rs
@@ -64,17 +64,17 @@
     /// How long a pass takes when nothing is read in.
     pub fn pass_time(&self, model: &EngineModel) -> Duration {
         let pass_time = model.pass_time(self.load.in_flight + 1, self.load.held_tokens);
-        self.slowdown.stretch(pass_time)
+        self.slowdown.scale(pass_time)
     }
 
     /// Time until it has read in what waits there.
     pub fn backlog(&self) -> Duration {
-        self.slowdown.stretch(self.load.read_backlog)
+        self.slowdown.scale(self.load.read_backlog)
     }
 
     /// Whether a part fits beside the answers that are being written there.
     pub fn has_room(&self, model: &EngineModel, part_time: Duration) -> bool {
-        self.slowdown.stretch(part_time) <= self.room(model)
+        self.slowdown.scale(part_time) <= self.room(model)
     }
 
     /// How much can be read in beside what waits without stretching the pauses of the answers that
@@ -96,13 +96,13 @@
     /// When a part is read that comes now and that this engine helps with: engines read such parts ahead
     /// of all that waits there.
     pub fn helped(&self, model: &EngineModel, part_time: Duration) -> Duration {
-        let read_time = self.slowdown.stretch(part_time);
+        let read_time = self.slowdown.scale(part_time);
         read_time + self.pass_time(model).mul_f64(PASSES_TO_FIRST_EVENT)
     }
 
     /// Whether a prompt that is being read here would come late by a part that is read before it.
     pub fn makes_late(&self, model: &EngineModel, part_time: Duration) -> bool {
-        let ready = self.backlog() + self.slowdown.stretch(part_time) + self.pass_time(model);
+        let ready = self.backlog() + self.slowdown.scale(part_time) + self.pass_time(model);
         self.load.read_due.is_some_and(|due| ready > due)
     }
 
--- a/src/units/slowdown.rs
+++ b/src/units/slowdown.rs
@@ -29,7 +29,7 @@
     }
 
     /// How long it takes for what the model says takes `time`.
-    pub fn stretch(self, time: Duration) -> Duration {
+    pub fn scale(self, time: Duration) -> Duration {
         if self == Self::NONE {
             return time;
         }
--- a/tests/engine_world/engine.rs
+++ b/tests/engine_world/engine.rs
@@ -107,7 +107,7 @@
         self.writers.retain(|writer| writer.events_left > 0);
         self.pass = Some(end);
         let took_ms = f64::from(steps) * step_ms + read_ms;
-        Some(slowdown.stretch(Duration::from_secs_f64(took_ms / 1e3)))
+        Some(slowdown.scale(Duration::from_secs_f64(took_ms / 1e3)))
     }
 
     /// Ends the pass under way.
