--- a/src/exchange/fleet.rs
+++ b/src/exchange/fleet.rs
@@ -153,20 +153,20 @@
 
     /// By which way news come to this host now.
     pub fn route(&self, now: Instant) -> UpdateRoute {
-        let near_age = news_interval(self.told.len());
+        let local_age_max = news_interval(self.told.len());
         if !self.is_large() {
             return UpdateRoute {
                 collector: None,
-                near_age,
-                far_age: near_age,
+                local_age_max,
+                remote_age_max: local_age_max,
             };
         }
         let collector = self.collector.as_ref().map(|listed| &listed.host);
         let has_spoken = |host: &&HostId| self.collectors.has_spoken(host, now);
         UpdateRoute {
             collector: collector.filter(has_spoken).cloned(),
-            near_age,
-            far_age: FAR_AGE,
+            local_age_max,
+            remote_age_max: FAR_AGE,
         }
     }
 
