--- a/src/exchange/voice.rs
+++ b/src/exchange/voice.rs
@@ -6,7 +6,7 @@
 #[repr(i32)]
 pub enum MessageScope {
     /// Of a host, of itself.
-    Own = 0,
+    Host = 0,
     /// Of a collector, of all hosts of its failure domain together, to those of other domains.
     Domain = 1,
     /// Of a collector, to the hosts of its domain: what it has heard of the other domains.
