--- a/src/lib.rs
+++ b/src/lib.rs
@@ -26,5 +26,3 @@
 pub mod units;
 pub mod upstream;
 pub mod yaml;
-
-pub use cluster_view as board;
