--- a/src/cluster_view/sharded_map.rs
+++ b/src/cluster_view/sharded_map.rs
@@ -44,21 +44,21 @@
     /// Sets a value and returns the earlier one.
     pub fn insert(&self, key: K, value: V) -> Option<V> {
         let before = self.shard(&key).insert(key, value);
-        self.note_change();
+        self.record_change();
         before
     }
 
     /// Removes a value.
     pub fn remove(&self, key: &K) -> Option<V> {
         let before = self.shard(key).swap_remove(key);
-        self.note_change();
+        self.record_change();
         before
     }
 
     /// Runs `change` on the value of a key under its shard's lock.
     pub fn update<R>(&self, key: &K, change: impl FnOnce(&mut V) -> R) -> Option<R> {
         let changed = self.shard(key).get_mut(key).map(change);
-        self.note_change();
+        self.record_change();
         changed
     }
 
@@ -70,7 +70,7 @@
         change: impl FnOnce(&mut V) -> R,
     ) -> R {
         let changed = change(self.shard(key).entry(key.clone()).or_insert_with(make));
-        self.note_change();
+        self.record_change();
         changed
     }
 
@@ -79,15 +79,18 @@
         for shard in &self.shards {
             lock(shard).retain(&mut keep);
         }
-        self.note_change();
+        self.record_change();
     }
 
     /// How many entries are such; other threads may be changing them.
-    pub fn count(&self, mut is_such: impl FnMut(&V) -> bool) -> usize {
-        let of_shard = |shard: &Mutex<IndexMap<K, V>>| {
-            lock(shard).values().filter(|value| is_such(value)).count()
+    pub fn count(&self, mut predicate: impl FnMut(&V) -> bool) -> usize {
+        let count_in_shard = |shard: &Mutex<IndexMap<K, V>>| {
+            lock(shard)
+                .values()
+                .filter(|value| predicate(value))
+                .count()
         };
-        self.shards.iter().map(of_shard).sum()
+        self.shards.iter().map(count_in_shard).sum()
     }
 
     /// How many entries there are; other threads may be changing it.
@@ -100,7 +103,7 @@
         self.len() == 0
     }
 
-    fn note_change(&self) {
+    fn record_change(&self) {
         self.changes.fetch_add(1, Ordering::Release);
     }
 
--- a/src/decide/rate_limit.rs
+++ b/src/decide/rate_limit.rs
@@ -14,7 +14,7 @@
 /// The time over which it is kept as well, rounded up, so that a window's requests don't come at once.
 pub const LIMIT_BURST_WINDOW: Duration = Duration::from_secs(1);
 /// An upstream gets a request in this time whatever its limit is: only an answer tells that the limit has ended.
-const LEAST_IN_WINDOW: f64 = 1.0;
+const REQUESTS_IN_WINDOW_MIN: f64 = 1.0;
 /// The shortest wait for a limit to allow one more request.
 const WAIT_MIN: Duration = Duration::from_millis(20);
 
@@ -29,7 +29,7 @@
 
 impl RecentSends {
     /// Both together.
-    pub fn plus(self, other: Self) -> Self {
+    pub fn combined_with(self, other: Self) -> Self {
         Self {
             in_window: self.in_window.saturating_add(other.in_window),
             in_burst_window: self.in_burst_window.saturating_add(other.in_burst_window),
@@ -49,7 +49,7 @@
     /// The hosts that share the limit.
     pub hosts: HostsHeard,
     /// The time since this host was started.
-    pub runs_for: Duration,
+    pub uptime: Duration,
     /// How old the news of what others have sent may be.
     pub update_age_max: Duration,
 }
@@ -57,7 +57,7 @@
 impl RateLimitView {
     /// Whether the limit allows one more request.
     pub fn is_open(&self) -> bool {
-        self.free() >= 1.0
+        self.remaining() >= 1.0
     }
 
     /// Time until one more request may be sent; zero if one may be sent now.
@@ -65,7 +65,7 @@
         if self.is_open() {
             return Duration::ZERO;
         }
-        let wait = Duration::try_from_secs_f64((1.0 - self.free()) / self.rate());
+        let wait = Duration::try_from_secs_f64((1.0 - self.remaining()) / self.reachable_rate());
         wait.unwrap_or(LIMIT_WINDOW).clamp(WAIT_MIN, LIMIT_WINDOW)
     }
 
@@ -80,8 +80,8 @@
         };
         let doublings =
             open_for.as_secs_f64() / self.update_age_max.as_secs_f64().max(f64::EPSILON);
-        let even_chance = self.free() / self.hosts.heard.max(1) as f64;
-        draw < even_chance * doublings.exp2()
+        let even_probability = self.remaining() / self.hosts.heard.max(1) as f64;
+        draw < even_probability * doublings.exp2()
     }
 
     /// One host's even part of the limit.
@@ -91,12 +91,12 @@
 
     /// This host's part of the rate and of those that it hears. Hosts that can't hear each other keep the limit
     /// together.
-    fn rate(&self) -> f64 {
+    fn reachable_rate(&self) -> f64 {
         self.limit.0 * self.hosts.part()
     }
 
     /// Requests that may still be sent now.
-    fn free(&self) -> f64 {
+    fn remaining(&self) -> f64 {
         let in_window = self.allowed_in(LIMIT_WINDOW) - f64::from(self.sent.in_window);
         let in_burst =
             self.allowed_in(LIMIT_BURST_WINDOW).ceil() - f64::from(self.sent.in_burst_window);
@@ -106,9 +106,9 @@
     /// What the limit allows in this time. Others tell what they have sent; what this host may have sent before it
     /// was started again counts as its even part.
     fn allowed_in(&self, window: Duration) -> f64 {
-        let known_for = self.runs_for.min(window);
-        let forgotten = self.host_share_per_s() * (window - known_for).as_secs_f64();
-        let allowed = self.rate() * window.as_secs_f64();
-        allowed.max(LEAST_IN_WINDOW) - forgotten
+        let observed = self.uptime.min(window);
+        let presumed = self.host_share_per_s() * (window - observed).as_secs_f64();
+        let allowed = self.reachable_rate() * window.as_secs_f64();
+        allowed.max(REQUESTS_IN_WINDOW_MIN) - presumed
     }
 }
--- a/src/decide/rate_limit_tracker.rs
+++ b/src/decide/rate_limit_tracker.rs
@@ -17,7 +17,7 @@
 use crate::units::UpstreamId;
 
 /// How long the end of a limit is told, and what was sent after the last of it has left the window.
-const ENDED_TOLD_FOR: Duration = Duration::from_secs(5);
+const END_REPORT_TIME: Duration = Duration::from_secs(5);
 
 /// What one host, or all hosts of a failure domain, tell of an upstream's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -32,27 +32,27 @@
 
 /// What is known of one upstream's limit.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct KnownLimit {
     /// None if it has ended.
     limit: Option<RequestsPerSecond>,
-    said_at: Instant,
+    stated_at: Instant,
     /// Whether this host has it from the upstream itself.
-    is_own: bool,
+    is_first_hand: bool,
     /// Since when the limit allows one more request; none if it doesn't.
     open_since: Option<Instant>,
 }
 
 /// What a source has told of its sends to one upstream.
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct ReportedSends {
     sent: RecentSends,
-    at: Instant,
+    received_at: Instant,
 }
 
-impl Told {
+impl ReportedSends {
     /// Whether any of it may still be in the window.
     fn is_recent(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.at) < LIMIT_WINDOW
+        now.saturating_duration_since(self.received_at) < LIMIT_WINDOW
     }
 }
 
@@ -62,10 +62,10 @@
     started_at: Instant,
     hosts: HostsHeard,
     update_age_max: Duration,
-    known: IndexMap<UpstreamId, Known>,
+    known: IndexMap<UpstreamId, KnownLimit>,
     /// This host's sends, also to upstreams without a limit: when one names it, what it got before counts.
     own_sent: IndexMap<UpstreamId, RecentCount>,
-    told: IndexMap<UpstreamId, IndexMap<LoadSource, Told>>,
+    reported: IndexMap<UpstreamId, IndexMap<LoadSource, ReportedSends>>,
 }
 
 impl RateLimitTracker {
@@ -80,7 +80,7 @@
             update_age_max: Duration::ZERO,
             known: IndexMap::new(),
             own_sent: IndexMap::new(),
-            told: IndexMap::new(),
+            reported: IndexMap::new(),
         }
     }
 
@@ -104,7 +104,7 @@
         limit: Option<RequestsPerSecond>,
         now: Instant,
     ) -> bool {
-        self.take_in(upstream, limit, now, true)
+        self.record_limit(upstream, limit, now, true)
     }
 
     /// Takes in what another host tells. Returns whether that is another limit than before.
@@ -115,47 +115,47 @@
         report: &LimitReport,
         now: Instant,
     ) -> bool {
-        let told = Told {
+        let reported = ReportedSends {
             sent: report.sent,
-            at: now,
+            received_at: now,
         };
-        let sources = self.told.entry(upstream.clone()).or_default();
-        sources.retain(|_, told| told.is_recent(now));
-        sources.insert(source, told);
-        let said_at = now.checked_sub(report.age).unwrap_or(now);
-        let is_change = self.take_in(upstream, report.limit, said_at, false);
+        let sources = self.reported.entry(upstream.clone()).or_default();
+        sources.retain(|_, reported| reported.is_recent(now));
+        sources.insert(source, reported);
+        let stated_at = now.checked_sub(report.age).unwrap_or(now);
+        let is_change = self.record_limit(upstream, report.limit, stated_at, false);
         // Notes since when the limit allows one more request, also while nothing wants to go there.
         self.view(upstream, now);
         is_change
     }
 
     /// Keeps what the upstream has said last.
-    fn take_in(
+    fn record_limit(
         &mut self,
         upstream: &UpstreamId,
         limit: Option<RequestsPerSecond>,
-        said_at: Instant,
-        is_own: bool,
+        stated_at: Instant,
+        is_first_hand: bool,
     ) -> bool {
         let Some(known) = self.known.get_mut(upstream) else {
             if limit.is_some() {
-                let known = Known {
+                let known = KnownLimit {
                     limit,
-                    said_at,
-                    is_own,
+                    stated_at,
+                    is_first_hand,
                     open_since: None,
                 };
                 self.known.insert(upstream.clone(), known);
             }
             return limit.is_some();
         };
-        if said_at < known.said_at {
+        if stated_at < known.stated_at {
             return false;
         }
         let is_change = known.limit != limit;
         known.limit = limit;
-        known.said_at = said_at;
-        known.is_own = is_own;
+        known.stated_at = stated_at;
+        known.is_first_hand = is_first_hand;
         is_change
     }
 
@@ -175,10 +175,10 @@
         let limit = self.limit(upstream)?;
         let mut view = RateLimitView {
             limit,
-            sent: self.sent_lately(upstream, now),
+            sent: self.recent_sends(upstream, now),
             open_for: None,
             hosts: self.hosts,
-            runs_for: now.saturating_duration_since(self.started_at),
+            uptime: now.saturating_duration_since(self.started_at),
             update_age_max: self.update_age_max,
         };
         let known = self.known.get_mut(upstream)?;
@@ -195,18 +195,18 @@
     /// What this host has to tell the others.
     pub fn reports(&self, now: Instant) -> impl Iterator<Item = (&UpstreamId, LimitReport)> {
         self.known.iter().filter_map(move |(upstream, known)| {
-            let age = now.saturating_duration_since(known.said_at);
-            let has_sent = self.own_sent_within(upstream, ENDED_TOLD_FOR, now) > 0;
-            let is_told = match known.limit {
-                Some(_) => known.is_own || has_sent,
-                None => known.is_own && age < ENDED_TOLD_FOR,
+            let age = now.saturating_duration_since(known.stated_at);
+            let has_sent = self.own_sent_within(upstream, END_REPORT_TIME, now) > 0;
+            let is_reported = match known.limit {
+                Some(_) => known.is_first_hand || has_sent,
+                None => known.is_first_hand && age < END_REPORT_TIME,
             };
             let report = LimitReport {
                 limit: known.limit,
                 age,
-                sent: self.own_sent_lately(upstream, now),
+                sent: self.own_recent_sends(upstream, now),
             };
-            is_told.then_some((upstream, report))
+            is_reported.then_some((upstream, report))
         })
     }
 
@@ -214,17 +214,22 @@
     pub fn keep(&mut self, is_listed: impl Fn(&UpstreamId) -> bool) {
         self.known.retain(|id, _| is_listed(id));
         self.own_sent.retain(|id, _| is_listed(id));
-        self.told.retain(|id, _| is_listed(id));
+        self.reported.retain(|id, _| is_listed(id));
     }
 
-    fn sent_lately(&self, upstream: &UpstreamId, now: Instant) -> RecentSends {
-        let told = self.told.get(upstream).into_iter().flat_map(|t| t.values());
-        let own = self.own_sent_lately(upstream, now);
-        told.filter(|told| told.is_recent(now))
-            .fold(own, |sum, told| sum.plus(told.sent))
+    fn recent_sends(&self, upstream: &UpstreamId, now: Instant) -> RecentSends {
+        let reported = self
+            .reported
+            .get(upstream)
+            .into_iter()
+            .flat_map(|reported| reported.values());
+        let own = self.own_recent_sends(upstream, now);
+        reported
+            .filter(|reported| reported.is_recent(now))
+            .fold(own, |sum, reported| sum.combined_with(reported.sent))
     }
 
-    fn own_sent_lately(&self, upstream: &UpstreamId, now: Instant) -> RecentSends {
+    fn own_recent_sends(&self, upstream: &UpstreamId, now: Instant) -> RecentSends {
         RecentSends {
             in_window: self.own_sent_within(upstream, LIMIT_WINDOW, now),
             in_burst_window: self.own_sent_within(upstream, LIMIT_BURST_WINDOW, now),
--- a/src/exchange/speakers.rs
+++ b/src/exchange/active_collectors.rs
@@ -11,15 +11,15 @@
 use crate::units::HostId;
 
 /// A collector that has been silent for this long no longer speaks for its domain to this host.
-const SPEAKER_KEPT_FOR: Duration = Duration::from_millis(300);
+const COLLECTOR_HOLD_TIME: Duration = Duration::from_millis(300);
 
 /// The collector that speaks for each other domain to this host, and when it did last.
 #[derive(Debug, Default)]
-pub(crate) struct Speakers {
+pub(crate) struct ActiveCollectors {
     by_domain: IndexMap<FailureDomainId, (HostId, Instant)>,
 }
 
-impl Speakers {
+impl ActiveCollectors {
     /// What a collector says for its domain, if it is the one that this host listens to, after what is
     /// taken back of another one.
     ///
@@ -29,32 +29,34 @@
     pub(crate) fn accept(
         &mut self,
         domain: FailureDomainId,
-        speaker: &HostId,
-        news: HostUpdate,
+        collector: &HostId,
+        update: HostUpdate,
         now: Instant,
     ) -> Vec<HostUpdate> {
-        let mut heard = Vec::new();
+        let mut accepted = Vec::new();
         if let Some((known, heard_at)) = self.by_domain.get(&domain)
-            && known != speaker
+            && known != collector
         {
-            if now.saturating_duration_since(*heard_at) < SPEAKER_KEPT_FOR {
+            if now.saturating_duration_since(*heard_at) < COLLECTOR_HOLD_TIME {
                 return Vec::new();
             }
-            heard.push(nothing_left(known));
+            accepted.push(empty_domain_update(known));
         }
-        self.by_domain.insert(domain, (speaker.clone(), now));
-        heard.push(news);
-        heard
+        self.by_domain.insert(domain, (collector.clone(), now));
+        accepted.push(update);
+        accepted
     }
 
     /// Whether a host speaks for its domain.
-    pub(crate) fn speaks(&self, host: &HostId) -> bool {
-        self.by_domain.values().any(|(speaker, _)| speaker == host)
+    pub(crate) fn is_active(&self, host: &HostId) -> bool {
+        self.by_domain
+            .values()
+            .any(|(collector, _)| collector == host)
     }
 }
 
 /// That a collector's domain has no work any more.
-fn nothing_left(collector: &HostId) -> HostUpdate {
+fn empty_domain_update(collector: &HostId) -> HostUpdate {
     HostUpdate {
         host: collector.to_string(),
         scope: MessageScope::Domain.into(),
--- /dev/null
+++ b/src/exchange/aggregate.rs
@@ -0,0 +1,158 @@
+//! What a collector has gathered: from the hosts of its domain, and from the other collectors.
+
+use std::time::Duration;
+use std::time::Instant;
+
+use indexmap::IndexMap;
+
+use crate::exchange::HostUpdate;
+use crate::exchange::LimitEntry;
+use crate::exchange::MessageScope;
+use crate::exchange::PoisonEntry;
+use crate::exchange::UpstreamHash;
+use crate::exchange::collector_messages::CollectorMessages;
+use crate::exchange::sent_limits::SentLimits;
+use crate::exchange::source_state::LoadsByUpstream;
+use crate::exchange::source_state::SourceState;
+use crate::units::HostId;
+
+/// One that has said nothing for this long has died, or is cut off. As long as hosts remember a silent
+/// one themselves.
+const SOURCE_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// What a collector has gathered.
+#[derive(Debug)]
+pub(crate) struct Aggregate {
+    /// The hosts of its domain, itself included.
+    neighbours: IndexMap<HostId, SourceState>,
+    /// The other domains, each by the collector that speaks for it.
+    remote_domains: IndexMap<HostId, SourceState>,
+    /// All hosts of its domain together.
+    domain_total: SourceState,
+    /// What the other collectors were told of limits.
+    sent_limits: SentLimits,
+}
+
+impl Aggregate {
+    /// Nothing gathered.
+    pub(crate) fn new(now: Instant) -> Self {
+        Self {
+            neighbours: IndexMap::new(),
+            remote_domains: IndexMap::new(),
+            domain_total: SourceState::new(now),
+            sent_limits: SentLimits::default(),
+        }
+    }
+
+    /// Takes in what a host of the domain says.
+    pub(crate) fn on_neighbour_update(&mut self, host: HostId, update: HostUpdate, now: Instant) {
+        let new = || SourceState::new(now);
+        let neighbour = self.neighbours.entry(host).or_insert_with(new);
+        neighbour.on_update(update, now);
+    }
+
+    /// Takes in what another collector says.
+    pub(crate) fn on_domain_update(&mut self, host: HostId, update: HostUpdate, now: Instant) {
+        let new = || SourceState::new(now);
+        self.remote_domains
+            .entry(host)
+            .or_insert_with(new)
+            .on_update(update, now);
+    }
+
+    /// Forgets collectors that no longer speak for their domain.
+    pub(crate) fn retain_remote(&mut self, is_active: impl Fn(&HostId) -> bool) {
+        self.remote_domains.retain(|host, _| is_active(host));
+    }
+
+    /// Some receiver has heard nothing of this yet.
+    pub(crate) fn resend_all(&mut self) {
+        self.domain_total.resend_all();
+        self.sent_limits = SentLimits::default();
+        for remote in self.remote_domains.values_mut() {
+            remote.resend_all();
+        }
+    }
+
+    /// Forgets those that are silent.
+    pub(crate) fn expire_sources(&mut self, now: Instant) {
+        let is_kept = |source: &SourceState| {
+            now.saturating_duration_since(source.heard_at()) < SOURCE_TIMEOUT
+        };
+        self.neighbours.retain(|_, neighbour| is_kept(neighbour));
+        self.remote_domains.retain(|_, remote| is_kept(remote));
+    }
+
+    /// What is to be sent now; `own` is what this host says of itself.
+    pub(crate) fn next_messages(&mut self, own: HostUpdate, now: Instant) -> CollectorMessages {
+        let header = HostUpdate {
+            loads: Vec::new(),
+            unreachable_upstreams: Vec::new(),
+            unreachable_domains: Vec::new(),
+            poisons: Vec::new(),
+            limits: Vec::new(),
+            is_partial: true,
+            ..own.clone()
+        };
+        if let Ok(host) = own.host.parse() {
+            self.on_neighbour_update(host, own, now);
+        }
+        let remote_domains = self.remote_domains.values_mut();
+        let relay = HostUpdate {
+            scope: MessageScope::Relay.into(),
+            relayed: remote_domains
+                .filter_map(|remote| remote.next_update(now))
+                .collect(),
+            ..header.clone()
+        };
+        let poisons = self.take_domain_poisons(now);
+        let header = HostUpdate {
+            scope: MessageScope::Domain.into(),
+            poisons,
+            ..header
+        };
+        self.domain_total.replace(header, self.total_loads(), now);
+        let mut domain = self.domain_total.next_update(now);
+        if let Some(domain) = &mut domain {
+            domain.limits = self.sent_limits.take_due(self.total_limits(now), now);
+        }
+        CollectorMessages { relay, domain }
+    }
+
+    /// The requests that crashed upstreams, as the hosts of the domain tell them.
+    fn take_domain_poisons(&mut self, now: Instant) -> Vec<PoisonEntry> {
+        let neighbours = self.neighbours.values_mut();
+        let mut poisons: Vec<PoisonEntry> = neighbours
+            .flat_map(|neighbour| neighbour.take_poisons(now))
+            .collect();
+        poisons.dedup();
+        poisons
+    }
+
+    fn total_limits(&self, now: Instant) -> Vec<LimitEntry> {
+        let mut sum: IndexMap<UpstreamHash, LimitEntry> = IndexMap::new();
+        for entry in self
+            .neighbours
+            .values()
+            .flat_map(|neighbour| neighbour.limits(now))
+        {
+            let known = sum.get(&entry.upstream());
+            let combined = known.map_or(entry, |known| known.combined_with(&entry));
+            sum.insert(entry.upstream(), combined);
+        }
+        sum.into_values().collect()
+    }
+
+    fn total_loads(&self) -> LoadsByUpstream {
+        let mut sum = LoadsByUpstream::new();
+        for (upstream, load) in self.neighbours.values().flat_map(SourceState::loads) {
+            match sum.get_mut(upstream) {
+                Some(known) => known.add(load),
+                None => {
+                    sum.insert(*upstream, *load);
+                }
+            }
+        }
+        sum
+    }
+}
--- a/src/exchange/turn.rs
+++ b/src/exchange/collector_messages.rs
@@ -4,7 +4,7 @@
 
 /// What a collector sends in one turn.
 #[derive(Debug, Default)]
-pub(crate) struct Turn {
+pub(crate) struct CollectorMessages {
     /// To the hosts of its domain.
     pub(crate) relay: HostUpdate,
     /// To the other collectors.
--- a/src/exchange/load_at.rs
+++ b/src/exchange/load_state.rs
@@ -9,57 +9,57 @@
 
 /// Due times that differ by less than this count as the same: messages carry whole milliseconds, and
 /// each way takes a little longer or shorter.
-const SAME_DUE_WITHIN: Duration = Duration::from_millis(20);
+const DUE_TOLERANCE: Duration = Duration::from_millis(20);
 
 /// Work of one host or several at one upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct LoadAt {
+pub(crate) struct LoadState {
     in_flight: u32,
     short_in_flight: u32,
     strictest_pause_ms: Option<u32>,
     held_tokens: u64,
     helping: u32,
     prefill_total_us: u64,
-    read_until: Instant,
-    read_due: Option<Instant>,
+    prefill_until: Instant,
+    prefill_due: Option<Instant>,
 }
 
-impl LoadAt {
+impl LoadState {
     /// What a message says that was heard at `now`.
-    pub(crate) fn heard(news: &LoadEntry, now: Instant) -> Self {
+    pub(crate) fn from_entry(entry: &LoadEntry, now: Instant) -> Self {
         let after = |ms: u32| now + Duration::from_millis(ms.into());
         Self {
-            in_flight: news.in_flight,
-            short_in_flight: news.short_in_flight,
-            strictest_pause_ms: (news.strictest_pause_ms > 0).then_some(news.strictest_pause_ms),
-            held_tokens: news.held_tokens,
-            helping: news.helping,
-            prefill_total_us: news.prefill_total_us,
-            read_until: after(news.prefill_remaining_ms),
-            read_due: (news.prefill_due_ms > 0).then(|| after(news.prefill_due_ms)),
+            in_flight: entry.in_flight,
+            short_in_flight: entry.short_in_flight,
+            strictest_pause_ms: (entry.strictest_pause_ms > 0).then_some(entry.strictest_pause_ms),
+            held_tokens: entry.held_tokens,
+            helping: entry.helping,
+            prefill_total_us: entry.prefill_total_us,
+            prefill_until: after(entry.prefill_remaining_ms),
+            prefill_due: (entry.prefill_due_ms > 0).then(|| after(entry.prefill_due_ms)),
         }
     }
 
     /// What a message says that is sent at `now`.
-    pub(crate) fn news(&self, upstream: UpstreamHash, now: Instant) -> LoadEntry {
+    pub(crate) fn to_entry(&self, upstream: UpstreamHash, now: Instant) -> LoadEntry {
         let until = |at: Instant| whole_millis_u32(at.saturating_duration_since(now));
         LoadEntry {
             upstream: String::new(),
             upstream_hash: upstream.0,
             in_flight: self.in_flight,
             short_in_flight: self.short_in_flight,
-            prefill_remaining_ms: until(self.read_until),
+            prefill_remaining_ms: until(self.prefill_until),
             prefill_total_us: self.prefill_total_us,
             strictest_pause_ms: self.strictest_pause_ms.unwrap_or(0),
             held_tokens: self.held_tokens,
             helping: self.helping,
             // What is overdue stays so until its host says otherwise; 0 would say that nothing is due.
-            prefill_due_ms: self.read_due.map_or(0, |at| until(at).max(1)),
+            prefill_due_ms: self.prefill_due.map_or(0, |at| until(at).max(1)),
         }
     }
 
     /// That the work has ended. The total is told once more, so that none of it is counted again.
-    pub(crate) fn ended(&self, upstream: UpstreamHash) -> LoadEntry {
+    pub(crate) fn ended_entry(&self, upstream: UpstreamHash) -> LoadEntry {
         LoadEntry {
             upstream_hash: upstream.0,
             prefill_total_us: self.prefill_total_us,
@@ -74,15 +74,15 @@
         self.held_tokens += other.held_tokens;
         self.helping += other.helping;
         self.prefill_total_us += other.prefill_total_us;
-        self.read_until = self.read_until.max(other.read_until);
+        self.prefill_until = self.prefill_until.max(other.prefill_until);
         let pauses = [self.strictest_pause_ms, other.strictest_pause_ms];
         self.strictest_pause_ms = pauses.into_iter().flatten().min();
-        let dues = [self.read_due, other.read_due];
-        self.read_due = dues.into_iter().flatten().min();
+        let dues = [self.prefill_due, other.prefill_due];
+        self.prefill_due = dues.into_iter().flatten().min();
     }
 
     /// Whether it has to be told again, where `self` was told last. What only passes with time is known.
-    pub(crate) fn is_news_to(&self, told: &Self) -> bool {
+    pub(crate) fn differs_from(&self, sent: &Self) -> bool {
         let counts = |load: &Self| {
             (
                 load.in_flight,
@@ -93,15 +93,15 @@
                 load.prefill_total_us,
             )
         };
-        counts(self) != counts(told) || !is_same_due(self.read_due, told.read_due)
+        counts(self) != counts(sent) || !is_due_within_tolerance(self.prefill_due, sent.prefill_due)
     }
 }
 
-fn is_same_due(one: Option<Instant>, other: Option<Instant>) -> bool {
+fn is_due_within_tolerance(one: Option<Instant>, other: Option<Instant>) -> bool {
     match (one, other) {
         (Some(one), Some(other)) => {
             let apart = one.max(other).saturating_duration_since(one.min(other));
-            apart < SAME_DUE_WITHIN
+            apart < DUE_TOLERANCE
         }
         (one, other) => one.is_none() && other.is_none(),
     }
--- a/src/exchange/message.rs
+++ b/src/exchange/message.rs
@@ -151,7 +151,7 @@
     }
 
     /// The same, told so much later.
-    pub(crate) fn older_by(self, time: Duration) -> Self {
+    pub(crate) fn aged_by(self, time: Duration) -> Self {
         Self {
             age_ms: self.age_ms.saturating_add(whole_millis_u32(time)),
             ..self
@@ -159,7 +159,7 @@
     }
 
     /// The same for this sender and another one together.
-    pub(crate) fn plus(self, other: &Self) -> Self {
+    pub(crate) fn combined_with(self, other: &Self) -> Self {
         let newer = if other.age_ms < self.age_ms {
             other
         } else {
@@ -175,7 +175,7 @@
     }
 
     /// Whether only time has passed between the two.
-    pub(crate) fn says_the_same_as(&self, other: &Self) -> bool {
+    pub(crate) fn is_equal_ignoring_age(&self, other: &Self) -> bool {
         let age_ms = self.age_ms;
         *self == Self { age_ms, ..*other }
     }
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -2,34 +2,34 @@
 //! upstreams.
 //!
 //! Each host sends its whole state in one datagram, to every other host in a small fleet and to the
-//! collector of its failure domain in a larger one ([`Fleet`]). Collectors pass changes on, and all of
+//! collector of its failure domain in a larger one ([`ExchangeState`]). CollectorTracker pass changes on, and all of
 //! it every few seconds, so a lost datagram costs a little time and there is nothing to ask for again.
 //! Nothing that must hold rests on it.
 
+mod active_collectors;
+mod aggregate;
 mod codec;
-mod collectors;
+mod collector_messages;
+mod collector_tracker;
 mod error;
-mod fleet;
-mod gathered;
-mod limits_heard;
-mod limits_told;
+mod exchange_state;
 mod listed_host;
-mod load_at;
+mod load_state;
 mod message;
-mod news_route;
-mod outgoing;
-mod pace;
-mod speaker;
-mod speakers;
+mod message_scope;
+mod outgoing_update;
+mod received_limits;
+mod send_pacer;
+mod sent_limits;
+mod source_state;
 mod task;
-mod turn;
+mod update_route;
 mod upstream_hash;
-mod voice;
 
 pub use codec::UpdateCodec;
 pub use error::ExchangeError;
-pub use fleet::Fleet;
-pub use fleet::is_large_fleet;
+pub use exchange_state::ExchangeState;
+pub use exchange_state::is_large_fleet;
 pub use listed_host::ListedHost;
 pub use listed_host::strongest_host;
 pub use message::HostUpdate;
@@ -37,12 +37,12 @@
 pub use message::LoadEntry;
 pub use message::PoisonEntry;
 pub use message::SlowdownEntry;
-pub use news_route::UpdateRoute;
-pub use outgoing::Outgoing;
-pub use pace::Need;
-pub use pace::Pace;
-pub use pace::news_interval;
+pub use message_scope::MessageScope;
+pub use outgoing_update::OutgoingUpdate;
+pub use send_pacer::SendPacer;
+pub use send_pacer::SendReason;
+pub use send_pacer::update_interval;
 pub use task::Exchange;
 pub use task::ExchangeHandler;
+pub use update_route::UpdateRoute;
 pub use upstream_hash::UpstreamHash;
-pub use voice::MessageScope;
--- a/src/exchange/outgoing.rs
+++ b/src/exchange/outgoing_update.rs
@@ -6,9 +6,9 @@
 
 /// A message and where it goes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Outgoing {
+pub struct OutgoingUpdate {
     /// The receivers.
-    pub to: Vec<SocketAddr>,
+    pub recipients: Vec<SocketAddr>,
     /// The message.
-    pub news: HostUpdate,
+    pub update: HostUpdate,
 }
--- a/src/exchange/pace.rs
+++ b/src/exchange/send_pacer.rs
@@ -15,16 +15,16 @@
 const INTERVAL_PER_HOST: Duration = Duration::from_micros(2_500);
 /// A message is due this often even if nothing has changed; silence tells the others that a host is
 /// gone.
-const INTERVAL_IDLE: Duration = Duration::from_millis(250);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 /// The longest interval of a large fleet. Beyond it the others would take a host for gone that only
 /// waits for its turn; from 200 hosts on the messages grow with the fleet again.
 const INTERVAL_MAX: Duration = Duration::from_millis(500);
 
 /// What the next message is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Need {
+pub enum SendReason {
     /// To show that this host is alive.
-    SignOfLife,
+    Heartbeat,
     /// To tell a change when it is this host's turn.
     Change,
     /// To tell a change at once.
@@ -33,45 +33,45 @@
 
 /// The pace of one host's messages.
 #[derive(Clone, Debug)]
-pub struct Pace {
-    told_at: Instant,
+pub struct SendPacer {
+    sent_at: Instant,
     /// When the next change would be due if all had come at even intervals.
-    even_at: Instant,
-    need: Need,
+    next_paced_at: Instant,
+    reason: SendReason,
 }
 
-impl Pace {
+impl SendPacer {
     /// The pace of a host that starts now; its first message is due after one interval.
     pub fn new(now: Instant) -> Self {
         Self {
-            told_at: now,
-            even_at: now,
-            need: Need::Change,
+            sent_at: now,
+            next_paced_at: now,
+            reason: SendReason::Change,
         }
     }
 
     /// What the next message is for.
-    pub fn need(&self) -> Need {
-        self.need
+    pub fn reason(&self) -> SendReason {
+        self.reason
     }
 
     /// Takes in that there is something to tell.
-    pub fn on_need(&mut self, need: Need) {
-        self.need = self.need.max(need);
+    pub fn request_send(&mut self, reason: SendReason) {
+        self.reason = self.reason.max(reason);
     }
 
     /// When the next message is due, where changes are told at this interval.
     pub fn due_at(&self, interval: Duration) -> Instant {
-        match self.need {
-            Need::SignOfLife => self.told_at + INTERVAL_IDLE,
-            Need::Change => self.told_at + interval,
-            Need::UrgentChange => self
-                .even_at
+        match self.reason {
+            SendReason::Heartbeat => self.sent_at + HEARTBEAT_INTERVAL,
+            SendReason::Change => self.sent_at + interval,
+            SendReason::UrgentChange => self
+                .next_paced_at
                 .checked_sub(interval * URGENT_BURST)
-                .unwrap_or(self.told_at)
-                .max(self.told_at + INTERVAL_MIN)
+                .unwrap_or(self.sent_at)
+                .max(self.sent_at + INTERVAL_MIN)
                 // No urgent change waits longer than another one, also right after the fleet has shrunk.
-                .min(self.told_at + interval),
+                .min(self.sent_at + interval),
         }
     }
 
@@ -81,17 +81,17 @@
     /// ahead of the clock where the interval is longer than theirs, in fleets of more than a hundred
     /// hosts. After an idle quarter of a minute the first urgent change waited for seven seconds, and
     /// nothing else was sent meanwhile, so the others took the host for dead as soon as it had work.
-    pub fn on_told(&mut self, interval: Duration, now: Instant) {
-        if self.need > Need::SignOfLife {
-            self.even_at = self.even_at.max(now) + interval;
+    pub fn on_sent(&mut self, interval: Duration, now: Instant) {
+        if self.reason > SendReason::Heartbeat {
+            self.next_paced_at = self.next_paced_at.max(now) + interval;
         }
-        self.told_at = now;
-        self.need = Need::SignOfLife;
+        self.sent_at = now;
+        self.reason = SendReason::Heartbeat;
     }
 }
 
 /// The time between two messages of a host that tells `peers` other hosts itself.
-pub fn news_interval(peers: usize) -> Duration {
+pub fn update_interval(peers: usize) -> Duration {
     let peers = u32::try_from(peers).unwrap_or(u32::MAX);
     INTERVAL_PER_HOST
         .saturating_mul(peers)
--- a/src/exchange/limits_told.rs
+++ b/src/exchange/sent_limits.rs
@@ -13,22 +13,25 @@
 
 /// What has been told of limits, by upstream.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct LimitsTold {
+pub(crate) struct SentLimits {
     by_upstream: IndexMap<UpstreamHash, (LimitEntry, Instant)>,
 }
 
-impl LimitsTold {
+impl SentLimits {
     /// What of `limits` is to be told now: what has changed, and what was told long ago.
-    pub(crate) fn part(&mut self, limits: Vec<LimitEntry>, now: Instant) -> Vec<LimitEntry> {
+    pub(crate) fn take_due(&mut self, limits: Vec<LimitEntry>, now: Instant) -> Vec<LimitEntry> {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < REPEAT_INTERVAL;
         self.by_upstream.retain(|_, (_, at)| is_recent(*at));
-        let is_known = |news: &LimitEntry| {
-            let told = self.by_upstream.get(&news.upstream());
-            told.is_some_and(|(told, _)| news.says_the_same_as(told))
+        let is_recently_sent = |entry: &LimitEntry| {
+            let sent = self.by_upstream.get(&entry.upstream());
+            sent.is_some_and(|(sent, _)| entry.is_equal_ignoring_age(sent))
         };
-        let part: Vec<LimitEntry> = limits.into_iter().filter(|n| !is_known(n)).collect();
-        let told = part.iter().map(|news| (news.upstream(), (*news, now)));
-        self.by_upstream.extend(told);
-        part
+        let due: Vec<LimitEntry> = limits
+            .into_iter()
+            .filter(|entry| !is_recently_sent(entry))
+            .collect();
+        let sent = due.iter().map(|entry| (entry.upstream(), (*entry, now)));
+        self.by_upstream.extend(sent);
+        due
     }
 }
--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -14,11 +14,11 @@
 use tokio::time::sleep_until;
 use tokio_util::udp::UdpFramed;
 
-use crate::exchange::Fleet;
+use crate::exchange::ExchangeState;
 use crate::exchange::HostUpdate;
 use crate::exchange::ListedHost;
-use crate::exchange::Need;
-use crate::exchange::Outgoing;
+use crate::exchange::OutgoingUpdate;
+use crate::exchange::SendReason;
 use crate::exchange::UpdateCodec;
 use crate::exchange::UpdateRoute;
 use crate::units::FailureDomainId;
@@ -36,7 +36,7 @@
     fn local_update(&self) -> HostUpdate;
 
     /// Takes in what another host tells.
-    fn on_update(&self, news: HostUpdate);
+    fn on_update(&self, update: HostUpdate);
 
     /// All hosts, this one included.
     fn hosts(&self) -> Arc<Vec<ListedHost>>;
@@ -53,36 +53,40 @@
 
 /// The task that exchanges news over one socket.
 pub struct Exchange {
-    desk: Arc<dyn ExchangeHandler>,
+    handler: Arc<dyn ExchangeHandler>,
     framed: UdpFramed<UpdateCodec>,
-    fleet: Fleet,
+    state: ExchangeState,
     route: UpdateRoute,
 }
 
 impl Exchange {
     /// Exchanges news over a socket.
-    pub fn new(socket: UdpSocket, desk: Arc<dyn ExchangeHandler>) -> Self {
-        let fleet = Fleet::new(desk.host(), desk.domain(), now());
+    pub fn new(socket: UdpSocket, handler: Arc<dyn ExchangeHandler>) -> Self {
+        let state = ExchangeState::new(handler.host(), handler.domain(), now());
         Self {
-            desk,
+            handler,
             framed: UdpFramed::new(socket, UpdateCodec),
-            fleet,
+            state,
             route: UpdateRoute::default(),
         }
     }
 
     /// Exchanges news for as long as the process runs.
     pub async fn run(mut self) {
-        let desk = Arc::clone(&self.desk);
+        let handler = Arc::clone(&self.handler);
         loop {
-            self.fleet.set_hosts(&desk.hosts(), now());
-            let due_at = Instant::from_std(self.fleet.due_at());
+            self.state.set_hosts(&handler.hosts(), now());
+            let due_at = Instant::from_std(self.state.due_at());
             tokio::select! {
-                () = sleep_until(due_at) => self.speak().await,
-                () = desk.change_notify().notified() => self.fleet.on_need(Need::Change),
-                () = desk.urgent_change_notify().notified() => self.fleet.on_need(Need::UrgentChange),
-                heard = self.framed.next() => match heard {
-                    Some(Ok((news, _))) => self.hear(news).await,
+                () = sleep_until(due_at) => self.send_due().await,
+                () = handler.change_notify().notified() => {
+                    self.state.request_send(SendReason::Change);
+                }
+                () = handler.urgent_change_notify().notified() => {
+                    self.state.request_send(SendReason::UrgentChange);
+                }
+                received = self.framed.next() => match received {
+                    Some(Ok((update, _))) => self.receive(update).await,
                     Some(Err(err)) => warn!("exchange: {err}"),
                     None => return,
                 },
@@ -90,35 +94,35 @@
         }
     }
 
-    async fn speak(&mut self) {
-        let desk = Arc::clone(&self.desk);
-        let messages = self.fleet.speak(|| desk.local_update(), now());
+    async fn send_due(&mut self) {
+        let handler = Arc::clone(&self.handler);
+        let messages = self.state.due_messages(|| handler.local_update(), now());
         for outgoing in messages {
             self.send(outgoing).await;
         }
-        let route = self.fleet.route(now());
+        let route = self.state.current_route(now());
         if route != self.route {
             self.route = route.clone();
-            self.desk.on_update_route(route);
+            self.handler.on_update_route(route);
         }
     }
 
-    async fn hear(&mut self, news: HostUpdate) {
-        let (heard, on) = self.fleet.hear(news, now());
-        for news in heard {
-            self.desk.on_update(news);
+    async fn receive(&mut self, update: HostUpdate) {
+        let (accepted, forwarded) = self.state.on_message(update, now());
+        for update in accepted {
+            self.handler.on_update(update);
         }
-        if let Some(outgoing) = on {
+        if let Some(outgoing) = forwarded {
             self.send(outgoing).await;
         }
     }
 
-    async fn send(&mut self, outgoing: Outgoing) {
+    async fn send(&mut self, outgoing: OutgoingUpdate) {
         // Encoded once for all receivers.
-        let message = Bytes::from(outgoing.news.encode_to_vec());
-        for to in outgoing.to {
-            if let Err(err) = self.framed.send((message.clone(), to)).await {
-                debug!("exchange: {to}: {err}");
+        let message = Bytes::from(outgoing.update.encode_to_vec());
+        for recipient in outgoing.recipients {
+            if let Err(err) = self.framed.send((message.clone(), recipient)).await {
+                debug!("exchange: {recipient}: {err}");
             }
         }
     }
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -7,16 +7,16 @@
 use crate::units::ServiceId;
 
 /// How long callers of streams stay without an event at least, by the interface's page.
-const CALLERS_STAY_MIN: Duration = Duration::from_secs(2);
+const CALLER_TIMEOUT_MIN: Duration = Duration::from_secs(2);
 /// The same in objectives, and in longest pauses that are on time; the longest of the three holds.
-const CALLERS_STAY_OBJECTIVES: u32 = 4;
-const CALLERS_STAY_PAUSES: u32 = 8;
+const CALLER_TIMEOUT_OBJECTIVES: u32 = 4;
+const CALLER_TIMEOUT_PAUSES: u32 = 8;
 
 /// How long the caller of a stream stays without an event, by what is on time on its route.
 pub fn stream_caller_timeout(objective: Duration, pause_objective: Option<Duration>) -> Duration {
-    let by_objective = objective * CALLERS_STAY_OBJECTIVES;
-    let by_pause = pause_objective.unwrap_or_default() * CALLERS_STAY_PAUSES;
-    by_objective.max(by_pause).max(CALLERS_STAY_MIN)
+    let by_objective = objective * CALLER_TIMEOUT_OBJECTIVES;
+    let by_pause = pause_objective.unwrap_or_default() * CALLER_TIMEOUT_PAUSES;
+    by_objective.max(by_pause).max(CALLER_TIMEOUT_MIN)
 }
 
 /// A service that a route leads to, with its share of the calls.
@@ -59,13 +59,13 @@
     /// Chooses a target by weight; `draw` is even over all `u32`.
     pub fn target(&self, draw: u32) -> Option<&ServiceId> {
         let total: u64 = self.targets.iter().map(|t| u64::from(t.weight)).sum();
-        let mut left = (u64::from(draw) * total) >> 32;
+        let mut remaining = (u64::from(draw) * total) >> 32;
         for target in &self.targets {
             let weight = u64::from(target.weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(&target.service);
             }
-            left -= weight;
+            remaining -= weight;
         }
         None
     }
--- a/src/units/byte_size.rs
+++ b/src/units/byte_size.rs
@@ -6,7 +6,7 @@
 use crate::units::ParseUnitError;
 use crate::units::macros::serde_as_text;
 
-const WANTED: &str = "a size like 512KiB or 64MiB";
+const EXPECTED: &str = "a size like 512KiB or 64MiB";
 const UNITS: [(&str, u64); 4] = [
     ("GiB", 1 << 30),
     ("MiB", 1 << 20),
@@ -40,7 +40,7 @@
     type Err = ParseUnitError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let error = || ParseUnitError::new(WANTED, text);
+        let error = || ParseUnitError::new(EXPECTED, text);
         let digits_end = text.find(|c: char| !c.is_ascii_digit()).ok_or_else(error)?;
         let (digits, name) = text.split_at(digits_end);
         let number: u64 = digits.parse().map_err(|_| error())?;
--- a/src/units/macros.rs
+++ b/src/units/macros.rs
@@ -20,7 +20,7 @@
 
 /// An id that people choose: 1 to 128 characters out of `A-Z a-z 0-9 . _ : @ / -`.
 macro_rules! name_newtype {
-    ($(#[$doc:meta])* $name:ident, $wanted:literal) => {
+    ($(#[$doc:meta])* $name:ident, $expected:literal) => {
         $(#[$doc])*
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(std::sync::Arc<str>);
@@ -45,7 +45,7 @@
                 if $crate::units::macros::is_name(text) {
                     Ok(Self(text.into()))
                 } else {
-                    Err($crate::units::ParseUnitError::new($wanted, text))
+                    Err($crate::units::ParseUnitError::new($expected, text))
                 }
             }
         }
@@ -56,7 +56,7 @@
 
 /// An id that the system draws: 128 random bits, 32 hexadecimal digits.
 macro_rules! random_id_newtype {
-    ($(#[$doc:meta])* $name:ident, $wanted:literal) => {
+    ($(#[$doc:meta])* $name:ident, $expected:literal) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(pub u128);
@@ -71,7 +71,7 @@
             type Err = $crate::units::ParseUnitError;
 
             fn from_str(text: &str) -> Result<Self, Self::Err> {
-                let error = || $crate::units::ParseUnitError::new($wanted, text);
+                let error = || $crate::units::ParseUnitError::new($expected, text);
                 if text.len() != 32 || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
                     return Err(error());
                 }
@@ -85,7 +85,7 @@
 
 /// A whole number with a meaning of its own; serde reads and writes it as a number.
 macro_rules! number_newtype {
-    ($(#[$doc:meta])* $name:ident, $inner:ty, $wanted:literal) => {
+    ($(#[$doc:meta])* $name:ident, $inner:ty, $expected:literal) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
         #[derive(serde::Serialize, serde::Deserialize)]
@@ -103,7 +103,7 @@
 
             fn from_str(text: &str) -> Result<Self, Self::Err> {
                 let number = text.parse().map(Self);
-                number.map_err(|_| $crate::units::ParseUnitError::new($wanted, text))
+                number.map_err(|_| $crate::units::ParseUnitError::new($expected, text))
             }
         }
     };
--- a/src/units/rates.rs
+++ b/src/units/rates.rs
@@ -9,7 +9,7 @@
 
 /// Defines a rate: a finite number, not negative, with a unit that is written behind it.
 macro_rules! rate_newtype {
-    ($(#[$doc:meta])* $name:ident, $unit:literal, $wanted:literal) => {
+    ($(#[$doc:meta])* $name:ident, $unit:literal, $expected:literal) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
         pub struct $name(pub f64);
@@ -27,7 +27,7 @@
                 let number = text.strip_suffix($unit).and_then(|number| number.trim().parse().ok());
                 match number {
                     Some(number) if f64::is_finite(number) && number >= 0.0 => Ok(Self(number)),
-                    _ => Err(ParseUnitError::new($wanted, text)),
+                    _ => Err(ParseUnitError::new($expected, text)),
                 }
             }
         }
--- a/tests/decide_rate_limits.rs
+++ b/tests/decide_rate_limits.rs
@@ -26,7 +26,7 @@
     Site {
         hosts,
         limit: RequestsPerSecond(limit_per_s),
-        wanted_per_s: limit_per_s * 3.0,
+        request_rate: limit_per_s * 3.0,
     }
 }
 
@@ -36,14 +36,19 @@
 }
 
 /// Plays seeds of a site; checks what the upstream got in any window that ends so long after the beginning or later.
-fn check_kept(hosts: usize, limit_per_s: f64, after: Duration, play: impl Fn(&mut World)) {
+fn assert_limit_kept(
+    hosts: usize,
+    limit_per_s: f64,
+    after: Duration,
+    scenario: impl Fn(&mut World),
+) {
     for seed in 1..=2 {
         let mut world = World::new(site(hosts, limit_per_s), seed);
-        play(&mut world);
-        let most = world.most_after(after, LIMIT_WINDOW);
-        let used = world.used_part();
-        println!("{hosts} hosts, {limit_per_s}/s, seed {seed}: most {most}, used {used:.2}");
-        assert!(f64::from(most) <= allowed(limit_per_s), "{most}");
+        scenario(&mut world);
+        let max = world.max_in_window(after, LIMIT_WINDOW);
+        let used = world.used_fraction();
+        println!("{hosts} hosts, {limit_per_s}/s, seed {seed}: max {max}, used {used:.2}");
+        assert!(f64::from(max) <= allowed(limit_per_s), "{max}");
     }
 }
 
@@ -62,9 +67,9 @@
     target = { 400, 1.7 },
 )]
 fn a_limit_is_kept_by_all_hosts_together(hosts: usize, limit_per_s: f64) {
-    check_kept(hosts, limit_per_s, Duration::ZERO, |world| {
+    assert_limit_kept(hosts, limit_per_s, Duration::ZERO, |world| {
         world.run_for(ms(20_000));
-        let used = world.used_part();
+        let used = world.used_fraction();
         assert!(used > 0.4, "{used}");
     });
 }
@@ -78,11 +83,11 @@
 fn requests_that_wait_on_all_hosts_do_not_go_at_once(
     hosts: usize,
     limit_per_s: f64,
-    wanted_per_s: f64,
+    request_rate: f64,
 ) {
-    check_kept(hosts, limit_per_s, Duration::ZERO, |world| {
+    assert_limit_kept(hosts, limit_per_s, Duration::ZERO, |world| {
         world.run_for(ms(10_000));
-        world.set_wanted(wanted_per_s);
+        world.set_request_rate(request_rate);
         world.run_for(ms(20_000));
     });
 }
@@ -94,12 +99,12 @@
     large = { 195, 5.0 },
 )]
 fn what_was_sent_before_the_limit_counts(hosts: usize, limit_per_s: f64) {
-    let kept_after = ms(10_000) + ms(3_000);
-    check_kept(hosts, limit_per_s, kept_after, |world| {
-        world.name_limit_at(ms(10_000));
-        world.run_for(kept_after);
+    let checked_from = ms(10_000) + ms(3_000);
+    assert_limit_kept(hosts, limit_per_s, checked_from, |world| {
+        world.limit_starts_at(ms(10_000));
+        world.run_for(checked_from);
         for _ in 0..20 {
-            world.restart_some();
+            world.restart_tenth();
             world.run_for(ms(1_000));
         }
     });
@@ -111,11 +116,11 @@
     large = { 195, 5, 20.0 },
 )]
 fn hosts_that_cannot_hear_each_other_share_a_limit(hosts: usize, domains: usize, limit_per_s: f64) {
-    check_kept(hosts, limit_per_s, Duration::ZERO, |world| {
+    assert_limit_kept(hosts, limit_per_s, Duration::ZERO, |world| {
         world.run_for(ms(8_000));
-        world.split(domains);
+        world.partition(domains);
         world.run_for(ms(12_000));
-        world.heal();
+        world.end_partition();
         world.run_for(ms(10_000));
     });
 }
@@ -143,55 +148,55 @@
 #[test]
 fn the_latest_answer_decides_not_the_latest_news() {
     let (now, engine) = (Instant::now(), upstream());
-    let mut book = RateLimitTracker::new(now);
+    let mut tracker = RateLimitTracker::new(now);
     let at = |later_ms: u64| now + ms(later_ms);
-    assert!(book.on_answer(&engine, Some(RequestsPerSecond(2.0)), now));
-    assert!(book.on_answer(&engine, None, at(500)));
+    assert!(tracker.on_answer(&engine, Some(RequestsPerSecond(2.0)), now));
+    assert!(tracker.on_answer(&engine, None, at(500)));
     let old = report(Some(2.0), 400, 3);
-    assert!(!book.on_report(host("a"), &engine, &old, at(800)));
-    assert_eq!(book.limit(&engine), None);
+    assert!(!tracker.on_report(host("a"), &engine, &old, at(800)));
+    assert_eq!(tracker.limit(&engine), None);
     let new = report(Some(3.0), 100, 3);
-    assert!(book.on_report(host("a"), &engine, &new, at(900)));
-    assert_eq!(book.limit(&engine), Some(RequestsPerSecond(3.0)));
+    assert!(tracker.on_report(host("a"), &engine, &new, at(900)));
+    assert_eq!(tracker.limit(&engine), Some(RequestsPerSecond(3.0)));
 }
 
 /// Hosts that only know a limit by hearsay tell it on for as long as they live, also after its end.
 #[test]
 fn a_limit_is_told_by_those_that_have_it_from_the_upstream() {
     let (now, engine) = (Instant::now(), upstream());
-    let mut book = RateLimitTracker::new(now);
-    book.on_report(host("a"), &engine, &report(Some(2.0), 0, 1), now);
-    assert_eq!(book.reports(now).count(), 0);
-    book.on_sent(&engine, now);
-    let told: Vec<LimitReport> = book.reports(now).map(|(_, report)| report).collect();
-    assert_eq!(told[0].sent.in_window, 1);
+    let mut tracker = RateLimitTracker::new(now);
+    tracker.on_report(host("a"), &engine, &report(Some(2.0), 0, 1), now);
+    assert_eq!(tracker.reports(now).count(), 0);
+    tracker.on_sent(&engine, now);
+    let reports: Vec<LimitReport> = tracker.reports(now).map(|(_, report)| report).collect();
+    assert_eq!(reports[0].sent.in_window, 1);
     let later = now + ms(6_000);
-    assert_eq!(book.reports(later).count(), 0);
-    book.on_answer(&engine, None, later);
-    assert_eq!(book.reports(later).count(), 1);
-    assert_eq!(book.reports(later + ms(6_000)).count(), 0);
+    assert_eq!(tracker.reports(later).count(), 0);
+    tracker.on_answer(&engine, None, later);
+    assert_eq!(tracker.reports(later).count(), 1);
+    assert_eq!(tracker.reports(later + ms(6_000)).count(), 0);
 }
 
 /// What a host has told is added up over and over, or is never forgotten once it is gone.
 #[test]
 fn what_a_host_told_is_replaced_and_ends() {
     let (now, engine) = (Instant::now(), upstream());
-    let mut book = RateLimitTracker::new(now);
+    let mut tracker = RateLimitTracker::new(now);
     let hosts = HostsHeard {
         listed: 2,
         heard: 2,
     };
-    book.set_hosts(hosts, ms(20));
-    let sent = |book: &mut RateLimitTracker, at: Instant| {
-        let view = book.view(&engine, at);
+    tracker.set_hosts(hosts, ms(20));
+    let sent = |tracker: &mut RateLimitTracker, at: Instant| {
+        let view = tracker.view(&engine, at);
         view.unwrap().sent.in_window
     };
-    book.on_report(host("a"), &engine, &report(Some(2.0), 0, 3), now);
-    book.on_report(host("a"), &engine, &report(Some(2.0), 0, 4), now);
-    book.on_report(host("b"), &engine, &report(Some(2.0), 0, 2), now);
-    book.on_sent(&engine, now);
-    assert_eq!(sent(&mut book, now), 7);
-    assert_eq!(sent(&mut book, now + ms(4_500)), 0);
+    tracker.on_report(host("a"), &engine, &report(Some(2.0), 0, 3), now);
+    tracker.on_report(host("a"), &engine, &report(Some(2.0), 0, 4), now);
+    tracker.on_report(host("b"), &engine, &report(Some(2.0), 0, 2), now);
+    tracker.on_sent(&engine, now);
+    assert_eq!(sent(&mut tracker, now), 7);
+    assert_eq!(sent(&mut tracker, now + ms(4_500)), 0);
 }
 
 /// A count of the last seconds that loses what was counted, or keeps it for too long, sends too much or nothing.
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -22,31 +22,31 @@
 use tokio_util::codec::Decoder;
 use tokio_util::codec::Encoder;
 
-struct Desk {
+struct RecordingHandler {
     name: &'static str,
     hosts: Mutex<Arc<Vec<ListedHost>>>,
-    heard: Mutex<Vec<HostUpdate>>,
+    received: Mutex<Vec<HostUpdate>>,
     changed: Notify,
     urgent: Notify,
 }
 
-impl Desk {
+impl RecordingHandler {
     fn new(name: &'static str) -> Arc<Self> {
         Arc::new(Self {
             name,
             hosts: Mutex::default(),
-            heard: Mutex::default(),
+            received: Mutex::default(),
             changed: Notify::new(),
             urgent: Notify::new(),
         })
     }
 
-    fn heard(&self) -> usize {
-        self.heard.lock().unwrap().len()
+    fn received(&self) -> usize {
+        self.received.lock().unwrap().len()
     }
 }
 
-impl ExchangeHandler for Desk {
+impl ExchangeHandler for RecordingHandler {
     fn local_update(&self) -> HostUpdate {
         HostUpdate {
             host: self.name.to_owned(),
@@ -54,8 +54,8 @@
         }
     }
 
-    fn on_update(&self, news: HostUpdate) {
-        self.heard.lock().unwrap().push(news);
+    fn on_update(&self, update: HostUpdate) {
+        self.received.lock().unwrap().push(update);
     }
 
     fn host(&self) -> HostId {
@@ -82,7 +82,7 @@
 }
 
 /// A host that each other one tells itself.
-fn former(name: &str, addr: SocketAddr) -> ListedHost {
+fn legacy_host(name: &str, addr: SocketAddr) -> ListedHost {
     ListedHost {
         host: name.parse().unwrap(),
         domain: "here".parse().unwrap(),
@@ -91,11 +91,11 @@
     }
 }
 
-fn encoded(news: &HostUpdate) -> Bytes {
-    Bytes::from(news.encode_to_vec())
+fn encoded(update: &HostUpdate) -> Bytes {
+    Bytes::from(update.encode_to_vec())
 }
 
-async fn until(mut is_true: impl FnMut() -> bool) {
+async fn wait_until(mut is_true: impl FnMut() -> bool) {
     let waiting = async {
         while !is_true() {
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_message_is_one_datagram() {
-    let news = HostUpdate {
+    let update = HostUpdate {
         host: "edge-1".to_owned(),
         loads: vec![LoadEntry {
             upstream: "i-7".to_owned(),
@@ -117,8 +117,8 @@
         ..HostUpdate::default()
     };
     let mut bytes = BytesMut::new();
-    UpdateCodec.encode(encoded(&news), &mut bytes).unwrap();
-    assert_eq!(UpdateCodec.decode(&mut bytes).unwrap(), Some(news));
+    UpdateCodec.encode(encoded(&update), &mut bytes).unwrap();
+    assert_eq!(UpdateCodec.decode(&mut bytes).unwrap(), Some(update));
     assert!(bytes.is_empty());
 }
 
@@ -133,12 +133,12 @@
 
 #[test]
 fn news_that_fits_no_datagram_is_refused() {
-    let news = HostUpdate {
+    let update = HostUpdate {
         host: "x".repeat(70_000),
         ..HostUpdate::default()
     };
     let mut bytes = BytesMut::new();
-    assert!(UpdateCodec.encode(encoded(&news), &mut bytes).is_err());
+    assert!(UpdateCodec.encode(encoded(&update), &mut bytes).is_err());
 }
 
 /// A fleet of 400 hosts: what each may send is spread so far that the others take it for dead, forget
@@ -150,28 +150,31 @@
         UdpSocket::bind("127.0.0.1:0").await.unwrap(),
     ];
     let addrs: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().unwrap()).collect();
-    let (first, second) = (Desk::new("first"), Desk::new("second"));
+    let (first, second) = (
+        RecordingHandler::new("first"),
+        RecordingHandler::new("second"),
+    );
     // Most of the fleet is a port that nobody reads.
     let nobody = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let mut many = vec![nobody.local_addr().unwrap(); 400];
     many[0] = addrs[1];
     let many = many.into_iter().enumerate();
-    let many = many.map(|(index, addr)| former(&format!("other-{index}"), addr));
+    let many = many.map(|(index, addr)| legacy_host(&format!("other-{index}"), addr));
     *first.hosts.lock().unwrap() = Arc::new(many.collect());
-    *second.hosts.lock().unwrap() = Arc::new(vec![former("first", addrs[0])]);
+    *second.hosts.lock().unwrap() = Arc::new(vec![legacy_host("first", addrs[0])]);
     let [one, two] = sockets;
     tokio::spawn(Exchange::new(one, first.clone()).run());
     tokio::spawn(Exchange::new(two, second.clone()).run());
-    until(|| second.heard() >= 1 && first.heard() >= 1).await;
-    let before = second.heard();
+    wait_until(|| second.received() >= 1 && first.received() >= 1).await;
+    let before = second.received();
     first.changed.notify_one();
-    until(|| second.heard() >= before + 3).await;
+    wait_until(|| second.received() >= before + 3).await;
     assert!(
         second
-            .heard
+            .received
             .lock()
             .unwrap()
             .iter()
-            .all(|news| news.host == "first")
+            .all(|update| update.host == "first")
     );
 }
--- a/tests/exchange_fleet.rs
+++ b/tests/exchange_fleet.rs
@@ -17,7 +17,7 @@
 }
 
 /// A fleet at its usual load, some seconds after its start.
-fn at_work(hosts: usize, domains: usize, seed: u64) -> World {
+fn loaded_world(hosts: usize, domains: usize, seed: u64) -> World {
     let mut world = World::new(hosts, domains, 0, seed);
     world.run_for(ms(2_000));
     world.set_changes(CHANGES_PER_S);
@@ -44,22 +44,22 @@
     one_domain = { 60, 1, 7 },
 )]
 fn news_are_young_and_few_at_every_size(hosts: usize, domains: usize, seed: u64) {
-    let mut world = at_work(hosts, domains, seed);
-    world.tally = exchange_world::Tally::new(hosts);
+    let mut world = loaded_world(hosts, domains, seed);
+    world.measurements = exchange_world::Measurements::new(hosts);
     for probe in 0..10 {
         world.probe(probe * 7 % hosts);
         world.run_for(ms(200));
     }
-    let (median, p99) = (world.tally.age(0.5), world.tally.age(0.99));
-    let received = world.tally.received_median() / 2;
-    let most = world.tally.received_most() / 2;
-    let sent = world.tally.sent_bytes_most() / 2;
-    let far = world.tally.far_bytes / 2;
+    let (median, p99) = (world.measurements.age(0.5), world.measurements.age(0.99));
+    let received = world.measurements.received_median() / 2;
+    let received_max = world.measurements.received_max() / 2;
+    let sent = world.measurements.sent_bytes_max() / 2;
+    let cross_domain = world.measurements.cross_domain_bytes / 2;
     println!(
-        "{hosts} hosts: age {median:?} {p99:?}, received a second {received} to {most}, \
-         bytes a second sent by one {sent}, between domains {far}"
+        "{hosts} hosts: age {median:?} {p99:?}, received a second {received} to {received_max}, \
+         bytes a second sent by one {sent}, between domains {cross_domain}"
     );
-    assert_eq!(world.waiting(), 0);
+    assert_eq!(world.undelivered_probes(), 0);
     assert!(median <= ms(60), "{median:?}");
     assert!(p99 <= ms(250), "{p99:?}");
     assert!(received <= 430, "{received} messages a second");
@@ -74,9 +74,9 @@
     alone_in_its_domain = { 36, 36, 4 },
 )]
 fn nothing_is_counted_twice(hosts: usize, domains: usize, seed: u64) {
-    let mut world = at_work(hosts, domains, seed);
+    let mut world = loaded_world(hosts, domains, seed);
     settle(&mut world, ms(3_000));
-    assert_eq!(world.wrong(), 0);
+    assert_eq!(world.mismatches(), 0);
 }
 
 /// An upstream gets several times its limit, or next to nothing: hosts of other domains don't hear what was sent
@@ -91,8 +91,8 @@
     domains: usize,
     seed: u64,
 ) {
-    let mut world = at_work(hosts, domains, seed);
-    world.loss = 0.05;
+    let mut world = loaded_world(hosts, domains, seed);
+    world.loss_rate = 0.05;
     for sent_in_window in [1, 4] {
         for index in (0..hosts).step_by(3) {
             world.nodes[index].sent = Some(LimitEntry {
@@ -104,7 +104,7 @@
         }
         world.run_for(ms(1_500));
         let all = u32::try_from(hosts.div_ceil(3)).unwrap() * sent_in_window;
-        let known: Vec<u32> = world.nodes.iter().map(Node::sent_by_all).collect();
+        let known: Vec<u32> = world.nodes.iter().map(Node::known_sends).collect();
         assert!(known.iter().all(|known| *known == all), "{all}: {known:?}");
     }
 }
@@ -116,37 +116,37 @@
     large = { 195, 5, 2 },
 )]
 fn another_host_collects_when_the_collector_dies(hosts: usize, domains: usize, seed: u64) {
-    let mut world = at_work(hosts, domains, seed);
+    let mut world = loaded_world(hosts, domains, seed);
     let witness = 0;
     let collector = world.collector_of(witness);
     assert_ne!(collector, witness);
     world.kill(collector);
     world.run_for(ms(10));
     world.probe(witness);
-    let took = world.run_until(ms(5_000), |world| world.waiting() == 0);
-    println!("{hosts} hosts: news flow again after {took:?}");
+    let took = world.run_until(ms(5_000), |world| world.undelivered_probes() == 0);
+    println!("{hosts} hosts: updates delivered again after {took:?}");
     assert!(took <= ms(1_000), "{took:?}");
     settle(&mut world, ms(4_000));
-    assert_eq!(world.wrong(), 0);
+    assert_eq!(world.mismatches(), 0);
 }
 
 /// A collector stands still for some seconds and wakes with all that was sent to it meanwhile. It
 /// passes on what is long over, as if it were new.
 #[test]
 fn a_collector_that_stood_still_misleads_nobody_for_long() {
-    let mut world = at_work(60, 3, 3);
+    let mut world = loaded_world(60, 3, 3);
     let collector = world.collector_of(0);
     world.pause(collector);
     world.run_for(ms(3_000));
     world.wake(collector);
     settle(&mut world, ms(6_000));
-    assert_eq!(world.wrong(), 0);
+    assert_eq!(world.mismatches(), 0);
 }
 
 /// All strong hosts die at once, and half of the others with them.
 #[test]
 fn half_of_the_hosts_lose_their_power_at_once() {
-    let mut world = at_work(100, 5, 4);
+    let mut world = loaded_world(100, 5, 4);
     for index in 0..100 {
         if is_strong(index) || index % 2 == 0 {
             world.kill(index);
@@ -154,11 +154,11 @@
     }
     world.run_for(ms(10));
     world.probe(1);
-    let took = world.run_until(ms(10_000), |world| world.waiting() == 0);
-    println!("news flow again after {took:?}");
+    let took = world.run_until(ms(10_000), |world| world.undelivered_probes() == 0);
+    println!("updates delivered again after {took:?}");
     assert!(took <= ms(1_500), "{took:?}");
     settle(&mut world, ms(6_000));
-    assert_eq!(world.wrong(), 0);
+    assert_eq!(world.mismatches(), 0);
 }
 
 /// A failure domain is cut off from the others and comes back: each side must take the other's
@@ -168,17 +168,17 @@
     three_domains = { 60, 3, 2 },
 )]
 fn domains_find_each_other_again_after_a_cut(hosts: usize, domains: usize, seed: u64) {
-    let mut world = at_work(hosts, domains, seed);
-    world.set_cut("domain-1", true);
+    let mut world = loaded_world(hosts, domains, seed);
+    world.set_partitioned("domain-1", true);
     world.run_for(ms(8_000));
-    world.set_cut("domain-1", false);
+    world.set_partitioned("domain-1", false);
     world.run_for(ms(10));
     world.probe(1);
-    let took = world.run_until(ms(20_000), |world| world.waiting() == 0);
-    println!("{hosts} hosts: news flow again after {took:?}");
+    let took = world.run_until(ms(20_000), |world| world.undelivered_probes() == 0);
+    println!("{hosts} hosts: updates delivered again after {took:?}");
     assert!(took <= ms(4_000), "{took:?}");
     settle(&mut world, ms(4_000));
-    assert_eq!(world.wrong(), 0);
+    assert_eq!(world.mismatches(), 0);
 }
 
 /// A stronger host than the collector starts again. It takes itself for the collector, since it knows
@@ -188,7 +188,7 @@
     three_domains = { 60, 3, 2 },
 )]
 fn two_collectors_of_a_domain_become_one(hosts: usize, domains: usize, seed: u64) {
-    let mut world = at_work(hosts, domains, seed);
+    let mut world = loaded_world(hosts, domains, seed);
     let first = world.collector_of(0);
     world.kill(first);
     world.run_for(ms(3_000));
@@ -198,13 +198,13 @@
     world.run_for(ms(5_000));
     assert_eq!(world.collector_of(first), world.collector_of(second));
     settle(&mut world, ms(4_000));
-    assert_eq!(world.wrong(), 0);
+    assert_eq!(world.mismatches(), 0);
 }
 
 /// All hosts start again within half a second, at load.
 #[test]
 fn all_hosts_start_at_once() {
-    let mut world = at_work(100, 5, 5);
+    let mut world = loaded_world(100, 5, 5);
     for index in 0..100 {
         world.kill(index);
     }
@@ -214,29 +214,29 @@
     }
     world.run_for(ms(1_500));
     world.probe(9);
-    let took = world.run_until(ms(10_000), |world| world.waiting() == 0);
+    let took = world.run_until(ms(10_000), |world| world.undelivered_probes() == 0);
     println!("known to all after {took:?}");
     assert!(took <= ms(1_000), "{took:?}");
     settle(&mut world, ms(4_000));
-    assert_eq!(world.wrong(), 0);
+    assert_eq!(world.mismatches(), 0);
 }
 
 /// Links lose a tenth of all messages: news come late, nothing is wrong for longer than it takes to
 /// tell everything again, and collectors are not left for it.
 #[test]
 fn lost_messages_are_made_up_for() {
-    let mut world = at_work(60, 3, 6);
-    world.loss = 0.1;
+    let mut world = loaded_world(60, 3, 6);
+    world.loss_rate = 0.1;
     world.run_for(ms(5_000));
     for probe in 0..10 {
         world.probe(probe * 7 % 60);
         world.run_for(ms(250));
     }
-    let took = world.run_until(ms(5_000), |world| world.waiting() == 0);
-    assert!(took < ms(5_000), "{} wait", world.waiting());
-    world.loss = 0.0;
+    let took = world.run_until(ms(5_000), |world| world.undelivered_probes() == 0);
+    assert!(took < ms(5_000), "{} wait", world.undelivered_probes());
+    world.loss_rate = 0.0;
     settle(&mut world, ms(4_000));
-    assert_eq!(world.wrong(), 0);
+    assert_eq!(world.mismatches(), 0);
 }
 
 /// Hosts are replaced by a newer version while others still run the former one, which tells each host
@@ -247,15 +247,15 @@
     world.run_for(ms(3_000));
     world.set_changes(CHANGES_PER_S);
     world.run_for(ms(3_000));
-    let former = world
+    let legacy = world
         .nodes
         .iter()
         .position(|node| node.listed.processors.is_none());
-    let former = former.unwrap();
-    for index in 0..former {
+    let legacy = legacy.unwrap();
+    for index in 0..legacy {
         world.probe(index);
         world.run_for(ms(20));
     }
-    let took = world.run_until(ms(5_000), |world| world.waiting() == 0);
-    assert!(took <= ms(1_000), "{} wait", world.waiting());
+    let took = world.run_until(ms(5_000), |world| world.undelivered_probes() == 0);
+    assert!(took <= ms(1_000), "{} wait", world.undelivered_probes());
 }
--- a/tests/exchange_pace.rs
+++ b/tests/exchange_pace.rs
@@ -3,20 +3,20 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use banyanarch::exchange::Need;
-use banyanarch::exchange::Pace;
-use banyanarch::exchange::news_interval;
+use banyanarch::exchange::SendPacer;
+use banyanarch::exchange::SendReason;
+use banyanarch::exchange::update_interval;
 use yare::parameterized;
 
 /// A host that is not heard for this long is taken for dead, and its work is forgotten.
-const TAKEN_FOR_DEAD_AFTER: Duration = Duration::from_secs(1);
+const HOST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Lets a host that has nothing to tell show that it lives until `end`.
-fn idle(pace: &mut Pace, peers: usize, end: Instant) -> Instant {
-    let mut now = pace.due_at(news_interval(peers));
+fn idle(pace: &mut SendPacer, peers: usize, end: Instant) -> Instant {
+    let mut now = pace.due_at(update_interval(peers));
     while now < end {
-        pace.on_told(news_interval(peers), now);
-        now = pace.due_at(news_interval(peers));
+        pace.on_sent(update_interval(peers), now);
+        now = pace.due_at(update_interval(peers));
     }
     end
 }
@@ -34,11 +34,11 @@
 )]
 fn a_host_that_was_idle_tells_its_first_work_at_once(peers: usize) {
     let start = Instant::now();
-    let mut pace = Pace::new(start);
+    let mut pace = SendPacer::new(start);
     let now = idle(&mut pace, peers, start + Duration::from_secs(60));
-    pace.on_need(Need::UrgentChange);
+    pace.request_send(SendReason::UrgentChange);
     let waits = pace
-        .due_at(news_interval(peers))
+        .due_at(update_interval(peers))
         .saturating_duration_since(now);
     assert!(waits <= Duration::from_millis(10), "waits for {waits:?}");
 }
@@ -54,21 +54,24 @@
 fn a_busy_host_keeps_to_the_pace_and_is_never_taken_for_dead(peers: usize) {
     let start = Instant::now();
     let end = start + Duration::from_secs(60);
-    let mut pace = Pace::new(start);
+    let mut pace = SendPacer::new(start);
     let mut now = start;
-    let mut told = 0_u32;
+    let mut sent = 0_u32;
     while now < end {
-        pace.on_need(Need::UrgentChange);
-        let due_at = pace.due_at(news_interval(peers));
-        assert!(due_at.saturating_duration_since(now) < TAKEN_FOR_DEAD_AFTER);
+        pace.request_send(SendReason::UrgentChange);
+        let due_at = pace.due_at(update_interval(peers));
+        assert!(due_at.saturating_duration_since(now) < HOST_TIMEOUT);
         now = due_at;
-        pace.on_told(news_interval(peers), now);
-        told += 1;
+        pace.on_sent(update_interval(peers), now);
+        sent += 1;
     }
-    let interval = news_interval(peers);
-    let even = (end - start).as_secs_f64() / interval.as_secs_f64();
-    let most = even + 5.0;
-    assert!(f64::from(told) <= most, "{told} of at most {most}");
+    let interval = update_interval(peers);
+    let paced = (end - start).as_secs_f64() / interval.as_secs_f64();
+    let sent_max = paced + 5.0;
+    assert!(
+        f64::from(sent) <= sent_max,
+        "{sent} of at sent_max {sent_max}"
+    );
 }
 
 /// Most of a fleet is gone from the list right after a burst. The few that are left are told the next
@@ -76,14 +79,16 @@
 #[test]
 fn a_fleet_that_shrank_is_told_at_its_own_pace() {
     let start = Instant::now();
-    let mut pace = Pace::new(start);
+    let mut pace = SendPacer::new(start);
     let mut now = start;
     for _ in 0..4 {
-        pace.on_need(Need::UrgentChange);
-        now = pace.due_at(news_interval(399)).max(now);
-        pace.on_told(news_interval(399), now);
+        pace.request_send(SendReason::UrgentChange);
+        now = pace.due_at(update_interval(399)).max(now);
+        pace.on_sent(update_interval(399), now);
     }
-    pace.on_need(Need::UrgentChange);
-    let waits = pace.due_at(news_interval(7)).saturating_duration_since(now);
-    assert!(waits <= news_interval(7), "waits for {waits:?}");
+    pace.request_send(SendReason::UrgentChange);
+    let waits = pace
+        .due_at(update_interval(7))
+        .saturating_duration_since(now);
+    assert!(waits <= update_interval(7), "waits for {waits:?}");
 }
--- a/tests/exchange_world/tally.rs
+++ b/tests/exchange_world/measurements.rs
@@ -2,22 +2,22 @@
 
 use std::time::Duration;
 
-pub struct Tally {
+pub struct Measurements {
     /// From a change to each other host's knowledge of it.
     pub ages: Vec<Duration>,
     pub received: Vec<usize>,
     pub sent_bytes: Vec<usize>,
     /// Bytes between failure domains, without the headers of datagrams.
-    pub far_bytes: usize,
+    pub cross_domain_bytes: usize,
 }
 
-impl Tally {
+impl Measurements {
     pub fn new(hosts: usize) -> Self {
         Self {
             ages: Vec::new(),
             received: vec![0; hosts],
             sent_bytes: vec![0; hosts],
-            far_bytes: 0,
+            cross_domain_bytes: 0,
         }
     }
 
@@ -26,12 +26,12 @@
     }
 
     /// The age that this part of all news did not exceed.
-    pub fn age(&mut self, part: f64) -> Duration {
+    pub fn age(&mut self, quantile: f64) -> Duration {
         self.ages.sort_unstable();
         let last = self.ages.len() - 1;
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let place = (last as f64 * part) as usize;
-        self.ages[place]
+        let index = (last as f64 * quantile) as usize;
+        self.ages[index]
     }
 
     /// The median of what hosts received.
@@ -41,11 +41,11 @@
         received[received.len() / 2]
     }
 
-    pub fn received_most(&self) -> usize {
+    pub fn received_max(&self) -> usize {
         self.received.iter().copied().max().unwrap_or(0)
     }
 
-    pub fn sent_bytes_most(&self) -> usize {
+    pub fn sent_bytes_max(&self) -> usize {
         self.sent_bytes.iter().copied().max().unwrap_or(0)
     }
 }
--- a/tests/exchange_world/mod.rs
+++ b/tests/exchange_world/mod.rs
@@ -5,8 +5,8 @@
 
 #[path = "../event_queue/mod.rs"]
 mod event_queue;
+mod measurements;
 mod node;
-mod tally;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,8 +16,8 @@
 use banyanarch::decide::HostLoad;
 use banyanarch::exchange::HostUpdate;
 use banyanarch::exchange::ListedHost;
-use banyanarch::exchange::Need;
-use banyanarch::exchange::Outgoing;
+use banyanarch::exchange::OutgoingUpdate;
+use banyanarch::exchange::SendReason;
 use banyanarch::exchange::UpstreamHash;
 use banyanarch::units::Millicores;
 use banyanarch::units::UpstreamId;
@@ -28,11 +28,11 @@
 use rand::rngs::StdRng;
 
 use event_queue::EventQueue;
+pub use measurements::Measurements;
 pub use node::Node;
-pub use tally::Tally;
 
 /// One way between two hosts.
-const WAY: Duration = Duration::from_millis(1);
+const LINK_DELAY: Duration = Duration::from_millis(1);
 /// Changes of its work that a host of the users' largest fleet makes a second.
 pub const CHANGES_PER_S: f64 = 3.6;
 
@@ -41,8 +41,8 @@
     Wake(usize),
     Deliver {
         to: usize,
-        life: u64,
-        news: Arc<HostUpdate>,
+        incarnation: u64,
+        update: Arc<HostUpdate>,
     },
     Change(usize),
 }
@@ -50,9 +50,9 @@
 /// A fleet and its clock.
 pub struct World {
     pub nodes: Vec<Node>,
-    pub tally: Tally,
+    pub measurements: Measurements,
     /// The part of all messages that are lost.
-    pub loss: f64,
+    pub loss_rate: f64,
     base: Instant,
     now: Duration,
     rng: StdRng,
@@ -68,18 +68,18 @@
     upstream: UpstreamId,
     host: usize,
     at: Duration,
-    waits: Vec<usize>,
+    waiting_hosts: Vec<usize>,
 }
 
 impl World {
     /// Hosts spread over failure domains; each seventh is strong. `former` of them are of a version that
     /// knows of no collectors.
-    pub fn new(hosts: usize, domains: usize, former: usize, seed: u64) -> Self {
+    pub fn new(hosts: usize, domains: usize, legacy: usize, seed: u64) -> Self {
         let base = Instant::now();
         let mut world = Self {
             nodes: Vec::new(),
-            tally: Tally::new(hosts),
-            loss: 0.0,
+            measurements: Measurements::new(hosts),
+            loss_rate: 0.0,
             base,
             now: Duration::ZERO,
             rng: StdRng::seed_from_u64(seed),
@@ -95,17 +95,17 @@
             world.names.insert(UpstreamHash::from(&id), id);
         }
         for index in 0..hosts {
-            let is_former = index >= hosts - former;
+            let is_legacy = index >= hosts - legacy;
             let strength = if is_strong(index) { 500 } else { 120 };
             let listed = ListedHost {
                 host: format!("host-{index:03}").parse().unwrap(),
                 domain: format!("domain-{}", index % domains).parse().unwrap(),
                 exchange_addr: addr(index),
-                processors: (!is_former).then_some(Millicores(strength)),
+                processors: (!is_legacy).then_some(Millicores(strength)),
             };
             world.nodes.push(Node::new(listed, base));
         }
-        world.list_all();
+        world.publish_hosts();
         for index in 0..hosts {
             // Hosts start within half a second.
             let at = Duration::from_millis(world.rng.random_range(0..500));
@@ -115,7 +115,7 @@
     }
 
     /// All hosts read the list, as it is now.
-    pub fn list_all(&mut self) {
+    pub fn publish_hosts(&mut self) {
         let all: Vec<ListedHost> = self.nodes.iter().map(|node| node.listed.clone()).collect();
         let all = Arc::new(all);
         for node in &mut self.nodes {
@@ -129,7 +129,7 @@
         self.changes_per_s = per_s;
         if was_idle && per_s > 0.0 {
             for index in 0..self.nodes.len() {
-                let at = self.now + self.gap();
+                let at = self.now + self.change_gap();
                 self.push(at, Event::Change(index));
             }
         }
@@ -140,7 +140,7 @@
         let end = self.now + time;
         while let Some((at, event)) = self.events.pop_until(end) {
             self.now = at;
-            self.on(event);
+            self.handle(event);
         }
         self.now = end;
     }
@@ -148,11 +148,11 @@
     /// Lets time pass until something is true; how long that took, at most `most`.
     pub fn run_until(
         &mut self,
-        most: Duration,
+        timeout: Duration,
         mut is_true: impl FnMut(&mut Self) -> bool,
     ) -> Duration {
         let start = self.now;
-        while !is_true(self) && self.now - start < most {
+        while !is_true(self) && self.now - start < timeout {
             self.run_for(Duration::from_millis(10));
         }
         self.now - start
@@ -179,17 +179,17 @@
         let node = &mut self.nodes[index];
         node.is_paused = false;
         let missed = std::mem::take(&mut node.missed);
-        for news in missed {
-            self.deliver(index, &news);
+        for update in missed {
+            self.deliver(index, &update);
         }
         self.push(self.now, Event::Wake(index));
     }
 
     /// Cuts a failure domain off from the others, or ends that.
-    pub fn set_cut(&mut self, domain: &str, is_cut: bool) {
+    pub fn set_partitioned(&mut self, domain: &str, is_partitioned: bool) {
         for node in &mut self.nodes {
             if node.listed.domain.as_str() == domain {
-                node.is_cut = is_cut;
+                node.is_partitioned = is_partitioned;
             }
         }
     }
@@ -197,7 +197,7 @@
     /// The host that most hosts of the domain of `index` tell, or that host itself.
     pub fn collector_of(&self, index: usize) -> usize {
         let now = self.instant();
-        let route = self.nodes[index].fleet.route(now);
+        let route = self.nodes[index].exchange.current_route(now);
         let Some(collector) = route.collector else {
             return index;
         };
@@ -212,45 +212,52 @@
         let upstream = upstream(&name);
         self.names
             .insert(UpstreamHash::from(&upstream), upstream.clone());
-        self.nodes[host].start(&upstream, 1);
+        self.nodes[host].set_requests(&upstream, 1);
         let is_live = |index: &usize| *index != host && self.nodes[*index].is_up;
-        let waits = (0..self.nodes.len()).filter(is_live).collect();
+        let waiting_hosts = (0..self.nodes.len()).filter(is_live).collect();
         self.probes.push(Probe {
             upstream,
             host,
             at: self.now,
-            waits,
+            waiting_hosts,
         });
-        self.changed(host);
+        self.on_load_changed(host);
     }
 
     /// Hosts that have not heard of some probe yet.
-    pub fn waiting(&self) -> usize {
-        self.probes.iter().map(|probe| probe.waits.len()).sum()
+    pub fn undelivered_probes(&self) -> usize {
+        self.probes
+            .iter()
+            .map(|probe| probe.waiting_hosts.len())
+            .sum()
     }
 
     /// What each live host is wrong about: upstreams where it takes the work of the others for another
     /// than it is.
-    pub fn wrong(&self) -> usize {
+    pub fn mismatches(&self) -> usize {
         let now = self.instant();
         let live: Vec<&Node> = self.nodes.iter().filter(|node| node.is_up).collect();
-        let mut wrong = 0;
+        let mut mismatches = 0;
         for upstream in &self.upstreams {
             let all: u32 = live.iter().map(|node| node.in_flight(upstream)).sum();
             for node in &live {
                 let others = all - node.in_flight(upstream);
-                wrong += usize::from(node.ledger.load(upstream, now).in_flight != others);
+                mismatches += usize::from(node.ledger.load(upstream, now).in_flight != others);
             }
         }
-        wrong
+        mismatches
     }
 
-    fn on(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Wake(index) => self.on_wake(index),
-            Event::Deliver { to, life, news } => {
-                if self.nodes[to].life == life && self.nodes[to].is_up {
-                    self.deliver(to, &news);
+            Event::Deliver {
+                to,
+                incarnation,
+                update,
+            } => {
+                if self.nodes[to].incarnation == incarnation && self.nodes[to].is_up {
+                    self.deliver(to, &update);
                 }
             }
             Event::Change(index) => self.on_change(index),
@@ -264,9 +271,9 @@
             return;
         }
         node.wakes_at = None;
-        node.fleet.set_hosts(&node.hosts, now);
-        if node.fleet.due_at() <= now {
-            let sent = node.speak(now);
+        node.exchange.set_hosts(&node.hosts, now);
+        if node.exchange.due_at() <= now {
+            let sent = node.due_messages(now);
             self.send(index, sent);
         }
         self.schedule(index);
@@ -280,76 +287,85 @@
             let engine = self.rng.random_range(0..self.upstreams.len());
             let upstream = self.upstreams[engine].clone();
             let requests = self.rng.random_range(0..3);
-            self.nodes[index].start(&upstream, requests);
-            self.changed(index);
+            self.nodes[index].set_requests(&upstream, requests);
+            self.on_load_changed(index);
         }
-        let at = self.now + self.gap();
+        let at = self.now + self.change_gap();
         self.push(at, Event::Change(index));
     }
 
-    fn changed(&mut self, index: usize) {
-        self.nodes[index].fleet.on_need(Need::UrgentChange);
+    fn on_load_changed(&mut self, index: usize) {
+        self.nodes[index]
+            .exchange
+            .request_send(SendReason::UrgentChange);
         self.schedule(index);
     }
 
-    fn deliver(&mut self, to: usize, news: &Arc<HostUpdate>) {
+    fn deliver(&mut self, to: usize, update: &Arc<HostUpdate>) {
         if self.nodes[to].is_paused {
-            self.nodes[to].missed.push(Arc::clone(news));
+            self.nodes[to].missed.push(Arc::clone(update));
             return;
         }
-        self.tally.on_received(to);
+        self.measurements.on_received(to);
         let now = self.instant();
-        let on = self.nodes[to].hear(HostUpdate::clone(news), &self.names, now);
-        self.send(to, on.into_iter().collect());
+        let forwarded = self.nodes[to].on_message(HostUpdate::clone(update), &self.names, now);
+        self.send(to, forwarded.into_iter().collect());
         let known = self.now;
         for probe in &mut self.probes {
-            if !probe.waits.contains(&to) {
+            if !probe.waiting_hosts.contains(&to) {
                 continue;
             }
             if self.nodes[to].ledger.load(&probe.upstream, now).in_flight > 0 {
-                probe.waits.retain(|waits| *waits != to);
-                self.tally.ages.push(known - probe.at);
+                probe
+                    .waiting_hosts
+                    .retain(|waiting_hosts| *waiting_hosts != to);
+                self.measurements.ages.push(known - probe.at);
             }
         }
         self.schedule(to);
     }
 
-    fn send(&mut self, from: usize, outgoing: Vec<Outgoing>) {
+    fn send(&mut self, from: usize, outgoing: Vec<OutgoingUpdate>) {
         for outgoing in outgoing {
-            let bytes = outgoing.news.encoded_len();
+            let bytes = outgoing.update.encoded_len();
             assert!(bytes < 65_000, "{bytes} bytes fit no datagram");
-            let news = Arc::new(outgoing.news);
-            for to in outgoing.to {
+            let update = Arc::new(outgoing.update);
+            for to in outgoing.recipients {
                 let to = usize::from(to.port()) - 1;
-                let is_far = self.nodes[from].listed.domain != self.nodes[to].listed.domain;
-                if is_far {
-                    self.tally.far_bytes += bytes;
+                let crosses_domains =
+                    self.nodes[from].listed.domain != self.nodes[to].listed.domain;
+                if crosses_domains {
+                    self.measurements.cross_domain_bytes += bytes;
                 }
-                self.tally.sent_bytes[from] += bytes;
-                let is_cut = is_far && (self.nodes[from].is_cut || self.nodes[to].is_cut);
-                if is_cut || self.rng.random::<f64>() < self.loss {
+                self.measurements.sent_bytes[from] += bytes;
+                let is_partitioned = crosses_domains
+                    && (self.nodes[from].is_partitioned || self.nodes[to].is_partitioned);
+                if is_partitioned || self.rng.random::<f64>() < self.loss_rate {
                     continue;
                 }
                 let event = Event::Deliver {
                     to,
-                    life: self.nodes[to].life,
-                    news: Arc::clone(&news),
+                    incarnation: self.nodes[to].incarnation,
+                    update: Arc::clone(&update),
                 };
-                self.push(self.now + WAY, event);
+                self.push(self.now + LINK_DELAY, event);
             }
         }
     }
 
     fn schedule(&mut self, index: usize) {
-        let due_at = self.nodes[index].fleet.due_at();
+        let due_at = self.nodes[index].exchange.due_at();
         let at = due_at.saturating_duration_since(self.base).max(self.now);
-        if self.nodes[index].wakes_at.is_none_or(|wakes| at < wakes) {
+        if self.nodes[index]
+            .wakes_at
+            .is_none_or(|scheduled| at < scheduled)
+        {
             self.nodes[index].wakes_at = Some(at);
             self.push(at, Event::Wake(index));
         }
     }
 
-    fn gap(&mut self) -> Duration {
+    fn change_gap(&mut self) -> Duration {
         let draw: f64 = self.rng.random();
         Duration::from_secs_f64(-(1.0 - draw).ln() / self.changes_per_s)
     }
--- a/tests/exchange_world/node.rs
+++ b/tests/exchange_world/node.rs
@@ -7,13 +7,13 @@
 use banyanarch::decide::Extent;
 use banyanarch::decide::LoadLedger;
 use banyanarch::decide::LoadSource;
-use banyanarch::exchange::Fleet;
+use banyanarch::exchange::ExchangeState;
 use banyanarch::exchange::HostUpdate;
 use banyanarch::exchange::LimitEntry;
 use banyanarch::exchange::ListedHost;
 use banyanarch::exchange::LoadEntry;
 use banyanarch::exchange::MessageScope;
-use banyanarch::exchange::Outgoing;
+use banyanarch::exchange::OutgoingUpdate;
 use banyanarch::exchange::UpstreamHash;
 use banyanarch::units::UpstreamId;
 use indexmap::IndexMap;
@@ -23,37 +23,37 @@
 pub struct Node {
     pub listed: ListedHost,
     pub hosts: Arc<Vec<ListedHost>>,
-    pub fleet: Fleet,
+    pub exchange: ExchangeState,
     pub ledger: LoadLedger,
     pub is_up: bool,
     pub is_paused: bool,
-    pub is_cut: bool,
+    pub is_partitioned: bool,
     pub missed: Vec<Arc<HostUpdate>>,
     pub wakes_at: Option<Duration>,
     /// Its starts so far.
-    pub life: u64,
+    pub incarnation: u64,
     own: IndexMap<UpstreamId, u32>,
     /// What it has sent to an upstream that has named a limit.
     pub sent: Option<LimitEntry>,
-    sent_heard: IndexMap<LoadSource, u32>,
+    heard_sends: IndexMap<LoadSource, u32>,
 }
 
 impl Node {
     pub fn new(listed: ListedHost, now: Instant) -> Self {
         Self {
-            fleet: Fleet::new(listed.host.clone(), listed.domain.clone(), now),
+            exchange: ExchangeState::new(listed.host.clone(), listed.domain.clone(), now),
             listed,
             hosts: Arc::default(),
             ledger: LoadLedger::default(),
             is_up: true,
             is_paused: false,
-            is_cut: false,
+            is_partitioned: false,
             missed: Vec::new(),
             wakes_at: None,
-            life: 0,
+            incarnation: 0,
             own: IndexMap::new(),
             sent: None,
-            sent_heard: IndexMap::new(),
+            heard_sends: IndexMap::new(),
         }
     }
 
@@ -61,15 +61,15 @@
         let listed = self.listed.clone();
         let next = Self {
             hosts: Arc::clone(&self.hosts),
-            life: self.life + 1,
-            is_cut: self.is_cut,
+            incarnation: self.incarnation + 1,
+            is_partitioned: self.is_partitioned,
             ..Self::new(listed, now)
         };
         *self = next;
     }
 
     /// Its work at an upstream is now so many requests.
-    pub fn start(&mut self, upstream: &UpstreamId, requests: u32) {
+    pub fn set_requests(&mut self, upstream: &UpstreamId, requests: u32) {
         self.own.insert(upstream.clone(), requests);
     }
 
@@ -78,16 +78,16 @@
     }
 
     /// Requests of all hosts at the upstream that has named a limit, as far as this one knows.
-    pub fn sent_by_all(&self) -> u32 {
-        let own = self.sent.map_or(0, |news| news.sent_in_window);
-        own + self.sent_heard.values().sum::<u32>()
+    pub fn known_sends(&self) -> u32 {
+        let own = self.sent.map_or(0, |update| update.sent_in_window);
+        own + self.heard_sends.values().sum::<u32>()
     }
 
-    pub fn speak(&mut self, now: Instant) -> Vec<Outgoing> {
+    pub fn due_messages(&mut self, now: Instant) -> Vec<OutgoingUpdate> {
         let own = &self.own;
-        let (host, life) = (&self.listed.host, self.life);
+        let (host, incarnation) = (&self.listed.host, self.incarnation);
         let sent = self.sent;
-        let news = || {
+        let update = || {
             let busy = own.iter().filter(|(_, in_flight)| **in_flight > 0);
             let loads = busy.map(|(upstream, in_flight)| LoadEntry {
                 upstream: upstream.to_string(),
@@ -96,43 +96,44 @@
             });
             HostUpdate {
                 host: host.to_string(),
-                incarnation: life + 1,
+                incarnation: incarnation + 1,
                 loads: loads.collect(),
                 limits: sent.into_iter().collect(),
                 ..HostUpdate::default()
             }
         };
-        self.fleet.speak(news, now)
+        self.exchange.due_messages(update, now)
     }
 
-    pub fn hear(
+    pub fn on_message(
         &mut self,
-        news: HostUpdate,
+        update: HostUpdate,
         names: &IndexMap<UpstreamHash, UpstreamId>,
         now: Instant,
-    ) -> Option<Outgoing> {
-        let (heard, on) = self.fleet.hear(news, now);
-        for news in heard {
-            let host = news.host.parse().unwrap();
-            let source = match news.scope() {
+    ) -> Option<OutgoingUpdate> {
+        let (accepted, forwarded) = self.exchange.on_message(update, now);
+        for update in accepted {
+            let host = update.host.parse().unwrap();
+            let source = match update.scope() {
                 MessageScope::Domain => LoadSource::Collector(host),
                 _ => LoadSource::Host(host),
             };
-            for limit in &news.limits {
-                self.sent_heard.insert(source.clone(), limit.sent_in_window);
+            for limit in &update.limits {
+                self.heard_sends
+                    .insert(source.clone(), limit.sent_in_window);
             }
-            let extent = if news.is_partial {
+            let extent = if update.is_partial {
                 Extent::Changes
             } else {
                 Extent::Whole
             };
             let id = |load: &LoadEntry| names[&load.hash()].clone();
-            let loads = news.loads.iter();
+            let loads = update.loads.iter();
             let loads = loads.map(|load| (id(load), requests(load.in_flight)));
             self.ledger
-                .hear_part(source, news.incarnation, extent, loads, now);
+                .hear_part(source, update.incarnation, extent, loads, now);
         }
         self.ledger.forget_silent(now);
-        on
+        forwarded
     }
 }
--- a/tests/gateway_limits.rs
+++ b/tests/gateway_limits.rs
@@ -14,20 +14,20 @@
 use gateway_world::upstream::Act;
 use gateway_world::upstream::Upstream;
 
-async fn answering() -> Upstream {
+async fn start_upstream() -> Upstream {
     Upstream::start([Act::Answer(200, "a")]).await
 }
 
 /// A host, and the only upstream of the service that it calls.
-async fn host_before_one() -> (Upstream, TestHost) {
+async fn host_with_one_upstream() -> (Upstream, TestHost) {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = answering().await;
+    let upstream = start_upstream().await;
     catalog.list("a", "app", upstream.addr);
     let host = TestHost::start("host", &catalog).await;
     (upstream, host)
 }
 
-async fn serve_one(host: &TestHost) {
+async fn serve_request(host: &TestHost) {
     assert_eq!(host.call(request("/safe/1")).await.status(), 200);
 }
 
@@ -41,13 +41,13 @@
 /// Operators can't tell from logs when hosts knew of an upstream's limit.
 #[tokio::test]
 async fn each_change_of_a_limit_is_logged() {
-    let (upstream, host) = host_before_one().await;
-    serve_one(&host).await;
+    let (upstream, host) = host_with_one_upstream().await;
+    serve_request(&host).await;
     upstream.name_limit(Some("25"));
-    serve_one(&host).await;
-    serve_one(&host).await;
+    serve_request(&host).await;
+    serve_request(&host).await;
     upstream.name_limit(None);
-    serve_one(&host).await;
+    serve_request(&host).await;
     until(|| limit_lines(&host).len() == 2).await;
     let lines = limit_lines(&host);
     assert_eq!(lines[0]["upstream"], "a");
@@ -58,14 +58,14 @@
 /// An upstream that names nonsense fills the log, or ends the limit that is known.
 #[tokio::test]
 async fn a_malformed_limit_is_logged_once_and_changes_nothing() {
-    let (upstream, host) = host_before_one().await;
+    let (upstream, host) = host_with_one_upstream().await;
     upstream.name_limit(Some("25"));
-    serve_one(&host).await;
+    serve_request(&host).await;
     upstream.name_limit(Some("few"));
-    serve_one(&host).await;
-    serve_one(&host).await;
+    serve_request(&host).await;
+    serve_request(&host).await;
     upstream.name_limit(Some("25"));
-    serve_one(&host).await;
+    serve_request(&host).await;
     let malformed = || {
         let text = host.log.text();
         text.matches("limit_malformed").count()
@@ -84,7 +84,7 @@
 #[tokio::test]
 async fn an_upstream_in_need_gets_no_more_than_its_limit_from_all_hosts() {
     let catalog = FakeCatalog::new(table(1));
-    let (limited, sound) = (answering().await, answering().await);
+    let (limited, sound) = (start_upstream().await, start_upstream().await);
     catalog.list("a", "app", limited.addr);
     catalog.list("b", "app", sound.addr);
     let mut hosts = Vec::new();
@@ -95,26 +95,32 @@
         host.until_hosts(hosts.len()).await;
     }
     limited.name_limit(Some("2"));
-    until_some_host_knows(&hosts).await;
+    wait_until_limit_known(&hosts).await;
     let before = limited.arrivals().len();
-    let began = Instant::now();
-    join_all(hosts.iter().map(call_again_and_again)).await;
-    let got = limited.arrivals().len() - before;
-    let allowed = 1.5 * 2.0 * began.elapsed().as_secs_f64() + 5.0;
-    assert!(got as f64 <= allowed, "{got} requests, {allowed} allowed");
-    assert!(got > 0, "its answers are asked for the end of the limit");
+    let started_at = Instant::now();
+    join_all(hosts.iter().map(call_repeatedly)).await;
+    let received = limited.arrivals().len() - before;
+    let allowed = 1.5 * 2.0 * started_at.elapsed().as_secs_f64() + 5.0;
+    assert!(
+        received as f64 <= allowed,
+        "{received} requests, {allowed} allowed"
+    );
+    assert!(
+        received > 0,
+        "its answers are asked for the end of the limit"
+    );
 }
 
-async fn until_some_host_knows(hosts: &[TestHost]) {
+async fn wait_until_limit_known(hosts: &[TestHost]) {
     while hosts.iter().all(|host| limit_lines(host).is_empty()) {
-        serve_one(&hosts[0]).await;
+        serve_request(&hosts[0]).await;
         tokio::time::sleep(CALL_PAUSE).await;
     }
 }
 
-async fn call_again_and_again(host: &TestHost) {
+async fn call_repeatedly(host: &TestHost) {
     for _ in 0..CALLS {
-        serve_one(host).await;
+        serve_request(host).await;
         tokio::time::sleep(CALL_PAUSE).await;
     }
 }
@@ -123,9 +129,9 @@
 /// deadline, or told nothing of when to come back.
 #[tokio::test]
 async fn a_call_that_no_limit_leaves_time_for_is_refused_at_once() {
-    let (upstream, host) = host_before_one().await;
+    let (upstream, host) = host_with_one_upstream().await;
     upstream.name_limit(Some("0"));
-    serve_one(&host).await;
+    serve_request(&host).await;
     let res = host.call(request("/safe/1")).await;
     assert_eq!(res.status(), 503);
     let retry_after = res.headers()["retry-after"].to_str().unwrap();
@@ -143,19 +149,19 @@
 #[tokio::test]
 async fn a_limit_and_its_end_are_told_to_the_other_hosts() {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = answering().await;
+    let upstream = start_upstream().await;
     catalog.list("a", "app", upstream.addr);
     let first = TestHost::start("first", &catalog).await;
     let second = TestHost::start("second", &catalog).await;
     first.until_hosts(2).await;
     second.until_hosts(2).await;
     upstream.name_limit(Some("25"));
-    serve_one(&first).await;
+    serve_request(&first).await;
     until(|| limit_lines(&second).len() == 1).await;
     assert_eq!(limit_lines(&second)[0]["told_by"], "first");
     assert_eq!(upstream.arrivals().len(), 1);
     upstream.name_limit(None);
-    serve_one(&first).await;
+    serve_request(&first).await;
     until(|| limit_lines(&second).len() == 2).await;
     assert!(limit_lines(&second)[1]["limit_per_s"].is_null());
 }
--- a/tests/limit_world/mod.rs
+++ b/tests/limit_world/mod.rs
@@ -24,12 +24,12 @@
 /// Between two messages of a host that has nothing new.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(250);
 /// How late news come.
-const NEWS_MS: std::ops::Range<u64> = 20..200;
+const REPORT_DELAY_MS: std::ops::Range<u64> = 20..200;
 /// From a send to the head of its answer.
-const ANSWER_TIME: Duration = Duration::from_millis(80);
+const ANSWER_DELAY: Duration = Duration::from_millis(80);
 
 /// How long a fleet has been running before a test begins; longer than a window.
-const RAN_FOR: Duration = Duration::from_secs(60);
+const WARM_UP: Duration = Duration::from_secs(60);
 
 /// A fleet and what it wants of the upstream.
 #[derive(Clone, Copy, Debug)]
@@ -37,15 +37,15 @@
     pub hosts: usize,
     pub limit: RequestsPerSecond,
     /// Requests a second that want to go to the upstream, at all hosts together.
-    pub wanted_per_s: f64,
+    pub request_rate: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Want,
+    Request,
     Answer(usize),
-    Tell(usize),
-    Hear {
+    Report(usize),
+    Receive {
         to: usize,
         from: usize,
         report: LimitReport,
@@ -53,7 +53,7 @@
 }
 
 struct Host {
-    book: RateLimitTracker,
+    tracker: RateLimitTracker,
     domain: usize,
 }
 
@@ -67,8 +67,8 @@
     rng: StdRng,
     events: EventQueue<Event>,
     sent_at: Vec<Duration>,
-    limit_from: Duration,
-    is_split: bool,
+    limit_start: Duration,
+    is_partitioned: bool,
 }
 
 impl World {
@@ -76,7 +76,7 @@
     pub fn new(site: Site, seed: u64) -> Self {
         let base = Instant::now();
         let host = |_| Host {
-            book: RateLimitTracker::new(base),
+            tracker: RateLimitTracker::new(base),
             domain: 0,
         };
         let mut world = Self {
@@ -84,50 +84,50 @@
             hosts: (0..site.hosts).map(host).collect(),
             upstream: "engine-1".parse().unwrap(),
             base,
-            now: RAN_FOR,
+            now: WARM_UP,
             rng: StdRng::seed_from_u64(seed),
             events: EventQueue::default(),
             sent_at: Vec::new(),
-            limit_from: Duration::ZERO,
-            is_split: false,
+            limit_start: Duration::ZERO,
+            is_partitioned: false,
         };
         for index in 0..site.hosts {
             let after = Duration::from_millis(world.rng.random_range(0..250));
-            world.push(world.now + after, Event::Tell(index));
+            world.push(world.now + after, Event::Report(index));
         }
-        world.push(world.now, Event::Want);
+        world.push(world.now, Event::Request);
         world
     }
 
     /// The upstream names its limit so long after the beginning.
-    pub fn name_limit_at(&mut self, after: Duration) {
-        self.limit_from = RAN_FOR + after;
+    pub fn limit_starts_at(&mut self, after: Duration) {
+        self.limit_start = WARM_UP + after;
     }
 
-    pub fn set_wanted(&mut self, per_s: f64) {
-        self.site.wanted_per_s = per_s;
+    pub fn set_request_rate(&mut self, per_s: f64) {
+        self.site.request_rate = per_s;
     }
 
     /// Hosts hear only those of their own domain.
-    pub fn split(&mut self, domains: usize) {
+    pub fn partition(&mut self, domains: usize) {
         for (index, host) in self.hosts.iter_mut().enumerate() {
             host.domain = index % domains;
         }
-        self.is_split = true;
+        self.is_partitioned = true;
     }
 
-    pub fn heal(&mut self) {
-        self.is_split = false;
+    pub fn end_partition(&mut self) {
+        self.is_partitioned = false;
     }
 
     /// One host in ten is killed and started again.
-    pub fn restart_some(&mut self) {
+    pub fn restart_tenth(&mut self) {
         let now = self.instant();
         for index in 0..self.hosts.len() {
             if !self.rng.random_ratio(1, 10) {
                 continue;
             }
-            self.hosts[index].book = RateLimitTracker::new(now);
+            self.hosts[index].tracker = RateLimitTracker::new(now);
         }
     }
 
@@ -135,14 +135,14 @@
         let end = self.now + time;
         while let Some((at, event)) = self.events.pop_until(end) {
             self.now = at;
-            self.on(event);
+            self.handle(event);
         }
         self.now = end;
     }
 
     /// The most requests that the upstream got in such a time, of those that end so long after the beginning or later.
-    pub fn most_after(&self, after: Duration, window: Duration) -> u32 {
-        let from = RAN_FOR + after;
+    pub fn max_in_window(&self, after: Duration, window: Duration) -> u32 {
+        let from = WARM_UP + after;
         let ends = self.sent_at.iter().filter(|at| **at >= from);
         let counts = ends.map(|end| {
             let in_window = |at: &&Duration| **at <= *end && **at + window > *end;
@@ -152,82 +152,84 @@
     }
 
     /// What was sent, as a part of what the limit allows.
-    pub fn used_part(&self) -> f64 {
-        let ran_for = self.now - RAN_FOR;
-        self.sent_at.len() as f64 / (self.site.limit.0 * ran_for.as_secs_f64())
+    pub fn used_fraction(&self) -> f64 {
+        let elapsed = self.now - WARM_UP;
+        self.sent_at.len() as f64 / (self.site.limit.0 * elapsed.as_secs_f64())
     }
 
-    fn on(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Want => self.on_want(),
+            Event::Request => self.on_request(),
             Event::Answer(host) => {
                 let now = self.instant();
-                let limit = (self.now >= self.limit_from).then_some(self.site.limit);
-                let is_news = self.hosts[host].book.on_answer(&self.upstream, limit, now);
-                if is_news {
-                    self.tell(host);
+                let limit = (self.now >= self.limit_start).then_some(self.site.limit);
+                let is_change = self.hosts[host]
+                    .tracker
+                    .on_answer(&self.upstream, limit, now);
+                if is_change {
+                    self.send_report(host);
                 }
             }
-            Event::Tell(host) => {
-                self.tell(host);
-                self.push(self.now + REPEAT_INTERVAL, Event::Tell(host));
+            Event::Report(host) => {
+                self.send_report(host);
+                self.push(self.now + REPEAT_INTERVAL, Event::Report(host));
             }
-            Event::Hear { to, from, report } => {
-                if self.hears(to, from) {
+            Event::Receive { to, from, report } => {
+                if self.can_hear(to, from) {
                     let now = self.instant();
                     let source = LoadSource::Host(format!("host-{from}").parse().unwrap());
-                    let book = &mut self.hosts[to].book;
-                    if book.on_report(source, &self.upstream, &report, now) {
-                        self.tell(to);
+                    let tracker = &mut self.hosts[to].tracker;
+                    if tracker.on_report(source, &self.upstream, &report, now) {
+                        self.send_report(to);
                     }
                 }
             }
         }
     }
 
-    fn on_want(&mut self) {
+    fn on_request(&mut self) {
         let draw: f64 = self.rng.random();
-        let gap = -(1.0 - draw).ln() / self.site.wanted_per_s;
-        self.push(self.now + Duration::from_secs_f64(gap), Event::Want);
+        let gap = -(1.0 - draw).ln() / self.site.request_rate;
+        self.push(self.now + Duration::from_secs_f64(gap), Event::Request);
         let host = self.rng.random_range(0..self.hosts.len());
         if !self.admits(host) {
             return;
         }
         let now = self.instant();
-        self.hosts[host].book.on_sent(&self.upstream, now);
+        self.hosts[host].tracker.on_sent(&self.upstream, now);
         self.sent_at.push(self.now);
-        self.push(self.now + ANSWER_TIME, Event::Answer(host));
-        self.tell(host);
+        self.push(self.now + ANSWER_DELAY, Event::Answer(host));
+        self.send_report(host);
     }
 
     fn admits(&mut self, index: usize) -> bool {
         let now = self.instant();
-        let heard = (0..self.hosts.len()).filter(|other| self.hears(index, *other));
+        let heard = (0..self.hosts.len()).filter(|other| self.can_hear(index, *other));
         let hosts = HostsHeard {
             listed: self.hosts.len(),
             heard: heard.count(),
         };
         let draw = self.rng.random();
-        let book = &mut self.hosts[index].book;
-        book.set_hosts(hosts, Duration::from_millis(NEWS_MS.end));
-        let view = book.view(&self.upstream, now);
+        let tracker = &mut self.hosts[index].tracker;
+        tracker.set_hosts(hosts, Duration::from_millis(REPORT_DELAY_MS.end));
+        let view = tracker.view(&self.upstream, now);
         view.is_none_or(|view| view.admits(draw))
     }
 
-    fn tell(&mut self, from: usize) {
+    fn send_report(&mut self, from: usize) {
         let now = self.instant();
-        let report = self.hosts[from].book.reports(now).next();
+        let report = self.hosts[from].tracker.reports(now).next();
         let Some((_, report)) = report else { return };
         for to in 0..self.hosts.len() {
             if to != from {
-                let after = Duration::from_millis(self.rng.random_range(NEWS_MS));
-                self.push(self.now + after, Event::Hear { to, from, report });
+                let after = Duration::from_millis(self.rng.random_range(REPORT_DELAY_MS));
+                self.push(self.now + after, Event::Receive { to, from, report });
             }
         }
     }
 
-    fn hears(&self, to: usize, from: usize) -> bool {
-        !self.is_split || self.hosts[to].domain == self.hosts[from].domain
+    fn can_hear(&self, to: usize, from: usize) -> bool {
+        !self.is_partitioned || self.hosts[to].domain == self.hosts[from].domain
     }
 
     fn push(&mut self, at: Duration, event: Event) {
