--- a/src/control/outcome/told.rs
+++ b/src/control/outcome/told.rs
@@ -42,7 +42,7 @@
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let named = Self::ALL.into_iter().find(|outcome| outcome.name() == text);
         named.ok_or_else(|| ParseUnitError {
-            wanted: "completed, not-run or may-have-run",
+            expected: "completed, not-run or may-have-run",
             text: text.to_owned(),
         })
     }
--- a/src/units/error.rs
+++ b/src/units/error.rs
@@ -7,15 +7,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseUnitError {
     /// What the text should have been, such as `a size like 64MiB`.
-    pub wanted: &'static str,
+    pub expected: &'static str,
     /// The text as it was given.
     pub text: String,
 }
 
 impl ParseUnitError {
-    pub(crate) fn new(wanted: &'static str, text: &str) -> Self {
+    pub(crate) fn new(expected: &'static str, text: &str) -> Self {
         Self {
-            wanted,
+            expected,
             text: text.to_owned(),
         }
     }
@@ -23,7 +23,7 @@
 
 impl fmt::Display for ParseUnitError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "expected {}, got `{}`", self.wanted, self.text)
+        write!(f, "expected {}, got `{}`", self.expected, self.text)
     }
 }
 
