--- a/tests/decide_rate_limits.rs
+++ b/tests/decide_rate_limits.rs
@@ -80,7 +80,7 @@
     large = { 195, 1.7, 195.0 },
     large_high = { 195, 20.0, 780.0 },
 )]
-fn requests_that_wait_on_all_hosts_do_not_go_at_once(
+fn requests_waiting_on_all_hosts_are_not_sent_at_once(
     hosts: usize,
     limit_per_s: f64,
     request_rate: f64,
@@ -98,7 +98,7 @@
     six = { 6, 1.7 },
     large = { 195, 5.0 },
 )]
-fn what_was_sent_before_the_limit_counts(hosts: usize, limit_per_s: f64) {
+fn sends_before_the_limit_count(hosts: usize, limit_per_s: f64) {
     let checked_from = ms(10_000) + ms(3_000);
     assert_limit_kept(hosts, limit_per_s, checked_from, |world| {
         world.limit_starts_at(ms(10_000));
@@ -146,7 +146,7 @@
 
 /// News of a limit come later than the answer that ended it, and the upstream stays limited for good.
 #[test]
-fn the_latest_answer_decides_not_the_latest_news() {
+fn the_latest_answer_decides_not_the_latest_report() {
     let (now, engine) = (Instant::now(), upstream());
     let mut tracker = RateLimitTracker::new(now);
     let at = |later_ms: u64| now + ms(later_ms);
@@ -162,7 +162,7 @@
 
 /// Hosts that only know a limit by hearsay tell it on for as long as they live, also after its end.
 #[test]
-fn a_limit_is_told_by_those_that_have_it_from_the_upstream() {
+fn a_limit_is_reported_by_hosts_that_have_it_first_hand() {
     let (now, engine) = (Instant::now(), upstream());
     let mut tracker = RateLimitTracker::new(now);
     tracker.on_report(host("a"), &engine, &report(Some(2.0), 0, 1), now);
@@ -179,7 +179,7 @@
 
 /// What a host has told is added up over and over, or is never forgotten once it is gone.
 #[test]
-fn what_a_host_told_is_replaced_and_ends() {
+fn reports_of_a_host_replace_each_other_and_expire() {
     let (now, engine) = (Instant::now(), upstream());
     let mut tracker = RateLimitTracker::new(now);
     let hosts = HostsHeard {
@@ -201,7 +201,7 @@
 
 /// A count of the last seconds that loses what was counted, or keeps it for too long, sends too much or nothing.
 #[test]
-fn a_recent_count_holds_its_time_and_no_more() {
+fn a_recent_count_covers_only_its_window() {
     let now = Instant::now();
     let mut count = RecentCount::new(now);
     for step in 0..40 {
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -125,14 +125,14 @@
 /// A stray datagram arrives at the port. Its bytes are kept and taken for the beginning of the next
 /// message, and a host is never understood again.
 #[test]
-fn a_datagram_that_is_no_message_leaves_nothing_behind() {
+fn an_undecodable_datagram_is_discarded_whole() {
     let mut bytes = BytesMut::from(&b"\xff\xff\xff not a message"[..]);
     assert!(UpdateCodec.decode(&mut bytes).is_err());
     assert!(bytes.is_empty());
 }
 
 #[test]
-fn news_that_fits_no_datagram_is_refused() {
+fn an_update_too_long_for_a_datagram_is_rejected() {
     let update = HostUpdate {
         host: "x".repeat(70_000),
         ..HostUpdate::default()
@@ -144,7 +144,7 @@
 /// A fleet of 400 hosts: what each may send is spread so far that the others take it for dead, forget
 /// its work, and all choose the same engines.
 #[tokio::test]
-async fn hosts_hear_each_other_again_and_again_also_in_a_large_fleet() {
+async fn hosts_keep_hearing_each_other_in_a_large_fleet() {
     let sockets = [
         UdpSocket::bind("127.0.0.1:0").await.unwrap(),
         UdpSocket::bind("127.0.0.1:0").await.unwrap(),
--- a/tests/exchange_fleet.rs
+++ b/tests/exchange_fleet.rs
@@ -43,7 +43,7 @@
     target = { 400, 6, 6 },
     one_domain = { 60, 1, 7 },
 )]
-fn news_are_young_and_few_at_every_size(hosts: usize, domains: usize, seed: u64) {
+fn updates_are_recent_and_few_at_every_fleet_size(hosts: usize, domains: usize, seed: u64) {
     let mut world = loaded_world(hosts, domains, seed);
     world.measurements = exchange_world::Measurements::new(hosts);
     for probe in 0..10 {
@@ -73,7 +73,7 @@
     large = { 195, 5, 3 },
     alone_in_its_domain = { 36, 36, 4 },
 )]
-fn nothing_is_counted_twice(hosts: usize, domains: usize, seed: u64) {
+fn no_load_is_counted_twice(hosts: usize, domains: usize, seed: u64) {
     let mut world = loaded_world(hosts, domains, seed);
     settle(&mut world, ms(3_000));
     assert_eq!(world.mismatches(), 0);
@@ -86,11 +86,7 @@
     seventy = { 69, 3, 2 },
     large = { 195, 5, 3 },
 )]
-fn what_was_sent_to_an_upstream_with_a_limit_is_known_to_all(
-    hosts: usize,
-    domains: usize,
-    seed: u64,
-) {
+fn sends_to_a_limited_upstream_are_known_to_all_hosts(hosts: usize, domains: usize, seed: u64) {
     let mut world = loaded_world(hosts, domains, seed);
     world.loss_rate = 0.05;
     for sent_in_window in [1, 4] {
@@ -115,7 +111,7 @@
     three_domains = { 60, 3, 1 },
     large = { 195, 5, 2 },
 )]
-fn another_host_collects_when_the_collector_dies(hosts: usize, domains: usize, seed: u64) {
+fn another_host_becomes_collector_when_the_collector_dies(hosts: usize, domains: usize, seed: u64) {
     let mut world = loaded_world(hosts, domains, seed);
     let witness = 0;
     let collector = world.collector_of(witness);
@@ -133,7 +129,7 @@
 /// A collector stands still for some seconds and wakes with all that was sent to it meanwhile. It
 /// passes on what is long over, as if it were new.
 #[test]
-fn a_collector_that_stood_still_misleads_nobody_for_long() {
+fn stale_relays_of_a_paused_collector_are_corrected() {
     let mut world = loaded_world(60, 3, 3);
     let collector = world.collector_of(0);
     world.pause(collector);
@@ -145,7 +141,7 @@
 
 /// All strong hosts die at once, and half of the others with them.
 #[test]
-fn half_of_the_hosts_lose_their_power_at_once() {
+fn updates_resume_after_half_of_the_hosts_fail_at_once() {
     let mut world = loaded_world(100, 5, 4);
     for index in 0..100 {
         if is_strong(index) || index % 2 == 0 {
@@ -167,7 +163,7 @@
     two_hosts_a_domain = { 40, 20, 1 },
     three_domains = { 60, 3, 2 },
 )]
-fn domains_find_each_other_again_after_a_cut(hosts: usize, domains: usize, seed: u64) {
+fn domains_reconnect_after_a_partition(hosts: usize, domains: usize, seed: u64) {
     let mut world = loaded_world(hosts, domains, seed);
     world.set_partitioned("domain-1", true);
     world.run_for(ms(8_000));
@@ -203,7 +199,7 @@
 
 /// All hosts start again within half a second, at load.
 #[test]
-fn all_hosts_start_at_once() {
+fn updates_resume_after_all_hosts_restart_at_once() {
     let mut world = loaded_world(100, 5, 5);
     for index in 0..100 {
         world.kill(index);
@@ -224,7 +220,7 @@
 /// Links lose a tenth of all messages: news come late, nothing is wrong for longer than it takes to
 /// tell everything again, and collectors are not left for it.
 #[test]
-fn lost_messages_are_made_up_for() {
+fn message_loss_is_recovered() {
     let mut world = loaded_world(60, 3, 6);
     world.loss_rate = 0.1;
     world.run_for(ms(5_000));
@@ -242,7 +238,7 @@
 /// Hosts are replaced by a newer version while others still run the former one, which tells each host
 /// itself and understands no collector.
 #[test]
-fn hosts_of_the_former_version_are_told_by_each() {
+fn legacy_hosts_receive_updates_from_every_host() {
     let mut world = World::new(60, 3, 15, 7);
     world.run_for(ms(3_000));
     world.set_changes(CHANGES_PER_S);
--- a/tests/exchange_pace.rs
+++ b/tests/exchange_pace.rs
@@ -12,11 +12,11 @@
 const HOST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Lets a host that has nothing to tell show that it lives until `end`.
-fn idle(pace: &mut SendPacer, peers: usize, end: Instant) -> Instant {
-    let mut now = pace.due_at(update_interval(peers));
+fn idle(pacer: &mut SendPacer, peers: usize, end: Instant) -> Instant {
+    let mut now = pacer.due_at(update_interval(peers));
     while now < end {
-        pace.on_sent(update_interval(peers), now);
-        now = pace.due_at(update_interval(peers));
+        pacer.on_sent(update_interval(peers), now);
+        now = pacer.due_at(update_interval(peers));
     }
     end
 }
@@ -32,12 +32,12 @@
     large = { 194 },
     target = { 399 },
 )]
-fn a_host_that_was_idle_tells_its_first_work_at_once(peers: usize) {
+fn an_idle_host_sends_its_first_load_at_once(peers: usize) {
     let start = Instant::now();
-    let mut pace = SendPacer::new(start);
-    let now = idle(&mut pace, peers, start + Duration::from_secs(60));
-    pace.request_send(SendReason::UrgentChange);
-    let waits = pace
+    let mut pacer = SendPacer::new(start);
+    let now = idle(&mut pacer, peers, start + Duration::from_secs(60));
+    pacer.request_send(SendReason::UrgentChange);
+    let waits = pacer
         .due_at(update_interval(peers))
         .saturating_duration_since(now);
     assert!(waits <= Duration::from_millis(10), "waits for {waits:?}");
@@ -51,43 +51,40 @@
     large = { 194 },
     target = { 399 },
 )]
-fn a_busy_host_keeps_to_the_pace_and_is_never_taken_for_dead(peers: usize) {
+fn a_busy_host_keeps_its_pace_and_never_times_out(peers: usize) {
     let start = Instant::now();
     let end = start + Duration::from_secs(60);
-    let mut pace = SendPacer::new(start);
+    let mut pacer = SendPacer::new(start);
     let mut now = start;
     let mut sent = 0_u32;
     while now < end {
-        pace.request_send(SendReason::UrgentChange);
-        let due_at = pace.due_at(update_interval(peers));
+        pacer.request_send(SendReason::UrgentChange);
+        let due_at = pacer.due_at(update_interval(peers));
         assert!(due_at.saturating_duration_since(now) < HOST_TIMEOUT);
         now = due_at;
-        pace.on_sent(update_interval(peers), now);
+        pacer.on_sent(update_interval(peers), now);
         sent += 1;
     }
     let interval = update_interval(peers);
     let paced = (end - start).as_secs_f64() / interval.as_secs_f64();
     let sent_max = paced + 5.0;
-    assert!(
-        f64::from(sent) <= sent_max,
-        "{sent} of at sent_max {sent_max}"
-    );
+    assert!(f64::from(sent) <= sent_max, "{sent} of at most {sent_max}");
 }
 
 /// Most of a fleet is gone from the list right after a burst. The few that are left are told the next
 /// urgent change at the pace of a small fleet.
 #[test]
-fn a_fleet_that_shrank_is_told_at_its_own_pace() {
+fn a_shrunken_fleet_is_updated_at_its_own_interval() {
     let start = Instant::now();
-    let mut pace = SendPacer::new(start);
+    let mut pacer = SendPacer::new(start);
     let mut now = start;
     for _ in 0..4 {
-        pace.request_send(SendReason::UrgentChange);
-        now = pace.due_at(update_interval(399)).max(now);
-        pace.on_sent(update_interval(399), now);
+        pacer.request_send(SendReason::UrgentChange);
+        now = pacer.due_at(update_interval(399)).max(now);
+        pacer.on_sent(update_interval(399), now);
     }
-    pace.request_send(SendReason::UrgentChange);
-    let waits = pace
+    pacer.request_send(SendReason::UrgentChange);
+    let waits = pacer
         .due_at(update_interval(7))
         .saturating_duration_since(now);
     assert!(waits <= update_interval(7), "waits for {waits:?}");
--- a/tests/exchange_world/mod.rs
+++ b/tests/exchange_world/mod.rs
@@ -316,9 +316,7 @@
                 continue;
             }
             if self.nodes[to].ledger.load(&probe.upstream, now).in_flight > 0 {
-                probe
-                    .waiting_hosts
-                    .retain(|waiting_hosts| *waiting_hosts != to);
+                probe.waiting_hosts.retain(|waiting| *waiting != to);
                 self.measurements.ages.push(known - probe.at);
             }
         }
--- a/tests/exchange_world/node.rs
+++ b/tests/exchange_world/node.rs
@@ -79,7 +79,7 @@
 
     /// Requests of all hosts at the upstream that has named a limit, as far as this one knows.
     pub fn known_sends(&self) -> u32 {
-        let own = self.sent.map_or(0, |update| update.sent_in_window);
+        let own = self.sent.map_or(0, |entry| entry.sent_in_window);
         own + self.heard_sends.values().sum::<u32>()
     }
 
--- a/tests/gateway_limits.rs
+++ b/tests/gateway_limits.rs
@@ -82,7 +82,7 @@
 
 /// An upstream that names a limit goes on getting its share of all requests, from each host.
 #[tokio::test]
-async fn an_upstream_in_need_gets_no_more_than_its_limit_from_all_hosts() {
+async fn all_hosts_together_keep_an_upstreams_limit() {
     let catalog = FakeCatalog::new(table(1));
     let (limited, sound) = (start_upstream().await, start_upstream().await);
     catalog.list("a", "app", limited.addr);
@@ -128,7 +128,7 @@
 /// All upstreams of a service are short of capacity: calls that can't be served are kept waiting until their
 /// deadline, or told nothing of when to come back.
 #[tokio::test]
-async fn a_call_that_no_limit_leaves_time_for_is_refused_at_once() {
+async fn a_call_that_no_limit_admits_in_time_is_refused_at_once() {
     let (upstream, host) = host_with_one_upstream().await;
     upstream.name_limit(Some("0"));
     serve_request(&host).await;
@@ -147,7 +147,7 @@
 
 /// Each host learns of a limit, and of its end, by requests of its own.
 #[tokio::test]
-async fn a_limit_and_its_end_are_told_to_the_other_hosts() {
+async fn a_limit_and_its_end_are_sent_to_the_other_hosts() {
     let catalog = FakeCatalog::new(table(1));
     let upstream = start_upstream().await;
     catalog.list("a", "app", upstream.addr);
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_route_without_weight_leads_nowhere() {
+fn a_route_without_weight_has_no_target() {
     let route = route("empty", "a", "/", &[("a", 0)]);
     assert_eq!(route.target(7), None);
 }
