--- a/src/clock/manual.rs
+++ b/src/clock/manual.rs
@@ -1,4 +1,4 @@
-//! A clock that stands still until it is moved.
+//! A clock that advances only on request.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -8,7 +8,7 @@
 
 use crate::clock::Clock;
 
-/// A clock for tests and counts: time passes only by [`ManualClock::advance`].
+/// A clock for tests and simulations: time passes only by [`ManualClock::advance`].
 #[derive(Debug)]
 pub struct ManualClock {
     start: Instant,
@@ -16,7 +16,7 @@
 }
 
 impl ManualClock {
-    /// A clock that starts at an arbitrary instant.
+    /// Creates a clock that starts at an arbitrary instant.
     pub fn new() -> Self {
         Self {
             start: Instant::now(),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Moves time forward.
+    /// Moves the time forward.
     pub fn advance(&self, by: Duration) {
         *self.elapsed.lock().unwrap_or_else(PoisonError::into_inner) += by;
     }
--- a/src/clock/mod.rs
+++ b/src/clock/mod.rs
@@ -1,4 +1,4 @@
-//! The clock as an interface, so that decisions can be tested by moving time by hand.
+//! The clock as an interface, so that tests can control the time.
 
 mod manual;
 mod system;
@@ -12,13 +12,13 @@
 
 /// A source of time.
 pub trait Clock: Send + Sync {
-    /// Monotonic time; all deadlines and ages are measured on it.
+    /// Monotonic time, on which all deadlines and ages are measured.
     fn now(&self) -> Instant;
 
-    /// Time since the machine started, time spent suspended included. Leases are counted on it: on
-    /// [`Clock::now`] a machine that was suspended past the end of its lease would go on using it.
+    /// Time since boot, including time in suspension. Leases are measured on it: by [`Clock::now`],
+    /// a machine that was suspended past the end of its lease would go on using the lease.
     fn since_boot(&self) -> Duration;
 
-    /// Time of day, for logs and for people only: hosts' clocks differ.
+    /// The time of day, for logs and people only, because the clocks of hosts differ.
     fn wall(&self) -> SystemTime;
 }
--- a/src/clock/system.rs
+++ b/src/clock/system.rs
@@ -1,4 +1,4 @@
-//! The machine's clock.
+//! The clock of the machine.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,7 +9,7 @@
 
 use crate::clock::Clock;
 
-/// The machine's own clock.
+/// The clock of the machine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemClock;
 
@@ -21,8 +21,8 @@
     fn since_boot(&self) -> Duration {
         match clock_gettime(ClockId::CLOCK_BOOTTIME) {
             Ok(time) => time.into(),
-            // Linux has had this clock since 2.6.39. Without it every lease counts as run out,
-            // which refuses requests but breaks no promise.
+            // Linux has had this clock since 2.6.39. Without it, every lease counts as expired,
+            // which refuses requests but breaks no guarantee.
             Err(_) => Duration::MAX,
         }
     }
--- a/src/cluster_view/host_view.rs
+++ b/src/cluster_view/host_view.rs
@@ -1,4 +1,4 @@
-//! A host of the system as this host sees it.
+//! A host of the system as seen by this host.
 
 use std::net::SocketAddr;
 
@@ -7,32 +7,32 @@
 use crate::units::HostId;
 use crate::units::Incarnation;
 
-/// What membership knows of a host.
+/// The state of a host according to the membership.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostView {
-    /// Its name.
+    /// The name of the host.
     pub id: HostId,
-    /// Its failure domain.
+    /// The failure domain of the host.
     pub domain: FailureDomainId,
-    /// Where it listens for peers.
+    /// The address at which the host listens for peers.
     pub peer_addr: SocketAddr,
-    /// Its incarnation.
+    /// The incarnation of the host.
     pub incarnation: Incarnation,
-    /// Its state.
+    /// The membership state of the host.
     pub state: HostState,
-    /// The manifest it has in force.
+    /// The generation of the manifest that the host has in force.
     pub generation: Generation,
 }
 
 /// The states of a host in the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum HostState {
-    /// It answers.
+    /// The host answers.
     Alive,
-    /// It did not answer; it may still refute.
+    /// The host did not answer, but may still refute the suspicion.
     Suspect,
-    /// It drains: it takes no home and finishes its requests.
+    /// The host drains: it takes no homes and finishes its requests.
     Leaving,
-    /// It is gone.
+    /// The host is gone.
     Dead,
 }
--- a/src/cluster_view/mod.rs
+++ b/src/cluster_view/mod.rs
@@ -1,4 +1,5 @@
-//! The blackboard: what controllers read and write in place of calling each other.
+//! The shared state of one host, which its controllers read and write instead of calling each
+//! other.
 
 mod host_view;
 mod sharded_map;
@@ -17,18 +18,18 @@
 use crate::units::HostId;
 use crate::units::UpstreamId;
 
-/// The state that the parts of one host share.
+/// The hosts, upstreams and manifest of the system as seen by this host.
 #[derive(Debug)]
 pub struct ClusterView {
-    /// Hosts of the system, by name.
+    /// The hosts of the system, by name.
     pub hosts: ShardedMap<HostId, HostView>,
-    /// Upstreams, by name.
+    /// The upstreams, by id.
     pub upstreams: ShardedMap<UpstreamId, UpstreamView>,
     manifest: RwLock<Option<Arc<InForce>>>,
 }
 
 impl ClusterView {
-    /// An empty board.
+    /// Creates an empty view.
     pub fn new() -> Self {
         Self {
             hosts: ShardedMap::new(),
@@ -45,8 +46,8 @@
             .clone()
     }
 
-    /// Puts a manifest in force unless the one in force is as new or newer. Returns whether it is
-    /// in force now because of this call.
+    /// Puts a manifest in force unless the current one is as new or newer. Returns whether this
+    /// call has put it in force.
     pub fn advance_manifest(&self, next: InForce) -> bool {
         let mut manifest = self
             .manifest
--- a/src/cluster_view/sharded_map.rs
+++ b/src/cluster_view/sharded_map.rs
@@ -1,4 +1,4 @@
-//! A map in shards, each under its own lock.
+//! A concurrent map of shards, each under its own lock.
 
 use std::hash::BuildHasher;
 use std::hash::Hash;
@@ -11,10 +11,10 @@
 
 use indexmap::IndexMap;
 
-/// Enough that a dozen threads seldom meet at one lock.
+/// With a dozen threads, contention for one of this many locks is rare.
 const SHARD_COUNT: usize = 32;
 
-/// A map in shards. No call holds more than one lock, so that no two calls can wait for each other.
+/// A concurrent map of shards. No call holds more than one lock, which rules out deadlocks.
 #[derive(Debug)]
 pub struct ShardedMap<K, V> {
     hasher: RandomState,
@@ -23,7 +23,7 @@
 }
 
 impl<K: Hash + Eq + Clone, V> ShardedMap<K, V> {
-    /// An empty map.
+    /// Creates an empty map.
     pub fn new() -> Self {
         let shards = (0..SHARD_COUNT)
             .map(|_| Mutex::new(IndexMap::new()))
@@ -35,34 +35,34 @@
         }
     }
 
-    /// A number that grows with each call that may have changed something. Whoever works something
-    /// out from the whole map does it again only when this has grown.
+    /// A counter that grows with each call that may have changed the map. Results derived from the
+    /// whole map need to be recomputed only if the counter has grown.
     pub fn change_count(&self) -> u64 {
         self.changes.load(Ordering::Acquire)
     }
 
-    /// Sets a value and returns the earlier one.
+    /// Sets a value and returns the previous one.
     pub fn insert(&self, key: K, value: V) -> Option<V> {
         let before = self.shard(&key).insert(key, value);
         self.record_change();
         before
     }
 
-    /// Removes a value.
+    /// Removes a value and returns it.
     pub fn remove(&self, key: &K) -> Option<V> {
         let before = self.shard(key).swap_remove(key);
         self.record_change();
         before
     }
 
-    /// Runs `change` on the value of a key under its shard's lock.
+    /// Runs `change` on the value of a key under the lock of its shard.
     pub fn update<R>(&self, key: &K, change: impl FnOnce(&mut V) -> R) -> Option<R> {
         let changed = self.shard(key).get_mut(key).map(change);
         self.record_change();
         changed
     }
 
-    /// Runs `change` on the value of a key, made by `make` if there is none.
+    /// Runs `change` on the value of a key, which `make` creates if there is none.
     pub fn upsert<R>(
         &self,
         key: &K,
@@ -74,7 +74,7 @@
         changed
     }
 
-    /// Keeps the entries that `keep` wants.
+    /// Keeps the entries for which `keep` returns true.
     pub fn retain(&self, mut keep: impl FnMut(&K, &mut V) -> bool) {
         for shard in &self.shards {
             lock(shard).retain(&mut keep);
@@ -82,7 +82,8 @@
         self.record_change();
     }
 
-    /// How many entries are such; other threads may be changing them.
+    /// Counts the values for which `predicate` returns true. Other threads may change the map
+    /// meanwhile.
     pub fn count(&self, mut predicate: impl FnMut(&V) -> bool) -> usize {
         let count_in_shard = |shard: &Mutex<IndexMap<K, V>>| {
             lock(shard)
@@ -93,12 +94,12 @@
         self.shards.iter().map(count_in_shard).sum()
     }
 
-    /// How many entries there are; other threads may be changing it.
+    /// The number of entries. Other threads may change the map meanwhile.
     pub fn len(&self) -> usize {
         self.shards.iter().map(|shard| lock(shard).len()).sum()
     }
 
-    /// Whether there are none.
+    /// Whether the map has no entries.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -115,12 +116,12 @@
 }
 
 impl<K: Hash + Eq + Clone, V: Clone> ShardedMap<K, V> {
-    /// A copy of one value.
+    /// Returns a copy of one value.
     pub fn get(&self, key: &K) -> Option<V> {
         self.shard(key).get(key).cloned()
     }
 
-    /// A copy of all entries, shard by shard.
+    /// Returns a copy of all entries, shard by shard.
     pub fn snapshot(&self) -> Vec<(K, V)> {
         let copy = |shard: &Mutex<IndexMap<K, V>>| -> Vec<(K, V)> {
             lock(shard)
--- a/src/cluster_view/upstream_view.rs
+++ b/src/cluster_view/upstream_view.rs
@@ -1,4 +1,4 @@
-//! An upstream as this host sees it.
+//! An upstream as seen by this host.
 
 use std::net::SocketAddr;
 
@@ -8,19 +8,19 @@
 use crate::units::TargetId;
 use crate::units::UpstreamId;
 
-/// What is known of an upstream from the platform's list and from peers.
+/// The state of an upstream according to the platform's list and to peers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamView {
-    /// Its name.
+    /// The id of the upstream.
     pub id: UpstreamId,
-    /// The model or service that it serves.
+    /// The model or service that the upstream serves.
     pub target: TargetId,
-    /// Its failure domain.
+    /// The failure domain of the upstream.
     pub domain: FailureDomainId,
-    /// Where it listens.
+    /// The address at which the upstream listens.
     pub addr: SocketAddr,
-    /// The version of the platform's word on it.
+    /// The version of the upstream's entry in the platform's list.
     pub version: ObjectVersion,
-    /// Whether it may get new work.
+    /// Whether the upstream may get new requests.
     pub health: UpstreamHealth,
 }
--- a/src/exchange/active_collectors.rs
+++ b/src/exchange/active_collectors.rs
@@ -1,4 +1,4 @@
-//! Which collector speaks for each other failure domain.
+//! The collector that each other failure domain is currently heard through.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,22 +10,23 @@
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
-/// A collector that has been silent for this long no longer speaks for its domain to this host.
+/// Time without an update after which a collector no longer represents its failure domain.
 const COLLECTOR_HOLD_TIME: Duration = Duration::from_millis(300);
 
-/// The collector that speaks for each other domain to this host, and when it did last.
+/// The active collector of each other failure domain, and when its last update arrived.
 #[derive(Debug, Default)]
 pub(crate) struct ActiveCollectors {
     by_domain: IndexMap<FailureDomainId, (HostId, Instant)>,
 }
 
 impl ActiveCollectors {
-    /// What a collector says for its domain, if it is the one that this host listens to, after what is
-    /// taken back of another one.
+    /// Returns the updates to apply for an update of a collector: none if another collector of its
+    /// domain is active; on a change of collectors, an empty update that removes the load of the
+    /// former one comes first.
     ///
-    /// Failure it guards against: two hosts of a domain collect for a moment, each speaks for all of
-    /// it, and its work counts twice. It holds because one of them is listened to until it is silent,
-    /// and what it said is taken back when the other one is.
+    /// For a moment, two hosts of a domain can both be collectors, and each sends the load of the
+    /// whole domain. Accepting both would count that load twice. One of them stays active until it
+    /// times out, and its load is removed when the other one takes over.
     pub(crate) fn accept(
         &mut self,
         domain: FailureDomainId,
@@ -47,7 +48,7 @@
         accepted
     }
 
-    /// Whether a host speaks for its domain.
+    /// Whether `host` is the active collector of its failure domain.
     pub(crate) fn is_active(&self, host: &HostId) -> bool {
         self.by_domain
             .values()
@@ -55,7 +56,7 @@
     }
 }
 
-/// That a collector's domain has no work any more.
+/// An update that reports no load for the failure domain of `collector`.
 fn empty_domain_update(collector: &HostId) -> HostUpdate {
     HostUpdate {
         host: collector.to_string(),
--- a/src/exchange/aggregate.rs
+++ b/src/exchange/aggregate.rs
@@ -1,4 +1,5 @@
-//! What a collector has gathered: from the hosts of its domain, and from the other collectors.
+//! The state that a collector aggregates from the hosts of its failure domain and from the
+//! collectors of other domains.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,25 +17,25 @@
 use crate::exchange::source_state::SourceState;
 use crate::units::HostId;
 
-/// One that has said nothing for this long has died, or is cut off. As long as hosts remember a silent
-/// one themselves.
+/// Time without an update after which a source counts as dead or partitioned. All hosts forget a
+/// silent peer after the same time.
 const SOURCE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a collector has gathered.
+/// The state that a collector aggregates.
 #[derive(Debug)]
 pub(crate) struct Aggregate {
-    /// The hosts of its domain, itself included.
+    /// The hosts of the collector's failure domain, the collector included.
     neighbours: IndexMap<HostId, SourceState>,
-    /// The other domains, each by the collector that speaks for it.
+    /// The other failure domains, each keyed by its active collector.
     remote_domains: IndexMap<HostId, SourceState>,
-    /// All hosts of its domain together.
+    /// The aggregated load of all hosts of the collector's failure domain.
     domain_total: SourceState,
-    /// What the other collectors were told of limits.
+    /// The rate limits last sent to the other collectors.
     sent_limits: SentLimits,
 }
 
 impl Aggregate {
-    /// Nothing gathered.
+    /// Creates an empty aggregate.
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             neighbours: IndexMap::new(),
@@ -44,14 +45,14 @@
         }
     }
 
-    /// Takes in what a host of the domain says.
+    /// Records an update of a host of the same failure domain.
     pub(crate) fn on_neighbour_update(&mut self, host: HostId, update: HostUpdate, now: Instant) {
         let new = || SourceState::new(now);
         let neighbour = self.neighbours.entry(host).or_insert_with(new);
         neighbour.on_update(update, now);
     }
 
-    /// Takes in what another collector says.
+    /// Records an update that another collector sent for its failure domain.
     pub(crate) fn on_domain_update(&mut self, host: HostId, update: HostUpdate, now: Instant) {
         let new = || SourceState::new(now);
         self.remote_domains
@@ -60,12 +61,12 @@
             .on_update(update, now);
     }
 
-    /// Forgets collectors that no longer speak for their domain.
+    /// Forgets collectors that no longer represent their failure domain.
     pub(crate) fn retain_remote(&mut self, is_active: impl Fn(&HostId) -> bool) {
         self.remote_domains.retain(|host, _| is_active(host));
     }
 
-    /// Some receiver has heard nothing of this yet.
+    /// Makes the next messages complete, for a recipient that has received nothing yet.
     pub(crate) fn resend_all(&mut self) {
         self.domain_total.resend_all();
         self.sent_limits = SentLimits::default();
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Forgets those that are silent.
+    /// Forgets sources that have timed out.
     pub(crate) fn expire_sources(&mut self, now: Instant) {
         let is_kept = |source: &SourceState| {
             now.saturating_duration_since(source.heard_at()) < SOURCE_TIMEOUT
@@ -83,7 +84,7 @@
         self.remote_domains.retain(|_, remote| is_kept(remote));
     }
 
-    /// What is to be sent now; `own` is what this host says of itself.
+    /// Returns the messages to send now. `own` is the update of this host alone.
     pub(crate) fn next_messages(&mut self, own: HostUpdate, now: Instant) -> CollectorMessages {
         let header = HostUpdate {
             loads: Vec::new(),
@@ -119,7 +120,7 @@
         CollectorMessages { relay, domain }
     }
 
-    /// The requests that crashed upstreams, as the hosts of the domain tell them.
+    /// Takes the requests that crashed upstreams, as reported by the hosts of the domain.
     fn take_domain_poisons(&mut self, now: Instant) -> Vec<PoisonEntry> {
         let neighbours = self.neighbours.values_mut();
         let mut poisons: Vec<PoisonEntry> = neighbours
--- a/src/exchange/codec.rs
+++ b/src/exchange/codec.rs
@@ -1,4 +1,4 @@
-//! One message a datagram.
+//! The codec of the exchange: one message per datagram.
 
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -9,10 +9,10 @@
 use crate::exchange::ExchangeError;
 use crate::exchange::HostUpdate;
 
-/// The largest payload of a datagram over IPv4.
+/// The largest UDP payload over IPv4, in bytes.
 const DATAGRAM_LEN_MAX: usize = 65_507;
 
-/// Reads and writes messages as whole datagrams.
+/// Encodes and decodes messages as whole datagrams.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UpdateCodec;
 
@@ -24,13 +24,13 @@
         if src.is_empty() {
             return Ok(None);
         }
-        // All of the datagram is taken, also when it can't be read: what is left over would be
-        // read as the beginning of the next one.
+        // Consumes the whole datagram even if it cannot be decoded. Leftover bytes would be read as
+        // the beginning of the next datagram.
         Ok(Some(HostUpdate::decode(src.split())?))
     }
 }
 
-/// Writes a message that is encoded already.
+/// Writes a message that has already been encoded.
 impl Encoder<Bytes> for UpdateCodec {
     type Error = ExchangeError;
 
--- a/src/exchange/collector_messages.rs
+++ b/src/exchange/collector_messages.rs
@@ -1,12 +1,12 @@
-//! What a collector sends in one turn.
+//! The messages that a collector sends in one round.
 
 use crate::exchange::HostUpdate;
 
-/// What a collector sends in one turn.
+/// The messages that a collector sends in one round.
 #[derive(Debug, Default)]
 pub(crate) struct CollectorMessages {
-    /// To the hosts of its domain.
+    /// The message to the hosts of the collector's failure domain.
     pub(crate) relay: HostUpdate,
-    /// To the other collectors.
+    /// The message to the other collectors, if there is anything new.
     pub(crate) domain: Option<HostUpdate>,
 }
--- a/src/exchange/collector_tracker.rs
+++ b/src/exchange/collector_tracker.rs
@@ -1,7 +1,7 @@
-//! Which hosts collect, as one host believes.
+//! The liveness of collectors, and their election, from the point of view of one host.
 //!
-//! Hosts need not agree: each collector of a domain speaks for all of it, and hosts of other domains
-//! listen to one of them.
+//! Hosts need not agree on the collector: each collector of a failure domain reports for the whole
+//! domain, and hosts of other domains accept the updates of only one of them.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -14,33 +14,35 @@
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
-/// A collector that is silent for this long is left: four of its messages when it has nothing to pass
-/// on, ten when it has. News from other domains stop for that long when one dies.
+/// Time without a message after which a collector is replaced. An idle collector sends four
+/// messages in this time, a busy one ten. When a collector dies, updates from other failure domains
+/// stop for this long.
 const COLLECTOR_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long one that was left is not chosen again, unless it is heard.
+/// Time for which a replaced collector is not elected again, unless a message of it arrives.
 const EXCLUSION_TIME: Duration = Duration::from_secs(3);
-/// A host that was heard within this time lives: four of its messages when it has nothing to tell.
+/// Time without a message after which a host of the same failure domain counts as dead; four
+/// heartbeats.
 const NEIGHBOUR_TIMEOUT: Duration = Duration::from_secs(1);
-/// Hosts of another domain that are told at once while its collector is not known. Each passes on what
-/// it gets, so one that lives is enough; where half of a fleet has lost its power at once, one of ten
-/// does.
+/// Number of hosts of another failure domain that receive updates while its collector is unknown.
+/// Each forwards what it receives to the collector, so one live host is enough; after a power loss
+/// that takes down half of a fleet, one of ten hosts is still alive.
 const DISCOVERY_FANOUT: usize = 10;
 
-/// What one host believes of the collectors.
+/// The liveness of neighbours and collectors, as seen by one host.
 #[derive(Debug, Default)]
 pub(crate) struct CollectorTracker {
-    /// When each host of this domain was heard last.
+    /// When the last message of each host of this failure domain arrived.
     neighbour_heard_at: IndexMap<HostId, Instant>,
-    /// When each collector spoke last to this host itself.
+    /// When the last message that each collector sent directly to this host arrived.
     collector_heard_at: IndexMap<HostId, Instant>,
-    /// Since when this host has been waiting for each to speak.
+    /// When this host began to expect messages of each monitored collector.
     waiting_since: IndexMap<HostId, Instant>,
-    /// Until when each is not chosen.
+    /// The time until which each host is excluded from election.
     excluded_until: IndexMap<HostId, Instant>,
 }
 
 impl CollectorTracker {
-    /// Takes in that a host of this domain lives.
+    /// Records that a host of this failure domain is alive.
     pub(crate) fn on_neighbour_heard(&mut self, host: &HostId, now: Instant) {
         match self.neighbour_heard_at.get_mut(host) {
             Some(heard_at) => *heard_at = now,
@@ -50,19 +52,18 @@
         }
     }
 
-    /// Takes in that a collector spoke to this host.
+    /// Records a message that a collector sent directly to this host.
     pub(crate) fn on_collector_heard(&mut self, host: &HostId, now: Instant) {
         self.collector_heard_at.insert(host.clone(), now);
         self.excluded_until.swap_remove(host);
     }
 
-    /// Whether a collector has spoken to this host lately.
+    /// Whether a collector has sent a message to this host within the timeout.
     pub(crate) fn has_reported(&self, host: &HostId, now: Instant) -> bool {
         is_within(self.collector_heard_at.get(host), COLLECTOR_TIMEOUT, now)
     }
 
-    /// Waits for those that are among `chosen` and for no others, and leaves those of them that stay
-    /// silent.
+    /// Monitors exactly the given hosts, and excludes those that have timed out.
     pub(crate) fn monitor(&mut self, monitored: &[HostId], now: Instant) {
         self.waiting_since
             .retain(|host, _| monitored.contains(host));
@@ -80,7 +81,7 @@
         }
     }
 
-    /// When one of those that this host waits for is to be left, if it stays silent.
+    /// The earliest time at which a monitored host times out.
     pub(crate) fn next_timeout(&self) -> Option<Instant> {
         let next_timeout = |(host, started_at): (&HostId, &Instant)| {
             let heard_at = self.collector_heard_at.get(host).unwrap_or(started_at);
@@ -89,7 +90,8 @@
         self.waiting_since.iter().map(next_timeout).min()
     }
 
-    /// The strongest host of a domain that lives, which collects for it; `own` is this host.
+    /// Elects the strongest live host of a failure domain as its collector. `own` is this host,
+    /// which always counts as alive.
     pub(crate) fn elect<'a>(
         &self,
         neighbours: impl Iterator<Item = &'a ListedHost>,
@@ -104,8 +106,9 @@
         strongest_host(neighbours.filter(is_live))
     }
 
-    /// The hosts of another domain that this one tells as a collector: those that spoke lately, else a
-    /// few that pass it on to the one that collects there.
+    /// The hosts of another failure domain to which this host, as a collector, sends updates: those
+    /// that have sent a message recently, otherwise a few hosts that forward updates to their
+    /// collector.
     pub(crate) fn remote_collectors(
         &self,
         hosts: &[ListedHost],
--- a/src/exchange/error.rs
+++ b/src/exchange/error.rs
@@ -1,16 +1,16 @@
-//! What can go wrong with one datagram.
+//! Errors of sending or receiving a datagram.
 
 use std::fmt;
 use std::io;
 
-/// Why a datagram could not be sent or read.
+/// The reason why a datagram could not be sent or decoded.
 #[derive(Debug)]
 pub enum ExchangeError {
-    /// The socket failed.
+    /// An I/O error of the socket.
     Io(io::Error),
-    /// The bytes are not a message.
+    /// The datagram does not hold a valid message.
     Decode(prost::DecodeError),
-    /// The message does not fit into a datagram; its length in bytes.
+    /// The message does not fit into a datagram. The value is its length in bytes.
     TooLong(usize),
 }
 
@@ -18,7 +18,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Io(err) => write!(f, "datagram socket: {err}"),
-            Self::Decode(err) => write!(f, "datagram is no message: {err}"),
+            Self::Decode(err) => write!(f, "datagram is not a valid message: {err}"),
             Self::TooLong(len) => write!(f, "message of {len} bytes is too long for a datagram"),
         }
     }
--- a/src/exchange/exchange_state.rs
+++ b/src/exchange/exchange_state.rs
@@ -1,13 +1,15 @@
-//! Who tells whom, and when: all of the exchange but the socket.
+//! The protocol of the exchange as a state machine without I/O: which host sends what to whom, and
+//! when.
 //!
-//! In a small fleet each host tells every other one. In a larger one each tells the hosts
-//! of its failure domain, and the strongest of them, the collector, tells the collectors of the other
-//! domains what all of its domain have together; these pass it on.
+//! In a small fleet each host sends its updates to every other host. In a large fleet each host
+//! sends them to the hosts of its failure domain. The strongest of these hosts, the collector,
+//! sends the aggregated load of the domain to the collectors of the other domains, which relay it
+//! to their own hosts.
 //!
-//! Load it answers: told by each to each, news of 195 hosts were 78,000 messages a second and half a
-//! second old, since a host can receive only so many; in that time hosts place a hundred prompts that
-//! the others don't know of. Hosts that choose among the engines of their own domain first need young
-//! news of their neighbours alone.
+//! With a full mesh, 195 hosts would send 78,000 messages a second. Since a host can receive only
+//! so many, updates would be half a second old, and in that time hosts place a hundred prompts that
+//! the others do not know of. Hosts that prefer the engines of their own domain need recent updates
+//! of their neighbours only.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,61 +36,64 @@
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
-/// Up to so many hosts each tells every other one. Twice as many would send a megabyte a second between
-/// domains at their usual load, and each host would receive more messages than by way of a collector.
+/// The largest fleet in which each host sends to every other one. At twice this size, full-mesh
+/// updates would take a megabyte a second between failure domains at the usual load, and each host
+/// would receive more messages than through a collector.
 const DIRECT_HOSTS_MAX: usize = 32;
-/// The shortest time between two messages of a collector that has something to pass on. Each costs it a
-/// send for each host of its domain: with 40 of them a hundredth of a core.
+/// The minimum interval between two messages of a collector that has changes to relay. Each round
+/// costs one send for each host of the domain; with 40 hosts, a hundredth of a core.
 const RELAY_INTERVAL: Duration = Duration::from_millis(36);
-/// What is added to it at most, by the collector's name. CollectorTracker that send in step make what they
-/// tell each other wait for a whole interval, a third longer on the way at the median.
+/// Upper bound, in ms, of the offset added to [`RELAY_INTERVAL`], derived from the collector's
+/// name. Collectors that send in lockstep delay each other's updates by a whole interval, which
+/// makes the median latency a third longer.
 const RELAY_STAGGER_MS: u64 = 8;
-/// Between two messages of a collector that has nothing to pass on; its silence makes the others choose
-/// another one.
+/// The interval between two messages of a collector that has nothing to relay. Its silence makes
+/// other hosts elect another collector.
 const RELAY_IDLE_INTERVAL: Duration = Duration::from_millis(100);
-/// How old news of other domains are at most when nothing is lost: told, and passed on twice.
+/// The maximum age of updates of other failure domains if no message is lost: one send and two
+/// relays.
 const REMOTE_AGE_MAX: Duration = Duration::from_millis(100);
-/// A host that has just started listens for this long before it collects: two messages of each
-/// neighbour that has nothing to tell.
+/// Time for which a host that has just started only listens before it acts as a collector; two
+/// heartbeats of each neighbour.
 const STARTUP_LISTEN_TIME: Duration = Duration::from_millis(600);
-/// Work in one message of a collector. 400 entries are 12 KB, which a receiver takes in within a
-/// millisecond.
+/// The maximum number of load entries in one relay message. 400 entries take 12 KB, which a
+/// recipient processes within a millisecond.
 const RELAY_LOADS_MAX: usize = 400;
 
-/// One host's place in the exchange.
+/// The state of one host in the exchange.
 #[derive(Debug)]
 pub struct ExchangeState {
     host: HostId,
     domain: FailureDomainId,
     started_at: Instant,
     hosts: Arc<Vec<ListedHost>>,
-    /// The domain of each host that may collect.
+    /// The failure domain of each host that can be a collector.
     domains: IndexMap<HostId, FailureDomainId>,
     other_domains: Vec<FailureDomainId>,
-    /// Those that this host tells of its own work.
+    /// The hosts to which this host sends its own updates.
     direct_peers: Vec<SocketAddr>,
-    /// Those of them that are of a former version.
+    /// The direct peers that run a version without support for collectors.
     legacy_peers: Vec<SocketAddr>,
-    /// The other hosts of its domain that understand what a collector passes on.
+    /// The other hosts of the same failure domain that understand relayed updates.
     domain_peers: Vec<SocketAddr>,
     collectors: CollectorTracker,
     aggregate: Aggregate,
-    /// The host that collects for this domain, if it is another one.
+    /// The collector of this host's failure domain; none if it is this host or the fleet is small.
     collector: Option<ListedHost>,
-    /// The other collectors that this one tells.
+    /// The hosts of other failure domains to which this host sends updates as a collector.
     remote_collectors: Vec<ListedHost>,
     active_collectors: ActiveCollectors,
     pacer: SendPacer,
     relay_interval: Duration,
     relay_sent_at: Instant,
-    /// Whether there is something to pass on.
+    /// Whether there are changes to relay.
     has_relay_data: bool,
-    /// What this host has told of limits.
+    /// The rate limits in the last updates of this host.
     sent_limits: SentLimits,
 }
 
 impl ExchangeState {
-    /// A host that knows of no other one yet.
+    /// Creates the state of a host that knows no other host yet.
     pub fn new(host: HostId, domain: FailureDomainId, now: Instant) -> Self {
         let stagger = xxh3_64(host.as_str().as_bytes()) % RELAY_STAGGER_MS;
         Self {
@@ -114,7 +119,7 @@
         }
     }
 
-    /// Takes in the list of hosts, this one included.
+    /// Replaces the list of hosts, which includes this one.
     pub fn set_hosts(&mut self, hosts: &Arc<Vec<ListedHost>>, now: Instant) {
         if Arc::ptr_eq(&self.hosts, hosts) {
             return;
@@ -148,13 +153,13 @@
         self.elect_collector(now);
     }
 
-    /// Takes in that there is something to tell.
+    /// Requests that a message is sent for the given reason.
     pub fn request_send(&mut self, reason: SendReason) {
         self.pacer.request_send(reason);
         self.has_relay_data = true;
     }
 
-    /// By which way news come to this host now.
+    /// The route on which updates reach this host now.
     pub fn current_route(&self, now: Instant) -> UpdateRoute {
         let local_age_max = update_interval(self.direct_peers.len());
         if !self.is_large() {
@@ -173,7 +178,7 @@
         }
     }
 
-    /// When [`ExchangeState::speak`] has something to do.
+    /// The time at which [`ExchangeState::due_messages`] has to be called next.
     pub fn due_at(&self) -> Instant {
         let own = self.pacer.due_at(update_interval(self.direct_peers.len()));
         let relay = self.is_collector().then(|| self.relay_due_at());
@@ -184,7 +189,7 @@
             .fold(own, Instant::min)
     }
 
-    /// The messages that are due; `own` makes what this host says of itself.
+    /// Returns the messages that are due now. `own` builds the update of this host alone.
     pub fn due_messages(
         &mut self,
         own: impl Fn() -> HostUpdate,
@@ -208,7 +213,7 @@
         outgoing
     }
 
-    /// Takes in a message. Returns what it says of work, and what is to be passed on at once.
+    /// Handles a received message. Returns the updates to apply, and a message to forward at once.
     pub fn on_message(
         &mut self,
         update: HostUpdate,
@@ -254,7 +259,8 @@
         if let Some(update) = accepted.last() {
             self.aggregate.on_domain_update(host, update.clone(), now);
         }
-        // What is taken back is not passed on: the hosts of this domain take it back by themselves.
+        // An update that only removes the load of a former collector is not relayed: the hosts of
+        // this domain remove that load on their own.
         self.aggregate
             .retain_remote(|host| self.active_collectors.is_active(host));
         (accepted, None)
@@ -271,7 +277,7 @@
         let relayed = std::mem::take(&mut update.relayed);
         let mut accepted = vec![update];
         if self.is_collector() {
-            // The other collectors tell this one as well.
+            // The other collectors send their updates to this collector as well.
             return accepted;
         }
         for update in relayed {
@@ -285,7 +291,7 @@
         accepted
     }
 
-    /// What a collector of another domain says, if it is the one that this host listens to.
+    /// Returns the updates to apply for an update of a collector of another failure domain.
     fn accept_domain_update(
         &mut self,
         collector: &HostId,
@@ -301,7 +307,7 @@
         }
     }
 
-    /// Whether this host collects.
+    /// Whether this host acts as a collector.
     fn is_collector(&self) -> bool {
         self.is_large() && self.collector.is_none()
     }
@@ -335,7 +341,8 @@
         self.collectors.monitor(&monitored, now);
     }
 
-    /// The other collectors, or hosts that know them.
+    /// The hosts of other failure domains to which this collector sends updates: their collectors
+    /// where known, otherwise hosts that forward to them.
     fn choose_remote_collectors(&self, now: Instant) -> Vec<ListedHost> {
         let domains = self.other_domains.iter();
         let remote =
@@ -343,7 +350,7 @@
         remote.collect()
     }
 
-    /// What this host says of itself, to all that it tells.
+    /// The messages that carry the update of this host alone to its direct peers.
     fn own_messages(&self, own: HostUpdate) -> Vec<OutgoingUpdate> {
         if !self.is_large() {
             let recipients = self.direct_peers.clone();
@@ -392,9 +399,9 @@
     }
 }
 
-/// Sends a domain's news, which came here because its collector does not know who collects in this one,
-/// to the host that does. Once only: two hosts that take each other for the collector would send it to
-/// and fro without end.
+/// Forwards an update of another failure domain, whose collector does not know the collector of
+/// this domain, to the collector of this domain. An update is forwarded only once: two hosts that
+/// take each other for the collector would otherwise forward it in a loop.
 fn redirect(collector: &ListedHost, update: HostUpdate) -> Option<OutgoingUpdate> {
     if update.is_redirected {
         return None;
@@ -407,12 +414,13 @@
     Some(OutgoingUpdate { recipients, update })
 }
 
-/// Whether so many hosts are too many for each to tell every other one.
+/// Whether a fleet of `hosts` hosts is too large for a full mesh of updates.
 pub fn is_large_fleet(hosts: usize) -> bool {
     hosts > DIRECT_HOSTS_MAX
 }
 
-/// Names upstreams by their hashes, which a receiver looks up where it would copy the names.
+/// Replaces the ids of upstreams by their hashes. The recipient looks up a hash instead of copying
+/// a name.
 fn with_upstream_hashes(mut update: HostUpdate) -> HostUpdate {
     for load in &mut update.loads {
         load.upstream_hash = UpstreamHash::of(&load.upstream).0;
@@ -421,7 +429,7 @@
     update
 }
 
-/// Splits what a collector passes on into messages of a bounded size.
+/// Splits a relay message into messages of bounded size.
 fn split_relay(mut relay: HostUpdate) -> Vec<HostUpdate> {
     let relayed = std::mem::take(&mut relay.relayed);
     let mut loads = 0;
--- a/src/exchange/load_state.rs
+++ b/src/exchange/load_state.rs
@@ -1,4 +1,4 @@
-//! Work at one upstream, with times that do not depend on when it is told.
+//! The load at one upstream, with absolute times in place of the relative times of messages.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,11 +7,11 @@
 use crate::exchange::UpstreamHash;
 use crate::units::whole_millis_u32;
 
-/// Due times that differ by less than this count as the same: messages carry whole milliseconds, and
-/// each way takes a little longer or shorter.
+/// Due times that differ by less than this count as equal: messages carry whole milliseconds, and
+/// their latency varies.
 const DUE_TOLERANCE: Duration = Duration::from_millis(20);
 
-/// Work of one host or several at one upstream.
+/// The load of one host, or of several together, at one upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LoadState {
     in_flight: u32,
@@ -25,7 +25,7 @@
 }
 
 impl LoadState {
-    /// What a message says that was heard at `now`.
+    /// Converts an entry of a message that was received at `now`.
     pub(crate) fn from_entry(entry: &LoadEntry, now: Instant) -> Self {
         let after = |ms: u32| now + Duration::from_millis(ms.into());
         Self {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// What a message says that is sent at `now`.
+    /// Converts the load into an entry of a message that is sent at `now`.
     pub(crate) fn to_entry(&self, upstream: UpstreamHash, now: Instant) -> LoadEntry {
         let until = |at: Instant| whole_millis_u32(at.saturating_duration_since(now));
         LoadEntry {
@@ -53,12 +53,14 @@
             strictest_pause_ms: self.strictest_pause_ms.unwrap_or(0),
             held_tokens: self.held_tokens,
             helping: self.helping,
-            // What is overdue stays so until its host says otherwise; 0 would say that nothing is due.
+            // An overdue time stays overdue until its host reports otherwise; 0 would mean that
+            // nothing is due.
             prefill_due_ms: self.prefill_due.map_or(0, |at| until(at).max(1)),
         }
     }
 
-    /// That the work has ended. The total is told once more, so that none of it is counted again.
+    /// An entry which says that the load has ended. It repeats the total, so that none of that
+    /// prefill is counted again.
     pub(crate) fn ended_entry(&self, upstream: UpstreamHash) -> LoadEntry {
         LoadEntry {
             upstream_hash: upstream.0,
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Adds the work of another host.
+    /// Adds the load of another host.
     pub(crate) fn add(&mut self, other: &Self) {
         self.in_flight += other.in_flight;
         self.short_in_flight += other.short_in_flight;
@@ -81,7 +83,8 @@
         self.prefill_due = dues.into_iter().flatten().min();
     }
 
-    /// Whether it has to be told again, where `self` was told last. What only passes with time is known.
+    /// Whether the load has to be sent again if `sent` was sent last. Changes that follow from the
+    /// passage of time alone do not count.
     pub(crate) fn differs_from(&self, sent: &Self) -> bool {
         let counts = |load: &Self| {
             (
--- a/src/exchange/message.rs
+++ b/src/exchange/message.rs
@@ -1,4 +1,4 @@
-//! The messages. Field numbers are never used again.
+//! The protobuf messages of the exchange. Field numbers must not be reused.
 
 use std::time::Duration;
 
@@ -6,102 +6,110 @@
 use crate::exchange::UpstreamHash;
 use crate::units::whole_millis_u32;
 
-/// What one host tells, of itself or for others. Tag 6 was used before.
+/// The update that one host sends, for itself or on behalf of others. Tag 6 is retired.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct HostUpdate {
     /// The name of the sender.
     #[prost(string, tag = "1")]
     pub host: String,
-    /// Drawn at the sender's start; totals begin anew with it.
+    /// A random number drawn at each start of the sender. Totals start from zero with each
+    /// incarnation.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// Grows with each message of an incarnation.
+    /// The sequence number of the message within the incarnation.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
-    /// The work at upstreams; those without any are left out.
+    /// The load at upstreams. Upstreams without load are left out.
     #[prost(message, repeated, tag = "4")]
     pub loads: Vec<LoadEntry>,
-    /// The version of the manifest that the sender has read last; 0 if none, or if it does not say.
+    /// The version of the manifest that the sender read last; 0 if it has read none or does not
+    /// report one.
     #[prost(uint64, tag = "7")]
     pub routes_version: u64,
-    /// The version of the upstreams that it has read last; 0 if none, or if it does not say.
+    /// The version of the list of upstreams that the sender read last; 0 if it has read none or
+    /// does not report one.
     #[prost(fixed64, tag = "8")]
     pub upstreams_version: u64,
-    /// Upstreams that the sender could not reach lately.
+    /// Upstreams that the sender could not reach recently.
     #[prost(string, repeated, tag = "9")]
     pub unreachable_upstreams: Vec<String>,
-    /// Failure domains that it takes for cut off.
+    /// Failure domains that the sender considers partitioned from its own.
     #[prost(string, repeated, tag = "10")]
     pub unreachable_domains: Vec<String>,
-    /// Requests that crashed upstreams lately.
+    /// Requests that crashed upstreams recently.
     #[prost(message, repeated, tag = "5")]
     pub poisons: Vec<PoisonEntry>,
-    /// For whom it speaks. A host of a former version knows of its own scope only, and is sent nothing
-    /// else.
+    /// Whose state the message carries. Hosts of an earlier version know messages of the scope
+    /// [`MessageScope::Host`] only and are sent no others.
     #[prost(enumeration = "MessageScope", tag = "11")]
     pub scope: i32,
-    /// Whether `loads` names only what has changed since the last message.
+    /// Whether `loads` holds only the changes since the last message.
     #[prost(bool, tag = "12")]
     pub is_partial: bool,
-    /// What a collector passes on.
+    /// The updates that a collector relays.
     #[prost(message, repeated, tag = "13")]
     pub relayed: Vec<HostUpdate>,
-    /// Whether a host that does not collect has passed it on to the one that does.
+    /// Whether a host that is not a collector has forwarded the message to its collector.
     #[prost(bool, tag = "14")]
     pub is_redirected: bool,
-    /// One more than the time since the sender's manifest and upstreams were certainly the newest, in ms;
-    /// 0 if it does not say, or has not read them yet.
+    /// One more than the time since the sender's manifest and list of upstreams were last confirmed
+    /// to be current, in ms; 0 if the sender does not report it or has not read them yet.
     #[prost(uint32, tag = "15")]
     pub confirmed_age_plus_one_ms: u32,
-    /// Engines that the sender has asked and that are slow; those that it speaks of no more are sound.
+    /// Slow engines that the sender has probed. An engine that is no longer included runs at full
+    /// speed.
     #[prost(message, repeated, tag = "16")]
     pub slowdowns: Vec<SlowdownEntry>,
-    /// Upstreams that have named a limit, and what was sent there. Those that it doesn't name are as before.
+    /// Upstreams that have named a rate limit, and the requests sent to them. Upstreams that are
+    /// not included are unchanged.
     #[prost(message, repeated, tag = "17")]
     pub limits: Vec<LimitEntry>,
 }
 
-/// The work at one upstream.
+/// The load at one upstream.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct LoadEntry {
-    /// The upstream; empty where its hash is given.
+    /// The id of the upstream; empty if `upstream_hash` is set.
     #[prost(string, tag = "1")]
     pub upstream: String,
-    /// The hash of the upstream's id, a third of its bytes; 0 where its id is given.
+    /// The hash of the upstream's id, which takes a third of the bytes; 0 if `upstream` is set.
     #[prost(fixed64, tag = "9")]
     pub upstream_hash: u64,
-    /// Requests that have not ended.
+    /// The number of requests in flight.
     #[prost(uint32, tag = "2")]
     pub in_flight: u32,
-    /// Those of them with a short prompt.
+    /// The number of requests in flight that have a short prompt.
     #[prost(uint32, tag = "3")]
     pub short_in_flight: u32,
-    /// Time until it has read in what the sender sent there, as far as that knows, in ms.
+    /// Time until the upstream has finished the prefill of the sender's requests, in ms, as
+    /// estimated by the sender.
     #[prost(uint32, tag = "4")]
     pub prefill_remaining_ms: u32,
-    /// Reading time of all that the sender has sent there since its start, in microseconds.
+    /// The total prefill time of all requests that the sender has sent to the upstream since its
+    /// start, in microseconds.
     #[prost(uint64, tag = "7")]
     pub prefill_total_us: u64,
-    /// The shortest pause that a caller of one of them accepts between two events, in ms; 0 if none
-    /// says.
+    /// The shortest pause between two events that the caller of a request in flight accepts, in ms;
+    /// 0 if no caller has a limit.
     #[prost(uint32, tag = "6")]
     pub strictest_pause_ms: u32,
-    /// Memory that these requests take, in tokens.
+    /// Engine memory held by the requests in flight, in tokens.
     #[prost(uint64, tag = "5")]
     pub held_tokens: u64,
-    /// Time until the first of the sender's prompts that are being read there has to have its first
-    /// event to be on time, in ms; 0 if none is.
+    /// Time until the earliest deadline for a first event among the sender's requests in prefill,
+    /// in ms; 0 if there are none.
     #[prost(uint32, tag = "8")]
     pub prefill_due_ms: u32,
-    /// Prompts of other engines that it helps to read or keeps a part of; 0 if the sender does not say.
+    /// The number of prompts of other engines for which the upstream helps with prefill or holds a
+    /// part; 0 if the sender does not report it.
     #[prost(uint32, tag = "10")]
     pub helping: u32,
 }
 
 impl LoadEntry {
-    /// The hash of the upstream's id, by whichever of the two it is named.
+    /// The hash of the upstream's id, whichever of the two fields identifies the upstream.
     pub fn hash(&self) -> UpstreamHash {
         if self.upstream_hash == 0 {
             UpstreamHash::of(&self.upstream)
@@ -111,46 +119,48 @@
     }
 }
 
-/// An engine that is slow.
+/// An engine that is slower than its model.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct SlowdownEntry {
     /// The hash of the engine's id.
     #[prost(fixed64, tag = "1")]
     pub upstream_hash: u64,
-    /// How long it takes, in hundredths of what its model says.
+    /// The time that the engine takes, in percent of the time that its model predicts.
     #[prost(uint32, tag = "2")]
     pub slowdown_percent: u32,
 }
 
-/// An upstream that has named a limit of requests a second.
+/// An upstream that has named a limit of requests per second.
 #[derive(Clone, Copy, PartialEq)]
 #[derive(prost::Message)]
 pub struct LimitEntry {
     /// The hash of the upstream's id.
     #[prost(fixed64, tag = "1")]
     pub upstream_hash: u64,
-    /// The requests a second that it takes from all hosts together; none if the limit has ended.
+    /// The requests per second that the upstream accepts from all hosts together; none if the limit
+    /// has ended.
     #[prost(double, optional, tag = "2")]
     pub limit_per_s: Option<f64>,
-    /// The time since it said so, in ms.
+    /// Time since the upstream stated the limit, in ms.
     #[prost(uint32, tag = "3")]
     pub age_ms: u32,
-    /// Requests that the sender, or its failure domain, has sent there within the time over which limits are kept.
+    /// The requests that the sender, or its failure domain, has sent to the upstream within the
+    /// limit window.
     #[prost(uint32, tag = "4")]
     pub sent_in_window: u32,
-    /// Those of them within the shorter time.
+    /// The requests among them that were sent within the shorter burst window.
     #[prost(uint32, tag = "5")]
     pub sent_in_burst_window: u32,
 }
 
 impl LimitEntry {
-    /// The upstream.
+    /// The hash of the upstream's id.
     pub fn upstream(&self) -> UpstreamHash {
         UpstreamHash(self.upstream_hash)
     }
 
-    /// The same, told so much later.
+    /// Returns the entry as it reads after `time` has passed.
     pub(crate) fn aged_by(self, time: Duration) -> Self {
         Self {
             age_ms: self.age_ms.saturating_add(whole_millis_u32(time)),
@@ -158,7 +168,8 @@
         }
     }
 
-    /// The same for this sender and another one together.
+    /// Combines the entries of two senders for the same upstream: adds their requests and keeps the
+    /// more recent limit.
     pub(crate) fn combined_with(self, other: &Self) -> Self {
         let newer = if other.age_ms < self.age_ms {
             other
@@ -174,7 +185,7 @@
         }
     }
 
-    /// Whether only time has passed between the two.
+    /// Whether the two entries differ at most in their age.
     pub(crate) fn is_equal_ignoring_age(&self, other: &Self) -> bool {
         let age_ms = self.age_ms;
         *self == Self { age_ms, ..*other }
@@ -185,7 +196,7 @@
 #[derive(Clone, PartialEq, Eq, Hash)]
 #[derive(prost::Message)]
 pub struct PoisonEntry {
-    /// The hash it is recognised by, 16 bytes.
+    /// The hash that identifies the request, 16 bytes.
     #[prost(bytes = "vec", tag = "1")]
     pub content: Vec<u8>,
     /// The attempts that crashed an upstream, 16 bytes each.
--- a/src/exchange/message_scope.rs
+++ b/src/exchange/message_scope.rs
@@ -1,14 +1,14 @@
-//! For whom a message speaks.
+//! The scope of a message.
 
-/// For whom a message speaks, and what its receiver is to do with it.
+/// Whose state a message carries, and thus how its recipient handles it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(prost::Enumeration)]
 #[repr(i32)]
 pub enum MessageScope {
-    /// Of a host, of itself.
+    /// The state of the sending host alone.
     Host = 0,
-    /// Of a collector, of all hosts of its failure domain together, to those of other domains.
+    /// The aggregated state of the collector's failure domain, sent to hosts of other domains.
     Domain = 1,
-    /// Of a collector, to the hosts of its domain: what it has heard of the other domains.
+    /// The updates of other failure domains, relayed by a collector to the hosts of its own domain.
     Relay = 2,
 }
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -1,10 +1,10 @@
-//! What hosts tell each other all the time: their work at upstreams and requests that crash
-//! upstreams.
+//! The continuous exchange of load between hosts: their requests at upstreams, rate limits, and
+//! requests that crash upstreams.
 //!
-//! Each host sends its whole state in one datagram, to every other host in a small fleet and to the
-//! collector of its failure domain in a larger one ([`ExchangeState`]). CollectorTracker pass changes on, and all of
-//! it every few seconds, so a lost datagram costs a little time and there is nothing to ask for again.
-//! Nothing that must hold rests on it.
+//! Each host sends its complete state in one datagram, to every other host in a small fleet, and to
+//! the hosts of its failure domain in a larger one ([`ExchangeState`]). Collectors relay deltas,
+//! and complete snapshots every few seconds, so a lost datagram causes only a short delay and needs
+//! no retransmission. No guarantee of the system depends on the exchange.
 
 mod active_collectors;
 mod aggregate;
--- a/src/exchange/outgoing_update.rs
+++ b/src/exchange/outgoing_update.rs
@@ -1,14 +1,14 @@
-//! A message and where it goes.
+//! An update and its recipients.
 
 use std::net::SocketAddr;
 
 use crate::exchange::HostUpdate;
 
-/// A message and where it goes.
+/// An update and its recipients.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingUpdate {
-    /// The receivers.
+    /// The addresses of the recipients.
     pub recipients: Vec<SocketAddr>,
-    /// The message.
+    /// The update to send.
     pub update: HostUpdate,
 }
--- a/src/exchange/received_limits.rs
+++ b/src/exchange/received_limits.rs
@@ -1,4 +1,4 @@
-//! What a collector has heard of upstreams' limits from one host, or from one other collector.
+//! The rate limits that a collector has received from one source: a host or another collector.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,7 +8,8 @@
 use crate::exchange::LimitEntry;
 use crate::exchange::UpstreamHash;
 
-/// What was heard this long ago counts no more: the requests that it speaks of are over.
+/// Time after which a received limit is ignored, because the requests that it counts have left the
+/// limit window.
 const RETENTION: Duration = Duration::from_secs(4);
 
 #[derive(Clone, Copy, Debug)]
@@ -25,14 +26,14 @@
     }
 }
 
-/// The limits that one speaker has told of, by upstream.
+/// The rate limits received from one source, by upstream.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReceivedLimits {
     by_upstream: IndexMap<UpstreamHash, ReceivedLimit>,
 }
 
 impl ReceivedLimits {
-    /// Takes in what a message says; upstreams that it doesn't name are as before.
+    /// Records the limits of a message. Limits of upstreams that are not included stay unchanged.
     pub(crate) fn record(&mut self, limits: Vec<LimitEntry>, now: Instant) {
         for entry in limits {
             let received = ReceivedLimit {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// What is known now.
+    /// The limits that have not expired, with their age at `now`.
     pub(crate) fn current(&self, now: Instant) -> impl Iterator<Item = LimitEntry> {
         let is_kept = move |received: &&ReceivedLimit| {
             now.saturating_duration_since(received.received_at) < RETENTION
@@ -53,7 +54,7 @@
         kept.map(move |received| received.aged(now))
     }
 
-    /// What has not been passed on yet.
+    /// Takes the limits that have not been forwarded yet.
     pub(crate) fn take_pending(&mut self, now: Instant) -> Vec<LimitEntry> {
         let new = self
             .by_upstream
@@ -66,7 +67,7 @@
         pending.collect()
     }
 
-    /// Passes all on once more, for hosts that have heard nothing yet.
+    /// Marks all limits to be forwarded again, for recipients that have received nothing yet.
     pub(crate) fn mark_all_pending(&mut self) {
         for received in self.by_upstream.values_mut() {
             received.is_forwarded = false;
--- a/src/exchange/send_pacer.rs
+++ b/src/exchange/send_pacer.rs
@@ -1,47 +1,48 @@
-//! When a host's next message is due.
+//! The pacing of a host's messages.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// The shortest time between two messages. Two hosts that decide within it can choose the same
-/// upstream; the engines' passes, which take longer, even that out.
+/// The minimum interval between two messages. Two hosts that decide within it can choose the same
+/// upstream; the passes of engines take longer and smooth that out.
 const INTERVAL_MIN: Duration = Duration::from_millis(10);
-/// Messages with urgent changes that may follow each other at the shortest interval, while the host's
-/// messages on the whole stay as rare as the size of the fleet asks. A host of a fleet of 70 gets a few
-/// requests a second, so most of them can be told at once.
+/// Number of messages with urgent changes that may be sent in a burst at the minimum interval,
+/// while the average rate stays within the limit for the size of the fleet. In a fleet of 70, a
+/// host gets a few requests a second, so most of them can be sent at once.
 const URGENT_BURST: u32 = 3;
-/// What each further host adds to the interval, so that a host of a large fleet receives at most
-/// 400 messages a second, some hundredths of a core.
+/// The part of the interval that each peer adds. It bounds the messages that a host of a large
+/// fleet receives to 400 a second, which take a few hundredths of a core.
 const INTERVAL_PER_HOST: Duration = Duration::from_micros(2_500);
-/// A message is due this often even if nothing has changed; silence tells the others that a host is
-/// gone.
+/// The interval of messages of a host without changes. Peers treat a host as dead when it is
+/// silent.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// The longest interval of a large fleet. Beyond it the others would take a host for gone that only
-/// waits for its turn; from 200 hosts on the messages grow with the fleet again.
+/// The maximum interval in a large fleet. With a longer one, peers would treat a host that only
+/// waits for its next slot as dead. Above 200 hosts, the number of messages grows with the fleet
+/// again.
 const INTERVAL_MAX: Duration = Duration::from_millis(500);
 
-/// What the next message is for.
+/// The reason for the next message, in ascending order of urgency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SendReason {
-    /// To show that this host is alive.
+    /// To show that the host is alive.
     Heartbeat,
-    /// To tell a change when it is this host's turn.
+    /// To send a change at the regular interval.
     Change,
-    /// To tell a change at once.
+    /// To send a change at once.
     UrgentChange,
 }
 
-/// The pace of one host's messages.
+/// Paces the messages of one host.
 #[derive(Clone, Debug)]
 pub struct SendPacer {
     sent_at: Instant,
-    /// When the next change would be due if all had come at even intervals.
+    /// When the next change would be due if all changes had been sent at regular intervals.
     next_paced_at: Instant,
     reason: SendReason,
 }
 
 impl SendPacer {
-    /// The pace of a host that starts now; its first message is due after one interval.
+    /// Creates the pacer of a host that starts now. Its first message is due after one interval.
     pub fn new(now: Instant) -> Self {
         Self {
             sent_at: now,
@@ -50,17 +51,17 @@
         }
     }
 
-    /// What the next message is for.
+    /// The reason for the next message.
     pub fn reason(&self) -> SendReason {
         self.reason
     }
 
-    /// Takes in that there is something to tell.
+    /// Requests that a message is sent for the given reason.
     pub fn request_send(&mut self, reason: SendReason) {
         self.reason = self.reason.max(reason);
     }
 
-    /// When the next message is due, where changes are told at this interval.
+    /// When the next message is due if changes are sent at the given interval.
     pub fn due_at(&self, interval: Duration) -> Instant {
         match self.reason {
             SendReason::Heartbeat => self.sent_at + HEARTBEAT_INTERVAL,
@@ -70,17 +71,19 @@
                 .checked_sub(interval * URGENT_BURST)
                 .unwrap_or(self.sent_at)
                 .max(self.sent_at + INTERVAL_MIN)
-                // No urgent change waits longer than another one, also right after the fleet has shrunk.
+                // An urgent change never waits longer than a regular one, even right after the
+                // fleet has shrunk.
                 .min(self.sent_at + interval),
         }
     }
 
-    /// Takes in that a message has gone out.
+    /// Records that a message has been sent.
     ///
-    /// Failure it guards against: signs of life that counted as changes put `even_at` ever further
-    /// ahead of the clock where the interval is longer than theirs, in fleets of more than a hundred
-    /// hosts. After an idle quarter of a minute the first urgent change waited for seven seconds, and
-    /// nothing else was sent meanwhile, so the others took the host for dead as soon as it had work.
+    /// Heartbeats must not advance `next_paced_at`. If they counted as changes, it would run ever
+    /// further ahead of the clock in fleets of more than a hundred hosts, where the interval is
+    /// longer than that of heartbeats. After 15 idle seconds, the first urgent change then waited
+    /// for seven seconds while nothing else was sent, and peers treated the host as dead as soon as
+    /// it had load.
     pub fn on_sent(&mut self, interval: Duration, now: Instant) {
         if self.reason > SendReason::Heartbeat {
             self.next_paced_at = self.next_paced_at.max(now) + interval;
@@ -90,7 +93,7 @@
     }
 }
 
-/// The time between two messages of a host that tells `peers` other hosts itself.
+/// The interval between two messages of a host that sends its updates to `peers` hosts.
 pub fn update_interval(peers: usize) -> Duration {
     let peers = u32::try_from(peers).unwrap_or(u32::MAX);
     INTERVAL_PER_HOST
--- a/src/exchange/sent_limits.rs
+++ b/src/exchange/sent_limits.rs
@@ -1,4 +1,4 @@
-//! What has been told of upstreams' limits a moment ago.
+//! The rate limits that a host has sent recently.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,17 +8,18 @@
 use crate::exchange::LimitEntry;
 use crate::exchange::UpstreamHash;
 
-/// What has not changed is told again after this time, for a message may be lost.
+/// The interval at which an unchanged limit is sent again, because a message may be lost.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What has been told of limits, by upstream.
+/// The rate limits that were sent recently, by upstream.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SentLimits {
     by_upstream: IndexMap<UpstreamHash, (LimitEntry, Instant)>,
 }
 
 impl SentLimits {
-    /// What of `limits` is to be told now: what has changed, and what was told long ago.
+    /// Returns the limits to send now: those that have changed, and those that were sent too long
+    /// ago.
     pub(crate) fn take_due(&mut self, limits: Vec<LimitEntry>, now: Instant) -> Vec<LimitEntry> {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < REPEAT_INTERVAL;
         self.by_upstream.retain(|_, (_, at)| is_recent(*at));
--- a/src/exchange/source_state.rs
+++ b/src/exchange/source_state.rs
@@ -1,4 +1,5 @@
-//! What a collector knows of one host, or of the hosts of another collector, and has passed on.
+//! What a collector has received from one source, a host or another collector, and what it has
+//! forwarded of it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,25 +14,25 @@
 use crate::exchange::load_state::LoadState;
 use crate::exchange::received_limits::ReceivedLimits;
 
-/// All that is known of a speaker is passed on this often, changes alone in between: a lost message
-/// leaves something wrong for this long at most. Twice as often would double the bytes between hosts
-/// of a fleet of 195 at its usual load.
+/// The interval of full updates, with deltas in between. A lost message leaves wrong state for at
+/// most this long. Half the interval would double the bytes between hosts of a fleet of 195 at its
+/// usual load.
 const FULL_UPDATE_INTERVAL: Duration = Duration::from_secs(2);
-/// A request that crashed upstreams is passed on this often while it is told; that is four times as long,
-/// so one message may be lost.
+/// The interval at which a request that crashed upstreams is forwarded while its hosts report it.
+/// They report it for four times as long, so one message may be lost.
 const POISON_REPEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The work at upstreams by their short names.
+/// The load at upstreams, by the hash of the upstream's id.
 pub(crate) type LoadsByUpstream = IndexMap<UpstreamHash, LoadState>;
 
-/// One that speaks, with what it said and what of it was passed on.
+/// The state of one source: what was received from it and what was forwarded.
 #[derive(Clone, Debug)]
 pub(crate) struct SourceState {
-    /// What it said last, without the work.
+    /// The last update of the source, without its load.
     header: HostUpdate,
     loads: LoadsByUpstream,
     heard_at: Instant,
-    /// Whether it has said something since the last part.
+    /// Whether the source has sent an update since the last one was forwarded.
     has_update: bool,
     sent_loads: LoadsByUpstream,
     full_sent_at: Option<Instant>,
@@ -40,7 +41,7 @@
 }
 
 impl SourceState {
-    /// One that has not spoken yet.
+    /// Creates the state of a source that has sent nothing yet.
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             header: HostUpdate::default(),
@@ -54,22 +55,22 @@
         }
     }
 
-    /// When it spoke last.
+    /// When the last update of the source was received.
     pub(crate) fn heard_at(&self) -> Instant {
         self.heard_at
     }
 
-    /// Its work.
+    /// The load of the source.
     pub(crate) fn loads(&self) -> &LoadsByUpstream {
         &self.loads
     }
 
-    /// What it says of upstreams' limits.
+    /// The rate limits that the source has reported, with their age at `now`.
     pub(crate) fn limits(&self, now: Instant) -> impl Iterator<Item = LimitEntry> {
         self.limits.current(now)
     }
 
-    /// Takes in what it says.
+    /// Records an update of the source.
     pub(crate) fn on_update(&mut self, mut update: HostUpdate, now: Instant) {
         let loads = std::mem::take(&mut update.loads);
         self.limits.record(std::mem::take(&mut update.limits), now);
@@ -84,7 +85,7 @@
             self.loads
                 .insert(load.hash(), LoadState::from_entry(load, now));
         }
-        // What was not passed on yet is kept.
+        // Requests that have not been forwarded yet are kept.
         let mut poisons = std::mem::take(&mut self.header.poisons);
         poisons.retain(|poison| !update.poisons.contains(poison));
         update.poisons.extend(poisons);
@@ -93,7 +94,7 @@
         self.has_update = true;
     }
 
-    /// Replaces its work, of which changes alone are passed on.
+    /// Replaces the whole state. Only the changes of its load are forwarded.
     pub(crate) fn replace(&mut self, header: HostUpdate, loads: LoadsByUpstream, now: Instant) {
         self.header = header;
         self.loads = loads;
@@ -101,7 +102,7 @@
         self.has_update = true;
     }
 
-    /// Makes the next part name all that is known, for hosts that have heard nothing yet.
+    /// Makes the next update complete, for recipients that have received nothing yet.
     pub(crate) fn resend_all(&mut self) {
         self.sent_loads.clear();
         self.limits.mark_all_pending();
@@ -109,7 +110,7 @@
         self.has_update = true;
     }
 
-    /// What is to be passed on now; none if it has said nothing since the last part.
+    /// Returns the update to forward now; none if the source has sent nothing since the last one.
     pub(crate) fn next_update(&mut self, now: Instant) -> Option<HostUpdate> {
         if !std::mem::take(&mut self.has_update) {
             return None;
@@ -134,7 +135,7 @@
         Some(update)
     }
 
-    /// The requests that crashed upstreams, as far as they have not been passed on just now.
+    /// Takes the requests that crashed upstreams, except those that have just been forwarded.
     pub(crate) fn take_poisons(&mut self, now: Instant) -> Vec<PoisonEntry> {
         self.sent_poisons
             .retain(|(at, _)| now.saturating_duration_since(*at) < POISON_REPEAT_INTERVAL);
--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -1,4 +1,4 @@
-//! Sends and receives.
+//! The task that sends and receives the messages of the exchange.
 
 use std::sync::Arc;
 
@@ -24,34 +24,34 @@
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
-/// What is told and heard.
+/// The interface between the exchange and the host that takes part in it.
 pub trait ExchangeHandler: Send + Sync {
-    /// This host.
+    /// The name of this host.
     fn host(&self) -> HostId;
 
-    /// Its failure domain.
+    /// The failure domain of this host.
     fn domain(&self) -> FailureDomainId;
 
-    /// What to tell the other hosts now.
+    /// The update to send to other hosts now.
     fn local_update(&self) -> HostUpdate;
 
-    /// Takes in what another host tells.
+    /// Applies an update of another host.
     fn on_update(&self, update: HostUpdate);
 
-    /// All hosts, this one included.
+    /// All hosts, including this one.
     fn hosts(&self) -> Arc<Vec<ListedHost>>;
 
-    /// Takes in by which way news come from now on.
+    /// Reports that updates arrive on another route from now on.
     fn on_update_route(&self, route: UpdateRoute);
 
-    /// Notified at each change of what [`ExchangeHandler::local_update`] would say.
+    /// Notified at each change of the result of [`ExchangeHandler::local_update`].
     fn change_notify(&self) -> &Notify;
 
-    /// Notified at a change that can't wait for this host's turn.
+    /// Notified at a change that must be sent before the regular interval ends.
     fn urgent_change_notify(&self) -> &Notify;
 }
 
-/// The task that exchanges news over one socket.
+/// The task that exchanges updates over one socket.
 pub struct Exchange {
     handler: Arc<dyn ExchangeHandler>,
     framed: UdpFramed<UpdateCodec>,
@@ -60,7 +60,7 @@
 }
 
 impl Exchange {
-    /// Exchanges news over a socket.
+    /// Creates the task for a socket.
     pub fn new(socket: UdpSocket, handler: Arc<dyn ExchangeHandler>) -> Self {
         let state = ExchangeState::new(handler.host(), handler.domain(), now());
         Self {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Exchanges news for as long as the process runs.
+    /// Runs until the socket is closed.
     pub async fn run(mut self) {
         let handler = Arc::clone(&self.handler);
         loop {
@@ -118,7 +118,7 @@
     }
 
     async fn send(&mut self, outgoing: OutgoingUpdate) {
-        // Encoded once for all receivers.
+        // Encoded once for all recipients.
         let message = Bytes::from(outgoing.update.encode_to_vec());
         for recipient in outgoing.recipients {
             if let Err(err) = self.framed.send((message.clone(), recipient)).await {
--- a/src/exchange/update_route.rs
+++ b/src/exchange/update_route.rs
@@ -1,27 +1,28 @@
-//! By which way news come.
+//! The route on which updates reach a host.
 
 use std::time::Duration;
 
 use crate::units::HostId;
 
-/// Ages that differ by less than this factor are told apart by nobody who reads a log.
+/// Ages that differ by less than this factor make no difference to a reader of the log.
 const AGE_FACTOR: f64 = 1.5;
 
-/// By which way news of other hosts come to a host.
+/// The route on which updates of other hosts reach a host, and how old they are on arrival.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UpdateRoute {
-    /// The host that passes on what other failure domains tell; none if all hosts tell each other, or
-    /// if it is this one.
+    /// The collector that relays updates of other failure domains; none if all hosts send to each
+    /// other, or if this host is the collector.
     pub collector: Option<HostId>,
-    /// How old news of hosts of this host's domain are at most when nothing is lost.
+    /// The maximum age of updates of the host's own failure domain if no message is lost.
     pub local_age_max: Duration,
-    /// The same of hosts of other domains.
+    /// The maximum age of updates of other failure domains if no message is lost.
     pub remote_age_max: Duration,
 }
 
 impl UpdateRoute {
-    /// Whether news come by another collector, or are older or younger by a factor that matters. The fleet
-    /// grows and shrinks by a host at a time, and each moves the ages by a few ms.
+    /// Whether updates come through another collector, or their ages differ by a factor that
+    /// matters. The fleet grows and shrinks by one host at a time, and each step changes the ages
+    /// by a few milliseconds only.
     pub fn differs_noticeably_from(&self, other: &Self) -> bool {
         let is_other_age = |one: Duration, other: Duration| {
             let (less, more) = (one.min(other), one.max(other));
--- a/src/exchange/upstream_hash.rs
+++ b/src/exchange/upstream_hash.rs
@@ -1,17 +1,17 @@
-//! A short name of an upstream.
+//! The hash of an upstream's id.
 
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::units::UpstreamId;
 
-/// The hash of an upstream's id, the same on every host.
+/// The hash of an upstream's id, which is the same on every host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamHash(pub u64);
 
 impl UpstreamHash {
-    /// The hash of an id given as text.
+    /// Hashes an id given as text.
     pub fn of(id: &str) -> Self {
-        // 0 stands for none in messages.
+        // In messages, 0 means that no hash is given.
         Self(xxh3_64(id.as_bytes()).max(1))
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! banyanarch: a serving layer for language-model prompts of very unlike lengths.
+//! banyanarch is a serving layer for language-model prompts of very different lengths.
 //!
-//! The decisions and controllers ([`decide`], [`control`]) are plain state machines without I/O.
-//! The platform, upstreams, other hosts and the clock stand behind traits ([`objects`],
-//! [`upstream`], [`peer`], [`clock`]). docs/DESIGN.md tells why.
+//! Decisions and controllers ([`decide`], [`control`]) are plain state machines without I/O. The
+//! platform, upstreams, other hosts and the clock are behind traits ([`objects`], [`upstream`],
+//! [`peer`], [`clock`]). docs/DESIGN.md gives the reasons.
 
 #![warn(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
