--- a/src/decide/customer_bucket.rs
+++ b/src/decide/customer_bucket.rs
@@ -1,13 +1,13 @@
-//! Rates of customers, as token buckets.
+//! Token buckets for the request rates of customers.
 //!
-//! Load it answers: a customer sends far more than was agreed. Fair shares already protect the
-//! others' waits; the bucket keeps its surplus from filling the queue, and tells it at once.
+//! Fair shares already protect the waiting times of other customers when one sends far more than
+//! was agreed. The bucket keeps the surplus from filling the queue, and refuses it at once.
 
 use std::time::Instant;
 
 use crate::decide::CustomerShare;
 
-/// One customer's rate at one pool.
+/// The token bucket of one customer at one pool.
 #[derive(Debug)]
 pub struct CustomerBucket {
     tokens: f64,
@@ -15,7 +15,7 @@
 }
 
 impl CustomerBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(limit: &CustomerShare, now: Instant) -> Self {
         Self {
             tokens: limit.burst_requests,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Takes one request out. Returns whether the customer is within its rate.
+    /// Takes the token of one request. Returns whether the customer is within its rate.
     pub fn take(&mut self, limit: &CustomerShare, now: Instant) -> bool {
         let elapsed = now
             .saturating_duration_since(self.refilled_at)
--- a/src/decide/limit_state.rs
+++ b/src/decide/limit_state.rs
@@ -1,13 +1,13 @@
-//! Whether an upstream's own limit allows one more request.
+//! Whether the rate limit of an upstream allows another request.
 
-/// Whether an upstream's own limit allows one more request.
+/// Whether the rate limit of an upstream allows another request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LimitState {
-    /// It has named no limit.
+    /// The upstream has named no limit.
     #[default]
     Unlimited,
-    /// Its limit allows one more.
+    /// The limit allows another request.
     Open,
-    /// All hosts together have sent it what it takes.
+    /// All hosts together have used up the limit.
     Exhausted,
 }
--- a/src/decide/rate_limit.rs
+++ b/src/decide/rate_limit.rs
@@ -1,34 +1,37 @@
-//! How many requests an upstream that has named a limit may still get.
+//! How many more requests may be sent to an upstream that has named a rate limit.
 //!
-//! Load it answers: an upstream in need names the requests a second that it takes from all hosts together.
-//! Shared out evenly, the limit allows each of 195 hosts one request in two minutes, or a burst of 195. So
-//! hosts tell each other what they have sent there, and each sends while the sum is below the limit.
+//! An upstream short of capacity names the requests per second that it accepts from all hosts together.
+//! Divided evenly, the limit would allow each of 195 hosts one request in two minutes, or a burst
+//! of 195. Hosts therefore tell each other what they have sent to the upstream, and each sends
+//! while the sum is below the limit.
 
 use std::time::Duration;
 
 use crate::decide::HostsHeard;
 use crate::units::RequestsPerSecond;
 
-/// The time over which a limit is kept.
+/// The window over which a limit is enforced.
 pub const LIMIT_WINDOW: Duration = Duration::from_secs(4);
-/// The time over which it is kept as well, rounded up, so that a window's requests don't come at once.
+/// A shorter window over which the limit is enforced too, rounded up to whole requests, so that the
+/// requests of a whole window are not sent at once.
 pub const LIMIT_BURST_WINDOW: Duration = Duration::from_secs(1);
-/// An upstream gets a request in this time whatever its limit is: only an answer tells that the limit has ended.
+/// The requests allowed in a window however low the limit is, because only an answer shows that the
+/// limit has ended.
 const REQUESTS_IN_WINDOW_MIN: f64 = 1.0;
-/// The shortest wait for a limit to allow one more request.
+/// The shortest wait for a limit to allow another request.
 const WAIT_MIN: Duration = Duration::from_millis(20);
 
-/// Requests that an upstream got lately.
+/// The numbers of requests sent to an upstream recently.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RecentSends {
-    /// Within [`LIMIT_WINDOW`].
+    /// Requests sent within [`LIMIT_WINDOW`].
     pub in_window: u32,
-    /// Within [`LIMIT_BURST_WINDOW`].
+    /// Requests sent within [`LIMIT_BURST_WINDOW`].
     pub in_burst_window: u32,
 }
 
 impl RecentSends {
-    /// Both together.
+    /// Adds the requests of another sender.
     pub fn combined_with(self, other: Self) -> Self {
         Self {
             in_window: self.in_window.saturating_add(other.in_window),
@@ -37,30 +40,31 @@
     }
 }
 
-/// What one host knows of an upstream that has named a limit.
+/// What one host knows about an upstream that has named a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimitView {
-    /// The limit.
+    /// The rate limit.
     pub limit: RequestsPerSecond,
-    /// What all hosts that are heard have sent there.
+    /// The requests sent to the upstream by this host and all hosts that it hears.
     pub sent: RecentSends,
-    /// How long the limit has allowed one more request, as far as this host knows; none if it doesn't.
+    /// How long the limit has allowed another request, as far as this host knows; none if it allows
+    /// none.
     pub open_for: Option<Duration>,
     /// The hosts that share the limit.
     pub hosts: HostsHeard,
-    /// The time since this host was started.
+    /// Time since the start of this host.
     pub uptime: Duration,
-    /// How old the news of what others have sent may be.
+    /// The maximum age of reports about what other hosts have sent.
     pub update_age_max: Duration,
 }
 
 impl RateLimitView {
-    /// Whether the limit allows one more request.
+    /// Whether the limit allows another request.
     pub fn is_open(&self) -> bool {
         self.remaining() >= 1.0
     }
 
-    /// Time until one more request may be sent; zero if one may be sent now.
+    /// Time until another request may be sent; zero if one may be sent now.
     pub fn opens_in(&self) -> Duration {
         if self.is_open() {
             return Duration::ZERO;
@@ -69,11 +73,13 @@
         wait.unwrap_or(LIMIT_WINDOW).clamp(WAIT_MIN, LIMIT_WINDOW)
     }
 
-    /// Whether this host sends one more request. `draw` is even over 0 to 1.
+    /// Whether this host sends another request. `draw` is uniformly distributed over 0 to 1.
     ///
-    /// Failure it guards against: the limit allows one more request, and each of two hundred hosts sends it before
-    /// it hears of the others. The chance is that of one host in all at first, and doubles for as long as nothing
-    /// is heard of a send: however many requests wait, about one is sent unseen beside the first.
+    /// When a limit allows another request, each of two hundred hosts could send one before it
+    /// hears of the others. The probability therefore starts at a level at which one host in all is
+    /// expected to send, and doubles for each maximum report age that passes without a report of a
+    /// send. However many requests wait, about one is sent in addition to the first before its
+    /// report arrives.
     pub fn admits(&self, draw: f64) -> bool {
         let Some(open_for) = self.open_for else {
             return false;
@@ -84,18 +90,18 @@
         draw < even_probability * doublings.exp2()
     }
 
-    /// One host's even part of the limit.
+    /// One host's even share of the limit, in requests per second.
     pub fn host_share_per_s(&self) -> f64 {
         self.limit.0 / self.hosts.listed.max(1) as f64
     }
 
-    /// This host's part of the rate and of those that it hears. Hosts that can't hear each other keep the limit
-    /// together.
+    /// The share of the limit, in requests per second, of this host and the hosts that it hears.
+    /// Hosts that cannot hear each other divide the limit, so that together they stay within it.
     fn reachable_rate(&self) -> f64 {
         self.limit.0 * self.hosts.part()
     }
 
-    /// Requests that may still be sent now.
+    /// The number of requests that may still be sent now.
     fn remaining(&self) -> f64 {
         let in_window = self.allowed_in(LIMIT_WINDOW) - f64::from(self.sent.in_window);
         let in_burst =
@@ -103,8 +109,8 @@
         in_window.min(in_burst)
     }
 
-    /// What the limit allows in this time. Others tell what they have sent; what this host may have sent before it
-    /// was started again counts as its even part.
+    /// The number of requests that the limit allows within `window`. Other hosts report what they
+    /// have sent; this host is assumed to have sent its even share before it was restarted.
     fn allowed_in(&self, window: Duration) -> f64 {
         let observed = self.uptime.min(window);
         let presumed = self.host_share_per_s() * (window - observed).as_secs_f64();
--- a/src/decide/rate_limit_tracker.rs
+++ b/src/decide/rate_limit_tracker.rs
@@ -1,5 +1,5 @@
-//! Which upstreams take only so many requests a second from all hosts together, by their own word, and how
-//! many they got.
+//! Tracks the rate limits that upstreams name for all hosts together, and the requests sent to
+//! those upstreams.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,33 +16,34 @@
 use crate::units::RequestsPerSecond;
 use crate::units::UpstreamId;
 
-/// How long the end of a limit is told, and what was sent after the last of it has left the window.
+/// How long the end of a limit is reported, and how long a host goes on reporting after its last
+/// send; longer than the limit window, so that the last report contains no sends.
 const END_REPORT_TIME: Duration = Duration::from_secs(5);
 
-/// What one host, or all hosts of a failure domain, tell of an upstream's limit.
+/// The report of one host, or of all hosts of a failure domain, about the limit of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitReport {
     /// The limit; none if it has ended.
     pub limit: Option<RequestsPerSecond>,
-    /// The time since the upstream said so.
+    /// Time since the upstream stated the limit.
     pub age: Duration,
-    /// What they have sent there.
+    /// The requests that the reporting hosts have sent to the upstream.
     pub sent: RecentSends,
 }
 
-/// What is known of one upstream's limit.
+/// The known limit of one upstream.
 #[derive(Clone, Copy, Debug)]
 struct KnownLimit {
-    /// None if it has ended.
+    /// None if the limit has ended.
     limit: Option<RequestsPerSecond>,
     stated_at: Instant,
-    /// Whether this host has it from the upstream itself.
+    /// Whether this host received the limit from the upstream itself.
     is_first_hand: bool,
-    /// Since when the limit allows one more request; none if it doesn't.
+    /// Since when the limit has allowed another request; none if it allows none.
     open_since: Option<Instant>,
 }
 
-/// What a source has told of its sends to one upstream.
+/// The sends to one upstream that one source has reported.
 #[derive(Clone, Copy, Debug)]
 struct ReportedSends {
     sent: RecentSends,
@@ -50,26 +51,27 @@
 }
 
 impl ReportedSends {
-    /// Whether any of it may still be in the window.
+    /// Whether the limit window may still contain some of the sends.
     fn is_recent(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.received_at) < LIMIT_WINDOW
     }
 }
 
-/// The limits of upstreams, and the requests that all hosts have sent there.
+/// The rate limits of upstreams, and the requests that all hosts have sent there.
 #[derive(Debug)]
 pub struct RateLimitTracker {
     started_at: Instant,
     hosts: HostsHeard,
     update_age_max: Duration,
     known: IndexMap<UpstreamId, KnownLimit>,
-    /// This host's sends, also to upstreams without a limit: when one names it, what it got before counts.
+    /// The sends of this host, including those to upstreams without a limit: when an upstream names
+    /// a limit, earlier requests count towards it.
     own_sent: IndexMap<UpstreamId, RecentCount>,
     reported: IndexMap<UpstreamId, IndexMap<LoadSource, ReportedSends>>,
 }
 
 impl RateLimitTracker {
-    /// The book of a host that starts now and knows of no other.
+    /// Creates the tracker of a host that starts now and knows no other host.
     pub fn new(now: Instant) -> Self {
         Self {
             started_at: now,
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Takes in that this host sends a request, or a part of one, to an upstream.
+    /// Records that this host sends a request, or a part of one, to an upstream.
     pub fn on_sent(&mut self, upstream: &UpstreamId, now: Instant) {
         match self.own_sent.get_mut(upstream) {
             Some(sent) => sent.add(now),
@@ -97,7 +99,7 @@
         self.view(upstream, now);
     }
 
-    /// Takes in what an answer to this host says. Returns whether that is another limit than before.
+    /// Records the limit in an answer to this host. Returns whether the limit has changed.
     pub fn on_answer(
         &mut self,
         upstream: &UpstreamId,
@@ -107,7 +109,7 @@
         self.record_limit(upstream, limit, now, true)
     }
 
-    /// Takes in what another host tells. Returns whether that is another limit than before.
+    /// Records the report of another host or collector. Returns whether the limit has changed.
     pub fn on_report(
         &mut self,
         source: LoadSource,
@@ -124,12 +126,12 @@
         sources.insert(source, reported);
         let stated_at = now.checked_sub(report.age).unwrap_or(now);
         let is_change = self.record_limit(upstream, report.limit, stated_at, false);
-        // Notes since when the limit allows one more request, also while nothing wants to go there.
+        // Updates `open_since` even while no request waits for this upstream.
         self.view(upstream, now);
         is_change
     }
 
-    /// Keeps what the upstream has said last.
+    /// Records a limit unless a more recent statement of the upstream is known.
     fn record_limit(
         &mut self,
         upstream: &UpstreamId,
@@ -159,18 +161,18 @@
         is_change
     }
 
-    /// The limit of an upstream; none if it takes as many requests as come.
+    /// The limit of an upstream; none if it accepts any number of requests.
     pub fn limit(&self, upstream: &UpstreamId) -> Option<RequestsPerSecond> {
         self.known.get(upstream).and_then(|known| known.limit)
     }
 
-    /// Takes in which hosts are heard, and how old news of their sends may be.
+    /// Sets which hosts share the limits, and the maximum age of their reports.
     pub fn set_hosts(&mut self, hosts: HostsHeard, update_age_max: Duration) {
         self.hosts = hosts;
         self.update_age_max = update_age_max;
     }
 
-    /// What is known of an upstream that has named a limit; none of the others.
+    /// The state of an upstream that has named a limit; none for other upstreams.
     pub fn view(&mut self, upstream: &UpstreamId, now: Instant) -> Option<RateLimitView> {
         let limit = self.limit(upstream)?;
         let mut view = RateLimitView {
@@ -192,7 +194,7 @@
         Some(view)
     }
 
-    /// What this host has to tell the others.
+    /// The reports that this host sends to other hosts.
     pub fn reports(&self, now: Instant) -> impl Iterator<Item = (&UpstreamId, LimitReport)> {
         self.known.iter().filter_map(move |(upstream, known)| {
             let age = now.saturating_duration_since(known.stated_at);
@@ -210,7 +212,7 @@
         })
     }
 
-    /// Forgets upstreams that are off the list.
+    /// Forgets upstreams that are no longer listed.
     pub fn keep(&mut self, is_listed: impl Fn(&UpstreamId) -> bool) {
         self.known.retain(|id, _| is_listed(id));
         self.own_sent.retain(|id, _| is_listed(id));
--- a/src/exchange/message.rs
+++ b/src/exchange/message.rs
@@ -57,8 +57,7 @@
     /// to be current, in ms; 0 if the sender does not report it or has not read them yet.
     #[prost(uint32, tag = "15")]
     pub confirmed_age_plus_one_ms: u32,
-    /// Slow engines that the sender has probed. An engine that is no longer included runs at full
-    /// speed.
+    /// Slow engines that the sender polls. An engine that is no longer included runs at full speed.
     #[prost(message, repeated, tag = "16")]
     pub slowdowns: Vec<SlowdownEntry>,
     /// Upstreams that have named a rate limit, and the requests sent to them. Upstreams that are
--- a/src/routing/call_kind.rs
+++ b/src/routing/call_kind.rs
@@ -1,21 +1,21 @@
-//! What may be repeated.
+//! Which calls may be repeated.
 
-/// Whether a call may reach a second upstream after a first one may have run it.
+/// Whether a call may be sent to a second upstream although the first one may have run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// It may run any number of times.
+    /// The call may run any number of times.
     Idempotent,
-    /// It may run once. A second send needs proof that the first did not run.
+    /// The call may run once. A second send requires proof that the first one did not run.
     AtMostOnce,
     /// The answer is a stream of numbered events.
     Stream {
-        /// Whether another upstream can go on after a given event.
+        /// Whether another upstream can resume the stream after a given event.
         is_resumable: bool,
     },
 }
 
 impl CallKind {
-    /// Whether a send whose outcome is unknown may be followed by another one.
+    /// Whether a call may be sent again after a send whose outcome is unknown.
     pub fn is_repeatable(self) -> bool {
         match self {
             Self::Idempotent => true,
@@ -29,7 +29,7 @@
         matches!(self, Self::Stream { .. })
     }
 
-    /// The kind as one word for logs and metrics.
+    /// The name of the kind in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Idempotent => "idempotent",
--- a/src/routing/keys.rs
+++ b/src/routing/keys.rs
@@ -1,10 +1,10 @@
-//! Customers by their secret keys.
+//! The API keys of customers.
 
 use indexmap::IndexMap;
 
 use crate::units::CustomerId;
 
-/// The keys in force. A manifest that names no customers asks for no keys.
+/// The keys in force. If the manifest names no customers, calls need no key.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CustomerKeys {
     by_key: IndexMap<String, CustomerId>,
@@ -12,7 +12,7 @@
 }
 
 impl CustomerKeys {
-    /// Keys that callers must give.
+    /// Creates a set of keys, one of which each caller must present.
     pub fn required(by_key: IndexMap<String, CustomerId>) -> Self {
         Self {
             by_key,
@@ -20,17 +20,17 @@
         }
     }
 
-    /// Whether calls need a key at all.
+    /// Whether calls need a key.
     pub fn is_required(&self) -> bool {
         self.is_required
     }
 
-    /// Who holds a key.
+    /// The customer that holds a key.
     pub fn customer(&self, key: &str) -> Option<&CustomerId> {
         self.by_key.get(key)
     }
 
-    /// How many keys are in force.
+    /// The number of keys in force.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
--- a/src/routing/limits.rs
+++ b/src/routing/limits.rs
@@ -1,22 +1,22 @@
-//! What callers may send.
+//! Limits on the connections of callers.
 
 use std::time::Duration;
 
-/// Bounds on one connection of a caller.
+/// Limits on one connection of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The largest head.
+    /// The maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// The largest body.
+    /// The maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// How long a caller may take for its head.
+    /// The time within which a caller must send its request head.
     pub head_timeout: Duration,
-    /// How long a connection may stay without a request.
+    /// How long a connection may stay open without a request.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// Until a manifest says otherwise: common bounds of HTTP servers.
+    /// Common limits of HTTP servers, which apply until a manifest sets others.
     fn default() -> Self {
         Self {
             head_bytes: 16 << 10,
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,5 +1,5 @@
-//! Where calls go: routes by host name and path, the services behind them, and the customers by
-//! key. All of it comes from the manifest and is replaced as a whole.
+//! Routes by host name and path, the services behind them, and customers by key. All of it comes
+//! from the manifest and is replaced as a whole.
 
 mod call_kind;
 mod keys;
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -1,4 +1,4 @@
-//! One route.
+//! Routes and their targets.
 
 use std::time::Duration;
 
@@ -6,13 +6,15 @@
 use crate::units::Priority;
 use crate::units::ServiceId;
 
-/// How long callers of streams stay without an event at least, by the interface's page.
+/// The minimum time for which callers of streams wait for an event, as documented for the
+/// interface.
 const CALLER_TIMEOUT_MIN: Duration = Duration::from_secs(2);
-/// The same in objectives, and in longest pauses that are on time; the longest of the three holds.
+/// The same time as a multiple of the objective, and as a multiple of the longest pause that is on
+/// time. The longest of the three times applies.
 const CALLER_TIMEOUT_OBJECTIVES: u32 = 4;
 const CALLER_TIMEOUT_PAUSES: u32 = 8;
 
-/// How long the caller of a stream stays without an event, by what is on time on its route.
+/// How long the caller of a stream waits for an event, given the objectives of its route.
 pub fn stream_caller_timeout(objective: Duration, pause_objective: Option<Duration>) -> Duration {
     let by_objective = objective * CALLER_TIMEOUT_OBJECTIVES;
     let by_pause = pause_objective.unwrap_or_default() * CALLER_TIMEOUT_PAUSES;
@@ -22,41 +24,41 @@
 /// A service that a route leads to, with its share of the calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteTarget {
-    /// The service.
+    /// The name of the service.
     pub service: ServiceId,
-    /// Its share, relative to the other targets; none gets calls by a weight of 0.
+    /// The share of calls relative to the other targets. A target of weight 0 gets no calls.
     pub weight: u32,
 }
 
-/// What holds for all calls under one host name and path prefix.
+/// The settings of all calls under one host name and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, for logs and metrics.
+    /// The name of the route in logs and metrics.
     pub name: String,
-    /// The host name it belongs to, without a port.
+    /// The host name that the route belongs to, without a port.
     pub hostname: String,
-    /// The prefix of the path, which begins and ends with a slash.
+    /// The path prefix, which begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether calls may be repeated.
     pub kind: CallKind,
-    /// How long a caller is kept waiting at most, from the first byte of its request.
+    /// The maximum time that a caller waits, from the first byte of its request.
     pub timeout: Duration,
-    /// How soon the answer, or the first event of a stream, should come.
+    /// The target time for the answer, or for the first event of a stream.
     pub objective: Duration,
     /// The longest pause between two events that is still on time.
     pub pause_objective: Option<Duration>,
-    /// The rank; 0 is served first.
+    /// The priority; 0 is served first.
     pub priority: Priority,
-    /// The services, with their shares.
+    /// The services that the route leads to, with their shares.
     pub targets: Vec<RouteTarget>,
-    /// How many upstreams may run one call.
+    /// The maximum number of upstreams that may run one call.
     pub runs_max: u32,
     /// Whether calls need no key.
     pub is_public: bool,
 }
 
 impl Route {
-    /// Chooses a target by weight; `draw` is even over all `u32`.
+    /// Chooses a target by weight. `draw` is uniformly distributed over all `u32` values.
     pub fn target(&self, draw: u32) -> Option<&ServiceId> {
         let total: u64 = self.targets.iter().map(|t| u64::from(t.weight)).sum();
         let mut remaining = (u64::from(draw) * total) >> 32;
--- a/src/routing/service.rs
+++ b/src/routing/service.rs
@@ -1,13 +1,13 @@
-//! A service as the manifest describes it.
+//! A service as described by the manifest.
 
 use crate::decide::EngineModel;
 use crate::units::ServiceId;
 
-/// What is known of all upstreams of one service.
+/// The properties that all upstreams of a service share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// The name of the service.
     pub name: ServiceId,
-    /// How its engines work; none for a plain service.
+    /// The performance model of the service's engines; none for a plain service.
     pub engine: Option<EngineModel>,
 }
--- a/src/routing/table.rs
+++ b/src/routing/table.rs
@@ -1,4 +1,4 @@
-//! All routes, services and keys of one manifest.
+//! The routes, services and keys of one manifest.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,25 +12,25 @@
 use crate::units::Generation;
 use crate::units::ServiceId;
 
-/// The routes of a manifest, ready for lookups.
+/// The routes of a manifest, indexed for lookups.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
-    /// The number of the manifest.
+    /// The generation of the manifest.
     pub generation: Generation,
-    /// The services by name.
+    /// The services, by name.
     pub services: IndexMap<ServiceId, Service>,
-    /// The customers.
+    /// The API keys of customers.
     pub keys: CustomerKeys,
-    /// What callers may send.
+    /// The limits on the connections of callers.
     pub limits: CallerLimits,
-    /// The routes of a host name, the longest prefix first.
+    /// The routes of each host name, the longest prefix first.
     by_hostname: IndexMap<String, Vec<Arc<Route>>>,
-    /// The shortest pause between two events that callers of a service accept.
+    /// The shortest pause between two events that callers of each service accept.
     strictest_pauses: IndexMap<ServiceId, Duration>,
 }
 
 impl RouteTable {
-    /// A table of these routes.
+    /// Creates a table of the given routes.
     pub fn new(generation: Generation, routes: Vec<Route>) -> Self {
         let mut by_hostname: IndexMap<String, Vec<Arc<Route>>> = IndexMap::new();
         let strictest_pauses = strictest_pauses(&routes);
@@ -51,13 +51,14 @@
         }
     }
 
-    /// The shortest pause between two events that callers of a service accept; none if no route says.
+    /// The shortest pause between two events that callers of a service accept; none if no route of
+    /// the service limits it.
     pub fn strictest_pause(&self, service: &ServiceId) -> Option<Duration> {
         self.strictest_pauses.get(service).copied()
     }
 
-    /// The route of a call: of those of the host, the one with the longest prefix of the path.
-    /// `authority` may carry a port.
+    /// The route of a call: among the routes of the host name, the one with the longest matching
+    /// path prefix. `authority` may include a port.
     pub fn route(&self, authority: &str, path: &str) -> Option<&Arc<Route>> {
         let hostname = authority
             .rsplit_once(':')
@@ -71,7 +72,7 @@
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// How many routes there are.
+    /// The number of routes.
     pub fn route_count(&self) -> usize {
         self.by_hostname.values().map(Vec::len).sum()
     }
--- a/src/units/byte_size.rs
+++ b/src/units/byte_size.rs
@@ -14,12 +14,12 @@
     ("B", 1),
 ];
 
-/// A size in bytes, written with a unit: `64MiB`.
+/// A size in bytes, written with a unit such as `64MiB`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ByteSize(pub u64);
 
 impl ByteSize {
-    /// The size as a length in memory.
+    /// The size as a `usize`, capped at `usize::MAX`.
     pub fn as_usize(self) -> usize {
         usize::try_from(self.0).unwrap_or(usize::MAX)
     }
--- a/src/units/counters.rs
+++ b/src/units/counters.rs
@@ -1,21 +1,23 @@
-//! Numbers that only grow, and the rank of a request.
+//! Counters that only grow, and the priority of a request.
 
 use crate::units::macros::number_newtype;
 
 number_newtype!(
-    /// The number of an accepted manifest. A later one replaces every earlier one.
+    /// The number of an accepted manifest. A higher generation replaces all lower ones.
     Generation,
     u64,
     "a generation number"
 );
 number_newtype!(
-    /// How often a host has started or refuted a suspicion; the larger one is the newer word.
+    /// The number of times a host has started or refuted a suspicion. The state with the higher
+    /// incarnation is the newer one.
     Incarnation,
     u64,
     "an incarnation number"
 );
 number_newtype!(
-    /// The number an order carries, so that an engine can refuse one from an earlier lease holder.
+    /// The number that an order carries, with which an engine refuses orders of an earlier lease
+    /// holder.
     FencingNumber,
     u64,
     "a fencing number"
@@ -27,34 +29,37 @@
     "an object version"
 );
 number_newtype!(
-    /// How often the platform's store has come back from an older copy of itself; its revisions go back with it.
+    /// The number of times the platform's store was restored from an older copy of itself, which
+    /// sets its revisions back.
     StoreEra,
     u16,
     "an era from 0 to 65535"
 );
 number_newtype!(
-    /// The rank of a request; 0 is served first.
+    /// The priority of a request; 0 is served first.
     Priority,
     u8,
     "a priority from 0 (first) to 255"
 );
 
-/// The bits of a version below those of the era. A store with a thousand writes a second fills them in 8,000 years.
+/// The number of bits of a version that hold the revision; the era takes the bits above. At a
+/// thousand writes per second, a store uses them up in 8,000 years.
 const REVISION_BITS: u32 = 48;
 
 impl ObjectVersion {
-    /// A revision of the store in one of its eras. Versions of a later era are greater, whatever their revisions.
+    /// The version of a revision in a given era. Versions of a later era are greater than those of
+    /// an earlier one, whatever their revisions.
     pub fn in_era(era: StoreEra, revision: u64) -> Self {
         let revision = revision & ((1 << REVISION_BITS) - 1);
         Self(u64::from(era.0) << REVISION_BITS | revision)
     }
 
-    /// The era.
+    /// The era of the store.
     pub fn era(self) -> StoreEra {
         StoreEra(u16::try_from(self.0 >> REVISION_BITS).unwrap_or(u16::MAX))
     }
 
-    /// The revision in its era.
+    /// The revision within the era.
     pub fn revision(self) -> u64 {
         self.0 & ((1 << REVISION_BITS) - 1)
     }
--- a/src/units/error.rs
+++ b/src/units/error.rs
@@ -1,14 +1,14 @@
-//! The error of parsing a newtype.
+//! The parse error of the unit types.
 
 use std::error::Error;
 use std::fmt;
 
-/// A text that is not a value of the wanted newtype.
+/// The error for a text that is not a valid value of a unit type.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseUnitError {
-    /// What the text should have been, such as `a size like 64MiB`.
+    /// The expected form of the text, such as `a size like 64MiB`.
     pub expected: &'static str,
-    /// The text as it was given.
+    /// The text that could not be parsed.
     pub text: String,
 }
 
--- a/src/units/macros.rs
+++ b/src/units/macros.rs
@@ -1,6 +1,6 @@
-//! What all newtypes of one shape have in common.
+//! Macros that define newtypes of the same form.
 
-/// Serde by way of `Display` and `FromStr`.
+/// Implements serialization as text through `Display` and `FromStr`.
 macro_rules! serde_as_text {
     ($name:ident) => {
         impl serde::Serialize for $name {
@@ -18,7 +18,7 @@
     };
 }
 
-/// An id that people choose: 1 to 128 characters out of `A-Z a-z 0-9 . _ : @ / -`.
+/// Defines an id chosen by people: 1 to 128 characters out of `A-Z a-z 0-9 . _ : @ / -`.
 macro_rules! name_newtype {
     ($(#[$doc:meta])* $name:ident, $expected:literal) => {
         $(#[$doc])*
@@ -54,7 +54,7 @@
     };
 }
 
-/// An id that the system draws: 128 random bits, 32 hexadecimal digits.
+/// Defines a random id of 128 bits, written as 32 hexadecimal digits.
 macro_rules! random_id_newtype {
     ($(#[$doc:meta])* $name:ident, $expected:literal) => {
         $(#[$doc])*
@@ -83,7 +83,7 @@
     };
 }
 
-/// A whole number with a meaning of its own; serde reads and writes it as a number.
+/// Defines a newtype of a whole number, which serde represents as a number.
 macro_rules! number_newtype {
     ($(#[$doc:meta])* $name:ident, $inner:ty, $expected:literal) => {
         $(#[$doc])*
--- a/src/units/millicores.rs
+++ b/src/units/millicores.rs
@@ -1,16 +1,17 @@
-//! Shares of processors.
+//! CPU shares.
 
 use crate::units::macros::number_newtype;
 
 number_newtype!(
-    /// Thousandths of a processor core that a process may use.
+    /// A CPU share in thousandths of a core.
     Millicores,
     u32,
     "a share of processors"
 );
 
 impl Millicores {
-    /// So many cores, rounded to thousandths; none if that is no share of a processor.
+    /// Converts a number of cores, rounded to thousandths; none if the result is below one
+    /// thousandth or too large.
     pub fn from_cores(cores: f64) -> Option<Self> {
         let thousandths = (cores * 1e3).round();
         if !(1.0..=f64::from(u32::MAX)).contains(&thousandths) {
--- a/src/units/mod.rs
+++ b/src/units/mod.rs
@@ -1,7 +1,7 @@
 //! Newtypes for ids, sizes, rates and counters, each with `Display` and `FromStr`.
 //!
-//! Ids that people choose are shared strings, so that a clone costs a reference count; ids that the
-//! system draws are random 128-bit numbers in hexadecimal.
+//! Ids chosen by people are shared strings, so that a clone costs only a reference count. Generated
+//! ids are random 128-bit numbers written in hexadecimal.
 
 mod byte_size;
 mod counters;
--- a/src/units/names.rs
+++ b/src/units/names.rs
@@ -1,51 +1,52 @@
-//! Ids that people choose.
+//! Ids that are chosen by people.
 
 use crate::units::macros::name_newtype;
 
 name_newtype!(
-    /// One of the system's own processes, by the name its settings give it.
+    /// The name of one of the system's own processes, as given in its settings.
     HostId,
     "a host name"
 );
 name_newtype!(
-    /// A part of the site that can be cut off as a whole.
+    /// The name of a failure domain: a part of the site that can be cut off as a whole.
     FailureDomainId,
     "a failure domain name"
 );
 name_newtype!(
-    /// Who a request is served for.
+    /// The name of the customer that a request is served for.
     CustomerId,
     "a customer name"
 );
 name_newtype!(
-    /// One life of a back end, from its start to its end: a model engine or one instance of a plain
-    /// service. All that hosts know of an upstream they know of this life alone.
+    /// The id of one instance of an upstream, from its start to its end: a model engine, or an
+    /// instance of a plain service. State that hosts keep about an upstream applies to this
+    /// instance only.
     UpstreamId,
     "an upstream id"
 );
 name_newtype!(
-    /// What an upstream calls itself; it may start again under the same name.
+    /// The name that an upstream gives itself. A restarted upstream may use the same name again.
     UpstreamName,
     "an upstream name"
 );
 name_newtype!(
-    /// What a caller asks for: a model, an adapter or a plain service of the manifest.
+    /// The name of what a caller requests: a model, an adapter or a plain service of the manifest.
     TargetId,
     "a model or service name"
 );
 name_newtype!(
-    /// A service that routes lead to: all upstreams that run the same thing.
+    /// The name of a service that routes lead to; all of its upstreams are interchangeable.
     ServiceId,
     "a service name"
 );
 name_newtype!(
-    /// The upstreams of one target in one failure domain that share a home host, written
-    /// `DOMAIN/TARGET/SHARD`.
+    /// The name of a pool, written `DOMAIN/TARGET/SHARD`: the upstreams of one target in one
+    /// failure domain that share a home host.
     PoolId,
     "a pool name"
 );
 name_newtype!(
-    /// A caller's key that makes repeated sendings one request.
+    /// The key with which a caller marks repeated sends as the same request.
     IdempotencyKey,
     "an idempotency key of 1 to 128 characters out of A-Z a-z 0-9 . _ : @ / -"
 );
@@ -56,29 +57,30 @@
         Self(format!("{domain}/{target}/{shard}").into())
     }
 
-    /// The target whose upstreams the pool holds; none if this is not the name of a pool.
+    /// The target whose upstreams the pool contains; none if the text is not a pool name.
     pub fn target(&self) -> Option<TargetId> {
         let (rest, _shard) = self.0.rsplit_once('/')?;
         let (_domain, target) = rest.split_once('/')?;
         target.parse().ok()
     }
 
-    /// The failure domain of the pool's upstreams; none if this is not the name of a pool.
+    /// The failure domain of the pool's upstreams; none if the text is not a pool name.
     pub fn domain(&self) -> Option<FailureDomainId> {
         self.0
             .split_once('/')
             .and_then(|(domain, _)| domain.parse().ok())
     }
 
-    /// Stands for no pool: the answer of an earlier sending is read without a grant.
+    /// A placeholder for requests without a pool: the answer of an earlier send is read without a
+    /// grant.
     pub fn placeholder() -> Self {
         Self("followed".into())
     }
 }
 
 impl UpstreamId {
-    /// The id of one life of an upstream. `started` tells it from other lives under the same name;
-    /// without it all of them are taken for one.
+    /// The id of one instance of an upstream. `started` distinguishes instances of the same name;
+    /// without it, all of them count as one.
     pub fn of_instance(name: &UpstreamName, started: Option<u64>) -> Self {
         match started {
             Some(started) => Self(format!("{name}@{started}").into()),
@@ -88,7 +90,7 @@
 }
 
 impl CustomerId {
-    /// The customer that stands for all that the manifest does not name.
+    /// The customer that stands for all customers that the manifest does not name.
     pub fn fallback() -> Self {
         Self("default".into())
     }
--- a/src/units/random_ids.rs
+++ b/src/units/random_ids.rs
@@ -1,31 +1,31 @@
-//! Ids that the system draws, and hashes that name content.
+//! Random ids, and hashes that identify content.
 
 use crate::units::macros::random_id_newtype;
 
 random_id_newtype!(
-    /// One sending of a caller.
+    /// The id of one send of a caller.
     RequestId,
     "a request id of 32 hexadecimal digits"
 );
 random_id_newtype!(
-    /// One dispatch of a request to an upstream. A retry is another attempt.
+    /// The id of one dispatch of a request to an upstream. A retry is another attempt.
     AttemptId,
     "an attempt id of 32 hexadecimal digits"
 );
 random_id_newtype!(
-    /// A home's permission to dispatch one attempt.
+    /// The id of a grant, with which a home host permits the dispatch of one attempt.
     GrantId,
     "a grant id of 32 hexadecimal digits"
 );
 random_id_newtype!(
-    /// A hash that names some content: a manifest part, a prompt, a prompt's prefix.
+    /// A hash that identifies content: a part of a manifest, a prompt or a prefix of a prompt.
     ContentHash,
     "a content hash of 32 hexadecimal digits"
 );
 
 impl ContentHash {
-    /// The hash of `bytes`. It is not cryptographic: peers are authenticated, and a collision that
-    /// a caller makes on purpose harms only prompts that the same caller chose.
+    /// Hashes `bytes`. The hash is not cryptographic: peers are authenticated, and a collision that
+    /// a caller provokes harms only prompts that this caller chose.
     pub fn of(bytes: &[u8]) -> Self {
         Self(xxhash_rust::xxh3::xxh3_128(bytes))
     }
--- a/src/units/rates.rs
+++ b/src/units/rates.rs
@@ -1,4 +1,4 @@
-//! Rates a second.
+//! Rates per second.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,7 +7,7 @@
 use crate::units::ParseUnitError;
 use crate::units::Tokens;
 
-/// Defines a rate: a finite number, not negative, with a unit that is written behind it.
+/// Defines a rate: a finite, non-negative number followed by a unit.
 macro_rules! rate_newtype {
     ($(#[$doc:meta])* $name:ident, $unit:literal, $expected:literal) => {
         $(#[$doc])*
@@ -37,20 +37,20 @@
 }
 
 rate_newtype!(
-    /// Tokens a second.
+    /// A rate in tokens per second.
     TokensPerSecond,
     "tok/s",
     "a rate like 8000tok/s"
 );
 rate_newtype!(
-    /// Requests a second.
+    /// A rate in requests per second.
     RequestsPerSecond,
     "req/s",
     "a rate like 20req/s"
 );
 
 impl TokensPerSecond {
-    /// How long `tokens` take at this rate; a rate of 0 never ends.
+    /// The time that `tokens` take at this rate; `Duration::MAX` at a rate of 0.
     pub fn time_for(self, tokens: Tokens) -> Duration {
         Duration::try_from_secs_f64(tokens.as_f64() / self.0).unwrap_or(Duration::MAX)
     }
--- a/src/units/slowdown.rs
+++ b/src/units/slowdown.rs
@@ -1,4 +1,4 @@
-//! How much slower than its model something works.
+//! The slowdown of an engine relative to its performance model.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,15 +6,16 @@
 
 use crate::units::ParseUnitError;
 
-/// How many times as long as its model says an engine takes; 1 for one that works at full speed.
+/// The factor by which an engine takes longer than its model predicts; 1 at full speed.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Slowdown(f64);
 
 impl Slowdown {
-    /// At full speed.
+    /// The slowdown of an engine at full speed.
     pub const NONE: Self = Self(1.0);
 
-    /// A factor. Faster than the model is not believed: it would draw all work to one engine.
+    /// Creates a slowdown. Factors below 1 count as 1: an engine that seemed faster than its model
+    /// would attract all requests.
     pub fn new(factor: f64) -> Self {
         Self(if factor.is_finite() {
             factor.max(1.0)
@@ -28,7 +29,7 @@
         self.0
     }
 
-    /// How long it takes for what the model says takes `time`.
+    /// The time that the engine takes for work that the model predicts to take `time`.
     pub fn scale(self, time: Duration) -> Duration {
         if self == Self::NONE {
             return time;
--- a/src/units/tokens.rs
+++ b/src/units/tokens.rs
@@ -1,4 +1,4 @@
-//! Counts of tokens.
+//! Numbers of tokens.
 
 use std::iter::Sum;
 use std::ops::Add;
@@ -7,23 +7,23 @@
 use crate::units::macros::number_newtype;
 
 number_newtype!(
-    /// A count of tokens: of a prompt, of an answer, or of engine memory, which holds one key and
-    /// value entry a token.
+    /// A number of tokens: of a prompt, of an answer, or of engine memory, which holds one key and
+    /// value entry per token.
     Tokens,
     u64,
     "a count of tokens"
 );
 
 impl Tokens {
-    /// None.
+    /// No tokens.
     pub const ZERO: Self = Self(0);
 
-    /// The difference, or none where `other` is larger.
+    /// The difference, or zero if `other` is larger.
     pub fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 
-    /// As a floating-point number, for rates.
+    /// The number as a floating-point value, for rates.
     pub fn as_f64(self) -> f64 {
         self.0 as f64
     }
--- a/tests/decide_rate_limits.rs
+++ b/tests/decide_rate_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of requests a second that all hosts of a fleet keep together.
+//! Rate limits that all hosts of a fleet keep together.
 
 mod limit_world;
 
@@ -30,12 +30,13 @@
     }
 }
 
-/// The bound that upstreams are promised.
+/// The maximum number of requests within a window that upstreams are guaranteed.
 fn allowed(limit_per_s: f64) -> f64 {
     1.5 * limit_per_s * 4.0 + 5.0
 }
 
-/// Plays seeds of a site; checks what the upstream got in any window that ends so long after the beginning or later.
+/// Runs a scenario with several seeds, and checks the requests that the upstream received in each
+/// window that ends at least `after` after the start.
 fn assert_limit_kept(
     hosts: usize,
     limit_per_s: f64,
@@ -52,8 +53,8 @@
     }
 }
 
-/// An upstream in need gets several times its limit: each host reckons with its own requests alone, and news of
-/// the others come late.
+/// An upstream gets several times its limit if each host counts only its own requests, since the
+/// reports of the other hosts arrive late.
 #[parameterized(
     one_host = { 1, 5.0 },
     six_low = { 6, 1.7 },
@@ -74,7 +75,8 @@
     });
 }
 
-/// The last free place of a limit is taken by each of two hundred hosts whose requests have waited for it.
+/// Each of two hundred hosts has requests waiting, and all could take the same last free slot of
+/// the limit.
 #[parameterized(
     six = { 6, 1.7, 24.0 },
     large = { 195, 1.7, 195.0 },
@@ -92,8 +94,8 @@
     });
 }
 
-/// A host that has just learnt of a limit sends on as if it had sent nothing before, or one that was killed comes
-/// back and does.
+/// A host that has just learnt of a limit, or has been restarted, must not send as if it had sent
+/// nothing before.
 #[parameterized(
     six = { 6, 1.7 },
     large = { 195, 5.0 },
@@ -110,7 +112,7 @@
     });
 }
 
-/// The hosts of a failure domain that is cut off take all of the limit, and so do the others.
+/// When a failure domain is partitioned, neither side may use the whole limit.
 #[parameterized(
     six = { 6, 3, 5.0 },
     large = { 195, 5, 20.0 },
@@ -144,7 +146,8 @@
     }
 }
 
-/// News of a limit come later than the answer that ended it, and the upstream stays limited for good.
+/// A report of a limit that arrives after the answer that ended the limit must not bring the limit
+/// back.
 #[test]
 fn the_latest_answer_decides_not_the_latest_report() {
     let (now, engine) = (Instant::now(), upstream());
@@ -160,7 +163,8 @@
     assert_eq!(tracker.limit(&engine), Some(RequestsPerSecond(3.0)));
 }
 
-/// Hosts that only know a limit by hearsay tell it on for as long as they live, also after its end.
+/// A host that knows a limit only from reports must not keep reporting it, which would keep the
+/// limit alive after its end.
 #[test]
 fn a_limit_is_reported_by_hosts_that_have_it_first_hand() {
     let (now, engine) = (Instant::now(), upstream());
@@ -177,7 +181,8 @@
     assert_eq!(tracker.reports(later + ms(6_000)).count(), 0);
 }
 
-/// What a host has told is added up over and over, or is never forgotten once it is gone.
+/// The reports of a host must replace each other rather than add up, and must expire once the host
+/// is gone.
 #[test]
 fn reports_of_a_host_replace_each_other_and_expire() {
     let (now, engine) = (Instant::now(), upstream());
@@ -199,7 +204,8 @@
     assert_eq!(sent(&mut tracker, now + ms(4_500)), 0);
 }
 
-/// A count of the last seconds that loses what was counted, or keeps it for too long, sends too much or nothing.
+/// A counter that loses requests within its window lets too many be sent; one that keeps them for
+/// too long blocks all sends.
 #[test]
 fn a_recent_count_covers_only_its_window() {
     let now = Instant::now();
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! The news between hosts: datagrams, and how often they are sent.
+//! The exchange of updates between hosts over UDP: the codec, and how often updates are sent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -81,7 +81,7 @@
     }
 }
 
-/// A host that each other one tells itself.
+/// A host of a version without support for collectors, to which every other host sends directly.
 fn legacy_host(name: &str, addr: SocketAddr) -> ListedHost {
     ListedHost {
         host: name.parse().unwrap(),
@@ -102,7 +102,7 @@
         }
     };
     let waited = tokio::time::timeout(Duration::from_secs(20), waiting).await;
-    waited.expect("it becomes true");
+    waited.expect("the condition holds before the timeout");
 }
 
 #[test]
@@ -122,8 +122,8 @@
     assert!(bytes.is_empty());
 }
 
-/// A stray datagram arrives at the port. Its bytes are kept and taken for the beginning of the next
-/// message, and a host is never understood again.
+/// The bytes of a stray datagram must not be taken for the beginning of the next message, which
+/// would make all later messages unreadable.
 #[test]
 fn an_undecodable_datagram_is_discarded_whole() {
     let mut bytes = BytesMut::from(&b"\xff\xff\xff not a message"[..]);
@@ -141,8 +141,8 @@
     assert!(UpdateCodec.encode(encoded(&update), &mut bytes).is_err());
 }
 
-/// A fleet of 400 hosts: what each may send is spread so far that the others take it for dead, forget
-/// its work, and all choose the same engines.
+/// In a fleet of 400 hosts, the interval between two updates of a host must not grow so long that
+/// others treat the host as dead, forget its load, and all choose the same engines.
 #[tokio::test]
 async fn hosts_keep_hearing_each_other_in_a_large_fleet() {
     let sockets = [
@@ -154,7 +154,7 @@
         RecordingHandler::new("first"),
         RecordingHandler::new("second"),
     );
-    // Most of the fleet is a port that nobody reads.
+    // The rest of the fleet is one port that nobody reads from.
     let nobody = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let mut many = vec![nobody.local_addr().unwrap(); 400];
     many[0] = addrs[1];
--- a/tests/exchange_fleet.rs
+++ b/tests/exchange_fleet.rs
@@ -1,5 +1,5 @@
-//! News in fleets of all sizes: how old they are, what they cost, and what becomes of them when
-//! collectors die, stand still, are cut off or are two.
+//! The exchange of updates in fleets of all sizes: the age of updates and their cost, and the
+//! behaviour when collectors die, pause, are partitioned or coexist.
 
 mod exchange_world;
 
@@ -16,7 +16,7 @@
     Duration::from_millis(ms)
 }
 
-/// A fleet at its usual load, some seconds after its start.
+/// A fleet at its usual load, a few seconds after its start.
 fn loaded_world(hosts: usize, domains: usize, seed: u64) -> World {
     let mut world = World::new(hosts, domains, 0, seed);
     world.run_for(ms(2_000));
@@ -25,15 +25,15 @@
     world
 }
 
-/// All changes stop; what each host believes is looked at when the last news must have come.
+/// Stops all changes of load and lets the last updates arrive.
 fn settle(world: &mut World, within: Duration) {
     world.set_changes(0.0);
     world.run_for(within);
 }
 
-/// Hosts choose engines by what they have heard half a second ago, do not know of a hundred prompts
-/// that others have placed since, and all fill the same engines. Each host told each other one, and
-/// could be told by each only twice a second.
+/// With old updates, hosts choose engines without knowing of a hundred prompts that others have
+/// placed since, and all fill the same engines. A full mesh causes this in a large fleet, because
+/// each host can send to all others only twice a second.
 #[parameterized(
     small = { 8, 3, 1 },
     just_direct = { 32, 3, 2 },
@@ -65,8 +65,8 @@
     assert!(received <= 430, "{received} messages a second");
 }
 
-/// What a host believes of the others' work is neither less nor more than it is, once all news have
-/// come, also where they come by several ways.
+/// Once all updates have arrived, each host must know exactly the load of the others, even if
+/// updates reach it on several paths.
 #[parameterized(
     small = { 8, 3, 1 },
     seventy = { 69, 3, 2 },
@@ -79,8 +79,8 @@
     assert_eq!(world.mismatches(), 0);
 }
 
-/// An upstream gets several times its limit, or next to nothing: hosts of other domains don't hear what was sent
-/// there, or what they hear by two ways counts twice.
+/// If hosts of other failure domains miss the sends to a limited upstream, it gets several times
+/// its limit; if they count sends twice that reach them on two paths, it gets next to nothing.
 #[parameterized(
     small = { 8, 3, 1 },
     seventy = { 69, 3, 2 },
@@ -105,8 +105,8 @@
     }
 }
 
-/// A collector loses its power at full load. Its domain and the others hear nothing of each other
-/// until another host collects, which takes less than the others would take to forget it.
+/// When a collector dies under full load, its domain and the others stop hearing each other until
+/// another host takes over. That must happen before the others forget the load of the domain.
 #[parameterized(
     three_domains = { 60, 3, 1 },
     large = { 195, 5, 2 },
@@ -126,8 +126,8 @@
     assert_eq!(world.mismatches(), 0);
 }
 
-/// A collector stands still for some seconds and wakes with all that was sent to it meanwhile. It
-/// passes on what is long over, as if it were new.
+/// A collector that pauses for some seconds receives everything sent to it meanwhile when it
+/// resumes, and relays outdated load as if it were current.
 #[test]
 fn stale_relays_of_a_paused_collector_are_corrected() {
     let mut world = loaded_world(60, 3, 3);
@@ -139,7 +139,7 @@
     assert_eq!(world.mismatches(), 0);
 }
 
-/// All strong hosts die at once, and half of the others with them.
+/// All strong hosts and half of the others die at once.
 #[test]
 fn updates_resume_after_half_of_the_hosts_fail_at_once() {
     let mut world = loaded_world(100, 5, 4);
@@ -157,8 +157,8 @@
     assert_eq!(world.mismatches(), 0);
 }
 
-/// A failure domain is cut off from the others and comes back: each side must take the other's
-/// collector for dead, and must find it again.
+/// While a failure domain is partitioned, each side treats the other's collector as dead. Both
+/// sides must find each other again when the partition ends.
 #[parameterized(
     two_hosts_a_domain = { 40, 20, 1 },
     three_domains = { 60, 3, 2 },
@@ -177,8 +177,8 @@
     assert_eq!(world.mismatches(), 0);
 }
 
-/// A stronger host than the collector starts again. It takes itself for the collector, since it knows
-/// of no other, and its domain falls into two halves that hear nothing of each other.
+/// A host that is stronger than the collector restarts. It knows of no other collector and elects
+/// itself, which splits the domain into two halves that do not hear each other.
 #[parameterized(
     one_domain = { 60, 1, 1 },
     three_domains = { 60, 3, 2 },
@@ -197,7 +197,7 @@
     assert_eq!(world.mismatches(), 0);
 }
 
-/// All hosts start again within half a second, at load.
+/// All hosts restart within half a second, under load.
 #[test]
 fn updates_resume_after_all_hosts_restart_at_once() {
     let mut world = loaded_world(100, 5, 5);
@@ -217,8 +217,8 @@
     assert_eq!(world.mismatches(), 0);
 }
 
-/// Links lose a tenth of all messages: news come late, nothing is wrong for longer than it takes to
-/// tell everything again, and collectors are not left for it.
+/// With a tenth of all messages lost, updates are delayed, wrong state lasts no longer than the
+/// interval of full updates, and collectors are not replaced.
 #[test]
 fn message_loss_is_recovered() {
     let mut world = loaded_world(60, 3, 6);
@@ -229,14 +229,18 @@
         world.run_for(ms(250));
     }
     let took = world.run_until(ms(5_000), |world| world.undelivered_probes() == 0);
-    assert!(took < ms(5_000), "{} wait", world.undelivered_probes());
+    assert!(
+        took < ms(5_000),
+        "{} undelivered probes",
+        world.undelivered_probes()
+    );
     world.loss_rate = 0.0;
     settle(&mut world, ms(4_000));
     assert_eq!(world.mismatches(), 0);
 }
 
-/// Hosts are replaced by a newer version while others still run the former one, which tells each host
-/// itself and understands no collector.
+/// During a rolling upgrade, some hosts still run a version that sends to each host directly and
+/// does not understand collectors.
 #[test]
 fn legacy_hosts_receive_updates_from_every_host() {
     let mut world = World::new(60, 3, 15, 7);
@@ -253,5 +257,9 @@
         world.run_for(ms(20));
     }
     let took = world.run_until(ms(5_000), |world| world.undelivered_probes() == 0);
-    assert!(took <= ms(1_000), "{} wait", world.undelivered_probes());
+    assert!(
+        took <= ms(1_000),
+        "{} undelivered probes",
+        world.undelivered_probes()
+    );
 }
--- a/tests/exchange_pace.rs
+++ b/tests/exchange_pace.rs
@@ -1,4 +1,4 @@
-//! When a host's news are due: after an idle time, in a burst, in fleets of all sizes.
+//! When the updates of a host are due: after idle time, in a burst, and in fleets of all sizes.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,10 +8,10 @@
 use banyanarch::exchange::update_interval;
 use yare::parameterized;
 
-/// A host that is not heard for this long is taken for dead, and its work is forgotten.
+/// Time without a message after which a host is treated as dead and its load is forgotten.
 const HOST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Lets a host that has nothing to tell show that it lives until `end`.
+/// Sends the heartbeats of an idle host until `end`.
 fn idle(pacer: &mut SendPacer, peers: usize, end: Instant) -> Instant {
     let mut now = pacer.due_at(update_interval(peers));
     while now < end {
@@ -21,10 +21,9 @@
     end
 }
 
-/// Hosts of a large fleet wait for their first requests, then all get some. Each falls silent for
-/// seconds at that very moment, nobody counts its work, and all choose the same engines. The signs of
-/// life of the idle time had been counted as changes, and the first urgent one waited for its turn
-/// behind them.
+/// If heartbeats count as changes, the first urgent change after an idle time waits for seconds in
+/// a large fleet. When all hosts get their first requests at the same moment, nobody then knows the
+/// load of the others, and all choose the same engines.
 #[parameterized(
     pair = { 1 },
     eight = { 7 },
@@ -43,8 +42,8 @@
     assert!(waits <= Duration::from_millis(10), "waits for {waits:?}");
 }
 
-/// Requests come without a pause: urgent changes are told as they come while the burst lasts, then at
-/// the fleet's interval, and the host is never silent for so long that the others forget its work.
+/// Under continuous requests, urgent changes are sent at once during the burst and at the fleet's
+/// interval after it. The host is never silent for so long that others forget its load.
 #[parameterized(
     eight = { 7 },
     seventy = { 69 },
@@ -71,8 +70,8 @@
     assert!(f64::from(sent) <= sent_max, "{sent} of at most {sent_max}");
 }
 
-/// Most of a fleet is gone from the list right after a burst. The few that are left are told the next
-/// urgent change at the pace of a small fleet.
+/// When most of a fleet leaves the list right after a burst, the next urgent change must be sent at
+/// the interval of a small fleet.
 #[test]
 fn a_shrunken_fleet_is_updated_at_its_own_interval() {
     let start = Instant::now();
--- a/tests/exchange_world/measurements.rs
+++ b/tests/exchange_world/measurements.rs
@@ -1,13 +1,13 @@
-//! What a run of a fleet cost, and how old its news were.
+//! Measurements of a run: the age of updates and their cost.
 
 use std::time::Duration;
 
 pub struct Measurements {
-    /// From a change to each other host's knowledge of it.
+    /// The time from each change until each other host knew of it.
     pub ages: Vec<Duration>,
     pub received: Vec<usize>,
     pub sent_bytes: Vec<usize>,
-    /// Bytes between failure domains, without the headers of datagrams.
+    /// The bytes sent between failure domains, without datagram headers.
     pub cross_domain_bytes: usize,
 }
 
@@ -25,7 +25,7 @@
         self.received[host] += 1;
     }
 
-    /// The age that this part of all news did not exceed.
+    /// The age of updates at a quantile from 0 to 1.
     pub fn age(&mut self, quantile: f64) -> Duration {
         self.ages.sort_unstable();
         let last = self.ages.len() - 1;
@@ -34,7 +34,7 @@
         self.ages[index]
     }
 
-    /// The median of what hosts received.
+    /// The median of the numbers of messages that hosts received.
     pub fn received_median(&self) -> usize {
         let mut received = self.received.clone();
         received.sort_unstable();
--- a/tests/exchange_world/mod.rs
+++ b/tests/exchange_world/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet that exchanges news under a clock moved by hand: hosts, the ways between them, and what
-//! each believes of the others' work.
+//! A simulated fleet that exchanges updates under a manual clock: hosts, the links between them,
+//! and what each host knows of the load of the others.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -31,9 +31,9 @@
 pub use measurements::Measurements;
 pub use node::Node;
 
-/// One way between two hosts.
+/// The latency of the link between two hosts.
 const LINK_DELAY: Duration = Duration::from_millis(1);
-/// Changes of its work that a host of the users' largest fleet makes a second.
+/// Changes of load per second and host in the users' largest fleet.
 pub const CHANGES_PER_S: f64 = 3.6;
 
 #[derive(Clone, Debug)]
@@ -47,11 +47,11 @@
     Change(usize),
 }
 
-/// A fleet and its clock.
+/// A simulated fleet and its clock.
 pub struct World {
     pub nodes: Vec<Node>,
     pub measurements: Measurements,
-    /// The part of all messages that are lost.
+    /// The fraction of messages that are lost.
     pub loss_rate: f64,
     base: Instant,
     now: Duration,
@@ -63,7 +63,7 @@
     probes: Vec<Probe>,
 }
 
-/// One change, and who knows of it.
+/// A change of load, and the hosts that do not know of it yet.
 struct Probe {
     upstream: UpstreamId,
     host: usize,
@@ -72,8 +72,8 @@
 }
 
 impl World {
-    /// Hosts spread over failure domains; each seventh is strong. `former` of them are of a version that
-    /// knows of no collectors.
+    /// Creates hosts spread over failure domains; every seventh is strong. The last `legacy` of
+    /// them run a version without support for collectors.
     pub fn new(hosts: usize, domains: usize, legacy: usize, seed: u64) -> Self {
         let base = Instant::now();
         let mut world = Self {
@@ -114,7 +114,7 @@
         world
     }
 
-    /// All hosts read the list, as it is now.
+    /// Gives all hosts the current list of hosts.
     pub fn publish_hosts(&mut self) {
         let all: Vec<ListedHost> = self.nodes.iter().map(|node| node.listed.clone()).collect();
         let all = Arc::new(all);
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Lets each host change its work this often.
+    /// Sets how often each host changes its load.
     pub fn set_changes(&mut self, per_s: f64) {
         let was_idle = self.changes_per_s == 0.0;
         self.changes_per_s = per_s;
@@ -145,7 +145,7 @@
         self.now = end;
     }
 
-    /// Lets time pass until something is true; how long that took, at most `most`.
+    /// Lets time pass until a condition holds. Returns how long that took, at most `timeout`.
     pub fn run_until(
         &mut self,
         timeout: Duration,
@@ -158,19 +158,19 @@
         self.now - start
     }
 
-    /// A host loses its power.
+    /// Stops a host without a shutdown.
     pub fn kill(&mut self, index: usize) {
         self.nodes[index].is_up = false;
     }
 
-    /// It starts again and knows nothing.
+    /// Restarts a host without any state.
     pub fn restart(&mut self, index: usize) {
         let now = self.instant();
         self.nodes[index].restart(now);
         self.push(self.now, Event::Wake(index));
     }
 
-    /// It stands still, and hears what has come meanwhile when it wakes.
+    /// Pauses a host. It receives what was sent to it meanwhile when it is woken.
     pub fn pause(&mut self, index: usize) {
         self.nodes[index].is_paused = true;
     }
@@ -185,7 +185,7 @@
         self.push(self.now, Event::Wake(index));
     }
 
-    /// Cuts a failure domain off from the others, or ends that.
+    /// Starts or ends a partition between a failure domain and the others.
     pub fn set_partitioned(&mut self, domain: &str, is_partitioned: bool) {
         for node in &mut self.nodes {
             if node.listed.domain.as_str() == domain {
@@ -194,7 +194,7 @@
         }
     }
 
-    /// The host that most hosts of the domain of `index` tell, or that host itself.
+    /// The collector that the host `index` listens to, or the host itself.
     pub fn collector_of(&self, index: usize) -> usize {
         let now = self.instant();
         let route = self.nodes[index].exchange.current_route(now);
@@ -205,8 +205,8 @@
         self.nodes.iter().position(is_it).unwrap()
     }
 
-    /// One host has one more request at an upstream that nobody else uses, and all others are watched
-    /// for when they know.
+    /// Adds one request of a host at an upstream that no other host uses, and tracks when the other
+    /// hosts know of it.
     pub fn probe(&mut self, host: usize) {
         let name = format!("probe-{}", self.probes.len());
         let upstream = upstream(&name);
@@ -224,7 +224,7 @@
         self.on_load_changed(host);
     }
 
-    /// Hosts that have not heard of some probe yet.
+    /// The number of hosts that have not heard of a probe yet, over all probes.
     pub fn undelivered_probes(&self) -> usize {
         self.probes
             .iter()
@@ -232,8 +232,8 @@
             .sum()
     }
 
-    /// What each live host is wrong about: upstreams where it takes the work of the others for another
-    /// than it is.
+    /// The number of pairs of a live host and an upstream for which the host's knowledge of the
+    /// others' load is wrong.
     pub fn mismatches(&self) -> usize {
         let now = self.instant();
         let live: Vec<&Node> = self.nodes.iter().filter(|node| node.is_up).collect();
@@ -377,12 +377,12 @@
     }
 }
 
-/// Whether a host has more processors than most.
+/// Whether a host has a larger CPU share than most.
 pub fn is_strong(index: usize) -> bool {
     index % 7 == 3
 }
 
-/// Host `index` is found here.
+/// The address of the host `index`.
 fn addr(index: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], u16::try_from(index + 1).unwrap()))
 }
@@ -391,7 +391,7 @@
     name.parse().unwrap()
 }
 
-/// So many requests at one upstream.
+/// A load of the given number of requests at one upstream.
 pub fn requests(in_flight: u32) -> HostLoad {
     HostLoad {
         in_flight,
--- a/tests/exchange_world/node.rs
+++ b/tests/exchange_world/node.rs
@@ -1,4 +1,4 @@
-//! One host of the fleet.
+//! One host of the simulated fleet.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,10 +30,10 @@
     pub is_partitioned: bool,
     pub missed: Vec<Arc<HostUpdate>>,
     pub wakes_at: Option<Duration>,
-    /// Its starts so far.
+    /// The number of restarts so far.
     pub incarnation: u64,
     own: IndexMap<UpstreamId, u32>,
-    /// What it has sent to an upstream that has named a limit.
+    /// The sends of this host to an upstream that has named a limit.
     pub sent: Option<LimitEntry>,
     heard_sends: IndexMap<LoadSource, u32>,
 }
@@ -68,7 +68,7 @@
         *self = next;
     }
 
-    /// Its work at an upstream is now so many requests.
+    /// Sets the number of this host's requests at an upstream.
     pub fn set_requests(&mut self, upstream: &UpstreamId, requests: u32) {
         self.own.insert(upstream.clone(), requests);
     }
@@ -77,7 +77,7 @@
         self.own.get(upstream).copied().unwrap_or(0)
     }
 
-    /// Requests of all hosts at the upstream that has named a limit, as far as this one knows.
+    /// The requests that all hosts have sent to the limited upstream, as far as this host knows.
     pub fn known_sends(&self) -> u32 {
         let own = self.sent.map_or(0, |entry| entry.sent_in_window);
         own + self.heard_sends.values().sum::<u32>()
--- a/tests/gateway_limits.rs
+++ b/tests/gateway_limits.rs
@@ -1,4 +1,4 @@
-//! Upstreams that name a limit of requests a second in their answers.
+//! Upstreams that name a rate limit in their answers.
 
 mod gateway_world;
 
@@ -18,7 +18,7 @@
     Upstream::start([Act::Answer(200, "a")]).await
 }
 
-/// A host, and the only upstream of the service that it calls.
+/// A host and the only upstream of the service that it calls.
 async fn host_with_one_upstream() -> (Upstream, TestHost) {
     let catalog = FakeCatalog::new(table(1));
     let upstream = start_upstream().await;
@@ -38,7 +38,7 @@
         .collect()
 }
 
-/// Operators can't tell from logs when hosts knew of an upstream's limit.
+/// Operators must be able to tell from logs when hosts learnt of an upstream's limit.
 #[tokio::test]
 async fn each_change_of_a_limit_is_logged() {
     let (upstream, host) = host_with_one_upstream().await;
@@ -55,7 +55,7 @@
     assert!(lines[1]["limit_per_s"].is_null());
 }
 
-/// An upstream that names nonsense fills the log, or ends the limit that is known.
+/// An upstream that names a malformed limit must neither flood the log nor end the known limit.
 #[tokio::test]
 async fn a_malformed_limit_is_logged_once_and_changes_nothing() {
     let (upstream, host) = host_with_one_upstream().await;
@@ -76,11 +76,13 @@
     assert_eq!((malformed(), limit_lines(&host).len()), (1, 1));
 }
 
-/// Calls to each host and the pause after each, which makes several times the limit below.
+/// The number of calls to each host and the pause after each call, which add up to several times
+/// the limit of the test below.
 const CALLS: u32 = 60;
 const CALL_PAUSE: Duration = Duration::from_millis(40);
 
-/// An upstream that names a limit goes on getting its share of all requests, from each host.
+/// An upstream that names a limit must not go on getting its regular share of requests from each
+/// host.
 #[tokio::test]
 async fn all_hosts_together_keep_an_upstreams_limit() {
     let catalog = FakeCatalog::new(table(1));
@@ -107,7 +109,7 @@
     );
     assert!(
         received > 0,
-        "its answers are asked for the end of the limit"
+        "some requests must reach the upstream to detect the end of the limit"
     );
 }
 
@@ -125,8 +127,8 @@
     }
 }
 
-/// All upstreams of a service are short of capacity: calls that can't be served are kept waiting until their
-/// deadline, or told nothing of when to come back.
+/// When all upstreams of a service are limited, a call that cannot be served must not wait until
+/// its deadline, and must be told when to retry.
 #[tokio::test]
 async fn a_call_that_no_limit_admits_in_time_is_refused_at_once() {
     let (upstream, host) = host_with_one_upstream().await;
@@ -145,7 +147,8 @@
     assert_eq!(upstream.arrivals().len(), 1);
 }
 
-/// Each host learns of a limit, and of its end, by requests of its own.
+/// Hosts must learn of a limit and of its end from each other, without sending requests of their
+/// own.
 #[tokio::test]
 async fn a_limit_and_its_end_are_sent_to_the_other_hosts() {
     let catalog = FakeCatalog::new(table(1));
--- a/tests/limit_world/mod.rs
+++ b/tests/limit_world/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet before one upstream that has named a limit, under a clock moved by hand: requests that want to go
-//! there at any host, and news of what was sent that come late.
+//! A simulated fleet with one upstream that has named a rate limit, under a manual clock: requests
+//! for the upstream arrive at any host, and reports of sends arrive late.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -21,22 +21,22 @@
 
 use event_queue::EventQueue;
 
-/// Between two messages of a host that has nothing new.
+/// The interval between two reports of a host without changes.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// How late news come.
+/// The delay of reports between hosts.
 const REPORT_DELAY_MS: std::ops::Range<u64> = 20..200;
-/// From a send to the head of its answer.
+/// The delay from a send to the head of its answer.
 const ANSWER_DELAY: Duration = Duration::from_millis(80);
 
-/// How long a fleet has been running before a test begins; longer than a window.
+/// How long the fleet has been running when a test begins; longer than a limit window.
 const WARM_UP: Duration = Duration::from_secs(60);
 
-/// A fleet and what it wants of the upstream.
+/// The fleet, the limit and the load of a scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct Site {
     pub hosts: usize,
     pub limit: RequestsPerSecond,
-    /// Requests a second that want to go to the upstream, at all hosts together.
+    /// The requests for the upstream per second, at all hosts together.
     pub request_rate: f64,
 }
 
@@ -57,7 +57,7 @@
     domain: usize,
 }
 
-/// The fleet, its clock and its upstream.
+/// The simulated fleet, its clock and its upstream.
 pub struct World {
     site: Site,
     hosts: Vec<Host>,
@@ -72,7 +72,7 @@
 }
 
 impl World {
-    /// A fleet that has been running for a minute and knows of the limit.
+    /// Creates a fleet that has been running for a minute and knows of the limit.
     pub fn new(site: Site, seed: u64) -> Self {
         let base = Instant::now();
         let host = |_| Host {
@@ -99,7 +99,7 @@
         world
     }
 
-    /// The upstream names its limit so long after the beginning.
+    /// Makes the upstream name its limit only from `after` the start on.
     pub fn limit_starts_at(&mut self, after: Duration) {
         self.limit_start = WARM_UP + after;
     }
@@ -108,7 +108,7 @@
         self.site.request_rate = per_s;
     }
 
-    /// Hosts hear only those of their own domain.
+    /// Partitions the hosts into domains that do not hear each other.
     pub fn partition(&mut self, domains: usize) {
         for (index, host) in self.hosts.iter_mut().enumerate() {
             host.domain = index % domains;
@@ -120,7 +120,7 @@
         self.is_partitioned = false;
     }
 
-    /// One host in ten is killed and started again.
+    /// Kills and restarts one host in ten.
     pub fn restart_tenth(&mut self) {
         let now = self.instant();
         for index in 0..self.hosts.len() {
@@ -140,7 +140,8 @@
         self.now = end;
     }
 
-    /// The most requests that the upstream got in such a time, of those that end so long after the beginning or later.
+    /// The maximum number of requests that the upstream received within `window`, over all windows
+    /// that end at least `after` after the start.
     pub fn max_in_window(&self, after: Duration, window: Duration) -> u32 {
         let from = WARM_UP + after;
         let ends = self.sent_at.iter().filter(|at| **at >= from);
@@ -151,7 +152,7 @@
         u32::try_from(counts.max().unwrap_or(0)).unwrap()
     }
 
-    /// What was sent, as a part of what the limit allows.
+    /// The number of requests sent, as a fraction of what the limit allows.
     pub fn used_fraction(&self) -> f64 {
         let elapsed = self.now - WARM_UP;
         self.sent_at.len() as f64 / (self.site.limit.0 * elapsed.as_secs_f64())
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routes by host name and path, and shares of targets.
+//! Routes by host name and path, and the shares of their targets.
 
 use std::time::Duration;
 
--- a/tests/units.rs
+++ b/tests/units.rs
@@ -1,4 +1,4 @@
-//! Newtypes: what is written can be read again, and what is wrong is told.
+//! Unit types: written values can be parsed again, and invalid texts are refused.
 
 use std::fmt::Debug;
 use std::fmt::Display;
