--- a/src/exchange/exchange_state.rs
+++ b/src/exchange/exchange_state.rs
@@ -283,7 +283,7 @@
         for update in relayed {
             match update.host.parse::<HostId>() {
                 Ok(collector) => {
-                    accepted.extend(self.accept_domain_update(&collector, update, now))
+                    accepted.extend(self.accept_domain_update(&collector, update, now));
                 }
                 Err(err) => warn!("exchange: relayed update without a valid host name: {err}"),
             }
--- a/src/exchange/load_state.rs
+++ b/src/exchange/load_state.rs
@@ -41,7 +41,7 @@
     }
 
     /// Converts the load into an entry of a message that is sent at `now`.
-    pub(crate) fn to_entry(&self, upstream: UpstreamHash, now: Instant) -> LoadEntry {
+    pub(crate) fn entry_at(&self, upstream: UpstreamHash, now: Instant) -> LoadEntry {
         let until = |at: Instant| whole_millis_u32(at.saturating_duration_since(now));
         LoadEntry {
             upstream: String::new(),
--- a/src/exchange/source_state.rs
+++ b/src/exchange/source_state.rs
@@ -126,7 +126,7 @@
         update.loads = if is_full {
             self.full_sent_at = Some(now);
             let all = self.loads.iter();
-            all.map(|(upstream, load)| load.to_entry(*upstream, now))
+            all.map(|(upstream, load)| load.entry_at(*upstream, now))
                 .collect()
         } else {
             self.changed_loads(now)
@@ -152,7 +152,7 @@
             sent.is_none_or(|sent| load.differs_from(sent))
         };
         let changed = self.loads.iter().filter(|(id, load)| is_changed(id, load));
-        let changed = changed.map(|(upstream, load)| load.to_entry(*upstream, now));
+        let changed = changed.map(|(upstream, load)| load.entry_at(*upstream, now));
         let has_ended = |upstream: &UpstreamHash| !self.loads.contains_key(upstream);
         let ended = self
             .sent_loads
