--- a/src/decide/rate_limit.rs
+++ b/src/decide/rate_limit.rs
@@ -1,9 +1,9 @@
 //! How many more requests may be sent to an upstream that has named a rate limit.
 //!
-//! An upstream short of capacity names the requests per second that it accepts from all hosts together.
-//! Divided evenly, the limit would allow each of 195 hosts one request in two minutes, or a burst
-//! of 195. Hosts therefore tell each other what they have sent to the upstream, and each sends
-//! while the sum is below the limit.
+//! An upstream short of capacity names the requests per second that it accepts from all hosts
+//! together. Divided evenly, the limit would allow each of 195 hosts one request in two minutes, or
+//! a burst of 195. Hosts therefore tell each other what they have sent to the upstream, and each
+//! sends while the sum is below the limit.
 
 use std::time::Duration;
 
--- a/src/decide/rate_limit_tracker.rs
+++ b/src/decide/rate_limit_tracker.rs
@@ -212,7 +212,7 @@
         })
     }
 
-    /// Forgets upstreams that are no longer listed.
+    /// Keeps only the upstreams for which `is_listed` returns true.
     pub fn keep(&mut self, is_listed: impl Fn(&UpstreamId) -> bool) {
         self.known.retain(|id, _| is_listed(id));
         self.own_sent.retain(|id, _| is_listed(id));
