--- a/src/decide/rate_limit_tracker.rs
+++ b/src/decide/rate_limit_tracker.rs
@@ -213,7 +213,7 @@
     }
 
     /// Keeps only the upstreams for which `is_listed` returns true.
-    pub fn keep(&mut self, is_listed: impl Fn(&UpstreamId) -> bool) {
+    pub fn retain(&mut self, is_listed: impl Fn(&UpstreamId) -> bool) {
         self.known.retain(|id, _| is_listed(id));
         self.own_sent.retain(|id, _| is_listed(id));
         self.reported.retain(|id, _| is_listed(id));
