--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -94,7 +94,7 @@
 
     /// Forgets upstreams that are off the list.
     pub(crate) fn keep(&self, is_listed: impl Fn(&UpstreamId) -> bool) {
-        self.book().keep(&is_listed);
+        self.book().retain(&is_listed);
         self.malformed_logged()
             .retain(|upstream, _| is_listed(upstream));
     }
