--- a/src/decide/rate_limit_tracker.rs
+++ b/src/decide/rate_limit_tracker.rs
@@ -63,7 +63,7 @@
     started_at: Instant,
     hosts: HostsHeard,
     update_age_max: Duration,
-    known: IndexMap<UpstreamId, KnownLimit>,
+    limits: IndexMap<UpstreamId, KnownLimit>,
     /// The sends of this host, including those to upstreams without a limit: when an upstream names
     /// a limit, earlier requests count towards it.
     own_sent: IndexMap<UpstreamId, RecentCount>,
@@ -80,7 +80,7 @@
                 heard: 1,
             },
             update_age_max: Duration::ZERO,
-            known: IndexMap::new(),
+            limits: IndexMap::new(),
             own_sent: IndexMap::new(),
             reported: IndexMap::new(),
         }
@@ -139,7 +139,7 @@
         stated_at: Instant,
         is_first_hand: bool,
     ) -> bool {
-        let Some(known) = self.known.get_mut(upstream) else {
+        let Some(known) = self.limits.get_mut(upstream) else {
             if limit.is_some() {
                 let known = KnownLimit {
                     limit,
@@ -147,7 +147,7 @@
                     is_first_hand,
                     open_since: None,
                 };
-                self.known.insert(upstream.clone(), known);
+                self.limits.insert(upstream.clone(), known);
             }
             return limit.is_some();
         };
@@ -163,7 +163,7 @@
 
     /// The limit of an upstream; none if it accepts any number of requests.
     pub fn limit(&self, upstream: &UpstreamId) -> Option<RequestsPerSecond> {
-        self.known.get(upstream).and_then(|known| known.limit)
+        self.limits.get(upstream).and_then(|known| known.limit)
     }
 
     /// Sets which hosts share the limits, and the maximum age of their reports.
@@ -183,7 +183,7 @@
             uptime: now.saturating_duration_since(self.started_at),
             update_age_max: self.update_age_max,
         };
-        let known = self.known.get_mut(upstream)?;
+        let known = self.limits.get_mut(upstream)?;
         known.open_since = if view.is_open() {
             known.open_since.or(Some(now))
         } else {
@@ -196,7 +196,7 @@
 
     /// The reports that this host sends to other hosts.
     pub fn reports(&self, now: Instant) -> impl Iterator<Item = (&UpstreamId, LimitReport)> {
-        self.known.iter().filter_map(move |(upstream, known)| {
+        self.limits.iter().filter_map(move |(upstream, known)| {
             let age = now.saturating_duration_since(known.stated_at);
             let has_sent = self.own_sent_within(upstream, END_REPORT_TIME, now) > 0;
             let is_reported = match known.limit {
@@ -214,7 +214,7 @@
 
     /// Keeps only the upstreams for which `is_listed` returns true.
     pub fn retain(&mut self, is_listed: impl Fn(&UpstreamId) -> bool) {
-        self.known.retain(|id, _| is_listed(id));
+        self.limits.retain(|id, _| is_listed(id));
         self.own_sent.retain(|id, _| is_listed(id));
         self.reported.retain(|id, _| is_listed(id));
     }
