--- a/src/exchange/collector_tracker.rs
+++ b/src/exchange/collector_tracker.rs
@@ -24,8 +24,8 @@
 /// heartbeats.
 const NEIGHBOUR_TIMEOUT: Duration = Duration::from_secs(1);
 /// Number of hosts of another failure domain that receive updates while its collector is unknown.
-/// Each forwards what it receives to the collector, so one live host is enough; after a power loss
-/// that takes down half of a fleet, one of ten hosts is still alive.
+/// Each forwards what it receives to the collector, so one live host is enough; when half of a
+/// fleet loses power at once, one of these ten is still alive.
 const DISCOVERY_FANOUT: usize = 10;
 
 /// The liveness of neighbours and collectors, as seen by one host.
