--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -19,7 +19,7 @@
 
 /// Callers stay for at least two seconds without an event; half a second of it is for finding out that
 /// the stream broke off.
-const PATIENCE_MIN: Duration = Duration::from_millis(1_500);
+const STREAM_PATIENCE_MIN: Duration = Duration::from_millis(1_500);
 
 /// Of a caller's patience, kept for ways and for what a forecast falls short.
 const PATIENCE_MARGIN: Duration = Duration::from_millis(500);
@@ -46,13 +46,13 @@
     /// When its first byte was seen.
     pub arrived: Instant,
     /// When it must have its final answer.
-    pub ends_at: Instant,
+    pub deadline: Instant,
 }
 
 impl Call {
     /// What is left of its time.
     pub fn time_left(&self, now: Instant) -> Duration {
-        self.ends_at.saturating_duration_since(now)
+        self.deadline.saturating_duration_since(now)
     }
 
     /// What is left of the time in which its answer is on time.
@@ -65,7 +65,7 @@
     /// Failure it guards against: an engine dies under load, its answers are late by then, and as late
     /// ones they are turned away where they could go on. Callers stay longer than this.
     pub fn patience(&self) -> Duration {
-        (self.route.objective * 2).max(PATIENCE_MIN)
+        (self.route.objective * 2).max(STREAM_PATIENCE_MIN)
     }
 
     /// How long the caller still stays without a first event, less what an answer's way takes.
--- a/src/gateway/refusal.rs
+++ b/src/gateway/call_refusal.rs
@@ -8,7 +8,7 @@
 use hyper::header::RETRY_AFTER;
 
 use crate::decide::RefuseReason;
-use crate::gateway::AnswerBody;
+use crate::gateway::ResponseBody;
 
 /// When to come back to a host that knows no manifest, or whose knowledge is too old: another host
 /// can serve the request right away.
@@ -96,12 +96,12 @@
     }
 
     /// The answer.
-    pub fn response(&self) -> Response<AnswerBody> {
+    pub fn response(&self) -> Response<ResponseBody> {
         let text = match self {
             Self::BadHead(problem) => format!("{}: {problem}\n", self.name()),
             _ => format!("{}\n", self.name()),
         };
-        let mut res = Response::new(AnswerBody::whole(text));
+        let mut res = Response::new(ResponseBody::full(text));
         *res.status_mut() = self.status();
         if let Some(after) = self.retry_after() {
             let seconds = format!("{:.2}", after.as_secs_f64());
--- a/src/gateway/event.rs
+++ b/src/gateway/decision_event.rs
@@ -262,7 +262,7 @@
 
     /// Whether the line is kept before others when there are too many: those of failures and of the
     /// host itself are, those of requests that went well are not.
-    pub fn is_kept_first(&self) -> bool {
+    pub fn has_priority(&self) -> bool {
         match self {
             Self::Sent { .. } | Self::Waiting { .. } => false,
             Self::Ended { status, .. } => *status >= 400,
--- a/src/gateway/decision_log.rs
+++ b/src/gateway/decision_log.rs
@@ -18,12 +18,12 @@
 use crate::units::whole_millis;
 
 /// Lines that wait to be written, about 300 bytes each. A second of a host under its heaviest load.
-const WAITING_MAX: usize = 2_048;
-/// Of these, places that only lines of failures may take.
-const KEPT_FOR_FAILURES: usize = 512;
+const PENDING_MAX: usize = 2_048;
+/// Of these, capacity that only lines of failures may take.
+const RESERVED_FOR_FAILURES: usize = 512;
 /// Lines are gathered for this long and written together: each write and each time the writer
 /// wakes up costs processor time.
-const GATHER_TIME: Duration = Duration::from_millis(200);
+const BATCH_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(Serialize)]
 struct Line<'a> {
@@ -42,7 +42,7 @@
 }
 
 #[derive(Default)]
-struct Waiting {
+struct Pending {
     lines: Vec<(u64, Event)>,
     dropped: u64,
     dropped_total: u64,
@@ -51,13 +51,13 @@
 
 struct Shared {
     host: HostId,
-    waiting: Mutex<Waiting>,
+    pending: Mutex<Pending>,
     arrived: Condvar,
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Pending> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -73,7 +73,7 @@
     pub fn new(host: HostId, clock: Arc<dyn Clock>, out: Box<dyn Write + Send>) -> Self {
         let shared = Arc::new(Shared {
             host,
-            waiting: Mutex::default(),
+            pending: Mutex::default(),
             arrived: Condvar::new(),
         });
         let writer_shared = Arc::clone(&shared);
@@ -89,20 +89,20 @@
     pub fn note(&self, event: Event) {
         let wall = self.clock.wall().duration_since(UNIX_EPOCH);
         let wall_ms = whole_millis(wall.unwrap_or_default());
-        let mut waiting = self.shared.lock();
-        let places = if event.is_kept_first() {
-            WAITING_MAX
+        let mut pending = self.shared.lock();
+        let capacity = if event.has_priority() {
+            PENDING_MAX
         } else {
-            WAITING_MAX - KEPT_FOR_FAILURES
+            PENDING_MAX - RESERVED_FOR_FAILURES
         };
-        if waiting.lines.len() >= places {
-            waiting.dropped += 1;
-            waiting.dropped_total += 1;
+        if pending.lines.len() >= capacity {
+            pending.dropped += 1;
+            pending.dropped_total += 1;
             return;
         }
-        waiting.lines.push((wall_ms, event));
-        let is_first = waiting.lines.len() == 1;
-        drop(waiting);
+        pending.lines.push((wall_ms, event));
+        let is_first = pending.lines.len() == 1;
+        drop(pending);
         if is_first {
             self.shared.arrived.notify_one();
         }
@@ -166,21 +166,21 @@
 }
 
 fn take_lines(shared: &Shared) -> (Vec<(u64, Event)>, u64, bool) {
-    let waiting = shared.lock();
-    let waiting = shared
+    let pending = shared.lock();
+    let pending = shared
         .arrived
-        .wait_while(waiting, |w| w.lines.is_empty() && !w.is_closed)
+        .wait_while(pending, |w| w.lines.is_empty() && !w.is_closed)
         .unwrap_or_else(PoisonError::into_inner);
-    if !waiting.is_closed {
-        drop(waiting);
-        thread::sleep(GATHER_TIME);
+    if !pending.is_closed {
+        drop(pending);
+        thread::sleep(BATCH_INTERVAL);
     } else {
-        drop(waiting);
+        drop(pending);
     }
-    let mut waiting = shared.lock();
-    let lines = std::mem::take(&mut waiting.lines);
-    let dropped = std::mem::take(&mut waiting.dropped);
-    (lines, dropped, waiting.is_closed)
+    let mut pending = shared.lock();
+    let lines = std::mem::take(&mut pending.lines);
+    let dropped = std::mem::take(&mut pending.dropped);
+    (lines, dropped, pending.is_closed)
 }
 
 fn append(text: &mut Vec<u8>, line: &impl Serialize) {
--- a/src/gateway/event_splitter.rs
+++ b/src/gateway/event_splitter.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
-    searched: usize,
+    scanned: usize,
     last_id: Option<String>,
 }
 
@@ -19,9 +19,9 @@
     /// Takes in bytes and returns the whole events that are there now, if any.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.pending.extend_from_slice(bytes);
-        let end = self.end_of_events()?;
+        let end = self.last_event_end()?;
         let events = self.pending.split_to(end).freeze();
-        self.searched = 0;
+        self.scanned = 0;
         if let Some(id) = last_id(&events) {
             self.last_id = Some(id);
         }
@@ -29,14 +29,14 @@
     }
 
     /// Whether a part of an event is waiting for its rest.
-    pub fn has_part(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 
     /// Forgets a part of an event whose rest will not come.
-    pub fn drop_part(&mut self) {
+    pub fn discard_partial_event(&mut self) {
         self.pending.clear();
-        self.searched = 0;
+        self.scanned = 0;
     }
 
     /// The id of the last event that was passed on.
@@ -45,8 +45,8 @@
     }
 
     /// Where the last whole event ends: after an empty line. Lines end with LF or CR LF.
-    fn end_of_events(&mut self) -> Option<usize> {
-        let from = self.searched.saturating_sub(3);
+    fn last_event_end(&mut self) -> Option<usize> {
+        let from = self.scanned.saturating_sub(3);
         let tail = &self.pending[from..];
         let mut end = None;
         for (index, byte) in tail.iter().enumerate() {
@@ -60,7 +60,7 @@
                 end = Some(from + index + 3);
             }
         }
-        self.searched = self.pending.len();
+        self.scanned = self.pending.len();
         end
     }
 }
--- a/src/gateway/handler.rs
+++ b/src/gateway/handler.rs
@@ -22,28 +22,31 @@
 use tokio::time::timeout_at;
 
 use crate::decide::UpstreamFault;
-use crate::gateway::AnswerBody;
 use crate::gateway::Call;
 use crate::gateway::CallHead;
-use crate::gateway::DrainPhase;
 use crate::gateway::Gateway;
 use crate::gateway::Refusal;
+use crate::gateway::ResponseBody;
+use crate::gateway::ShutdownPhase;
 use crate::gateway::courier::Courier;
 use crate::gateway::courier::Delivery;
-use crate::gateway::relay::Relay;
+use crate::gateway::request_tracker::RequestTracker;
 use crate::gateway::send::Answered;
-use crate::gateway::tracker::Tracker;
+use crate::gateway::stream_relay::StreamRelay;
 use crate::http::remove_connection_headers;
 use crate::routing::RouteTable;
 
 /// The largest answer that is read whole before it goes to the caller, which allows another
 /// upstream to be asked when it breaks off.
-const WHOLE_ANSWER_MAX: usize = 8 << 20;
+const BUFFERED_RESPONSE_MAX: usize = 8 << 20;
 
 /// Answers one request.
-pub(crate) async fn handle(gateway: Arc<Gateway>, req: Request<Incoming>) -> Response<AnswerBody> {
+pub(crate) async fn handle(
+    gateway: Arc<Gateway>,
+    req: Request<Incoming>,
+) -> Response<ResponseBody> {
     let arrived = gateway.clock.now();
-    let mut tracker = Tracker::new(&gateway, arrived);
+    let mut tracker = RequestTracker::new(&gateway, arrived);
     let (head, body) = req.into_parts();
     let mut res = match admit(&gateway, head, body, arrived, &mut tracker).await {
         Ok(call) => {
@@ -51,9 +54,9 @@
             gateway.count_request(&call.service);
             serve(&gateway, call, tracker).await
         }
-        Err((request, refusal)) => own_answer(&gateway, &request, &refusal, tracker),
+        Err((request, refusal)) => local_response(&gateway, &request, &refusal, tracker),
     };
-    if gateway.phase() != DrainPhase::Serving {
+    if gateway.phase() != ShutdownPhase::Serving {
         res.headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
     }
@@ -66,9 +69,9 @@
     head: request::Parts,
     body: Incoming,
     arrived: Instant,
-    tracker: &mut Tracker,
+    tracker: &mut RequestTracker,
 ) -> Result<Call, (String, Refusal)> {
-    let said = gateway.dialect.read_call(&head.headers);
+    let said = gateway.header_codec.read_call(&head.headers);
     let said = said.map_err(|bad| {
         let problem = format!("{}: {}", bad.header, bad.problem);
         (String::new(), Refusal::BadHead(problem))
@@ -76,7 +79,7 @@
     tracker.on_head(&said.request);
     let request = said.request.clone();
     let refused = |refusal| (request.clone(), refusal);
-    if gateway.phase() >= DrainPhase::Finishing {
+    if gateway.phase() >= ShutdownPhase::Refusing {
         return Err(refused(Refusal::Stopping));
     }
     let routes = gateway.beliefs.routes();
@@ -84,7 +87,7 @@
     let mut call = route_call(gateway, &routes, head, said, arrived).map_err(refused)?;
     let body_max = routes.limits.body_bytes;
     let body = Limited::new(body, body_max).collect();
-    let body = timeout_at(call.ends_at.into(), body).await;
+    let body = timeout_at(call.deadline.into(), body).await;
     let body = body.map_err(|_| refused(Refusal::BodyLate))?;
     let body = body.map_err(|err| {
         refused(if err.is::<LengthLimitError>() {
@@ -132,7 +135,7 @@
         None
     };
     let service = route.target(rand::random()).ok_or(Refusal::NoRoute)?;
-    let limit = said
+    let timeout = said
         .deadline
         .map_or(route.timeout, |deadline| deadline.min(route.timeout));
     Ok(Call {
@@ -140,7 +143,7 @@
         route: Arc::clone(route),
         customer,
         arrived,
-        ends_at: arrived + limit,
+        deadline: arrived + timeout,
         method: head.method,
         uri: head.uri,
         headers: head.headers,
@@ -149,20 +152,24 @@
     })
 }
 
-async fn serve(gateway: &Arc<Gateway>, call: Call, mut tracker: Tracker) -> Response<AnswerBody> {
+async fn serve(
+    gateway: &Arc<Gateway>,
+    call: Call,
+    mut tracker: RequestTracker,
+) -> Response<ResponseBody> {
     let call = Arc::new(call);
     let mut courier = Courier::new(Arc::clone(gateway), Arc::clone(&call));
     loop {
         let answered = match courier.deliver(None).await {
             Delivery::Answered(answered) => answered,
             Delivery::Refused(refusal) => {
-                return own_answer(gateway, &call.head.request, &refusal, tracker);
+                return local_response(gateway, &call.head.request, &refusal, tracker);
             }
         };
         if call.route.kind.is_stream() && answered.head.status.is_success() {
-            return stream_answer(courier, answered, tracker);
+            return stream_response(courier, answered, tracker);
         }
-        match whole_answer(&courier, *answered).await {
+        match full_response(&courier, *answered).await {
             Ok(res) => {
                 tracker.on_first_event(gateway.clock.now());
                 let outcome = if res.status().is_success() {
@@ -174,7 +181,7 @@
                 return res;
             }
             Err(Some(refusal)) => {
-                return own_answer(gateway, &call.head.request, &refusal, tracker);
+                return local_response(gateway, &call.head.request, &refusal, tracker);
             }
             // The answer broke off and the call may run once more.
             Err(None) => {}
@@ -182,23 +189,23 @@
     }
 }
 
-fn stream_answer(
+fn stream_response(
     courier: Courier,
     mut answered: Box<Answered>,
-    tracker: Tracker,
-) -> Response<AnswerBody> {
+    tracker: RequestTracker,
+) -> Response<ResponseBody> {
     let mut headers = std::mem::take(&mut answered.head.headers);
     remove_connection_headers(&mut headers);
     headers.remove(PROXY_AUTHENTICATE);
     // An engine that goes on with the stream may write it in another length.
     headers.remove(CONTENT_LENGTH);
     let status = answered.head.status;
-    let relay = Relay::new(courier, answered, tracker);
-    let pieces = stream::unfold(relay, |mut relay| async move {
-        let piece = relay.next().await?;
-        Some((piece, relay))
+    let relay = StreamRelay::new(courier, answered, tracker);
+    let chunks = stream::unfold(relay, |mut relay| async move {
+        let chunk = relay.next().await?;
+        Some((chunk, relay))
     });
-    let mut res = Response::new(AnswerBody::Pieces(pieces.boxed()));
+    let mut res = Response::new(ResponseBody::Stream(chunks.boxed()));
     *res.status_mut() = status;
     *res.headers_mut() = headers;
     res
@@ -206,25 +213,25 @@
 
 /// Reads an answer to its end. Without one, says what to tell the caller, or nothing if the call may
 /// be sent once more.
-async fn whole_answer(
+async fn full_response(
     courier: &Courier,
     answered: Answered,
-) -> Result<Response<AnswerBody>, Option<Refusal>> {
+) -> Result<Response<ResponseBody>, Option<Refusal>> {
     let Answered {
         head,
         body,
         upstream,
         ..
     } = answered;
-    let read = Limited::new(body, WHOLE_ANSWER_MAX).collect();
-    let why = match timeout_at(courier.call.ends_at.into(), read).await {
+    let read = Limited::new(body, BUFFERED_RESPONSE_MAX).collect();
+    let why = match timeout_at(courier.call.deadline.into(), read).await {
         Err(_) => return Err(Some(Refusal::TimeUp)),
         Ok(Ok(body)) => {
             courier.on_served();
             let mut headers = head.headers;
             remove_connection_headers(&mut headers);
             headers.remove(PROXY_AUTHENTICATE);
-            let mut res = Response::new(AnswerBody::whole(body.to_bytes()));
+            let mut res = Response::new(ResponseBody::full(body.to_bytes()));
             *res.status_mut() = head.status;
             *res.headers_mut() = headers;
             return Ok(res);
@@ -239,14 +246,14 @@
     }
 }
 
-fn own_answer(
+fn local_response(
     gateway: &Gateway,
     request: &str,
     refusal: &Refusal,
-    mut tracker: Tracker,
-) -> Response<AnswerBody> {
+    mut tracker: RequestTracker,
+) -> Response<ResponseBody> {
     let mut res = refusal.response();
-    gateway.dialect.mark_own(request, res.headers_mut());
+    gateway.header_codec.mark_own(request, res.headers_mut());
     tracker.finish(refusal.name(), res.status().as_u16());
     res
 }
--- a/src/gateway/load_guard.rs
+++ b/src/gateway/load_guard.rs
@@ -12,7 +12,7 @@
     gateway: Arc<Gateway>,
     shares: Vec<(UpstreamId, LoadShare)>,
     /// Spares the ledger's lock at each event after the first.
-    is_read: bool,
+    is_prefilled: bool,
 }
 
 impl LoadGuard {
@@ -36,18 +36,18 @@
         Self {
             gateway: Arc::clone(gateway),
             shares,
-            is_read: false,
+            is_prefilled: false,
         }
     }
 }
 
 impl LoadGuard {
     /// Takes in that the prompt has been read.
-    pub(crate) fn read_done(&mut self) {
-        if self.is_read {
+    pub(crate) fn on_prefill_done(&mut self) {
+        if self.is_prefilled {
             return;
         }
-        self.is_read = true;
+        self.is_prefilled = true;
         let mut ledger = self.gateway.ledger();
         for (upstream, share) in &mut self.shares {
             ledger.read_done(upstream, share);
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -29,7 +29,7 @@
 const MALFORMED_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// What a message of another host takes beside the interval at which hosts send.
-const NEWS_WAY: Duration = Duration::from_millis(10);
+const BROADCAST_LATENCY: Duration = Duration::from_millis(10);
 
 /// The limits that upstreams name.
 #[derive(Debug)]
@@ -100,7 +100,7 @@
     }
 
     /// Whether a malformed limit is to be logged now.
-    fn logs_malformed(&self, upstream: &UpstreamId, now: Instant) -> bool {
+    fn should_log_malformed(&self, upstream: &UpstreamId, now: Instant) -> bool {
         let mut logged = self.malformed_logged();
         let is_due = logged
             .get(upstream)
@@ -119,7 +119,7 @@
 
 impl Gateway {
     /// Takes in what an upstream's answer says of its limit. What can't be read changes nothing.
-    pub(crate) fn on_limit_said(&self, upstream: &UpstreamId, said: &LimitSaid) {
+    pub(crate) fn on_response_limit(&self, upstream: &UpstreamId, said: &LimitSaid) {
         let limit = match said {
             LimitSaid::Nothing => return,
             LimitSaid::Unlimited => None,
@@ -134,7 +134,7 @@
         let is_change = book.on_answer(upstream, limit, now);
         drop(book);
         if is_change {
-            self.note_limit(upstream, limit, None, Duration::ZERO);
+            self.on_limit_change(upstream, limit, None, Duration::ZERO);
         }
     }
 
@@ -150,12 +150,12 @@
         let is_change = book.hear(source.clone(), upstream, report, now);
         drop(book);
         if is_change {
-            self.note_limit(upstream, report.limit, Some(source.host()), report.age);
+            self.on_limit_change(upstream, report.limit, Some(source.host()), report.age);
         }
     }
 
     /// Logs another limit than before, and tells the others at once what was sent there.
-    fn note_limit(
+    fn on_limit_change(
         &self,
         upstream: &UpstreamId,
         limit: Option<RequestsPerSecond>,
@@ -192,13 +192,13 @@
     /// How long it takes until hosts hear of each other's sends.
     pub(crate) fn sends_seen_within(&self) -> Duration {
         let route = self.news_route();
-        route.near_age.max(route.far_age) + NEWS_WAY
+        route.near_age.max(route.far_age) + BROADCAST_LATENCY
     }
 
     fn on_malformed_limit(&self, upstream: &UpstreamId, value: &str) {
         let now = self.clock.now();
         self.meters.fault("malformed_limit");
-        if self.rate_limits.logs_malformed(upstream, now) {
+        if self.rate_limits.should_log_malformed(upstream, now) {
             self.log.note(Event::LimitMalformed {
                 upstream: upstream.to_string(),
                 value: value.to_owned(),
--- a/src/gateway/tracker.rs
+++ b/src/gateway/request_tracker.rs
@@ -17,7 +17,7 @@
 const STATUS_CALLER_GONE: u16 = 499;
 
 /// One request, from its head to its end.
-pub(crate) struct Tracker {
+pub(crate) struct RequestTracker {
     gateway: Arc<Gateway>,
     request: String,
     route: String,
@@ -27,11 +27,11 @@
     first_event: Option<Duration>,
     longest_pause: Duration,
     generation: Generation,
-    is_over: bool,
+    is_finished: bool,
     _in_flight: InFlight,
 }
 
-impl Tracker {
+impl RequestTracker {
     pub(crate) fn new(gateway: &Arc<Gateway>, arrived: Instant) -> Self {
         let generation = gateway.beliefs.routes().map(|routes| routes.generation);
         Self {
@@ -44,7 +44,7 @@
             first_event: None,
             longest_pause: Duration::ZERO,
             generation: generation.unwrap_or_default(),
-            is_over: false,
+            is_finished: false,
             _in_flight: gateway.enter(),
         }
     }
@@ -78,10 +78,10 @@
 
     /// Takes in the end.
     pub(crate) fn finish(&mut self, outcome: &str, status: u16) {
-        if self.is_over {
+        if self.is_finished {
             return;
         }
-        self.is_over = true;
+        self.is_finished = true;
         let kind = self.kind.map_or("none", CallKind::name);
         self.gateway
             .meters
@@ -109,7 +109,7 @@
     }
 }
 
-impl Drop for Tracker {
+impl Drop for RequestTracker {
     fn drop(&mut self) {
         self.finish("caller_gone", STATUS_CALLER_GONE);
     }
--- a/src/gateway/reservation.rs
+++ b/src/gateway/reservation.rs
@@ -2,7 +2,7 @@
 //!
 //! An engine frees what was set aside when the time of the order has passed, not when the request
 //! ends. So a reservation is short and is renewed while the request lasts: if this host dies, the
-//! engines have their memory back within [`HOLD`].
+//! engines have their memory back within [`RESERVATION_TTL`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,13 +23,13 @@
 
 /// How long an engine keeps memory after the last order. Engines' memory must not stay unused for
 /// 4 s after a request's end.
-const HOLD: Duration = Duration::from_millis(3_400);
+const RESERVATION_TTL: Duration = Duration::from_millis(3_400);
 /// Between two orders that renew it: two may be lost before the memory is.
 const RENEW_INTERVAL: Duration = Duration::from_millis(1_100);
 /// Orders that give memory back, in all; beyond it the memory lapses.
-const RELEASES_MAX: u32 = 3;
+const RELEASE_ATTEMPTS_MAX: u32 = 3;
 /// Between two of them.
-const RELEASE_PAUSE: Duration = Duration::from_millis(300);
+const RELEASE_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// One engine's part.
 #[derive(Clone, Debug)]
@@ -63,7 +63,7 @@
 pub(crate) struct Reservation {
     gateway: Arc<Gateway>,
     parts: Vec<Part>,
-    renewing: Option<JoinHandle<()>>,
+    renewal: Option<JoinHandle<()>>,
 }
 
 impl Reservation {
@@ -78,7 +78,7 @@
         let mut reservation = Self {
             gateway: Arc::clone(gateway),
             parts,
-            renewing: None,
+            renewal: None,
         };
         let orders = reservation.parts.iter().map(|part| reserve(gateway, part));
         let made = join_all(orders).await;
@@ -95,8 +95,8 @@
         if !refused.is_empty() {
             return Err(refused);
         }
-        let renewing = renew(Arc::clone(gateway), reservation.parts.clone());
-        reservation.renewing = Some(tokio::spawn(renewing));
+        let renewal = renew(Arc::clone(gateway), reservation.parts.clone());
+        reservation.renewal = Some(tokio::spawn(renewal));
         Ok(reservation)
     }
 }
@@ -110,8 +110,8 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        if let Some(renewing) = &self.renewing {
-            renewing.abort();
+        if let Some(renewal) = &self.renewal {
+            renewal.abort();
         }
         // Without a runtime the process is ending, and the memory lapses by itself.
         if let Ok(runtime) = Handle::try_current() {
@@ -125,7 +125,7 @@
 async fn reserve(gateway: &Gateway, part: &Part) -> Result<(), OrderError> {
     let orders = &gateway.orders;
     orders
-        .reserve(part.engine, &part.name, part.tokens, HOLD)
+        .reserve(part.engine, &part.name, part.tokens, RESERVATION_TTL)
         .await
 }
 
@@ -151,14 +151,14 @@
 }
 
 async fn release(gateway: Arc<Gateway>, part: Part) {
-    for _ in 0..RELEASES_MAX {
+    for _ in 0..RELEASE_ATTEMPTS_MAX {
         match gateway.orders.release(part.engine, &part.name).await {
             Ok(()) => return,
             // The engine does not know it: it has lapsed or was never made.
             Err(OrderError::Refused(_)) => return,
             Err(OrderError::NoAnswer(why)) => {
                 log::warn!("reservation: not released: {why}");
-                sleep(RELEASE_PAUSE).await;
+                sleep(RELEASE_RETRY_INTERVAL).await;
             }
         }
     }
--- a/src/gateway/answer_body.rs
+++ b/src/gateway/response_body.rs
@@ -14,60 +14,60 @@
 /// The answer can't be finished. The caller's connection is closed before the end of the body, so
 /// that what it has does not look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CutOff;
+pub struct TruncatedResponse;
 
-impl fmt::Display for CutOff {
+impl fmt::Display for TruncatedResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the answer broke off")
     }
 }
 
-impl std::error::Error for CutOff {}
+impl std::error::Error for TruncatedResponse {}
 
-/// A body that is there, or one that comes piece by piece. Dropped before its end, it gives up what
+/// A body that is there, or one that comes chunk by chunk. Dropped before its end, it gives up what
 /// it stands for at the upstream.
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// All of it; none once it was taken.
-    Whole(Option<Bytes>),
-    /// Pieces.
-    Pieces(BoxStream<'static, Result<Bytes, CutOff>>),
+    Full(Option<Bytes>),
+    /// Stream.
+    Stream(BoxStream<'static, Result<Bytes, TruncatedResponse>>),
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// A body that is there.
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
+    pub fn full(bytes: impl Into<Bytes>) -> Self {
         let bytes = bytes.into();
-        Self::Whole((!bytes.is_empty()).then_some(bytes))
+        Self::Full((!bytes.is_empty()).then_some(bytes))
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = CutOff;
+    type Error = TruncatedResponse;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedResponse>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Pieces(pieces) => pieces
+            Self::Full(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Stream(chunks) => chunks
                 .as_mut()
                 .poll_next(cx)
-                .map(|piece| piece.map(|piece| piece.map(Frame::data))),
+                .map(|chunk| chunk.map(|chunk| chunk.map(Frame::data))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            Self::Pieces(_) => SizeHint::default(),
+            Self::Stream(_) => SizeHint::default(),
         }
     }
 }
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -13,11 +13,11 @@
 use crate::exchange::Exchange;
 use crate::exchange::NewsDesk;
 use crate::gateway::Catalog;
-use crate::gateway::DrainPhase;
 use crate::gateway::Event;
 use crate::gateway::Gateway;
 use crate::gateway::GatewayError;
 use crate::gateway::Listeners;
+use crate::gateway::ShutdownPhase;
 use crate::gateway::engine_reports::keep_reports;
 use crate::gateway::pages::GatewayPages;
 use crate::gateway::probe::try_unreachable;
@@ -41,7 +41,7 @@
     let terminate = signal(SignalKind::terminate()).map_err(GatewayError::Signal)?;
     let hangup = signal(SignalKind::hangup()).map_err(GatewayError::Signal)?;
     let listeners = Listeners::bind(&gateway.conf).await?;
-    tokio::spawn(obey_signals(
+    tokio::spawn(handle_signals(
         Arc::clone(&gateway),
         terminate,
         hangup,
@@ -97,7 +97,7 @@
     Ok(())
 }
 
-async fn obey_signals(
+async fn handle_signals(
     gateway: Arc<Gateway>,
     mut terminate: Signal,
     mut hangup: Signal,
@@ -111,7 +111,7 @@
                 gateway.log.note(Event::Reloaded { outcome });
             }
         }
-        if gateway.phase() == DrainPhase::Over {
+        if gateway.phase() == ShutdownPhase::Expired {
             return;
         }
     }
@@ -119,7 +119,7 @@
 
 /// Takes this host off the list when it begins to stop.
 async fn withdraw(gateway: Arc<Gateway>, catalog: Arc<dyn Catalog>) {
-    gateway.stop_begun().await;
+    gateway.shutdown_requested().await;
     let host = gateway.conf.host.clone();
     match timeout(WITHDRAW_TIMEOUT, catalog.withdraw(host)).await {
         Ok(Ok(())) => {}
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -35,15 +35,15 @@
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 /// The shortest time after which a repeatable call without an answer is sent elsewhere. Ten times
 /// what calls to plain services take.
-const ANSWER_PATIENCE_MIN: Duration = Duration::from_millis(600);
+const RESPONSE_TIMEOUT_MIN: Duration = Duration::from_millis(600);
 /// What a stream's first event may take beyond three times its forecast before another engine gets it;
 /// less than the two seconds after which callers give up.
-const FIRST_EVENT_PATIENCE: Duration = Duration::from_millis(1_000);
+const FIRST_EVENT_MARGIN: Duration = Duration::from_millis(1_000);
 /// How many times its objective a stream's first event may take at least.
-const LATE_PATIENCE: f64 = 2.5;
+const FIRST_EVENT_OBJECTIVES_MIN: f64 = 2.5;
 
 /// Why a call is lost whose upstream has another life by now.
-pub(crate) const STARTED_AGAIN: &str = "the upstream has started again";
+pub(crate) const UPSTREAM_RESTARTED: &str = "the upstream has started again";
 
 /// An upstream's answer, its body still to be read.
 pub(crate) struct Answered {
@@ -96,7 +96,7 @@
         reservation: Option<Reservation>,
     ) -> SendEnd {
         let now = self.gateway.clock.now();
-        let limit = self.patience(&placement, now);
+        let timeout_after = self.response_timeout(&placement, now);
         let load = LoadGuard::new(self.gateway, placement.shares);
         let upstream = placement.upstream;
         let reserved = reservation.iter().flat_map(Reservation::parts);
@@ -110,19 +110,19 @@
             last_event: self.last_event,
         };
         let req = self.request(&head);
-        let sending = one_shot::send(upstream.addr, req, CONNECT_TIMEOUT.min(limit));
+        let sending = one_shot::send(upstream.addr, req, CONNECT_TIMEOUT.min(timeout_after));
         let sent = tokio::select! {
-            sent = timeout(limit, sending) => sent,
+            sent = timeout(timeout_after, sending) => sent,
             () = self.gateway.lives.lost(&upstream.id, now) => {
                 return SendEnd::Lost {
                     fault: UpstreamFault::Broken,
-                    why: STARTED_AGAIN.to_owned(),
+                    why: UPSTREAM_RESTARTED.to_owned(),
                 };
             }
         };
         let res = match sent {
             Ok(Ok(res)) => res,
-            Ok(Err(err)) => return lost_or_not_run(&err),
+            Ok(Err(err)) => return outcome_of_error(&err),
             Err(_) => {
                 return SendEnd::Lost {
                     fault: UpstreamFault::Silent,
@@ -131,9 +131,9 @@
             }
         };
         let (head, body) = res.into_parts();
-        let dialect = &self.gateway.dialect;
+        let dialect = &self.gateway.header_codec;
         let said = dialect.read_answer(&self.call.head.request, head.status, &head.headers);
-        self.gateway.on_limit_said(&upstream.id, &said.limit);
+        self.gateway.on_response_limit(&upstream.id, &said.limit);
         if said.did_not_run {
             return SendEnd::NotRun {
                 fault: UpstreamFault::TurnedAway,
@@ -145,7 +145,7 @@
         let is_whole = said.is_signed
             && said.is_for_request
             && !head.headers.contains_key(CONTENT_ENCODING)
-            && !promises_not_run(head.status);
+            && !implies_not_run(head.status);
         if !is_whole {
             return SendEnd::Lost {
                 fault: UpstreamFault::Failed,
@@ -167,35 +167,38 @@
         let mut req = Request::new(Full::new(self.call.body.clone()));
         *req.method_mut() = self.call.method.clone();
         *req.uri_mut() = self.call.uri.clone();
-        *req.headers_mut() = self.gateway.dialect.send_headers(&self.call.headers, head);
+        *req.headers_mut() = self
+            .gateway
+            .header_codec
+            .send_headers(&self.call.headers, head);
         req
     }
 
     /// How long this send may go without the head of an answer before another upstream gets it.
-    fn patience(&self, placement: &Placement, now: Instant) -> Duration {
+    fn response_timeout(&self, placement: &Placement, now: Instant) -> Duration {
         let time_left = self.call.time_left(now);
-        let patience = match self.call.route.kind {
+        let timeout = match self.call.route.kind {
             CallKind::Idempotent if !self.is_last => {
-                (self.call.route.objective * 2).max(ANSWER_PATIENCE_MIN)
+                (self.call.route.objective * 2).max(RESPONSE_TIMEOUT_MIN)
             }
             CallKind::Stream { is_resumable: true } if !self.is_last => {
-                first_event_patience(self.call, placement.forecast)
+                first_event_timeout(self.call, placement.forecast)
             }
             _ => time_left,
         };
-        patience.min(time_left)
+        timeout.min(time_left)
     }
 }
 
 /// How long a stream's first event may take before another engine gets the call. A long prompt that
 /// is sent again is read again, so it waits until it would be late anyway: forecasts can't see what
 /// other hosts send in the same moment.
-pub(crate) fn first_event_patience(call: &Call, forecast: Duration) -> Duration {
-    let late = call.route.objective.mul_f64(LATE_PATIENCE);
-    late.max(forecast * 3 + FIRST_EVENT_PATIENCE)
+pub(crate) fn first_event_timeout(call: &Call, forecast: Duration) -> Duration {
+    let late = call.route.objective.mul_f64(FIRST_EVENT_OBJECTIVES_MIN);
+    late.max(forecast * 3 + FIRST_EVENT_MARGIN)
 }
 
-fn lost_or_not_run(err: &OneShotError) -> SendEnd {
+fn outcome_of_error(err: &OneShotError) -> SendEnd {
     let why = err.to_string();
     match err {
         OneShotError::ConnectTimeout => SendEnd::NotRun {
@@ -219,7 +222,7 @@
 
 /// Whether a status tells callers that a request has not run. An upstream that uses one without
 /// saying so itself may have run it, and passing it on would be a false promise.
-fn promises_not_run(status: StatusCode) -> bool {
+fn implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::REQUEST_TIMEOUT
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -19,9 +19,9 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-use crate::gateway::AnswerBody;
-use crate::gateway::DrainPhase;
 use crate::gateway::Gateway;
+use crate::gateway::ResponseBody;
+use crate::gateway::ShutdownPhase;
 use crate::gateway::handler::handle;
 use crate::routing::CallerLimits;
 
@@ -35,8 +35,8 @@
 /// Serves callers until the host has finished or its time is up.
 pub(crate) async fn serve_callers(gateway: Arc<Gateway>, listener: TcpListener) {
     let graceful = GracefulShutdown::new();
-    let finishing = until(&gateway, DrainPhase::Finishing);
-    tokio::pin!(finishing);
+    let refusing = wait_for_phase(&gateway, ShutdownPhase::Refusing);
+    tokio::pin!(refusing);
     loop {
         tokio::select! {
             stream = accept(&listener) => {
@@ -44,7 +44,7 @@
                     spawn(graceful.watch(conn));
                 }
             }
-            () = &mut finishing => break,
+            () = &mut refusing => break,
         }
     }
     // The balancer may still send connections here. They are taken and turned away, for one that
@@ -58,7 +58,7 @@
     };
     tokio::select! {
         () = graceful.shutdown() => {}
-        () = until(&gateway, DrainPhase::Over) => {}
+        () = wait_for_phase(&gateway, ShutdownPhase::Expired) => {}
         () = rest => {}
     }
 }
@@ -81,9 +81,9 @@
 struct CallerService(Arc<Gateway>);
 
 impl Service<Request<Incoming>> for CallerService {
-    type Response = Response<AnswerBody>;
+    type Response = Response<ResponseBody>;
     type Error = Infallible;
-    type Future = BoxFuture<'static, Result<Response<AnswerBody>, Infallible>>;
+    type Future = BoxFuture<'static, Result<Response<ResponseBody>, Infallible>>;
 
     fn call(&self, req: Request<Incoming>) -> Self::Future {
         handle(Arc::clone(&self.0), req).map(Ok).boxed()
@@ -120,8 +120,8 @@
 
 /// Waits until stopping has come to a phase. A host that was not asked to stop waits without waking
 /// up.
-pub(crate) async fn until(gateway: &Gateway, phase: DrainPhase) {
-    gateway.stop_begun().await;
+pub(crate) async fn wait_for_phase(gateway: &Gateway, phase: ShutdownPhase) {
+    gateway.shutdown_requested().await;
     while gateway.phase() < phase {
         tokio::time::sleep(PHASE_INTERVAL).await;
     }
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -25,11 +25,11 @@
 use crate::gateway::Call;
 use crate::gateway::DecisionLog;
 use crate::gateway::Dialect;
-use crate::gateway::DrainPhase;
 use crate::gateway::EngineOrders;
 use crate::gateway::Event;
 use crate::gateway::GatewayConf;
 use crate::gateway::Meters;
+use crate::gateway::ShutdownPhase;
 use crate::gateway::lives::Lives;
 use crate::gateway::rate_limits::RateLimits;
 use crate::gateway::share::Held;
@@ -56,7 +56,7 @@
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The headers of the platform.
-    pub dialect: Arc<dyn Dialect>,
+    pub header_codec: Arc<dyn Dialect>,
     /// Orders to engines.
     pub orders: Arc<dyn EngineOrders>,
     /// What is taken to be true.
@@ -70,7 +70,7 @@
     retries: Mutex<IndexMap<ServiceId, RetryWindow>>,
     poison: Mutex<PoisonList>,
     pub(crate) started_at: Instant,
-    stop_asked: watch::Sender<Option<Instant>>,
+    shutdown_requested_at: watch::Sender<Option<Instant>>,
     in_flight: AtomicU64,
     /// Notified when this host's work at upstreams changes.
     pub(crate) load_changed: Notify,
@@ -107,7 +107,7 @@
     pub fn new(
         conf: GatewayConf,
         clock: Arc<dyn Clock>,
-        dialect: Arc<dyn Dialect>,
+        header_codec: Arc<dyn Dialect>,
         orders: Arc<dyn EngineOrders>,
         log: DecisionLog,
         meters: Meters,
@@ -117,7 +117,7 @@
             started_at,
             conf,
             clock,
-            dialect,
+            header_codec,
             orders,
             beliefs: Beliefs::default(),
             log,
@@ -126,7 +126,7 @@
             health: Mutex::default(),
             retries: Mutex::default(),
             poison: Mutex::new(PoisonList::with_bounds(CRASHES_MAX, POISON_KEPT_FOR)),
-            stop_asked: watch::Sender::new(None),
+            shutdown_requested_at: watch::Sender::new(None),
             in_flight: AtomicU64::new(0),
             load_changed: Notify::new(),
             load_urgent: Notify::new(),
@@ -248,7 +248,7 @@
     /// Whether the balancer may send connections here.
     pub fn is_ready(&self) -> bool {
         let now = self.clock.since_boot();
-        self.phase() == DrainPhase::Serving
+        self.phase() == ShutdownPhase::Serving
             && self.beliefs.routes().is_some()
             && self.beliefs.upstreams().is_some()
             && self
@@ -260,7 +260,7 @@
     /// Begins to stop.
     pub fn begin_stop(&self) {
         let now = self.clock.now();
-        let begun = self.stop_asked.send_if_modified(|asked| {
+        let begun = self.shutdown_requested_at.send_if_modified(|asked| {
             let is_first = asked.is_none();
             asked.get_or_insert(now);
             is_first
@@ -272,16 +272,16 @@
     }
 
     /// Waits until the host is asked to stop.
-    pub async fn stop_begun(&self) {
-        let mut asked = self.stop_asked.subscribe();
+    pub async fn shutdown_requested(&self) {
+        let mut asked = self.shutdown_requested_at.subscribe();
         // Fails only when the sender is gone, which lives as long as this host.
         let _ = asked.wait_for(Option::is_some).await;
     }
 
     /// How far this host has come in stopping.
-    pub fn phase(&self) -> DrainPhase {
-        let asked = *self.stop_asked.borrow();
-        DrainPhase::at(asked, self.conf.stop_grace, self.clock.now())
+    pub fn phase(&self) -> ShutdownPhase {
+        let asked = *self.shutdown_requested_at.borrow();
+        ShutdownPhase::at(asked, self.conf.stop_grace, self.clock.now())
     }
 
     /// Requests that have not ended.
--- a/src/gateway/relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -8,152 +8,148 @@
 use tokio::time::timeout;
 
 use crate::decide::UpstreamFault;
-use crate::gateway::CutOff;
 use crate::gateway::EventSplitter;
+use crate::gateway::TruncatedResponse;
 use crate::gateway::courier::Courier;
 use crate::gateway::courier::Delivery;
+use crate::gateway::request_tracker::RequestTracker;
 use crate::gateway::send::Answered;
-use crate::gateway::send::STARTED_AGAIN;
-use crate::gateway::send::first_event_patience;
-use crate::gateway::tracker::Tracker;
+use crate::gateway::send::UPSTREAM_RESTARTED;
+use crate::gateway::send::first_event_timeout;
 
 /// How many times the longest pause that is on time a stream may stay silent before another engine
 /// goes on with it. Callers leave after eight.
-const SILENT_PAUSES: u32 = 5;
+const SILENCE_OBJECTIVES_MAX: u32 = 5;
 /// The same for streams without such a pause.
 const SILENCE_DEFAULT: Duration = Duration::from_secs(2);
 /// A stream on its way to a caller.
-pub(crate) struct Relay {
+pub(crate) struct StreamRelay {
     courier: Courier,
     current: Option<Box<Answered>>,
     splitter: EventSplitter,
-    tracker: Tracker,
-    last_piece_at: Instant,
+    tracker: RequestTracker,
+    last_chunk_at: Instant,
     has_event: bool,
-    is_over: bool,
+    is_finished: bool,
 }
 
 /// What came next from an engine.
-enum Next {
+enum NextChunk {
     Data(Bytes),
     End,
     Broken(UpstreamFault, String),
-    TimeUp,
+    DeadlineExceeded,
 }
 
-impl Relay {
-    pub(crate) fn new(courier: Courier, answered: Box<Answered>, tracker: Tracker) -> Self {
-        let last_piece_at = answered.sent_at;
+impl StreamRelay {
+    pub(crate) fn new(courier: Courier, answered: Box<Answered>, tracker: RequestTracker) -> Self {
+        let last_chunk_at = answered.sent_at;
         Self {
             courier,
             current: Some(answered),
             splitter: EventSplitter::default(),
             tracker,
-            last_piece_at,
+            last_chunk_at,
             has_event: false,
-            is_over: false,
+            is_finished: false,
         }
     }
 
     /// The next whole events; none at the end.
-    pub(crate) async fn next(&mut self) -> Option<Result<Bytes, CutOff>> {
-        if self.is_over {
+    pub(crate) async fn next(&mut self) -> Option<Result<Bytes, TruncatedResponse>> {
+        if self.is_finished {
             return None;
         }
         loop {
-            match self.next_from_engine().await {
-                Next::Data(bytes) => {
+            match self.next_chunk().await {
+                NextChunk::Data(bytes) => {
                     if let Some(events) = self.splitter.push(&bytes) {
                         self.on_events();
                         return Some(Ok(events));
                     }
                 }
-                Next::End if !self.splitter.has_part() => {
+                NextChunk::End if !self.splitter.has_partial_event() => {
                     self.finish("served");
                     self.courier.on_served();
                     return None;
                 }
-                Next::End => {
+                NextChunk::End => {
                     let why = "ended in the middle of an event".to_owned();
-                    if !self.go_on_elsewhere(UpstreamFault::Broken, why).await {
-                        return Some(self.cut("broken"));
+                    if !self.fail_over(UpstreamFault::Broken, why).await {
+                        return Some(self.truncate("broken"));
                     }
                 }
-                Next::Broken(fault, why) => {
-                    if !self.go_on_elsewhere(fault, why).await {
-                        return Some(self.cut("broken"));
+                NextChunk::Broken(fault, why) => {
+                    if !self.fail_over(fault, why).await {
+                        return Some(self.truncate("broken"));
                     }
                 }
-                Next::TimeUp => return Some(self.cut("time_up")),
+                NextChunk::DeadlineExceeded => return Some(self.truncate("time_up")),
             }
         }
     }
 
-    async fn next_from_engine(&mut self) -> Next {
+    async fn next_chunk(&mut self) -> NextChunk {
         let now = self.courier.gateway.clock.now();
         let time_left = self.courier.call.time_left(now);
         if time_left.is_zero() {
-            return Next::TimeUp;
+            return NextChunk::DeadlineExceeded;
         }
-        let silence_left = self.silence_left(now);
+        let silence_budget = self.silence_budget(now);
         let Some(answered) = &mut self.current else {
-            return Next::Broken(UpstreamFault::Broken, "no engine".to_owned());
+            return NextChunk::Broken(UpstreamFault::Broken, "no engine".to_owned());
         };
-        let limit = silence_left.map_or(time_left, |left| left.min(time_left));
+        let wait = silence_budget.map_or(time_left, |left| left.min(time_left));
         let gateway = &self.courier.gateway;
         let lost = gateway.lives.lost(&answered.upstream.id, answered.sent_at);
         let next = tokio::select! {
-            next = timeout(limit, answered.body.frame()) => next,
-            () = lost => return Next::Broken(UpstreamFault::Broken, STARTED_AGAIN.to_owned()),
+            next = timeout(wait, answered.body.frame()) => next,
+            () = lost => return NextChunk::Broken(UpstreamFault::Broken, UPSTREAM_RESTARTED.to_owned()),
         };
         match next {
-            Ok(Some(Ok(frame))) => Next::Data(frame.into_data().unwrap_or_default()),
-            Ok(Some(Err(err))) => Next::Broken(UpstreamFault::Broken, err.to_string()),
-            Ok(None) => Next::End,
-            Err(_) if limit == time_left => Next::TimeUp,
-            Err(_) => Next::Broken(UpstreamFault::Silent, format!("silent for {limit:?}")),
+            Ok(Some(Ok(frame))) => NextChunk::Data(frame.into_data().unwrap_or_default()),
+            Ok(Some(Err(err))) => NextChunk::Broken(UpstreamFault::Broken, err.to_string()),
+            Ok(None) => NextChunk::End,
+            Err(_) if wait == time_left => NextChunk::DeadlineExceeded,
+            Err(_) => NextChunk::Broken(UpstreamFault::Silent, format!("silent for {wait:?}")),
         }
     }
 
     /// How long the engine may still be silent; no limit where no other engine may go on.
-    fn silence_left(&self, now: Instant) -> Option<Duration> {
+    fn silence_budget(&self, now: Instant) -> Option<Duration> {
         if !self.courier.may_run_again() {
             return None;
         }
         let forecast = self.current.as_ref().map(|answered| answered.forecast)?;
         let pause = self.courier.call.route.pause_objective;
-        let pause = pause.map_or(SILENCE_DEFAULT, |pause| pause * SILENT_PAUSES);
-        let patience = if self.has_event {
+        let pause = pause.map_or(SILENCE_DEFAULT, |pause| pause * SILENCE_OBJECTIVES_MAX);
+        let allowed = if self.has_event {
             pause
         } else {
-            pause.max(first_event_patience(&self.courier.call, forecast))
+            pause.max(first_event_timeout(&self.courier.call, forecast))
         };
-        let silent = now.saturating_duration_since(self.last_piece_at);
-        Some(
-            patience
-                .saturating_sub(silent)
-                .max(Duration::from_millis(1)),
-        )
+        let silent = now.saturating_duration_since(self.last_chunk_at);
+        Some(allowed.saturating_sub(silent).max(Duration::from_millis(1)))
     }
 
     fn on_events(&mut self) {
         let now = self.courier.gateway.clock.now();
         if self.has_event {
             self.tracker
-                .on_pause(now.saturating_duration_since(self.last_piece_at));
+                .on_pause(now.saturating_duration_since(self.last_chunk_at));
         } else {
             self.tracker.on_first_event(now);
         }
         if let Some(answered) = &mut self.current {
-            answered.load.read_done();
+            answered.load.on_prefill_done();
         }
         self.has_event = true;
-        self.last_piece_at = now;
+        self.last_chunk_at = now;
     }
 
     /// Sends the call to another engine, to go on after the last event that was passed on. What came
     /// of the event after it is forgotten: the other engine sends it again from its beginning.
-    async fn go_on_elsewhere(&mut self, fault: UpstreamFault, why: String) -> bool {
+    async fn fail_over(&mut self, fault: UpstreamFault, why: String) -> bool {
         // Its connection is closed first: two engines must not write the same answer.
         if let Some(failed) = self.current.take() {
             self.courier.on_lost(&failed.upstream, fault, &why);
@@ -161,11 +157,11 @@
         if !self.courier.may_run_again() {
             return false;
         }
-        self.splitter.drop_part();
+        self.splitter.discard_partial_event();
         let last_event = self.splitter.last_id().map(str::to_owned);
         match self.courier.deliver(last_event.as_deref()).await {
             Delivery::Answered(answered) if answered.head.status.is_success() => {
-                self.last_piece_at = answered.sent_at;
+                self.last_chunk_at = answered.sent_at;
                 self.current = Some(answered);
                 true
             }
@@ -173,14 +169,14 @@
         }
     }
 
-    fn cut(&mut self, outcome: &str) -> Result<Bytes, CutOff> {
+    fn truncate(&mut self, outcome: &str) -> Result<Bytes, TruncatedResponse> {
         self.current = None;
         self.finish(outcome);
-        Err(CutOff)
+        Err(TruncatedResponse)
     }
 
     fn finish(&mut self, outcome: &str) {
-        self.is_over = true;
+        self.is_finished = true;
         self.tracker.finish(outcome, 200);
     }
 }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use banyanarch::gateway::DrainPhase;
+use banyanarch::gateway::ShutdownPhase;
 use banyanarch::http::one_shot;
 use banyanarch::routing::CallKind;
 use banyanarch::routing::CustomerKeys;
@@ -28,7 +28,7 @@
 use yare::parameterized;
 
 /// A host before two upstreams of one service, `a` and `b`.
-async fn two(service: &str, a: Act, b: Act) -> (TestHost, Upstream, Upstream) {
+async fn host_with_two_upstreams(service: &str, a: Act, b: Act) -> (TestHost, Upstream, Upstream) {
     let catalog = FakeCatalog::new(table(1));
     let (a, b) = (Upstream::start([a]).await, Upstream::start([b]).await);
     catalog.list("a", service, a.addr);
@@ -36,7 +36,7 @@
     (TestHost::start("host", &catalog).await, a, b)
 }
 
-async fn one(service: &str, act: Act) -> (TestHost, Upstream, Arc<FakeCatalog>) {
+async fn host_with_one_upstream(service: &str, act: Act) -> (TestHost, Upstream, Arc<FakeCatalog>) {
     let catalog = FakeCatalog::new(table(1));
     let upstream = Upstream::start([act]).await;
     catalog.list("a", service, upstream.addr);
@@ -49,7 +49,7 @@
 
 #[tokio::test]
 async fn a_call_and_its_answer_are_passed_through_untouched() {
-    let (host, upstream, _) = one("app", Act::Answer(201, "answer")).await;
+    let (host, upstream, _) = host_with_one_upstream("app", Act::Answer(201, "answer")).await;
     let mut req = request("/safe/a%20b/c?x=1&y=%2F");
     req.headers_mut()
         .insert("own-header", "kept".parse().unwrap());
@@ -75,7 +75,7 @@
 
 #[tokio::test]
 async fn calls_without_route_or_key_are_rejected() {
-    let (host, upstream, _) = one("app", Act::Answer(200, "answer")).await;
+    let (host, upstream, _) = host_with_one_upstream("app", Act::Answer(200, "answer")).await;
     assert_eq!(status(&host.call(request("/none/1")).await), 404);
     assert_eq!(
         status(&host.call(request_of("key-9", "/safe/1")).await),
@@ -97,7 +97,7 @@
 /// it runs a second time.
 #[tokio::test]
 async fn a_call_that_may_have_run_and_must_not_repeat_is_not_sent_again() {
-    let (host, a, b) = two("app", Act::Break, Act::Break).await;
+    let (host, a, b) = host_with_two_upstreams("app", Act::Break, Act::Break).await;
     let res = host.call(request("/once/1")).await;
     assert_eq!(status(&res), 502, "no promise that it did not run");
     assert_eq!(a.arrivals().len() + b.arrivals().len(), 1);
@@ -105,7 +105,7 @@
 
 #[tokio::test]
 async fn a_call_that_was_turned_away_goes_to_another_upstream() {
-    let (host, a, b) = two("app", Act::TurnAway, Act::Answer(200, "ok")).await;
+    let (host, a, b) = host_with_two_upstreams("app", Act::TurnAway, Act::Answer(200, "ok")).await;
     for _ in 0..4 {
         assert_eq!(status(&host.call(request("/once/1")).await), 200);
     }
@@ -114,7 +114,7 @@
 
 #[tokio::test]
 async fn a_call_that_all_turned_away_is_answered_as_not_run() {
-    let (host, _, _) = two("app", Act::TurnAway, Act::TurnAway).await;
+    let (host, _, _) = host_with_two_upstreams("app", Act::TurnAway, Act::TurnAway).await;
     let res = host.call(request("/once/1")).await;
     assert_eq!(status(&res), 503);
     assert!(res.headers().contains_key("retry-after"));
@@ -172,7 +172,7 @@
 
 #[tokio::test]
 async fn an_idempotent_call_is_sent_to_as_many_upstreams_as_its_route_allows() {
-    let (host, a, b) = two("app", Act::Break, Act::Break).await;
+    let (host, a, b) = host_with_two_upstreams("app", Act::Break, Act::Break).await;
     assert_eq!(status(&host.call(request("/safe/1")).await), 502);
     assert_eq!((a.arrivals().len(), b.arrivals().len()), (1, 1));
 }
@@ -188,7 +188,7 @@
 fn what_is_no_whole_answer_to_the_call_does_not_reach_its_caller(act: Act) {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
-        let (host, _, b) = two("app", act, Act::Answer(200, "right")).await;
+        let (host, _, b) = host_with_two_upstreams("app", act, Act::Answer(200, "right")).await;
         for _ in 0..4 {
             let res = host.call(request("/safe/1")).await;
             assert_eq!((status(&res), res.body().as_ref()), (200, &b"right"[..]));
@@ -199,7 +199,8 @@
 
 #[tokio::test]
 async fn an_upstreams_failure_reaches_the_caller_as_it_is() {
-    let (host, _, _) = two("app", Act::Answer(500, "why"), Act::Answer(500, "why")).await;
+    let (host, _, _) =
+        host_with_two_upstreams("app", Act::Answer(500, "why"), Act::Answer(500, "why")).await;
     let res = host.call(request("/safe/1")).await;
     assert_eq!((status(&res), res.body().as_ref()), (500, &b"why"[..]));
     assert!(res.headers().contains_key("test-signature"));
@@ -236,7 +237,8 @@
 
 #[tokio::test]
 async fn a_stream_that_cannot_be_resumed_is_cut_and_does_not_look_complete() {
-    let (host, a, b) = two("app", Act::EventsThenBreak(3), Act::EventsThenBreak(3)).await;
+    let (host, a, b) =
+        host_with_two_upstreams("app", Act::EventsThenBreak(3), Act::EventsThenBreak(3)).await;
     let cut = host.try_call(request("/fixed/1")).await;
     assert!(cut.is_err(), "{cut:?}");
     assert_eq!(a.arrivals().len() + b.arrivals().len(), 1);
@@ -244,7 +246,7 @@
 
 #[tokio::test]
 async fn an_engine_that_falls_silent_is_left_for_another() {
-    let (host, a, b) = two("app", Act::EventsThenHang(2), Act::Events(4)).await;
+    let (host, a, b) = host_with_two_upstreams("app", Act::EventsThenHang(2), Act::Events(4)).await;
     for _ in 0..3 {
         let res = host.call(request("/stream/1")).await;
         let expected: String = (1..=4).map(event).collect();
@@ -262,7 +264,7 @@
 /// while it waits, and the engine is busy until the deadline.
 #[tokio::test]
 async fn when_a_caller_leaves_its_upstream_is_left_as_well() {
-    let (host, upstream, _) = one("app", Act::Hang).await;
+    let (host, upstream, _) = host_with_one_upstream("app", Act::Hang).await;
     let asked = tokio::time::timeout(Duration::from_millis(300), host.call(request("/once/1")));
     assert!(asked.await.is_err());
     until(|| upstream.left_early() == 1).await;
@@ -271,7 +273,7 @@
 
 #[tokio::test]
 async fn a_call_has_its_final_answer_when_its_time_is_up() {
-    let (host, upstream, _) = one("app", Act::Hang).await;
+    let (host, upstream, _) = host_with_one_upstream("app", Act::Hang).await;
     let mut req = request("/once/1");
     req.headers_mut()
         .insert("test-deadline-ms", "400".parse().unwrap());
@@ -326,7 +328,7 @@
 
 #[tokio::test]
 async fn a_key_that_was_taken_back_stops_working() {
-    let (host, _, catalog) = one("app", Act::Answer(200, "ok")).await;
+    let (host, _, catalog) = host_with_one_upstream("app", Act::Answer(200, "ok")).await;
     assert_eq!(
         status(&host.call(request_of("key-2", "/safe/1")).await),
         200
@@ -346,7 +348,7 @@
 
 #[tokio::test]
 async fn an_older_manifest_never_replaces_a_newer_one() {
-    let (host, _, catalog) = one("app", Act::Answer(200, "ok")).await;
+    let (host, _, catalog) = host_with_one_upstream("app", Act::Answer(200, "ok")).await;
     catalog.publish(table(7));
     until(|| host.gateway.beliefs.routes().unwrap().generation.0 == 7).await;
     catalog.publish(table(3));
@@ -359,7 +361,8 @@
 /// the caller's connection breaks.
 #[tokio::test]
 async fn a_stopping_host_finishes_what_runs_and_closes_after_each_answer() {
-    let (host, _, _) = one("app", Act::AnswerAfter(Duration::from_secs(4), "late")).await;
+    let (host, _, _) =
+        host_with_one_upstream("app", Act::AnswerAfter(Duration::from_secs(4), "late")).await;
     let callers = host.callers;
     let running = tokio::spawn(async move {
         let limit = Duration::from_secs(20);
@@ -381,7 +384,8 @@
 /// others were in rotation.
 #[tokio::test]
 async fn a_host_that_has_no_time_left_turns_new_calls_away_as_not_run() {
-    let (host, upstream, _) = one("app", Act::AnswerAfter(Duration::from_secs(5), "late")).await;
+    let (host, upstream, _) =
+        host_with_one_upstream("app", Act::AnswerAfter(Duration::from_secs(5), "late")).await;
     let callers = host.callers;
     let running = tokio::spawn(async move {
         let limit = Duration::from_secs(20);
@@ -389,7 +393,7 @@
     });
     until(|| host.gateway.in_flight() == 1).await;
     host.gateway.begin_stop();
-    until(|| host.gateway.phase() == DrainPhase::Finishing).await;
+    until(|| host.gateway.phase() == ShutdownPhase::Refusing).await;
     let res = host.call(request("/once/1")).await;
     assert_eq!(status(&res), 503);
     assert!(res.headers().contains_key("retry-after"));
@@ -399,7 +403,7 @@
 
 #[tokio::test]
 async fn every_line_of_the_decision_log_is_json_and_tells_how_a_request_ended() {
-    let (host, _, _) = two("app", Act::TurnAway, Act::TurnAway).await;
+    let (host, _, _) = host_with_two_upstreams("app", Act::TurnAway, Act::TurnAway).await;
     assert_eq!(status(&host.call(request("/once/1")).await), 503);
     let ended = || {
         let lines = host.log.lines();
--- a/tests/gateway_world/dialect.rs
+++ b/tests/gateway_world/header_codec.rs
@@ -14,7 +14,7 @@
 use hyper::StatusCode;
 use hyper::header::HeaderValue;
 
-pub struct TestDialect;
+pub struct TestHeaderCodec;
 
 fn text(headers: &HeaderMap, name: &str) -> Option<String> {
     Some(headers.get(name)?.to_str().ok()?.to_owned())
@@ -39,7 +39,7 @@
     }
 }
 
-impl Dialect for TestDialect {
+impl Dialect for TestHeaderCodec {
     fn read_call(&self, headers: &HeaderMap) -> Result<CallHead, BadHead> {
         let deadline = text(headers, "test-deadline-ms").and_then(|ms| ms.parse().ok());
         Ok(CallHead {
--- a/tests/gateway_world/mod.rs
+++ b/tests/gateway_world/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code, unreachable_pub)]
 
 pub mod catalog;
-pub mod dialect;
+pub mod header_codec;
 pub mod orders;
 pub mod upstream;
 
@@ -41,7 +41,7 @@
 use tokio::task::JoinHandle;
 
 use catalog::FakeCatalog;
-use dialect::TestDialect;
+use header_codec::TestHeaderCodec;
 use orders::FakeOrders;
 
 /// What a test gives up after when it waits for something to become true.
@@ -122,7 +122,7 @@
         let gateway = Arc::new(Gateway::new(
             conf,
             clock,
-            Arc::new(TestDialect),
+            Arc::new(TestHeaderCodec),
             Arc::<FakeOrders>::clone(&orders),
             decision_log,
             Meters::new().unwrap(),
