--- a/src/decide/health_tracker.rs
+++ b/src/decide/health_tracker.rs
@@ -152,12 +152,12 @@
 
 /// What this host has seen of upstreams' faults, and heard of its neighbours.
 #[derive(Debug, Default)]
-pub struct HealthBook {
+pub struct HealthTracker {
     upstreams: IndexMap<UpstreamId, Record>,
     ways: IndexMap<FailureDomainId, Way>,
 }
 
-impl HealthBook {
+impl HealthTracker {
     /// Takes in a fault.
     pub fn on_fault(
         &mut self,
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 
 use crate::clock::Clock;
-use crate::decide::HealthBook;
+use crate::decide::HealthTracker;
 use crate::decide::LoadLedger;
 use crate::decide::Poison;
 use crate::decide::PoisonList;
@@ -66,7 +66,7 @@
     /// The metrics.
     pub meters: Meters,
     ledger: Mutex<LoadLedger>,
-    health: Mutex<HealthBook>,
+    health: Mutex<HealthTracker>,
     retries: Mutex<IndexMap<ServiceId, RetryWindow>>,
     poison: Mutex<PoisonList>,
     pub(crate) started_at: Instant,
@@ -153,7 +153,7 @@
     }
 
     /// What this host has seen of upstreams' faults.
-    pub fn health(&self) -> MutexGuard<'_, HealthBook> {
+    pub fn health(&self) -> MutexGuard<'_, HealthTracker> {
         self.health.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/tests/decide_gateway.rs
+++ b/tests/decide_gateway.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use banyanarch::decide::HealthBook;
+use banyanarch::decide::HealthTracker;
 use banyanarch::decide::HelpsUntil;
 use banyanarch::decide::HostLoad;
 use banyanarch::decide::InstanceView;
@@ -48,7 +48,7 @@
 /// three heartbeats, and every request tries it first since it looks idle; and after each pause again.
 #[test]
 fn an_upstream_that_does_not_connect_gets_no_request_until_a_connection_comes_about() {
-    let (mut health, now) = (HealthBook::default(), Instant::now());
+    let (mut health, now) = (HealthTracker::default(), Instant::now());
     let (dead, here) = (upstream("dead"), domain("here"));
     health.on_fault(&dead, &here, UpstreamFault::ConnectRefused, now);
     assert!(!health.is_usable(&dead, &here, now + ms(100)));
@@ -81,7 +81,7 @@
 /// pause is over, all requests of the moment try it again.
 #[test]
 fn a_domain_that_is_cut_off_is_left_alone_until_it_is_reached() {
-    let (mut health, now) = (HealthBook::default(), Instant::now());
+    let (mut health, now) = (HealthTracker::default(), Instant::now());
     let there = domain("there");
     let untried = upstream("c");
     health.on_fault(&upstream("a"), &there, UpstreamFault::ConnectTimeout, now);
@@ -108,7 +108,7 @@
 #[test]
 fn what_a_neighbour_could_not_reach_is_left_alone_too() {
     let now = Instant::now();
-    let (mut finder, mut neighbour) = (HealthBook::default(), HealthBook::default());
+    let (mut finder, mut neighbour) = (HealthTracker::default(), HealthTracker::default());
     let (there, dead) = (domain("there"), upstream("a"));
     for id in ["a", "b"] {
         finder.on_fault(&upstream(id), &there, UpstreamFault::ConnectTimeout, now);
@@ -129,7 +129,7 @@
 /// A host behind a broken link takes a sound engine for dead, and all of its domain believe it.
 #[test]
 fn what_answers_here_is_used_whatever_a_neighbour_says() {
-    let (mut health, now) = (HealthBook::default(), Instant::now());
+    let (mut health, now) = (HealthTracker::default(), Instant::now());
     let (sound, there) = (upstream("sound"), domain("there"));
     health.on_answer(&sound, &there, now);
     health.hear_unreachable(&sound, &there, now + ms(200));
@@ -141,7 +141,7 @@
 /// least busy because failing is quick.
 #[test]
 fn an_instance_that_fails_many_calls_comes_last() {
-    let (mut health, now) = (HealthBook::default(), Instant::now());
+    let (mut health, now) = (HealthTracker::default(), Instant::now());
     let (grey, here) = (upstream("grey"), domain("here"));
     for _ in 0..5 {
         health.on_fault(&grey, &here, UpstreamFault::Failed, now);
