--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -13,7 +13,7 @@
 
 use crate::decide::FailedAttempt;
 use crate::decide::RetryStop;
-use crate::decide::RetryVerdict;
+use crate::decide::RetryDecision;
 
 /// A request's attempts in all: the second finds another upstream, the third covers a second
 /// failure; more only delay the truth.
@@ -52,21 +52,21 @@
         self.save(RETRY_PART);
     }
 
-    /// What to do after a failed attempt. [`RetryVerdict::Again`] has been paid for.
-    pub fn judge(&mut self, failed: &FailedAttempt, now: Instant) -> RetryVerdict {
+    /// What to do after a failed attempt. [`RetryDecision::Retry`] has been paid for.
+    pub fn judge(&mut self, failed: &FailedAttempt, now: Instant) -> RetryDecision {
         self.refill(now);
         if let Some(stop) = stop_by_promise(failed) {
-            return RetryVerdict::GiveUp(stop);
+            return RetryDecision::GiveUp(stop);
         }
         let after = self.backoff(failed);
         if now + after + REMAINING_MIN > failed.deadline {
-            return RetryVerdict::GiveUp(RetryStop::Deadline);
+            return RetryDecision::GiveUp(RetryStop::Deadline);
         }
         if self.saved < 1.0 {
-            return RetryVerdict::GiveUp(RetryStop::Budget);
+            return RetryDecision::GiveUp(RetryStop::Budget);
         }
         self.saved -= 1.0;
-        RetryVerdict::Again { after }
+        RetryDecision::Retry { after }
     }
 
     /// A pause between half of an exponentially growing bound and all of it, so that requests that
--- a/src/decide/retry_decision.rs
+++ b/src/decide/retry_decision.rs
@@ -24,7 +24,7 @@
 
 /// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RetryVerdict {
+pub enum RetryDecision {
     /// Ask for another grant after a pause, with the upstream that failed in [`crate::decide::Work::avoid`].
     Again {
         /// The pause, jittered.
--- a/src/entry/driver/mod.rs
+++ b/src/entry/driver/mod.rs
@@ -23,7 +23,7 @@
 use crate::decide::FailedAttempt;
 use crate::decide::PoisonMark;
 use crate::decide::RefuseReason;
-use crate::decide::RetryVerdict;
+use crate::decide::RetryDecision;
 use crate::entry::Attempt;
 use crate::entry::Break;
 use crate::entry::EntryParts;
@@ -302,7 +302,7 @@
             .parts
             .with_budget(&self.job.target, |budget| budget.judge(&failed, now))
         {
-            RetryVerdict::Again { after } => {
+            RetryDecision::Retry { after } => {
                 self.parts.metrics.retry(self.last_reason());
                 self.reply.restart();
                 // Homes answer a request that is asked again with the grant it has. If the end of the
@@ -313,7 +313,7 @@
                 sleep(after).await;
                 LifeEvent::RetryAllowed
             }
-            RetryVerdict::GiveUp(stop) => {
+            RetryDecision::GiveUp(stop) => {
                 debug!(
                     "entry: request {} is not retried: {stop:?}",
                     self.job.request
--- a/tests/decide_fakes/bench.rs
+++ b/tests/decide_fakes/bench.rs
@@ -12,7 +12,7 @@
 use banyanarch::decide::Grant;
 use banyanarch::decide::Policy;
 use banyanarch::decide::RetryBudget;
-use banyanarch::decide::RetryVerdict;
+use banyanarch::decide::RetryDecision;
 use banyanarch::decide::UpstreamHealth;
 use banyanarch::decide::UpstreamSeen;
 use banyanarch::decide::Work;
@@ -315,7 +315,7 @@
         if failed.attempts == 1 {
             budget.on_first_attempt();
         }
-        if let RetryVerdict::Again { after } = budget.judge(&failed, now) {
+        if let RetryDecision::Retry { after } = budget.judge(&failed, now) {
             let mut avoid = flight.work.avoid.clone();
             avoid.extend(flight.engines.iter().map(|index| name(*index)));
             self.again.push((now + after, flight.call, avoid));
--- a/tests/decide_retry.rs
+++ b/tests/decide_retry.rs
@@ -8,8 +8,8 @@
 use banyanarch::decide::PoisonList;
 use banyanarch::decide::PoisonMark;
 use banyanarch::decide::RetryBudget;
+use banyanarch::decide::RetryDecision;
 use banyanarch::decide::RetryStop;
-use banyanarch::decide::RetryVerdict;
 use banyanarch::units::AttemptId;
 use banyanarch::units::ContentHash;
 use yare::parameterized;
@@ -34,7 +34,7 @@
 fn some_attempts_are_never_repeated(change: fn(FailedAttempt) -> FailedAttempt, why: RetryStop) {
     let now = Instant::now();
     let verdict = RetryBudget::new(1, now).judge(&change(failed(now)), now);
-    assert_eq!(verdict, RetryVerdict::GiveUp(why));
+    assert_eq!(verdict, RetryDecision::GiveUp(why));
 }
 
 #[test]
@@ -45,7 +45,7 @@
         ..failed(now)
     };
     let verdict = RetryBudget::new(1, now).judge(&attempt, now);
-    assert!(matches!(verdict, RetryVerdict::Again { .. }));
+    assert!(matches!(verdict, RetryDecision::Retry { .. }));
 }
 
 /// All upstreams of a service fail for a minute at a hundred requests a second. If each request were
@@ -64,7 +64,7 @@
                 attempts,
                 ..failed(now)
             };
-            if let RetryVerdict::Again { after } = budget.judge(&attempt, now) {
+            if let RetryDecision::Retry { after } = budget.judge(&attempt, now) {
                 retries += 1;
                 pauses.push(after);
             }
