--- a/src/decide/retry_decision.rs
+++ b/src/decide/retry_decision.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
     /// Ask for another grant after a pause, with the upstream that failed in [`crate::decide::Work::avoid`].
-    Again {
+    Retry {
         /// The pause, jittered.
         after: Duration,
     },
