--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -136,7 +136,7 @@
 pub use retry::RetryBudget;
 pub use retry_after::retry_after;
 pub use retry_decision::FailedAttempt;
-pub use retry_decision::RetryStop;
+pub use retry_decision::GiveUpReason;
 pub use retry_decision::RetryDecision;
 pub use retry_window::RetryBound;
 pub use retry_window::RetryWindow;
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -12,7 +12,7 @@
 use rand::rngs::StdRng;
 
 use crate::decide::FailedAttempt;
-use crate::decide::RetryStop;
+use crate::decide::GiveUpReason;
 use crate::decide::RetryDecision;
 
 /// A request's attempts in all: the second finds another upstream, the third covers a second
@@ -60,10 +60,10 @@
         }
         let after = self.backoff(failed);
         if now + after + REMAINING_MIN > failed.deadline {
-            return RetryDecision::GiveUp(RetryStop::Deadline);
+            return RetryDecision::GiveUp(GiveUpReason::Deadline);
         }
         if self.saved < 1.0 {
-            return RetryDecision::GiveUp(RetryStop::Budget);
+            return RetryDecision::GiveUp(GiveUpReason::Budget);
         }
         self.saved -= 1.0;
         RetryDecision::Retry { after }
@@ -89,12 +89,12 @@
     }
 }
 
-fn stop_by_promise(failed: &FailedAttempt) -> Option<RetryStop> {
-    if failed.answer_started {
-        return Some(RetryStop::AnswerStarted);
+fn stop_by_promise(failed: &FailedAttempt) -> Option<GiveUpReason> {
+    if failed.response_started {
+        return Some(GiveUpReason::ResponseStarted);
     }
     if !failed.did_not_run && !failed.is_repeatable {
-        return Some(RetryStop::NotRepeatable);
+        return Some(GiveUpReason::NotRepeatable);
     }
-    (failed.attempts >= ATTEMPTS_MAX).then_some(RetryStop::Attempts)
+    (failed.attempts >= ATTEMPTS_MAX).then_some(GiveUpReason::Attempts)
 }
--- a/src/decide/retry_decision.rs
+++ b/src/decide/retry_decision.rs
@@ -15,7 +15,7 @@
     /// Whether the request may run twice.
     pub is_repeatable: bool,
     /// Whether a part of the answer has reached the caller already.
-    pub answer_started: bool,
+    pub response_started: bool,
     /// When the upstream wants to be asked again, if it said so.
     pub retry_after: Option<Duration>,
     /// When the request must have ended.
@@ -31,12 +31,12 @@
         after: Duration,
     },
     /// Tell the caller.
-    GiveUp(RetryStop),
+    GiveUp(GiveUpReason),
 }
 
 /// Why there is no further attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RetryStop {
+pub enum GiveUpReason {
     /// It may have run and must not run twice.
     NotRepeatable,
     /// The caller has seen a part of the answer, which another attempt would not continue.
@@ -49,7 +49,7 @@
     Budget,
 }
 
-impl RetryStop {
+impl GiveUpReason {
     /// The reason to tell a caller whose request provably did not run.
     pub fn refuse_reason(self) -> RefuseReason {
         match self {
--- a/src/entry/driver/mod.rs
+++ b/src/entry/driver/mod.rs
@@ -294,7 +294,7 @@
             attempts: self.attempts,
             did_not_run,
             is_repeatable: self.job.rules.repeatable,
-            answer_started: self.reply.is_delivered(),
+            response_started: self.reply.is_delivered(),
             retry_after: self.retry_after,
             deadline: self.job.work.deadline,
         };
--- a/tests/decide_fakes/bench.rs
+++ b/tests/decide_fakes/bench.rs
@@ -308,7 +308,7 @@
             attempts: self.outcomes[flight.call].attempts,
             did_not_run: ended != Ended::Failed,
             is_repeatable: true,
-            answer_started: false,
+            response_started: false,
             retry_after: None,
             deadline: flight.work.deadline,
         };
--- a/tests/decide_retry.rs
+++ b/tests/decide_retry.rs
@@ -4,12 +4,12 @@
 use std::time::Instant;
 
 use banyanarch::decide::FailedAttempt;
+use banyanarch::decide::GiveUpReason;
 use banyanarch::decide::Poison;
 use banyanarch::decide::PoisonList;
 use banyanarch::decide::PoisonMark;
 use banyanarch::decide::RetryBudget;
 use banyanarch::decide::RetryDecision;
-use banyanarch::decide::RetryStop;
 use banyanarch::units::AttemptId;
 use banyanarch::units::ContentHash;
 use yare::parameterized;
@@ -19,19 +19,19 @@
         attempts: 1,
         did_not_run: true,
         is_repeatable: true,
-        answer_started: false,
+        response_started: false,
         retry_after: None,
         deadline: now + Duration::from_secs(10),
     }
 }
 
 #[parameterized(
-    may_have_run = { |f| FailedAttempt { did_not_run: false, is_repeatable: false, ..f }, RetryStop::NotRepeatable },
-    started = { |f| FailedAttempt { answer_started: true, ..f }, RetryStop::AnswerStarted },
-    third = { |f| FailedAttempt { attempts: 3, ..f }, RetryStop::Attempts },
-    no_time = { |f| FailedAttempt { retry_after: Some(Duration::from_secs(11)), ..f }, RetryStop::Deadline },
+    may_have_run = { |f| FailedAttempt { did_not_run: false, is_repeatable: false, ..f }, GiveUpReason::NotRepeatable },
+    started = { |f| FailedAttempt { response_started: true, ..f }, GiveUpReason::ResponseStarted },
+    third = { |f| FailedAttempt { attempts: 3, ..f }, GiveUpReason::Attempts },
+    no_time = { |f| FailedAttempt { retry_after: Some(Duration::from_secs(11)), ..f }, GiveUpReason::Deadline },
 )]
-fn some_attempts_are_never_repeated(change: fn(FailedAttempt) -> FailedAttempt, why: RetryStop) {
+fn some_attempts_are_never_repeated(change: fn(FailedAttempt) -> FailedAttempt, why: GiveUpReason) {
     let now = Instant::now();
     let verdict = RetryBudget::new(1, now).judge(&change(failed(now)), now);
     assert_eq!(verdict, RetryDecision::GiveUp(why));
