--- a/src/decide/retry_decision.rs
+++ b/src/decide/retry_decision.rs
@@ -40,7 +40,7 @@
     /// It may have run and must not run twice.
     NotRepeatable,
     /// The caller has seen a part of the answer, which another attempt would not continue.
-    AnswerStarted,
+    ResponseStarted,
     /// It has had its number of attempts.
     Attempts,
     /// The time that remains is too short.
@@ -54,7 +54,7 @@
     pub fn refuse_reason(self) -> RefuseReason {
         match self {
             Self::Deadline => RefuseReason::Deadline,
-            Self::NotRepeatable | Self::AnswerStarted | Self::Attempts => RefuseReason::NoUpstream,
+            Self::NotRepeatable | Self::ResponseStarted | Self::Attempts => RefuseReason::NoUpstream,
             Self::Budget => RefuseReason::RetryBudget,
         }
     }
