--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -53,7 +53,7 @@
     }
 
     /// What to do after a failed attempt. [`RetryDecision::Retry`] has been paid for.
-    pub fn judge(&mut self, failed: &FailedAttempt, now: Instant) -> RetryDecision {
+    pub fn decide(&mut self, failed: &FailedAttempt, now: Instant) -> RetryDecision {
         self.refill(now);
         if let Some(stop) = stop_by_promise(failed) {
             return RetryDecision::GiveUp(stop);
--- a/src/entry/driver/mod.rs
+++ b/src/entry/driver/mod.rs
@@ -300,7 +300,7 @@
         };
         match self
             .parts
-            .with_budget(&self.job.target, |budget| budget.judge(&failed, now))
+            .with_budget(&self.job.target, |budget| budget.decide(&failed, now))
         {
             RetryDecision::Retry { after } => {
                 self.parts.metrics.retry(self.last_reason());
--- a/tests/decide_fakes/bench.rs
+++ b/tests/decide_fakes/bench.rs
@@ -315,7 +315,7 @@
         if failed.attempts == 1 {
             budget.on_first_attempt();
         }
-        if let RetryDecision::Retry { after } = budget.judge(&failed, now) {
+        if let RetryDecision::Retry { after } = budget.decide(&failed, now) {
             let mut avoid = flight.work.avoid.clone();
             avoid.extend(flight.engines.iter().map(|index| name(*index)));
             self.again.push((now + after, flight.call, avoid));
--- a/tests/decide_retry.rs
+++ b/tests/decide_retry.rs
@@ -33,7 +33,7 @@
 )]
 fn some_attempts_are_never_repeated(change: fn(FailedAttempt) -> FailedAttempt, why: GiveUpReason) {
     let now = Instant::now();
-    let verdict = RetryBudget::new(1, now).judge(&change(failed(now)), now);
+    let verdict = RetryBudget::new(1, now).decide(&change(failed(now)), now);
     assert_eq!(verdict, RetryDecision::GiveUp(why));
 }
 
@@ -44,7 +44,7 @@
         is_repeatable: false,
         ..failed(now)
     };
-    let verdict = RetryBudget::new(1, now).judge(&attempt, now);
+    let verdict = RetryBudget::new(1, now).decide(&attempt, now);
     assert!(matches!(verdict, RetryDecision::Retry { .. }));
 }
 
@@ -64,7 +64,7 @@
                 attempts,
                 ..failed(now)
             };
-            if let RetryDecision::Retry { after } = budget.judge(&attempt, now) {
+            if let RetryDecision::Retry { after } = budget.decide(&attempt, now) {
                 retries += 1;
                 pauses.push(after);
             }
