--- a/src/decide/poison.rs
+++ b/src/decide/poison.rs
@@ -9,7 +9,7 @@
 use indexmap::IndexMap;
 
 use crate::decide::Poison;
-use crate::decide::PoisonMark;
+use crate::decide::RequestFingerprint;
 use crate::units::AttemptId;
 
 /// One crash may be the upstream's own; a second one of another attempt elsewhere is held against
@@ -26,7 +26,7 @@
 /// What one host knows of requests that crash upstreams.
 #[derive(Debug)]
 pub struct PoisonList {
-    marks: IndexMap<PoisonMark, Crashes>,
+    marks: IndexMap<RequestFingerprint, Crashes>,
     crashes_max: usize,
     kept_for: Duration,
 }
@@ -63,7 +63,7 @@
     /// hosts, empty if they need not hear of it again.
     pub fn on_crash(
         &mut self,
-        marks: &[PoisonMark],
+        marks: &[RequestFingerprint],
         attempt: AttemptId,
         now: Instant,
     ) -> Vec<Poison> {
@@ -93,7 +93,7 @@
     }
 
     /// Whether a request with any of these marks is to be refused.
-    pub fn is_poison(&self, marks: &[PoisonMark], now: Instant) -> bool {
+    pub fn is_poison(&self, marks: &[RequestFingerprint], now: Instant) -> bool {
         marks.iter().any(|mark| {
             let crashes = self.marks.get(mark);
             crashes.is_some_and(|c| {
@@ -104,7 +104,7 @@
 
     /// Takes in that a request was served to its end, which one that crashes upstreams never is.
     /// Requests that ran beside such a one when it crashed their upstream are cleared this way.
-    pub fn acquit(&mut self, mark: PoisonMark) {
+    pub fn acquit(&mut self, mark: RequestFingerprint) {
         self.marks.swap_remove(&mark);
     }
 
@@ -128,7 +128,7 @@
 
     /// Drops marks from the front, where the oldest stand, when the list is full: many at once, since
     /// each time the others move up.
-    fn make_room(&mut self, mark: PoisonMark, now: Instant) {
+    fn make_room(&mut self, mark: RequestFingerprint, now: Instant) {
         if self.marks.len() < MARKS_MAX || self.marks.contains_key(&mark) {
             return;
         }
--- a/src/decide/poison_report.rs
+++ b/src/decide/poison_report.rs
@@ -7,14 +7,14 @@
 
 /// What a request is recognised by when it is sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum PoisonMark {
+pub enum RequestFingerprint {
     /// The hash of its body.
     Content(ContentHash),
     /// The hash of its customer and idempotency key.
     Key(ContentHash),
 }
 
-impl PoisonMark {
+impl RequestFingerprint {
     /// The mark of a body.
     pub fn of_content(content: ContentHash) -> Self {
         Self::Content(content)
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Poison {
     /// The request.
-    pub mark: PoisonMark,
+    pub mark: RequestFingerprint,
     /// The attempts whose upstream crashed.
     pub attempts: Vec<AttemptId>,
 }
--- a/src/decide/retry_decision.rs
+++ b/src/decide/retry_decision.rs
@@ -54,7 +54,9 @@
     pub fn refuse_reason(self) -> RefuseReason {
         match self {
             Self::Deadline => RefuseReason::Deadline,
-            Self::NotRepeatable | Self::ResponseStarted | Self::Attempts => RefuseReason::NoUpstream,
+            Self::NotRepeatable | Self::ResponseStarted | Self::Attempts => {
+                RefuseReason::NoUpstream
+            }
             Self::Budget => RefuseReason::RetryBudget,
         }
     }
--- a/src/entry/driver/mod.rs
+++ b/src/entry/driver/mod.rs
@@ -21,8 +21,8 @@
 use crate::control::claims::ClaimState;
 use crate::decide::Ended;
 use crate::decide::FailedAttempt;
-use crate::decide::PoisonMark;
 use crate::decide::RefuseReason;
+use crate::decide::RequestFingerprint;
 use crate::decide::RetryDecision;
 use crate::entry::Attempt;
 use crate::entry::Break;
@@ -166,10 +166,10 @@
         LifeEvent::Admitted
     }
 
-    fn poison_marks(&self) -> Vec<PoisonMark> {
-        let mut marks = vec![PoisonMark::of_content(self.job.content)];
+    fn poison_marks(&self) -> Vec<RequestFingerprint> {
+        let mut marks = vec![RequestFingerprint::of_content(self.job.content)];
         if let Some(key) = &self.job.key {
-            marks.push(PoisonMark::of_key(&self.job.work.customer, key));
+            marks.push(RequestFingerprint::of_key(&self.job.work.customer, key));
         }
         marks
     }
--- a/src/fleet/poison_wire.rs
+++ b/src/fleet/poison_wire.rs
@@ -1,7 +1,7 @@
 //! Requests that crash upstreams, as messages.
 
 use crate::decide::Poison;
-use crate::decide::PoisonMark;
+use crate::decide::RequestFingerprint;
 use crate::peer::message::PoisonNotice;
 use crate::units::AttemptId;
 use crate::units::ContentHash;
@@ -11,8 +11,8 @@
 /// A poison as a message.
 pub fn notice_of(poison: &Poison) -> PoisonNotice {
     let content = match poison.mark {
-        PoisonMark::Content(hash) => hash.0.to_be_bytes().to_vec(),
-        PoisonMark::Key(hash) => {
+        RequestFingerprint::Content(hash) => hash.0.to_be_bytes().to_vec(),
+        RequestFingerprint::Key(hash) => {
             let mut bytes = vec![KEY_MARK];
             bytes.extend(hash.0.to_be_bytes());
             bytes
@@ -35,8 +35,8 @@
         Some(ContentHash(u128::from_be_bytes(bytes)))
     };
     let mark = match notice.content.as_slice() {
-        [KEY_MARK, hash @ ..] if hash.len() == 16 => PoisonMark::Key(hash_of(hash)?),
-        content => PoisonMark::Content(hash_of(content)?),
+        [KEY_MARK, hash @ ..] if hash.len() == 16 => RequestFingerprint::Key(hash_of(hash)?),
+        content => RequestFingerprint::Content(hash_of(content)?),
     };
     let attempt_of = |bytes: &Vec<u8>| hash_of(bytes).map(|hash| AttemptId(hash.0));
     let attempts: Option<Vec<AttemptId>> = notice.attempts.iter().map(attempt_of).collect();
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -9,7 +9,7 @@
 use hyper::Method;
 use hyper::Uri;
 
-use crate::decide::PoisonMark;
+use crate::decide::RequestFingerprint;
 use crate::gateway::CallHead;
 use crate::routing::Route;
 use crate::routing::callers_patience;
@@ -75,10 +75,10 @@
     }
 
     /// What it is recognised by when a caller sends it again.
-    pub fn poison_mark(&self) -> PoisonMark {
+    pub fn fingerprint(&self) -> RequestFingerprint {
         let customer = self.customer.as_ref().map_or("", CustomerId::as_str);
         let mut text = format!("{}\n{}\n{customer}\n", self.method, self.uri).into_bytes();
         text.extend_from_slice(&self.body);
-        PoisonMark::of_content(ContentHash::of(&text))
+        RequestFingerprint::of_content(ContentHash::of(&text))
     }
 }
--- a/src/gateway/courier.rs
+++ b/src/gateway/courier.rs
@@ -252,7 +252,7 @@
     fn is_poison(&self, now: Instant) -> bool {
         let poison = self.gateway.poison();
         // The hash of a body costs a tenth of a millisecond, so it is made only if there is a list.
-        !poison.is_empty() && poison.is_poison(&[self.call.poison_mark()], now)
+        !poison.is_empty() && poison.is_poison(&[self.call.fingerprint()], now)
     }
 
     /// Takes in that the connection to an upstream broke while the call may have been running.
@@ -261,7 +261,7 @@
         if fault == UpstreamFault::Broken {
             let now = self.gateway.clock.now();
             let attempt = AttemptId(rand::random());
-            let mark = self.call.poison_mark();
+            let mark = self.call.fingerprint();
             let news = self.gateway.poison().on_crash(&[mark], attempt, now);
             if !news.is_empty() {
                 self.gateway.tell_crashes(news);
@@ -273,7 +273,7 @@
     pub(crate) fn on_served(&self) {
         let mut poison = self.gateway.poison();
         if !poison.is_empty() {
-            poison.acquit(self.call.poison_mark());
+            poison.acquit(self.call.fingerprint());
         }
     }
 
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -14,8 +14,8 @@
 use crate::decide::LimitReport;
 use crate::decide::LoadSource;
 use crate::decide::Poison;
-use crate::decide::PoisonMark;
 use crate::decide::ReadSent;
+use crate::decide::RequestFingerprint;
 use crate::decide::SentLately;
 use crate::exchange::HostNews;
 use crate::exchange::LimitNews;
@@ -301,7 +301,7 @@
 }
 
 fn poison_news(poison: &Poison) -> PoisonNews {
-    let (PoisonMark::Content(hash) | PoisonMark::Key(hash)) = poison.mark;
+    let (RequestFingerprint::Content(hash) | RequestFingerprint::Key(hash)) = poison.mark;
     PoisonNews {
         content: hash.0.to_be_bytes().to_vec(),
         attempts: poison
@@ -316,7 +316,7 @@
     let number = |bytes: &Vec<u8>| Some(u128::from_be_bytes(bytes.as_slice().try_into().ok()?));
     let attempts = news.attempts.iter().filter_map(number).map(AttemptId);
     Some(Poison {
-        mark: PoisonMark::of_content(ContentHash(number(&news.content)?)),
+        mark: RequestFingerprint::of_content(ContentHash(number(&news.content)?)),
         attempts: attempts.collect(),
     })
 }
--- a/tests/decide_retry.rs
+++ b/tests/decide_retry.rs
@@ -7,7 +7,7 @@
 use banyanarch::decide::GiveUpReason;
 use banyanarch::decide::Poison;
 use banyanarch::decide::PoisonList;
-use banyanarch::decide::PoisonMark;
+use banyanarch::decide::RequestFingerprint;
 use banyanarch::decide::RetryBudget;
 use banyanarch::decide::RetryDecision;
 use banyanarch::units::AttemptId;
@@ -79,8 +79,8 @@
     assert!(pauses.len() > 1_000, "pauses are jittered");
 }
 
-fn mark() -> PoisonMark {
-    PoisonMark::of_content(ContentHash(7))
+fn mark() -> RequestFingerprint {
+    RequestFingerprint::of_content(ContentHash(7))
 }
 
 fn poison(attempt: u128) -> Poison {
@@ -119,11 +119,12 @@
 #[test]
 fn the_same_key_is_recognised_with_another_body() {
     let now = Instant::now();
-    let key =
-        |customer: &str| PoisonMark::of_key(&customer.parse().unwrap(), &"k-1".parse().unwrap());
+    let key = |customer: &str| {
+        RequestFingerprint::of_key(&customer.parse().unwrap(), &"k-1".parse().unwrap())
+    };
     let mut list = PoisonList::new();
     for attempt in [1, 2] {
-        let body = PoisonMark::of_content(ContentHash(attempt));
+        let body = RequestFingerprint::of_content(ContentHash(attempt));
         list.on_crash(&[body, key("desk")], AttemptId(attempt), now);
     }
     assert!(list.is_poison(&[key("desk")], now));
@@ -135,7 +136,7 @@
     let now = Instant::now();
     let mut list = PoisonList::new();
     for number in 0..20_000 {
-        let mark = PoisonMark::of_content(ContentHash(number + 100));
+        let mark = RequestFingerprint::of_content(ContentHash(number + 100));
         list.merge(
             &Poison {
                 mark,
