--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -107,7 +107,7 @@
 pub use placement::Placement;
 pub use placement::Places;
 pub use poison::PoisonList;
-pub use poison_report::Poison;
+pub use poison_report::PoisonReport;
 pub use poison_report::RequestFingerprint;
 pub use policies::policy_for;
 pub use policy::Decision;
--- a/src/decide/poison.rs
+++ b/src/decide/poison.rs
@@ -8,7 +8,7 @@
 
 use indexmap::IndexMap;
 
-use crate::decide::Poison;
+use crate::decide::PoisonReport;
 use crate::decide::RequestFingerprint;
 use crate::units::AttemptId;
 
@@ -66,8 +66,8 @@
         marks: &[RequestFingerprint],
         attempt: AttemptId,
         now: Instant,
-    ) -> Vec<Poison> {
-        let news = marks.iter().map(|mark| Poison {
+    ) -> Vec<PoisonReport> {
+        let news = marks.iter().map(|mark| PoisonReport {
             mark: *mark,
             attempts: vec![attempt],
         });
@@ -75,7 +75,7 @@
     }
 
     /// Takes in what another host tells. Returns whether it was new.
-    pub fn merge(&mut self, poison: &Poison, now: Instant) -> bool {
+    pub fn merge(&mut self, poison: &PoisonReport, now: Instant) -> bool {
         self.make_room(poison.mark, now);
         let crashes = self.marks.entry(poison.mark).or_insert_with(|| Crashes {
             attempts: Vec::with_capacity(self.crashes_max),
@@ -114,12 +114,12 @@
     }
 
     /// All that is known, for a host that has just started.
-    pub fn all(&self, now: Instant) -> Vec<Poison> {
+    pub fn all(&self, now: Instant) -> Vec<PoisonReport> {
         let kept = self
             .marks
             .iter()
             .filter(|(_, c)| !c.is_old(self.kept_for, now));
-        kept.map(|(mark, crashes)| Poison {
+        kept.map(|(mark, crashes)| PoisonReport {
             mark: *mark,
             attempts: crashes.attempts.clone(),
         })
--- a/src/decide/poison_report.rs
+++ b/src/decide/poison_report.rs
@@ -30,7 +30,7 @@
 /// Crashes that one request caused, each by a distinct attempt. Hosts send it to each other; taking
 /// one in twice, or in another order, changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Poison {
+pub struct PoisonReport {
     /// The request.
     pub mark: RequestFingerprint,
     /// The attempts whose upstream crashed.
--- a/src/entry/parts.rs
+++ b/src/entry/parts.rs
@@ -9,8 +9,8 @@
 
 use crate::board::Board;
 use crate::clock::Clock;
-use crate::decide::Poison;
 use crate::decide::PoisonList;
+use crate::decide::PoisonReport;
 use crate::decide::RetryBudget;
 use crate::entry::BodyMemory;
 use crate::entry::ClaimDesk;
@@ -26,7 +26,7 @@
 /// Tells other hosts of requests that crash upstreams.
 pub trait PoisonSpread: Send + Sync {
     /// Sends this to all hosts.
-    fn spread(&self, poison: &Poison);
+    fn spread(&self, poison: &PoisonReport);
 }
 
 /// What the entry works with; shared by all requests.
--- a/src/fleet/poison_wire.rs
+++ b/src/fleet/poison_wire.rs
@@ -1,6 +1,6 @@
 //! Requests that crash upstreams, as messages.
 
-use crate::decide::Poison;
+use crate::decide::PoisonReport;
 use crate::decide::RequestFingerprint;
 use crate::peer::message::PoisonNotice;
 use crate::units::AttemptId;
@@ -9,7 +9,7 @@
 const KEY_MARK: u8 = 1;
 
 /// A poison as a message.
-pub fn notice_of(poison: &Poison) -> PoisonNotice {
+pub fn notice_of(poison: &PoisonReport) -> PoisonNotice {
     let content = match poison.mark {
         RequestFingerprint::Content(hash) => hash.0.to_be_bytes().to_vec(),
         RequestFingerprint::Key(hash) => {
@@ -29,7 +29,7 @@
 }
 
 /// A poison out of a message; none if it can't be read.
-pub fn poison_of(notice: &PoisonNotice) -> Option<Poison> {
+pub fn poison_of(notice: &PoisonNotice) -> Option<PoisonReport> {
     let hash_of = |bytes: &[u8]| {
         let bytes: [u8; 16] = bytes.try_into().ok()?;
         Some(ContentHash(u128::from_be_bytes(bytes)))
@@ -40,7 +40,7 @@
     };
     let attempt_of = |bytes: &Vec<u8>| hash_of(bytes).map(|hash| AttemptId(hash.0));
     let attempts: Option<Vec<AttemptId>> = notice.attempts.iter().map(attempt_of).collect();
-    Some(Poison {
+    Some(PoisonReport {
         mark,
         attempts: attempts?,
     })
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -13,7 +13,7 @@
 use crate::decide::HostLoad;
 use crate::decide::LimitReport;
 use crate::decide::LoadSource;
-use crate::decide::Poison;
+use crate::decide::PoisonReport;
 use crate::decide::ReadSent;
 use crate::decide::RequestFingerprint;
 use crate::decide::SentLately;
@@ -300,7 +300,7 @@
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-fn poison_news(poison: &Poison) -> PoisonNews {
+fn poison_news(poison: &PoisonReport) -> PoisonNews {
     let (RequestFingerprint::Content(hash) | RequestFingerprint::Key(hash)) = poison.mark;
     PoisonNews {
         content: hash.0.to_be_bytes().to_vec(),
@@ -312,10 +312,10 @@
     }
 }
 
-fn read_poison(news: &PoisonNews) -> Option<Poison> {
+fn read_poison(news: &PoisonNews) -> Option<PoisonReport> {
     let number = |bytes: &Vec<u8>| Some(u128::from_be_bytes(bytes.as_slice().try_into().ok()?));
     let attempts = news.attempts.iter().filter_map(number).map(AttemptId);
-    Some(Poison {
+    Some(PoisonReport {
         mark: RequestFingerprint::of_content(ContentHash(number(&news.content)?)),
         attempts: attempts.collect(),
     })
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -17,8 +17,8 @@
 use crate::clock::Clock;
 use crate::decide::HealthTracker;
 use crate::decide::LoadLedger;
-use crate::decide::Poison;
 use crate::decide::PoisonList;
+use crate::decide::PoisonReport;
 use crate::decide::RetryWindow;
 use crate::exchange::NewsRoute;
 use crate::gateway::Beliefs;
@@ -99,7 +99,7 @@
     pub(crate) slowdowns: Slowdowns,
     /// Which upstreams take only so many requests a second.
     pub(crate) rate_limits: RateLimits,
-    crashes: Mutex<VecDeque<(Instant, Poison)>>,
+    crashes: Mutex<VecDeque<(Instant, PoisonReport)>>,
 }
 
 impl Gateway {
@@ -188,7 +188,7 @@
     }
 
     /// Takes in crashes that this host has seen, to be told to the others.
-    pub(crate) fn tell_crashes(&self, crashes: Vec<Poison>) {
+    pub(crate) fn tell_crashes(&self, crashes: Vec<PoisonReport>) {
         let now = self.clock.now();
         let mut told = self.crashes.lock().unwrap_or_else(PoisonError::into_inner);
         told.extend(crashes.into_iter().map(|poison| (now, poison)));
@@ -197,7 +197,7 @@
     }
 
     /// The crashes that this host has seen lately.
-    pub(crate) fn crashes_to_tell(&self) -> Vec<Poison> {
+    pub(crate) fn crashes_to_tell(&self) -> Vec<PoisonReport> {
         let now = self.clock.now();
         let mut told = self.crashes.lock().unwrap_or_else(PoisonError::into_inner);
         told.retain(|(at, _)| now.saturating_duration_since(*at) < CRASH_TOLD_FOR);
--- a/tests/decide_retry.rs
+++ b/tests/decide_retry.rs
@@ -5,8 +5,8 @@
 
 use banyanarch::decide::FailedAttempt;
 use banyanarch::decide::GiveUpReason;
-use banyanarch::decide::Poison;
 use banyanarch::decide::PoisonList;
+use banyanarch::decide::PoisonReport;
 use banyanarch::decide::RequestFingerprint;
 use banyanarch::decide::RetryBudget;
 use banyanarch::decide::RetryDecision;
@@ -83,8 +83,8 @@
     RequestFingerprint::of_content(ContentHash(7))
 }
 
-fn poison(attempt: u128) -> Poison {
-    Poison {
+fn poison(attempt: u128) -> PoisonReport {
+    PoisonReport {
         mark: mark(),
         attempts: vec![AttemptId(attempt)],
     }
@@ -138,7 +138,7 @@
     for number in 0..20_000 {
         let mark = RequestFingerprint::of_content(ContentHash(number + 100));
         list.merge(
-            &Poison {
+            &PoisonReport {
                 mark,
                 ..poison(number)
             },
