--- a/src/fleet/membership_desk.rs
+++ b/src/fleet/membership_desk.rs
@@ -17,7 +17,7 @@
 use crate::control::membership::Membership;
 use crate::control::membership::MembershipAction;
 use crate::control::status::Events;
-use crate::decide::Poison;
+use crate::decide::PoisonReport;
 use crate::decide::UpstreamHealth;
 use crate::entry::PoisonSpread;
 use crate::fleet::poison_wire;
@@ -218,7 +218,7 @@
 }
 
 impl PoisonSpread for MembershipDesk {
-    fn spread(&self, poison: &Poison) {
+    fn spread(&self, poison: &PoisonReport) {
         self.note_poison(poison_wire::notice_of(poison));
     }
 }
