--- a/src/daemon/news.rs
+++ b/src/daemon/news.rs
@@ -53,7 +53,7 @@
                     {
                         info!(
                             "poison: another host saw {:?} crash an upstream",
-                            poison.mark
+                            poison.fingerprint
                         );
                     }
                 }
--- a/src/decide/poison.rs
+++ b/src/decide/poison.rs
@@ -76,11 +76,14 @@
 
     /// Takes in what another host tells. Returns whether it was new.
     pub fn merge(&mut self, poison: &PoisonReport, now: Instant) -> bool {
-        self.make_room(poison.mark, now);
-        let crashes = self.marks.entry(poison.mark).or_insert_with(|| Crashes {
-            attempts: Vec::with_capacity(self.crashes_max),
-            last_at: now,
-        });
+        self.make_room(poison.fingerprint, now);
+        let crashes = self
+            .marks
+            .entry(poison.fingerprint)
+            .or_insert_with(|| Crashes {
+                attempts: Vec::with_capacity(self.crashes_max),
+                last_at: now,
+            });
         let known = crashes.attempts.len();
         for attempt in &poison.attempts {
             let is_known = crashes.attempts.contains(attempt);
@@ -104,7 +107,7 @@
 
     /// Takes in that a request was served to its end, which one that crashes upstreams never is.
     /// Requests that ran beside such a one when it crashed their upstream are cleared this way.
-    pub fn acquit(&mut self, mark: RequestFingerprint) {
+    pub fn acquit(&mut self, fingerprint: RequestFingerprint) {
         self.marks.swap_remove(&mark);
     }
 
@@ -128,7 +131,7 @@
 
     /// Drops marks from the front, where the oldest stand, when the list is full: many at once, since
     /// each time the others move up.
-    fn make_room(&mut self, mark: RequestFingerprint, now: Instant) {
+    fn make_room(&mut self, fingerprint: RequestFingerprint, now: Instant) {
         if self.marks.len() < MARKS_MAX || self.marks.contains_key(&mark) {
             return;
         }
--- a/src/decide/poison_report.rs
+++ b/src/decide/poison_report.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoisonReport {
     /// The request.
-    pub mark: RequestFingerprint,
+    pub fingerprint: RequestFingerprint,
     /// The attempts whose upstream crashed.
     pub attempts: Vec<AttemptId>,
 }
--- a/src/fleet/poison_wire.rs
+++ b/src/fleet/poison_wire.rs
@@ -10,7 +10,7 @@
 
 /// A poison as a message.
 pub fn notice_of(poison: &PoisonReport) -> PoisonNotice {
-    let content = match poison.mark {
+    let content = match poison.fingerprint {
         RequestFingerprint::Content(hash) => hash.0.to_be_bytes().to_vec(),
         RequestFingerprint::Key(hash) => {
             let mut bytes = vec![KEY_MARK];
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -301,7 +301,7 @@
 }
 
 fn poison_news(poison: &PoisonReport) -> PoisonNews {
-    let (RequestFingerprint::Content(hash) | RequestFingerprint::Key(hash)) = poison.mark;
+    let (RequestFingerprint::Content(hash) | RequestFingerprint::Key(hash)) = poison.fingerprint;
     PoisonNews {
         content: hash.0.to_be_bytes().to_vec(),
         attempts: poison
@@ -316,7 +316,7 @@
     let number = |bytes: &Vec<u8>| Some(u128::from_be_bytes(bytes.as_slice().try_into().ok()?));
     let attempts = news.attempts.iter().filter_map(number).map(AttemptId);
     Some(PoisonReport {
-        mark: RequestFingerprint::of_content(ContentHash(number(&news.content)?)),
+        fingerprint: RequestFingerprint::of_content(ContentHash(number(&news.content)?)),
         attempts: attempts.collect(),
     })
 }
