--- a/src/decide/poison.rs
+++ b/src/decide/poison.rs
@@ -19,14 +19,14 @@
 const MARKS_MAX: usize = 8_192;
 /// Marks dropped at once when the list is full.
 const DROPPED_AT_ONCE: usize = 1_024;
-/// How long after its last crash a mark is kept: longer than callers go on sending again, short
+/// How long after its last crash a fingerprint is kept: longer than callers go on sending again, short
 /// enough that a repaired engine gets the request again the same day.
 const KEPT_FOR: Duration = Duration::from_secs(3_600);
 
 /// What one host knows of requests that crash upstreams.
 #[derive(Debug)]
 pub struct PoisonList {
-    marks: IndexMap<RequestFingerprint, Crashes>,
+    fingerprints: IndexMap<RequestFingerprint, Crashes>,
     crashes_max: usize,
     kept_for: Duration,
 }
@@ -53,7 +53,7 @@
     /// passed after the last one.
     pub fn with_bounds(crashes_max: usize, kept_for: Duration) -> Self {
         Self {
-            marks: IndexMap::new(),
+            fingerprints: IndexMap::new(),
             crashes_max,
             kept_for,
         }
@@ -63,12 +63,12 @@
     /// hosts, empty if they need not hear of it again.
     pub fn on_crash(
         &mut self,
-        marks: &[RequestFingerprint],
+        fingerprints: &[RequestFingerprint],
         attempt: AttemptId,
         now: Instant,
     ) -> Vec<PoisonReport> {
-        let news = marks.iter().map(|mark| PoisonReport {
-            mark: *mark,
+        let news = fingerprints.iter().map(|fingerprint| PoisonReport {
+            fingerprint: *fingerprint,
             attempts: vec![attempt],
         });
         news.filter(|poison| self.merge(poison, now)).collect()
@@ -78,7 +78,7 @@
     pub fn merge(&mut self, poison: &PoisonReport, now: Instant) -> bool {
         self.make_room(poison.fingerprint, now);
         let crashes = self
-            .marks
+            .fingerprints
             .entry(poison.fingerprint)
             .or_insert_with(|| Crashes {
                 attempts: Vec::with_capacity(self.crashes_max),
@@ -95,10 +95,10 @@
         crashes.attempts.len() > known
     }
 
-    /// Whether a request with any of these marks is to be refused.
-    pub fn is_poison(&self, marks: &[RequestFingerprint], now: Instant) -> bool {
-        marks.iter().any(|mark| {
-            let crashes = self.marks.get(mark);
+    /// Whether a request with any of these fingerprints is to be refused.
+    pub fn is_poison(&self, fingerprints: &[RequestFingerprint], now: Instant) -> bool {
+        fingerprints.iter().any(|fingerprint| {
+            let crashes = self.fingerprints.get(fingerprint);
             crashes.is_some_and(|c| {
                 c.attempts.len() >= self.crashes_max && !c.is_old(self.kept_for, now)
             })
@@ -108,38 +108,41 @@
     /// Takes in that a request was served to its end, which one that crashes upstreams never is.
     /// Requests that ran beside such a one when it crashed their upstream are cleared this way.
     pub fn acquit(&mut self, fingerprint: RequestFingerprint) {
-        self.marks.swap_remove(&mark);
+        self.fingerprints.swap_remove(&fingerprint);
     }
 
     /// Whether nothing is known.
     pub fn is_empty(&self) -> bool {
-        self.marks.is_empty()
+        self.fingerprints.is_empty()
     }
 
     /// All that is known, for a host that has just started.
     pub fn all(&self, now: Instant) -> Vec<PoisonReport> {
         let kept = self
-            .marks
+            .fingerprints
             .iter()
             .filter(|(_, c)| !c.is_old(self.kept_for, now));
-        kept.map(|(mark, crashes)| PoisonReport {
-            mark: *mark,
+        kept.map(|(fingerprint, crashes)| PoisonReport {
+            fingerprint: *fingerprint,
             attempts: crashes.attempts.clone(),
         })
         .collect()
     }
 
-    /// Drops marks from the front, where the oldest stand, when the list is full: many at once, since
+    /// Drops fingerprints from the front, where the oldest stand, when the list is full: many at once, since
     /// each time the others move up.
     fn make_room(&mut self, fingerprint: RequestFingerprint, now: Instant) {
-        if self.marks.len() < MARKS_MAX || self.marks.contains_key(&mark) {
+        if self.fingerprints.len() < MARKS_MAX || self.fingerprints.contains_key(&fingerprint) {
             return;
         }
         let kept_for = self.kept_for;
-        self.marks
+        self.fingerprints
             .retain(|_, crashes| !crashes.is_old(kept_for, now));
-        let surplus = self.marks.len().saturating_sub(MARKS_MAX - DROPPED_AT_ONCE);
-        self.marks.drain(..surplus);
+        let surplus = self
+            .fingerprints
+            .len()
+            .saturating_sub(MARKS_MAX - DROPPED_AT_ONCE);
+        self.fingerprints.drain(..surplus);
     }
 }
 
--- a/src/decide/poison_report.rs
+++ b/src/decide/poison_report.rs
@@ -15,12 +15,12 @@
 }
 
 impl RequestFingerprint {
-    /// The mark of a body.
+    /// The fingerprint of a body.
     pub fn of_content(content: ContentHash) -> Self {
         Self::Content(content)
     }
 
-    /// The mark of a customer's idempotency key.
+    /// The fingerprint of a customer's idempotency key.
     pub fn of_key(customer: &CustomerId, key: &IdempotencyKey) -> Self {
         let text = format!("{customer}\n{key}");
         Self::Key(ContentHash::of(text.as_bytes()))
--- a/src/fleet/poison_wire.rs
+++ b/src/fleet/poison_wire.rs
@@ -34,14 +34,14 @@
         let bytes: [u8; 16] = bytes.try_into().ok()?;
         Some(ContentHash(u128::from_be_bytes(bytes)))
     };
-    let mark = match notice.content.as_slice() {
+    let fingerprint = match notice.content.as_slice() {
         [KEY_MARK, hash @ ..] if hash.len() == 16 => RequestFingerprint::Key(hash_of(hash)?),
         content => RequestFingerprint::Content(hash_of(content)?),
     };
     let attempt_of = |bytes: &Vec<u8>| hash_of(bytes).map(|hash| AttemptId(hash.0));
     let attempts: Option<Vec<AttemptId>> = notice.attempts.iter().map(attempt_of).collect();
     Some(PoisonReport {
-        mark,
+        fingerprint,
         attempts: attempts?,
     })
 }
--- a/tests/decide_retry.rs
+++ b/tests/decide_retry.rs
@@ -79,13 +79,13 @@
     assert!(pauses.len() > 1_000, "pauses are jittered");
 }
 
-fn mark() -> RequestFingerprint {
+fn fingerprint() -> RequestFingerprint {
     RequestFingerprint::of_content(ContentHash(7))
 }
 
 fn poison(attempt: u128) -> PoisonReport {
     PoisonReport {
-        mark: mark(),
+        fingerprint: fingerprint(),
         attempts: vec![AttemptId(attempt)],
     }
 }
@@ -97,23 +97,26 @@
 fn two_crashes_anywhere_make_a_request_poison() {
     let now = Instant::now();
     let (mut here, mut there) = (PoisonList::new(), PoisonList::new());
-    let told = here.on_crash(&[mark()], AttemptId(1), now);
-    assert!(here.on_crash(&[mark()], AttemptId(1), now).is_empty());
+    let told = here.on_crash(&[fingerprint()], AttemptId(1), now);
+    assert!(
+        here.on_crash(&[fingerprint()], AttemptId(1), now)
+            .is_empty()
+    );
     assert!(there.merge(&told[0], now));
     assert!(!there.merge(&told[0], now));
-    assert!(!here.is_poison(&[mark()], now) && !there.is_poison(&[mark()], now));
-    let told = there.on_crash(&[mark()], AttemptId(2), now);
-    assert!(there.is_poison(&[mark()], now));
+    assert!(!here.is_poison(&[fingerprint()], now) && !there.is_poison(&[fingerprint()], now));
+    let told = there.on_crash(&[fingerprint()], AttemptId(2), now);
+    assert!(there.is_poison(&[fingerprint()], now));
     told.iter()
         .for_each(|poison| assert!(here.merge(poison, now)));
-    assert!(here.is_poison(&[mark()], now));
+    assert!(here.is_poison(&[fingerprint()], now));
     let mut fresh = PoisonList::new();
     here.all(now)
         .iter()
         .rev()
         .for_each(|poison| assert!(fresh.merge(poison, now)));
-    assert!(fresh.is_poison(&[mark()], now));
-    assert!(!fresh.is_poison(&[mark()], now + Duration::from_secs(7_200)));
+    assert!(fresh.is_poison(&[fingerprint()], now));
+    assert!(!fresh.is_poison(&[fingerprint()], now + Duration::from_secs(7_200)));
 }
 
 #[test]
@@ -136,10 +139,10 @@
     let now = Instant::now();
     let mut list = PoisonList::new();
     for number in 0..20_000 {
-        let mark = RequestFingerprint::of_content(ContentHash(number + 100));
+        let fingerprint = RequestFingerprint::of_content(ContentHash(number + 100));
         list.merge(
             &PoisonReport {
-                mark,
+                fingerprint,
                 ..poison(number)
             },
             now,
@@ -148,5 +151,5 @@
     list.merge(&poison(1), now);
     list.merge(&poison(2), now);
     assert!(list.all(now).len() <= 8_192);
-    assert!(list.is_poison(&[mark()], now));
+    assert!(list.is_poison(&[fingerprint()], now));
 }
