--- a/src/decide/poison.rs
+++ b/src/decide/poison.rs
@@ -107,7 +107,7 @@
 
     /// Takes in that a request was served to its end, which one that crashes upstreams never is.
     /// Requests that ran beside such a one when it crashed their upstream are cleared this way.
-    pub fn acquit(&mut self, fingerprint: RequestFingerprint) {
+    pub fn clear(&mut self, fingerprint: RequestFingerprint) {
         self.fingerprints.swap_remove(&fingerprint);
     }
 
--- a/src/gateway/courier.rs
+++ b/src/gateway/courier.rs
@@ -273,7 +273,7 @@
     pub(crate) fn on_served(&self) {
         let mut poison = self.gateway.poison();
         if !poison.is_empty() {
-            poison.acquit(self.call.fingerprint());
+            poison.clear(self.call.fingerprint());
         }
     }
 
