--- a/src/decide/health_tracker.rs
+++ b/src/decide/health_tracker.rs
@@ -216,7 +216,7 @@
     }
 
     /// Takes in that a host of this failure domain could not reach an upstream.
-    pub fn hear_unreachable(
+    pub fn on_unreachable_report(
         &mut self,
         upstream: &UpstreamId,
         domain: &FailureDomainId,
@@ -237,7 +237,7 @@
     }
 
     /// Takes in that a host of this failure domain takes another domain for cut off.
-    pub fn hear_cut_off(&mut self, domain: &FailureDomainId, now: Instant) {
+    pub fn on_partition_report(&mut self, domain: &FailureDomainId, now: Instant) {
         let way = self.ways.entry(domain.clone()).or_default();
         if is_within(way.answered_at, ANSWER_COUNTS_FOR, now) || way.is_cut_off() {
             return;
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -174,11 +174,11 @@
         };
         let mut health = self.health();
         for domain in news.cut_off.iter().filter_map(|name| name.parse().ok()) {
-            health.hear_cut_off(&domain, now);
+            health.on_partition_report(&domain, now);
         }
         for upstream in by_service.values().flatten() {
             if news.unreachable.iter().any(|id| id == upstream.id.as_str()) {
-                health.hear_unreachable(&upstream.id, &upstream.domain, now);
+                health.on_unreachable_report(&upstream.id, &upstream.domain, now);
             }
         }
         drop(health);
--- a/tests/decide_gateway.rs
+++ b/tests/decide_gateway.rs
@@ -116,10 +116,10 @@
     let told: Vec<UpstreamId> = finder.unreachable(now).cloned().collect();
     assert_eq!(told, [dead.clone(), upstream("b")]);
     assert!(finder.cut_off(now).eq([&there]));
-    neighbour.hear_unreachable(&dead, &there, now);
+    neighbour.on_unreachable_report(&dead, &there, now);
     assert!(!neighbour.is_usable(&dead, &there, now));
     assert!(neighbour.is_usable(&upstream("c"), &there, now));
-    neighbour.hear_cut_off(&there, now);
+    neighbour.on_partition_report(&there, now);
     assert!(!neighbour.is_usable(&upstream("c"), &there, now));
     // What was only heard is not told on, or it would go round for ever.
     assert_eq!(neighbour.unreachable(now).count(), 0);
@@ -132,8 +132,8 @@
     let (mut health, now) = (HealthTracker::default(), Instant::now());
     let (sound, there) = (upstream("sound"), domain("there"));
     health.on_answer(&sound, &there, now);
-    health.hear_unreachable(&sound, &there, now + ms(200));
-    health.hear_cut_off(&there, now + ms(200));
+    health.on_unreachable_report(&sound, &there, now + ms(200));
+    health.on_partition_report(&there, now + ms(200));
     assert!(health.is_usable(&sound, &there, now + ms(200)));
 }
 
