--- a/src/decide/health_tracker.rs
+++ b/src/decide/health_tracker.rs
@@ -247,7 +247,7 @@
     }
 
     /// The upstreams that this host itself could not reach lately, to be told to its neighbours.
-    pub fn unreachable(&self, now: Instant) -> impl Iterator<Item = &UpstreamId> {
+    pub fn unreachable_upstreams(&self, now: Instant) -> impl Iterator<Item = &UpstreamId> {
         let told = self.upstreams.iter().filter(move |(_, record)| {
             record.is_unreachable && is_within(record.failed_at, TOLD_FOR, now)
         });
@@ -255,7 +255,7 @@
     }
 
     /// The failure domains that this host itself takes for cut off, to be told to its neighbours.
-    pub fn cut_off(&self, now: Instant) -> impl Iterator<Item = &FailureDomainId> {
+    pub fn partitioned_domains(&self, now: Instant) -> impl Iterator<Item = &FailureDomainId> {
         let told = self
             .ways
             .iter()
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -64,8 +64,14 @@
         let poisons = poisons.split_off(surplus);
         let (routes_version, upstreams_version) = self.held.versions();
         let health = self.health();
-        let unreachable = health.unreachable(now).map(ToString::to_string).collect();
-        let cut_off = health.cut_off(now).map(ToString::to_string).collect();
+        let unreachable = health
+            .unreachable_upstreams(now)
+            .map(ToString::to_string)
+            .collect();
+        let cut_off = health
+            .partitioned_domains(now)
+            .map(ToString::to_string)
+            .collect();
         drop(health);
         HostNews {
             proof_age_plus_one_ms: self.proof_age_plus_one_ms(),
--- a/tests/decide_gateway.rs
+++ b/tests/decide_gateway.rs
@@ -113,17 +113,17 @@
     for id in ["a", "b"] {
         finder.on_fault(&upstream(id), &there, UpstreamFault::ConnectTimeout, now);
     }
-    let told: Vec<UpstreamId> = finder.unreachable(now).cloned().collect();
+    let told: Vec<UpstreamId> = finder.unreachable_upstreams(now).cloned().collect();
     assert_eq!(told, [dead.clone(), upstream("b")]);
-    assert!(finder.cut_off(now).eq([&there]));
+    assert!(finder.partitioned_domains(now).eq([&there]));
     neighbour.on_unreachable_report(&dead, &there, now);
     assert!(!neighbour.is_usable(&dead, &there, now));
     assert!(neighbour.is_usable(&upstream("c"), &there, now));
     neighbour.on_partition_report(&there, now);
     assert!(!neighbour.is_usable(&upstream("c"), &there, now));
     // What was only heard is not told on, or it would go round for ever.
-    assert_eq!(neighbour.unreachable(now).count(), 0);
-    assert_eq!(neighbour.cut_off(now).count(), 0);
+    assert_eq!(neighbour.unreachable_upstreams(now).count(), 0);
+    assert_eq!(neighbour.partitioned_domains(now).count(), 0);
 }
 
 /// A host behind a broken link takes a sound engine for dead, and all of its domain believe it.
