--- a/src/decide/health_tracker.rs
+++ b/src/decide/health_tracker.rs
@@ -265,7 +265,7 @@
 
     /// The upstreams to which a connection is to be tried now; each is named once until the result
     /// is in.
-    pub fn take_due(&mut self, now: Instant) -> Vec<UpstreamId> {
+    pub fn take_due_probes(&mut self, now: Instant) -> Vec<UpstreamId> {
         let ways = &mut self.ways;
         let mut due: Vec<UpstreamId> = Vec::new();
         for (domain, way) in ways.iter_mut() {
@@ -293,7 +293,7 @@
     }
 
     /// When the next connection is to be tried.
-    pub fn next_due(&self) -> Option<Instant> {
+    pub fn next_probe_at(&self) -> Option<Instant> {
         let ways = self.ways.values().filter_map(Way::tried_at);
         let upstreams = self.upstreams.values().filter(|record| {
             let way = self.ways.get(&record.domain);
--- a/src/gateway/probe.rs
+++ b/src/gateway/probe.rs
@@ -15,11 +15,11 @@
 /// Tries what is due for as long as the process runs; sleeps while all can be reached.
 pub(crate) async fn try_unreachable(gateway: Arc<Gateway>) {
     loop {
-        let due = gateway.health().take_due(gateway.clock.now());
+        let due = gateway.health().take_due_probes(gateway.clock.now());
         for upstream in due.iter().filter_map(|id| listed(&gateway, id)) {
             tokio::spawn(try_one(Arc::clone(&gateway), upstream));
         }
-        let next = gateway.health().next_due();
+        let next = gateway.health().next_probe_at();
         let is_due = async {
             match next {
                 Some(at) => sleep_until(at.into()).await,
--- a/tests/decide_gateway.rs
+++ b/tests/decide_gateway.rs
@@ -52,25 +52,25 @@
     let (dead, here) = (upstream("dead"), domain("here"));
     health.on_fault(&dead, &here, UpstreamFault::ConnectRefused, now);
     assert!(!health.is_usable(&dead, &here, now + ms(100)));
-    assert!(health.take_due(now + ms(499)).is_empty());
-    assert_eq!(health.next_due(), Some(now + ms(500)));
+    assert!(health.take_due_probes(now + ms(499)).is_empty());
+    assert_eq!(health.next_probe_at(), Some(now + ms(500)));
     let tried = now + ms(501);
-    assert_eq!(health.take_due(tried), std::slice::from_ref(&dead));
-    assert!(health.take_due(tried).is_empty(), "one at a time");
+    assert_eq!(health.take_due_probes(tried), std::slice::from_ref(&dead));
+    assert!(health.take_due_probes(tried).is_empty(), "one at a time");
     assert!(!health.is_usable(&dead, &here, tried));
     health.on_fault(&dead, &here, UpstreamFault::ConnectRefused, tried);
     assert!(
-        health.take_due(tried + ms(999)).is_empty(),
+        health.take_due_probes(tried + ms(999)).is_empty(),
         "longer each time"
     );
     assert_eq!(
-        health.take_due(tried + ms(1_001)),
+        health.take_due_probes(tried + ms(1_001)),
         std::slice::from_ref(&dead)
     );
     health.on_connected(&dead, tried + ms(1_010));
     assert!(health.is_usable(&dead, &here, tried + ms(1_010)));
     assert_eq!(
-        health.next_due(),
+        health.next_probe_at(),
         None,
         "nothing wakes a host that reaches all"
     );
@@ -94,10 +94,10 @@
     assert!(health.is_usable(&untried, &domain("here"), now));
     let later = now + ms(700);
     assert!(!health.is_usable(&untried, &there, later));
-    let first = health.take_due(later);
+    let first = health.take_due_probes(later);
     assert_eq!(first.len(), 1, "one stands for all of them");
     health.on_fault(&first[0], &there, UpstreamFault::ConnectTimeout, later);
-    let second = health.take_due(later + ms(700));
+    let second = health.take_due_probes(later + ms(700));
     assert!(second != first, "the one that was tried may itself be dead");
     health.on_answer(&upstream("a"), &there, later);
     assert!(health.is_usable(&untried, &there, later));
