--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -164,10 +164,10 @@
     let restarted = gateway.lives.take_in(&listed, |id| health.lost_at(id));
     drop(health);
     let usable = gateway.beliefs.set_upstreams(listed);
-    gateway.health().keep(|id| staying.contains(id));
+    gateway.health().retain(|id| staying.contains(id));
     let now = gateway.clock.now();
     gateway.ledger().keep(|id| staying.contains(id), now);
-    gateway.rate_limits.keep(|id| staying.contains(id));
+    gateway.rate_limits.retain(|id| staying.contains(id));
     note_changes(gateway, known, &staying, &restarted, usable);
     staying
 }
