--- a/src/decide/health_tracker.rs
+++ b/src/decide/health_tracker.rs
@@ -318,7 +318,7 @@
     }
 
     /// Forgets upstreams that are off the list, and domains without any left.
-    pub fn keep(&mut self, is_listed: impl Fn(&UpstreamId) -> bool) {
+    pub fn retain(&mut self, is_listed: impl Fn(&UpstreamId) -> bool) {
         self.upstreams.retain(|id, _| is_listed(id));
         let upstreams = &self.upstreams;
         self.ways
