--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -93,7 +93,7 @@
     }
 
     /// Forgets upstreams that are off the list.
-    pub(crate) fn keep(&self, is_listed: impl Fn(&UpstreamId) -> bool) {
+    pub(crate) fn retain(&self, is_listed: impl Fn(&UpstreamId) -> bool) {
         self.book().keep(&is_listed);
         self.malformed_logged()
             .retain(|upstream, _| is_listed(upstream));
