--- a/src/decide/ejection.rs
+++ b/src/decide/ejection.rs
@@ -74,20 +74,20 @@
         if seen.is_live() {
             self.access(now)
         } else {
-            Access::Closed
+            Access::Denied
         }
     }
 
     /// What it may get now.
     pub fn access(&self, now: Instant) -> Access {
         match self.state {
-            State::In => Access::Open,
-            State::Out { until } if now < until => Access::Closed,
+            State::In => Access::Full,
+            State::Out { until } if now < until => Access::Denied,
             State::Out { .. } => Access::Probe,
             State::Probing { sent_at, .. } => {
                 let is_open = |at| now.saturating_duration_since(at) < PROBE_MAX;
                 if sent_at.is_some_and(is_open) {
-                    Access::Closed
+                    Access::Denied
                 } else {
                     Access::Probe
                 }
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -76,9 +76,9 @@
         self.upstreams
             .values()
             .any(|upstream| match upstream.access(self.now) {
-                Access::Closed => false,
+                Access::Denied => false,
                 Access::Probe => lane == Lane::Short,
-                Access::Open => {
+                Access::Full => {
                     upstream.has_slot(self.now) && readiness(upstream, self.tuning, lane, 0.0).0
                 }
             })
--- a/src/decide/pool_upstream.rs
+++ b/src/decide/pool_upstream.rs
@@ -63,7 +63,7 @@
 
     /// Whether it may get work as usual.
     pub fn is_open(&self, now: Instant) -> bool {
-        self.access(now) == Access::Open
+        self.access(now) == Access::Full
     }
 
     /// Attempts that have not ended.
--- a/src/decide/shipped/services.rs
+++ b/src/decide/shipped/services.rs
@@ -127,7 +127,7 @@
         let open = || {
             self.upstreams
                 .values()
-                .filter(|u| u.access(now) == Access::Open)
+                .filter(|u| u.access(now) == Access::Full)
         };
         let can_avoid = open().any(|u| !avoid.contains(&u.seen.id));
         let may_take = |u: &&ServiceUpstream| !can_avoid || !avoid.contains(&u.seen.id);
@@ -302,7 +302,7 @@
         let open = self
             .upstreams
             .values()
-            .filter(|u| u.access(now) == Access::Open);
+            .filter(|u| u.access(now) == Access::Full);
         PoolLoad {
             waiting: self.queue.len() as u64,
             running: self.granted.len() as u64,
