--- a/src/decide/ejection.rs
+++ b/src/decide/ejection.rs
@@ -27,11 +27,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Access {
     /// Work as usual.
-    Open,
+    Full,
     /// One short request, to see.
     Probe,
     /// Nothing.
-    Closed,
+    Denied,
 }
 
 /// The state of one upstream.
@@ -61,11 +61,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionStep {
     /// Nothing changes.
-    Stay,
+    NoChange,
     /// It should be taken out, if not too many are out already.
     Eject,
     /// Its probes have succeeded: it is back and begins with little work.
-    Return,
+    Reinstate,
 }
 
 impl Ejection {
