--- a/src/decide/ejection.rs
+++ b/src/decide/ejection.rs
@@ -59,7 +59,7 @@
 
 /// What follows from the end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EjectionStep {
+pub enum EjectionAction {
     /// Nothing changes.
     NoChange,
     /// It should be taken out, if not too many are out already.
@@ -122,10 +122,10 @@
     }
 
     /// Takes in the end of an attempt.
-    pub fn on_end(&mut self, ended: Ended) -> EjectionStep {
+    pub fn on_end(&mut self, ended: Ended) -> EjectionAction {
         match ended {
             Ended::Completed => self.on_success(),
-            Ended::Cancelled => EjectionStep::Stay,
+            Ended::Cancelled => EjectionAction::NoChange,
             Ended::Failed | Ended::NotSent => self.on_failure(),
             Ended::Refused => self.on_refusal(),
         }
@@ -143,39 +143,39 @@
         };
     }
 
-    fn on_success(&mut self) -> EjectionStep {
+    fn on_success(&mut self) -> EjectionAction {
         self.failures = 0;
         self.refusals = 0;
         let State::Probing { succeeded, .. } = self.state else {
-            return EjectionStep::Stay;
+            return EjectionAction::NoChange;
         };
         if succeeded + 1 < PROBES_WANTED {
             self.state = State::Probing {
                 succeeded: succeeded + 1,
                 sent_at: None,
             };
-            return EjectionStep::Stay;
+            return EjectionAction::NoChange;
         }
         self.state = State::In;
         self.rounds = 0;
-        EjectionStep::Return
+        EjectionAction::Reinstate
     }
 
-    fn on_failure(&mut self) -> EjectionStep {
+    fn on_failure(&mut self) -> EjectionAction {
         self.failures += 1;
         let is_probe = matches!(self.state, State::Probing { .. });
         let is_in = self.state == State::In;
         if is_probe || (is_in && self.failures >= FAILURES_MAX) {
-            EjectionStep::Eject
+            EjectionAction::Eject
         } else {
-            EjectionStep::Stay
+            EjectionAction::NoChange
         }
     }
 
-    fn on_refusal(&mut self) -> EjectionStep {
+    fn on_refusal(&mut self) -> EjectionAction {
         self.refusals += 1;
         if self.refusals < REFUSALS_PER_FAILURE {
-            return EjectionStep::Stay;
+            return EjectionAction::NoChange;
         }
         self.refusals = 0;
         self.on_failure()
--- a/src/decide/engine_fleet.rs
+++ b/src/decide/engine_fleet.rs
@@ -7,7 +7,7 @@
 use rand::rngs::StdRng;
 
 use crate::decide::Done;
-use crate::decide::EjectionStep;
+use crate::decide::EjectionAction;
 use crate::decide::Ended;
 use crate::decide::Hold;
 use crate::decide::LaneSplit;
@@ -226,11 +226,11 @@
             upstream.warm_up.on_success(now);
         }
         match step {
-            EjectionStep::Return if is_slow => upstream.ejection.eject(now, rng),
-            EjectionStep::Return => upstream.warm_up = WarmUp::cold(now),
-            EjectionStep::Eject => self.eject(id, now, rng),
-            EjectionStep::Stay if is_slow && !was_out => self.eject(id, now, rng),
-            EjectionStep::Stay => {}
+            EjectionAction::Reinstate if is_slow => upstream.ejection.eject(now, rng),
+            EjectionAction::Reinstate => upstream.warm_up = WarmUp::cold(now),
+            EjectionAction::Eject => self.eject(id, now, rng),
+            EjectionAction::NoChange if is_slow && !was_out => self.eject(id, now, rng),
+            EjectionAction::NoChange => {}
         }
     }
 
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -74,7 +74,7 @@
 pub use drain_rate::DrainRate;
 pub use ejection::Access;
 pub use ejection::Ejection;
-pub use ejection::EjectionStep;
+pub use ejection::EjectionAction;
 pub(crate) use engine_fleet::EngineFleet;
 pub use engine_model::EngineModel;
 pub use engine_priority::engine_priority;
--- a/src/decide/shipped/services.rs
+++ b/src/decide/shipped/services.rs
@@ -10,7 +10,7 @@
 use crate::decide::Decision;
 use crate::decide::Done;
 use crate::decide::DrainRate;
-use crate::decide::EjectionStep;
+use crate::decide::EjectionAction;
 use crate::decide::Ended;
 use crate::decide::FairQueue;
 use crate::decide::Forecast;
@@ -203,11 +203,11 @@
             return;
         };
         match upstream.ejection.on_end(ended) {
-            EjectionStep::Return => upstream.warm_up = WarmUp::cold(now),
-            EjectionStep::Eject if may_eject => {
+            EjectionAction::Reinstate => upstream.warm_up = WarmUp::cold(now),
+            EjectionAction::Eject if may_eject => {
                 upstream.ejection.eject(now, &mut self.intake.rng);
             }
-            EjectionStep::Eject | EjectionStep::Stay => {}
+            EjectionAction::Eject | EjectionAction::NoChange => {}
         }
     }
 }
