--- a/src/decide/ejection.rs
+++ b/src/decide/ejection.rs
@@ -96,7 +96,7 @@
     }
 
     /// Whether it is out or on probe.
-    pub fn is_out(&self) -> bool {
+    pub fn is_ejected(&self) -> bool {
         self.state != State::In
     }
 
--- a/src/decide/engine_fleet.rs
+++ b/src/decide/engine_fleet.rs
@@ -220,7 +220,7 @@
             return;
         };
         let is_slow = upstream.is_slow(&median, self.tuning.slow_part);
-        let was_out = upstream.ejection.is_out();
+        let was_out = upstream.ejection.is_ejected();
         let step = upstream.ejection.on_end(ended);
         if ended == Ended::Completed {
             upstream.warm_up.on_success(now);
@@ -238,7 +238,7 @@
         let live = self.live().count();
         let out = self
             .live()
-            .filter(|u| u.ejection.is_out() && u.seen.id != *id)
+            .filter(|u| u.ejection.is_ejected() && u.seen.id != *id)
             .count();
         if (out + 1) as f64 > live as f64 * self.tuning.out_part_max {
             return;
@@ -249,7 +249,7 @@
     }
 
     fn eject_stalled(&mut self, now: Instant, rng: &mut StdRng) {
-        let is_stalled = |u: &&PoolUpstream| u.is_stalled(now) && !u.ejection.is_out();
+        let is_stalled = |u: &&PoolUpstream| u.is_stalled(now) && !u.ejection.is_ejected();
         let stalled: Vec<UpstreamId> = self
             .live()
             .filter(is_stalled)
--- a/src/decide/shipped/services.rs
+++ b/src/decide/shipped/services.rs
@@ -196,7 +196,7 @@
 
     fn judge(&mut self, id: &UpstreamId, ended: Ended, now: Instant) {
         let live = self.upstreams.values().filter(|u| u.is_live()).count();
-        let is_other_out = |u: &&ServiceUpstream| u.ejection.is_out() && u.seen.id != *id;
+        let is_other_out = |u: &&ServiceUpstream| u.ejection.is_ejected() && u.seen.id != *id;
         let out = self.upstreams.values().filter(is_other_out).count();
         let may_eject = (out + 1) as f64 <= live as f64 * OUT_PART_MAX;
         let Some(upstream) = self.upstreams.get_mut(id) else {
