--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -189,7 +189,7 @@
     }
 
     fn takes_long(&self, upstream: &PoolUpstream) -> bool {
-        upstream.warm_up.takes_long(self.now) && !upstream.ledger.is_reserved()
+        upstream.warm_up.accepts_long_prefill(self.now) && !upstream.ledger.is_reserved()
     }
 
     /// An upstream that was taken out and may be tried: it gets a short request that has time.
--- a/src/decide/warm_up.rs
+++ b/src/decide/warm_up.rs
@@ -49,7 +49,7 @@
     }
 
     /// Whether long prefill may go there: in the second half of the steps.
-    pub fn takes_long(&self, now: Instant) -> bool {
+    pub fn accepts_long_prefill(&self, now: Instant) -> bool {
         self.step_at(now) * 2 >= STEPS.len()
     }
 
