--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -10,7 +10,7 @@
 use hyper::Uri;
 
 use crate::decide::RequestFingerprint;
-use crate::gateway::CallHead;
+use crate::gateway::RequestHead;
 use crate::routing::Route;
 use crate::routing::callers_patience;
 use crate::units::ContentHash;
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub struct Call {
     /// What its head says.
-    pub head: CallHead,
+    pub head: RequestHead,
     /// Its method.
     pub method: Method,
     /// Its path and query, as the caller sent them.
--- a/src/gateway/handler.rs
+++ b/src/gateway/handler.rs
@@ -23,9 +23,9 @@
 
 use crate::decide::UpstreamFault;
 use crate::gateway::Call;
-use crate::gateway::CallHead;
 use crate::gateway::Gateway;
 use crate::gateway::Refusal;
+use crate::gateway::RequestHead;
 use crate::gateway::ResponseBody;
 use crate::gateway::ShutdownPhase;
 use crate::gateway::courier::Courier;
@@ -71,7 +71,7 @@
     arrived: Instant,
     tracker: &mut RequestTracker,
 ) -> Result<Call, (String, Refusal)> {
-    let said = gateway.header_codec.read_call(&head.headers);
+    let said = gateway.header_codec.read_request_head(&head.headers);
     let said = said.map_err(|bad| {
         let problem = format!("{}: {}", bad.header, bad.problem);
         (String::new(), Refusal::BadHead(problem))
@@ -105,7 +105,7 @@
     gateway: &Gateway,
     routes: &RouteTable,
     head: request::Parts,
-    said: CallHead,
+    said: RequestHead,
     arrived: Instant,
 ) -> Result<Call, Refusal> {
     let now = gateway.clock.since_boot();
@@ -253,7 +253,9 @@
     mut tracker: RequestTracker,
 ) -> Response<ResponseBody> {
     let mut res = refusal.response();
-    gateway.header_codec.mark_own(request, res.headers_mut());
+    gateway
+        .header_codec
+        .mark_local_response(request, res.headers_mut());
     tracker.finish(refusal.name(), res.status().as_u16());
     res
 }
--- a/src/gateway/header_codec.rs
+++ b/src/gateway/header_codec.rs
@@ -14,7 +14,7 @@
 
 /// What a caller's head says beyond method, path and host.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct CallHead {
+pub struct RequestHead {
     /// The caller's id of this attempt; empty if it gave none.
     pub request: String,
     /// How long it will wait.
@@ -31,7 +31,7 @@
 
 /// One send of a call to an upstream.
 #[derive(Clone, Debug)]
-pub struct SendHead<'a> {
+pub struct ForwardHead<'a> {
     /// The upstream that is meant: another one at its address has to refuse.
     pub upstream: &'a UpstreamName,
     /// What is left of the caller's time.
@@ -55,7 +55,7 @@
 
 /// What an upstream's head says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Whether it carries the upstream's signature. Without it, it is not an answer to be passed on
     /// as a success.
     pub is_signed: bool,
@@ -79,17 +79,22 @@
 }
 
 /// Reads and writes the headers of one platform.
-pub trait Dialect: Send + Sync {
+pub trait HeaderCodec: Send + Sync {
     /// Reads a caller's head.
-    fn read_call(&self, headers: &HeaderMap) -> Result<CallHead, BadHead>;
+    fn read_request_head(&self, headers: &HeaderMap) -> Result<RequestHead, BadHead>;
 
     /// The head of a send: the caller's headers, without those that belong to one connection or
     /// that only this system may set.
-    fn send_headers(&self, caller: &HeaderMap, head: &SendHead<'_>) -> HeaderMap;
+    fn send_headers(&self, caller: &HeaderMap, head: &ForwardHead<'_>) -> HeaderMap;
 
     /// Reads an upstream's head. `request` is the id that was sent.
-    fn read_answer(&self, request: &str, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
+    fn read_response_head(
+        &self,
+        request: &str,
+        status: StatusCode,
+        headers: &HeaderMap,
+    ) -> ResponseHead;
 
     /// Marks an answer of this host's own with the caller's id of the request.
-    fn mark_own(&self, request: &str, headers: &mut HeaderMap);
+    fn mark_local_response(&self, request: &str, headers: &mut HeaderMap);
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -2,7 +2,7 @@
 //! customers' keys, to an upstream that is on the platform's list, and its answer back.
 //!
 //! [`Gateway`] holds what all requests share. [`run()`] starts the tasks around it. The platform
-//! stands behind [`Catalog`] and [`Dialect`]; decisions are those of [`crate::decide`].
+//! stands behind [`Catalog`] and [`HeaderCodec`]; decisions are those of [`crate::decide`].
 
 mod beliefs;
 mod call;
@@ -73,12 +73,12 @@
 pub use error::GatewayError;
 pub use event_splitter::EventSplitter;
 pub use freshness::Freshness;
-pub use header_codec::AnswerHead;
 pub use header_codec::BadHead;
-pub use header_codec::CallHead;
-pub use header_codec::Dialect;
+pub use header_codec::ForwardHead;
+pub use header_codec::HeaderCodec;
 pub use header_codec::HelperAddr;
-pub use header_codec::SendHead;
+pub use header_codec::RequestHead;
+pub use header_codec::ResponseHead;
 pub use limit_said::LimitSaid;
 pub use limit_seen::LimitSeen;
 pub use listeners::Listeners;
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -15,10 +15,10 @@
 
 use crate::decide::UpstreamFault;
 use crate::gateway::Call;
+use crate::gateway::ForwardHead;
 use crate::gateway::Gateway;
 use crate::gateway::HelperAddr;
 use crate::gateway::Listed;
-use crate::gateway::SendHead;
 use crate::gateway::load_guard::LoadGuard;
 use crate::gateway::placement::Placement;
 use crate::gateway::reservation::Part;
@@ -102,7 +102,7 @@
         let reserved = reservation.iter().flat_map(Reservation::parts);
         let mut helpers: Vec<HelperAddr> = reserved.map(Part::helper).collect();
         helpers.extend(placement.helpers);
-        let head = SendHead {
+        let head = ForwardHead {
             upstream: &upstream.name,
             time_left: self.call.time_left(now),
             customer: self.call.customer.as_ref(),
@@ -132,7 +132,7 @@
         };
         let (head, body) = res.into_parts();
         let dialect = &self.gateway.header_codec;
-        let said = dialect.read_answer(&self.call.head.request, head.status, &head.headers);
+        let said = dialect.read_response_head(&self.call.head.request, head.status, &head.headers);
         self.gateway.on_response_limit(&upstream.id, &said.limit);
         if said.did_not_run {
             return SendEnd::NotRun {
@@ -163,7 +163,7 @@
         }))
     }
 
-    fn request(&self, head: &SendHead<'_>) -> Request<Full<Bytes>> {
+    fn request(&self, head: &ForwardHead<'_>) -> Request<Full<Bytes>> {
         let mut req = Request::new(Full::new(self.call.body.clone()));
         *req.method_mut() = self.call.method.clone();
         *req.uri_mut() = self.call.uri.clone();
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -24,10 +24,10 @@
 use crate::gateway::Beliefs;
 use crate::gateway::Call;
 use crate::gateway::DecisionLog;
-use crate::gateway::Dialect;
 use crate::gateway::EngineOrders;
 use crate::gateway::Event;
 use crate::gateway::GatewayConf;
+use crate::gateway::HeaderCodec;
 use crate::gateway::Meters;
 use crate::gateway::ShutdownPhase;
 use crate::gateway::lives::Lives;
@@ -56,7 +56,7 @@
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The headers of the platform.
-    pub header_codec: Arc<dyn Dialect>,
+    pub header_codec: Arc<dyn HeaderCodec>,
     /// Orders to engines.
     pub orders: Arc<dyn EngineOrders>,
     /// What is taken to be true.
@@ -107,7 +107,7 @@
     pub fn new(
         conf: GatewayConf,
         clock: Arc<dyn Clock>,
-        header_codec: Arc<dyn Dialect>,
+        header_codec: Arc<dyn HeaderCodec>,
         orders: Arc<dyn EngineOrders>,
         log: DecisionLog,
         meters: Meters,
--- a/tests/gateway_world/header_codec.rs
+++ b/tests/gateway_world/header_codec.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use banyanarch::gateway::AnswerHead;
 use banyanarch::gateway::BadHead;
-use banyanarch::gateway::CallHead;
-use banyanarch::gateway::Dialect;
+use banyanarch::gateway::ForwardHead;
+use banyanarch::gateway::HeaderCodec;
 use banyanarch::gateway::LimitSaid;
-use banyanarch::gateway::SendHead;
+use banyanarch::gateway::RequestHead;
+use banyanarch::gateway::ResponseHead;
 use banyanarch::units::RequestsPerSecond;
 use banyanarch::units::Tokens;
 use hyper::HeaderMap;
@@ -39,10 +39,10 @@
     }
 }
 
-impl Dialect for TestHeaderCodec {
-    fn read_call(&self, headers: &HeaderMap) -> Result<CallHead, BadHead> {
+impl HeaderCodec for TestHeaderCodec {
+    fn read_request_head(&self, headers: &HeaderMap) -> Result<RequestHead, BadHead> {
         let deadline = text(headers, "test-deadline-ms").and_then(|ms| ms.parse().ok());
-        Ok(CallHead {
+        Ok(RequestHead {
             request: text(headers, "test-request").unwrap_or_default(),
             deadline: deadline.map(Duration::from_millis),
             key: text(headers, "test-key"),
@@ -52,7 +52,7 @@
         })
     }
 
-    fn send_headers(&self, caller: &HeaderMap, head: &SendHead<'_>) -> HeaderMap {
+    fn send_headers(&self, caller: &HeaderMap, head: &ForwardHead<'_>) -> HeaderMap {
         let mut headers = caller.clone();
         headers.remove("test-key");
         headers.remove("content-length");
@@ -72,8 +72,13 @@
         headers
     }
 
-    fn read_answer(&self, request: &str, _: StatusCode, headers: &HeaderMap) -> AnswerHead {
-        AnswerHead {
+    fn read_response_head(
+        &self,
+        request: &str,
+        _: StatusCode,
+        headers: &HeaderMap,
+    ) -> ResponseHead {
+        ResponseHead {
             is_signed: headers.contains_key("test-signature"),
             did_not_run: headers.contains_key("test-not-run"),
             is_for_request: text(headers, "test-request").unwrap_or_default() == request,
@@ -82,7 +87,7 @@
         }
     }
 
-    fn mark_own(&self, request: &str, headers: &mut HeaderMap) {
+    fn mark_local_response(&self, request: &str, headers: &mut HeaderMap) {
         set(headers, "test-request", request);
     }
 }
