--- a/src/gateway/header_codec.rs
+++ b/src/gateway/header_codec.rs
@@ -71,7 +71,7 @@
 
 /// Why a caller's head can't be understood.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BadHead {
+pub struct InvalidHeader {
     /// The header.
     pub header: &'static str,
     /// What is wrong with it.
@@ -81,7 +81,7 @@
 /// Reads and writes the headers of one platform.
 pub trait HeaderCodec: Send + Sync {
     /// Reads a caller's head.
-    fn read_request_head(&self, headers: &HeaderMap) -> Result<RequestHead, BadHead>;
+    fn read_request_head(&self, headers: &HeaderMap) -> Result<RequestHead, InvalidHeader>;
 
     /// The head of a send: the caller's headers, without those that belong to one connection or
     /// that only this system may set.
--- a/tests/gateway_world/header_codec.rs
+++ b/tests/gateway_world/header_codec.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use banyanarch::gateway::BadHead;
 use banyanarch::gateway::ForwardHead;
 use banyanarch::gateway::HeaderCodec;
+use banyanarch::gateway::InvalidHeader;
 use banyanarch::gateway::LimitSaid;
 use banyanarch::gateway::RequestHead;
 use banyanarch::gateway::ResponseHead;
@@ -40,7 +40,7 @@
 }
 
 impl HeaderCodec for TestHeaderCodec {
-    fn read_request_head(&self, headers: &HeaderMap) -> Result<RequestHead, BadHead> {
+    fn read_request_head(&self, headers: &HeaderMap) -> Result<RequestHead, InvalidHeader> {
         let deadline = text(headers, "test-deadline-ms").and_then(|ms| ms.parse().ok());
         Ok(RequestHead {
             request: text(headers, "test-request").unwrap_or_default(),
