--- a/src/cmd/log_story.rs
+++ b/src/cmd/log_story.rs
@@ -4,8 +4,8 @@
 
 use crate::cmd::log_causes::cause;
 use crate::cmd::logs::Line;
+use crate::gateway::DecisionEvent;
 use crate::gateway::EnginesSeen;
-use crate::gateway::Event;
 
 /// What the logs know of one request, in order.
 pub(crate) struct Story<'a> {
@@ -46,12 +46,12 @@
             break;
         }
         match &line.event {
-            Event::ManifestInForce { .. } => manifest = Some(line),
-            Event::DependencyLost { .. } => lost.push(line),
-            Event::DependencyRegained { dependency, .. } => {
+            DecisionEvent::ManifestInForce { .. } => manifest = Some(line),
+            DecisionEvent::DependencyLost { .. } => lost.push(line),
+            DecisionEvent::DependencyRegained { dependency, .. } => {
                 lost.retain(|lost| !is_loss_of(lost, dependency));
             }
-            Event::Started { .. } => {
+            DecisionEvent::Started { .. } => {
                 manifest = None;
                 lost.clear();
             }
@@ -62,7 +62,7 @@
 }
 
 fn is_loss_of(line: &Line, wanted: &str) -> bool {
-    matches!(&line.event, Event::DependencyLost { dependency, .. } if dependency == wanted)
+    matches!(&line.event, DecisionEvent::DependencyLost { dependency, .. } if dependency == wanted)
 }
 
 impl fmt::Display for Story<'_> {
@@ -92,12 +92,12 @@
 }
 
 /// An event as a sentence.
-struct Told<'a>(&'a Event);
+struct Told<'a>(&'a DecisionEvent);
 
 impl fmt::Display for Told<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
-            Event::ManifestInForce {
+            DecisionEvent::ManifestInForce {
                 generation,
                 routes,
                 keys,
@@ -105,14 +105,16 @@
                 f,
                 "manifest {generation} in force: {routes} routes, {keys} keys"
             ),
-            Event::DependencyLost { dependency, error } => {
+            DecisionEvent::DependencyLost { dependency, error } => {
                 write!(f, "{dependency} lost, not regained: {error}")
             }
-            Event::UpstreamFault {
+            DecisionEvent::UpstreamFault {
                 upstream, fault, ..
             } => write!(f, "upstream {upstream}: {fault}"),
-            Event::ReservationRefused { error, .. } => write!(f, "no memory set aside: {error}"),
-            Event::Sent {
+            DecisionEvent::ReservationRefused { error, .. } => {
+                write!(f, "no memory set aside: {error}")
+            }
+            DecisionEvent::Sent {
                 upstream,
                 helpers,
                 reserves,
@@ -131,7 +133,7 @@
                 helpers.len(),
                 helpers.join(" ")
             ),
-            Event::Refused {
+            DecisionEvent::Refused {
                 reason,
                 prompt_tokens,
                 elapsed_ms,
@@ -157,7 +159,7 @@
                 write_seen(f, "near", near.as_deref())?;
                 write_seen(f, "all", all.as_deref())
             }
-            Event::Waiting {
+            DecisionEvent::Waiting {
                 prompt_tokens,
                 elapsed_ms,
                 objective_left_ms,
@@ -176,7 +178,7 @@
                 write_seen(f, "near", Some(near))?;
                 write_seen(f, "all", Some(all))
             }
-            Event::Ended {
+            DecisionEvent::Ended {
                 outcome,
                 status,
                 elapsed_ms,
--- a/src/cmd/log_summary.rs
+++ b/src/cmd/log_summary.rs
@@ -6,7 +6,7 @@
 use indexmap::IndexMap;
 
 use crate::cmd::logs::Line;
-use crate::gateway::Event;
+use crate::gateway::DecisionEvent;
 
 /// The longest prompts of the rows, in tokens; the last row has no end.
 const LENGTHS: [u64; 7] = [10_000, 25_000, 50_000, 100_000, 250_000, 500_000, 750_000];
@@ -65,7 +65,7 @@
         let mut sends: IndexMap<(&str, &str), Send> = IndexMap::new();
         for line in lines {
             match &line.event {
-                Event::Sent {
+                DecisionEvent::Sent {
                     request,
                     helpers,
                     reserves,
@@ -85,7 +85,7 @@
                     };
                     sends.insert((&line.host, request), send);
                 }
-                Event::Ended {
+                DecisionEvent::Ended {
                     request,
                     outcome,
                     first_event_ms,
@@ -97,7 +97,7 @@
                         summary.take_in(&send, *first_event_ms);
                     }
                 }
-                Event::Refused {
+                DecisionEvent::Refused {
                     reason,
                     prompt_tokens,
                     elapsed_ms,
--- a/src/cmd/logs.rs
+++ b/src/cmd/logs.rs
@@ -7,7 +7,7 @@
 use crate::cmd::log_causes::cause;
 use crate::cmd::log_story::Story;
 use crate::cmd::log_summary::Summary;
-use crate::gateway::Event;
+use crate::gateway::DecisionEvent;
 
 /// One line of a log.
 #[derive(Clone, Debug)]
@@ -16,7 +16,7 @@
     pub(crate) wall_ms: u64,
     pub(crate) host: String,
     #[serde(flatten)]
-    pub(crate) event: Event,
+    pub(crate) event: DecisionEvent,
 }
 
 /// Lines of all hosts in order of time.
@@ -64,7 +64,7 @@
 impl fmt::Display for Failed<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for line in self.0 {
-            let Event::Ended {
+            let DecisionEvent::Ended {
                 request,
                 outcome,
                 status,
--- a/src/gateway/decision_event.rs
+++ b/src/gateway/decision_event.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-pub enum Event {
+pub enum DecisionEvent {
     /// The host has started.
     Started {
         /// Its failure domain.
@@ -246,7 +246,7 @@
     },
 }
 
-impl Event {
+impl DecisionEvent {
     /// The request that the line is about.
     pub fn request(&self) -> Option<&str> {
         match self {
--- a/src/gateway/decision_log.rs
+++ b/src/gateway/decision_log.rs
@@ -13,7 +13,7 @@
 use serde::Serialize;
 
 use crate::clock::Clock;
-use crate::gateway::Event;
+use crate::gateway::DecisionEvent;
 use crate::units::HostId;
 use crate::units::whole_millis;
 
@@ -30,7 +30,7 @@
     wall_ms: u64,
     host: &'a HostId,
     #[serde(flatten)]
-    event: &'a Event,
+    event: &'a DecisionEvent,
 }
 
 #[derive(Serialize)]
@@ -43,7 +43,7 @@
 
 #[derive(Default)]
 struct Pending {
-    lines: Vec<(u64, Event)>,
+    lines: Vec<(u64, DecisionEvent)>,
     dropped: u64,
     dropped_total: u64,
     is_closed: bool,
@@ -86,7 +86,7 @@
     }
 
     /// Notes an event. If too many wait, it is dropped and counted.
-    pub fn note(&self, event: Event) {
+    pub fn note(&self, event: DecisionEvent) {
         let wall = self.clock.wall().duration_since(UNIX_EPOCH);
         let wall_ms = whole_millis(wall.unwrap_or_default());
         let mut pending = self.shared.lock();
@@ -165,7 +165,7 @@
     }
 }
 
-fn take_lines(shared: &Shared) -> (Vec<(u64, Event)>, u64, bool) {
+fn take_lines(shared: &Shared) -> (Vec<(u64, DecisionEvent)>, u64, bool) {
     let pending = shared.lock();
     let pending = shared
         .arrived
--- a/src/gateway/dependency.rs
+++ b/src/gateway/dependency.rs
@@ -8,7 +8,7 @@
 use tokio::time::sleep_until;
 
 use crate::gateway::CatalogError;
-use crate::gateway::Event;
+use crate::gateway::DecisionEvent;
 use crate::gateway::Gateway;
 use crate::gateway::share::ReadError;
 use crate::gateway::share::Source;
@@ -126,7 +126,7 @@
         self.failures = 0;
         self.platform_due_at = None;
         if let Some(lost_at) = self.lost_at.take() {
-            self.gateway.log.note(Event::DependencyRegained {
+            self.gateway.log.note(DecisionEvent::DependencyRegained {
                 dependency: self.name.into(),
                 away_ms: whole_millis(now.saturating_duration_since(lost_at)),
             });
@@ -150,7 +150,7 @@
         self.platform_due_at = Some(now + self.interval(FAILED_INTERVAL));
         if self.lost_at.is_none() {
             self.lost_at = Some(now);
-            self.gateway.log.note(Event::DependencyLost {
+            self.gateway.log.note(DecisionEvent::DependencyLost {
                 dependency: self.name.into(),
                 error: err.to_string(),
             });
--- a/src/gateway/engine_reports.rs
+++ b/src/gateway/engine_reports.rs
@@ -14,7 +14,7 @@
 
 use crate::exchange::ListedHost;
 use crate::exchange::strongest;
-use crate::gateway::Event;
+use crate::gateway::DecisionEvent;
 use crate::gateway::Gateway;
 use crate::gateway::Listed;
 
@@ -88,7 +88,7 @@
         .slowdowns
         .on_report(&engine.id, report.slowdown, now)
     {
-        gateway.log.note(Event::UpstreamSpeed {
+        gateway.log.note(DecisionEvent::UpstreamSpeed {
             upstream: engine.id.to_string(),
             slowdown: report.slowdown.factor(),
         });
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -63,7 +63,7 @@
 pub use catalog::UpstreamsRead;
 pub use catalog::Watch;
 pub use conf::GatewayConf;
-pub use decision_event::Event;
+pub use decision_event::DecisionEvent;
 pub use decision_log::DecisionLog;
 pub use engine_orders::EngineOrders;
 pub use engine_orders::EngineReport;
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -27,7 +27,7 @@
 use crate::exchange::SlowNews;
 use crate::exchange::UpstreamHash;
 use crate::exchange::Voice;
-use crate::gateway::Event;
+use crate::gateway::DecisionEvent;
 use crate::gateway::Gateway;
 use crate::gateway::share::is_fresh;
 use crate::units::AttemptId;
@@ -145,7 +145,7 @@
 
     fn on_route(&self, route: NewsRoute) {
         if route.is_another_way_than(&self.logged_route()) {
-            self.log.note(Event::NewsRoute {
+            self.log.note(DecisionEvent::NewsRoute {
                 collector: route.collector.as_ref().map(ToString::to_string),
                 near_age_ms: whole_millis(route.near_age),
                 far_age_ms: whole_millis(route.far_age),
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -14,7 +14,7 @@
 use crate::decide::LoadSource;
 use crate::decide::RateLimitBook;
 use crate::exchange::ListedHost;
-use crate::gateway::Event;
+use crate::gateway::DecisionEvent;
 use crate::gateway::Gateway;
 use crate::gateway::LimitSaid;
 use crate::gateway::Listed;
@@ -162,7 +162,7 @@
         told_by: Option<&HostId>,
         age: Duration,
     ) {
-        self.log.note(Event::UpstreamLimit {
+        self.log.note(DecisionEvent::UpstreamLimit {
             upstream: upstream.to_string(),
             limit_per_s: limit.map(|limit| limit.0),
             told_by: told_by.map(ToString::to_string),
@@ -199,7 +199,7 @@
         let now = self.clock.now();
         self.meters.fault("malformed_limit");
         if self.rate_limits.should_log_malformed(upstream, now) {
-            self.log.note(Event::LimitMalformed {
+            self.log.note(DecisionEvent::LimitMalformed {
                 upstream: upstream.to_string(),
                 value: value.to_owned(),
             });
--- a/src/gateway/request_tracker.rs
+++ b/src/gateway/request_tracker.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use crate::gateway::Call;
-use crate::gateway::Event;
+use crate::gateway::DecisionEvent;
 use crate::gateway::Gateway;
 use crate::gateway::shared::InFlight;
 use crate::routing::CallKind;
@@ -91,7 +91,7 @@
             meters.longest_pause(self.customer.as_ref(), self.longest_pause);
         }
         let now = self.gateway.clock.now();
-        self.gateway.log.note(Event::Ended {
+        self.gateway.log.note(DecisionEvent::Ended {
             request: std::mem::take(&mut self.request),
             route: std::mem::take(&mut self.route),
             customer: self
--- a/src/gateway/reservation.rs
+++ b/src/gateway/reservation.rs
@@ -13,7 +13,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use crate::gateway::Event;
+use crate::gateway::DecisionEvent;
 use crate::gateway::Gateway;
 use crate::gateway::HelperAddr;
 use crate::gateway::Listed;
@@ -85,7 +85,7 @@
         let mut refused = Vec::new();
         for (part, made) in reservation.parts.iter().zip(made) {
             if let Err(err) = made {
-                gateway.log.note(Event::ReservationRefused {
+                gateway.log.note(DecisionEvent::ReservationRefused {
                     request: request.to_owned(),
                     error: err.to_string(),
                 });
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -23,9 +23,9 @@
 use crate::exchange::NewsRoute;
 use crate::gateway::Beliefs;
 use crate::gateway::Call;
+use crate::gateway::DecisionEvent;
 use crate::gateway::DecisionLog;
 use crate::gateway::EngineOrders;
-use crate::gateway::Event;
 use crate::gateway::GatewayConf;
 use crate::gateway::HeaderCodec;
 use crate::gateway::Meters;
@@ -267,7 +267,7 @@
         });
         if begun {
             let in_flight = self.in_flight();
-            self.log.note(Event::Stopping { in_flight });
+            self.log.note(DecisionEvent::Stopping { in_flight });
         }
     }
 
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -14,7 +14,7 @@
 
 use crate::exchange::ListedHost;
 use crate::gateway::Catalog;
-use crate::gateway::Event;
+use crate::gateway::DecisionEvent;
 use crate::gateway::Gateway;
 use crate::gateway::Listed;
 use crate::gateway::RoutesStep;
@@ -86,7 +86,7 @@
 /// Puts a manifest in force unless a newer one is. Returns whether it is in force now.
 fn put_in_force(gateway: &Gateway, routes: RouteTable) -> bool {
     let generation = routes.generation;
-    let event = Event::ManifestInForce {
+    let event = DecisionEvent::ManifestInForce {
         generation: generation.0,
         routes: routes.route_count(),
         keys: routes.keys.len(),
@@ -99,7 +99,7 @@
         }
         RoutesStep::Same => true,
         RoutesStep::Older { in_force } => {
-            gateway.log.note(Event::ManifestOlder {
+            gateway.log.note(DecisionEvent::ManifestOlder {
                 in_force: in_force.0,
                 generation: generation.0,
             });
@@ -116,7 +116,7 @@
         return;
     }
     gateway.meters.store_returned();
-    gateway.log.note(Event::StoreReturned {
+    gateway.log.note(DecisionEvent::StoreReturned {
         former_era: before.era().0,
         era: held.era().0,
         former_revision: before.revision(),
@@ -185,7 +185,7 @@
     let joined = names(after.difference(before));
     let left = names(before.difference(after));
     if !joined.is_empty() || !left.is_empty() {
-        gateway.log.note(Event::UpstreamsChanged {
+        gateway.log.note(DecisionEvent::UpstreamsChanged {
             usable,
             joined,
             left,
--- a/tests/decision_log.rs
+++ b/tests/decision_log.rs
@@ -7,8 +7,8 @@
 use std::sync::mpsc;
 
 use banyanarch::clock::SystemClock;
+use banyanarch::gateway::DecisionEvent;
 use banyanarch::gateway::DecisionLog;
-use banyanarch::gateway::Event;
 
 /// An output that takes nothing until it is let go.
 struct Stuck {
@@ -29,8 +29,8 @@
     }
 }
 
-fn ended(request: usize, status: u16) -> Event {
-    Event::Ended {
+fn ended(request: usize, status: u16) -> DecisionEvent {
+    DecisionEvent::Ended {
         request: format!("r-{request}"),
         route: "route".to_owned(),
         customer: "acme".to_owned(),
