--- a/src/gateway/courier.rs
+++ b/src/gateway/courier.rs
@@ -287,7 +287,7 @@
             self.gateway.load_urgent.notify_one();
         }
         self.gateway.meters.fault(fault.name());
-        self.gateway.log.note(DecisionEvent::UpstreamFault {
+        self.gateway.log.record(DecisionEvent::UpstreamFault {
             request: self.call.head.request.clone(),
             upstream: upstream.id.to_string(),
             fault: format!("{}: {why}", fault.name()),
@@ -340,7 +340,7 @@
         let Some((near, all)) = survey(&self.gateway, &self.call, &self.sends(), now) else {
             return;
         };
-        self.gateway.log.note(DecisionEvent::Waiting {
+        self.gateway.log.record(DecisionEvent::Waiting {
             request: self.call.head.request.clone(),
             prompt_tokens: self.call.head.prompt.0,
             elapsed_ms: whole_millis(waited),
@@ -358,7 +358,7 @@
         let by_service = gateway.beliefs.upstreams();
         let listed = by_service.and_then(|all| all.get(&self.call.service).map(Vec::len));
         let (near, all) = survey(gateway, &self.call, &self.sends(), now).unzip();
-        gateway.log.note(DecisionEvent::Refused {
+        gateway.log.record(DecisionEvent::Refused {
             request: self.call.head.request.clone(),
             reason: reason.name().into(),
             prompt_tokens: self.call.head.prompt.0,
@@ -390,7 +390,7 @@
 
     fn log_sent(&self, placement: &Placement, now: Instant) {
         self.gateway.meters.sent(self.arrivals > 0);
-        self.gateway.log.note(DecisionEvent::Sent {
+        self.gateway.log.record(DecisionEvent::Sent {
             request: self.call.head.request.clone(),
             upstream: placement.upstream.id.to_string(),
             helpers: placement.helper_ids().map(ToString::to_string).collect(),
--- a/src/gateway/dependency.rs
+++ b/src/gateway/dependency.rs
@@ -126,7 +126,7 @@
         self.failures = 0;
         self.platform_due_at = None;
         if let Some(lost_at) = self.lost_at.take() {
-            self.gateway.log.note(DecisionEvent::DependencyRegained {
+            self.gateway.log.record(DecisionEvent::DependencyRegained {
                 dependency: self.name.into(),
                 away_ms: whole_millis(now.saturating_duration_since(lost_at)),
             });
@@ -150,7 +150,7 @@
         self.platform_due_at = Some(now + self.interval(FAILED_INTERVAL));
         if self.lost_at.is_none() {
             self.lost_at = Some(now);
-            self.gateway.log.note(DecisionEvent::DependencyLost {
+            self.gateway.log.record(DecisionEvent::DependencyLost {
                 dependency: self.name.into(),
                 error: err.to_string(),
             });
--- a/src/gateway/engine_reports.rs
+++ b/src/gateway/engine_reports.rs
@@ -88,7 +88,7 @@
         .slowdowns
         .on_report(&engine.id, report.slowdown, now)
     {
-        gateway.log.note(DecisionEvent::UpstreamSpeed {
+        gateway.log.record(DecisionEvent::UpstreamSpeed {
             upstream: engine.id.to_string(),
             slowdown: report.slowdown.factor(),
         });
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -162,7 +162,7 @@
         told_by: Option<&HostId>,
         age: Duration,
     ) {
-        self.log.note(DecisionEvent::UpstreamLimit {
+        self.log.record(DecisionEvent::UpstreamLimit {
             upstream: upstream.to_string(),
             limit_per_s: limit.map(|limit| limit.0),
             told_by: told_by.map(ToString::to_string),
@@ -199,7 +199,7 @@
         let now = self.clock.now();
         self.meters.fault("malformed_limit");
         if self.rate_limits.should_log_malformed(upstream, now) {
-            self.log.note(DecisionEvent::LimitMalformed {
+            self.log.record(DecisionEvent::LimitMalformed {
                 upstream: upstream.to_string(),
                 value: value.to_owned(),
             });
--- a/src/gateway/request_tracker.rs
+++ b/src/gateway/request_tracker.rs
@@ -91,7 +91,7 @@
             meters.longest_pause(self.customer.as_ref(), self.longest_pause);
         }
         let now = self.gateway.clock.now();
-        self.gateway.log.note(DecisionEvent::Ended {
+        self.gateway.log.record(DecisionEvent::Ended {
             request: std::mem::take(&mut self.request),
             route: std::mem::take(&mut self.route),
             customer: self
--- a/src/gateway/reservation.rs
+++ b/src/gateway/reservation.rs
@@ -85,7 +85,7 @@
         let mut refused = Vec::new();
         for (part, made) in reservation.parts.iter().zip(made) {
             if let Err(err) = made {
-                gateway.log.note(DecisionEvent::ReservationRefused {
+                gateway.log.record(DecisionEvent::ReservationRefused {
                     request: request.to_owned(),
                     error: err.to_string(),
                 });
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -62,7 +62,7 @@
     let desk: Arc<dyn NewsDesk> = Arc::<Gateway>::clone(&gateway);
     let exchange_addr = listeners.exchange.local_addr();
     let exchange_addr = exchange_addr.map_err(|err| GatewayError::Bind("exchange", err))?;
-    gateway.log.note(DecisionEvent::Started {
+    gateway.log.record(DecisionEvent::Started {
         domain: gateway.conf.domain.to_string(),
         callers_addr: gateway.conf.callers_addr.to_string(),
     });
@@ -93,7 +93,7 @@
     tasks.spawn(withdraw(Arc::clone(&gateway), catalog));
     serve_callers(Arc::clone(&gateway), listeners.callers).await;
     let cut = gateway.in_flight();
-    gateway.log.note(DecisionEvent::Stopped { cut });
+    gateway.log.record(DecisionEvent::Stopped { cut });
     Ok(())
 }
 
@@ -108,7 +108,7 @@
             _ = terminate.recv() => gateway.begin_stop(),
             _ = hangup.recv() => {
                 let outcome = reload();
-                gateway.log.note(DecisionEvent::Reloaded { outcome });
+                gateway.log.record(DecisionEvent::Reloaded { outcome });
             }
         }
         if gateway.phase() == ShutdownPhase::Expired {
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -267,7 +267,7 @@
         });
         if begun {
             let in_flight = self.in_flight();
-            self.log.note(DecisionEvent::Stopping { in_flight });
+            self.log.record(DecisionEvent::Stopping { in_flight });
         }
     }
 
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -94,12 +94,12 @@
     match gateway.beliefs.set_routes(routes) {
         RoutesStep::Taken => {
             gateway.load_changed.notify_one();
-            gateway.log.note(event);
+            gateway.log.record(event);
             true
         }
         RoutesStep::Same => true,
         RoutesStep::Older { in_force } => {
-            gateway.log.note(DecisionEvent::ManifestOlder {
+            gateway.log.record(DecisionEvent::ManifestOlder {
                 in_force: in_force.0,
                 generation: generation.0,
             });
@@ -116,7 +116,7 @@
         return;
     }
     gateway.meters.store_returned();
-    gateway.log.note(DecisionEvent::StoreReturned {
+    gateway.log.record(DecisionEvent::StoreReturned {
         former_era: before.era().0,
         era: held.era().0,
         former_revision: before.revision(),
@@ -185,7 +185,7 @@
     let joined = names(after.difference(before));
     let left = names(before.difference(after));
     if !joined.is_empty() || !left.is_empty() {
-        gateway.log.note(DecisionEvent::UpstreamsChanged {
+        gateway.log.record(DecisionEvent::UpstreamsChanged {
             usable,
             joined,
             left,
--- a/tests/decision_log.rs
+++ b/tests/decision_log.rs
@@ -58,7 +58,7 @@
     let log = DecisionLog::new("host".parse().unwrap(), clock, Box::new(out));
     for request in 0..20_000 {
         let status = if request % 100 == 7 { 502 } else { 200 };
-        log.note(ended(request, status));
+        log.record(ended(request, status));
     }
     // All 20,000 were noted although not a byte could be written.
     assert!(written.lock().unwrap().is_empty());
