--- a/src/gateway/decision_log.rs
+++ b/src/gateway/decision_log.rs
@@ -86,7 +86,7 @@
     }
 
     /// Notes an event. If too many wait, it is dropped and counted.
-    pub fn note(&self, event: DecisionEvent) {
+    pub fn record(&self, event: DecisionEvent) {
         let wall = self.clock.wall().duration_since(UNIX_EPOCH);
         let wall_ms = whole_millis(wall.unwrap_or_default());
         let mut pending = self.shared.lock();
