--- a/src/gateway/courier.rs
+++ b/src/gateway/courier.rs
@@ -286,7 +286,7 @@
             self.gateway.health_changed.notify_one();
             self.gateway.load_urgent.notify_one();
         }
-        self.gateway.meters.fault(fault.name());
+        self.gateway.metrics.fault(fault.name());
         self.gateway.log.record(DecisionEvent::UpstreamFault {
             request: self.call.head.request.clone(),
             upstream: upstream.id.to_string(),
@@ -389,7 +389,7 @@
     }
 
     fn log_sent(&self, placement: &Placement, now: Instant) {
-        self.gateway.meters.sent(self.arrivals > 0);
+        self.gateway.metrics.sent(self.arrivals > 0);
         self.gateway.log.record(DecisionEvent::Sent {
             request: self.call.head.request.clone(),
             upstream: placement.upstream.id.to_string(),
--- a/src/gateway/dependency.rs
+++ b/src/gateway/dependency.rs
@@ -122,7 +122,7 @@
     fn on_answered(&mut self, asked_at: Instant) {
         let now = self.gateway.clock.now();
         let took = now.saturating_duration_since(asked_at);
-        self.gateway.meters.catalog_call(self.name, took);
+        self.gateway.metrics.catalog_call(self.name, took);
         self.failures = 0;
         self.platform_due_at = None;
         if let Some(lost_at) = self.lost_at.take() {
@@ -144,7 +144,7 @@
     fn on_failed(&mut self, asked_at: Instant, err: &CatalogError) {
         let now = self.gateway.clock.now();
         let took = now.saturating_duration_since(asked_at);
-        self.gateway.meters.catalog_call(self.name, took);
+        self.gateway.metrics.catalog_call(self.name, took);
         self.failures += 1;
         self.failed_at = Some(now);
         self.platform_due_at = Some(now + self.interval(FAILED_INTERVAL));
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -26,7 +26,7 @@
 const CATALOG_BOUNDS: [f64; 8] = [0.002, 0.005, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0];
 
 /// Counters and histograms, with one series a customer and kind of call.
-pub struct Meters {
+pub struct GatewayMetrics {
     registry: Registry,
     // The instruments go quiet when their provider is dropped.
     _provider: SdkMeterProvider,
@@ -39,7 +39,7 @@
     store_returns: Counter<u64>,
 }
 
-impl Meters {
+impl GatewayMetrics {
     /// Sets up all metrics in a registry of their own.
     pub fn new() -> Result<Self, ObserveError> {
         let registry = Registry::new();
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -82,7 +82,7 @@
 pub use limit_said::LimitSaid;
 pub use limit_seen::LimitSeen;
 pub use listeners::Listeners;
-pub use metrics::Meters;
+pub use metrics::GatewayMetrics;
 pub use response_body::ResponseBody;
 pub use response_body::TruncatedResponse;
 pub use routes_step::RoutesStep;
--- a/src/gateway/pages.rs
+++ b/src/gateway/pages.rs
@@ -16,7 +16,7 @@
             "/livez" => Some(Page::text(StatusCode::OK, "alive\n")),
             "/readyz" if gateway.is_ready() => Some(Page::text(StatusCode::OK, "ready\n")),
             "/readyz" => Some(Page::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")),
-            "/metrics" => Some(match gateway.meters.render() {
+            "/metrics" => Some(match gateway.metrics.render() {
                 Ok(text) => Page::text(StatusCode::OK, text + &counts(gateway)),
                 Err(err) => Page::text(StatusCode::INTERNAL_SERVER_ERROR, format!("{err}\n")),
             }),
--- a/src/gateway/request_tracker.rs
+++ b/src/gateway/request_tracker.rs
@@ -66,8 +66,8 @@
         let took = now.saturating_duration_since(self.arrived);
         self.first_event = Some(took);
         if let Some(kind) = self.kind {
-            let meters = &self.gateway.meters;
-            meters.first_event(self.customer.as_ref(), kind, took);
+            let metrics = &self.gateway.metrics;
+            metrics.first_event(self.customer.as_ref(), kind, took);
         }
     }
 
@@ -84,11 +84,11 @@
         self.is_finished = true;
         let kind = self.kind.map_or("none", CallKind::name);
         self.gateway
-            .meters
+            .metrics
             .ended(self.customer.as_ref(), kind, outcome);
         if self.kind.is_some_and(CallKind::is_stream) && self.first_event.is_some() {
-            let meters = &self.gateway.meters;
-            meters.longest_pause(self.customer.as_ref(), self.longest_pause);
+            let metrics = &self.gateway.metrics;
+            metrics.longest_pause(self.customer.as_ref(), self.longest_pause);
         }
         let now = self.gateway.clock.now();
         self.gateway.log.record(DecisionEvent::Ended {
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -27,8 +27,8 @@
 use crate::gateway::DecisionLog;
 use crate::gateway::EngineOrders;
 use crate::gateway::GatewayConf;
+use crate::gateway::GatewayMetrics;
 use crate::gateway::HeaderCodec;
-use crate::gateway::Meters;
 use crate::gateway::ShutdownPhase;
 use crate::gateway::lives::Lives;
 use crate::gateway::rate_limits::RateLimits;
@@ -64,7 +64,7 @@
     /// The decision log.
     pub log: DecisionLog,
     /// The metrics.
-    pub meters: Meters,
+    pub metrics: GatewayMetrics,
     ledger: Mutex<LoadLedger>,
     health: Mutex<HealthTracker>,
     retries: Mutex<IndexMap<ServiceId, RetryWindow>>,
@@ -110,7 +110,7 @@
         header_codec: Arc<dyn HeaderCodec>,
         orders: Arc<dyn EngineOrders>,
         log: DecisionLog,
-        meters: Meters,
+        metrics: GatewayMetrics,
     ) -> Self {
         let started_at = clock.now();
         Self {
@@ -121,7 +121,7 @@
             orders,
             beliefs: Beliefs::default(),
             log,
-            meters,
+            metrics,
             ledger: Mutex::default(),
             health: Mutex::default(),
             retries: Mutex::default(),
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -115,7 +115,7 @@
     if before == ObjectVersion::default() || before.era() == held.era() {
         return;
     }
-    gateway.meters.store_returned();
+    gateway.metrics.store_returned();
     gateway.log.record(DecisionEvent::StoreReturned {
         former_era: before.era().0,
         era: held.era().0,
--- a/tests/gateway_world/mod.rs
+++ b/tests/gateway_world/mod.rs
@@ -19,8 +19,8 @@
 use banyanarch::gateway::DecisionLog;
 use banyanarch::gateway::Gateway;
 use banyanarch::gateway::GatewayConf;
+use banyanarch::gateway::GatewayMetrics;
 use banyanarch::gateway::Listeners;
-use banyanarch::gateway::Meters;
 use banyanarch::gateway::serve;
 use banyanarch::http::one_shot;
 use banyanarch::routing::CallKind;
@@ -125,7 +125,7 @@
             Arc::new(TestHeaderCodec),
             Arc::<FakeOrders>::clone(&orders),
             decision_log,
-            Meters::new().unwrap(),
+            GatewayMetrics::new().unwrap(),
         ));
         let listeners = Listeners::bind(&gateway.conf).await.unwrap();
         let callers = listeners.callers.local_addr().unwrap();
