--- a/src/gateway/call_refusal.rs
+++ b/src/gateway/call_refusal.rs
@@ -17,7 +17,7 @@
 /// Why a request gets no answer of an upstream. The status says whether it may have run: 4xx and 503
 /// promise that it has not and never will.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum CallRefusal {
     /// This host has not read a manifest yet.
     NoManifest,
     /// This host stops.
@@ -49,7 +49,7 @@
     Unknown,
 }
 
-impl Refusal {
+impl CallRefusal {
     /// The HTTP status.
     pub fn status(&self) -> StatusCode {
         match self {
--- a/src/gateway/courier.rs
+++ b/src/gateway/courier.rs
@@ -7,10 +7,10 @@
 use crate::decide::RefuseReason;
 use crate::decide::UpstreamFault;
 use crate::gateway::Call;
+use crate::gateway::CallRefusal;
 use crate::gateway::DecisionEvent;
 use crate::gateway::Gateway;
 use crate::gateway::Listed;
-use crate::gateway::Refusal;
 use crate::gateway::limit_wait::LimitWait;
 use crate::gateway::placement::Choice;
 use crate::gateway::placement::NO_UPSTREAM_RETRY_AFTER;
@@ -42,7 +42,7 @@
     /// An upstream answered; maybe with a failure, which goes to the caller as it is.
     Answered(Box<Answered>),
     /// Nobody did.
-    Refused(Refusal),
+    Refused(CallRefusal),
 }
 
 /// A call on its way, with what was tried.
@@ -97,10 +97,10 @@
                 return Delivery::Refused(self.time_up());
             }
             if !self.gateway.may_send(&self.call) {
-                return Delivery::Refused(self.refuse(Refusal::StaleKnowledge));
+                return Delivery::Refused(self.refuse(CallRefusal::StaleKnowledge));
             }
             if self.is_poison(now) {
-                return Delivery::Refused(self.refuse(Refusal::Overload {
+                return Delivery::Refused(self.refuse(CallRefusal::Overload {
                     reason: RefuseReason::Poison,
                     retry_after: POISON_RETRY_AFTER,
                 }));
@@ -123,7 +123,7 @@
             };
             self.limit_wait = None;
             if self.arrivals > 0 && !self.gateway.try_retry(&self.call.service) {
-                return Delivery::Refused(self.refuse(Refusal::Overload {
+                return Delivery::Refused(self.refuse(CallRefusal::Overload {
                     reason: RefuseReason::RetryBudget,
                     retry_after: NO_UPSTREAM_RETRY_AFTER,
                 }));
@@ -198,7 +198,7 @@
                 self.arrivals += u32::from(arrived);
                 self.on_fault(&upstream, fault, &why);
                 if self.unrun > UNRUN_SENDS_MAX {
-                    let refusal = Refusal::Overload {
+                    let refusal = CallRefusal::Overload {
                         reason: RefuseReason::NoUpstream,
                         retry_after: NO_UPSTREAM_RETRY_AFTER,
                     };
@@ -215,9 +215,9 @@
                 }
                 let now = self.gateway.clock.now();
                 Some(Delivery::Refused(if self.call.time_left(now).is_zero() {
-                    Refusal::TimeUp
+                    CallRefusal::DeadlineExceeded
                 } else {
-                    Refusal::Unknown
+                    CallRefusal::OutcomeUnknown
                 }))
             }
         }
@@ -308,8 +308,8 @@
     }
 
     /// What to tell the caller: a promise that the call has not run only while that is certain.
-    fn refuse(&self, refusal: Refusal) -> Refusal {
-        if let Refusal::Overload {
+    fn refuse(&self, refusal: CallRefusal) -> CallRefusal {
+        if let CallRefusal::Overload {
             reason,
             retry_after,
         } = &refusal
@@ -317,7 +317,7 @@
             self.log_refused(*reason, *retry_after);
         }
         if self.runs > 0 {
-            return Refusal::Unknown;
+            return CallRefusal::OutcomeUnknown;
         }
         refusal
     }
@@ -375,11 +375,11 @@
         });
     }
 
-    fn time_up(&self) -> Refusal {
+    fn time_up(&self) -> CallRefusal {
         if self.runs > 0 {
-            Refusal::TimeUp
+            CallRefusal::DeadlineExceeded
         } else {
-            Refusal::TimeUpNotRun
+            CallRefusal::DeadlineExceededNotRun
         }
     }
 
--- a/src/gateway/handler.rs
+++ b/src/gateway/handler.rs
@@ -23,8 +23,8 @@
 
 use crate::decide::UpstreamFault;
 use crate::gateway::Call;
+use crate::gateway::CallRefusal;
 use crate::gateway::Gateway;
-use crate::gateway::Refusal;
 use crate::gateway::RequestHead;
 use crate::gateway::ResponseBody;
 use crate::gateway::ShutdownPhase;
@@ -70,30 +70,30 @@
     body: Incoming,
     arrived: Instant,
     tracker: &mut RequestTracker,
-) -> Result<Call, (String, Refusal)> {
+) -> Result<Call, (String, CallRefusal)> {
     let said = gateway.header_codec.read_request_head(&head.headers);
     let said = said.map_err(|bad| {
         let problem = format!("{}: {}", bad.header, bad.problem);
-        (String::new(), Refusal::BadHead(problem))
+        (String::new(), CallRefusal::InvalidHead(problem))
     })?;
     tracker.on_head(&said.request);
     let request = said.request.clone();
     let refused = |refusal| (request.clone(), refusal);
     if gateway.phase() >= ShutdownPhase::Refusing {
-        return Err(refused(Refusal::Stopping));
+        return Err(refused(CallRefusal::Stopping));
     }
     let routes = gateway.beliefs.routes();
-    let routes = routes.ok_or_else(|| refused(Refusal::NoManifest))?;
+    let routes = routes.ok_or_else(|| refused(CallRefusal::NoManifest))?;
     let mut call = route_call(gateway, &routes, head, said, arrived).map_err(refused)?;
     let body_max = routes.limits.body_bytes;
     let body = Limited::new(body, body_max).collect();
     let body = timeout_at(call.deadline.into(), body).await;
-    let body = body.map_err(|_| refused(Refusal::BodyLate))?;
+    let body = body.map_err(|_| refused(CallRefusal::BodyLate))?;
     let body = body.map_err(|err| {
         refused(if err.is::<LengthLimitError>() {
-            Refusal::BodyTooLarge
+            CallRefusal::BodyTooLarge
         } else {
-            Refusal::BodyLate
+            CallRefusal::BodyLate
         })
     })?;
     call.body = body.to_bytes();
@@ -107,7 +107,7 @@
     head: request::Parts,
     said: RequestHead,
     arrived: Instant,
-) -> Result<Call, Refusal> {
+) -> Result<Call, CallRefusal> {
     let now = gateway.clock.since_boot();
     let freshness = gateway.beliefs.freshness();
     // A host that can't reach the platform may lack a new route or key: it does not say that there
@@ -116,25 +116,29 @@
         if freshness.may_reject(now) {
             refusal
         } else {
-            Refusal::StaleKnowledge
+            CallRefusal::StaleKnowledge
         }
     };
     let host = head.headers.get(HOST).and_then(|host| host.to_str().ok());
     let authority = head.uri.authority().map(Authority::as_str);
     let host = authority.or(host).unwrap_or_default();
     let route = routes.route(host, head.uri.path());
-    let route = route.ok_or_else(|| reject(Refusal::NoRoute))?;
+    let route = route.ok_or_else(|| reject(CallRefusal::NoRoute))?;
     let customer = if routes.keys.is_required() && !route.is_public {
         if !freshness.holds_lease(gateway.conf.key_lease, now) {
-            return Err(Refusal::StaleKnowledge);
+            return Err(CallRefusal::StaleKnowledge);
         }
         let key = said.key.as_deref().unwrap_or_default();
         let customer = routes.keys.customer(key);
-        Some(customer.ok_or_else(|| reject(Refusal::UnknownKey))?.clone())
+        Some(
+            customer
+                .ok_or_else(|| reject(CallRefusal::UnknownKey))?
+                .clone(),
+        )
     } else {
         None
     };
-    let service = route.target(rand::random()).ok_or(Refusal::NoRoute)?;
+    let service = route.target(rand::random()).ok_or(CallRefusal::NoRoute)?;
     let timeout = said
         .deadline
         .map_or(route.timeout, |deadline| deadline.min(route.timeout));
@@ -216,7 +220,7 @@
 async fn full_response(
     courier: &Courier,
     answered: Answered,
-) -> Result<Response<ResponseBody>, Option<Refusal>> {
+) -> Result<Response<ResponseBody>, Option<CallRefusal>> {
     let Answered {
         head,
         body,
@@ -225,7 +229,7 @@
     } = answered;
     let read = Limited::new(body, BUFFERED_RESPONSE_MAX).collect();
     let why = match timeout_at(courier.call.deadline.into(), read).await {
-        Err(_) => return Err(Some(Refusal::TimeUp)),
+        Err(_) => return Err(Some(CallRefusal::DeadlineExceeded)),
         Ok(Ok(body)) => {
             courier.on_served();
             let mut headers = head.headers;
@@ -242,14 +246,14 @@
     if courier.may_run_again() {
         Err(None)
     } else {
-        Err(Some(Refusal::Unknown))
+        Err(Some(CallRefusal::OutcomeUnknown))
     }
 }
 
 fn local_response(
     gateway: &Gateway,
     request: &str,
-    refusal: &Refusal,
+    refusal: &CallRefusal,
     mut tracker: RequestTracker,
 ) -> Response<ResponseBody> {
     let mut res = refusal.response();
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -53,7 +53,7 @@
 pub use beliefs::Beliefs;
 pub use beliefs::UpstreamsByService;
 pub use call::Call;
-pub use call_refusal::Refusal;
+pub use call_refusal::CallRefusal;
 pub use catalog::Catalog;
 pub use catalog::CatalogError;
 pub use catalog::CatalogRead;
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -16,12 +16,12 @@
 use crate::decide::engines::choose_engines;
 use crate::decide::engines::survey_engines;
 use crate::gateway::Call;
+use crate::gateway::CallRefusal;
 use crate::gateway::EnginesSeen;
 use crate::gateway::Gateway;
 use crate::gateway::HelperAddr;
 use crate::gateway::LimitSeen;
 use crate::gateway::Listed;
-use crate::gateway::Refusal;
 use crate::gateway::limit_states::LimitStates;
 use crate::gateway::reservation::Part;
 use crate::routing::RouteTable;
@@ -62,7 +62,7 @@
     Wait(Duration),
     /// Wait for an upstream's limit to allow one more request.
     WaitForLimit(Duration),
-    Refuse(Refusal),
+    Refuse(CallRefusal),
 }
 
 /// What has become of a call so far.
@@ -79,7 +79,7 @@
 pub(crate) fn choose(gateway: &Gateway, call: &Call, sends: &Sends<'_>, now: Instant) -> Choice {
     let (Some(routes), Some(by_service)) = (gateway.beliefs.routes(), gateway.beliefs.upstreams())
     else {
-        return Choice::Refuse(Refusal::NoManifest);
+        return Choice::Refuse(CallRefusal::NoManifest);
     };
     let listed = by_service.get(&call.service);
     let usable = usable(gateway, listed.map_or(&[], Vec::as_slice), sends.tried, now);
@@ -131,7 +131,7 @@
     if turn_in <= patience {
         return Choice::WaitForLimit(opens_in);
     }
-    Choice::Refuse(Refusal::Overload {
+    Choice::Refuse(CallRefusal::Overload {
         reason: RefuseReason::RateLimited,
         retry_after: turn_in.min(LIMIT_RETRY_AFTER_MAX),
     })
@@ -270,7 +270,7 @@
         EngineChoice::Refuse {
             reason,
             retry_after,
-        } => Choice::Refuse(Refusal::Overload {
+        } => Choice::Refuse(CallRefusal::Overload {
             reason,
             retry_after,
         }),
@@ -340,7 +340,7 @@
 }
 
 fn no_upstream() -> Choice {
-    Choice::Refuse(Refusal::Overload {
+    Choice::Refuse(CallRefusal::Overload {
         reason: RefuseReason::NoUpstream,
         retry_after: NO_UPSTREAM_RETRY_AFTER,
     })
