--- a/src/gateway/call_refusal.rs
+++ b/src/gateway/call_refusal.rs
@@ -25,7 +25,7 @@
     /// What this host knows is too old to serve requests with keys, or to reject others.
     StaleKnowledge,
     /// The head can't be understood.
-    BadHead(String),
+    InvalidHead(String),
     /// No route has this host name and path.
     NoRoute,
     /// The key is missing or nobody's.
@@ -42,18 +42,18 @@
         retry_after: Duration,
     },
     /// Its time ran out before it was sent anywhere.
-    TimeUpNotRun,
+    DeadlineExceededNotRun,
     /// Its time ran out, and it may have run.
-    TimeUp,
+    DeadlineExceeded,
     /// It may have run, and no upstream's answer can be had.
-    Unknown,
+    OutcomeUnknown,
 }
 
 impl CallRefusal {
     /// The HTTP status.
     pub fn status(&self) -> StatusCode {
         match self {
-            Self::BadHead(_) => StatusCode::BAD_REQUEST,
+            Self::InvalidHead(_) => StatusCode::BAD_REQUEST,
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::UnknownKey => StatusCode::UNAUTHORIZED,
             Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
@@ -62,9 +62,9 @@
             | Self::Stopping
             | Self::StaleKnowledge
             | Self::Overload { .. }
-            | Self::TimeUpNotRun => StatusCode::SERVICE_UNAVAILABLE,
-            Self::TimeUp => StatusCode::GATEWAY_TIMEOUT,
-            Self::Unknown => StatusCode::BAD_GATEWAY,
+            | Self::DeadlineExceededNotRun => StatusCode::SERVICE_UNAVAILABLE,
+            Self::DeadlineExceeded => StatusCode::GATEWAY_TIMEOUT,
+            Self::OutcomeUnknown => StatusCode::BAD_GATEWAY,
         }
     }
 
@@ -74,15 +74,15 @@
             Self::NoManifest => "no_manifest",
             Self::Stopping => "stopping",
             Self::StaleKnowledge => "stale_knowledge",
-            Self::BadHead(_) => "bad_head",
+            Self::InvalidHead(_) => "bad_head",
             Self::NoRoute => "no_route",
             Self::UnknownKey => "unknown_key",
             Self::BodyTooLarge => "body_too_large",
             Self::BodyLate => "body_late",
             Self::Overload { reason, .. } => reason.name(),
-            Self::TimeUpNotRun => "time_up_not_run",
-            Self::TimeUp => "time_up",
-            Self::Unknown => "unknown",
+            Self::DeadlineExceededNotRun => "time_up_not_run",
+            Self::DeadlineExceeded => "time_up",
+            Self::OutcomeUnknown => "unknown",
         }
     }
 
@@ -98,7 +98,7 @@
     /// The answer.
     pub fn response(&self) -> Response<ResponseBody> {
         let text = match self {
-            Self::BadHead(problem) => format!("{}: {problem}\n", self.name()),
+            Self::InvalidHead(problem) => format!("{}: {problem}\n", self.name()),
             _ => format!("{}\n", self.name()),
         };
         let mut res = Response::new(ResponseBody::full(text));
