--- a/src/gateway/courier.rs
+++ b/src/gateway/courier.rs
@@ -15,19 +15,19 @@
 use crate::gateway::placement::Choice;
 use crate::gateway::placement::NO_UPSTREAM_RETRY_AFTER;
 use crate::gateway::placement::Placement;
-use crate::gateway::placement::Sends;
+use crate::gateway::placement::SendHistory;
 use crate::gateway::placement::choose;
 use crate::gateway::placement::survey;
 use crate::gateway::reservation::Part;
 use crate::gateway::reservation::Reservation;
-use crate::gateway::send::Answered;
-use crate::gateway::send::SendEnd;
-use crate::gateway::send::Sending;
+use crate::gateway::send::PendingSend;
+use crate::gateway::send::SendOutcome;
+use crate::gateway::send::UpstreamResponse;
 use crate::units::AttemptId;
 use crate::units::UpstreamId;
 use crate::units::whole_millis;
 
-/// Sends of one call that did not run, beside those that may have. Each costs a way there and back.
+/// SendHistory of one call that did not run, beside those that may have. Each costs a way there and back.
 const UNRUN_SENDS_MAX: u32 = 5;
 /// After memory was refused; several intervals of hosts' news.
 const RESERVE_PAUSE: Duration = Duration::from_millis(40);
@@ -40,7 +40,7 @@
 /// What came of bringing a call to upstreams.
 pub(crate) enum Delivery {
     /// An upstream answered; maybe with a failure, which goes to the caller as it is.
-    Answered(Box<Answered>),
+    Answered(Box<UpstreamResponse>),
     /// Nobody did.
     Refused(CallRefusal),
 }
@@ -50,11 +50,11 @@
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) call: Arc<Call>,
     tried: Vec<UpstreamId>,
-    /// Sends that reached an upstream.
+    /// SendHistory that reached an upstream.
     arrivals: u32,
-    /// Sends that did not run.
+    /// SendHistory that did not run.
     unrun: u32,
-    /// Sends that may have run.
+    /// SendHistory that may have run.
     runs: u32,
     /// How often upstreams were chosen.
     choices: u32,
@@ -88,7 +88,7 @@
         self.call.route.runs_max.max(1)
     }
 
-    /// Sends the call until an upstream answers. `last_event` is the event after which a stream is
+    /// SendHistory the call until an upstream answers. `last_event` is the event after which a stream is
     /// to go on.
     pub(crate) async fn deliver(&mut self, last_event: Option<&str>) -> Delivery {
         loop {
@@ -145,7 +145,7 @@
         tokio::time::sleep(wait.min(self.call.time_left(now))).await;
     }
 
-    /// Sends once and says what is final; nothing if it is to be sent again.
+    /// SendHistory once and says what is final; nothing if it is to be sent again.
     async fn send_once(
         &mut self,
         placement: Placement,
@@ -156,14 +156,14 @@
         self.tried.push(upstream.id.clone());
         let is_last = self.runs + 1 >= self.runs_max();
         self.log_sent(&placement, self.gateway.clock.now());
-        let sending = Sending {
+        let sending = PendingSend {
             gateway: &self.gateway,
             call: &self.call,
             last_event,
             is_last,
         };
         match sending.send(placement, reservation).await {
-            SendEnd::Answered(answered) => {
+            SendOutcome::Answered(answered) => {
                 self.arrivals += 1;
                 self.runs += 1;
                 let failed = answered.head.status.is_server_error();
@@ -185,7 +185,7 @@
                 }
                 Some(Delivery::Answered(answered))
             }
-            SendEnd::NotRun {
+            SendOutcome::NotRun {
                 fault,
                 arrived,
                 at_fault,
@@ -206,7 +206,7 @@
                 }
                 None
             }
-            SendEnd::Lost { fault, why } => {
+            SendOutcome::Lost { fault, why } => {
                 self.arrivals += 1;
                 self.runs += 1;
                 self.on_lost(&upstream, fault, &why);
@@ -322,8 +322,8 @@
         refusal
     }
 
-    fn sends(&self) -> Sends<'_> {
-        Sends {
+    fn sends(&self) -> SendHistory<'_> {
+        SendHistory {
             tried: &self.tried,
             has_run: self.runs > 0,
             waits_for_limit: self.limit_wait.is_some(),
--- a/src/gateway/handler.rs
+++ b/src/gateway/handler.rs
@@ -31,7 +31,7 @@
 use crate::gateway::courier::Courier;
 use crate::gateway::courier::Delivery;
 use crate::gateway::request_tracker::RequestTracker;
-use crate::gateway::send::Answered;
+use crate::gateway::send::UpstreamResponse;
 use crate::gateway::stream_relay::StreamRelay;
 use crate::http::remove_connection_headers;
 use crate::routing::RouteTable;
@@ -195,7 +195,7 @@
 
 fn stream_response(
     courier: Courier,
-    mut answered: Box<Answered>,
+    mut answered: Box<UpstreamResponse>,
     tracker: RequestTracker,
 ) -> Response<ResponseBody> {
     let mut headers = std::mem::take(&mut answered.head.headers);
@@ -219,9 +219,9 @@
 /// be sent once more.
 async fn full_response(
     courier: &Courier,
-    answered: Answered,
+    answered: UpstreamResponse,
 ) -> Result<Response<ResponseBody>, Option<CallRefusal>> {
-    let Answered {
+    let UpstreamResponse {
         head,
         body,
         upstream,
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -66,7 +66,7 @@
 }
 
 /// What has become of a call so far.
-pub(crate) struct Sends<'a> {
+pub(crate) struct SendHistory<'a> {
     /// The upstreams that it was sent to.
     pub(crate) tried: &'a [UpstreamId],
     /// Whether one of them may have run it.
@@ -76,7 +76,12 @@
 }
 
 /// Chooses among the upstreams of a call's service.
-pub(crate) fn choose(gateway: &Gateway, call: &Call, sends: &Sends<'_>, now: Instant) -> Choice {
+pub(crate) fn choose(
+    gateway: &Gateway,
+    call: &Call,
+    sends: &SendHistory<'_>,
+    now: Instant,
+) -> Choice {
     let (Some(routes), Some(by_service)) = (gateway.beliefs.routes(), gateway.beliefs.upstreams())
     else {
         return Choice::Refuse(CallRefusal::NoManifest);
@@ -112,7 +117,7 @@
 fn wait_for_limit(
     gateway: &Gateway,
     call: &Call,
-    sends: &Sends<'_>,
+    sends: &SendHistory<'_>,
     opens_in: Duration,
     limits: &LimitStates,
     now: Instant,
@@ -142,7 +147,7 @@
 pub(crate) fn survey(
     gateway: &Gateway,
     call: &Call,
-    sends: &Sends<'_>,
+    sends: &SendHistory<'_>,
     now: Instant,
 ) -> Option<(EnginesSeen, EnginesSeen)> {
     let routes = gateway.beliefs.routes()?;
@@ -171,7 +176,7 @@
     gateway: &Gateway,
     routes: &RouteTable,
     call: &Call,
-    sends: &Sends<'_>,
+    sends: &SendHistory<'_>,
     now: Instant,
 ) -> EngineAsk {
     let news = gateway.news_route();
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -46,7 +46,7 @@
 pub(crate) const UPSTREAM_RESTARTED: &str = "the upstream has started again";
 
 /// An upstream's answer, its body still to be read.
-pub(crate) struct Answered {
+pub(crate) struct UpstreamResponse {
     pub(crate) head: response::Parts,
     pub(crate) body: OneShotBody,
     pub(crate) upstream: Listed,
@@ -60,8 +60,8 @@
 }
 
 /// What came of one send.
-pub(crate) enum SendEnd {
-    Answered(Box<Answered>),
+pub(crate) enum SendOutcome {
+    Answered(Box<UpstreamResponse>),
     /// It did not run there and never will.
     NotRun {
         fault: UpstreamFault,
@@ -79,7 +79,7 @@
 }
 
 /// A call that is about to be sent.
-pub(crate) struct Sending<'a> {
+pub(crate) struct PendingSend<'a> {
     pub(crate) gateway: &'a Arc<Gateway>,
     pub(crate) call: &'a Call,
     /// The event after which a stream is to go on.
@@ -88,13 +88,13 @@
     pub(crate) is_last: bool,
 }
 
-impl Sending<'_> {
-    /// Sends it and waits for the head of an answer.
+impl PendingSend<'_> {
+    /// SendHistory it and waits for the head of an answer.
     pub(crate) async fn send(
         &self,
         placement: Placement,
         reservation: Option<Reservation>,
-    ) -> SendEnd {
+    ) -> SendOutcome {
         let now = self.gateway.clock.now();
         let timeout_after = self.response_timeout(&placement, now);
         let load = LoadGuard::new(self.gateway, placement.shares);
@@ -114,7 +114,7 @@
         let sent = tokio::select! {
             sent = timeout(timeout_after, sending) => sent,
             () = self.gateway.lives.lost(&upstream.id, now) => {
-                return SendEnd::Lost {
+                return SendOutcome::Lost {
                     fault: UpstreamFault::Broken,
                     why: UPSTREAM_RESTARTED.to_owned(),
                 };
@@ -124,7 +124,7 @@
             Ok(Ok(res)) => res,
             Ok(Err(err)) => return outcome_of_error(&err),
             Err(_) => {
-                return SendEnd::Lost {
+                return SendOutcome::Lost {
                     fault: UpstreamFault::Silent,
                     why: "no answer in time".to_owned(),
                 };
@@ -135,7 +135,7 @@
         let said = dialect.read_response_head(&self.call.head.request, head.status, &head.headers);
         self.gateway.on_response_limit(&upstream.id, &said.limit);
         if said.did_not_run {
-            return SendEnd::NotRun {
+            return SendOutcome::NotRun {
                 fault: UpstreamFault::TurnedAway,
                 arrived: true,
                 at_fault: said.at_fault.filter(|addr| *addr != upstream.addr),
@@ -147,12 +147,12 @@
             && !head.headers.contains_key(CONTENT_ENCODING)
             && !implies_not_run(head.status);
         if !is_whole {
-            return SendEnd::Lost {
+            return SendOutcome::Lost {
                 fault: UpstreamFault::Failed,
                 why: format!("{} is no answer to this request", head.status),
             };
         }
-        SendEnd::Answered(Box::new(Answered {
+        SendOutcome::Answered(Box::new(UpstreamResponse {
             head,
             body,
             upstream,
@@ -198,22 +198,22 @@
     late.max(forecast * 3 + FIRST_EVENT_MARGIN)
 }
 
-fn outcome_of_error(err: &OneShotError) -> SendEnd {
+fn outcome_of_error(err: &OneShotError) -> SendOutcome {
     let why = err.to_string();
     match err {
-        OneShotError::ConnectTimeout => SendEnd::NotRun {
+        OneShotError::ConnectTimeout => SendOutcome::NotRun {
             fault: UpstreamFault::ConnectTimeout,
             arrived: false,
             at_fault: None,
             why,
         },
-        OneShotError::Connect(_) | OneShotError::NotSent(_) => SendEnd::NotRun {
+        OneShotError::Connect(_) | OneShotError::NotSent(_) => SendOutcome::NotRun {
             fault: UpstreamFault::ConnectRefused,
             arrived: false,
             at_fault: None,
             why,
         },
-        OneShotError::Broken(_) | OneShotError::Timeout => SendEnd::Lost {
+        OneShotError::Broken(_) | OneShotError::Timeout => SendOutcome::Lost {
             fault: UpstreamFault::Broken,
             why,
         },
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -13,8 +13,8 @@
 use crate::gateway::courier::Courier;
 use crate::gateway::courier::Delivery;
 use crate::gateway::request_tracker::RequestTracker;
-use crate::gateway::send::Answered;
 use crate::gateway::send::UPSTREAM_RESTARTED;
+use crate::gateway::send::UpstreamResponse;
 use crate::gateway::send::first_event_timeout;
 
 /// How many times the longest pause that is on time a stream may stay silent before another engine
@@ -25,7 +25,7 @@
 /// A stream on its way to a caller.
 pub(crate) struct StreamRelay {
     courier: Courier,
-    current: Option<Box<Answered>>,
+    current: Option<Box<UpstreamResponse>>,
     splitter: EventSplitter,
     tracker: RequestTracker,
     last_chunk_at: Instant,
@@ -42,7 +42,11 @@
 }
 
 impl StreamRelay {
-    pub(crate) fn new(courier: Courier, answered: Box<Answered>, tracker: RequestTracker) -> Self {
+    pub(crate) fn new(
+        courier: Courier,
+        answered: Box<UpstreamResponse>,
+        tracker: RequestTracker,
+    ) -> Self {
         let last_chunk_at = answered.sent_at;
         Self {
             courier,
@@ -147,7 +151,7 @@
         self.last_chunk_at = now;
     }
 
-    /// Sends the call to another engine, to go on after the last event that was passed on. What came
+    /// SendHistory the call to another engine, to go on after the last event that was passed on. What came
     /// of the event after it is forgotten: the other engine sends it again from its beginning.
     async fn fail_over(&mut self, fault: UpstreamFault, why: String) -> bool {
         // Its connection is closed first: two engines must not write the same answer.
