--- a/src/gateway/courier.rs
+++ b/src/gateway/courier.rs
@@ -12,12 +12,12 @@
 use crate::gateway::Gateway;
 use crate::gateway::Listed;
 use crate::gateway::limit_wait::LimitWait;
-use crate::gateway::placement::Choice;
 use crate::gateway::placement::NO_UPSTREAM_RETRY_AFTER;
-use crate::gateway::placement::Placement;
+use crate::gateway::placement::PlacementDecision;
 use crate::gateway::placement::SendHistory;
-use crate::gateway::placement::choose;
-use crate::gateway::placement::survey;
+use crate::gateway::placement::SendPlan;
+use crate::gateway::placement::decide_placement;
+use crate::gateway::placement::survey_candidates;
 use crate::gateway::reservation::Part;
 use crate::gateway::reservation::Reservation;
 use crate::gateway::send::PendingSend;
@@ -106,20 +106,22 @@
                 }));
             }
             self.choices += 1;
-            let placement = match choose(&self.gateway, &self.call, &self.sends(), now) {
-                Choice::Send(placement) => placement,
-                Choice::Wait(wait) => {
+            let placement = match decide_placement(&self.gateway, &self.call, &self.sends(), now) {
+                PlacementDecision::Send(placement) => placement,
+                PlacementDecision::Wait(wait) => {
                     self.log_long_wait(now);
                     self.sleep_about(wait, now).await;
                     continue;
                 }
-                Choice::WaitForLimit(wait) => {
+                PlacementDecision::WaitForLimit(wait) => {
                     let new = || LimitWait::new(&self.gateway, &self.call.service);
                     self.limit_wait.get_or_insert_with(new);
                     self.sleep_about(wait, now).await;
                     continue;
                 }
-                Choice::Refuse(refusal) => return Delivery::Refused(self.refuse(refusal)),
+                PlacementDecision::Refuse(refusal) => {
+                    return Delivery::Refused(self.refuse(refusal));
+                }
             };
             self.limit_wait = None;
             if self.arrivals > 0 && !self.gateway.try_retry(&self.call.service) {
@@ -148,7 +150,7 @@
     /// SendHistory once and says what is final; nothing if it is to be sent again.
     async fn send_once(
         &mut self,
-        placement: Placement,
+        placement: SendPlan,
         reservation: Option<Reservation>,
         last_event: Option<&str>,
     ) -> Option<Delivery> {
@@ -225,7 +227,7 @@
 
     /// Sets aside the memory that a placement asks for. Without it nothing is sent, and the engines that refused
     /// are not asked for as much again at once.
-    async fn reserve(&self, placement: &Placement) -> Option<Option<Reservation>> {
+    async fn reserve(&self, placement: &SendPlan) -> Option<Option<Reservation>> {
         if placement.reserves.is_empty() {
             return Some(None);
         }
@@ -337,7 +339,8 @@
             return;
         }
         self.is_wait_logged = true;
-        let Some((near, all)) = survey(&self.gateway, &self.call, &self.sends(), now) else {
+        let Some((near, all)) = survey_candidates(&self.gateway, &self.call, &self.sends(), now)
+        else {
             return;
         };
         self.gateway.log.record(DecisionEvent::Waiting {
@@ -357,7 +360,7 @@
         let now = gateway.clock.now();
         let by_service = gateway.beliefs.upstreams();
         let listed = by_service.and_then(|all| all.get(&self.call.service).map(Vec::len));
-        let (near, all) = survey(gateway, &self.call, &self.sends(), now).unzip();
+        let (near, all) = survey_candidates(gateway, &self.call, &self.sends(), now).unzip();
         gateway.log.record(DecisionEvent::Refused {
             request: self.call.head.request.clone(),
             reason: reason.name().into(),
@@ -388,7 +391,7 @@
         left > self.call.route.objective / 2
     }
 
-    fn log_sent(&self, placement: &Placement, now: Instant) {
+    fn log_sent(&self, placement: &SendPlan, now: Instant) {
         self.gateway.metrics.sent(self.arrivals > 0);
         self.gateway.log.record(DecisionEvent::Sent {
             request: self.call.head.request.clone(),
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -36,7 +36,7 @@
 const LIMIT_RETRY_AFTER_MAX: Duration = Duration::from_secs(4);
 
 /// Where a send goes.
-pub(crate) struct Placement {
+pub(crate) struct SendPlan {
     pub(crate) upstream: Listed,
     /// Engines that read a part and keep nothing.
     pub(crate) helpers: Vec<HelperAddr>,
@@ -49,7 +49,7 @@
     pub(crate) limit: Option<LimitSeen>,
 }
 
-impl Placement {
+impl SendPlan {
     /// The engines that read parts beside the one that writes the answer.
     pub(crate) fn helper_ids(&self) -> impl Iterator<Item = &UpstreamId> {
         self.shares.iter().skip(1).map(|(id, _)| id)
@@ -57,8 +57,8 @@
 }
 
 /// What to do with a call now.
-pub(crate) enum Choice {
-    Send(Box<Placement>),
+pub(crate) enum PlacementDecision {
+    Send(Box<SendPlan>),
     Wait(Duration),
     /// Wait for an upstream's limit to allow one more request.
     WaitForLimit(Duration),
@@ -76,15 +76,15 @@
 }
 
 /// Chooses among the upstreams of a call's service.
-pub(crate) fn choose(
+pub(crate) fn decide_placement(
     gateway: &Gateway,
     call: &Call,
     sends: &SendHistory<'_>,
     now: Instant,
-) -> Choice {
+) -> PlacementDecision {
     let (Some(routes), Some(by_service)) = (gateway.beliefs.routes(), gateway.beliefs.upstreams())
     else {
-        return Choice::Refuse(CallRefusal::NoManifest);
+        return PlacementDecision::Refuse(CallRefusal::NoManifest);
     };
     let listed = by_service.get(&call.service);
     let usable = usable(gateway, listed.map_or(&[], Vec::as_slice), sends.tried, now);
@@ -102,12 +102,12 @@
             }
             None => among_instances(gateway, &usable, &limits, now),
         };
-        let Choice::Send(mut placement) = chosen else {
+        let PlacementDecision::Send(mut placement) = chosen else {
             return chosen;
         };
         if limits.admits(&placement.upstream.id) {
             placement.limit = limits.seen(&placement.upstream.id);
-            return Choice::Send(placement);
+            return PlacementDecision::Send(placement);
         }
     }
 }
@@ -121,7 +121,7 @@
     opens_in: Duration,
     limits: &LimitStates,
     now: Instant,
-) -> Choice {
+) -> PlacementDecision {
     let patience = if sends.has_run {
         call.time_left(now)
     } else {
@@ -134,17 +134,17 @@
         opens_in.max(limits.time_for(before))
     };
     if turn_in <= patience {
-        return Choice::WaitForLimit(opens_in);
+        return PlacementDecision::WaitForLimit(opens_in);
     }
-    Choice::Refuse(CallRefusal::Overload {
+    PlacementDecision::Refuse(CallRefusal::Overload {
         reason: RefuseReason::RateLimited,
         retry_after: turn_in.min(LIMIT_RETRY_AFTER_MAX),
     })
 }
 
-/// The engines that [`choose`] has for a prompt of several: those of this host's failure domain, and all.
+/// The engines that [`decide_placement`] has for a prompt of several: those of this host's failure domain, and all.
 /// None for other calls.
-pub(crate) fn survey(
+pub(crate) fn survey_candidates(
     gateway: &Gateway,
     call: &Call,
     sends: &SendHistory<'_>,
@@ -223,7 +223,7 @@
     usable: &[&Listed],
     limits: &LimitStates,
     now: Instant,
-) -> Choice {
+) -> PlacementDecision {
     let health = gateway.health();
     let ledger = gateway.ledger();
     let open = usable
@@ -251,7 +251,7 @@
         helps: None,
         read_due: None,
     };
-    Choice::Send(Box::new(Placement {
+    PlacementDecision::Send(Box::new(SendPlan {
         upstream: upstream.clone(),
         helpers: Vec::new(),
         reserves: Vec::new(),
@@ -268,14 +268,14 @@
     views: &[EngineView],
     ask: &EngineAsk,
     now: Instant,
-) -> Choice {
+) -> PlacementDecision {
     match choose_engines(model, views, ask) {
         EngineChoice::Send(plan) => place(call, model, ask, &plan, usable, now),
-        EngineChoice::Wait(wait) => Choice::Wait(wait),
+        EngineChoice::Wait(wait) => PlacementDecision::Wait(wait),
         EngineChoice::Refuse {
             reason,
             retry_after,
-        } => Choice::Refuse(CallRefusal::Overload {
+        } => PlacementDecision::Refuse(CallRefusal::Overload {
             reason,
             retry_after,
         }),
@@ -309,7 +309,7 @@
     plan: &EnginePlan,
     usable: &[&Listed],
     now: Instant,
-) -> Choice {
+) -> PlacementDecision {
     let Some(upstream) = find(usable, &plan.leader) else {
         return no_upstream();
     };
@@ -330,7 +330,7 @@
             }),
         }
     }
-    Choice::Send(Box::new(Placement {
+    PlacementDecision::Send(Box::new(SendPlan {
         upstream: upstream.clone(),
         helpers,
         reserves,
@@ -344,8 +344,8 @@
     usable.iter().find(|upstream| upstream.id == *id).copied()
 }
 
-fn no_upstream() -> Choice {
-    Choice::Refuse(CallRefusal::Overload {
+fn no_upstream() -> PlacementDecision {
+    PlacementDecision::Refuse(CallRefusal::Overload {
         reason: RefuseReason::NoUpstream,
         retry_after: NO_UPSTREAM_RETRY_AFTER,
     })
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -20,7 +20,7 @@
 use crate::gateway::HelperAddr;
 use crate::gateway::Listed;
 use crate::gateway::load_guard::LoadGuard;
-use crate::gateway::placement::Placement;
+use crate::gateway::placement::SendPlan;
 use crate::gateway::reservation::Part;
 use crate::gateway::reservation::Reservation;
 use crate::http::one_shot;
@@ -92,7 +92,7 @@
     /// SendHistory it and waits for the head of an answer.
     pub(crate) async fn send(
         &self,
-        placement: Placement,
+        placement: SendPlan,
         reservation: Option<Reservation>,
     ) -> SendOutcome {
         let now = self.gateway.clock.now();
@@ -175,7 +175,7 @@
     }
 
     /// How long this send may go without the head of an answer before another upstream gets it.
-    fn response_timeout(&self, placement: &Placement, now: Instant) -> Duration {
+    fn response_timeout(&self, placement: &SendPlan, now: Instant) -> Duration {
         let time_left = self.call.time_left(now);
         let timeout = match self.call.route.kind {
             CallKind::Idempotent if !self.is_last => {
