--- a/src/gateway/courier.rs
+++ b/src/gateway/courier.rs
@@ -18,8 +18,8 @@
 use crate::gateway::placement::SendPlan;
 use crate::gateway::placement::decide_placement;
 use crate::gateway::placement::survey_candidates;
-use crate::gateway::reservation::Part;
-use crate::gateway::reservation::Reservation;
+use crate::gateway::reservation::EngineReservation;
+use crate::gateway::reservation::ReservationGuard;
 use crate::gateway::send::PendingSend;
 use crate::gateway::send::SendOutcome;
 use crate::gateway::send::UpstreamResponse;
@@ -151,7 +151,7 @@
     async fn send_once(
         &mut self,
         placement: SendPlan,
-        reservation: Option<Reservation>,
+        reservation: Option<ReservationGuard>,
         last_event: Option<&str>,
     ) -> Option<Delivery> {
         let upstream = placement.upstream.clone();
@@ -227,13 +227,13 @@
 
     /// Sets aside the memory that a placement asks for. Without it nothing is sent, and the engines that refused
     /// are not asked for as much again at once.
-    async fn reserve(&self, placement: &SendPlan) -> Option<Option<Reservation>> {
+    async fn reserve(&self, placement: &SendPlan) -> Option<Option<ReservationGuard>> {
         if placement.reserves.is_empty() {
             return Some(None);
         }
         let request = &self.call.head.request;
         let parts = placement.reserves.clone();
-        match Reservation::make(&self.gateway, request, parts).await {
+        match ReservationGuard::acquire(&self.gateway, request, parts).await {
             Ok(reservation) => Some(Some(reservation)),
             Err(refused) => {
                 self.on_memory_refused(&refused);
@@ -243,7 +243,7 @@
         }
     }
 
-    fn on_memory_refused(&self, refused: &[Part]) {
+    fn on_memory_refused(&self, refused: &[EngineReservation]) {
         let now = self.gateway.clock.now();
         let mut ledger = self.gateway.ledger();
         for part in refused {
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -23,7 +23,7 @@
 use crate::gateway::LimitSeen;
 use crate::gateway::Listed;
 use crate::gateway::limit_states::LimitStates;
-use crate::gateway::reservation::Part;
+use crate::gateway::reservation::EngineReservation;
 use crate::routing::RouteTable;
 use crate::units::Tokens;
 use crate::units::UpstreamId;
@@ -41,7 +41,7 @@
     /// Engines that read a part and keep nothing.
     pub(crate) helpers: Vec<HelperAddr>,
     /// Memory that engines set aside before the send, the first engine's own first.
-    pub(crate) reserves: Vec<Part>,
+    pub(crate) reserves: Vec<EngineReservation>,
     /// What the send adds to whose load.
     pub(crate) shares: Vec<(UpstreamId, LoadShare)>,
     pub(crate) forecast: Duration,
@@ -316,14 +316,14 @@
     let mut helpers = Vec::new();
     let mut reserves = Vec::new();
     if let Some(reserve) = plan.reserve(&plan.leader) {
-        reserves.push(Part::new(upstream, reserve.tokens));
+        reserves.push(EngineReservation::new(upstream, reserve.tokens));
     }
     for id in &plan.helpers {
         let Some(helper) = find(usable, id) else {
             continue;
         };
         match plan.reserve(id) {
-            Some(reserve) => reserves.push(Part::new(helper, reserve.tokens)),
+            Some(reserve) => reserves.push(EngineReservation::new(helper, reserve.tokens)),
             None => helpers.push(HelperAddr {
                 addr: helper.addr,
                 reservation: None,
--- a/src/gateway/reservation.rs
+++ b/src/gateway/reservation.rs
@@ -33,14 +33,14 @@
 
 /// One engine's part.
 #[derive(Clone, Debug)]
-pub(crate) struct Part {
+pub(crate) struct EngineReservation {
     pub(crate) id: UpstreamId,
     pub(crate) engine: SocketAddr,
     pub(crate) name: String,
     pub(crate) tokens: Tokens,
 }
 
-impl Part {
+impl EngineReservation {
     pub(crate) fn new(engine: &Listed, tokens: Tokens) -> Self {
         let name = format!("b{:016x}", rand::random::<u64>());
         Self {
@@ -60,19 +60,19 @@
 }
 
 /// Memory that is set aside until this is dropped.
-pub(crate) struct Reservation {
+pub(crate) struct ReservationGuard {
     gateway: Arc<Gateway>,
-    parts: Vec<Part>,
+    parts: Vec<EngineReservation>,
     renewal: Option<JoinHandle<()>>,
 }
 
-impl Reservation {
+impl ReservationGuard {
     /// Sets all parts aside or none; then it returns those that were refused.
-    pub(crate) async fn make(
+    pub(crate) async fn acquire(
         gateway: &Arc<Gateway>,
         request: &str,
-        parts: Vec<Part>,
-    ) -> Result<Self, Vec<Part>> {
+        parts: Vec<EngineReservation>,
+    ) -> Result<Self, Vec<EngineReservation>> {
         // From here on a drop gives back whatever was set aside, also where an order's answer was
         // lost or this future is dropped in the middle.
         let mut reservation = Self {
@@ -101,14 +101,14 @@
     }
 }
 
-impl Reservation {
+impl ReservationGuard {
     /// What is set aside where.
-    pub(crate) fn parts(&self) -> &[Part] {
+    pub(crate) fn parts(&self) -> &[EngineReservation] {
         &self.parts
     }
 }
 
-impl Drop for Reservation {
+impl Drop for ReservationGuard {
     fn drop(&mut self) {
         if let Some(renewal) = &self.renewal {
             renewal.abort();
@@ -122,7 +122,7 @@
     }
 }
 
-async fn reserve(gateway: &Gateway, part: &Part) -> Result<(), OrderError> {
+async fn reserve(gateway: &Gateway, part: &EngineReservation) -> Result<(), OrderError> {
     let orders = &gateway.orders;
     orders
         .reserve(part.engine, &part.name, part.tokens, RESERVATION_TTL)
@@ -132,7 +132,7 @@
 /// Renews all parts, the leader's first and the others only if it answers. A leader that lost its
 /// power leaves its connections open, and this host goes on waiting for it: if the others' parts were
 /// renewed meanwhile, their memory would stay set aside for a request that is long over.
-async fn renew(gateway: Arc<Gateway>, parts: Vec<Part>) {
+async fn renew(gateway: Arc<Gateway>, parts: Vec<EngineReservation>) {
     let Some((leader, others)) = parts.split_first() else {
         return;
     };
@@ -150,7 +150,7 @@
     }
 }
 
-async fn release(gateway: Arc<Gateway>, part: Part) {
+async fn release(gateway: Arc<Gateway>, part: EngineReservation) {
     for _ in 0..RELEASE_ATTEMPTS_MAX {
         match gateway.orders.release(part.engine, &part.name).await {
             Ok(()) => return,
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -21,8 +21,8 @@
 use crate::gateway::Listed;
 use crate::gateway::load_guard::LoadGuard;
 use crate::gateway::placement::SendPlan;
-use crate::gateway::reservation::Part;
-use crate::gateway::reservation::Reservation;
+use crate::gateway::reservation::EngineReservation;
+use crate::gateway::reservation::ReservationGuard;
 use crate::http::one_shot;
 use crate::http::one_shot::OneShotBody;
 use crate::http::one_shot::OneShotError;
@@ -56,7 +56,7 @@
     /// Keeps the work on the books until the body has been read.
     pub(crate) load: LoadGuard,
     /// Keeps engines' memory until then.
-    pub(crate) _reservation: Option<Reservation>,
+    pub(crate) _reservation: Option<ReservationGuard>,
 }
 
 /// What came of one send.
@@ -93,14 +93,14 @@
     pub(crate) async fn send(
         &self,
         placement: SendPlan,
-        reservation: Option<Reservation>,
+        reservation: Option<ReservationGuard>,
     ) -> SendOutcome {
         let now = self.gateway.clock.now();
         let timeout_after = self.response_timeout(&placement, now);
         let load = LoadGuard::new(self.gateway, placement.shares);
         let upstream = placement.upstream;
-        let reserved = reservation.iter().flat_map(Reservation::parts);
-        let mut helpers: Vec<HelperAddr> = reserved.map(Part::helper).collect();
+        let reserved = reservation.iter().flat_map(ReservationGuard::parts);
+        let mut helpers: Vec<HelperAddr> = reserved.map(EngineReservation::helper).collect();
         helpers.extend(placement.helpers);
         let head = ForwardHead {
             upstream: &upstream.name,
