--- a/src/gateway/courier.rs
+++ b/src/gateway/courier.rs
@@ -286,7 +286,7 @@
             .on_fault(&upstream.id, &upstream.domain, fault, now);
         if fault.is_unreachable() {
             self.gateway.health_changed.notify_one();
-            self.gateway.load_urgent.notify_one();
+            self.gateway.broadcast_now.notify_one();
         }
         self.gateway.metrics.fault(fault.name());
         self.gateway.log.record(DecisionEvent::UpstreamFault {
--- a/src/gateway/dependency.rs
+++ b/src/gateway/dependency.rs
@@ -136,9 +136,9 @@
 
     /// Lets the other reads of this host try at once, and the other hosts know.
     fn on_regained(&self) {
-        self.gateway.routes_news.notify_one();
-        self.gateway.upstreams_news.notify_one();
-        self.gateway.load_urgent.notify_one();
+        self.gateway.routes_changed.notify_one();
+        self.gateway.upstreams_changed.notify_one();
+        self.gateway.broadcast_now.notify_one();
     }
 
     fn on_failed(&mut self, asked_at: Instant, err: &CatalogError) {
--- a/src/gateway/engine_reports.rs
+++ b/src/gateway/engine_reports.rs
@@ -92,6 +92,6 @@
             upstream: engine.id.to_string(),
             slowdown: report.slowdown.factor(),
         });
-        gateway.load_urgent.notify_one();
+        gateway.broadcast_now.notify_one();
     }
 }
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -88,7 +88,7 @@
             upstreams_version,
             host: self.conf.host.to_string(),
             incarnation: self.incarnation,
-            sequence: self.news_sent.fetch_add(1, Ordering::Relaxed),
+            sequence: self.messages_sent.fetch_add(1, Ordering::Relaxed),
             loads,
             poisons: poisons.iter().map(poison_news).collect(),
             ..HostNews::default()
@@ -105,7 +105,7 @@
             return;
         }
         if !self.beliefs.is_host(&host) {
-            self.hosts_news.notify_one();
+            self.hosts_changed.notify_one();
         }
         for poison in news.poisons.iter().filter_map(read_poison) {
             self.poison().merge(&poison, now);
@@ -160,7 +160,7 @@
     }
 
     fn urgent(&self) -> &Notify {
-        &self.load_urgent
+        &self.broadcast_now
     }
 }
 
@@ -208,8 +208,8 @@
         let proved_at = at.saturating_sub(age);
         let can_be_asked = self.readers.on_told(host, proved_at, age, now);
         if can_be_asked && is_fresh(proved_at, at) && !self.held.is_fresh(at) {
-            self.routes_news.notify_one();
-            self.upstreams_news.notify_one();
+            self.routes_changed.notify_one();
+            self.upstreams_changed.notify_one();
         }
     }
 
@@ -222,10 +222,10 @@
             return;
         }
         if news.routes_version > routes {
-            self.routes_news.notify_one();
+            self.routes_changed.notify_one();
         }
         if has_upstreams {
-            self.upstreams_news.notify_one();
+            self.upstreams_changed.notify_one();
         }
     }
 }
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -168,7 +168,7 @@
             told_by: told_by.map(ToString::to_string),
             age_ms: whole_millis(age),
         });
-        self.load_urgent.notify_one();
+        self.broadcast_now.notify_one();
     }
 
     /// How many of the listed hosts this one hears, by their own word or by that of their domain's collector.
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -77,7 +77,7 @@
     /// Notified when an upstream could not be reached.
     pub(crate) health_changed: Notify,
     /// Notified when the others have to hear of it at once.
-    pub(crate) load_urgent: Notify,
+    pub(crate) broadcast_now: Notify,
     /// Drawn at the start; tells this life of the host from earlier ones.
     pub(crate) incarnation: u64,
     /// What was read last, for other hosts that ask.
@@ -85,12 +85,12 @@
     /// Lives of upstreams that are over.
     pub(crate) lives: Lives,
     /// Notified when the host that reads for this one has another manifest.
-    pub(crate) routes_news: Notify,
+    pub(crate) routes_changed: Notify,
     /// Notified when it has other upstreams.
-    pub(crate) upstreams_news: Notify,
+    pub(crate) upstreams_changed: Notify,
     /// Notified when a host was heard that is not on the list.
-    pub(crate) hosts_news: Notify,
-    pub(crate) news_sent: AtomicU64,
+    pub(crate) hosts_changed: Notify,
+    pub(crate) messages_sent: AtomicU64,
     news_route: Mutex<NewsRoute>,
     logged_route: Mutex<NewsRoute>,
     /// Which host reads the platform for this one.
@@ -129,15 +129,15 @@
             shutdown_requested_at: watch::Sender::new(None),
             in_flight: AtomicU64::new(0),
             load_changed: Notify::new(),
-            load_urgent: Notify::new(),
+            broadcast_now: Notify::new(),
             health_changed: Notify::new(),
             incarnation: rand::random(),
             held: Held::default(),
             lives: Lives::default(),
-            routes_news: Notify::new(),
-            upstreams_news: Notify::new(),
-            hosts_news: Notify::new(),
-            news_sent: AtomicU64::new(0),
+            routes_changed: Notify::new(),
+            upstreams_changed: Notify::new(),
+            hosts_changed: Notify::new(),
+            messages_sent: AtomicU64::new(0),
             news_route: Mutex::default(),
             logged_route: Mutex::default(),
             readers: Readers::default(),
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -69,7 +69,7 @@
             gateway.beliefs.prove_fresh(read.proved_at);
         }
         let due_at = next_at(asked_at, goes_on);
-        let news = &gateway.routes_news;
+        let news = &gateway.routes_changed;
         source = dependency.next_read(due_at, news).await;
     }
 }
@@ -122,8 +122,8 @@
         former_revision: before.revision(),
         revision: held.revision(),
     });
-    gateway.upstreams_news.notify_one();
-    gateway.hosts_news.notify_one();
+    gateway.upstreams_changed.notify_one();
+    gateway.hosts_changed.notify_one();
 }
 
 /// Reads the upstreams for as long as the process runs.
@@ -145,7 +145,7 @@
             known = take_in_upstreams(&gateway, listed, &known);
         }
         let due_at = next_at(asked_at, goes_on);
-        let news = &gateway.upstreams_news;
+        let news = &gateway.upstreams_changed;
         source = dependency.next_read(due_at, news).await;
     }
 }
@@ -242,7 +242,7 @@
         sleep(soonest).await;
         tokio::select! {
             () = sleep(interval - soonest) => {}
-            () = gateway.hosts_news.notified(), if is_announced => {}
+            () = gateway.hosts_changed.notified(), if is_announced => {}
         }
     }
 }
