--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -57,7 +57,7 @@
 
     /// What is left of the time in which its answer is on time.
     pub fn objective_left(&self, now: Instant) -> Duration {
-        (self.arrived + self.route.objective).saturating_duration_since(now)
+        (self.arrived_at + self.route.objective).saturating_duration_since(now)
     }
 
     /// How long the caller of a stream that broke off stays for its next event.
@@ -71,7 +71,7 @@
     /// How long the caller still stays without a first event, less what an answer's way takes.
     pub fn patience_left(&self, now: Instant) -> Duration {
         let stays = callers_patience(self.route.objective, self.route.pause_objective);
-        (self.arrived + stays).saturating_duration_since(now + PATIENCE_MARGIN)
+        (self.arrived_at + stays).saturating_duration_since(now + PATIENCE_MARGIN)
     }
 
     /// What it is recognised by when a caller sends it again.
--- a/src/gateway/courier.rs
+++ b/src/gateway/courier.rs
@@ -293,7 +293,7 @@
             request: self.call.head.request.clone(),
             upstream: upstream.id.to_string(),
             fault: format!("{}: {why}", fault.name()),
-            elapsed_ms: whole_millis(now.saturating_duration_since(self.call.arrived)),
+            elapsed_ms: whole_millis(now.saturating_duration_since(self.call.arrived_at)),
         });
     }
 
@@ -334,7 +334,7 @@
 
     /// Logs once what a prompt that has waited for [`LONG_WAIT`] waits for.
     fn log_long_wait(&mut self, now: Instant) {
-        let waited = now.saturating_duration_since(self.call.arrived);
+        let waited = now.saturating_duration_since(self.call.arrived_at);
         if self.is_wait_logged || waited < LONG_WAIT {
             return;
         }
@@ -365,7 +365,7 @@
             request: self.call.head.request.clone(),
             reason: reason.name().into(),
             prompt_tokens: self.call.head.prompt.0,
-            elapsed_ms: whole_millis(now.saturating_duration_since(self.call.arrived)),
+            elapsed_ms: whole_millis(now.saturating_duration_since(self.call.arrived_at)),
             objective_left_ms: whole_millis(self.call.objective_left(now)),
             time_left_ms: whole_millis(self.call.time_left(now)),
             choices: self.choices,
@@ -400,7 +400,7 @@
             reserves: placement.reserves.len(),
             earlier_sends: self.runs + self.unrun,
             forecast_ms: whole_millis(placement.forecast),
-            elapsed_ms: whole_millis(now.saturating_duration_since(self.call.arrived)),
+            elapsed_ms: whole_millis(now.saturating_duration_since(self.call.arrived_at)),
             prompt_tokens: self.call.head.prompt.0,
             manifest_age_ms: self.gateway.manifest_age().map_or(0, whole_millis),
             limit: placement.limit,
--- a/src/gateway/request_tracker.rs
+++ b/src/gateway/request_tracker.rs
@@ -63,7 +63,7 @@
 
     /// Takes in that the first event of its answer, or all of it, goes to the caller.
     pub(crate) fn on_first_event(&mut self, now: Instant) {
-        let took = now.saturating_duration_since(self.arrived);
+        let took = now.saturating_duration_since(self.arrived_at);
         self.first_event = Some(took);
         if let Some(kind) = self.kind {
             let metrics = &self.gateway.metrics;
@@ -101,7 +101,7 @@
             kind: kind.into(),
             outcome: outcome.to_owned(),
             status,
-            elapsed_ms: whole_millis(now.saturating_duration_since(self.arrived)),
+            elapsed_ms: whole_millis(now.saturating_duration_since(self.arrived_at)),
             first_event_ms: self.first_event.map(whole_millis),
             longest_pause_ms: whole_millis(self.longest_pause),
             generation: self.generation.0,
