--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -44,7 +44,7 @@
     /// Whose it is; none on a route that needs no key.
     pub customer: Option<CustomerId>,
     /// When its first byte was seen.
-    pub arrived: Instant,
+    pub arrived_at: Instant,
     /// When it must have its final answer.
     pub deadline: Instant,
 }
--- a/src/gateway/handler.rs
+++ b/src/gateway/handler.rs
@@ -45,10 +45,10 @@
     gateway: Arc<Gateway>,
     req: Request<Incoming>,
 ) -> Response<ResponseBody> {
-    let arrived = gateway.clock.now();
-    let mut tracker = RequestTracker::new(&gateway, arrived);
+    let arrived_at = gateway.clock.now();
+    let mut tracker = RequestTracker::new(&gateway, arrived_at);
     let (head, body) = req.into_parts();
-    let mut res = match admit(&gateway, head, body, arrived, &mut tracker).await {
+    let mut res = match admit(&gateway, head, body, arrived_at, &mut tracker).await {
         Ok(call) => {
             tracker.on_admitted(&call);
             gateway.count_request(&call.service);
@@ -68,7 +68,7 @@
     gateway: &Gateway,
     head: request::Parts,
     body: Incoming,
-    arrived: Instant,
+    arrived_at: Instant,
     tracker: &mut RequestTracker,
 ) -> Result<Call, (String, CallRefusal)> {
     let said = gateway.header_codec.read_request_head(&head.headers);
@@ -84,7 +84,7 @@
     }
     let routes = gateway.beliefs.routes();
     let routes = routes.ok_or_else(|| refused(CallRefusal::NoManifest))?;
-    let mut call = route_call(gateway, &routes, head, said, arrived).map_err(refused)?;
+    let mut call = route_call(gateway, &routes, head, said, arrived_at).map_err(refused)?;
     let body_max = routes.limits.body_bytes;
     let body = Limited::new(body, body_max).collect();
     let body = timeout_at(call.deadline.into(), body).await;
@@ -106,7 +106,7 @@
     routes: &RouteTable,
     head: request::Parts,
     said: RequestHead,
-    arrived: Instant,
+    arrived_at: Instant,
 ) -> Result<Call, CallRefusal> {
     let now = gateway.clock.since_boot();
     let freshness = gateway.beliefs.freshness();
@@ -146,8 +146,8 @@
         service: service.clone(),
         route: Arc::clone(route),
         customer,
-        arrived,
-        deadline: arrived + timeout,
+        arrived_at,
+        deadline: arrived_at + timeout,
         method: head.method,
         uri: head.uri,
         headers: head.headers,
--- a/src/gateway/request_tracker.rs
+++ b/src/gateway/request_tracker.rs
@@ -23,7 +23,7 @@
     route: String,
     customer: Option<CustomerId>,
     kind: Option<CallKind>,
-    arrived: Instant,
+    arrived_at: Instant,
     first_event: Option<Duration>,
     longest_pause: Duration,
     generation: Generation,
@@ -32,7 +32,7 @@
 }
 
 impl RequestTracker {
-    pub(crate) fn new(gateway: &Arc<Gateway>, arrived: Instant) -> Self {
+    pub(crate) fn new(gateway: &Arc<Gateway>, arrived_at: Instant) -> Self {
         let generation = gateway.beliefs.routes().map(|routes| routes.generation);
         Self {
             gateway: Arc::clone(gateway),
@@ -40,7 +40,7 @@
             route: String::new(),
             customer: None,
             kind: None,
-            arrived,
+            arrived_at,
             first_event: None,
             longest_pause: Duration::ZERO,
             generation: generation.unwrap_or_default(),
