--- a/src/gateway/limit_states.rs
+++ b/src/gateway/limit_states.rs
@@ -26,12 +26,12 @@
 impl LimitStates {
     /// The limits of these upstreams now.
     pub(crate) fn of(gateway: &Gateway, upstreams: &[&Listed], now: Instant) -> Self {
-        if !gateway.rate_limits.is_any_limited(upstreams) {
+        if !gateway.rate_limits.has_any_limit(upstreams) {
             return Self::default();
         }
         let hosts = gateway.hosts_heard(now);
         let mut book = gateway.rate_limits.book();
-        book.set_fleet(hosts, gateway.sends_seen_within());
+        book.set_fleet(hosts, gateway.send_visibility_delay());
         let limited = upstreams.iter().filter_map(|upstream| {
             let view = book.view(&upstream.id, now)?;
             let opens_in = view.opens_in();
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -132,7 +132,7 @@
         }
         for limit in &news.limits {
             if let Some(upstream) = names.get(&limit.upstream()) {
-                self.hear_limit(&source, upstream, &read_limit(limit), now);
+                self.on_limit_report(&source, upstream, &read_limit(limit), now);
             }
         }
         let mut ledger = self.ledger();
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -68,7 +68,7 @@
     }
 
     /// Whether one of these upstreams has a limit.
-    pub(crate) fn is_any_limited(&self, upstreams: &[&Listed]) -> bool {
+    pub(crate) fn has_any_limit(&self, upstreams: &[&Listed]) -> bool {
         let book = self.book();
         upstreams.iter().any(|u| book.limit(&u.id).is_some())
     }
@@ -139,7 +139,7 @@
     }
 
     /// Takes in what another host, or a collector, tells of an upstream's limit.
-    pub(crate) fn hear_limit(
+    pub(crate) fn on_limit_report(
         &self,
         source: &LoadSource,
         upstream: &UpstreamId,
@@ -190,7 +190,7 @@
     }
 
     /// How long it takes until hosts hear of each other's sends.
-    pub(crate) fn sends_seen_within(&self) -> Duration {
+    pub(crate) fn send_visibility_delay(&self) -> Duration {
         let route = self.news_route();
         route.near_age.max(route.far_age) + BROADCAST_LATENCY
     }
