--- a/src/gateway/courier.rs
+++ b/src/gateway/courier.rs
@@ -266,7 +266,7 @@
             let mark = self.call.fingerprint();
             let news = self.gateway.poison().on_crash(&[mark], attempt, now);
             if !news.is_empty() {
-                self.gateway.tell_crashes(news);
+                self.gateway.broadcast_crashes(news);
             }
         }
     }
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -59,7 +59,7 @@
         let loads = ledger.own(now).map(|(id, load)| load_news(id, &load));
         let loads = loads.collect();
         drop(ledger);
-        let mut poisons = self.crashes_to_tell();
+        let mut poisons = self.recent_crashes();
         let surplus = poisons.len().saturating_sub(POISONS_MAX);
         let poisons = poisons.split_off(surplus);
         let (routes_version, upstreams_version) = self.held.versions();
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -188,7 +188,7 @@
     }
 
     /// Takes in crashes that this host has seen, to be told to the others.
-    pub(crate) fn tell_crashes(&self, crashes: Vec<PoisonReport>) {
+    pub(crate) fn broadcast_crashes(&self, crashes: Vec<PoisonReport>) {
         let now = self.clock.now();
         let mut told = self.crashes.lock().unwrap_or_else(PoisonError::into_inner);
         told.extend(crashes.into_iter().map(|poison| (now, poison)));
@@ -197,7 +197,7 @@
     }
 
     /// The crashes that this host has seen lately.
-    pub(crate) fn crashes_to_tell(&self) -> Vec<PoisonReport> {
+    pub(crate) fn recent_crashes(&self) -> Vec<PoisonReport> {
         let now = self.clock.now();
         let mut told = self.crashes.lock().unwrap_or_else(PoisonError::into_inner);
         told.retain(|(at, _)| now.saturating_duration_since(*at) < CRASH_TOLD_FOR);
