--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -52,7 +52,7 @@
     Ok(())
 }
 
-/// Serves callers until [`Gateway::begin_stop`] has been followed by the end of all requests, or the
+/// Serves callers until [`Gateway::begin_shutdown`] has been followed by the end of all requests, or the
 /// time to stop is up.
 pub async fn serve(
     gateway: Arc<Gateway>,
@@ -105,7 +105,7 @@
 ) {
     loop {
         tokio::select! {
-            _ = terminate.recv() => gateway.begin_stop(),
+            _ = terminate.recv() => gateway.begin_shutdown(),
             _ = hangup.recv() => {
                 let outcome = reload();
                 gateway.log.record(DecisionEvent::Reloaded { outcome });
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -258,7 +258,7 @@
     }
 
     /// Begins to stop.
-    pub fn begin_stop(&self) {
+    pub fn begin_shutdown(&self) {
         let now = self.clock.now();
         let begun = self.shutdown_requested_at.send_if_modified(|asked| {
             let is_first = asked.is_none();
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -369,7 +369,7 @@
         one_shot::call(callers, request("/once/1"), 1 << 20, limit).await
     });
     until(|| host.gateway.in_flight() == 1).await;
-    host.gateway.begin_stop();
+    host.gateway.begin_shutdown();
     assert_eq!(host.readiness().await, 503);
     let rejected = host.call(request("/none/1")).await;
     assert_eq!(status(&rejected), 404, "what still comes is served");
@@ -392,7 +392,7 @@
         one_shot::call(callers, request("/once/1"), 1 << 20, limit).await
     });
     until(|| host.gateway.in_flight() == 1).await;
-    host.gateway.begin_stop();
+    host.gateway.begin_shutdown();
     until(|| host.gateway.phase() == ShutdownPhase::Refusing).await;
     let res = host.call(request("/once/1")).await;
     assert_eq!(status(&res), 503);
--- a/tests/gateway_limits.rs
+++ b/tests/gateway_limits.rs
@@ -71,7 +71,7 @@
         text.matches("limit_malformed").count()
     };
     until(|| malformed() == 1 && limit_lines(&host).len() == 1).await;
-    host.gateway.begin_stop();
+    host.gateway.begin_shutdown();
     until(|| host.log.text().contains("stopping")).await;
     assert_eq!((malformed(), limit_lines(&host).len()), (1, 1));
 }
