--- a/tests/cmd_explain.rs
+++ b/tests/cmd_explain.rs
@@ -36,12 +36,12 @@
     conf.key_lease = Some(Duration::from_millis(1_500));
     let host = TestHost::start_with(conf, &catalog).await;
     host.call(named("r-full", "key-1", "/once/1")).await;
-    catalog.leave("full");
+    catalog.mark_leaving("full");
     catalog.list("lost", "app", lost.addr);
     let is_listed = || host.gateway.beliefs.is_listed(&"lost".parse().unwrap());
     until(is_listed).await;
     host.call(named("r-lost", "key-1", "/once/1")).await;
-    catalog.set_away(true);
+    catalog.set_unreachable(true);
     until(|| !host.gateway.is_ready()).await;
     host.call(named("r-stale", "key-1", "/once/1")).await;
     until(|| host.log.text().contains("r-stale")).await;
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -296,7 +296,7 @@
     catalog.list("a", "app", leaving.addr);
     catalog.list("b", "app", staying.addr);
     let host = TestHost::start("host", &catalog).await;
-    catalog.leave("a");
+    catalog.mark_leaving("a");
     until(|| !host.gateway.beliefs.is_listed(&"a".parse().unwrap())).await;
     let before = leaving.arrivals().len();
     for _ in 0..6 {
@@ -316,12 +316,12 @@
     conf.key_lease = Some(Duration::from_millis(1_500));
     let host = TestHost::start_with(conf, &catalog).await;
     assert_eq!(status(&host.call(request("/safe/1")).await), 200);
-    catalog.set_away(true);
+    catalog.set_unreachable(true);
     until(|| !host.gateway.is_ready()).await;
     let arrived = upstream.arrivals().len();
     assert_eq!(status(&host.call(request("/safe/1")).await), 503);
     assert_eq!(upstream.arrivals().len(), arrived);
-    catalog.set_away(false);
+    catalog.set_unreachable(false);
     until(|| host.gateway.is_ready()).await;
     assert_eq!(status(&host.call(request("/safe/1")).await), 200);
 }
--- a/tests/gateway_hosts.rs
+++ b/tests/gateway_hosts.rs
@@ -207,7 +207,7 @@
     let first_way = FakeCatalog::new(table(1));
     let upstream = Upstream::start([Act::Answer(200, "ok")]).await;
     first_way.list("a", "app", upstream.addr);
-    let second_way = first_way.another_way();
+    let second_way = first_way.separate_link();
     let first = TestHost::start("a-first", &first_way).await;
     let mut conf = conf("b-second");
     conf.domain = second_domain.parse().unwrap();
@@ -234,7 +234,7 @@
 
 async fn lives_on_what_a_neighbour_reads(domain: &str) {
     let (_first, first_way, second, second_way) = reader_and_follower(domain).await;
-    second_way.set_away(true);
+    second_way.set_unreachable(true);
     let reads = first_way.reads();
     // Longer than its lease: the other host reads every 600 ms.
     until(|| first_way.reads() >= reads + 6).await;
@@ -242,7 +242,7 @@
     assert_eq!(status(&second.call(request("/safe/1")).await), 200);
     first_way.publish(table(2));
     until(|| second.gateway.beliefs.routes().unwrap().generation.0 == 2).await;
-    first_way.set_away(true);
+    first_way.set_unreachable(true);
     until(|| !second.gateway.is_ready()).await;
 }
 
@@ -268,12 +268,12 @@
 async fn a_platform_that_is_away_is_asked_more_and_more_seldom() {
     let way = FakeCatalog::new(table(1));
     let host = TestHost::start("host", &way).await;
-    way.set_away(true);
+    way.set_unreachable(true);
     let before = way.reads();
     tokio::time::sleep(Duration::from_secs(4)).await;
     let asked = way.reads() - before;
     assert!((1..=9).contains(&asked), "{asked} reads in four seconds");
-    way.set_away(false);
+    way.set_unreachable(false);
     way.publish(table(2));
     until(|| host.gateway.beliefs.routes().unwrap().generation.0 == 2).await;
 }
@@ -285,7 +285,7 @@
     catalog.list("a", "app", upstream.addr);
     let mut hosts = Vec::new();
     for number in 0..count {
-        let way = catalog.another_way();
+        let way = catalog.separate_link();
         let mut conf = conf(&format!("host-{number}"));
         conf.key_lease = Some(Duration::from_secs(3));
         hosts.push((TestHost::start_with(conf, &way).await, way));
@@ -304,7 +304,7 @@
 async fn hosts_of_a_domain_try_a_platform_that_is_away_together() {
     let hosts = neighbours(10).await;
     for (_, way) in &hosts {
-        way.set_away(true);
+        way.set_unreachable(true);
     }
     for (host, _) in &hosts {
         until(|| !host.gateway.is_ready()).await;
@@ -322,14 +322,14 @@
 async fn the_first_host_that_reaches_the_platform_again_tells_the_others() {
     let hosts = neighbours(5).await;
     for (_, way) in &hosts {
-        way.set_away(true);
+        way.set_unreachable(true);
     }
     for (host, _) in &hosts {
         until(|| !host.gateway.is_ready()).await;
     }
     let (_, first_way) = &hosts[3];
     first_way.publish(table(2));
-    first_way.set_away(false);
+    first_way.set_unreachable(false);
     for (host, _) in &hosts {
         until(|| host.gateway.is_ready()).await;
         assert_eq!(host.gateway.beliefs.routes().unwrap().generation.0, 2);
--- a/tests/gateway_reads.rs
+++ b/tests/gateway_reads.rs
@@ -21,7 +21,7 @@
 async fn two_hosts(catalog: &FakeCatalog) -> [(TestHost, Arc<FakeCatalog>); 2] {
     let mut hosts = Vec::new();
     for name in ["a-first", "b-second"] {
-        let way = catalog.another_way();
+        let way = catalog.separate_link();
         hosts.push((TestHost::start_with(conf(name), &way).await, way));
     }
     let second = &hosts[1].0.gateway;
@@ -44,10 +44,10 @@
     let catalog = catalog_of(["a", "b", "c"]);
     let [(first, first_way), (second, second_way)] = two_hosts(&catalog).await;
     let before = (first_way.whole_reads(), second_way.whole_reads());
-    catalog.leave("b");
+    catalog.mark_leaving("b");
     until(|| listed(&first) == ["a", "c"]).await;
     until(|| listed(&second) == ["a", "c"]).await;
-    catalog.take_off("a");
+    catalog.remove("a");
     catalog.list("d", "app", "127.0.0.1:9".parse().unwrap());
     until(|| listed(&second) == ["c", "d"]).await;
     let again = catalog.restart("c", 5).to_string();
@@ -65,15 +65,15 @@
 #[tokio::test]
 async fn a_host_reads_all_when_the_changes_are_forgotten() {
     let catalog = catalog_of(["a", "b", "c"]);
-    let way = catalog.another_way();
+    let way = catalog.separate_link();
     let host = TestHost::start("host", &way).await;
     until(|| listed(&host).len() == 3).await;
-    way.set_away(true);
-    catalog.leave("b");
+    way.set_unreachable(true);
+    catalog.mark_leaving("b");
     catalog.forget_changes();
-    way.set_away(false);
+    way.set_unreachable(false);
     until(|| listed(&host) == ["a", "c"]).await;
-    catalog.leave("a");
+    catalog.mark_leaving("a");
     until(|| listed(&host) == ["c"]).await;
 }
 
@@ -83,13 +83,13 @@
 async fn another_host_goes_on_where_the_reading_one_died() {
     let catalog = catalog_of(["a", "b", "c"]);
     let [(first, _), (second, second_way)] = two_hosts(&catalog).await;
-    catalog.leave("b");
+    catalog.mark_leaving("b");
     until(|| listed(&second) == ["a", "c"]).await;
     first.serving.abort();
     let before = second_way.whole_reads();
     until(|| second_way.whole_reads() > before).await;
     assert_eq!(listed(&second), ["a", "c"]);
-    catalog.leave("c");
+    catalog.mark_leaving("c");
     until(|| listed(&second) == ["a"]).await;
 }
 
@@ -99,8 +99,8 @@
     let catalog = catalog_of(["a", "b", "c"]);
     let [(first, _), (second, second_way)] = two_hosts(&catalog).await;
     first.until_hosts(2).await;
-    second_way.set_away(true);
-    let _third = TestHost::start("c-third", &catalog.another_way()).await;
+    second_way.set_unreachable(true);
+    let _third = TestHost::start("c-third", &catalog.separate_link()).await;
     second.until_hosts(3).await;
 }
 
@@ -118,7 +118,7 @@
     until(|| names().contains(&"b-second".to_owned())).await;
     let gone = second.gateway.conf.host.clone();
     catalog.withdraw(gone).await.unwrap();
-    let _third = TestHost::start("c-third", &catalog.another_way()).await;
+    let _third = TestHost::start("c-third", &catalog.separate_link()).await;
     until(|| names().contains(&"c-third".to_owned())).await;
     assert!(names().contains(&"b-second".to_owned()), "{:?}", names());
 }
--- a/tests/gateway_store_returns.rs
+++ b/tests/gateway_store_returns.rs
@@ -25,7 +25,7 @@
 }
 
 fn is_listed(catalog: &FakeCatalog, name: &str) -> bool {
-    let hosts = catalog.hosts_now();
+    let hosts = catalog.listed_hosts();
     hosts.iter().any(|listed| listed.host.as_str() == name)
 }
 
@@ -39,12 +39,12 @@
 async fn a_manifest_of_a_later_era_is_newer_than_any_before() {
     let catalog = FakeCatalog::new(table(1));
     let host = TestHost::start("host", &catalog).await;
-    let copy = catalog.copy();
+    let copy = catalog.snapshot();
     for newer in 2..=6 {
         catalog.publish(table(newer));
     }
     until(|| generation(&host) == Generation(6)).await;
-    catalog.return_from(copy);
+    catalog.restore(copy);
     catalog.publish(table(7));
     until(|| generation(&host) == Generation(7)).await;
     until_returned(&host).await;
@@ -55,10 +55,10 @@
 async fn a_revision_that_is_given_out_again_is_another_one() {
     let catalog = FakeCatalog::new(table(1));
     let host = TestHost::start("host", &catalog).await;
-    let copy = catalog.copy();
+    let copy = catalog.snapshot();
     catalog.publish(table(2));
     until(|| generation(&host) == Generation(2)).await;
-    catalog.return_from(copy);
+    catalog.restore(copy);
     catalog.publish(table(3));
     until(|| generation(&host) == Generation(3)).await;
 }
@@ -73,10 +73,10 @@
     let mut conf = conf("host");
     conf.key_lease = Some(Duration::from_millis(2_000));
     let host = TestHost::start_with(conf, &catalog).await;
-    let copy = catalog.copy();
+    let copy = catalog.snapshot();
     catalog.publish(table(2));
     until(|| generation(&host) == Generation(2)).await;
-    catalog.return_from(copy);
+    catalog.restore(copy);
     until(|| host.log.text().contains("manifest_older")).await;
     assert_eq!(generation(&host), Generation(2));
     until(|| !host.gateway.is_ready()).await;
@@ -91,14 +91,14 @@
 #[tokio::test]
 async fn a_host_whose_entry_is_gone_puts_itself_on_the_list_again() {
     let catalog = FakeCatalog::new(table(1));
-    let copy = catalog.copy();
+    let copy = catalog.snapshot();
     let (first, second) = (
         TestHost::start("first", &catalog).await,
         TestHost::start("second", &catalog).await,
     );
     first.until_hosts(2).await;
     second.until_hosts(2).await;
-    catalog.return_from(copy);
+    catalog.restore(copy);
     assert!(!is_listed(&catalog, "first"));
     until(|| is_listed(&catalog, "first") && is_listed(&catalog, "second")).await;
     first.until_hosts(2).await;
@@ -118,11 +118,11 @@
         upstreams.map_or(0, |upstreams| upstreams.values().map(Vec::len).sum())
     };
     until(|| usable(&host) == 2).await;
-    let copy = catalog.copy();
-    catalog.leave("a");
+    let copy = catalog.snapshot();
+    catalog.mark_leaving("a");
     until(|| usable(&host) == 1).await;
     let joined = answering().await;
-    catalog.return_from(copy);
+    catalog.restore(copy);
     catalog.list("c", "app", joined.addr);
     until(|| usable(&host) == 2).await;
     for _ in 0..8 {
@@ -146,10 +146,10 @@
             .collect::<Vec<_>>()
     };
     until(|| names(&host) == ["a"]).await;
-    let copy = catalog.copy();
+    let copy = catalog.snapshot();
     catalog.list("b", "app", upstreams[1].addr);
     until(|| names(&host) == ["a", "b"]).await;
-    catalog.return_from(copy);
+    catalog.restore(copy);
     catalog.list("c", "app", upstreams[2].addr);
     until(|| names(&host) == ["a", "c"]).await;
 }
@@ -159,15 +159,15 @@
 async fn a_host_that_reads_through_another_learns_of_the_return() {
     let catalog = FakeCatalog::new(table(1));
     let reading = TestHost::start("a-first", &catalog).await;
-    let way = catalog.another_way();
+    let way = catalog.separate_link();
     let other = TestHost::start("b-second", &way).await;
     reading.until_hosts(2).await;
     other.until_hosts(2).await;
-    let copy = catalog.copy();
+    let copy = catalog.snapshot();
     catalog.publish(table(2));
     until(|| generation(&other) == Generation(2)).await;
-    way.set_away(true);
-    catalog.return_from(copy);
+    way.set_unreachable(true);
+    catalog.restore(copy);
     catalog.publish(table(3));
     until(|| generation(&other) == Generation(3)).await;
     until_returned(&other).await;
--- a/tests/gateway_world/catalog.rs
+++ b/tests/gateway_world/catalog.rs
@@ -58,7 +58,7 @@
 }
 
 /// What the platform held once.
-pub struct Copy(State);
+pub struct Snapshot(State);
 
 /// The platform as one host, or all of them, reach it.
 #[derive(Default)]
@@ -77,7 +77,7 @@
     }
 
     /// The same platform by another way, which can be cut on its own.
-    pub fn another_way(&self) -> Arc<Self> {
+    pub fn separate_link(&self) -> Arc<Self> {
         Arc::new(Self {
             state: Arc::clone(&self.state),
             ..Self::default()
@@ -120,7 +120,7 @@
     }
 
     /// An upstream says that it leaves.
-    pub fn leave(&self, id: &str) {
+    pub fn mark_leaving(&self, id: &str) {
         let mut state = self.state.lock().unwrap();
         let entry = state.upstreams.iter().find(|u| u.id.as_str() == id);
         let mut entry = entry.unwrap().clone();
@@ -129,7 +129,7 @@
     }
 
     /// An upstream's entry is taken off the list.
-    pub fn take_off(&self, name: &str) {
+    pub fn remove(&self, name: &str) {
         let mut state = self.state.lock().unwrap();
         state.upstreams.retain(|known| known.name.as_str() != name);
         let name = name.parse().unwrap();
@@ -143,12 +143,12 @@
     }
 
     /// What the platform holds now, to come back from later.
-    pub fn copy(&self) -> Copy {
-        Copy(self.state.lock().unwrap().clone())
+    pub fn snapshot(&self) -> Snapshot {
+        Snapshot(self.state.lock().unwrap().clone())
     }
 
     /// The platform comes back from an older copy in its next era.
-    pub fn return_from(&self, copy: Copy) {
+    pub fn restore(&self, copy: Snapshot) {
         let mut state = self.state.lock().unwrap();
         let era = StoreEra(state.era.0 + 1);
         let routes = std::mem::take(&mut state.routes);
@@ -160,7 +160,7 @@
     }
 
     /// The platform can or can't be reached.
-    pub fn set_away(&self, is_away: bool) {
+    pub fn set_unreachable(&self, is_away: bool) {
         self.is_away.store(is_away, Ordering::Relaxed);
     }
 
@@ -174,7 +174,7 @@
         self.whole_reads.load(Ordering::Relaxed)
     }
 
-    pub fn hosts_now(&self) -> Vec<ListedHost> {
+    pub fn listed_hosts(&self) -> Vec<ListedHost> {
         self.state.lock().unwrap().hosts.clone()
     }
 
