--- a/tests/cmd_explain.rs
+++ b/tests/cmd_explain.rs
@@ -11,9 +11,9 @@
 use gateway_world::conf;
 use gateway_world::request_of;
 use gateway_world::table;
-use gateway_world::until;
-use gateway_world::upstream::Act;
-use gateway_world::upstream::Upstream;
+use gateway_world::upstream::ScriptStep;
+use gateway_world::upstream::ScriptedUpstream;
+use gateway_world::wait_until;
 use http_body_util::Full;
 use hyper::Request;
 use workdir::WorkDir;
@@ -29,8 +29,8 @@
 /// and one was refused by a host that could not reach the platform. Returns that host's log.
 async fn three_failures() -> String {
     let catalog = FakeCatalog::new(table(1));
-    let full = Upstream::start([Act::TurnAway]).await;
-    let lost = Upstream::start([Act::Break]).await;
+    let full = ScriptedUpstream::start([ScriptStep::TurnAway]).await;
+    let lost = ScriptedUpstream::start([ScriptStep::Break]).await;
     catalog.list("full", "app", full.addr);
     let mut conf = conf("host-1");
     conf.key_lease = Some(Duration::from_millis(1_500));
@@ -39,12 +39,12 @@
     catalog.mark_leaving("full");
     catalog.list("lost", "app", lost.addr);
     let is_listed = || host.gateway.beliefs.is_listed(&"lost".parse().unwrap());
-    until(is_listed).await;
+    wait_until(is_listed).await;
     host.call(named("r-lost", "key-1", "/once/1")).await;
     catalog.set_unreachable(true);
-    until(|| !host.gateway.is_ready()).await;
+    wait_until(|| !host.gateway.is_ready()).await;
     host.call(named("r-stale", "key-1", "/once/1")).await;
-    until(|| host.log.text().contains("r-stale")).await;
+    wait_until(|| host.log.text().contains("r-stale")).await;
     host.log.text()
 }
 
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -19,26 +19,36 @@
 use gateway_world::request_of;
 use gateway_world::route;
 use gateway_world::table;
-use gateway_world::until;
-use gateway_world::upstream::Act;
-use gateway_world::upstream::Upstream;
+use gateway_world::upstream::ScriptStep;
+use gateway_world::upstream::ScriptedUpstream;
 use gateway_world::upstream::event;
+use gateway_world::wait_until;
 use hyper::Response;
 use indexmap::IndexMap;
 use yare::parameterized;
 
 /// A host before two upstreams of one service, `a` and `b`.
-async fn host_with_two_upstreams(service: &str, a: Act, b: Act) -> (TestHost, Upstream, Upstream) {
+async fn host_with_two_upstreams(
+    service: &str,
+    a: ScriptStep,
+    b: ScriptStep,
+) -> (TestHost, ScriptedUpstream, ScriptedUpstream) {
     let catalog = FakeCatalog::new(table(1));
-    let (a, b) = (Upstream::start([a]).await, Upstream::start([b]).await);
+    let (a, b) = (
+        ScriptedUpstream::start([a]).await,
+        ScriptedUpstream::start([b]).await,
+    );
     catalog.list("a", service, a.addr);
     catalog.list("b", service, b.addr);
     (TestHost::start("host", &catalog).await, a, b)
 }
 
-async fn host_with_one_upstream(service: &str, act: Act) -> (TestHost, Upstream, Arc<FakeCatalog>) {
+async fn host_with_one_upstream(
+    service: &str,
+    act: ScriptStep,
+) -> (TestHost, ScriptedUpstream, Arc<FakeCatalog>) {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = Upstream::start([act]).await;
+    let upstream = ScriptedUpstream::start([act]).await;
     catalog.list("a", service, upstream.addr);
     (TestHost::start("host", &catalog).await, upstream, catalog)
 }
@@ -49,7 +59,8 @@
 
 #[tokio::test]
 async fn a_call_and_its_answer_are_passed_through_untouched() {
-    let (host, upstream, _) = host_with_one_upstream("app", Act::Answer(201, "answer")).await;
+    let (host, upstream, _) =
+        host_with_one_upstream("app", ScriptStep::Answer(201, "answer")).await;
     let mut req = request("/safe/a%20b/c?x=1&y=%2F");
     req.headers_mut()
         .insert("own-header", "kept".parse().unwrap());
@@ -75,7 +86,8 @@
 
 #[tokio::test]
 async fn calls_without_route_or_key_are_rejected() {
-    let (host, upstream, _) = host_with_one_upstream("app", Act::Answer(200, "answer")).await;
+    let (host, upstream, _) =
+        host_with_one_upstream("app", ScriptStep::Answer(200, "answer")).await;
     assert_eq!(status(&host.call(request("/none/1")).await), 404);
     assert_eq!(
         status(&host.call(request_of("key-9", "/safe/1")).await),
@@ -97,7 +109,7 @@
 /// it runs a second time.
 #[tokio::test]
 async fn a_call_that_may_have_run_and_must_not_repeat_is_not_sent_again() {
-    let (host, a, b) = host_with_two_upstreams("app", Act::Break, Act::Break).await;
+    let (host, a, b) = host_with_two_upstreams("app", ScriptStep::Break, ScriptStep::Break).await;
     let res = host.call(request("/once/1")).await;
     assert_eq!(status(&res), 502, "no promise that it did not run");
     assert_eq!(a.arrivals().len() + b.arrivals().len(), 1);
@@ -105,7 +117,8 @@
 
 #[tokio::test]
 async fn a_call_that_was_turned_away_goes_to_another_upstream() {
-    let (host, a, b) = host_with_two_upstreams("app", Act::TurnAway, Act::Answer(200, "ok")).await;
+    let (host, a, b) =
+        host_with_two_upstreams("app", ScriptStep::TurnAway, ScriptStep::Answer(200, "ok")).await;
     for _ in 0..4 {
         assert_eq!(status(&host.call(request("/once/1")).await), 200);
     }
@@ -114,7 +127,8 @@
 
 #[tokio::test]
 async fn a_call_that_all_turned_away_is_answered_as_not_run() {
-    let (host, _, _) = host_with_two_upstreams("app", Act::TurnAway, Act::TurnAway).await;
+    let (host, _, _) =
+        host_with_two_upstreams("app", ScriptStep::TurnAway, ScriptStep::TurnAway).await;
     let res = host.call(request("/once/1")).await;
     assert_eq!(status(&res), 503);
     assert!(res.headers().contains_key("retry-after"));
@@ -132,8 +146,8 @@
     routes.keys = table(1).keys;
     let catalog = FakeCatalog::new(routes);
     let (a, b) = (
-        Upstream::start([Act::Break]).await,
-        Upstream::start([Act::Break]).await,
+        ScriptedUpstream::start([ScriptStep::Break]).await,
+        ScriptedUpstream::start([ScriptStep::Break]).await,
     );
     catalog.list("a", "app", a.addr);
     catalog.list("b", "app", b.addr);
@@ -150,7 +164,7 @@
     let host = TestHost::start("host", &catalog).await;
     let res = host.call(request("/safe/1")).await;
     assert_eq!(status(&res), 503);
-    until(|| {
+    wait_until(|| {
         host.log
             .lines()
             .iter()
@@ -172,23 +186,24 @@
 
 #[tokio::test]
 async fn an_idempotent_call_is_sent_to_as_many_upstreams_as_its_route_allows() {
-    let (host, a, b) = host_with_two_upstreams("app", Act::Break, Act::Break).await;
+    let (host, a, b) = host_with_two_upstreams("app", ScriptStep::Break, ScriptStep::Break).await;
     assert_eq!(status(&host.call(request("/safe/1")).await), 502);
     assert_eq!((a.arrivals().len(), b.arrivals().len()), (1, 1));
 }
 
 #[parameterized(
-    broken = { Act::Break },
-    cut_short = { Act::CutShort },
-    unsigned = { Act::Unsigned(200, "rot") },
-    crossed = { Act::Crossed },
-    unsigned_failure = { Act::Unsigned(503, "") },
-    failed = { Act::Answer(500, "failed") },
+    broken = { ScriptStep::Break },
+    cut_short = { ScriptStep::CutShort },
+    unsigned = { ScriptStep::Unsigned(200, "rot") },
+    crossed = { ScriptStep::Crossed },
+    unsigned_failure = { ScriptStep::Unsigned(503, "") },
+    failed = { ScriptStep::Answer(500, "failed") },
 )]
-fn what_is_no_whole_answer_to_the_call_does_not_reach_its_caller(act: Act) {
+fn what_is_no_whole_answer_to_the_call_does_not_reach_its_caller(act: ScriptStep) {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
-        let (host, _, b) = host_with_two_upstreams("app", act, Act::Answer(200, "right")).await;
+        let (host, _, b) =
+            host_with_two_upstreams("app", act, ScriptStep::Answer(200, "right")).await;
         for _ in 0..4 {
             let res = host.call(request("/safe/1")).await;
             assert_eq!((status(&res), res.body().as_ref()), (200, &b"right"[..]));
@@ -199,8 +214,12 @@
 
 #[tokio::test]
 async fn an_upstreams_failure_reaches_the_caller_as_it_is() {
-    let (host, _, _) =
-        host_with_two_upstreams("app", Act::Answer(500, "why"), Act::Answer(500, "why")).await;
+    let (host, _, _) = host_with_two_upstreams(
+        "app",
+        ScriptStep::Answer(500, "why"),
+        ScriptStep::Answer(500, "why"),
+    )
+    .await;
     let res = host.call(request("/safe/1")).await;
     assert_eq!((status(&res), res.body().as_ref()), (500, &b"why"[..]));
     assert!(res.headers().contains_key("test-signature"));
@@ -211,10 +230,10 @@
 #[tokio::test]
 async fn a_stream_that_breaks_goes_on_at_another_engine_after_the_last_whole_event() {
     let catalog = FakeCatalog::new(table(1));
-    let script = [Act::EventsThenBreak(3), Act::Events(6)];
+    let script = [ScriptStep::EventsThenBreak(3), ScriptStep::Events(6)];
     // Both do the same, so that it does not matter which one is asked first.
-    let a = Upstream::start(script.clone()).await;
-    let b = Upstream::start(script).await;
+    let a = ScriptedUpstream::start(script.clone()).await;
+    let b = ScriptedUpstream::start(script).await;
     catalog.list("a", "app", a.addr);
     catalog.list("b", "app", b.addr);
     let host = TestHost::start("host", &catalog).await;
@@ -237,8 +256,12 @@
 
 #[tokio::test]
 async fn a_stream_that_cannot_be_resumed_is_cut_and_does_not_look_complete() {
-    let (host, a, b) =
-        host_with_two_upstreams("app", Act::EventsThenBreak(3), Act::EventsThenBreak(3)).await;
+    let (host, a, b) = host_with_two_upstreams(
+        "app",
+        ScriptStep::EventsThenBreak(3),
+        ScriptStep::EventsThenBreak(3),
+    )
+    .await;
     let cut = host.try_call(request("/fixed/1")).await;
     assert!(cut.is_err(), "{cut:?}");
     assert_eq!(a.arrivals().len() + b.arrivals().len(), 1);
@@ -246,7 +269,8 @@
 
 #[tokio::test]
 async fn an_engine_that_falls_silent_is_left_for_another() {
-    let (host, a, b) = host_with_two_upstreams("app", Act::EventsThenHang(2), Act::Events(4)).await;
+    let (host, a, b) =
+        host_with_two_upstreams("app", ScriptStep::EventsThenHang(2), ScriptStep::Events(4)).await;
     for _ in 0..3 {
         let res = host.call(request("/stream/1")).await;
         let expected: String = (1..=4).map(event).collect();
@@ -264,22 +288,22 @@
 /// while it waits, and the engine is busy until the deadline.
 #[tokio::test]
 async fn when_a_caller_leaves_its_upstream_is_left_as_well() {
-    let (host, upstream, _) = host_with_one_upstream("app", Act::Hang).await;
+    let (host, upstream, _) = host_with_one_upstream("app", ScriptStep::Hang).await;
     let asked = tokio::time::timeout(Duration::from_millis(300), host.call(request("/once/1")));
     assert!(asked.await.is_err());
-    until(|| upstream.left_early() == 1).await;
-    until(|| host.gateway.in_flight() == 0).await;
+    wait_until(|| upstream.left_early() == 1).await;
+    wait_until(|| host.gateway.in_flight() == 0).await;
 }
 
 #[tokio::test]
 async fn a_call_has_its_final_answer_when_its_time_is_up() {
-    let (host, upstream, _) = host_with_one_upstream("app", Act::Hang).await;
+    let (host, upstream, _) = host_with_one_upstream("app", ScriptStep::Hang).await;
     let mut req = request("/once/1");
     req.headers_mut()
         .insert("test-deadline-ms", "400".parse().unwrap());
     let res = host.call(req).await;
     assert_eq!(status(&res), 504);
-    until(|| upstream.left_early() == 1).await;
+    wait_until(|| upstream.left_early() == 1).await;
     let arrivals = upstream.arrivals();
     let left_ms: u64 = arrivals[0].header("test-left-ms").unwrap().parse().unwrap();
     assert!(
@@ -291,13 +315,13 @@
 #[tokio::test]
 async fn an_upstream_that_leaves_gets_no_new_calls() {
     let catalog = FakeCatalog::new(table(1));
-    let leaving = Upstream::start([Act::Answer(200, "a")]).await;
-    let staying = Upstream::start([Act::Answer(200, "b")]).await;
+    let leaving = ScriptedUpstream::start([ScriptStep::Answer(200, "a")]).await;
+    let staying = ScriptedUpstream::start([ScriptStep::Answer(200, "b")]).await;
     catalog.list("a", "app", leaving.addr);
     catalog.list("b", "app", staying.addr);
     let host = TestHost::start("host", &catalog).await;
     catalog.mark_leaving("a");
-    until(|| !host.gateway.beliefs.is_listed(&"a".parse().unwrap())).await;
+    wait_until(|| !host.gateway.beliefs.is_listed(&"a".parse().unwrap())).await;
     let before = leaving.arrivals().len();
     for _ in 0..6 {
         assert_eq!(status(&host.call(request("/safe/1")).await), 200);
@@ -310,25 +334,25 @@
 #[tokio::test]
 async fn a_host_that_cannot_renew_its_knowledge_serves_no_keys() {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = Upstream::start([Act::Answer(200, "ok")]).await;
+    let upstream = ScriptedUpstream::start([ScriptStep::Answer(200, "ok")]).await;
     catalog.list("a", "app", upstream.addr);
     let mut conf = conf("host");
     conf.key_lease = Some(Duration::from_millis(1_500));
     let host = TestHost::start_with(conf, &catalog).await;
     assert_eq!(status(&host.call(request("/safe/1")).await), 200);
     catalog.set_unreachable(true);
-    until(|| !host.gateway.is_ready()).await;
+    wait_until(|| !host.gateway.is_ready()).await;
     let arrived = upstream.arrivals().len();
     assert_eq!(status(&host.call(request("/safe/1")).await), 503);
     assert_eq!(upstream.arrivals().len(), arrived);
     catalog.set_unreachable(false);
-    until(|| host.gateway.is_ready()).await;
+    wait_until(|| host.gateway.is_ready()).await;
     assert_eq!(status(&host.call(request("/safe/1")).await), 200);
 }
 
 #[tokio::test]
 async fn a_key_that_was_taken_back_stops_working() {
-    let (host, _, catalog) = host_with_one_upstream("app", Act::Answer(200, "ok")).await;
+    let (host, _, catalog) = host_with_one_upstream("app", ScriptStep::Answer(200, "ok")).await;
     assert_eq!(
         status(&host.call(request_of("key-2", "/safe/1")).await),
         200
@@ -338,7 +362,7 @@
     next.keys = CustomerKeys::required(keys);
     catalog.publish(next);
     let in_force = || host.gateway.beliefs.routes().unwrap().generation.0 == 2;
-    until(in_force).await;
+    wait_until(in_force).await;
     assert_eq!(
         status(&host.call(request_of("key-2", "/safe/1")).await),
         401
@@ -348,12 +372,12 @@
 
 #[tokio::test]
 async fn an_older_manifest_never_replaces_a_newer_one() {
-    let (host, _, catalog) = host_with_one_upstream("app", Act::Answer(200, "ok")).await;
+    let (host, _, catalog) = host_with_one_upstream("app", ScriptStep::Answer(200, "ok")).await;
     catalog.publish(table(7));
-    until(|| host.gateway.beliefs.routes().unwrap().generation.0 == 7).await;
+    wait_until(|| host.gateway.beliefs.routes().unwrap().generation.0 == 7).await;
     catalog.publish(table(3));
     let reads = catalog.reads();
-    until(|| catalog.reads() >= reads + 2).await;
+    wait_until(|| catalog.reads() >= reads + 2).await;
     assert_eq!(host.gateway.beliefs.routes().unwrap().generation.0, 7);
 }
 
@@ -361,14 +385,17 @@
 /// the caller's connection breaks.
 #[tokio::test]
 async fn a_stopping_host_finishes_what_runs_and_closes_after_each_answer() {
-    let (host, _, _) =
-        host_with_one_upstream("app", Act::AnswerAfter(Duration::from_secs(4), "late")).await;
+    let (host, _, _) = host_with_one_upstream(
+        "app",
+        ScriptStep::AnswerAfter(Duration::from_secs(4), "late"),
+    )
+    .await;
     let callers = host.callers;
     let running = tokio::spawn(async move {
         let limit = Duration::from_secs(20);
         one_shot::call(callers, request("/once/1"), 1 << 20, limit).await
     });
-    until(|| host.gateway.in_flight() == 1).await;
+    wait_until(|| host.gateway.in_flight() == 1).await;
     host.gateway.begin_shutdown();
     assert_eq!(host.readiness().await, 503);
     let rejected = host.call(request("/none/1")).await;
@@ -384,16 +411,19 @@
 /// others were in rotation.
 #[tokio::test]
 async fn a_host_that_has_no_time_left_turns_new_calls_away_as_not_run() {
-    let (host, upstream, _) =
-        host_with_one_upstream("app", Act::AnswerAfter(Duration::from_secs(5), "late")).await;
+    let (host, upstream, _) = host_with_one_upstream(
+        "app",
+        ScriptStep::AnswerAfter(Duration::from_secs(5), "late"),
+    )
+    .await;
     let callers = host.callers;
     let running = tokio::spawn(async move {
         let limit = Duration::from_secs(20);
         one_shot::call(callers, request("/once/1"), 1 << 20, limit).await
     });
-    until(|| host.gateway.in_flight() == 1).await;
+    wait_until(|| host.gateway.in_flight() == 1).await;
     host.gateway.begin_shutdown();
-    until(|| host.gateway.phase() == ShutdownPhase::Refusing).await;
+    wait_until(|| host.gateway.phase() == ShutdownPhase::Refusing).await;
     let res = host.call(request("/once/1")).await;
     assert_eq!(status(&res), 503);
     assert!(res.headers().contains_key("retry-after"));
@@ -403,14 +433,15 @@
 
 #[tokio::test]
 async fn every_line_of_the_decision_log_is_json_and_tells_how_a_request_ended() {
-    let (host, _, _) = host_with_two_upstreams("app", Act::TurnAway, Act::TurnAway).await;
+    let (host, _, _) =
+        host_with_two_upstreams("app", ScriptStep::TurnAway, ScriptStep::TurnAway).await;
     assert_eq!(status(&host.call(request("/once/1")).await), 503);
     let ended = || {
         let lines = host.log.lines();
         let mut ended = lines.into_iter().filter(|line| line["event"] == "ended");
         ended.find(|line| line["request"] == "r-1")
     };
-    until(|| ended().is_some()).await;
+    wait_until(|| ended().is_some()).await;
     let line = ended().unwrap();
     assert_eq!(line["outcome"], "no_upstream");
     assert_eq!(line["status"], 503);
--- a/tests/gateway_hosts.rs
+++ b/tests/gateway_hosts.rs
@@ -19,10 +19,10 @@
 use gateway_world::conf;
 use gateway_world::request;
 use gateway_world::table;
-use gateway_world::until;
-use gateway_world::upstream::Act;
-use gateway_world::upstream::Upstream;
+use gateway_world::upstream::ScriptStep;
+use gateway_world::upstream::ScriptedUpstream;
 use gateway_world::upstream::event;
+use gateway_world::wait_until;
 use http_body_util::Full;
 use hyper::Request;
 use hyper::Response;
@@ -40,19 +40,19 @@
 async fn a_request_that_crashes_upstreams_is_refused_on_all_hosts() {
     let catalog = FakeCatalog::new(table(1));
     let upstreams = [
-        Upstream::start([Act::Break]).await,
-        Upstream::start([Act::Break]).await,
+        ScriptedUpstream::start([ScriptStep::Break]).await,
+        ScriptedUpstream::start([ScriptStep::Break]).await,
     ];
     catalog.list("a", "app", upstreams[0].addr);
     catalog.list("b", "app", upstreams[1].addr);
     let first = TestHost::start("first", &catalog).await;
     let second = TestHost::start("second", &catalog).await;
-    first.until_hosts(2).await;
-    second.until_hosts(2).await;
+    first.wait_for_hosts(2).await;
+    second.wait_for_hosts(2).await;
     for _ in 0..2 {
         assert_eq!(status(&first.call(request("/safe/1")).await), 502);
     }
-    until(|| !second.gateway.poison().is_empty()).await;
+    wait_until(|| !second.gateway.poison().is_empty()).await;
     let arrived = || upstreams.iter().map(|u| u.arrivals().len()).sum::<usize>();
     let before = arrived();
     assert!(before >= 3, "{before}");
@@ -63,7 +63,7 @@
         let known = second.gateway.poison().all(now);
         known.iter().any(|poison| poison.attempts.len() >= 3)
     };
-    until(known).await;
+    wait_until(known).await;
     assert!(refused(&second).await);
     assert_eq!(arrived(), before);
 }
@@ -74,14 +74,14 @@
 async fn hosts_tell_each_other_of_their_work() {
     let catalog = FakeCatalog::new(table(1));
     let engines = [
-        Upstream::start([Act::EventsThenHang(1)]).await,
-        Upstream::start([Act::EventsThenHang(1)]).await,
+        ScriptedUpstream::start([ScriptStep::EventsThenHang(1)]).await,
+        ScriptedUpstream::start([ScriptStep::EventsThenHang(1)]).await,
     ];
     catalog.list("a", "llm", engines[0].addr);
     catalog.list("b", "llm", engines[1].addr);
     let first = TestHost::start("first", &catalog).await;
     let second = TestHost::start("second", &catalog).await;
-    first.until_hosts(2).await;
+    first.wait_for_hosts(2).await;
     let calls = first.callers;
     let hanging = tokio::spawn(async move {
         let req: Request<Full<Bytes>> = request("/model/1");
@@ -93,9 +93,9 @@
         let load = |id: &str| ledger.load(&id.parse().unwrap(), now).in_flight;
         load("a") + load("b")
     };
-    until(|| seen() == 1).await;
+    wait_until(|| seen() == 1).await;
     hanging.abort();
-    until(|| seen() == 0).await;
+    wait_until(|| seen() == 0).await;
 }
 
 /// An engine turns slow and says so when it is asked. Each host finds it out by late answers of its own
@@ -103,21 +103,21 @@
 #[tokio::test]
 async fn hosts_leave_an_engine_alone_that_says_it_is_slow() {
     let catalog = FakeCatalog::new(table(1));
-    let slow = Upstream::start([Act::EventsThenHang(1)]).await;
-    let sound = Upstream::start([Act::Events(1)]).await;
+    let slow = ScriptedUpstream::start([ScriptStep::EventsThenHang(1)]).await;
+    let sound = ScriptedUpstream::start([ScriptStep::Events(1)]).await;
     catalog.list("a", "llm", slow.addr);
     catalog.list("b", "llm", sound.addr);
     let asking = TestHost::start("a-first", &catalog).await;
     let told = TestHost::start("b-second", &catalog).await;
-    until(|| told.gateway.ledger().peers_heard(told.gateway.clock.now()) == 1).await;
+    wait_until(|| told.gateway.ledger().peers_heard(told.gateway.clock.now()) == 1).await;
     let calls = asking.callers;
     let hanging = tokio::spawn(async move {
         let req = request("/model/1");
         let _ = one_shot::call(calls, req, 1 << 20, Duration::from_secs(20)).await;
     });
-    until(|| slow.arrivals().len() == 1).await;
+    wait_until(|| slow.arrivals().len() == 1).await;
     asking.orders.slow_down(slow.addr, Slowdown::new(8.0));
-    until(|| asking.log.text().contains("upstream_speed")).await;
+    wait_until(|| asking.log.text().contains("upstream_speed")).await;
     while sound.arrivals().is_empty() {
         let req = request("/model/1");
         let call = one_shot::call(told.callers, req, 1 << 20, Duration::from_millis(100));
@@ -134,9 +134,9 @@
 
 /// A host before two engines, `a` and `b`, to which a caller has sent a prompt that needs the memory
 /// of both.
-async fn reserving() -> (TestHost, [Upstream; 2], JoinHandle<()>) {
+async fn reserving() -> (TestHost, [ScriptedUpstream; 2], JoinHandle<()>) {
     let catalog = FakeCatalog::new(table(1));
-    let hanging = || Upstream::start([Act::EventsThenHang(1)]);
+    let hanging = || ScriptedUpstream::start([ScriptStep::EventsThenHang(1)]);
     let engines = [hanging().await, hanging().await];
     catalog.list("a", "llm", engines[0].addr);
     catalog.list("b", "llm", engines[1].addr);
@@ -151,7 +151,7 @@
     long.keys = std::mem::take(&mut routes.keys);
     catalog.publish(long);
     let host = TestHost::start("host", &catalog).await;
-    until(|| host.gateway.beliefs.routes().unwrap().generation.0 == 2).await;
+    wait_until(|| host.gateway.beliefs.routes().unwrap().generation.0 == 2).await;
     let mut req = request("/long/1");
     req.headers_mut()
         .insert("test-prompt", "600000".parse().unwrap());
@@ -160,8 +160,8 @@
         let limit = Duration::from_secs(60);
         let _ = one_shot::call(callers, req, 1 << 20, limit).await;
     });
-    until(|| host.orders.reserved_tokens() > 0).await;
-    until(|| engines.iter().any(|engine| !engine.arrivals().is_empty())).await;
+    wait_until(|| host.orders.reserved_tokens() > 0).await;
+    wait_until(|| engines.iter().any(|engine| !engine.arrivals().is_empty())).await;
     (host, engines, asking)
 }
 
@@ -171,7 +171,7 @@
 async fn memory_that_was_set_aside_is_given_back_when_the_caller_leaves() {
     let (host, _, asking) = reserving().await;
     asking.abort();
-    until(|| host.orders.reserved_tokens() == 0).await;
+    wait_until(|| host.orders.reserved_tokens() == 0).await;
     assert!(host.orders.made() > 0);
 }
 
@@ -185,13 +185,13 @@
     } else {
         (a, b)
     };
-    until(|| host.orders.asked(other.addr) >= 2).await;
+    wait_until(|| host.orders.asked(other.addr) >= 2).await;
     host.orders.silence(leader.addr);
     let (led, kept) = (
         host.orders.asked(leader.addr),
         host.orders.asked(other.addr),
     );
-    until(|| host.orders.asked(leader.addr) >= led + 3).await;
+    wait_until(|| host.orders.asked(leader.addr) >= led + 3).await;
     let renewed = host.orders.asked(other.addr) - kept;
     assert!(
         renewed <= 1,
@@ -205,7 +205,7 @@
     second_domain: &str,
 ) -> (TestHost, Arc<FakeCatalog>, TestHost, Arc<FakeCatalog>) {
     let first_way = FakeCatalog::new(table(1));
-    let upstream = Upstream::start([Act::Answer(200, "ok")]).await;
+    let upstream = ScriptedUpstream::start([ScriptStep::Answer(200, "ok")]).await;
     first_way.list("a", "app", upstream.addr);
     let second_way = first_way.separate_link();
     let first = TestHost::start("a-first", &first_way).await;
@@ -217,7 +217,7 @@
         let now = second.gateway.clock.now();
         second.gateway.ledger().peers_heard(now) == 1
     };
-    until(is_heard).await;
+    wait_until(is_heard).await;
     (first, first_way, second, second_way)
 }
 
@@ -237,20 +237,20 @@
     second_way.set_unreachable(true);
     let reads = first_way.reads();
     // Longer than its lease: the other host reads every 600 ms.
-    until(|| first_way.reads() >= reads + 6).await;
-    until(|| second.gateway.is_ready()).await;
+    wait_until(|| first_way.reads() >= reads + 6).await;
+    wait_until(|| second.gateway.is_ready()).await;
     assert_eq!(status(&second.call(request("/safe/1")).await), 200);
     first_way.publish(table(2));
-    until(|| second.gateway.beliefs.routes().unwrap().generation.0 == 2).await;
+    wait_until(|| second.gateway.beliefs.routes().unwrap().generation.0 == 2).await;
     first_way.set_unreachable(true);
-    until(|| !second.gateway.is_ready()).await;
+    wait_until(|| !second.gateway.is_ready()).await;
 }
 
 #[tokio::test]
 async fn one_host_reads_for_its_failure_domain_until_it_is_gone() {
     let (first, first_way, _second, second_way) = reader_and_follower("here").await;
     let before = (first_way.reads(), second_way.reads());
-    until(|| first_way.reads() >= before.0 + 8).await;
+    wait_until(|| first_way.reads() >= before.0 + 8).await;
     // A host that did not get to run in time may read for itself now and then.
     let by_itself = second_way.reads() - before.1;
     assert!(
@@ -259,7 +259,7 @@
     );
     first.serving.abort();
     let alone = second_way.reads();
-    until(|| second_way.reads() >= alone + 3).await;
+    wait_until(|| second_way.reads() >= alone + 3).await;
 }
 
 /// The platform turns all hosts of a large fleet away. Each goes on asking four times a second, thousands
@@ -275,13 +275,13 @@
     assert!((1..=9).contains(&asked), "{asked} reads in four seconds");
     way.set_unreachable(false);
     way.publish(table(2));
-    until(|| host.gateway.beliefs.routes().unwrap().generation.0 == 2).await;
+    wait_until(|| host.gateway.beliefs.routes().unwrap().generation.0 == 2).await;
 }
 
 /// Hosts of one failure domain that all hear each other, each with a way of its own to the platform.
 async fn neighbours(count: usize) -> Vec<(TestHost, Arc<FakeCatalog>)> {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = Upstream::start([Act::Answer(200, "ok")]).await;
+    let upstream = ScriptedUpstream::start([ScriptStep::Answer(200, "ok")]).await;
     catalog.list("a", "app", upstream.addr);
     let mut hosts = Vec::new();
     for number in 0..count {
@@ -292,7 +292,7 @@
     }
     for (host, _) in &hosts {
         let heard = || host.gateway.ledger().peers_heard(host.gateway.clock.now());
-        until(|| heard() + 1 == count).await;
+        wait_until(|| heard() + 1 == count).await;
     }
     hosts
 }
@@ -307,7 +307,7 @@
         way.set_unreachable(true);
     }
     for (host, _) in &hosts {
-        until(|| !host.gateway.is_ready()).await;
+        wait_until(|| !host.gateway.is_ready()).await;
     }
     let reads = || hosts.iter().map(|(_, way)| way.reads()).sum::<usize>();
     let before = reads();
@@ -325,13 +325,13 @@
         way.set_unreachable(true);
     }
     for (host, _) in &hosts {
-        until(|| !host.gateway.is_ready()).await;
+        wait_until(|| !host.gateway.is_ready()).await;
     }
     let (_, first_way) = &hosts[3];
     first_way.publish(table(2));
     first_way.set_unreachable(false);
     for (host, _) in &hosts {
-        until(|| host.gateway.is_ready()).await;
+        wait_until(|| host.gateway.is_ready()).await;
         assert_eq!(host.gateway.beliefs.routes().unwrap().generation.0, 2);
         assert_eq!(status(&host.call(request("/safe/1")).await), 200);
     }
@@ -342,8 +342,8 @@
 #[tokio::test]
 async fn an_answer_that_broke_off_goes_on_at_a_busy_engine() {
     let catalog = FakeCatalog::new(table(1));
-    let silent = Upstream::start([Act::EventsThenHang(2)]).await;
-    let busy = Upstream::start([Act::Events(5)]).await;
+    let silent = ScriptedUpstream::start([ScriptStep::EventsThenHang(2)]).await;
+    let busy = ScriptedUpstream::start([ScriptStep::Events(5)]).await;
     catalog.list("a", "llm", silent.addr);
     let host = TestHost::start("host", &catalog).await;
     let mut req = request("/model/1");
@@ -352,7 +352,7 @@
     tokio::pin!(answer);
     tokio::select! {
         _ = &mut answer => panic!("the first engine hangs"),
-        () = until(|| silent.arrivals().len() == 1) => {}
+        () = wait_until(|| silent.arrivals().len() == 1) => {}
     }
     catalog.list("b", "llm", busy.addr);
     let engine: UpstreamId = "b".parse().unwrap();
--- a/tests/gateway_limits.rs
+++ b/tests/gateway_limits.rs
@@ -10,16 +10,16 @@
 use gateway_world::catalog::FakeCatalog;
 use gateway_world::request;
 use gateway_world::table;
-use gateway_world::until;
-use gateway_world::upstream::Act;
-use gateway_world::upstream::Upstream;
+use gateway_world::upstream::ScriptStep;
+use gateway_world::upstream::ScriptedUpstream;
+use gateway_world::wait_until;
 
-async fn answering() -> Upstream {
-    Upstream::start([Act::Answer(200, "a")]).await
+async fn answering() -> ScriptedUpstream {
+    ScriptedUpstream::start([ScriptStep::Answer(200, "a")]).await
 }
 
 /// A host, and the only upstream of the service that it calls.
-async fn host_before_one() -> (Upstream, TestHost) {
+async fn host_before_one() -> (ScriptedUpstream, TestHost) {
     let catalog = FakeCatalog::new(table(1));
     let upstream = answering().await;
     catalog.list("a", "app", upstream.addr);
@@ -43,12 +43,12 @@
 async fn each_change_of_a_limit_is_logged() {
     let (upstream, host) = host_before_one().await;
     serve_one(&host).await;
-    upstream.name_limit(Some("25"));
+    upstream.set_limit(Some("25"));
     serve_one(&host).await;
     serve_one(&host).await;
-    upstream.name_limit(None);
+    upstream.set_limit(None);
     serve_one(&host).await;
-    until(|| limit_lines(&host).len() == 2).await;
+    wait_until(|| limit_lines(&host).len() == 2).await;
     let lines = limit_lines(&host);
     assert_eq!(lines[0]["upstream"], "a");
     assert_eq!(lines[0]["limit_per_s"], 25.0);
@@ -59,20 +59,20 @@
 #[tokio::test]
 async fn a_malformed_limit_is_logged_once_and_changes_nothing() {
     let (upstream, host) = host_before_one().await;
-    upstream.name_limit(Some("25"));
+    upstream.set_limit(Some("25"));
     serve_one(&host).await;
-    upstream.name_limit(Some("few"));
+    upstream.set_limit(Some("few"));
     serve_one(&host).await;
     serve_one(&host).await;
-    upstream.name_limit(Some("25"));
+    upstream.set_limit(Some("25"));
     serve_one(&host).await;
     let malformed = || {
         let text = host.log.text();
         text.matches("limit_malformed").count()
     };
-    until(|| malformed() == 1 && limit_lines(&host).len() == 1).await;
+    wait_until(|| malformed() == 1 && limit_lines(&host).len() == 1).await;
     host.gateway.begin_shutdown();
-    until(|| host.log.text().contains("stopping")).await;
+    wait_until(|| host.log.text().contains("stopping")).await;
     assert_eq!((malformed(), limit_lines(&host).len()), (1, 1));
 }
 
@@ -92,9 +92,9 @@
         hosts.push(TestHost::start(name, &catalog).await);
     }
     for host in &hosts {
-        host.until_hosts(hosts.len()).await;
+        host.wait_for_hosts(hosts.len()).await;
     }
-    limited.name_limit(Some("2"));
+    limited.set_limit(Some("2"));
     until_some_host_knows(&hosts).await;
     let before = limited.arrivals().len();
     let began = Instant::now();
@@ -124,14 +124,14 @@
 #[tokio::test]
 async fn a_call_that_no_limit_leaves_time_for_is_refused_at_once() {
     let (upstream, host) = host_before_one().await;
-    upstream.name_limit(Some("0"));
+    upstream.set_limit(Some("0"));
     serve_one(&host).await;
     let res = host.call(request("/safe/1")).await;
     assert_eq!(res.status(), 503);
     let retry_after = res.headers()["retry-after"].to_str().unwrap();
     let retry_after: f64 = retry_after.parse().unwrap();
     assert!((0.5..=4.0).contains(&retry_after), "{retry_after}");
-    until(|| host.log.text().contains("rate_limited")).await;
+    wait_until(|| host.log.text().contains("rate_limited")).await;
     let waits = |line: &serde_json::Value| {
         line["event"] == "refused" && line["elapsed_ms"].as_u64() < Some(300)
     };
@@ -147,15 +147,15 @@
     catalog.list("a", "app", upstream.addr);
     let first = TestHost::start("first", &catalog).await;
     let second = TestHost::start("second", &catalog).await;
-    first.until_hosts(2).await;
-    second.until_hosts(2).await;
-    upstream.name_limit(Some("25"));
+    first.wait_for_hosts(2).await;
+    second.wait_for_hosts(2).await;
+    upstream.set_limit(Some("25"));
     serve_one(&first).await;
-    until(|| limit_lines(&second).len() == 1).await;
+    wait_until(|| limit_lines(&second).len() == 1).await;
     assert_eq!(limit_lines(&second)[0]["told_by"], "first");
     assert_eq!(upstream.arrivals().len(), 1);
-    upstream.name_limit(None);
+    upstream.set_limit(None);
     serve_one(&first).await;
-    until(|| limit_lines(&second).len() == 2).await;
+    wait_until(|| limit_lines(&second).len() == 2).await;
     assert!(limit_lines(&second)[1]["limit_per_s"].is_null());
 }
--- a/tests/gateway_news.rs
+++ b/tests/gateway_news.rs
@@ -17,9 +17,9 @@
 use gateway_world::TestHost;
 use gateway_world::catalog::FakeCatalog;
 use gateway_world::table;
-use gateway_world::until;
-use gateway_world::upstream::Act;
-use gateway_world::upstream::Upstream;
+use gateway_world::upstream::ScriptStep;
+use gateway_world::upstream::ScriptedUpstream;
+use gateway_world::wait_until;
 use tokio::net::TcpListener;
 
 fn load(hash: u64, in_flight: u32) -> LoadNews {
@@ -46,7 +46,7 @@
 #[tokio::test]
 async fn work_of_another_domain_is_heard_through_its_collector() {
     let catalog = FakeCatalog::new(table(1));
-    let engine = Upstream::start([Act::Answer(200, "a")]).await;
+    let engine = ScriptedUpstream::start([ScriptStep::Answer(200, "a")]).await;
     catalog.list("a", "llm", engine.addr);
     catalog.list("b", "llm", engine.addr);
     let host = TestHost::start("host", &catalog).await;
@@ -70,7 +70,7 @@
 #[tokio::test]
 async fn a_starting_host_reads_before_it_asks_others() {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = Upstream::start([Act::Answer(200, "a")]).await;
+    let upstream = ScriptedUpstream::start([ScriptStep::Answer(200, "a")]).await;
     catalog.list("a", "app", upstream.addr);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let silent = ListedHost {
@@ -88,7 +88,7 @@
         std::future::pending::<()>().await;
     });
     let _host = TestHost::start("host", &catalog).await;
-    until(|| reads_when_asked.lock().unwrap().is_some()).await;
+    wait_until(|| reads_when_asked.lock().unwrap().is_some()).await;
     let reads = reads_when_asked.lock().unwrap().unwrap();
     assert!(reads >= 1, "asked before it had read");
 }
--- a/tests/gateway_reads.rs
+++ b/tests/gateway_reads.rs
@@ -9,7 +9,7 @@
 use gateway_world::catalog::FakeCatalog;
 use gateway_world::conf;
 use gateway_world::table;
-use gateway_world::until;
+use gateway_world::wait_until;
 
 fn listed(host: &TestHost) -> Vec<String> {
     let by_service = host.gateway.beliefs.upstreams().unwrap();
@@ -25,7 +25,7 @@
         hosts.push((TestHost::start_with(conf(name), &way).await, way));
     }
     let second = &hosts[1].0.gateway;
-    until(|| second.ledger().peers_heard(second.clock.now()) == 1).await;
+    wait_until(|| second.ledger().peers_heard(second.clock.now()) == 1).await;
     hosts.try_into().ok().unwrap()
 }
 
@@ -45,14 +45,14 @@
     let [(first, first_way), (second, second_way)] = two_hosts(&catalog).await;
     let before = (first_way.whole_reads(), second_way.whole_reads());
     catalog.mark_leaving("b");
-    until(|| listed(&first) == ["a", "c"]).await;
-    until(|| listed(&second) == ["a", "c"]).await;
+    wait_until(|| listed(&first) == ["a", "c"]).await;
+    wait_until(|| listed(&second) == ["a", "c"]).await;
     catalog.remove("a");
     catalog.list("d", "app", "127.0.0.1:9".parse().unwrap());
-    until(|| listed(&second) == ["c", "d"]).await;
+    wait_until(|| listed(&second) == ["c", "d"]).await;
     let again = catalog.restart("c", 5).to_string();
-    until(|| listed(&second) == [again.as_str(), "d"]).await;
-    until(|| listed(&first) == [again.as_str(), "d"]).await;
+    wait_until(|| listed(&second) == [again.as_str(), "d"]).await;
+    wait_until(|| listed(&first) == [again.as_str(), "d"]).await;
     assert_eq!(
         (first_way.whole_reads(), second_way.whole_reads()),
         before,
@@ -67,14 +67,14 @@
     let catalog = catalog_of(["a", "b", "c"]);
     let way = catalog.separate_link();
     let host = TestHost::start("host", &way).await;
-    until(|| listed(&host).len() == 3).await;
+    wait_until(|| listed(&host).len() == 3).await;
     way.set_unreachable(true);
     catalog.mark_leaving("b");
     catalog.forget_changes();
     way.set_unreachable(false);
-    until(|| listed(&host) == ["a", "c"]).await;
+    wait_until(|| listed(&host) == ["a", "c"]).await;
     catalog.mark_leaving("a");
-    until(|| listed(&host) == ["c"]).await;
+    wait_until(|| listed(&host) == ["c"]).await;
 }
 
 /// The host that reads dies. The next one goes on from what it heard of the other, and must not take up
@@ -84,13 +84,13 @@
     let catalog = catalog_of(["a", "b", "c"]);
     let [(first, _), (second, second_way)] = two_hosts(&catalog).await;
     catalog.mark_leaving("b");
-    until(|| listed(&second) == ["a", "c"]).await;
+    wait_until(|| listed(&second) == ["a", "c"]).await;
     first.serving.abort();
     let before = second_way.whole_reads();
-    until(|| second_way.whole_reads() > before).await;
+    wait_until(|| second_way.whole_reads() > before).await;
     assert_eq!(listed(&second), ["a", "c"]);
     catalog.mark_leaving("c");
-    until(|| listed(&second) == ["a"]).await;
+    wait_until(|| listed(&second) == ["a"]).await;
 }
 
 /// All hosts of a large fleet read the list of hosts from the platform, the same list each.
@@ -98,10 +98,10 @@
 async fn hosts_are_read_through_the_host_that_reads() {
     let catalog = catalog_of(["a", "b", "c"]);
     let [(first, _), (second, second_way)] = two_hosts(&catalog).await;
-    first.until_hosts(2).await;
+    first.wait_for_hosts(2).await;
     second_way.set_unreachable(true);
     let _third = TestHost::start("c-third", &catalog.separate_link()).await;
-    second.until_hosts(3).await;
+    second.wait_for_hosts(3).await;
 }
 
 /// Hosts restart in turn. Each is off the list for a moment, is told nothing until all others have read that
@@ -115,10 +115,10 @@
         let names = hosts.iter().map(|listed| listed.host.to_string());
         names.collect::<Vec<String>>()
     };
-    until(|| names().contains(&"b-second".to_owned())).await;
+    wait_until(|| names().contains(&"b-second".to_owned())).await;
     let gone = second.gateway.conf.host.clone();
     catalog.withdraw(gone).await.unwrap();
     let _third = TestHost::start("c-third", &catalog.separate_link()).await;
-    until(|| names().contains(&"c-third".to_owned())).await;
+    wait_until(|| names().contains(&"c-third".to_owned())).await;
     assert!(names().contains(&"b-second".to_owned()), "{:?}", names());
 }
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -14,9 +14,9 @@
 use gateway_world::catalog::FakeCatalog;
 use gateway_world::request;
 use gateway_world::table;
-use gateway_world::until;
-use gateway_world::upstream::Act;
-use gateway_world::upstream::Upstream;
+use gateway_world::upstream::ScriptStep;
+use gateway_world::upstream::ScriptedUpstream;
+use gateway_world::wait_until;
 use indexmap::IndexMap;
 
 fn knows(host: &TestHost, id: &UpstreamId) -> bool {
@@ -29,7 +29,7 @@
 #[tokio::test]
 async fn what_hosts_held_of_a_former_life_is_not_held_against_the_next() {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = Upstream::start([Act::Answer(200, "ok")]).await;
+    let upstream = ScriptedUpstream::start([ScriptStep::Answer(200, "ok")]).await;
     catalog.list("a", "app", upstream.addr);
     let host = TestHost::start("host", &catalog).await;
     let former: UpstreamId = "a".parse().unwrap();
@@ -50,7 +50,7 @@
         host.gateway.health().on_fault(&former, &domain, fault, now);
     }
     let id = catalog.restart("a", 2);
-    until(|| knows(&host, &id)).await;
+    wait_until(|| knows(&host, &id)).await;
     // Another host has not heard of the restart.
     let told = HostLoad {
         in_flight: 7,
@@ -72,7 +72,7 @@
 #[tokio::test]
 async fn a_call_at_a_former_life_is_lost_and_not_waited_for() {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = Upstream::start([Act::Hang]).await;
+    let upstream = ScriptedUpstream::start([ScriptStep::Hang]).await;
     catalog.list("a", "app", upstream.addr);
     let host = TestHost::start("host", &catalog).await;
     let answer = async {
@@ -80,7 +80,7 @@
         res.status().as_u16()
     };
     let restart = async {
-        until(|| upstream.arrivals().len() == 1).await;
+        wait_until(|| upstream.arrivals().len() == 1).await;
         let (former, domain) = ("a".parse().unwrap(), "here".parse().unwrap());
         let fault = UpstreamFault::ConnectTimeout;
         let now = Instant::now();
@@ -89,7 +89,7 @@
     };
     let (status, ()) = tokio::join!(answer, restart);
     assert_eq!(status, 502, "504 if its time had run out");
-    until(|| host.log.text().contains("has started again")).await;
+    wait_until(|| host.log.text().contains("has started again")).await;
 }
 
 /// A call is answered as lost although it runs. It went to an upstream that had restarted already, by
@@ -97,7 +97,8 @@
 #[tokio::test]
 async fn a_call_that_was_sent_after_the_restart_runs_in_the_new_life() {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = Upstream::start([Act::AnswerAfter(Duration::from_secs(2), "ok")]).await;
+    let upstream =
+        ScriptedUpstream::start([ScriptStep::AnswerAfter(Duration::from_secs(2), "ok")]).await;
     catalog.list("a", "app", upstream.addr);
     let host = TestHost::start("host", &catalog).await;
     let (former, domain) = ("a".parse().unwrap(), "here".parse().unwrap());
@@ -106,9 +107,9 @@
     host.gateway.health().on_fault(&former, &domain, fault, now);
     let answer = async { host.call(request("/once/1")).await.status().as_u16() };
     let restart = async {
-        until(|| upstream.arrivals().len() == 1).await;
+        wait_until(|| upstream.arrivals().len() == 1).await;
         let id = catalog.restart("a", 2);
-        until(|| knows(&host, &id)).await;
+        wait_until(|| knows(&host, &id)).await;
     };
     let (status, ()) = tokio::join!(answer, restart);
     assert_eq!(status, 200);
--- a/tests/gateway_store_returns.rs
+++ b/tests/gateway_store_returns.rs
@@ -11,12 +11,12 @@
 use gateway_world::conf;
 use gateway_world::request;
 use gateway_world::table;
-use gateway_world::until;
-use gateway_world::upstream::Act;
-use gateway_world::upstream::Upstream;
+use gateway_world::upstream::ScriptStep;
+use gateway_world::upstream::ScriptedUpstream;
+use gateway_world::wait_until;
 
-async fn answering() -> Upstream {
-    Upstream::start([Act::Answer(200, "a")]).await
+async fn answering() -> ScriptedUpstream {
+    ScriptedUpstream::start([ScriptStep::Answer(200, "a")]).await
 }
 
 fn generation(host: &TestHost) -> Generation {
@@ -30,7 +30,7 @@
 }
 
 async fn until_returned(host: &TestHost) {
-    until(|| host.log.text().contains("store_returned")).await;
+    wait_until(|| host.log.text().contains("store_returned")).await;
 }
 
 /// A manifest that is published after the return has a smaller revision than the one that was lost, and never comes
@@ -43,10 +43,10 @@
     for newer in 2..=6 {
         catalog.publish(table(newer));
     }
-    until(|| generation(&host) == Generation(6)).await;
+    wait_until(|| generation(&host) == Generation(6)).await;
     catalog.restore(copy);
     catalog.publish(table(7));
-    until(|| generation(&host) == Generation(7)).await;
+    wait_until(|| generation(&host) == Generation(7)).await;
     until_returned(&host).await;
 }
 
@@ -57,10 +57,10 @@
     let host = TestHost::start("host", &catalog).await;
     let copy = catalog.snapshot();
     catalog.publish(table(2));
-    until(|| generation(&host) == Generation(2)).await;
+    wait_until(|| generation(&host) == Generation(2)).await;
     catalog.restore(copy);
     catalog.publish(table(3));
-    until(|| generation(&host) == Generation(3)).await;
+    wait_until(|| generation(&host) == Generation(3)).await;
 }
 
 /// The copy holds an older manifest than the one in force: a host goes back to it and serves a key that was taken
@@ -75,15 +75,15 @@
     let host = TestHost::start_with(conf, &catalog).await;
     let copy = catalog.snapshot();
     catalog.publish(table(2));
-    until(|| generation(&host) == Generation(2)).await;
+    wait_until(|| generation(&host) == Generation(2)).await;
     catalog.restore(copy);
-    until(|| host.log.text().contains("manifest_older")).await;
+    wait_until(|| host.log.text().contains("manifest_older")).await;
     assert_eq!(generation(&host), Generation(2));
-    until(|| !host.gateway.is_ready()).await;
+    wait_until(|| !host.gateway.is_ready()).await;
     let refused = host.call(request("/safe/1")).await;
     assert_eq!(refused.status(), 503);
     catalog.publish(table(2));
-    until(|| host.gateway.is_ready()).await;
+    wait_until(|| host.gateway.is_ready()).await;
     assert_eq!(host.call(request("/safe/1")).await.status(), 200);
 }
 
@@ -96,13 +96,13 @@
         TestHost::start("first", &catalog).await,
         TestHost::start("second", &catalog).await,
     );
-    first.until_hosts(2).await;
-    second.until_hosts(2).await;
+    first.wait_for_hosts(2).await;
+    second.wait_for_hosts(2).await;
     catalog.restore(copy);
     assert!(!is_listed(&catalog, "first"));
-    until(|| is_listed(&catalog, "first") && is_listed(&catalog, "second")).await;
-    first.until_hosts(2).await;
-    second.until_hosts(2).await;
+    wait_until(|| is_listed(&catalog, "first") && is_listed(&catalog, "second")).await;
+    first.wait_for_hosts(2).await;
+    second.wait_for_hosts(2).await;
 }
 
 /// The copy lists an upstream as staying that has said it leaves, and hosts send to it again.
@@ -117,14 +117,14 @@
         let upstreams = host.gateway.beliefs.upstreams();
         upstreams.map_or(0, |upstreams| upstreams.values().map(Vec::len).sum())
     };
-    until(|| usable(&host) == 2).await;
+    wait_until(|| usable(&host) == 2).await;
     let copy = catalog.snapshot();
     catalog.mark_leaving("a");
-    until(|| usable(&host) == 1).await;
+    wait_until(|| usable(&host) == 1).await;
     let joined = answering().await;
     catalog.restore(copy);
     catalog.list("c", "app", joined.addr);
-    until(|| usable(&host) == 2).await;
+    wait_until(|| usable(&host) == 2).await;
     for _ in 0..8 {
         assert_eq!(host.call(request("/safe/1")).await.status(), 200);
     }
@@ -145,13 +145,13 @@
         all.map(|upstream| upstream.id.to_string())
             .collect::<Vec<_>>()
     };
-    until(|| names(&host) == ["a"]).await;
+    wait_until(|| names(&host) == ["a"]).await;
     let copy = catalog.snapshot();
     catalog.list("b", "app", upstreams[1].addr);
-    until(|| names(&host) == ["a", "b"]).await;
+    wait_until(|| names(&host) == ["a", "b"]).await;
     catalog.restore(copy);
     catalog.list("c", "app", upstreams[2].addr);
-    until(|| names(&host) == ["a", "c"]).await;
+    wait_until(|| names(&host) == ["a", "c"]).await;
 }
 
 /// A host that reads through another one does not learn that the store has come back.
@@ -161,14 +161,14 @@
     let reading = TestHost::start("a-first", &catalog).await;
     let way = catalog.separate_link();
     let other = TestHost::start("b-second", &way).await;
-    reading.until_hosts(2).await;
-    other.until_hosts(2).await;
+    reading.wait_for_hosts(2).await;
+    other.wait_for_hosts(2).await;
     let copy = catalog.snapshot();
     catalog.publish(table(2));
-    until(|| generation(&other) == Generation(2)).await;
+    wait_until(|| generation(&other) == Generation(2)).await;
     way.set_unreachable(true);
     catalog.restore(copy);
     catalog.publish(table(3));
-    until(|| generation(&other) == Generation(3)).await;
+    wait_until(|| generation(&other) == Generation(3)).await;
     until_returned(&other).await;
 }
--- a/tests/gateway_versions.rs
+++ b/tests/gateway_versions.rs
@@ -16,9 +16,9 @@
 use gateway_world::catalog::FakeCatalog;
 use gateway_world::request;
 use gateway_world::table;
-use gateway_world::until;
-use gateway_world::upstream::Act;
-use gateway_world::upstream::Upstream;
+use gateway_world::upstream::ScriptStep;
+use gateway_world::upstream::ScriptedUpstream;
+use gateway_world::wait_until;
 use indexmap::IndexMap;
 use prost::Message;
 use tokio::net::TcpListener;
@@ -110,8 +110,8 @@
 async fn a_host_reads_through_a_neighbour_of_the_former_version() {
     let catalog = FakeCatalog::new(table(1));
     let (own, read) = (
-        Upstream::start([Act::Answer(200, "own")]).await,
-        Upstream::start([Act::Answer(200, "read")]).await,
+        ScriptedUpstream::start([ScriptStep::Answer(200, "own")]).await,
+        ScriptedUpstream::start([ScriptStep::Answer(200, "read")]).await,
     );
     catalog.list("a", "app", own.addr);
     let host = TestHost::start("b-newer", &catalog).await;
@@ -125,7 +125,7 @@
     tokio::spawn(serve_reads(listener, read.addr));
     tokio::spawn(tell_that_it_lives(Arc::clone(&host.gateway)));
     catalog.announce(former).await.unwrap();
-    until(|| host.gateway.beliefs.is_listed(&"b".parse().unwrap())).await;
+    wait_until(|| host.gateway.beliefs.is_listed(&"b".parse().unwrap())).await;
     let res = host.call(request("/safe/1")).await;
     assert_eq!(res.body().as_ref(), b"read");
     assert_eq!(read.arrivals()[0].header("test-upstream"), Some("b"));
--- a/tests/gateway_world/mod.rs
+++ b/tests/gateway_world/mod.rs
@@ -145,14 +145,14 @@
             serving,
         };
         if has_routes {
-            until(|| host.gateway.is_ready()).await;
+            wait_until(|| host.gateway.is_ready()).await;
         }
         host
     }
 
     /// Waits until the host has so many hosts on its list.
-    pub async fn until_hosts(&self, count: usize) {
-        until(|| self.gateway.beliefs.hosts().len() == count).await;
+    pub async fn wait_for_hosts(&self, count: usize) {
+        wait_until(|| self.gateway.beliefs.hosts().len() == count).await;
     }
 
     /// Sends a request and reads the whole answer.
@@ -177,7 +177,7 @@
 }
 
 /// Waits until something is true.
-pub async fn until(mut is_true: impl FnMut() -> bool) {
+pub async fn wait_until(mut is_true: impl FnMut() -> bool) {
     let waiting = async {
         while !is_true() {
             tokio::time::sleep(Duration::from_millis(5)).await;
--- a/tests/gateway_world/upstream.rs
+++ b/tests/gateway_world/upstream.rs
@@ -13,7 +13,7 @@
 
 /// What to do with one request.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum ScriptStep {
     /// Answer with this status and body, signed.
     Answer(u16, &'static str),
     /// The same with status 200, after a while.
@@ -56,7 +56,7 @@
 
 #[derive(Default)]
 struct State {
-    acts: VecDeque<Act>,
+    acts: VecDeque<ScriptStep>,
     arrivals: Vec<Arrival>,
     left_early: usize,
     /// What it says of its limit in its answers.
@@ -65,13 +65,13 @@
 
 /// An upstream on a port of its own. After the last act it repeats it.
 #[derive(Clone)]
-pub struct Upstream {
+pub struct ScriptedUpstream {
     pub addr: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
-impl Upstream {
-    pub async fn start(acts: impl IntoIterator<Item = Act>) -> Self {
+impl ScriptedUpstream {
+    pub async fn start(acts: impl IntoIterator<Item = ScriptStep>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let state = State {
             acts: acts.into_iter().collect(),
@@ -101,7 +101,7 @@
     }
 
     /// Names a limit in the answers from now on, or none.
-    pub fn name_limit(&self, limit: Option<&'static str>) {
+    pub fn set_limit(&self, limit: Option<&'static str>) {
         self.state.lock().unwrap().limit = limit;
     }
 
@@ -121,7 +121,7 @@
         self.act(&mut stream, &arrival, act).await;
     }
 
-    async fn act(&self, stream: &mut TcpStream, arrival: &Arrival, act: Act) {
+    async fn act(&self, stream: &mut TcpStream, arrival: &Arrival, act: ScriptStep) {
         let request = arrival.header("test-request").unwrap_or_default();
         let limit = self.state.lock().unwrap().limit;
         let limit = limit.map_or_else(String::new, |limit| format!("test-limit: {limit}\r\n"));
@@ -139,22 +139,24 @@
             format!("HTTP/1.1 200 OK\r\n{signed}content-type: text/event-stream\r\n\r\n{events}")
         };
         let text = match &act {
-            Act::Answer(status, body) => whole(*status, &signed, body),
-            Act::AnswerAfter(after, body) => {
+            ScriptStep::Answer(status, body) => whole(*status, &signed, body),
+            ScriptStep::AnswerAfter(after, body) => {
                 tokio::time::sleep(*after).await;
                 whole(200, &signed, body)
             }
-            Act::Unsigned(status, body) => {
+            ScriptStep::Unsigned(status, body) => {
                 whole(*status, &format!("test-request: {request}\r\n"), body)
             }
-            Act::Crossed => whole(200, "test-request: other\r\ntest-signature: s\r\n", "other"),
-            Act::TurnAway => whole(503, "test-not-run: 1\r\n", ""),
-            Act::CutShort => {
+            ScriptStep::Crossed => {
+                whole(200, "test-request: other\r\ntest-signature: s\r\n", "other")
+            }
+            ScriptStep::TurnAway => whole(503, "test-not-run: 1\r\n", ""),
+            ScriptStep::CutShort => {
                 format!("HTTP/1.1 200 OK\r\n{signed}content-length: 100\r\n\r\nnot all of it")
             }
-            Act::Break | Act::Hang => String::new(),
-            Act::Events(to) | Act::EventsThenHang(to) => events(*to),
-            Act::EventsThenBreak(to) => {
+            ScriptStep::Break | ScriptStep::Hang => String::new(),
+            ScriptStep::Events(to) | ScriptStep::EventsThenHang(to) => events(*to),
+            ScriptStep::EventsThenBreak(to) => {
                 let next = event(to + 1);
                 format!("{}{}", events(*to), &next[..next.len() / 2])
             }
@@ -163,8 +165,8 @@
             return;
         }
         match act {
-            Act::Hang | Act::EventsThenHang(_) => self.wait_until_left(stream).await,
-            Act::Break | Act::EventsThenBreak(_) => reset(stream),
+            ScriptStep::Hang | ScriptStep::EventsThenHang(_) => self.wait_until_left(stream).await,
+            ScriptStep::Break | ScriptStep::EventsThenBreak(_) => reset(stream),
             _ => {}
         }
     }
