--- a/src/decide/ejection.rs
+++ b/src/decide/ejection.rs
@@ -1,7 +1,8 @@
-//! Taking upstreams out that fail or are slow, and trying them again with one request at a time.
+//! Ejection of upstreams that fail or are slow, and probing of ejected ones with one request at a
+//! time.
 //!
-//! Load it answers: an upstream that is dead, or many times slower than the others, and looks idle
-//! for just that reason. Without ejection it draws new work to itself and fails it.
+//! Load condition: a dead upstream, or one that is many times slower than the others, looks idle.
+//! Without ejection the load balancing sends new work to it, and this work fails.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,43 +13,45 @@
 use crate::decide::Ended;
 use crate::decide::UpstreamSeen;
 
-/// Failures in a row. One may be the request's fault and two a coincidence.
-const FAILURES_MAX: u32 = 3;
-/// Refusals in a row that count as a failure: an engine that is full says so and is well.
+/// Consecutive failures that eject an upstream. A single failure may be caused by the request, and
+/// two may be a coincidence.
+const CONSECUTIVE_FAILURES_MAX: u32 = 3;
+/// Consecutive refusals that count as one failure. A healthy engine refuses requests while it is
+/// full.
 const REFUSALS_PER_FAILURE: u32 = 10;
 const PAUSE_FIRST: Duration = Duration::from_secs(2);
 const PAUSE_MAX: Duration = Duration::from_secs(60);
-/// Probes that must succeed, one after the other.
-const PROBES_WANTED: u32 = 2;
-/// How long a probe may take before another is tried.
-const PROBE_MAX: Duration = Duration::from_secs(30);
+/// Consecutive probes that must succeed before an upstream is reinstated.
+const PROBE_SUCCESSES_REQUIRED: u32 = 2;
+/// Time after which an unfinished probe no longer blocks the next one.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What an upstream may get.
+/// Which requests an upstream may receive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Access {
-    /// Work as usual.
+    /// All requests.
     Full,
-    /// One short request, to see.
+    /// One short request as a probe.
     Probe,
-    /// Nothing.
+    /// No requests.
     Denied,
 }
 
-/// The state of one upstream.
+/// The ejection state of one upstream.
 #[derive(Clone, Debug, Default)]
 pub struct Ejection {
     state: State,
     failures: u32,
     refusals: u32,
-    /// Ejections without a success in between.
-    rounds: u32,
+    /// Consecutive ejections with no reinstatement in between.
+    consecutive_ejections: u32,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 enum State {
     #[default]
-    In,
-    Out {
+    Active,
+    Ejected {
         until: Instant,
     },
     Probing {
@@ -57,19 +60,19 @@
     },
 }
 
-/// What follows from the end of an attempt.
+/// The consequence of the end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionAction {
-    /// Nothing changes.
+    /// The state of the upstream does not change.
     NoChange,
-    /// It should be taken out, if not too many are out already.
+    /// The upstream should be ejected unless too many upstreams are ejected already.
     Eject,
-    /// Its probes have succeeded: it is back and begins with little work.
+    /// All required probes have succeeded. The upstream is active again and warms up.
     Reinstate,
 }
 
 impl Ejection {
-    /// What an upstream may get now; nothing when it is leaving.
+    /// Which requests the upstream may receive at `now`: none while it is leaving.
     pub fn access_of(&self, seen: &UpstreamSeen, now: Instant) -> Access {
         if seen.is_live() {
             self.access(now)
@@ -78,15 +81,15 @@
         }
     }
 
-    /// What it may get now.
+    /// Which requests the upstream may receive at `now`, whether or not it is leaving.
     pub fn access(&self, now: Instant) -> Access {
         match self.state {
-            State::In => Access::Full,
-            State::Out { until } if now < until => Access::Denied,
-            State::Out { .. } => Access::Probe,
+            State::Active => Access::Full,
+            State::Ejected { until } if now < until => Access::Denied,
+            State::Ejected { .. } => Access::Probe,
             State::Probing { sent_at, .. } => {
-                let is_open = |at| now.saturating_duration_since(at) < PROBE_MAX;
-                if sent_at.is_some_and(is_open) {
+                let is_pending = |at| now.saturating_duration_since(at) < PROBE_TIMEOUT;
+                if sent_at.is_some_and(is_pending) {
                     Access::Denied
                 } else {
                     Access::Probe
@@ -95,24 +98,24 @@
         }
     }
 
-    /// Whether it is out or on probe.
+    /// Whether the upstream is ejected or being probed.
     pub fn is_ejected(&self) -> bool {
-        self.state != State::In
+        self.state != State::Active
     }
 
-    /// When it may be probed, if it is out.
+    /// When an ejected upstream may be probed; none if the upstream is active or being probed.
     pub fn probe_at(&self) -> Option<Instant> {
         match self.state {
-            State::Out { until } => Some(until),
-            State::In | State::Probing { .. } => None,
+            State::Ejected { until } => Some(until),
+            State::Active | State::Probing { .. } => None,
         }
     }
 
-    /// Takes in a grant.
+    /// Records that a request was granted to the upstream. On an ejected upstream this is a probe.
     pub fn on_grant(&mut self, now: Instant) {
         let succeeded = match self.state {
-            State::In => return,
-            State::Out { .. } => 0,
+            State::Active => return,
+            State::Ejected { .. } => 0,
             State::Probing { succeeded, .. } => succeeded,
         };
         self.state = State::Probing {
@@ -121,7 +124,7 @@
         };
     }
 
-    /// Takes in the end of an attempt.
+    /// Records the end of an attempt on the upstream.
     pub fn on_end(&mut self, ended: Ended) -> EjectionAction {
         match ended {
             Ended::Completed => self.on_success(),
@@ -131,14 +134,15 @@
         }
     }
 
-    /// Takes it out for a pause that doubles each time.
+    /// Ejects the upstream. The pause doubles with each consecutive ejection, up to [`PAUSE_MAX`],
+    /// and is jittered by a quarter.
     pub fn eject(&mut self, now: Instant, rng: &mut StdRng) {
         let pause = PAUSE_FIRST
-            .saturating_mul(1 << self.rounds.min(8))
+            .saturating_mul(1 << self.consecutive_ejections.min(8))
             .min(PAUSE_MAX);
-        self.rounds += 1;
+        self.consecutive_ejections += 1;
         self.failures = 0;
-        self.state = State::Out {
+        self.state = State::Ejected {
             until: now + pause.mul_f64(rng.random_range(0.75..1.25)),
         };
     }
@@ -149,23 +153,23 @@
         let State::Probing { succeeded, .. } = self.state else {
             return EjectionAction::NoChange;
         };
-        if succeeded + 1 < PROBES_WANTED {
+        if succeeded + 1 < PROBE_SUCCESSES_REQUIRED {
             self.state = State::Probing {
                 succeeded: succeeded + 1,
                 sent_at: None,
             };
             return EjectionAction::NoChange;
         }
-        self.state = State::In;
-        self.rounds = 0;
+        self.state = State::Active;
+        self.consecutive_ejections = 0;
         EjectionAction::Reinstate
     }
 
     fn on_failure(&mut self) -> EjectionAction {
         self.failures += 1;
         let is_probe = matches!(self.state, State::Probing { .. });
-        let is_in = self.state == State::In;
-        if is_probe || (is_in && self.failures >= FAILURES_MAX) {
+        let is_active = self.state == State::Active;
+        if is_probe || (is_active && self.failures >= CONSECUTIVE_FAILURES_MAX) {
             EjectionAction::Eject
         } else {
             EjectionAction::NoChange
--- a/src/decide/health_tracker.rs
+++ b/src/decide/health_tracker.rs
@@ -1,12 +1,13 @@
-//! Which upstreams are left alone for a while after they failed.
+//! Reachability and failure rates of upstreams, and when unreachable ones are probed.
 //!
-//! Load it answers: an upstream that has died stays on the platform's list for seconds, and one
-//! behind a cut does not even refuse connections. Without this every request would try it first and
-//! lose its time there.
+//! Load condition: a dead upstream stays on the platform's list for seconds, and one behind a
+//! network partition does not even refuse connections. Without this state every request would try
+//! that upstream first and lose time.
 //!
-//! What could not be reached is tried again by a connection of the host's own, not by a caller's
-//! request, and hosts of one failure domain tell each other: of a fleet of sixty each one would else
-//! find it out at the cost of a few callers, and again after every pause.
+//! The host probes an unreachable upstream with a connection of its own and not with a caller's
+//! request. Hosts of one failure domain report unreachable upstreams to each other. Otherwise each
+//! host of a fleet of sixty would detect the failure at the cost of a few calls, and again after
+//! every pause.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,55 +17,60 @@
 use crate::units::FailureDomainId;
 use crate::units::UpstreamId;
 
-/// The first pause after a failed connection; a process that restarts takes longer than this.
+/// The first pause after a failed connection. A process takes longer than this to restart.
 const PAUSE_BASE: Duration = Duration::from_millis(500);
-/// The longest pause, about three heartbeats of an upstream, after which it is off the list.
+/// The longest pause: about three heartbeats of an upstream, after which an upstream without
+/// heartbeats is off the list.
 const PAUSE_MAX: Duration = Duration::from_secs(4);
-/// After a connection broke in the middle: long enough that requests which broke together do not all
-/// come back to the same upstream, short because the next connection will tell.
+/// The pause after a connection broke during a request. It keeps requests that broke together from
+/// returning to the same upstream together, and is short because the next connection shows whether
+/// the upstream is up.
 const PAUSE_BROKEN: Duration = Duration::from_millis(400);
-/// After an upstream turned a request away, which says that it is full or about to leave.
-const PAUSE_TURNED_AWAY: Duration = Duration::from_millis(150);
-/// Upstreams of one failure domain that must time out, with no answer from the domain in between,
-/// before the whole domain is taken as cut off. One alone may have died.
-const DOMAIN_TIMEOUTS: u32 = 2;
-/// How long a domain is left alone before it is tried again.
-const DOMAIN_PAUSE: Duration = Duration::from_millis(600);
-/// An upstream or a domain that answered this host this lately is reachable from here, whatever
-/// others say.
-const ANSWER_COUNTS_FOR: Duration = Duration::from_millis(500);
-/// How long a host tells others of what it could not reach: several messages.
-const TOLD_FOR: Duration = Duration::from_millis(600);
-/// The weight of the newest answer in the share of failed answers: about the last ten count.
-const FAILED_PART_GAIN: f64 = 0.1;
-/// An upstream that fails more than this part of its requests gets only what others have no room
-/// for. Plain services of the users fail up to a seventh when they are sound.
-const FAILED_PART_MAX: f64 = 0.35;
-
-/// What went wrong at an upstream.
+/// The pause after an upstream refused a request, which means that the upstream is full or about to
+/// leave.
+const PAUSE_REFUSED: Duration = Duration::from_millis(150);
+/// Connection timeouts in one failure domain, with no response from the domain in between, after
+/// which the whole domain counts as partitioned. A single upstream may have died.
+const DOMAIN_TIMEOUT_THRESHOLD: u32 = 2;
+/// The time between two probes of a partitioned failure domain.
+const DOMAIN_PROBE_INTERVAL: Duration = Duration::from_millis(600);
+/// For this long after a response, reports of other hosts that an upstream or a domain is
+/// unreachable are ignored.
+const RESPONSE_VALID_FOR: Duration = Duration::from_millis(500);
+/// How long a host reports an unreachable upstream or domain to others: the length of several
+/// broadcast intervals.
+const REPORTED_FOR: Duration = Duration::from_millis(600);
+/// The weight of the newest response in the moving average of the failure rate: about the last ten
+/// responses count.
+const FAILURE_RATE_GAIN: f64 = 0.1;
+/// Failure rate above which an upstream is used only when the others are full. Healthy plain
+/// services of the users fail up to one seventh of their requests.
+const FAILURE_RATE_MAX: f64 = 0.35;
+
+/// A fault of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamFault {
-    /// No connection came about in time.
+    /// The connection was not established in time.
     ConnectTimeout,
     /// The connection was refused.
     ConnectRefused,
-    /// The connection broke while a request was there.
+    /// The connection broke during a request.
     Broken,
-    /// Nothing came for far longer than the work takes.
+    /// The upstream sent nothing for far longer than the work takes.
     Silent,
-    /// It refused the request as not run.
+    /// The upstream refused the request without running it.
     TurnedAway,
-    /// It answered with a failure of its own.
+    /// The upstream responded with an error of its own.
     Failed,
 }
 
 impl UpstreamFault {
-    /// Whether no connection came about.
+    /// Whether the connection could not be established.
     pub fn is_unreachable(self) -> bool {
         matches!(self, Self::ConnectTimeout | Self::ConnectRefused)
     }
 
-    /// The fault as one word for logs and metrics.
+    /// The name of the fault in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::ConnectTimeout => "connect_timeout",
@@ -77,23 +83,25 @@
     }
 }
 
-/// What is known of one upstream.
+/// The health of one upstream.
 #[derive(Clone, Debug)]
-struct Record {
+struct UpstreamRecord {
     domain: FailureDomainId,
     failures: u32,
     paused_until: Option<Instant>,
-    /// Whether no connection came about; it gets no requests until one does.
+    /// Whether the last connection could not be established. The upstream receives no requests
+    /// until a connection succeeds.
     is_unreachable: bool,
-    /// When this host itself could not reach it.
+    /// When this host itself last failed to connect; none if it only knows from other hosts.
     failed_at: Option<Instant>,
-    answered_at: Option<Instant>,
-    /// When it was last out of reach or broke a connection off; kept when it is reached again.
+    responded_at: Option<Instant>,
+    /// When the upstream was last unreachable or broke a connection. Kept after it is reached
+    /// again.
     lost_at: Option<Instant>,
-    failed_part: f64,
+    failure_rate: f64,
 }
 
-impl Record {
+impl UpstreamRecord {
     fn new(domain: &FailureDomainId) -> Self {
         Self {
             domain: domain.clone(),
@@ -101,9 +109,9 @@
             paused_until: None,
             is_unreachable: false,
             failed_at: None,
-            answered_at: None,
+            responded_at: None,
             lost_at: None,
-            failed_part: 0.0,
+            failure_rate: 0.0,
         }
     }
 
@@ -123,26 +131,26 @@
     }
 }
 
-/// What is known of the way to one failure domain.
+/// The reachability of one failure domain.
 #[derive(Clone, Copy, Debug, Default)]
-struct Way {
-    /// Timeouts with no answer from there in between.
+struct DomainRecord {
+    /// Connection timeouts since the last response from the domain.
     timeouts: u32,
     last_timeout_at: Option<Instant>,
-    /// The last of them that this host itself has seen.
+    /// When a connection of this host itself last timed out.
     failed_at: Option<Instant>,
-    answered_at: Option<Instant>,
+    responded_at: Option<Instant>,
 }
 
-impl Way {
-    fn is_cut_off(&self) -> bool {
-        self.timeouts >= DOMAIN_TIMEOUTS
+impl DomainRecord {
+    fn is_partitioned(&self) -> bool {
+        self.timeouts >= DOMAIN_TIMEOUT_THRESHOLD
     }
 
-    /// When it is tried again.
-    fn tried_at(&self) -> Option<Instant> {
-        let last = self.last_timeout_at.filter(|_| self.is_cut_off())?;
-        Some(last + DOMAIN_PAUSE)
+    /// When a partitioned domain is to be probed; none if the domain is not partitioned.
+    fn probe_at(&self) -> Option<Instant> {
+        let last = self.last_timeout_at.filter(|_| self.is_partitioned())?;
+        Some(last + DOMAIN_PROBE_INTERVAL)
     }
 }
 
@@ -150,15 +158,16 @@
     at.is_some_and(|at| now.saturating_duration_since(at) < within)
 }
 
-/// What this host has seen of upstreams' faults, and heard of its neighbours.
+/// The health of upstreams and failure domains, from this host's own connections and from the
+/// reports of hosts in its failure domain.
 #[derive(Debug, Default)]
 pub struct HealthTracker {
-    upstreams: IndexMap<UpstreamId, Record>,
-    ways: IndexMap<FailureDomainId, Way>,
+    upstreams: IndexMap<UpstreamId, UpstreamRecord>,
+    domains: IndexMap<FailureDomainId, DomainRecord>,
 }
 
 impl HealthTracker {
-    /// Takes in a fault.
+    /// Records a fault of an upstream.
     pub fn on_fault(
         &mut self,
         upstream: &UpstreamId,
@@ -167,7 +176,7 @@
         now: Instant,
     ) {
         let record = self.record(upstream, domain);
-        record.failed_part += (1.0 - record.failed_part) * FAILED_PART_GAIN;
+        record.failure_rate += (1.0 - record.failure_rate) * FAILURE_RATE_GAIN;
         let pause = match fault {
             UpstreamFault::ConnectTimeout
             | UpstreamFault::ConnectRefused
@@ -177,7 +186,7 @@
                 pause.min(PAUSE_MAX)
             }
             UpstreamFault::Broken => PAUSE_BROKEN,
-            UpstreamFault::TurnedAway => PAUSE_TURNED_AWAY,
+            UpstreamFault::TurnedAway => PAUSE_REFUSED,
             UpstreamFault::Failed => Duration::ZERO,
         };
         record.pause(pause, now);
@@ -189,33 +198,34 @@
             record.failed_at = Some(now);
         }
         if fault == UpstreamFault::ConnectTimeout {
-            let way = self.ways.entry(domain.clone()).or_default();
-            way.timeouts += 1;
-            way.last_timeout_at = Some(now);
-            way.failed_at = Some(now);
+            let domain_record = self.domains.entry(domain.clone()).or_default();
+            domain_record.timeouts += 1;
+            domain_record.last_timeout_at = Some(now);
+            domain_record.failed_at = Some(now);
         }
     }
 
-    /// Takes in that an upstream answered.
+    /// Records that an upstream responded.
     pub fn on_answer(&mut self, upstream: &UpstreamId, domain: &FailureDomainId, now: Instant) {
         let record = self.record(upstream, domain);
         record.on_reached();
-        record.answered_at = Some(now);
-        record.failed_part -= record.failed_part * FAILED_PART_GAIN;
-        self.reached(domain, now);
+        record.responded_at = Some(now);
+        record.failure_rate -= record.failure_rate * FAILURE_RATE_GAIN;
+        self.on_domain_reached(domain, now);
     }
 
-    /// Takes in that a connection to an upstream came about.
+    /// Records that a connection to an upstream was established.
     pub fn on_connected(&mut self, upstream: &UpstreamId, now: Instant) {
         let Some(record) = self.upstreams.get_mut(upstream) else {
             return;
         };
         record.on_reached();
         let domain = record.domain.clone();
-        self.reached(&domain, now);
+        self.on_domain_reached(&domain, now);
     }
 
-    /// Takes in that a host of this failure domain could not reach an upstream.
+    /// Records the report of a host of the same failure domain that an upstream is unreachable. The
+    /// report is ignored if the upstream has responded to this host recently.
     pub fn on_unreachable_report(
         &mut self,
         upstream: &UpstreamId,
@@ -223,7 +233,7 @@
         now: Instant,
     ) {
         let record = self.record(upstream, domain);
-        if is_within(record.answered_at, ANSWER_COUNTS_FOR, now) || record.is_unreachable {
+        if is_within(record.responded_at, RESPONSE_VALID_FOR, now) || record.is_unreachable {
             return;
         }
         record.is_unreachable = true;
@@ -231,59 +241,66 @@
         record.pause(PAUSE_BASE, now);
     }
 
-    /// When an upstream was last out of reach, or broke a connection off, as far as this host knows.
+    /// When the upstream was last unreachable or broke a connection, as far as this host knows.
     pub fn lost_at(&self, upstream: &UpstreamId) -> Option<Instant> {
         self.upstreams.get(upstream)?.lost_at
     }
 
-    /// Takes in that a host of this failure domain takes another domain for cut off.
+    /// Records the report of a host of the same failure domain that another domain is partitioned.
+    /// The report is ignored if the domain has responded to this host recently.
     pub fn on_partition_report(&mut self, domain: &FailureDomainId, now: Instant) {
-        let way = self.ways.entry(domain.clone()).or_default();
-        if is_within(way.answered_at, ANSWER_COUNTS_FOR, now) || way.is_cut_off() {
+        let domain_record = self.domains.entry(domain.clone()).or_default();
+        if is_within(domain_record.responded_at, RESPONSE_VALID_FOR, now)
+            || domain_record.is_partitioned()
+        {
             return;
         }
-        way.timeouts = DOMAIN_TIMEOUTS;
-        way.last_timeout_at = Some(now);
+        domain_record.timeouts = DOMAIN_TIMEOUT_THRESHOLD;
+        domain_record.last_timeout_at = Some(now);
     }
 
-    /// The upstreams that this host itself could not reach lately, to be told to its neighbours.
+    /// The upstreams that this host itself recently failed to connect to, for reports to other
+    /// hosts.
     pub fn unreachable_upstreams(&self, now: Instant) -> impl Iterator<Item = &UpstreamId> {
-        let told = self.upstreams.iter().filter(move |(_, record)| {
-            record.is_unreachable && is_within(record.failed_at, TOLD_FOR, now)
+        let reported = self.upstreams.iter().filter(move |(_, record)| {
+            record.is_unreachable && is_within(record.failed_at, REPORTED_FOR, now)
         });
-        told.map(|(id, _)| id)
+        reported.map(|(id, _)| id)
     }
 
-    /// The failure domains that this host itself takes for cut off, to be told to its neighbours.
+    /// The failure domains that this host itself recently found partitioned, for reports to other
+    /// hosts.
     pub fn partitioned_domains(&self, now: Instant) -> impl Iterator<Item = &FailureDomainId> {
-        let told = self
-            .ways
-            .iter()
-            .filter(move |(_, way)| way.is_cut_off() && is_within(way.failed_at, TOLD_FOR, now));
-        told.map(|(domain, _)| domain)
+        let reported = self.domains.iter().filter(move |(_, domain_record)| {
+            domain_record.is_partitioned() && is_within(domain_record.failed_at, REPORTED_FOR, now)
+        });
+        reported.map(|(domain, _)| domain)
     }
 
-    /// The upstreams to which a connection is to be tried now; each is named once until the result
-    /// is in.
+    /// The upstreams to probe now. Each is returned once per pause.
     pub fn take_due_probes(&mut self, now: Instant) -> Vec<UpstreamId> {
-        let ways = &mut self.ways;
+        let domains = &mut self.domains;
         let mut due: Vec<UpstreamId> = Vec::new();
-        for (domain, way) in ways.iter_mut() {
-            if way.tried_at().is_some_and(|at| at <= now) {
-                way.last_timeout_at = Some(now);
-                // One upstream stands for the whole domain: another one each time, as it may itself
-                // be dead.
+        for (domain, domain_record) in domains.iter_mut() {
+            if domain_record.probe_at().is_some_and(|at| at <= now) {
+                domain_record.last_timeout_at = Some(now);
+                // One upstream is probed for the whole domain, a different one each time, since a
+                // single upstream may be dead.
                 let of_domain = self.upstreams.iter();
                 let of_domain = of_domain.filter(|(_, record)| record.domain == *domain);
-                let longest_ago = of_domain.min_by_key(|(_, record)| record.paused_until);
-                due.extend(longest_ago.map(|(id, _)| id.clone()));
+                let least_recent = of_domain.min_by_key(|(_, record)| record.paused_until);
+                due.extend(least_recent.map(|(id, _)| id.clone()));
             }
         }
-        let is_cut_off = |record: &Record| ways.get(&record.domain).is_some_and(Way::is_cut_off);
-        let alone = self.upstreams.iter().filter(|(_, record)| {
-            record.is_unreachable && !record.is_paused(now) && !is_cut_off(record)
+        let is_partitioned = |record: &UpstreamRecord| {
+            domains
+                .get(&record.domain)
+                .is_some_and(DomainRecord::is_partitioned)
+        };
+        let single = self.upstreams.iter().filter(|(_, record)| {
+            record.is_unreachable && !record.is_paused(now) && !is_partitioned(record)
         });
-        due.extend(alone.map(|(id, _)| id.clone()));
+        due.extend(single.map(|(id, _)| id.clone()));
         for id in &due {
             if let Some(record) = self.upstreams.get_mut(id) {
                 record.pause(PAUSE_BASE, now);
@@ -292,47 +309,52 @@
         due
     }
 
-    /// When the next connection is to be tried.
+    /// When the next probe is due; none if all upstreams are reachable.
     pub fn next_probe_at(&self) -> Option<Instant> {
-        let ways = self.ways.values().filter_map(Way::tried_at);
+        let domains = self.domains.values().filter_map(DomainRecord::probe_at);
         let upstreams = self.upstreams.values().filter(|record| {
-            let way = self.ways.get(&record.domain);
-            record.is_unreachable && !way.is_some_and(Way::is_cut_off)
+            let domain_record = self.domains.get(&record.domain);
+            record.is_unreachable && !domain_record.is_some_and(DomainRecord::is_partitioned)
         });
-        ways.chain(upstreams.filter_map(|record| record.paused_until))
+        domains
+            .chain(upstreams.filter_map(|record| record.paused_until))
             .min()
     }
 
-    /// Whether it may get requests now.
+    /// Whether the upstream may receive requests at `now`.
     pub fn is_usable(&self, upstream: &UpstreamId, domain: &FailureDomainId, now: Instant) -> bool {
         let record = self.upstreams.get(upstream);
-        let is_left_alone = record.is_some_and(|r| r.is_unreachable || r.is_paused(now));
-        let is_cut_off = self.ways.get(domain).is_some_and(Way::is_cut_off);
-        !is_left_alone && !is_cut_off
+        let is_suspended = record.is_some_and(|r| r.is_unreachable || r.is_paused(now));
+        let is_partitioned = self
+            .domains
+            .get(domain)
+            .is_some_and(DomainRecord::is_partitioned);
+        !is_suspended && !is_partitioned
     }
 
-    /// Whether it fails so many requests that others come first.
+    /// Whether the upstream's failure rate is so high that other upstreams are preferred.
     pub fn is_failing(&self, upstream: &UpstreamId) -> bool {
         let record = self.upstreams.get(upstream);
-        record.is_some_and(|record| record.failed_part > FAILED_PART_MAX)
+        record.is_some_and(|record| record.failure_rate > FAILURE_RATE_MAX)
     }
 
-    /// Forgets upstreams that are off the list, and domains without any left.
+    /// Drops the state of upstreams that are off the list, and of failure domains with no upstream
+    /// left.
     pub fn retain(&mut self, is_listed: impl Fn(&UpstreamId) -> bool) {
         self.upstreams.retain(|id, _| is_listed(id));
         let upstreams = &self.upstreams;
-        self.ways
+        self.domains
             .retain(|domain, _| upstreams.values().any(|record| record.domain == *domain));
     }
 
-    fn reached(&mut self, domain: &FailureDomainId, now: Instant) {
-        let way = self.ways.entry(domain.clone()).or_default();
-        way.timeouts = 0;
-        way.answered_at = Some(now);
+    fn on_domain_reached(&mut self, domain: &FailureDomainId, now: Instant) {
+        let domain_record = self.domains.entry(domain.clone()).or_default();
+        domain_record.timeouts = 0;
+        domain_record.responded_at = Some(now);
     }
 
-    fn record(&mut self, upstream: &UpstreamId, domain: &FailureDomainId) -> &mut Record {
-        let new = || Record::new(domain);
+    fn record(&mut self, upstream: &UpstreamId, domain: &FailureDomainId) -> &mut UpstreamRecord {
+        let new = || UpstreamRecord::new(domain);
         self.upstreams.entry(upstream.clone()).or_insert_with(new)
     }
 }
--- a/src/decide/poison.rs
+++ b/src/decide/poison.rs
@@ -1,7 +1,7 @@
-//! Requests that crash each upstream that runs them are recognised and refused.
+//! Detection and refusal of requests that crash every upstream that runs them.
 //!
-//! Load it answers: a caller, or a retry, sends such a request again and again. Without the list it
-//! takes down one engine after another, with all else that runs there.
+//! Load condition: a caller, or a retry, sends such a request again and again. Without this list it
+//! crashes one engine after another, together with all other requests that run there.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,28 +12,29 @@
 use crate::decide::RequestFingerprint;
 use crate::units::AttemptId;
 
-/// One crash may be the upstream's own; a second one of another attempt elsewhere is held against
-/// the request. Two is the least that tells these apart.
+/// Crashes after which a request is refused. One crash may be the upstream's own fault, and a
+/// second crash, of another attempt elsewhere, points to the request. Two is the minimum that
+/// distinguishes the two cases.
 const CRASHES_MAX: usize = 2;
-/// Marks kept in memory, about 100 bytes each.
-const MARKS_MAX: usize = 8_192;
-/// Marks dropped at once when the list is full.
-const DROPPED_AT_ONCE: usize = 1_024;
-/// How long after its last crash a fingerprint is kept: longer than callers go on sending again, short
-/// enough that a repaired engine gets the request again the same day.
-const KEPT_FOR: Duration = Duration::from_secs(3_600);
-
-/// What one host knows of requests that crash upstreams.
+/// Fingerprints kept in memory, about 100 bytes each.
+const FINGERPRINTS_MAX: usize = 8_192;
+/// Fingerprints dropped together when the list is full.
+const DROP_BATCH: usize = 1_024;
+/// How long after its last crash a fingerprint is kept: longer than callers go on retrying, and
+/// short enough that a repaired engine receives the request again the same day.
+const RETENTION: Duration = Duration::from_secs(3_600);
+
+/// The requests that crash upstreams, as far as one host knows.
 #[derive(Debug)]
 pub struct PoisonList {
     fingerprints: IndexMap<RequestFingerprint, Crashes>,
     crashes_max: usize,
-    kept_for: Duration,
+    retention: Duration,
 }
 
 impl Default for PoisonList {
     fn default() -> Self {
-        Self::with_bounds(CRASHES_MAX, KEPT_FOR)
+        Self::with_bounds(CRASHES_MAX, RETENTION)
     }
 }
 
@@ -49,34 +50,34 @@
         Self::default()
     }
 
-    /// An empty list that refuses a request from its `crashes_max`th crash on, until `kept_for` has
-    /// passed after the last one.
-    pub fn with_bounds(crashes_max: usize, kept_for: Duration) -> Self {
+    /// An empty list that refuses a request from its `crashes_max`th crash on, until `retention` has
+    /// passed since the last crash.
+    pub fn with_bounds(crashes_max: usize, retention: Duration) -> Self {
         Self {
             fingerprints: IndexMap::new(),
             crashes_max,
-            kept_for,
+            retention,
         }
     }
 
-    /// Takes in that the upstream of an attempt crashed while it ran. Returns what to tell the other
-    /// hosts, empty if they need not hear of it again.
+    /// Records that the upstream of an attempt crashed while the attempt ran. Returns the reports
+    /// to send to other hosts; empty if they have the crash already.
     pub fn on_crash(
         &mut self,
         fingerprints: &[RequestFingerprint],
         attempt: AttemptId,
         now: Instant,
     ) -> Vec<PoisonReport> {
-        let news = fingerprints.iter().map(|fingerprint| PoisonReport {
+        let reports = fingerprints.iter().map(|fingerprint| PoisonReport {
             fingerprint: *fingerprint,
             attempts: vec![attempt],
         });
-        news.filter(|poison| self.merge(poison, now)).collect()
+        reports.filter(|poison| self.merge(poison, now)).collect()
     }
 
-    /// Takes in what another host tells. Returns whether it was new.
+    /// Merges a report of another host. Returns whether the report contained anything new.
     pub fn merge(&mut self, poison: &PoisonReport, now: Instant) -> bool {
-        self.make_room(poison.fingerprint, now);
+        self.evict_if_full(poison.fingerprint, now);
         let crashes = self
             .fingerprints
             .entry(poison.fingerprint)
@@ -100,28 +101,28 @@
         fingerprints.iter().any(|fingerprint| {
             let crashes = self.fingerprints.get(fingerprint);
             crashes.is_some_and(|c| {
-                c.attempts.len() >= self.crashes_max && !c.is_old(self.kept_for, now)
+                c.attempts.len() >= self.crashes_max && !c.is_expired(self.retention, now)
             })
         })
     }
 
-    /// Takes in that a request was served to its end, which one that crashes upstreams never is.
-    /// Requests that ran beside such a one when it crashed their upstream are cleared this way.
+    /// Removes a request that was served to its end, which a request that crashes upstreams never
+    /// is. This clears requests that ran beside a crashing one on the same upstream.
     pub fn clear(&mut self, fingerprint: RequestFingerprint) {
         self.fingerprints.swap_remove(&fingerprint);
     }
 
-    /// Whether nothing is known.
+    /// Whether the list is empty.
     pub fn is_empty(&self) -> bool {
         self.fingerprints.is_empty()
     }
 
-    /// All that is known, for a host that has just started.
+    /// All current reports, for a host that has just started.
     pub fn all(&self, now: Instant) -> Vec<PoisonReport> {
         let kept = self
             .fingerprints
             .iter()
-            .filter(|(_, c)| !c.is_old(self.kept_for, now));
+            .filter(|(_, c)| !c.is_expired(self.retention, now));
         kept.map(|(fingerprint, crashes)| PoisonReport {
             fingerprint: *fingerprint,
             attempts: crashes.attempts.clone(),
@@ -129,25 +130,27 @@
         .collect()
     }
 
-    /// Drops fingerprints from the front, where the oldest stand, when the list is full: many at once, since
-    /// each time the others move up.
-    fn make_room(&mut self, fingerprint: RequestFingerprint, now: Instant) {
-        if self.fingerprints.len() < MARKS_MAX || self.fingerprints.contains_key(&fingerprint) {
+    /// Drops the oldest fingerprints, which are at the front, when the list is full. Many are
+    /// dropped together because each removal from the front shifts the rest.
+    fn evict_if_full(&mut self, fingerprint: RequestFingerprint, now: Instant) {
+        if self.fingerprints.len() < FINGERPRINTS_MAX
+            || self.fingerprints.contains_key(&fingerprint)
+        {
             return;
         }
-        let kept_for = self.kept_for;
+        let retention = self.retention;
         self.fingerprints
-            .retain(|_, crashes| !crashes.is_old(kept_for, now));
+            .retain(|_, crashes| !crashes.is_expired(retention, now));
         let surplus = self
             .fingerprints
             .len()
-            .saturating_sub(MARKS_MAX - DROPPED_AT_ONCE);
+            .saturating_sub(FINGERPRINTS_MAX - DROP_BATCH);
         self.fingerprints.drain(..surplus);
     }
 }
 
 impl Crashes {
-    fn is_old(&self, kept_for: Duration, now: Instant) -> bool {
-        now.saturating_duration_since(self.last_at) > kept_for
+    fn is_expired(&self, retention: Duration, now: Instant) -> bool {
+        now.saturating_duration_since(self.last_at) > retention
     }
 }
--- a/src/decide/poison_report.rs
+++ b/src/decide/poison_report.rs
@@ -1,16 +1,16 @@
-//! Requests that crash upstreams, as hosts tell each other of them.
+//! Reports about requests that crash upstreams, which hosts send to each other.
 
 use crate::units::AttemptId;
 use crate::units::ContentHash;
 use crate::units::CustomerId;
 use crate::units::IdempotencyKey;
 
-/// What a request is recognised by when it is sent again.
+/// Identifies a request when it is sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RequestFingerprint {
-    /// The hash of its body.
+    /// The hash of the body.
     Content(ContentHash),
-    /// The hash of its customer and idempotency key.
+    /// The hash of the customer and the idempotency key.
     Key(ContentHash),
 }
 
@@ -27,12 +27,12 @@
     }
 }
 
-/// Crashes that one request caused, each by a distinct attempt. Hosts send it to each other; taking
-/// one in twice, or in another order, changes nothing.
+/// The crashes that one request caused, each by a distinct attempt. Merging a report is idempotent
+/// and commutative.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoisonReport {
-    /// The request.
+    /// The fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// The attempts whose upstream crashed.
+    /// The attempts during which the upstream crashed.
     pub attempts: Vec<AttemptId>,
 }
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,8 +1,8 @@
-//! Retries: which failed attempts are made again, when, and how many in all.
+//! Retries: which failed attempts are retried, when, and how many in total.
 //!
-//! Load it answers: upstreams fail or refuse, and each failure asks for another attempt. Without a
-//! budget an outage multiplies the load on what is left by the number of attempts, and the outage
-//! outlasts its cause.
+//! Load condition: upstreams fail or refuse, and each failure asks for another attempt. Without a
+//! budget an outage multiplies the load on the remaining upstreams by the number of attempts, and
+//! the overload outlasts the outage.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,24 +15,25 @@
 use crate::decide::GiveUpReason;
 use crate::decide::RetryDecision;
 
-/// A request's attempts in all: the second finds another upstream, the third covers a second
-/// failure; more only delay the truth.
+/// Attempts of one request in total. The second finds another upstream, and the third covers a
+/// second failure. More attempts only delay the error response.
 const ATTEMPTS_MAX: u32 = 3;
-/// Retries add at most this part to a service's traffic in the long run.
-const RETRY_PART: f64 = 0.2;
-/// Retries that may be made at once, so that the loss of one upstream with its batch is covered.
-const SAVED_MAX: f64 = 32.0;
-/// Retries a second that are always allowed, for services with little traffic.
-const SAVED_PER_SECOND: f64 = 0.5;
+/// Upper bound on retries as a fraction of a service's first attempts in the long run.
+const RETRY_RATIO: f64 = 0.2;
+/// Retries that may be made at once. Covers the loss of one upstream together with its batch.
+const TOKENS_MAX: f64 = 32.0;
+/// Retries per second that are always allowed, for services with little traffic.
+const TOKENS_PER_SECOND: f64 = 0.5;
 const BACKOFF_BASE: Duration = Duration::from_millis(20);
 const BACKOFF_MAX: Duration = Duration::from_secs(2);
-/// Below this much time an attempt only wastes the upstream's work.
-const REMAINING_MIN: Duration = Duration::from_millis(100);
+/// Minimum time before the deadline for another attempt. A shorter attempt would only waste the
+/// work of the upstream.
+const TIME_LEFT_MIN: Duration = Duration::from_millis(100);
 
-/// One host's budget of retries for one service or model.
+/// One host's retry budget for one service or model, a token bucket.
 #[derive(Debug)]
 pub struct RetryBudget {
-    saved: f64,
+    tokens: f64,
     refilled_at: Instant,
     rng: StdRng,
 }
@@ -41,36 +42,38 @@
     /// A full budget.
     pub fn new(seed: u64, now: Instant) -> Self {
         Self {
-            saved: SAVED_MAX,
+            tokens: TOKENS_MAX,
             refilled_at: now,
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// Takes in that a request was dispatched for the first time, which earns a part of a retry.
+    /// Records the first attempt of a request, which adds [`RETRY_RATIO`] of a retry to the budget.
     pub fn on_first_attempt(&mut self) {
-        self.save(RETRY_PART);
+        self.add_tokens(RETRY_RATIO);
     }
 
-    /// What to do after a failed attempt. [`RetryDecision::Retry`] has been paid for.
+    /// Decides whether a failed attempt is retried. A [`RetryDecision::Retry`] has been taken from
+    /// the budget.
     pub fn decide(&mut self, failed: &FailedAttempt, now: Instant) -> RetryDecision {
         self.refill(now);
-        if let Some(stop) = stop_by_promise(failed) {
-            return RetryDecision::GiveUp(stop);
+        if let Some(reason) = give_up_reason(failed) {
+            return RetryDecision::GiveUp(reason);
         }
         let after = self.backoff(failed);
-        if now + after + REMAINING_MIN > failed.deadline {
+        if now + after + TIME_LEFT_MIN > failed.deadline {
             return RetryDecision::GiveUp(GiveUpReason::Deadline);
         }
-        if self.saved < 1.0 {
+        if self.tokens < 1.0 {
             return RetryDecision::GiveUp(GiveUpReason::Budget);
         }
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         RetryDecision::Retry { after }
     }
 
-    /// A pause between half of an exponentially growing bound and all of it, so that requests that
-    /// failed together do not come back together; never less than the upstream asked for.
+    /// The pause before a retry: jittered between half of an exponentially growing bound and the
+    /// whole, so that requests that failed together do not return together, and never shorter than
+    /// the upstream asked for.
     fn backoff(&mut self, failed: &FailedAttempt) -> Duration {
         let exponent = failed.attempts.saturating_sub(1).min(16);
         let bound = BACKOFF_BASE.saturating_mul(1 << exponent).min(BACKOFF_MAX);
@@ -81,15 +84,15 @@
     fn refill(&mut self, now: Instant) {
         let elapsed = now.saturating_duration_since(self.refilled_at);
         self.refilled_at = now;
-        self.save(elapsed.as_secs_f64() * SAVED_PER_SECOND);
+        self.add_tokens(elapsed.as_secs_f64() * TOKENS_PER_SECOND);
     }
 
-    fn save(&mut self, retries: f64) {
-        self.saved = (self.saved + retries).min(SAVED_MAX);
+    fn add_tokens(&mut self, tokens: f64) {
+        self.tokens = (self.tokens + tokens).min(TOKENS_MAX);
     }
 }
 
-fn stop_by_promise(failed: &FailedAttempt) -> Option<GiveUpReason> {
+fn give_up_reason(failed: &FailedAttempt) -> Option<GiveUpReason> {
     if failed.response_started {
         return Some(GiveUpReason::ResponseStarted);
     }
--- a/src/decide/retry_decision.rs
+++ b/src/decide/retry_decision.rs
@@ -1,56 +1,57 @@
-//! What comes of a failed attempt.
+//! Failed attempts and the decision whether to retry them.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::decide::RefuseReason;
 
-/// A failed attempt, as the entry host that made it knows it.
+/// A failed attempt as seen by the entry host that made it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedAttempt {
-    /// How many attempts the request has had, this one included.
+    /// Attempts of the request so far, including this one.
     pub attempts: u32,
-    /// Whether it is certain that the upstream did not run it.
+    /// Whether the upstream certainly did not run the request.
     pub did_not_run: bool,
-    /// Whether the request may run twice.
+    /// Whether the request may run more than once.
     pub is_repeatable: bool,
-    /// Whether a part of the answer has reached the caller already.
+    /// Whether a part of the response has already reached the caller.
     pub response_started: bool,
-    /// When the upstream wants to be asked again, if it said so.
+    /// The pause that the upstream asked for, if any.
     pub retry_after: Option<Duration>,
-    /// When the request must have ended.
+    /// The deadline of the request.
     pub deadline: Instant,
 }
 
-/// What to do after a failed attempt.
+/// Whether a failed attempt is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Ask for another grant after a pause, with the upstream that failed in [`crate::decide::Work::avoid`].
+    /// Request another grant after a pause, with the failed upstream in
+    /// [`crate::decide::Work::avoid`].
     Retry {
-        /// The pause, jittered.
+        /// The jittered pause.
         after: Duration,
     },
-    /// Tell the caller.
+    /// Return an error to the caller.
     GiveUp(GiveUpReason),
 }
 
-/// Why there is no further attempt.
+/// Why a failed attempt is not retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUpReason {
-    /// It may have run and must not run twice.
+    /// The request may have run and must not run twice.
     NotRepeatable,
-    /// The caller has seen a part of the answer, which another attempt would not continue.
+    /// The caller has received a part of the response, which another attempt would not continue.
     ResponseStarted,
-    /// It has had its number of attempts.
+    /// The request has used all its attempts.
     Attempts,
-    /// The time that remains is too short.
+    /// Too little time remains before the deadline.
     Deadline,
-    /// Too much of the service's traffic is retries already.
+    /// The retry budget of the service is used up.
     Budget,
 }
 
 impl GiveUpReason {
-    /// The reason to tell a caller whose request provably did not run.
+    /// The reason to return to a caller whose request certainly did not run.
     pub fn refuse_reason(self) -> RefuseReason {
         match self {
             Self::Deadline => RefuseReason::Deadline,
--- a/src/decide/warm_up.rs
+++ b/src/decide/warm_up.rs
@@ -1,19 +1,20 @@
-//! Steps by which an upstream that joins or comes back gets its full work.
+//! Slow start: the steps by which a new or reinstated upstream receives its full load.
 //!
-//! Load it answers: a cold upstream beside loaded ones. It looks the emptiest, so without the steps
-//! all that waits goes there at once, before its cache is filled and before it is seen to work.
+//! Load condition: a cold upstream beside loaded ones looks the emptiest. Without these steps the
+//! whole queue is sent there at once, before its cache is filled and before it is known to work.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// The part of its slots in each step.
+/// The fraction of the slots available in each step.
 const STEPS: [f64; 4] = [0.125, 0.25, 0.5, 1.0];
-/// Successes that a step takes.
+/// Successful attempts that complete a step.
 const SUCCESSES_PER_STEP: u32 = 4;
-/// A step also ends after this long without failure, so that little traffic warms it as well.
-const STEP_MAX: Duration = Duration::from_secs(10);
+/// Time without a failure after which a step also completes, so that an upstream with little
+/// traffic warms up too.
+const STEP_DURATION_MAX: Duration = Duration::from_secs(10);
 
-/// How warm an upstream is.
+/// The warm-up state of one upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUp {
     step: usize,
@@ -22,7 +23,7 @@
 }
 
 impl WarmUp {
-    /// In full work.
+    /// The state of an upstream that has completed its warm-up.
     pub fn warm(now: Instant) -> Self {
         Self {
             step: STEPS.len() - 1,
@@ -31,7 +32,7 @@
         }
     }
 
-    /// At the first step.
+    /// The state of an upstream at its first step.
     pub fn cold(now: Instant) -> Self {
         Self {
             step: 0,
@@ -40,20 +41,20 @@
         }
     }
 
-    /// How many attempts it may have at once.
+    /// The number of concurrent attempts allowed at `now`, out of `slots`.
     #[allow(clippy::cast_possible_truncation, reason = "at most the slots")]
     #[allow(clippy::cast_sign_loss, reason = "never negative")]
     pub fn slots(&self, slots: u32, now: Instant) -> u32 {
-        let part = STEPS[self.step_at(now)];
-        ((f64::from(slots) * part).ceil() as u32).max(1)
+        let fraction = STEPS[self.step_at(now)];
+        ((f64::from(slots) * fraction).ceil() as u32).max(1)
     }
 
-    /// Whether long prefill may go there: in the second half of the steps.
+    /// Whether the upstream may run long prefill, which is allowed in the second half of the steps.
     pub fn accepts_long_prefill(&self, now: Instant) -> bool {
         self.step_at(now) * 2 >= STEPS.len()
     }
 
-    /// Takes in a completed attempt.
+    /// Records a completed attempt.
     pub fn on_success(&mut self, now: Instant) {
         self.step = self.step_at(now);
         self.successes += 1;
@@ -64,10 +65,10 @@
         }
     }
 
-    /// The step by successes, or by time where that is further.
+    /// The current step, by successes or by elapsed time, whichever is further.
     fn step_at(&self, now: Instant) -> usize {
         let elapsed = now.saturating_duration_since(self.since);
-        let by_time = elapsed.as_secs() / STEP_MAX.as_secs();
+        let by_time = elapsed.as_secs() / STEP_DURATION_MAX.as_secs();
         let steps = usize::try_from(by_time).unwrap_or(STEPS.len());
         self.step.saturating_add(steps).min(STEPS.len() - 1)
     }
--- a/src/gateway/conf.rs
+++ b/src/gateway/conf.rs
@@ -1,4 +1,4 @@
-//! What a gateway is told by its settings.
+//! The configuration of a gateway.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,28 +8,29 @@
 use crate::units::HostId;
 use crate::units::Millicores;
 
-/// One host's settings, checked.
+/// The validated configuration of one host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewayConf {
-    /// This host's name.
+    /// The name of this host.
     pub host: HostId,
-    /// Its failure domain.
+    /// The failure domain of this host.
     pub domain: FailureDomainId,
-    /// Where callers connect.
+    /// The address for callers.
     pub callers_addr: SocketAddr,
-    /// Where the balancer asks whether this host may get connections.
+    /// The address of the readiness page for the balancer.
     pub ready_addr: SocketAddr,
-    /// Where hosts exchange news.
+    /// The address on which hosts exchange messages.
     pub exchange_addr: SocketAddr,
-    /// Where metrics are served.
+    /// The address of the metrics page.
     pub metrics_addr: SocketAddr,
-    /// How long a key may go on being used after it was taken back; none where keys are never
-    /// taken back.
+    /// How long a key may still be accepted after it was revoked; none where keys are never
+    /// revoked.
     pub key_lease: Option<Duration>,
-    /// What this host may use of its processors; of the hosts of a domain the strongest collects news.
+    /// The processor capacity that this host may use. Among the hosts of a failure domain the one
+    /// with the largest capacity collects messages.
     pub processors: Millicores,
-    /// The bound on retries of all hosts.
+    /// The bound on retries for all hosts together.
     pub retry_bound: RetryBound,
-    /// How long after the request to stop the process is killed.
+    /// The grace period: the time from the stop request until the process is killed.
     pub stop_grace: Duration,
 }
--- a/src/gateway/decision_log.rs
+++ b/src/gateway/decision_log.rs
@@ -1,4 +1,4 @@
-//! Writes the lines of decisions without ever holding up a request.
+//! The decision log, which is written without blocking requests.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -17,12 +17,13 @@
 use crate::units::HostId;
 use crate::units::whole_millis;
 
-/// Lines that wait to be written, about 300 bytes each. A second of a host under its heaviest load.
+/// The capacity of the buffer in lines, about 300 bytes each. Holds one second of output of a host
+/// under its heaviest load.
 const PENDING_MAX: usize = 2_048;
-/// Of these, capacity that only lines of failures may take.
+/// The part of the capacity that is reserved for lines of failures.
 const RESERVED_FOR_FAILURES: usize = 512;
-/// Lines are gathered for this long and written together: each write and each time the writer
-/// wakes up costs processor time.
+/// How long lines are collected before they are written together. Each write, and each wake-up of
+/// the writer, costs processor time.
 const BATCH_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(Serialize)]
@@ -61,7 +62,7 @@
     }
 }
 
-/// The decision log of a host.
+/// The decision log of one host.
 pub struct DecisionLog {
     clock: Arc<dyn Clock>,
     shared: Arc<Shared>,
@@ -69,7 +70,7 @@
 }
 
 impl DecisionLog {
-    /// A log whose lines a thread of its own writes to `out`.
+    /// Creates a log with a thread of its own that writes the lines to `out`.
     pub fn new(host: HostId, clock: Arc<dyn Clock>, out: Box<dyn Write + Send>) -> Self {
         let shared = Arc::new(Shared {
             host,
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Notes an event. If too many wait, it is dropped and counted.
+    /// Records an event. If the buffer is full, the event is dropped and counted.
     pub fn record(&self, event: DecisionEvent) {
         let wall = self.clock.wall().duration_since(UNIX_EPOCH);
         let wall_ms = whole_millis(wall.unwrap_or_default());
@@ -108,12 +109,12 @@
         }
     }
 
-    /// How many lines were dropped since the start.
+    /// The number of lines dropped since the start.
     pub fn dropped_total(&self) -> u64 {
         self.shared.lock().dropped_total
     }
 
-    /// Writes what waits and ends the writer.
+    /// Writes all buffered lines and ends the writer thread.
     pub fn close(&self) {
         self.shared.lock().is_closed = true;
         self.shared.arrived.notify_one();
@@ -125,7 +126,7 @@
         if let Some(writer) = writer
             && writer.join().is_err()
         {
-            log::error!("decision log: the writer broke down");
+            log::error!("decision log: the writer thread panicked");
         }
     }
 }
@@ -155,8 +156,8 @@
         }
         let written = out.write_all(&text).and_then(|()| out.flush());
         if let Err(err) = written {
-            // Standard output is gone: there is nobody left to read, and nothing else to tell it to.
-            log::error!("decision log: cannot write, ends: {err}");
+            // The output is closed, so this error goes to the process log, and the writer ends.
+            log::error!("decision log: cannot write, the writer stops: {err}");
             return;
         }
         if is_closed {
@@ -189,7 +190,7 @@
         Ok(()) => text.push(b'\n'),
         Err(err) => {
             text.truncate(len);
-            log::error!("decision log: a line can't be written as JSON: {err}");
+            log::error!("decision log: cannot serialize a line as JSON: {err}");
         }
     }
 }
--- a/src/gateway/event_splitter.rs
+++ b/src/gateway/event_splitter.rs
@@ -1,13 +1,14 @@
-//! Cuts a stream into whole events without changing a byte.
+//! Splits a stream into complete events without changing a byte.
 //!
-//! An upstream can break off in the middle of an event. If that half had been passed on, the event
-//! could not be sent again by the upstream that goes on: the caller would get it one and a half
-//! times. So only whole events are passed on, and the id of the last one is known.
+//! An upstream can break off in the middle of an event. If the first half had been forwarded, the
+//! upstream that resumes the stream would send the whole event again, and the caller would receive
+//! its first half twice. Only complete events are therefore forwarded, and the id of the last one
+//! is recorded.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// What has come of a stream and was not passed on yet.
+/// A buffer of the bytes received from a stream and not forwarded yet.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
@@ -16,7 +17,7 @@
 }
 
 impl EventSplitter {
-    /// Takes in bytes and returns the whole events that are there now, if any.
+    /// Adds bytes and returns the complete events available now, if any.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.pending.extend_from_slice(bytes);
         let end = self.last_event_end()?;
@@ -28,23 +29,24 @@
         Some(events)
     }
 
-    /// Whether a part of an event is waiting for its rest.
+    /// Whether the buffer holds an incomplete event.
     pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Forgets a part of an event whose rest will not come.
+    /// Discards an incomplete event, the rest of which will not arrive.
     pub fn discard_partial_event(&mut self) {
         self.pending.clear();
         self.scanned = 0;
     }
 
-    /// The id of the last event that was passed on.
+    /// The id of the last event returned by [`Self::push`].
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Where the last whole event ends: after an empty line. Lines end with LF or CR LF.
+    /// The end of the last complete event, which an empty line terminates. Lines end with LF or CR
+    /// LF.
     fn last_event_end(&mut self) -> Option<usize> {
         let from = self.scanned.saturating_sub(3);
         let tail = &self.pending[from..];
@@ -65,7 +67,7 @@
     }
 }
 
-/// The id of the last event that has one.
+/// The id of the last event that has an id.
 fn last_id(events: &[u8]) -> Option<String> {
     let lines = events.rsplit(|byte| *byte == b'\n');
     let mut ids = lines.filter_map(|line| {
--- a/src/gateway/header_codec.rs
+++ b/src/gateway/header_codec.rs
@@ -1,5 +1,5 @@
-//! The headers of callers and upstreams, as an interface. The adapter of a platform knows their
-//! names; here they are typed.
+//! The interface to the headers of callers and upstreams. The adapter of a platform knows the names
+//! of the headers; here their values are typed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,82 +12,84 @@
 use crate::units::Tokens;
 use crate::units::UpstreamName;
 
-/// What a caller's head says beyond method, path and host.
+/// What a caller's request head contains besides method, path and host.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestHead {
-    /// The caller's id of this attempt; empty if it gave none.
+    /// The caller's id of this attempt; empty if none was given.
     pub request: String,
-    /// How long it will wait.
+    /// How long the caller will wait.
     pub deadline: Option<Duration>,
-    /// Its secret key.
+    /// The secret key of the customer.
     pub key: Option<String>,
-    /// The length of its prompt.
+    /// The length of the prompt.
     pub prompt: Tokens,
-    /// The longest answer.
+    /// The maximum length of the response.
     pub output: Tokens,
-    /// The last event that it has of an earlier answer.
+    /// The id of the last event of an earlier response that the caller has received.
     pub last_event: Option<String>,
 }
 
-/// One send of a call to an upstream.
+/// What the head of a call forwarded to an upstream contains besides the caller's headers.
 #[derive(Clone, Debug)]
 pub struct ForwardHead<'a> {
-    /// The upstream that is meant: another one at its address has to refuse.
+    /// The intended upstream. A different upstream at its address must refuse the call.
     pub upstream: &'a UpstreamName,
-    /// What is left of the caller's time.
+    /// The time left until the caller's deadline.
     pub time_left: Duration,
-    /// Whose request it is.
+    /// The customer of the request; none on public routes.
     pub customer: Option<&'a CustomerId>,
-    /// The engines that read parts of the prompt.
+    /// The engines that prefill parts of the prompt.
     pub helpers: &'a [HelperAddr],
-    /// The last event that the caller has, if the stream is to go on after it.
+    /// The id of the last event that the caller has received, if the stream is to be resumed after
+    /// it.
     pub last_event: Option<&'a str>,
 }
 
-/// An engine that reads a part of a prompt.
+/// An engine that prefills a part of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HelperAddr {
-    /// Its address.
+    /// The address of the engine.
     pub addr: SocketAddr,
-    /// The reservation of its memory that keeps the part; without one the first engine keeps it.
+    /// The name of the memory reservation that holds the part. Without one the leader holds the
+    /// part.
     pub reservation: Option<String>,
 }
 
-/// What an upstream's head says.
+/// What an upstream's response head contains.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResponseHead {
-    /// Whether it carries the upstream's signature. Without it, it is not an answer to be passed on
-    /// as a success.
+    /// Whether the response carries the upstream's signature. A response without it must not be
+    /// forwarded as a success.
     pub is_signed: bool,
-    /// Whether it says that the request did not run and will not.
+    /// Whether the response states that the request did not run and will not run.
     pub did_not_run: bool,
-    /// Whether it belongs to the request that was sent.
+    /// Whether the response belongs to the request that was sent.
     pub is_for_request: bool,
-    /// The upstream that the refusal is about, if it is another than the one that was asked.
+    /// The upstream that the refusal is about, if this is not the one the call was sent to.
     pub at_fault: Option<SocketAddr>,
-    /// What it says of the requests a second that the upstream takes.
+    /// The limit on requests per second that the upstream advertises.
     pub limit: LimitSaid,
 }
 
-/// Why a caller's head can't be understood.
+/// A header of a caller that cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidHeader {
-    /// The header.
+    /// The name of the header.
     pub header: &'static str,
-    /// What is wrong with it.
+    /// What is wrong with the value.
     pub problem: String,
 }
 
-/// Reads and writes the headers of one platform.
+/// Parses and writes the headers of one platform.
 pub trait HeaderCodec: Send + Sync {
-    /// Reads a caller's head.
+    /// Parses a caller's request head.
     fn read_request_head(&self, headers: &HeaderMap) -> Result<RequestHead, InvalidHeader>;
 
-    /// The head of a send: the caller's headers, without those that belong to one connection or
-    /// that only this system may set.
+    /// Builds the headers for an upstream: the caller's headers, without those that belong to one
+    /// connection or that only this system may set.
     fn send_headers(&self, caller: &HeaderMap, head: &ForwardHead<'_>) -> HeaderMap;
 
-    /// Reads an upstream's head. `request` is the id that was sent.
+    /// Parses an upstream's response head. `request` is the id that was sent.
     fn read_response_head(
         &self,
         request: &str,
@@ -95,6 +97,6 @@
         headers: &HeaderMap,
     ) -> ResponseHead;
 
-    /// Marks an answer of this host's own with the caller's id of the request.
+    /// Adds the caller's request id to a response that this host generated itself.
     fn mark_local_response(&self, request: &str, headers: &mut HeaderMap);
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,8 +1,9 @@
-//! The path of a call that is passed through untouched: from a caller's connection, by routes and
-//! customers' keys, to an upstream that is on the platform's list, and its answer back.
+//! The gateway for calls that are forwarded unchanged: from a caller's connection, through routes
+//! and customers' keys, to an upstream on the platform's list, and the response back.
 //!
-//! [`Gateway`] holds what all requests share. [`run()`] starts the tasks around it. The platform
-//! stands behind [`Catalog`] and [`HeaderCodec`]; decisions are those of [`crate::decide`].
+//! [`Gateway`] holds the state that all requests share. [`run()`] starts the tasks around it. The
+//! platform is reached through [`Catalog`] and [`HeaderCodec`]. Decisions are made by
+//! [`crate::decide`].
 
 mod beliefs;
 mod call;
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -1,4 +1,4 @@
-//! Where a call goes next, by what this host believes now.
+//! Chooses the upstreams for the next send of a call, based on the current state of this host.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -28,29 +28,31 @@
 use crate::units::Tokens;
 use crate::units::UpstreamId;
 
-/// When to come back where no upstream is left to send to; lists are read more often than this.
+/// The time after which a caller should retry when no upstream is left to try. The upstream list is
+/// read more often than this.
 pub(crate) const NO_UPSTREAM_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The longest time after which a caller is asked to come back to upstreams that have named a limit: it may have
-/// ended by then.
+/// The longest time after which a caller should retry at upstreams that advertise a limit, since
+/// the limit may have been lifted by then.
 const LIMIT_RETRY_AFTER_MAX: Duration = Duration::from_secs(4);
 
-/// Where a send goes.
+/// The upstreams of one send.
 pub(crate) struct SendPlan {
     pub(crate) upstream: Listed,
-    /// Engines that read a part and keep nothing.
+    /// Engines that prefill a part of the prompt and hold nothing of it.
     pub(crate) helpers: Vec<HelperAddr>,
-    /// Memory that engines set aside before the send, the first engine's own first.
+    /// Memory to reserve on engines before the send. The leader's own reservation is first.
     pub(crate) reserves: Vec<EngineReservation>,
-    /// What the send adds to whose load.
+    /// The load that the send adds to each upstream, the leader first.
     pub(crate) shares: Vec<(UpstreamId, LoadShare)>,
     pub(crate) forecast: Duration,
-    /// The limit that the upstream has named; none if it has named none.
+    /// The limit that the upstream advertises, if any.
     pub(crate) limit: Option<LimitSeen>,
 }
 
 impl SendPlan {
-    /// The engines that read parts beside the one that writes the answer.
+    /// The engines that prefill parts of the prompt beside the leader, which generates the
+    /// response.
     pub(crate) fn helper_ids(&self) -> impl Iterator<Item = &UpstreamId> {
         self.shares.iter().skip(1).map(|(id, _)| id)
     }
@@ -60,18 +62,18 @@
 pub(crate) enum PlacementDecision {
     Send(Box<SendPlan>),
     Wait(Duration),
-    /// Wait for an upstream's limit to allow one more request.
+    /// Wait until the limit of an upstream allows one more request.
     WaitForLimit(Duration),
     Refuse(CallRefusal),
 }
 
-/// What has become of a call so far.
+/// The previous sends of a call.
 pub(crate) struct SendHistory<'a> {
-    /// The upstreams that it was sent to.
+    /// The upstreams that the call was sent to.
     pub(crate) tried: &'a [UpstreamId],
-    /// Whether one of them may have run it.
+    /// Whether one of these upstreams may have run the call.
     pub(crate) has_run: bool,
-    /// Whether it waits for an upstream's limit already.
+    /// Whether the call is already waiting for the limit of an upstream.
     pub(crate) waits_for_limit: bool,
 }
 
@@ -97,23 +99,23 @@
         let chosen = match model {
             Some(model) => {
                 let ask = engine_ask(gateway, &routes, call, sends, now);
-                let views = views(gateway, &usable, &limits, now);
-                among_engines(call, model, &usable, &views, &ask, now)
+                let views = engine_views(gateway, &usable, &limits, now);
+                decide_among_engines(call, model, &usable, &views, &ask, now)
             }
-            None => among_instances(gateway, &usable, &limits, now),
+            None => decide_among_instances(gateway, &usable, &limits, now),
         };
-        let PlacementDecision::Send(mut placement) = chosen else {
+        let PlacementDecision::Send(mut plan) = chosen else {
             return chosen;
         };
-        if limits.admits(&placement.upstream.id) {
-            placement.limit = limits.seen(&placement.upstream.id);
-            return PlacementDecision::Send(placement);
+        if limits.admits(&plan.upstream.id) {
+            plan.limit = limits.seen(&plan.upstream.id);
+            return PlacementDecision::Send(plan);
         }
     }
 }
 
-/// All upstreams have got what they take: a call that can still be on time waits, if those that wait before it
-/// leave it the time.
+/// Handles a call while the limits of all upstreams are used up. The call waits if it can still be
+/// on time after the calls that are waiting already.
 fn wait_for_limit(
     gateway: &Gateway,
     call: &Call,
@@ -127,23 +129,23 @@
     } else {
         call.objective_left(now).min(call.time_left(now))
     };
-    let turn_in = if sends.waits_for_limit {
+    let wait = if sends.waits_for_limit {
         opens_in
     } else {
-        let before = gateway.rate_limits.waiting(&call.service);
-        opens_in.max(limits.time_for(before))
+        let waiting = gateway.rate_limits.waiting(&call.service);
+        opens_in.max(limits.time_for(waiting))
     };
-    if turn_in <= patience {
+    if wait <= patience {
         return PlacementDecision::WaitForLimit(opens_in);
     }
     PlacementDecision::Refuse(CallRefusal::Overload {
         reason: RefuseReason::RateLimited,
-        retry_after: turn_in.min(LIMIT_RETRY_AFTER_MAX),
+        retry_after: wait.min(LIMIT_RETRY_AFTER_MAX),
     })
 }
 
-/// The engines that [`decide_placement`] has for a prompt of several: those of this host's failure domain, and all.
-/// None for other calls.
+/// The candidates of [`decide_placement`] for a prompt that several engines can share: the engines
+/// in the failure domain of this host, and all engines. None for other calls.
 pub(crate) fn survey_candidates(
     gateway: &Gateway,
     call: &Call,
@@ -160,12 +162,12 @@
     }
     let usable = usable(gateway, listed, sends.tried, now);
     let limits = LimitStates::of(gateway, &usable, now);
-    let views = views(gateway, &usable, &limits, now);
+    let views = engine_views(gateway, &usable, &limits, now);
     let (near, all) = survey_engines(model, &views, &ask);
     Some((near.into(), all.into()))
 }
 
-/// The engines of a call's service; none if it is no stream, or its service has none.
+/// The engine model of the service; none if the call is no stream or the service has no engines.
 fn engine_model<'a>(routes: &'a RouteTable, call: &Call) -> Option<&'a EngineModel> {
     let service = routes.services.get(&call.service)?;
     let model = service.engine.as_ref()?;
@@ -180,8 +182,8 @@
     now: Instant,
 ) -> EngineAsk {
     let news = gateway.news_route();
-    // The caller of a stream that broke off stays for its next event, however late it is.
-    let least = if sends.has_run {
+    // The caller of an interrupted stream waits for the next event, however late.
+    let patience_min = if sends.has_run {
         call.patience()
     } else {
         Duration::ZERO
@@ -189,8 +191,8 @@
     EngineAsk {
         prompt: call.head.prompt,
         output: call.head.output,
-        objective_left: call.objective_left(now).max(least),
-        patience_left: call.patience_left(now).max(least),
+        objective_left: call.objective_left(now).max(patience_min),
+        patience_left: call.patience_left(now).max(patience_min),
         time_left: call.time_left(now),
         strictest_pause: routes.strictest_pause(&call.service),
         news_age: news.near_age,
@@ -200,8 +202,8 @@
     }
 }
 
-/// The upstreams that may get a call: not those that failed it or that are failing, unless there are
-/// no others.
+/// The upstreams that may receive a call: the untried ones that are healthy, or all untried ones if
+/// none is healthy.
 fn usable<'a>(
     gateway: &Gateway,
     listed: &'a [Listed],
@@ -210,15 +212,15 @@
 ) -> Vec<&'a Listed> {
     let untried: Vec<&Listed> = listed.iter().filter(|u| !tried.contains(&u.id)).collect();
     let health = gateway.health();
-    let sound: Vec<&Listed> = untried
+    let healthy: Vec<&Listed> = untried
         .iter()
         .copied()
         .filter(|upstream| health.is_usable(&upstream.id, &upstream.domain, now))
         .collect();
-    if sound.is_empty() { untried } else { sound }
+    if healthy.is_empty() { untried } else { healthy }
 }
 
-fn among_instances(
+fn decide_among_instances(
     gateway: &Gateway,
     usable: &[&Listed],
     limits: &LimitStates,
@@ -261,7 +263,7 @@
     }))
 }
 
-fn among_engines(
+fn decide_among_engines(
     call: &Call,
     model: &EngineModel,
     usable: &[&Listed],
@@ -270,7 +272,7 @@
     now: Instant,
 ) -> PlacementDecision {
     match choose_engines(model, views, ask) {
-        EngineChoice::Send(plan) => place(call, model, ask, &plan, usable, now),
+        EngineChoice::Send(plan) => engine_send_plan(call, model, ask, &plan, usable, now),
         EngineChoice::Wait(wait) => PlacementDecision::Wait(wait),
         EngineChoice::Refuse {
             reason,
@@ -282,8 +284,8 @@
     }
 }
 
-/// The engines as this host sees them now.
-fn views(
+/// The current state of the engines as this host knows it.
+fn engine_views(
     gateway: &Gateway,
     usable: &[&Listed],
     limits: &LimitStates,
@@ -302,7 +304,7 @@
     views.collect()
 }
 
-fn place(
+fn engine_send_plan(
     call: &Call,
     model: &EngineModel,
     ask: &EngineAsk,
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -1,4 +1,4 @@
-//! The limits that upstreams name, as this host knows them.
+//! The rate limits that upstreams advertise, as this host knows them.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -25,24 +25,24 @@
 use crate::units::UpstreamId;
 use crate::units::whole_millis;
 
-/// Between two log lines on malformed limits of one upstream.
+/// The time between two log lines about malformed limits of one upstream.
 const MALFORMED_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What a message of another host takes beside the interval at which hosts send.
+/// The transit time of a broadcast, in addition to the interval between broadcasts.
 const BROADCAST_LATENCY: Duration = Duration::from_millis(10);
 
-/// The limits that upstreams name.
+/// The rate limits that upstreams advertise, and the calls that wait for them.
 #[derive(Debug)]
 pub(crate) struct RateLimits {
     book: Mutex<RateLimitBook>,
-    /// When a malformed limit was logged last.
+    /// When a malformed limit of an upstream was last logged.
     malformed_logged_at: Mutex<IndexMap<UpstreamId, Instant>>,
-    /// Calls of each service that wait for a limit to allow one more.
+    /// The number of calls of each service that wait for a limit to allow one more request.
     waiting: Mutex<IndexMap<ServiceId, u32>>,
 }
 
 impl RateLimits {
-    /// No limits, on a host that starts now.
+    /// The state of a host that starts at `now` and knows no limits.
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             book: Mutex::new(RateLimitBook::new(now)),
@@ -55,7 +55,7 @@
         self.book.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in that this host sends a request to these upstreams.
+    /// Records that this host sends a request to these upstreams.
     pub(crate) fn on_sent<'a>(
         &self,
         upstreams: impl Iterator<Item = &'a UpstreamId>,
@@ -67,13 +67,13 @@
         }
     }
 
-    /// Whether one of these upstreams has a limit.
+    /// Whether any of these upstreams has a limit.
     pub(crate) fn has_any_limit(&self, upstreams: &[&Listed]) -> bool {
         let book = self.book();
         upstreams.iter().any(|u| book.limit(&u.id).is_some())
     }
 
-    /// Calls of a service that wait on this host for a limit.
+    /// The number of calls of a service that wait on this host for a limit.
     pub(crate) fn waiting(&self, service: &ServiceId) -> u32 {
         self.lock_waiting().get(service).copied().unwrap_or(0)
     }
@@ -92,14 +92,14 @@
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Forgets upstreams that are off the list.
+    /// Drops the state of upstreams that are off the list.
     pub(crate) fn retain(&self, is_listed: impl Fn(&UpstreamId) -> bool) {
         self.book().keep(&is_listed);
         self.malformed_logged()
             .retain(|upstream, _| is_listed(upstream));
     }
 
-    /// Whether a malformed limit is to be logged now.
+    /// Whether a malformed limit of the upstream is to be logged now.
     fn should_log_malformed(&self, upstream: &UpstreamId, now: Instant) -> bool {
         let mut logged = self.malformed_logged();
         let is_due = logged
@@ -118,7 +118,7 @@
 }
 
 impl Gateway {
-    /// Takes in what an upstream's answer says of its limit. What can't be read changes nothing.
+    /// Records the limit that an upstream's response advertises. A malformed limit changes nothing.
     pub(crate) fn on_response_limit(&self, upstream: &UpstreamId, said: &LimitSaid) {
         let limit = match said {
             LimitSaid::Nothing => return,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Takes in what another host, or a collector, tells of an upstream's limit.
+    /// Records the limit of an upstream as reported by another host or a collector.
     pub(crate) fn on_limit_report(
         &self,
         source: &LoadSource,
@@ -154,7 +154,8 @@
         }
     }
 
-    /// Logs another limit than before, and tells the others at once what was sent there.
+    /// Logs a changed limit, and broadcasts at once how many requests this host has sent to the
+    /// upstream.
     fn on_limit_change(
         &self,
         upstream: &UpstreamId,
@@ -171,16 +172,20 @@
         self.broadcast_now.notify_one();
     }
 
-    /// How many of the listed hosts this one hears, by their own word or by that of their domain's collector.
+    /// How many of the listed hosts are heard by this one, directly or through the collector of
+    /// their failure domain.
     pub(crate) fn hosts_heard(&self, now: Instant) -> HostsHeard {
         let hosts = self.beliefs.hosts();
         let ledger = self.ledger();
-        let speaks = |listed: &&ListedHost| ledger.speaks_for_domain(&listed.host, now);
-        let spoken_for = hosts.iter().filter(speaks).map(|listed| &listed.domain);
-        let spoken_for: IndexSet<&FailureDomainId> = spoken_for.collect();
+        let has_collector = |listed: &&ListedHost| ledger.speaks_for_domain(&listed.host, now);
+        let collected_domains = hosts
+            .iter()
+            .filter(has_collector)
+            .map(|listed| &listed.domain);
+        let collected_domains: IndexSet<&FailureDomainId> = collected_domains.collect();
         let is_heard = |listed: &&ListedHost| {
             listed.host == self.conf.host
-                || spoken_for.contains(&listed.domain)
+                || collected_domains.contains(&listed.domain)
                 || ledger.is_heard(&listed.host, now)
         };
         HostsHeard {
@@ -189,7 +194,7 @@
         }
     }
 
-    /// How long it takes until hosts hear of each other's sends.
+    /// The time until this host's sends are known to the other hosts.
     pub(crate) fn send_visibility_delay(&self) -> Duration {
         let route = self.news_route();
         route.near_age.max(route.far_age) + BROADCAST_LATENCY
--- a/src/gateway/reservation.rs
+++ b/src/gateway/reservation.rs
@@ -1,8 +1,8 @@
-//! Memory of several engines for one prompt, from the order to its end.
+//! Memory reservations on several engines for one prompt, from the order to its release.
 //!
-//! An engine frees what was set aside when the time of the order has passed, not when the request
-//! ends. So a reservation is short and is renewed while the request lasts: if this host dies, the
-//! engines have their memory back within [`RESERVATION_TTL`].
+//! An engine frees reserved memory when the reservation expires and not when the request ends. A
+//! reservation is therefore short and is renewed during the request: if this host dies, the engines
+//! have their memory back within [`RESERVATION_TTL`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,17 +21,17 @@
 use crate::units::Tokens;
 use crate::units::UpstreamId;
 
-/// How long an engine keeps memory after the last order. Engines' memory must not stay unused for
-/// 4 s after a request's end.
+/// How long an engine keeps the memory after the last order. Engine memory must not stay unused for
+/// 4 s after the end of a request.
 const RESERVATION_TTL: Duration = Duration::from_millis(3_400);
-/// Between two orders that renew it: two may be lost before the memory is.
+/// The time between two renewals. Two renewals may be lost before the reservation expires.
 const RENEW_INTERVAL: Duration = Duration::from_millis(1_100);
-/// Orders that give memory back, in all; beyond it the memory lapses.
+/// Release orders sent in total. If all fail, the reservation expires.
 const RELEASE_ATTEMPTS_MAX: u32 = 3;
-/// Between two of them.
+/// The pause between two release orders.
 const RELEASE_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// One engine's part.
+/// The reservation on one engine.
 #[derive(Clone, Debug)]
 pub(crate) struct EngineReservation {
     pub(crate) id: UpstreamId,
@@ -59,52 +59,56 @@
     }
 }
 
-/// Memory that is set aside until this is dropped.
+/// The reservations on all engines of one prompt, released on drop.
 pub(crate) struct ReservationGuard {
     gateway: Arc<Gateway>,
-    parts: Vec<EngineReservation>,
+    reservations: Vec<EngineReservation>,
     renewal: Option<JoinHandle<()>>,
 }
 
 impl ReservationGuard {
-    /// Sets all parts aside or none; then it returns those that were refused.
+    /// Reserves memory on all engines or on none. If any engine refuses, the refused reservations
+    /// are returned.
     pub(crate) async fn acquire(
         gateway: &Arc<Gateway>,
         request: &str,
-        parts: Vec<EngineReservation>,
+        reservations: Vec<EngineReservation>,
     ) -> Result<Self, Vec<EngineReservation>> {
-        // From here on a drop gives back whatever was set aside, also where an order's answer was
-        // lost or this future is dropped in the middle.
-        let mut reservation = Self {
+        // From here on a drop releases all reservations, also when the response to an order was
+        // lost or this future is cancelled.
+        let mut guard = Self {
             gateway: Arc::clone(gateway),
-            parts,
+            reservations,
             renewal: None,
         };
-        let orders = reservation.parts.iter().map(|part| reserve(gateway, part));
-        let made = join_all(orders).await;
+        let orders = guard
+            .reservations
+            .iter()
+            .map(|reservation| reserve(gateway, reservation));
+        let results = join_all(orders).await;
         let mut refused = Vec::new();
-        for (part, made) in reservation.parts.iter().zip(made) {
-            if let Err(err) = made {
+        for (reservation, result) in guard.reservations.iter().zip(results) {
+            if let Err(err) = result {
                 gateway.log.record(DecisionEvent::ReservationRefused {
                     request: request.to_owned(),
                     error: err.to_string(),
                 });
-                refused.push(part.clone());
+                refused.push(reservation.clone());
             }
         }
         if !refused.is_empty() {
             return Err(refused);
         }
-        let renewal = renew(Arc::clone(gateway), reservation.parts.clone());
-        reservation.renewal = Some(tokio::spawn(renewal));
-        Ok(reservation)
+        let renewal = renew(Arc::clone(gateway), guard.reservations.clone());
+        guard.renewal = Some(tokio::spawn(renewal));
+        Ok(guard)
     }
 }
 
 impl ReservationGuard {
-    /// What is set aside where.
-    pub(crate) fn parts(&self) -> &[EngineReservation] {
-        &self.parts
+    /// The reservations on the single engines.
+    pub(crate) fn reservations(&self) -> &[EngineReservation] {
+        &self.reservations
     }
 }
 
@@ -113,51 +117,67 @@
         if let Some(renewal) = &self.renewal {
             renewal.abort();
         }
-        // Without a runtime the process is ending, and the memory lapses by itself.
+        // Without a runtime the process is exiting, and the reservations expire.
         if let Ok(runtime) = Handle::try_current() {
-            for part in self.parts.drain(..) {
-                runtime.spawn(release(Arc::clone(&self.gateway), part));
+            for reservation in self.reservations.drain(..) {
+                runtime.spawn(release(Arc::clone(&self.gateway), reservation));
             }
         }
     }
 }
 
-async fn reserve(gateway: &Gateway, part: &EngineReservation) -> Result<(), OrderError> {
+async fn reserve(gateway: &Gateway, reservation: &EngineReservation) -> Result<(), OrderError> {
     let orders = &gateway.orders;
     orders
-        .reserve(part.engine, &part.name, part.tokens, RESERVATION_TTL)
+        .reserve(
+            reservation.engine,
+            &reservation.name,
+            reservation.tokens,
+            RESERVATION_TTL,
+        )
         .await
 }
 
-/// Renews all parts, the leader's first and the others only if it answers. A leader that lost its
-/// power leaves its connections open, and this host goes on waiting for it: if the others' parts were
-/// renewed meanwhile, their memory would stay set aside for a request that is long over.
-async fn renew(gateway: Arc<Gateway>, parts: Vec<EngineReservation>) {
-    let Some((leader, others)) = parts.split_first() else {
+/// Renews the leader's reservation, and the others only if the leader responds. A leader that has
+/// lost power leaves its connections open, and this host goes on waiting for it. If the other
+/// reservations were renewed meanwhile, their memory would stay reserved for a request that ended
+/// long ago.
+async fn renew(gateway: Arc<Gateway>, reservations: Vec<EngineReservation>) {
+    let Some((leader, others)) = reservations.split_first() else {
         return;
     };
     loop {
         sleep(RENEW_INTERVAL).await;
         if let Err(err) = reserve(&gateway, leader).await {
-            log::warn!("reservation: the leader does not renew: {err}");
+            log::warn!("reservation: cannot renew the reservation of the leader: {err}");
             continue;
         }
-        for renewed in join_all(others.iter().map(|part| reserve(&gateway, part))).await {
+        for renewed in join_all(
+            others
+                .iter()
+                .map(|reservation| reserve(&gateway, reservation)),
+        )
+        .await
+        {
             if let Err(err) = renewed {
-                log::warn!("reservation: not renewed: {err}");
+                log::warn!("reservation: cannot renew: {err}");
             }
         }
     }
 }
 
-async fn release(gateway: Arc<Gateway>, part: EngineReservation) {
+async fn release(gateway: Arc<Gateway>, reservation: EngineReservation) {
     for _ in 0..RELEASE_ATTEMPTS_MAX {
-        match gateway.orders.release(part.engine, &part.name).await {
+        match gateway
+            .orders
+            .release(reservation.engine, &reservation.name)
+            .await
+        {
             Ok(()) => return,
-            // The engine does not know it: it has lapsed or was never made.
+            // The engine does not know the reservation, which has expired or was never made.
             Err(OrderError::Refused(_)) => return,
             Err(OrderError::NoAnswer(why)) => {
-                log::warn!("reservation: not released: {why}");
+                log::warn!("reservation: cannot release: {why}");
                 sleep(RELEASE_RETRY_INTERVAL).await;
             }
         }
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -92,16 +92,16 @@
     /// SendHistory it and waits for the head of an answer.
     pub(crate) async fn send(
         &self,
-        placement: SendPlan,
+        plan: SendPlan,
         reservation: Option<ReservationGuard>,
     ) -> SendOutcome {
         let now = self.gateway.clock.now();
-        let timeout_after = self.response_timeout(&placement, now);
-        let load = LoadGuard::new(self.gateway, placement.shares);
-        let upstream = placement.upstream;
-        let reserved = reservation.iter().flat_map(ReservationGuard::parts);
+        let timeout_after = self.response_timeout(&plan, now);
+        let load = LoadGuard::new(self.gateway, plan.shares);
+        let upstream = plan.upstream;
+        let reserved = reservation.iter().flat_map(ReservationGuard::reservations);
         let mut helpers: Vec<HelperAddr> = reserved.map(EngineReservation::helper).collect();
-        helpers.extend(placement.helpers);
+        helpers.extend(plan.helpers);
         let head = ForwardHead {
             upstream: &upstream.name,
             time_left: self.call.time_left(now),
@@ -156,7 +156,7 @@
             head,
             body,
             upstream,
-            forecast: placement.forecast,
+            forecast: plan.forecast,
             sent_at: now,
             load,
             _reservation: reservation,
@@ -175,14 +175,14 @@
     }
 
     /// How long this send may go without the head of an answer before another upstream gets it.
-    fn response_timeout(&self, placement: &SendPlan, now: Instant) -> Duration {
+    fn response_timeout(&self, plan: &SendPlan, now: Instant) -> Duration {
         let time_left = self.call.time_left(now);
         let timeout = match self.call.route.kind {
             CallKind::Idempotent if !self.is_last => {
                 (self.call.route.objective * 2).max(RESPONSE_TIMEOUT_MIN)
             }
             CallKind::Stream { is_resumable: true } if !self.is_last => {
-                first_event_timeout(self.call, placement.forecast)
+                first_event_timeout(self.call, plan.forecast)
             }
             _ => time_left,
         };
--- a/src/gateway/shutdown.rs
+++ b/src/gateway/shutdown.rs
@@ -1,39 +1,41 @@
-//! How far a host has come in stopping.
+//! The phases of a graceful shutdown.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// How long a stopping host goes on taking requests on kept and new connections: the balancer asks
-/// once a second and takes a host out after two answers, and what is on its way then still comes. A
-/// long answer to a request that was taken later would be cut off by the end of the process.
-const ACCEPT_TIME: Duration = Duration::from_millis(2_600);
-/// What is left of the grace for the process itself to end before it is killed: the last lines of the
-/// log are gathered and written, which takes up to half a second on a busy host.
+/// How long a stopping host goes on accepting requests on existing and new connections. The
+/// balancer checks readiness once a second and removes a host after two failed checks, and
+/// connections already on their way still arrive after that. The response to a long request
+/// accepted later than this would be truncated when the process ends.
+const ACCEPT_DURATION: Duration = Duration::from_millis(2_600);
+/// The part of the grace period reserved for the exit of the process before it is killed: the last
+/// lines of the log are collected and written, which takes up to half a second on a busy host.
 const EXIT_MARGIN: Duration = Duration::from_millis(800);
 
-/// What a host does with its connections; later phases are greater.
+/// The phase of a host between serving and exit, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
-    /// It serves.
+    /// The host serves requests.
     Serving,
-    /// It tells the balancer that it leaves, and closes each connection after its next answer.
+    /// The host reports itself as not ready to the balancer, and closes each connection after its
+    /// next response.
     Draining,
-    /// It closes idle connections, turns away what still comes, and waits for the requests that run.
+    /// The host closes idle connections, refuses new requests, and waits for running ones.
     Refusing,
-    /// Its time is up: it ends with whatever still runs.
+    /// The grace period is over, and the process exits even if requests are still running.
     Expired,
 }
 
 impl ShutdownPhase {
-    /// The phase of a host that was asked to stop at `asked_at` and is killed `grace` later.
-    pub fn at(asked_at: Option<Instant>, grace: Duration, now: Instant) -> Self {
-        let Some(asked_at) = asked_at else {
+    /// The phase of a host that was asked to stop at `requested_at` and is killed `grace` later.
+    pub fn at(requested_at: Option<Instant>, grace: Duration, now: Instant) -> Self {
+        let Some(requested_at) = requested_at else {
             return Self::Serving;
         };
-        let since = now.saturating_duration_since(asked_at);
-        if since >= grace.saturating_sub(EXIT_MARGIN) {
+        let elapsed = now.saturating_duration_since(requested_at);
+        if elapsed >= grace.saturating_sub(EXIT_MARGIN) {
             Self::Expired
-        } else if since >= ACCEPT_TIME.min(grace / 2) {
+        } else if elapsed >= ACCEPT_DURATION.min(grace / 2) {
             Self::Refusing
         } else {
             Self::Draining
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -1,4 +1,4 @@
-//! Passes a stream of events on, and goes on with another engine when the first one breaks off.
+//! Forwards a stream of events, and resumes it on another engine when the first one breaks off.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,12 +17,13 @@
 use crate::gateway::send::UpstreamResponse;
 use crate::gateway::send::first_event_timeout;
 
-/// How many times the longest pause that is on time a stream may stay silent before another engine
-/// goes on with it. Callers leave after eight.
+/// How long a stream may be silent before another engine resumes it, as a multiple of the longest
+/// pause that is on time. Callers give up after eight times this pause.
 const SILENCE_OBJECTIVES_MAX: u32 = 5;
-/// The same for streams without such a pause.
+/// The allowed silence of streams that have no objective for pauses.
 const SILENCE_DEFAULT: Duration = Duration::from_secs(2);
-/// A stream on its way to a caller.
+
+/// A stream that is being forwarded to a caller.
 pub(crate) struct StreamRelay {
     courier: Courier,
     current: Option<Box<UpstreamResponse>>,
@@ -33,7 +34,7 @@
     is_finished: bool,
 }
 
-/// What came next from an engine.
+/// The next input from an engine.
 enum NextChunk {
     Data(Bytes),
     End,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The next whole events; none at the end.
+    /// The next complete events; none at the end of the stream.
     pub(crate) async fn next(&mut self) -> Option<Result<Bytes, TruncatedResponse>> {
         if self.is_finished {
             return None;
@@ -119,7 +120,7 @@
         }
     }
 
-    /// How long the engine may still be silent; no limit where no other engine may go on.
+    /// How long the engine may remain silent; none where no other engine may resume the stream.
     fn silence_budget(&self, now: Instant) -> Option<Duration> {
         if !self.courier.may_run_again() {
             return None;
@@ -154,7 +155,8 @@
     /// SendHistory the call to another engine, to go on after the last event that was passed on. What came
     /// of the event after it is forgotten: the other engine sends it again from its beginning.
     async fn fail_over(&mut self, fault: UpstreamFault, why: String) -> bool {
-        // Its connection is closed first: two engines must not write the same answer.
+        // Closes the connection to the failed engine first: two engines must not write the same
+        // response.
         if let Some(failed) = self.current.take() {
             self.courier.on_lost(&failed.upstream, fault, &why);
         }
