--- a/src/gateway/courier.rs
+++ b/src/gateway/courier.rs
@@ -27,7 +27,7 @@
 use crate::units::UpstreamId;
 use crate::units::whole_millis;
 
-/// SendHistory of one call that did not run, beside those that may have. Each costs a way there and back.
+/// Sends of one call that did not run, beside those that may have. Each costs a way there and back.
 const UNRUN_SENDS_MAX: u32 = 5;
 /// After memory was refused; several intervals of hosts' news.
 const RESERVE_PAUSE: Duration = Duration::from_millis(40);
@@ -50,11 +50,11 @@
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) call: Arc<Call>,
     tried: Vec<UpstreamId>,
-    /// SendHistory that reached an upstream.
+    /// Sends that reached an upstream.
     arrivals: u32,
-    /// SendHistory that did not run.
+    /// Sends that did not run.
     unrun: u32,
-    /// SendHistory that may have run.
+    /// Sends that may have run.
     runs: u32,
     /// How often upstreams were chosen.
     choices: u32,
@@ -88,7 +88,7 @@
         self.call.route.runs_max.max(1)
     }
 
-    /// SendHistory the call until an upstream answers. `last_event` is the event after which a stream is
+    /// Sends the call until an upstream answers. `last_event` is the event after which a stream is
     /// to go on.
     pub(crate) async fn deliver(&mut self, last_event: Option<&str>) -> Delivery {
         loop {
@@ -147,7 +147,7 @@
         tokio::time::sleep(wait.min(self.call.time_left(now))).await;
     }
 
-    /// SendHistory once and says what is final; nothing if it is to be sent again.
+    /// Sends once and says what is final; nothing if it is to be sent again.
     async fn send_once(
         &mut self,
         placement: SendPlan,
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -89,7 +89,7 @@
 }
 
 impl PendingSend<'_> {
-    /// SendHistory it and waits for the head of an answer.
+    /// Sends it and waits for the head of an answer.
     pub(crate) async fn send(
         &self,
         plan: SendPlan,
