--- a/src/decide/poison.rs
+++ b/src/decide/poison.rs
@@ -108,7 +108,7 @@
 
     /// Removes a request that was served to its end, which a request that crashes upstreams never
     /// is. This clears requests that ran beside a crashing one on the same upstream.
-    pub fn clear(&mut self, fingerprint: RequestFingerprint) {
+    pub fn remove(&mut self, fingerprint: RequestFingerprint) {
         self.fingerprints.swap_remove(&fingerprint);
     }
 
--- a/src/gateway/courier.rs
+++ b/src/gateway/courier.rs
@@ -275,7 +275,7 @@
     pub(crate) fn on_served(&self) {
         let mut poison = self.gateway.poison();
         if !poison.is_empty() {
-            poison.clear(self.call.fingerprint());
+            poison.remove(self.call.fingerprint());
         }
     }
 
