--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read and admitted.
+//! An admitted request of a caller.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,64 +17,66 @@
 use crate::units::CustomerId;
 use crate::units::ServiceId;
 
-/// Callers stay for at least two seconds without an event; half a second of it is for finding out that
-/// the stream broke off.
+/// The minimum patience of a caller whose stream was interrupted. Callers wait for at least two
+/// seconds without an event; half a second of this is left for detecting the interruption.
 const STREAM_PATIENCE_MIN: Duration = Duration::from_millis(1_500);
 
-/// Of a caller's patience, kept for ways and for what a forecast falls short.
-const PATIENCE_MARGIN: Duration = Duration::from_millis(500);
+/// The part of the patience of a caller that is reserved for transit times and forecast errors.
+const TRANSIT_MARGIN: Duration = Duration::from_millis(500);
 
-/// A request that may be sent to upstreams.
+/// An admitted request, which may be sent to upstreams.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// What its head says.
+    /// The parsed request head.
     pub head: RequestHead,
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
-    /// Its path and query, as the caller sent them.
+    /// The path and query as sent by the caller.
     pub uri: Uri,
-    /// Its headers, as the caller sent them.
+    /// The headers as sent by the caller.
     pub headers: HeaderMap,
-    /// Its body, whole.
+    /// The complete body.
     pub body: Bytes,
-    /// Its route.
+    /// The route of the call.
     pub route: Arc<Route>,
-    /// The service that it goes to.
+    /// The service that the call is sent to.
     pub service: ServiceId,
-    /// Whose it is; none on a route that needs no key.
+    /// The customer; none on a route that needs no key.
     pub customer: Option<CustomerId>,
-    /// When its first byte was seen.
+    /// When the request arrived.
     pub arrived_at: Instant,
-    /// When it must have its final answer.
+    /// When the caller must have the final response.
     pub deadline: Instant,
 }
 
 impl Call {
-    /// What is left of its time.
+    /// The time left until the deadline.
     pub fn time_left(&self, now: Instant) -> Duration {
         self.deadline.saturating_duration_since(now)
     }
 
-    /// What is left of the time in which its answer is on time.
+    /// The time left until the response is late.
     pub fn objective_left(&self, now: Instant) -> Duration {
         (self.arrived_at + self.route.objective).saturating_duration_since(now)
     }
 
-    /// How long the caller of a stream that broke off stays for its next event.
+    /// How long the caller of an interrupted stream waits for the next event. Callers wait longer
+    /// than this.
     ///
-    /// Failure it guards against: an engine dies under load, its answers are late by then, and as late
-    /// ones they are turned away where they could go on. Callers stay longer than this.
+    /// Failure guarded against: an engine dies under load. Its responses are late by then, and are
+    /// refused because they are late although they could be resumed.
     pub fn patience(&self) -> Duration {
         (self.route.objective * 2).max(STREAM_PATIENCE_MIN)
     }
 
-    /// How long the caller still stays without a first event, less what an answer's way takes.
+    /// How long the caller will still wait for the first event, less the transit time of the
+    /// response.
     pub fn patience_left(&self, now: Instant) -> Duration {
-        let stays = callers_patience(self.route.objective, self.route.pause_objective);
-        (self.arrived_at + stays).saturating_duration_since(now + PATIENCE_MARGIN)
+        let patience = callers_patience(self.route.objective, self.route.pause_objective);
+        (self.arrived_at + patience).saturating_duration_since(now + TRANSIT_MARGIN)
     }
 
-    /// What it is recognised by when a caller sends it again.
+    /// The fingerprint that recognises this call when a caller sends it again.
     pub fn fingerprint(&self) -> RequestFingerprint {
         let customer = self.customer.as_ref().map_or("", CustomerId::as_str);
         let mut text = format!("{}\n{}\n{customer}\n", self.method, self.uri).into_bytes();
--- a/src/gateway/call_refusal.rs
+++ b/src/gateway/call_refusal.rs
@@ -1,4 +1,4 @@
-//! The answers that a host gives in place of an upstream.
+//! The error responses that a host generates itself in place of an upstream.
 
 use std::time::Duration;
 
@@ -10,42 +10,43 @@
 use crate::decide::RefuseReason;
 use crate::gateway::ResponseBody;
 
-/// When to come back to a host that knows no manifest, or whose knowledge is too old: another host
-/// can serve the request right away.
+/// The time after which a caller should retry when this host has no manifest or an outdated view of
+/// the platform. Another host can serve the request at once.
 const RETRY_AFTER_HOST: Duration = Duration::from_millis(200);
 
-/// Why a request gets no answer of an upstream. The status says whether it may have run: 4xx and 503
-/// promise that it has not and never will.
+/// Why a request receives no response of an upstream. The status tells whether the request may have
+/// run: 4xx and 503 guarantee that it has not run and never will.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallRefusal {
     /// This host has not read a manifest yet.
     NoManifest,
-    /// This host stops.
+    /// This host is shutting down.
     Stopping,
-    /// What this host knows is too old to serve requests with keys, or to reject others.
+    /// The view of the platform on this host is too old to serve requests with keys or to reject
+    /// other requests.
     StaleKnowledge,
-    /// The head can't be understood.
+    /// The request head is invalid.
     InvalidHead(String),
-    /// No route has this host name and path.
+    /// No route matches the host name and path.
     NoRoute,
-    /// The key is missing or nobody's.
+    /// The key is missing or belongs to no customer.
     UnknownKey,
-    /// The body is larger than allowed.
+    /// The body exceeds the size limit.
     BodyTooLarge,
-    /// The body did not come in time, or broke off.
+    /// The body did not arrive in time, or broke off.
     BodyLate,
-    /// It can't be served now.
+    /// The request cannot be served now.
     Overload {
-        /// Why.
+        /// The reason.
         reason: RefuseReason,
-        /// When it can.
+        /// The time after which the caller should retry.
         retry_after: Duration,
     },
-    /// Its time ran out before it was sent anywhere.
+    /// The deadline passed before the request was sent to any upstream.
     DeadlineExceededNotRun,
-    /// Its time ran out, and it may have run.
+    /// The deadline passed, and the request may have run.
     DeadlineExceeded,
-    /// It may have run, and no upstream's answer can be had.
+    /// The request may have run, and no response of an upstream is available.
     OutcomeUnknown,
 }
 
@@ -68,7 +69,7 @@
         }
     }
 
-    /// The reason as one word for logs and metrics.
+    /// The name of the reason in logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Self::NoManifest => "no_manifest",
@@ -86,7 +87,7 @@
         }
     }
 
-    /// When the caller should come back, where that helps.
+    /// The time after which the caller should retry, if a retry can help.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::NoManifest | Self::Stopping | Self::StaleKnowledge => Some(RETRY_AFTER_HOST),
@@ -95,7 +96,7 @@
         }
     }
 
-    /// The answer.
+    /// The response for the caller.
     pub fn response(&self) -> Response<ResponseBody> {
         let text = match self {
             Self::InvalidHead(problem) => format!("{}: {problem}\n", self.name()),
--- a/src/gateway/error.rs
+++ b/src/gateway/error.rs
@@ -1,25 +1,25 @@
-//! Why a gateway can't start or go on.
+//! Errors that prevent a gateway from starting or end it.
 
 use std::fmt;
 use std::io;
 
 use crate::observe::ObserveError;
 
-/// What ends a gateway.
+/// An error that ends a gateway.
 #[derive(Debug)]
 pub enum GatewayError {
-    /// An address can't be bound; which one, and why.
+    /// An address cannot be bound: the purpose of the address, and the error.
     Bind(&'static str, io::Error),
-    /// Metrics can't be set up.
+    /// The metrics cannot be set up.
     Observe(ObserveError),
-    /// A signal can't be waited for.
+    /// The signal handler cannot be installed.
     Signal(io::Error),
 }
 
 impl fmt::Display for GatewayError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Bind(what, err) => write!(f, "cannot listen for {what}: {err}"),
+            Self::Bind(purpose, err) => write!(f, "cannot listen for {purpose}: {err}"),
             Self::Observe(err) => write!(f, "cannot set up metrics: {err}"),
             Self::Signal(err) => write!(f, "cannot wait for signals: {err}"),
         }
--- a/src/gateway/handler.rs
+++ b/src/gateway/handler.rs
@@ -1,4 +1,4 @@
-//! One request from its head to its answer.
+//! The handling of one request from its head to its response.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -36,11 +36,11 @@
 use crate::http::remove_connection_headers;
 use crate::routing::RouteTable;
 
-/// The largest answer that is read whole before it goes to the caller, which allows another
-/// upstream to be asked when it breaks off.
+/// The maximum size of a response that is buffered before it is sent to the caller. Buffering
+/// allows another upstream to be tried when the response breaks off.
 const BUFFERED_RESPONSE_MAX: usize = 8 << 20;
 
-/// Answers one request.
+/// Handles one request.
 pub(crate) async fn handle(
     gateway: Arc<Gateway>,
     req: Request<Incoming>,
@@ -63,7 +63,8 @@
     res
 }
 
-/// Reads a request and decides whether it may be sent at all.
+/// Reads a request and decides whether it may be sent to upstreams at all. Returns the request id
+/// with a refusal.
 async fn admit(
     gateway: &Gateway,
     head: request::Parts,
@@ -71,20 +72,20 @@
     arrived_at: Instant,
     tracker: &mut RequestTracker,
 ) -> Result<Call, (String, CallRefusal)> {
-    let said = gateway.header_codec.read_request_head(&head.headers);
-    let said = said.map_err(|bad| {
+    let request_head = gateway.header_codec.read_request_head(&head.headers);
+    let request_head = request_head.map_err(|bad| {
         let problem = format!("{}: {}", bad.header, bad.problem);
         (String::new(), CallRefusal::InvalidHead(problem))
     })?;
-    tracker.on_head(&said.request);
-    let request = said.request.clone();
+    tracker.on_head(&request_head.request);
+    let request = request_head.request.clone();
     let refused = |refusal| (request.clone(), refusal);
     if gateway.phase() >= ShutdownPhase::Refusing {
         return Err(refused(CallRefusal::Stopping));
     }
     let routes = gateway.beliefs.routes();
     let routes = routes.ok_or_else(|| refused(CallRefusal::NoManifest))?;
-    let mut call = route_call(gateway, &routes, head, said, arrived_at).map_err(refused)?;
+    let mut call = route_call(gateway, &routes, head, request_head, arrived_at).map_err(refused)?;
     let body_max = routes.limits.body_bytes;
     let body = Limited::new(body, body_max).collect();
     let body = timeout_at(call.deadline.into(), body).await;
@@ -100,18 +101,18 @@
     Ok(call)
 }
 
-/// Finds a request's route and customer.
+/// Finds the route and the customer of a request.
 fn route_call(
     gateway: &Gateway,
     routes: &RouteTable,
     head: request::Parts,
-    said: RequestHead,
+    request_head: RequestHead,
     arrived_at: Instant,
 ) -> Result<Call, CallRefusal> {
     let now = gateway.clock.since_boot();
     let freshness = gateway.beliefs.freshness();
-    // A host that can't reach the platform may lack a new route or key: it does not say that there
-    // is none, which a caller takes as final.
+    // A host that cannot reach the platform may lack a new route or key. It therefore does not
+    // reject the request, which callers would treat as final.
     let reject = |refusal| {
         if freshness.may_reject(now) {
             refusal
@@ -128,7 +129,7 @@
         if !freshness.holds_lease(gateway.conf.key_lease, now) {
             return Err(CallRefusal::StaleKnowledge);
         }
-        let key = said.key.as_deref().unwrap_or_default();
+        let key = request_head.key.as_deref().unwrap_or_default();
         let customer = routes.keys.customer(key);
         Some(
             customer
@@ -139,7 +140,7 @@
         None
     };
     let service = route.target(rand::random()).ok_or(CallRefusal::NoRoute)?;
-    let timeout = said
+    let timeout = request_head
         .deadline
         .map_or(route.timeout, |deadline| deadline.min(route.timeout));
     Ok(Call {
@@ -152,7 +153,7 @@
         uri: head.uri,
         headers: head.headers,
         body: Bytes::new(),
-        head: said,
+        head: request_head,
     })
 }
 
@@ -187,7 +188,7 @@
             Err(Some(refusal)) => {
                 return local_response(gateway, &call.head.request, &refusal, tracker);
             }
-            // The answer broke off and the call may run once more.
+            // The response broke off, and the call may be sent again.
             Err(None) => {}
         }
     }
@@ -201,7 +202,7 @@
     let mut headers = std::mem::take(&mut answered.head.headers);
     remove_connection_headers(&mut headers);
     headers.remove(PROXY_AUTHENTICATE);
-    // An engine that goes on with the stream may write it in another length.
+    // An engine that resumes the stream may produce a different length.
     headers.remove(CONTENT_LENGTH);
     let status = answered.head.status;
     let relay = StreamRelay::new(courier, answered, tracker);
@@ -215,8 +216,8 @@
     res
 }
 
-/// Reads an answer to its end. Without one, says what to tell the caller, or nothing if the call may
-/// be sent once more.
+/// Reads a response to its end. On failure returns the refusal for the caller, or none if the call
+/// may be sent again.
 async fn full_response(
     courier: &Courier,
     answered: UpstreamResponse,
--- a/src/gateway/load_guard.rs
+++ b/src/gateway/load_guard.rs
@@ -1,4 +1,4 @@
-//! Keeps a request's work on the books for as long as it lasts.
+//! Counts the load of a request on its upstreams while the request lasts.
 
 use std::sync::Arc;
 
@@ -6,12 +6,11 @@
 use crate::gateway::Gateway;
 use crate::units::UpstreamId;
 
-/// The work of one send, which is taken off the books when the guard is dropped, however the
-/// request ends.
+/// The load of one send, which is subtracted when the guard is dropped, however the request ends.
 pub(crate) struct LoadGuard {
     gateway: Arc<Gateway>,
     shares: Vec<(UpstreamId, LoadShare)>,
-    /// Spares the ledger's lock at each event after the first.
+    /// Avoids locking the ledger at each event after the first.
     is_prefilled: bool,
 }
 
@@ -26,8 +25,8 @@
         gateway
             .rate_limits
             .on_sent(shares.iter().map(|(id, _)| id), now);
-        // Hosts that do not know of each other's prompts choose the same engines, and all of these
-        // come later than forecast by the time of the others.
+        // Hosts that do not know of prompts sent by each other choose the same engines, and each of
+        // these prompts is then delayed beyond its forecast by the prefill of the others.
         if shares.iter().any(|(_, share)| !share.read_time.is_zero()) {
             gateway.broadcast_now.notify_one();
         } else {
@@ -42,7 +41,7 @@
 }
 
 impl LoadGuard {
-    /// Takes in that the prompt has been read.
+    /// Records that the prompt has been prefilled.
     pub(crate) fn on_prefill_done(&mut self) {
         if self.is_prefilled {
             return;
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -16,19 +16,20 @@
 use crate::routing::CallKind;
 use crate::units::CustomerId;
 
-/// Seconds. The users' objectives, 0.3, 1.5, 3 and 4, are bounds of their own.
-const ANSWER_BOUNDS: [f64; 14] = [
+/// Histogram bounds in seconds. The users' objectives, 0.3, 1.5, 3 and 4, have bounds of their own.
+const FIRST_EVENT_BOUNDS: [f64; 14] = [
     0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.5, 2.0, 3.0, 4.0, 6.0, 10.0, 15.0,
 ];
-/// Seconds. The users' longest pauses, 0.2, 0.5 and 0.8, are bounds of their own.
+/// Histogram bounds in seconds. The users' objectives for pauses, 0.2, 0.5 and 0.8, have bounds of
+/// their own.
 const PAUSE_BOUNDS: [f64; 8] = [0.05, 0.1, 0.15, 0.2, 0.35, 0.5, 0.8, 2.0];
-/// Seconds.
+/// Histogram bounds in seconds.
 const CATALOG_BOUNDS: [f64; 8] = [0.002, 0.005, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0];
 
-/// Counters and histograms, with one series a customer and kind of call.
+/// The counters and histograms, with one series per customer and kind of call.
 pub struct GatewayMetrics {
     registry: Registry,
-    // The instruments go quiet when their provider is dropped.
+    // The instruments stop recording when their provider is dropped.
     _provider: SdkMeterProvider,
     requests: Counter<u64>,
     sends: Counter<u64>,
@@ -40,7 +41,7 @@
 }
 
 impl GatewayMetrics {
-    /// Sets up all metrics in a registry of their own.
+    /// Creates all metrics in a registry of their own.
     pub fn new() -> Result<Self, ObserveError> {
         let registry = Registry::new();
         let exporter = exporter(&registry)?;
@@ -51,7 +52,7 @@
             requests: meter.u64_counter("gateway_requests").build(),
             sends: meter.u64_counter("gateway_sends").build(),
             faults: meter.u64_counter("gateway_upstream_faults").build(),
-            first_event: seconds(&meter, "gateway_first_event", &ANSWER_BOUNDS),
+            first_event: seconds(&meter, "gateway_first_event", &FIRST_EVENT_BOUNDS),
             pause: seconds(&meter, "gateway_pause", &PAUSE_BOUNDS),
             store_returns: meter.u64_counter("gateway_store_returns").build(),
             catalog: seconds(&meter, "gateway_catalog_call", &CATALOG_BOUNDS),
@@ -59,7 +60,7 @@
         })
     }
 
-    /// A request has ended with this outcome.
+    /// Records the outcome of a request.
     pub fn ended(&self, customer: Option<&CustomerId>, kind: &'static str, outcome: &str) {
         let outcome = KeyValue::new("outcome", outcome.to_owned());
         self.requests.add(
@@ -72,17 +73,18 @@
         );
     }
 
-    /// A request was sent; `is_retry` if it had been sent before.
+    /// Records a send. `is_retry` tells whether the request had been sent before.
     pub fn sent(&self, is_retry: bool) {
         self.sends.add(1, &[KeyValue::new("retry", is_retry)]);
     }
 
-    /// An upstream failed.
+    /// Records a fault of an upstream.
     pub fn fault(&self, fault: &'static str) {
         self.faults.add(1, &[KeyValue::new("fault", fault)]);
     }
 
-    /// From a request's arrival to its answer, or to the first event of a stream.
+    /// Records the time from the arrival of a request to its response, or to the first event of a
+    /// stream.
     pub fn first_event(&self, customer: Option<&CustomerId>, kind: CallKind, took: Duration) {
         let labels = [
             customer_label(customer),
@@ -91,24 +93,24 @@
         self.first_event.record(took.as_secs_f64(), &labels);
     }
 
-    /// The longest pause between two events of a stream.
+    /// Records the longest pause between two events of a stream.
     pub fn longest_pause(&self, customer: Option<&CustomerId>, took: Duration) {
         self.pause
             .record(took.as_secs_f64(), &[customer_label(customer)]);
     }
 
-    /// The platform's store has come back from an older copy.
+    /// Records that the store of the platform was restored from an older copy.
     pub fn store_returned(&self) {
         self.store_returns.add(1, &[]);
     }
 
-    /// A call to the platform's catalog took this long.
+    /// Records the duration of a call to the platform's catalog.
     pub fn catalog_call(&self, what: &'static str, took: Duration) {
         self.catalog
             .record(took.as_secs_f64(), &[KeyValue::new("call", what)]);
     }
 
-    /// All metrics in the Prometheus text format.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> Result<String, ObserveError> {
         Ok(TextEncoder::new().encode_to_string(&self.registry.gather())?)
     }
--- a/src/gateway/pages.rs
+++ b/src/gateway/pages.rs
@@ -1,4 +1,4 @@
-//! What the balancer and operators ask a host.
+//! The pages for the balancer and for operators.
 
 use hyper::StatusCode;
 
@@ -17,7 +17,7 @@
             "/readyz" if gateway.is_ready() => Some(Page::text(StatusCode::OK, "ready\n")),
             "/readyz" => Some(Page::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")),
             "/metrics" => Some(match gateway.metrics.render() {
-                Ok(text) => Page::text(StatusCode::OK, text + &counts(gateway)),
+                Ok(text) => Page::text(StatusCode::OK, text + &extra_metrics(gateway)),
                 Err(err) => Page::text(StatusCode::INTERNAL_SERVER_ERROR, format!("{err}\n")),
             }),
             _ => None,
@@ -25,8 +25,8 @@
     }
 }
 
-/// What is counted elsewhere, in the same text format.
-fn counts(gateway: &Gateway) -> String {
+/// Counters kept outside the metrics registry, in the Prometheus text format.
+fn extra_metrics(gateway: &Gateway) -> String {
     format!(
         "# TYPE banyanarch_gateway_in_flight gauge\nbanyanarch_gateway_in_flight {}\n\
          # TYPE banyanarch_gateway_log_lines_dropped_total counter\n\
--- a/src/gateway/request_tracker.rs
+++ b/src/gateway/request_tracker.rs
@@ -1,4 +1,5 @@
-//! Tells log and metrics how a request ended, also when its caller leaves before.
+//! Records in the decision log and the metrics how a request ended, also when the caller
+//! disconnects first.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,10 +14,10 @@
 use crate::units::Generation;
 use crate::units::whole_millis;
 
-/// The status in the log of a request whose caller left before its answer.
+/// The status logged for a request whose caller disconnected before the response.
 const STATUS_CALLER_GONE: u16 = 499;
 
-/// One request, from its head to its end.
+/// The progress of one request from its head to its end.
 pub(crate) struct RequestTracker {
     gateway: Arc<Gateway>,
     request: String,
@@ -49,19 +50,20 @@
         }
     }
 
-    /// Takes in the id, as soon as the head was read.
+    /// Records the request id once the head has been parsed.
     pub(crate) fn on_head(&mut self, request: &str) {
         request.clone_into(&mut self.request);
     }
 
-    /// Takes in that the request was admitted.
+    /// Records that the request was admitted.
     pub(crate) fn on_admitted(&mut self, call: &Call) {
         self.route.clone_from(&call.route.name);
         self.customer.clone_from(&call.customer);
         self.kind = Some(call.route.kind);
     }
 
-    /// Takes in that the first event of its answer, or all of it, goes to the caller.
+    /// Records that the first event of the response, or the complete response, is sent to the
+    /// caller.
     pub(crate) fn on_first_event(&mut self, now: Instant) {
         let took = now.saturating_duration_since(self.arrived_at);
         self.first_event = Some(took);
@@ -71,12 +73,12 @@
         }
     }
 
-    /// Takes in a pause between two events of its answer.
+    /// Records a pause between two events of the response.
     pub(crate) fn on_pause(&mut self, pause: Duration) {
         self.longest_pause = self.longest_pause.max(pause);
     }
 
-    /// Takes in the end.
+    /// Records the end of the request. Only the first call has an effect.
     pub(crate) fn finish(&mut self, outcome: &str, status: u16) {
         if self.is_finished {
             return;
--- a/src/gateway/response_body.rs
+++ b/src/gateway/response_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller.
+//! The body of a response to a caller.
 
 use std::fmt;
 use std::pin::Pin;
@@ -11,30 +11,30 @@
 use hyper::body::Frame;
 use hyper::body::SizeHint;
 
-/// The answer can't be finished. The caller's connection is closed before the end of the body, so
-/// that what it has does not look complete.
+/// The response cannot be completed. The connection to the caller is closed before the end of the
+/// body, so that the received part does not look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TruncatedResponse;
 
 impl fmt::Display for TruncatedResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer broke off")
+        f.write_str("the response broke off before its end")
     }
 }
 
 impl std::error::Error for TruncatedResponse {}
 
-/// A body that is there, or one that comes chunk by chunk. Dropped before its end, it gives up what
-/// it stands for at the upstream.
+/// A complete body, or one that arrives in chunks. Dropping it before its end cancels the work at
+/// the upstream.
 pub enum ResponseBody {
-    /// All of it; none once it was taken.
+    /// The complete body; none once it was taken.
     Full(Option<Bytes>),
     /// Stream.
     Stream(BoxStream<'static, Result<Bytes, TruncatedResponse>>),
 }
 
 impl ResponseBody {
-    /// A body that is there.
+    /// Creates a complete body.
     pub fn full(bytes: impl Into<Bytes>) -> Self {
         let bytes = bytes.into();
         Self::Full((!bytes.is_empty()).then_some(bytes))
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -1,4 +1,4 @@
-//! From the settings to the end of the process.
+//! Runs a gateway from its configuration to the end of the process.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,14 +25,15 @@
 use crate::gateway::share::serve_reads;
 use crate::gateway::sync;
 
-/// Taking this host off the list is a courtesy: others find out by its silence.
+/// The timeout for removing this host from the list. The removal is optional: other hosts detect a
+/// stopped host by its silence.
 const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Reads the settings again and says what came of it.
+/// Reads the settings file again and returns a description of the result.
 pub type Reload = Box<dyn Fn() -> String + Send>;
 
-/// Runs a host until SIGTERM has been followed by the end of its requests, or its time is up. SIGHUP
-/// reads the settings again.
+/// Runs a host until SIGTERM has been received and all requests have ended, or the grace period is
+/// over. SIGHUP reloads the settings.
 pub async fn run(
     gateway: Arc<Gateway>,
     catalog: Arc<dyn Catalog>,
@@ -52,8 +53,8 @@
     Ok(())
 }
 
-/// Serves callers until [`Gateway::begin_shutdown`] has been followed by the end of all requests, or the
-/// time to stop is up.
+/// Serves callers until [`Gateway::begin_shutdown`] has been called and all requests have ended, or
+/// the grace period is over.
 pub async fn serve(
     gateway: Arc<Gateway>,
     catalog: Arc<dyn Catalog>,
@@ -117,13 +118,13 @@
     }
 }
 
-/// Takes this host off the list when it begins to stop.
+/// Removes this host from the list when its shutdown begins.
 async fn withdraw(gateway: Arc<Gateway>, catalog: Arc<dyn Catalog>) {
     gateway.shutdown_requested().await;
     let host = gateway.conf.host.clone();
     match timeout(WITHDRAW_TIMEOUT, catalog.withdraw(host)).await {
         Ok(Ok(())) => {}
-        Ok(Err(err)) => warn!("gateway: still on the list of hosts: {err}"),
-        Err(_) => warn!("gateway: still on the list of hosts: no answer"),
+        Ok(Err(err)) => warn!("gateway: cannot remove this host from the list: {err}"),
+        Err(_) => warn!("gateway: cannot remove this host from the list: timeout"),
     }
 }
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -28,50 +28,51 @@
 use crate::http::one_shot::OneShotError;
 use crate::routing::CallKind;
 
-/// A way inside a site takes at most 3 ms and an upstream a millisecond to take a connection; one
-/// that takes this long is dead, cut off, or lost the first packet, which is sent again after a
-/// second. Another upstream is quicker in all three cases, and a clause, which has 300 ms, is still on
-/// time there.
+/// The timeout for connections to upstreams. The transit time inside a site is at most 3 ms, and an
+/// upstream accepts a connection within a millisecond. If a connection takes this long, the
+/// upstream is dead or partitioned, or the first packet was lost and is sent again after a second.
+/// Another upstream is faster in all three cases, and a clause, which has 300 ms, is still on time
+/// there.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// The shortest time after which a repeatable call without an answer is sent elsewhere. Ten times
-/// what calls to plain services take.
+/// The minimum time after which an idempotent call without a response is sent to another upstream:
+/// ten times the duration of calls to plain services.
 const RESPONSE_TIMEOUT_MIN: Duration = Duration::from_millis(600);
-/// What a stream's first event may take beyond three times its forecast before another engine gets it;
-/// less than the two seconds after which callers give up.
+/// The time beyond three times its forecast after which the first event of a stream is requested
+/// from another engine. Shorter than the two seconds after which callers give up.
 const FIRST_EVENT_MARGIN: Duration = Duration::from_millis(1_000);
-/// How many times its objective a stream's first event may take at least.
+/// The minimum timeout for the first event of a stream, as a multiple of its objective.
 const FIRST_EVENT_OBJECTIVES_MIN: f64 = 2.5;
 
-/// Why a call is lost whose upstream has another life by now.
-pub(crate) const UPSTREAM_RESTARTED: &str = "the upstream has started again";
+/// The error of a call whose upstream has restarted since the call was sent.
+pub(crate) const UPSTREAM_RESTARTED: &str = "the upstream has restarted";
 
-/// An upstream's answer, its body still to be read.
+/// A response of an upstream. Its body is still to be read.
 pub(crate) struct UpstreamResponse {
     pub(crate) head: response::Parts,
     pub(crate) body: OneShotBody,
     pub(crate) upstream: Listed,
-    /// When its first event was expected, from the send on.
+    /// The time from the send until the first event as forecast.
     pub(crate) forecast: Duration,
     pub(crate) sent_at: Instant,
-    /// Keeps the work on the books until the body has been read.
+    /// Counts the load on the upstream until the body has been read.
     pub(crate) load: LoadGuard,
-    /// Keeps engines' memory until then.
+    /// Holds the memory reservations until the body has been read.
     pub(crate) _reservation: Option<ReservationGuard>,
 }
 
-/// What came of one send.
+/// The outcome of one send.
 pub(crate) enum SendOutcome {
     Answered(Box<UpstreamResponse>),
-    /// It did not run there and never will.
+    /// The upstream did not run the call and never will.
     NotRun {
         fault: UpstreamFault,
-        /// Whether the upstream got it at all.
+        /// Whether the call reached the upstream.
         arrived: bool,
-        /// The other upstream that the refusal is about.
+        /// The upstream that the refusal is about, if this is not the one the call was sent to.
         at_fault: Option<SocketAddr>,
         why: String,
     },
-    /// It may have run, and there is no answer.
+    /// The upstream may have run the call, and there is no response.
     Lost {
         fault: UpstreamFault,
         why: String,
@@ -82,14 +83,14 @@
 pub(crate) struct PendingSend<'a> {
     pub(crate) gateway: &'a Arc<Gateway>,
     pub(crate) call: &'a Call,
-    /// The event after which a stream is to go on.
+    /// The event after which a stream is to be resumed.
     pub(crate) last_event: Option<&'a str>,
-    /// Whether no other upstream may get the call after this one.
+    /// Whether no other upstream may receive the call after this one.
     pub(crate) is_last: bool,
 }
 
 impl PendingSend<'_> {
-    /// Sends it and waits for the head of an answer.
+    /// Sends the call and waits for the head of the response.
     pub(crate) async fn send(
         &self,
         plan: SendPlan,
@@ -99,8 +100,8 @@
         let timeout_after = self.response_timeout(&plan, now);
         let load = LoadGuard::new(self.gateway, plan.shares);
         let upstream = plan.upstream;
-        let reserved = reservation.iter().flat_map(ReservationGuard::reservations);
-        let mut helpers: Vec<HelperAddr> = reserved.map(EngineReservation::helper).collect();
+        let reservations = reservation.iter().flat_map(ReservationGuard::reservations);
+        let mut helpers: Vec<HelperAddr> = reservations.map(EngineReservation::helper).collect();
         helpers.extend(plan.helpers);
         let head = ForwardHead {
             upstream: &upstream.name,
@@ -110,9 +111,9 @@
             last_event: self.last_event,
         };
         let req = self.request(&head);
-        let sending = one_shot::send(upstream.addr, req, CONNECT_TIMEOUT.min(timeout_after));
+        let send = one_shot::send(upstream.addr, req, CONNECT_TIMEOUT.min(timeout_after));
         let sent = tokio::select! {
-            sent = timeout(timeout_after, sending) => sent,
+            sent = timeout(timeout_after, send) => sent,
             () = self.gateway.lives.lost(&upstream.id, now) => {
                 return SendOutcome::Lost {
                     fault: UpstreamFault::Broken,
@@ -126,30 +127,32 @@
             Err(_) => {
                 return SendOutcome::Lost {
                     fault: UpstreamFault::Silent,
-                    why: "no answer in time".to_owned(),
+                    why: "no response in time".to_owned(),
                 };
             }
         };
         let (head, body) = res.into_parts();
-        let dialect = &self.gateway.header_codec;
-        let said = dialect.read_response_head(&self.call.head.request, head.status, &head.headers);
-        self.gateway.on_response_limit(&upstream.id, &said.limit);
-        if said.did_not_run {
+        let header_codec = &self.gateway.header_codec;
+        let response =
+            header_codec.read_response_head(&self.call.head.request, head.status, &head.headers);
+        self.gateway
+            .on_response_limit(&upstream.id, &response.limit);
+        if response.did_not_run {
             return SendOutcome::NotRun {
                 fault: UpstreamFault::TurnedAway,
                 arrived: true,
-                at_fault: said.at_fault.filter(|addr| *addr != upstream.addr),
+                at_fault: response.at_fault.filter(|addr| *addr != upstream.addr),
                 why: format!("turned away with {}", head.status),
             };
         }
-        let is_whole = said.is_signed
-            && said.is_for_request
+        let is_valid = response.is_signed
+            && response.is_for_request
             && !head.headers.contains_key(CONTENT_ENCODING)
             && !implies_not_run(head.status);
-        if !is_whole {
+        if !is_valid {
             return SendOutcome::Lost {
                 fault: UpstreamFault::Failed,
-                why: format!("{} is no answer to this request", head.status),
+                why: format!("{} is no valid response to this request", head.status),
             };
         }
         SendOutcome::Answered(Box::new(UpstreamResponse {
@@ -174,7 +177,8 @@
         req
     }
 
-    /// How long this send may go without the head of an answer before another upstream gets it.
+    /// How long this send may take to return the head of a response before the call is sent to
+    /// another upstream.
     fn response_timeout(&self, plan: &SendPlan, now: Instant) -> Duration {
         let time_left = self.call.time_left(now);
         let timeout = match self.call.route.kind {
@@ -190,12 +194,13 @@
     }
 }
 
-/// How long a stream's first event may take before another engine gets the call. A long prompt that
-/// is sent again is read again, so it waits until it would be late anyway: forecasts can't see what
-/// other hosts send in the same moment.
+/// How long the first event of a stream may take before the call is sent to another engine. The
+/// other engine would have to prefill a long prompt again, so the timeout is not shorter than the
+/// time at which the response is late anyway. Forecasts cannot include what other hosts send at the
+/// same moment.
 pub(crate) fn first_event_timeout(call: &Call, forecast: Duration) -> Duration {
-    let late = call.route.objective.mul_f64(FIRST_EVENT_OBJECTIVES_MIN);
-    late.max(forecast * 3 + FIRST_EVENT_MARGIN)
+    let late_after = call.route.objective.mul_f64(FIRST_EVENT_OBJECTIVES_MIN);
+    late_after.max(forecast * 3 + FIRST_EVENT_MARGIN)
 }
 
 fn outcome_of_error(err: &OneShotError) -> SendOutcome {
@@ -220,8 +225,9 @@
     }
 }
 
-/// Whether a status tells callers that a request has not run. An upstream that uses one without
-/// saying so itself may have run it, and passing it on would be a false promise.
+/// Whether the status tells callers that the request has not run. An upstream that returns such a
+/// status without stating this in its headers may have run the request, and forwarding the status
+/// would be a false promise.
 fn implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -1,4 +1,4 @@
-//! The port for callers.
+//! The server for callers.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -25,14 +25,14 @@
 use crate::gateway::handler::handle;
 use crate::routing::CallerLimits;
 
-/// The pause after the system refused a connection, mostly for want of file descriptors.
+/// The pause after accepting a connection failed, in most cases for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// How often the phase of stopping is looked at.
-const PHASE_INTERVAL: Duration = Duration::from_millis(100);
-/// hyper needs at least this much for a head.
+/// The interval at which the phase of the shutdown is checked.
+const PHASE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The minimum buffer that hyper requires for a head.
 const HEAD_BUFFER_MIN: usize = 8 << 10;
 
-/// Serves callers until the host has finished or its time is up.
+/// Serves callers until the shutdown has completed or the grace period is over.
 pub(crate) async fn serve_callers(gateway: Arc<Gateway>, listener: TcpListener) {
     let graceful = GracefulShutdown::new();
     let refusing = wait_for_phase(&gateway, ShutdownPhase::Refusing);
@@ -47,9 +47,9 @@
             () = &mut refusing => break,
         }
     }
-    // The balancer may still send connections here. They are taken and turned away, for one that
-    // nobody takes would be reset with its request in it.
-    let rest = async {
+    // The balancer may still send connections to this host. They are accepted and their requests
+    // refused, since a connection that is not accepted would be reset together with its request.
+    let refuse_rest = async {
         loop {
             if let Some(conn) = connection(&gateway, accept(&listener).await) {
                 spawn(conn);
@@ -59,7 +59,7 @@
     tokio::select! {
         () = graceful.shutdown() => {}
         () = wait_for_phase(&gateway, ShutdownPhase::Expired) => {}
-        () = rest => {}
+        () = refuse_rest => {}
     }
 }
 
@@ -68,7 +68,7 @@
         match listener.accept().await {
             Ok((stream, _)) => return stream,
             Err(err) => {
-                warn!("gateway: cannot accept: {err}");
+                warn!("gateway: cannot accept a connection: {err}");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -77,7 +77,7 @@
 
 type Conn = http1::Connection<TokioIo<TcpStream>, CallerService>;
 
-/// Answers the requests of one connection.
+/// Handles the requests of one connection.
 struct CallerService(Arc<Gateway>);
 
 impl Service<Request<Incoming>> for CallerService {
@@ -92,15 +92,16 @@
 
 fn connection(gateway: &Arc<Gateway>, stream: TcpStream) -> Option<Conn> {
     if let Err(err) = stream.set_nodelay(true) {
-        debug!("gateway: a connection closed at once: {err}");
+        debug!("gateway: connection closed right after it was accepted: {err}");
         return None;
     }
     let limits = gateway
         .beliefs
         .routes()
         .map_or_else(CallerLimits::default, |routes| routes.limits);
-    // hyper counts the time for a head from the end of the answer before it, so this bounds idle
-    // connections as well. Twice the limit, since a manifest may raise it while connections live.
+    // hyper starts the timeout for a head at the end of the previous response, so this also bounds
+    // idle connections. The limits are doubled because a manifest may raise them during a
+    // connection.
     let head_timeout = limits.idle_timeout * 2 + limits.head_timeout;
     let conn = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -113,16 +114,15 @@
 fn spawn(conn: impl Future<Output = Result<(), hyper::Error>> + Send + 'static) {
     tokio::spawn(async move {
         if let Err(err) = conn.await {
-            debug!("gateway: a connection ended early: {err}");
+            debug!("gateway: connection ended early: {err}");
         }
     });
 }
 
-/// Waits until stopping has come to a phase. A host that was not asked to stop waits without waking
-/// up.
+/// Waits until the shutdown has reached `phase`. Does not wake up before a shutdown is requested.
 pub(crate) async fn wait_for_phase(gateway: &Gateway, phase: ShutdownPhase) {
     gateway.shutdown_requested().await;
     while gateway.phase() < phase {
-        tokio::time::sleep(PHASE_INTERVAL).await;
+        tokio::time::sleep(PHASE_CHECK_INTERVAL).await;
     }
 }
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -1,4 +1,4 @@
-//! What all requests of a host share.
+//! The state that all requests of a host share.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -37,29 +37,33 @@
 use crate::gateway::slowdowns::Slowdowns;
 use crate::units::ServiceId;
 
-/// Crashes after which a request is refused. Callers here have no key that tells their requests
-/// apart, so requests with the same content that ran beside one another when an upstream died count
-/// as one: two deaths can be chance, three in a row without an answer are not.
-const CRASHES_MAX: usize = 3;
-/// How long such a request is refused after its last crash. Short, for a request that was marked by
-/// chance is served again then; one that does crash its upstream is marked again at once.
-const POISON_KEPT_FOR: Duration = Duration::from_secs(30);
+/// Crashes after which a request is refused. Callers of the gateway send no key that distinguishes
+/// their requests, so requests with the same content that ran concurrently when an upstream died
+/// count as one request. Two crashes can be a coincidence; three in a row without a response are
+/// not.
+const POISON_CRASHES_MAX: usize = 3;
+/// How long such a request is refused after its last crash. The time is short because a request
+/// that was refused by coincidence is then served again, and one that does crash its upstream is
+/// refused again soon.
+const POISON_RETENTION: Duration = Duration::from_secs(30);
 
-/// How long a crash is told to the other hosts: four or more messages, of which three may be lost.
-/// Each host tells only what it has seen itself; told on by all, a day of lost answers made a
-/// gigabyte of news.
-const CRASH_TOLD_FOR: Duration = Duration::from_secs(1);
-/// The shared state of one host, in parts under their own locks. No lock is held across a wait.
+/// How long a crash is broadcast to the other hosts: in four or more messages, of which three may
+/// be lost. Each host broadcasts only crashes that it has detected itself. When all hosts forwarded
+/// them, a day of lost responses caused a gigabyte of messages.
+const CRASH_BROADCAST_FOR: Duration = Duration::from_secs(1);
+
+/// The shared state of one host, in parts that have their own locks. No lock is held across an
+/// await.
 pub struct Gateway {
-    /// The settings.
+    /// The configuration of the host.
     pub conf: GatewayConf,
-    /// The clock.
+    /// The clock of the host.
     pub clock: Arc<dyn Clock>,
     /// The headers of the platform.
     pub header_codec: Arc<dyn HeaderCodec>,
-    /// Orders to engines.
+    /// The client for orders to engines.
     pub orders: Arc<dyn EngineOrders>,
-    /// What is taken to be true.
+    /// The host's current view of the platform.
     pub beliefs: Beliefs,
     /// The decision log.
     pub log: DecisionLog,
@@ -72,38 +76,41 @@
     pub(crate) started_at: Instant,
     shutdown_requested_at: watch::Sender<Option<Instant>>,
     in_flight: AtomicU64,
-    /// Notified when this host's work at upstreams changes.
+    /// Notified when the load that this host puts on upstreams changes.
     pub(crate) load_changed: Notify,
-    /// Notified when an upstream could not be reached.
+    /// Notified when a connection to an upstream fails.
     pub(crate) health_changed: Notify,
-    /// Notified when the others have to hear of it at once.
+    /// Notified when the state of this host must be broadcast without waiting for the next
+    /// interval.
     pub(crate) broadcast_now: Notify,
-    /// Drawn at the start; tells this life of the host from earlier ones.
+    /// A random number drawn at the start of the process, which distinguishes this incarnation of
+    /// the host from earlier ones.
     pub(crate) incarnation: u64,
-    /// What was read last, for other hosts that ask.
+    /// The last state read from the platform, for other hosts that request it.
     pub(crate) held: Held,
-    /// Lives of upstreams that are over.
+    /// The incarnations of upstreams that have ended.
     pub(crate) lives: Lives,
-    /// Notified when the host that reads for this one has another manifest.
+    /// Notified when the host that reads the platform for this one has a different manifest.
     pub(crate) routes_changed: Notify,
-    /// Notified when it has other upstreams.
+    /// Notified when the host that reads the platform for this one has a different list of
+    /// upstreams.
     pub(crate) upstreams_changed: Notify,
-    /// Notified when a host was heard that is not on the list.
+    /// Notified when a message arrives from a host that is not on the list.
     pub(crate) hosts_changed: Notify,
     pub(crate) messages_sent: AtomicU64,
     news_route: Mutex<NewsRoute>,
     logged_route: Mutex<NewsRoute>,
-    /// Which host reads the platform for this one.
+    /// Selects the host that reads the platform for this one.
     pub(crate) readers: Readers,
-    /// Which engines are slow.
+    /// The slowdowns of engines.
     pub(crate) slowdowns: Slowdowns,
-    /// Which upstreams take only so many requests a second.
+    /// The rate limits of upstreams.
     pub(crate) rate_limits: RateLimits,
     crashes: Mutex<VecDeque<(Instant, PoisonReport)>>,
 }
 
 impl Gateway {
-    /// The shared state of a host that knows nothing yet.
+    /// Creates the state of a host that has read nothing from the platform yet.
     pub fn new(
         conf: GatewayConf,
         clock: Arc<dyn Clock>,
@@ -125,7 +132,10 @@
             ledger: Mutex::default(),
             health: Mutex::default(),
             retries: Mutex::default(),
-            poison: Mutex::new(PoisonList::with_bounds(CRASHES_MAX, POISON_KEPT_FOR)),
+            poison: Mutex::new(PoisonList::with_bounds(
+                POISON_CRASHES_MAX,
+                POISON_RETENTION,
+            )),
             shutdown_requested_at: watch::Sender::new(None),
             in_flight: AtomicU64::new(0),
             load_changed: Notify::new(),
@@ -147,23 +157,23 @@
         }
     }
 
-    /// The work of all hosts at upstreams.
+    /// The load that all hosts put on upstreams.
     pub fn ledger(&self) -> MutexGuard<'_, LoadLedger> {
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What this host has seen of upstreams' faults.
+    /// The health of upstreams as this host knows it.
     pub fn health(&self) -> MutexGuard<'_, HealthTracker> {
         self.health.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// By which way news of other hosts come.
+    /// The route by which messages of other hosts arrive.
     pub(crate) fn news_route(&self) -> NewsRoute {
         let route = self.news_route.lock();
         route.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// The way that the decision log has told last.
+    /// The route that was last written to the decision log.
     pub(crate) fn logged_route(&self) -> NewsRoute {
         let route = self.logged_route.lock();
         route.unwrap_or_else(PoisonError::into_inner).clone()
@@ -182,29 +192,29 @@
         *current = route;
     }
 
-    /// Requests that crash upstreams.
+    /// The requests that crash upstreams.
     pub fn poison(&self) -> MutexGuard<'_, PoisonList> {
         self.poison.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in crashes that this host has seen, to be told to the others.
+    /// Adds crashes that this host has detected to its next broadcasts.
     pub(crate) fn broadcast_crashes(&self, crashes: Vec<PoisonReport>) {
         let now = self.clock.now();
-        let mut told = self.crashes.lock().unwrap_or_else(PoisonError::into_inner);
-        told.extend(crashes.into_iter().map(|poison| (now, poison)));
-        drop(told);
+        let mut recent = self.crashes.lock().unwrap_or_else(PoisonError::into_inner);
+        recent.extend(crashes.into_iter().map(|poison| (now, poison)));
+        drop(recent);
         self.load_changed.notify_one();
     }
 
-    /// The crashes that this host has seen lately.
+    /// The crashes that this host has detected within [`CRASH_BROADCAST_FOR`].
     pub(crate) fn recent_crashes(&self) -> Vec<PoisonReport> {
         let now = self.clock.now();
-        let mut told = self.crashes.lock().unwrap_or_else(PoisonError::into_inner);
-        told.retain(|(at, _)| now.saturating_duration_since(*at) < CRASH_TOLD_FOR);
-        told.iter().map(|(_, poison)| poison.clone()).collect()
+        let mut recent = self.crashes.lock().unwrap_or_else(PoisonError::into_inner);
+        recent.retain(|(at, _)| now.saturating_duration_since(*at) < CRASH_BROADCAST_FOR);
+        recent.iter().map(|(_, poison)| poison.clone()).collect()
     }
 
-    /// Takes in that a caller's request goes to a service.
+    /// Records a caller's request to a service for the retry budget.
     pub fn count_request(&self, service: &ServiceId) {
         let now = self.clock.now();
         let mut retries = self.retries.lock().unwrap_or_else(PoisonError::into_inner);
@@ -212,7 +222,8 @@
         window.on_request(&self.conf.retry_bound, now);
     }
 
-    /// Takes one retry for a service out of this host's share of the budget.
+    /// Takes one retry for a service from this host's share of the budget. Returns whether the
+    /// retry is allowed.
     pub fn try_retry(&self, service: &ServiceId) -> bool {
         let now = self.clock.now();
         let hosts = self.beliefs.hosts().len();
@@ -221,8 +232,8 @@
         window.try_retry(&self.conf.retry_bound, hosts, now)
     }
 
-    /// Whether a call may be sent right now: its key is still in force, and this host's knowledge
-    /// of that is fresh enough. Asked right before each send, since a call may have waited.
+    /// Whether a call may be sent now: its key is still valid, and this host's view of the keys is
+    /// recent enough. Checked right before each send, since a call may have waited.
     pub fn may_send(&self, call: &Call) -> bool {
         if call.customer.is_none() {
             return true;
@@ -240,12 +251,12 @@
         routes.is_some_and(|routes| routes.keys.customer(key) == call.customer.as_ref())
     }
 
-    /// How old the manifest is.
+    /// The age of the manifest; none if there is no manifest.
     pub fn manifest_age(&self) -> Option<Duration> {
         self.beliefs.freshness().age(self.clock.since_boot())
     }
 
-    /// Whether the balancer may send connections here.
+    /// Whether the host is ready for connections from the balancer.
     pub fn is_ready(&self) -> bool {
         let now = self.clock.since_boot();
         self.phase() == ShutdownPhase::Serving
@@ -257,39 +268,39 @@
                 .holds_lease(self.conf.key_lease, now)
     }
 
-    /// Begins to stop.
+    /// Starts the graceful shutdown. Later calls have no effect.
     pub fn begin_shutdown(&self) {
         let now = self.clock.now();
-        let begun = self.shutdown_requested_at.send_if_modified(|asked| {
-            let is_first = asked.is_none();
-            asked.get_or_insert(now);
+        let is_requested = self.shutdown_requested_at.send_if_modified(|requested_at| {
+            let is_first = requested_at.is_none();
+            requested_at.get_or_insert(now);
             is_first
         });
-        if begun {
+        if is_requested {
             let in_flight = self.in_flight();
             self.log.record(DecisionEvent::Stopping { in_flight });
         }
     }
 
-    /// Waits until the host is asked to stop.
+    /// Waits until a shutdown has been requested.
     pub async fn shutdown_requested(&self) {
-        let mut asked = self.shutdown_requested_at.subscribe();
-        // Fails only when the sender is gone, which lives as long as this host.
-        let _ = asked.wait_for(Option::is_some).await;
+        let mut requested = self.shutdown_requested_at.subscribe();
+        // Fails only when the sender is dropped, which lives as long as this host.
+        let _ = requested.wait_for(Option::is_some).await;
     }
 
-    /// How far this host has come in stopping.
+    /// The current phase of the shutdown.
     pub fn phase(&self) -> ShutdownPhase {
-        let asked = *self.shutdown_requested_at.borrow();
-        ShutdownPhase::at(asked, self.conf.stop_grace, self.clock.now())
+        let requested_at = *self.shutdown_requested_at.borrow();
+        ShutdownPhase::at(requested_at, self.conf.stop_grace, self.clock.now())
     }
 
-    /// Requests that have not ended.
+    /// The number of requests in flight.
     pub fn in_flight(&self) -> u64 {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Counts a request for as long as the guard lives.
+    /// Counts a request as in flight until the guard is dropped.
     pub fn enter(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlight {
@@ -298,7 +309,7 @@
     }
 }
 
-/// A request that has not ended.
+/// Counts one request as in flight until it is dropped.
 pub struct InFlight {
     gateway: Arc<Gateway>,
 }
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -152,8 +152,9 @@
         self.last_chunk_at = now;
     }
 
-    /// Sends the call to another engine, to go on after the last event that was passed on. What came
-    /// of the event after it is forgotten: the other engine sends it again from its beginning.
+    /// Sends the call to another engine, which resumes the stream after the last event that was
+    /// forwarded. The incomplete event after it is discarded, since the other engine sends this
+    /// event again from its beginning.
     async fn fail_over(&mut self, fault: UpstreamFault, why: String) -> bool {
         // Closes the connection to the failed engine first: two engines must not write the same
         // response.
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -89,7 +89,7 @@
     };
     let (status, ()) = tokio::join!(answer, restart);
     assert_eq!(status, 502, "504 if its time had run out");
-    wait_until(|| host.log.text().contains("has started again")).await;
+    wait_until(|| host.log.text().contains("the upstream has restarted")).await;
 }
 
 /// A call is answered as lost although it runs. It went to an upstream that had restarted already, by
