--- a/src/gateway/decision_event.rs
+++ b/src/gateway/decision_event.rs
@@ -1,4 +1,4 @@
-//! The lines of the decision log.
+//! The entries of the decision log.
 
 use std::borrow::Cow;
 
@@ -8,246 +8,251 @@
 use crate::gateway::EnginesSeen;
 use crate::gateway::LimitSeen;
 
-/// One decision that touches a request, or one change of what the host takes to be true. Each is
-/// written as a line of JSON.
+/// A decision about a request, or a change in the state of the host. Each event is written as one
+/// line of JSON.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum DecisionEvent {
     /// The host has started.
     Started {
-        /// Its failure domain.
+        /// The failure domain of the host.
         domain: String,
-        /// Where callers connect.
+        /// The address for callers.
         callers_addr: String,
     },
     /// The host was asked to stop.
     Stopping {
-        /// Requests that have not ended.
+        /// The number of requests in flight.
         in_flight: u64,
     },
-    /// The host stops.
+    /// The host has stopped.
     Stopped {
-        /// Requests that were cut off by it.
+        /// The number of requests that were cut off.
         cut: u64,
     },
     /// The settings file was read again.
     Reloaded {
-        /// What came of it.
+        /// The result.
         outcome: String,
     },
-    /// A manifest is in force.
+    /// A manifest has come into force.
     ManifestInForce {
-        /// Its number.
+        /// The generation of the manifest.
         generation: u64,
-        /// How many routes it has.
+        /// The number of routes.
         routes: usize,
-        /// How many keys it has.
+        /// The number of keys.
         keys: usize,
     },
     /// The list of upstreams has changed.
     UpstreamsChanged {
-        /// Upstreams that may get requests.
+        /// The number of upstreams that may receive requests.
         usable: usize,
-        /// Those that are new on the list.
+        /// The upstreams that are new on the list.
         joined: Vec<String>,
-        /// Those that left it or are leaving.
+        /// The upstreams that were removed from the list or are leaving.
         left: Vec<String>,
-        /// Those of them that have started again under the same name.
+        /// The former upstreams that have restarted under the same name.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         restarted: Vec<String>,
     },
-    /// News of other hosts come by another way.
+    /// Messages of other hosts arrive by a different route.
     NewsRoute {
-        /// The host that passes on those of other failure domains; none if all hosts tell each other,
-        /// or if it is this one.
+        /// The host that forwards messages of other failure domains; none if all hosts send to each
+        /// other directly, or if this host is the collector.
         collector: Option<String>,
-        /// How old those of this domain are at most when nothing is lost, in ms.
+        /// The maximum age of messages of this failure domain when none is lost, in ms.
         near_age_ms: u64,
-        /// The same of those of other domains.
+        /// The maximum age of messages of other failure domains when none is lost, in ms.
         far_age_ms: u64,
     },
-    /// The platform's store has come back from an older copy: what was written since is gone, and its revisions go back.
-    /// All that is held of it is read anew, and this host puts itself on the list again.
+    /// The store of the platform was restored from an older copy. Later writes are lost, and its
+    /// revisions go back. This host reads its cached state again and registers itself again.
     StoreReturned {
-        /// Its era before.
+        /// The era of the store before.
         former_era: u16,
-        /// Its era now.
+        /// The era of the store now.
         era: u16,
-        /// The revision of the manifest that was held.
+        /// The revision of the cached manifest.
         former_revision: u64,
-        /// The revision of the one that was read.
+        /// The revision of the manifest that was read.
         revision: u64,
     },
-    /// The platform has a manifest that is older than the one in force, which stays; no lease on keys is renewed by it.
+    /// The platform has an older manifest than the one in force, which stays in force. Reading the
+    /// older manifest does not renew the lease on keys.
     ManifestOlder {
-        /// The number of the one in force.
+        /// The generation of the manifest in force.
         in_force: u64,
-        /// The number of the one that was read.
+        /// The generation of the manifest that was read.
         generation: u64,
     },
-    /// A dependency can't be reached.
+    /// A dependency is unreachable.
     DependencyLost {
-        /// Which one.
+        /// The name of the dependency.
         dependency: Cow<'static, str>,
-        /// How it shows.
+        /// The error.
         error: String,
     },
-    /// A dependency can be reached again.
+    /// A dependency is reachable again.
     DependencyRegained {
-        /// Which one.
+        /// The name of the dependency.
         dependency: Cow<'static, str>,
-        /// How long it was away, in ms.
+        /// How long the dependency was unreachable, in ms.
         away_ms: u64,
     },
-    /// An engine has become slow or sound, by its own word to this host.
+    /// An engine has reported to this host that it has become slow or has recovered.
     UpstreamSpeed {
-        /// The engine.
+        /// The id of the engine.
         upstream: String,
-        /// How many times as long as its model says it takes.
+        /// The ratio of the time that the engine takes to the time in its model.
         slowdown: f64,
     },
-    /// An upstream has named another limit than before.
+    /// An upstream advertises a different limit than before.
     UpstreamLimit {
-        /// The upstream.
+        /// The id of the upstream.
         upstream: String,
-        /// The requests a second that it takes from all hosts together; none if as many as come.
+        /// The requests per second that the upstream accepts from all hosts together; none if it has
+        /// no limit.
         limit_per_s: Option<f64>,
-        /// The host or collector that told of it; none if an answer to this host did.
+        /// The host or collector that reported the limit; none if a response to this host did.
         told_by: Option<String>,
-        /// The time since the upstream said so, in ms.
+        /// The time since the upstream advertised the limit, in ms.
         age_ms: u64,
     },
-    /// An upstream has named a limit that is no rate; the limit that is known stays. One line in ten
-    /// seconds for each upstream.
+    /// An upstream advertises a limit that is not a rate. The known limit stays. Logged at most once
+    /// in ten seconds per upstream.
     LimitMalformed {
-        /// The upstream.
+        /// The id of the upstream.
         upstream: String,
-        /// What it said.
+        /// The malformed value.
         value: String,
     },
-    /// An upstream failed a request or could not be reached.
+    /// An upstream failed a request or was unreachable.
     UpstreamFault {
-        /// The request.
+        /// The id of the request.
         request: String,
-        /// The upstream.
+        /// The id of the upstream.
         upstream: String,
-        /// The fault.
+        /// The fault and its cause.
         fault: String,
-        /// Since the request arrived, in ms.
+        /// The time since the request arrived, in ms.
         elapsed_ms: u64,
     },
-    /// Memory for a prompt of several engines could not be set aside.
+    /// An engine refused to reserve memory for a prompt that several engines share.
     ReservationRefused {
-        /// The request.
+        /// The id of the request.
         request: String,
-        /// What the engine said.
+        /// The error returned by the engine.
         error: String,
     },
     /// A request was sent to an upstream.
     Sent {
-        /// The request.
+        /// The id of the request.
         request: String,
-        /// The upstream.
+        /// The id of the upstream.
         upstream: String,
-        /// The engines that read parts of the prompt beside it.
+        /// The engines that prefill parts of the prompt beside the leader.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         helpers: Vec<String>,
-        /// How many engines have memory set aside for the prompt.
+        /// The number of engines with memory reserved for the prompt.
         reserves: usize,
-        /// How often it was sent before.
+        /// The number of earlier sends of the request.
         earlier_sends: u32,
-        /// When the first event is expected, in ms from now; 0 for plain services.
+        /// The forecast time until the first event, in ms; 0 for plain services.
         forecast_ms: u64,
-        /// Since the request arrived, in ms.
+        /// The time since the request arrived, in ms.
         elapsed_ms: u64,
-        /// The prompt.
+        /// The length of the prompt in tokens.
         prompt_tokens: u64,
-        /// How old the manifest is, in ms.
+        /// The age of the manifest, in ms.
         manifest_age_ms: u64,
-        /// What its upstream has named as its limit, and got; none if it has named none.
+        /// The limit that the upstream advertises and the requests it has received; none if it
+        /// advertises no limit.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         limit: Option<LimitSeen>,
     },
-    /// A prompt for several engines has waited for a second; one line a request.
+    /// A prompt for several engines has waited for one second. Logged once per request.
     Waiting {
-        /// The request.
+        /// The id of the request.
         request: String,
-        /// The prompt.
+        /// The length of the prompt in tokens.
         prompt_tokens: u64,
-        /// Since the request arrived, in ms.
+        /// The time since the request arrived, in ms.
         elapsed_ms: u64,
-        /// What is left of the time in which its answer is on time, in ms.
+        /// The time left until the response is late, in ms.
         objective_left_ms: u64,
-        /// What is left of its time, in ms.
+        /// The time left until the deadline, in ms.
         time_left_ms: u64,
-        /// How often engines were chosen for it.
+        /// The number of placement decisions so far.
         choices: u32,
-        /// The engines of this host's failure domain.
+        /// The engines in the failure domain of this host.
         near: Box<EnginesSeen>,
         /// All engines of the service.
         all: Box<EnginesSeen>,
     },
-    /// A request was turned away by what this host knew then.
+    /// This host refused a request, with the state that the decision was based on.
     Refused {
-        /// The request.
+        /// The id of the request.
         request: String,
-        /// Why, as one word.
+        /// The name of the reason.
         reason: Cow<'static, str>,
-        /// The prompt; 0 for plain services.
+        /// The length of the prompt in tokens; 0 for plain services.
         prompt_tokens: u64,
-        /// Since the request arrived, in ms.
+        /// The time since the request arrived, in ms.
         elapsed_ms: u64,
-        /// What was left of the time in which its answer is on time, in ms.
+        /// The time left until the response would be late, in ms.
         objective_left_ms: u64,
-        /// What was left of its time, in ms.
+        /// The time left until the deadline, in ms.
         #[serde(default)]
         time_left_ms: u64,
-        /// How often engines or instances were chosen for it.
+        /// The number of placement decisions.
         #[serde(default)]
         choices: u32,
-        /// For a prompt of several engines, those of this host's failure domain.
+        /// For a prompt that several engines can share, the engines in the failure domain of this
+        /// host.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         near: Option<Box<EnginesSeen>>,
-        /// The same of all engines of the service.
+        /// For a prompt that several engines can share, all engines of the service.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         all: Option<Box<EnginesSeen>>,
-        /// When the caller was asked to come back, in ms.
+        /// The time after which the caller was asked to retry, in ms.
         retry_after_ms: u64,
-        /// Upstreams of its service that were on the list.
+        /// The number of listed upstreams of the service.
         upstreams: usize,
-        /// Other hosts, or collectors that speak for theirs, whose work was known.
+        /// The number of other hosts, or collectors on behalf of their hosts, whose load was known.
         hosts_heard: usize,
-        /// How old the manifest is, in ms.
+        /// The age of the manifest, in ms.
         manifest_age_ms: u64,
     },
     /// A request has ended.
     Ended {
-        /// The request.
+        /// The id of the request.
         request: String,
-        /// Its route; empty if it has none.
+        /// The route of the request; empty if there is none.
         route: String,
-        /// Whose it is; empty if nobody's.
+        /// The customer of the request; empty if there is none.
         customer: String,
-        /// What kind of request.
+        /// The kind of the request.
         kind: Cow<'static, str>,
-        /// What came of it, as one word.
+        /// The name of the outcome.
         outcome: String,
-        /// The status that the caller got.
+        /// The status returned to the caller.
         status: u16,
-        /// Since it arrived, in ms.
+        /// The time since the request arrived, in ms.
         elapsed_ms: u64,
-        /// From its arrival to the first event of its answer, in ms; none if there was no event.
+        /// The time from the arrival to the first event of the response, in ms; none if there was no
+        /// event.
         first_event_ms: Option<u64>,
-        /// The longest pause between two events, in ms.
+        /// The longest pause between two events of the response, in ms.
         longest_pause_ms: u64,
-        /// The manifest by which it was admitted.
+        /// The generation of the manifest by which the request was admitted.
         generation: u64,
     },
 }
 
 impl DecisionEvent {
-    /// The request that the line is about.
+    /// The id of the request that the event is about, if any.
     pub fn request(&self) -> Option<&str> {
         match self {
             Self::UpstreamFault { request, .. }
@@ -260,8 +265,8 @@
         }
     }
 
-    /// Whether the line is kept before others when there are too many: those of failures and of the
-    /// host itself are, those of requests that went well are not.
+    /// Whether the event may use the capacity of the log that is reserved for failures: events of
+    /// failures and of the host itself may, events of successful requests may not.
     pub fn has_priority(&self) -> bool {
         match self {
             Self::Sent { .. } | Self::Waiting { .. } => false,
--- a/src/gateway/handler.rs
+++ b/src/gateway/handler.rs
@@ -73,8 +73,8 @@
     tracker: &mut RequestTracker,
 ) -> Result<Call, (String, CallRefusal)> {
     let request_head = gateway.header_codec.read_request_head(&head.headers);
-    let request_head = request_head.map_err(|bad| {
-        let problem = format!("{}: {}", bad.header, bad.problem);
+    let request_head = request_head.map_err(|invalid| {
+        let problem = format!("{}: {}", invalid.header, invalid.problem);
         (String::new(), CallRefusal::InvalidHead(problem))
     })?;
     tracker.on_head(&request_head.request);
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -119,8 +119,8 @@
 
 impl Gateway {
     /// Records the limit that an upstream's response advertises. A malformed limit changes nothing.
-    pub(crate) fn on_response_limit(&self, upstream: &UpstreamId, said: &LimitSaid) {
-        let limit = match said {
+    pub(crate) fn on_response_limit(&self, upstream: &UpstreamId, advertised: &LimitSaid) {
+        let limit = match advertised {
             LimitSaid::Nothing => return,
             LimitSaid::Unlimited => None,
             LimitSaid::Limited(limit) => Some(*limit),
--- a/src/gateway/response_body.rs
+++ b/src/gateway/response_body.rs
@@ -29,7 +29,7 @@
 pub enum ResponseBody {
     /// The complete body; none once it was taken.
     Full(Option<Bytes>),
-    /// Stream.
+    /// The chunks of a stream.
     Stream(BoxStream<'static, Result<Bytes, TruncatedResponse>>),
 }
 
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -48,8 +48,8 @@
 const POISON_RETENTION: Duration = Duration::from_secs(30);
 
 /// How long a crash is broadcast to the other hosts: in four or more messages, of which three may
-/// be lost. Each host broadcasts only crashes that it has detected itself. When all hosts forwarded
-/// them, a day of lost responses caused a gigabyte of messages.
+/// be lost. Each host broadcasts only crashes that it has detected itself. If hosts forwarded the
+/// reports of others too, a day of lost responses would cause a gigabyte of messages.
 const CRASH_BROADCAST_FOR: Duration = Duration::from_secs(1);
 
 /// The shared state of one host, in parts that have their own locks. No lock is held across an
--- a/tests/decide_retry.rs
+++ b/tests/decide_retry.rs
@@ -1,4 +1,4 @@
-//! Retries and poison: what entry hosts ask before another attempt.
+//! Retries, and refusal of requests that crash upstreams.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -31,25 +31,29 @@
     third = { |f| FailedAttempt { attempts: 3, ..f }, GiveUpReason::Attempts },
     no_time = { |f| FailedAttempt { retry_after: Some(Duration::from_secs(11)), ..f }, GiveUpReason::Deadline },
 )]
-fn some_attempts_are_never_repeated(change: fn(FailedAttempt) -> FailedAttempt, why: GiveUpReason) {
+fn some_attempts_are_never_retried(
+    change: fn(FailedAttempt) -> FailedAttempt,
+    reason: GiveUpReason,
+) {
     let now = Instant::now();
-    let verdict = RetryBudget::new(1, now).decide(&change(failed(now)), now);
-    assert_eq!(verdict, RetryDecision::GiveUp(why));
+    let decision = RetryBudget::new(1, now).decide(&change(failed(now)), now);
+    assert_eq!(decision, RetryDecision::GiveUp(reason));
 }
 
 #[test]
-fn what_provably_did_not_run_is_repeated_although_it_may_not_run_twice() {
+fn an_attempt_that_did_not_run_is_retried_even_if_not_repeatable() {
     let now = Instant::now();
     let attempt = FailedAttempt {
         is_repeatable: false,
         ..failed(now)
     };
-    let verdict = RetryBudget::new(1, now).decide(&attempt, now);
-    assert!(matches!(verdict, RetryDecision::Retry { .. }));
+    let decision = RetryBudget::new(1, now).decide(&attempt, now);
+    assert!(matches!(decision, RetryDecision::Retry { .. }));
 }
 
-/// All upstreams of a service fail for a minute at a hundred requests a second. If each request were
-/// made three times, the service would meet three hundred when it comes back.
+/// Load condition: all upstreams of a service fail for a minute at a hundred requests per second.
+/// If each request were tried three times, the service would receive three hundred requests per
+/// second when it recovers.
 #[test]
 fn an_outage_does_not_multiply_the_load() {
     let start = Instant::now();
@@ -76,38 +80,40 @@
     );
     pauses.sort();
     pauses.dedup();
-    assert!(pauses.len() > 1_000, "pauses are jittered");
+    assert!(pauses.len() > 1_000, "pauses must be jittered");
 }
 
 fn fingerprint() -> RequestFingerprint {
     RequestFingerprint::of_content(ContentHash(7))
 }
 
-fn poison(attempt: u128) -> PoisonReport {
+fn report(attempt: u128) -> PoisonReport {
     PoisonReport {
         fingerprint: fingerprint(),
         attempts: vec![AttemptId(attempt)],
     }
 }
 
-/// A request crashes the engine that runs it, and its caller sends it again through another host.
-/// Hosts tell each other of the crashes, in any order and more than once; after two crashes of
-/// distinct attempts every host refuses it. One crash, told twice, is not held against it.
+/// Failure: a request crashes the engine that runs it, and its caller sends it again through
+/// another host. Hosts report crashes to each other, in any order and more than once. After two
+/// crashes of distinct attempts every host refuses the request. One crash that is reported twice
+/// counts once.
 #[test]
-fn two_crashes_anywhere_make_a_request_poison() {
+fn two_crashes_on_any_hosts_make_a_request_refused_everywhere() {
     let now = Instant::now();
     let (mut here, mut there) = (PoisonList::new(), PoisonList::new());
-    let told = here.on_crash(&[fingerprint()], AttemptId(1), now);
+    let reports = here.on_crash(&[fingerprint()], AttemptId(1), now);
     assert!(
         here.on_crash(&[fingerprint()], AttemptId(1), now)
             .is_empty()
     );
-    assert!(there.merge(&told[0], now));
-    assert!(!there.merge(&told[0], now));
+    assert!(there.merge(&reports[0], now));
+    assert!(!there.merge(&reports[0], now));
     assert!(!here.is_poison(&[fingerprint()], now) && !there.is_poison(&[fingerprint()], now));
-    let told = there.on_crash(&[fingerprint()], AttemptId(2), now);
+    let reports = there.on_crash(&[fingerprint()], AttemptId(2), now);
     assert!(there.is_poison(&[fingerprint()], now));
-    told.iter()
+    reports
+        .iter()
         .for_each(|poison| assert!(here.merge(poison, now)));
     assert!(here.is_poison(&[fingerprint()], now));
     let mut fresh = PoisonList::new();
@@ -143,13 +149,13 @@
         list.merge(
             &PoisonReport {
                 fingerprint,
-                ..poison(number)
+                ..report(number)
             },
             now,
         );
     }
-    list.merge(&poison(1), now);
-    list.merge(&poison(2), now);
+    list.merge(&report(1), now);
+    list.merge(&report(2), now);
     assert!(list.all(now).len() <= 8_192);
     assert!(list.is_poison(&[fingerprint()], now));
 }
--- a/tests/decision_log.rs
+++ b/tests/decision_log.rs
@@ -1,4 +1,4 @@
-//! The decision log under more lines than can be written.
+//! The decision log when more lines are recorded than can be written.
 
 use std::io;
 use std::io::Write;
@@ -10,16 +10,16 @@
 use banyanarch::gateway::DecisionEvent;
 use banyanarch::gateway::DecisionLog;
 
-/// An output that takes nothing until it is let go.
-struct Stuck {
-    let_go: Mutex<mpsc::Receiver<()>>,
+/// An output that blocks until it is released.
+struct BlockedOutput {
+    released: Mutex<mpsc::Receiver<()>>,
     written: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Stuck {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // Fails, and goes on, once the test has let go for good.
-        let _ = self.let_go.lock().unwrap().recv();
+        // Returns an error, and continues, once the sender is dropped.
+        let _ = self.released.lock().unwrap().recv();
         self.written.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
     }
@@ -44,14 +44,14 @@
     }
 }
 
-/// Whoever reads the logs has stopped reading. Requests wait for the log, and a fleet stands still
-/// for want of a reader; or the lines of what went well push out those of what failed.
+/// Failure: the reader of the logs has stopped reading. Requests wait for the log and the whole
+/// fleet stalls, or the lines of successful requests displace those of failures.
 #[test]
-fn a_log_that_nobody_reads_holds_nothing_up_and_keeps_the_failures() {
+fn a_blocked_log_does_not_block_requests_and_keeps_failures() {
     let written: Arc<Mutex<Vec<u8>>> = Arc::default();
-    let (let_go, waiting) = mpsc::channel();
-    let out = Stuck {
-        let_go: Mutex::new(waiting),
+    let (release, released) = mpsc::channel();
+    let out = BlockedOutput {
+        released: Mutex::new(released),
         written: Arc::clone(&written),
     };
     let clock = Arc::new(SystemClock);
@@ -60,11 +60,11 @@
         let status = if request % 100 == 7 { 502 } else { 200 };
         log.record(ended(request, status));
     }
-    // All 20,000 were noted although not a byte could be written.
+    // All 20,000 events were recorded although no byte could be written.
     assert!(written.lock().unwrap().is_empty());
     let dropped = log.dropped_total();
     assert!(dropped > 15_000, "{dropped}");
-    drop(let_go);
+    drop(release);
     log.close();
     let text = String::from_utf8(written.lock().unwrap().clone()).unwrap();
     let lines: Vec<serde_json::Value> = text
@@ -72,13 +72,13 @@
         .map(|line| serde_json::from_str(line).unwrap())
         .collect();
     let failures = lines.iter().filter(|line| line["status"] == 502);
-    assert_eq!(failures.count(), 200, "every failure has its line");
-    let told: u64 = lines
+    assert_eq!(failures.count(), 200, "every failure must have a line");
+    let reported: u64 = lines
         .iter()
         .filter(|line| line["event"] == "lines_dropped")
         .map(|line| line["lines"].as_u64().unwrap())
         .sum();
-    assert_eq!(told, dropped, "drops are told");
+    assert_eq!(reported, dropped, "dropped lines must be reported");
     let kept = lines.iter().filter(|line| line["event"] == "ended").count();
     assert_eq!(kept as u64 + dropped, 20_000);
 }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! Calls that are passed through: what callers get and what upstreams see, over loopback.
+//! Forwarded calls over loopback: what callers receive and what upstreams see.
 
 mod gateway_world;
 
@@ -27,7 +27,7 @@
 use indexmap::IndexMap;
 use yare::parameterized;
 
-/// A host before two upstreams of one service, `a` and `b`.
+/// A host with two upstreams of one service, `a` and `b`.
 async fn host_with_two_upstreams(
     service: &str,
     a: ScriptStep,
@@ -43,6 +43,7 @@
     (TestHost::start("host", &catalog).await, a, b)
 }
 
+/// A host with one upstream `a` of one service, and its catalog.
 async fn host_with_one_upstream(
     service: &str,
     act: ScriptStep,
@@ -58,7 +59,7 @@
 }
 
 #[tokio::test]
-async fn a_call_and_its_answer_are_passed_through_untouched() {
+async fn a_call_and_its_response_are_forwarded_unchanged() {
     let (host, upstream, _) =
         host_with_one_upstream("app", ScriptStep::Answer(201, "answer")).await;
     let mut req = request("/safe/a%20b/c?x=1&y=%2F");
@@ -69,7 +70,7 @@
     assert!(res.headers().contains_key("test-signature"));
     let arrivals = upstream.arrivals();
     let [arrival] = arrivals.as_slice() else {
-        panic!("one arrival: {arrivals:?}");
+        panic!("expected one arrival: {arrivals:?}");
     };
     assert!(
         arrival
@@ -97,7 +98,7 @@
 }
 
 #[tokio::test]
-async fn a_host_that_knows_no_manifest_turns_calls_away_and_is_not_ready() {
+async fn a_host_without_manifest_refuses_calls_and_is_not_ready() {
     let host = TestHost::start("host", &Arc::new(FakeCatalog::default())).await;
     let res = host.call(request("/safe/1")).await;
     assert_eq!(status(&res), 503);
@@ -105,18 +106,22 @@
     assert_eq!(host.readiness().await, 503);
 }
 
-/// A licence grant is invoiced twice. The first instance runs it and its answer is lost; sent again
-/// it runs a second time.
+/// Failure: a licence grant is invoiced twice. The first instance runs the call, the response is
+/// lost, and the call is sent again and runs a second time.
 #[tokio::test]
 async fn a_call_that_may_have_run_and_must_not_repeat_is_not_sent_again() {
     let (host, a, b) = host_with_two_upstreams("app", ScriptStep::Break, ScriptStep::Break).await;
     let res = host.call(request("/once/1")).await;
-    assert_eq!(status(&res), 502, "no promise that it did not run");
+    assert_eq!(
+        status(&res),
+        502,
+        "the status must not state that the call did not run"
+    );
     assert_eq!(a.arrivals().len() + b.arrivals().len(), 1);
 }
 
 #[tokio::test]
-async fn a_call_that_was_turned_away_goes_to_another_upstream() {
+async fn a_refused_call_is_sent_to_another_upstream() {
     let (host, a, b) =
         host_with_two_upstreams("app", ScriptStep::TurnAway, ScriptStep::Answer(200, "ok")).await;
     for _ in 0..4 {
@@ -126,7 +131,7 @@
 }
 
 #[tokio::test]
-async fn a_call_that_all_turned_away_is_answered_as_not_run() {
+async fn a_call_refused_by_all_upstreams_is_reported_as_not_run() {
     let (host, _, _) =
         host_with_two_upstreams("app", ScriptStep::TurnAway, ScriptStep::TurnAway).await;
     let res = host.call(request("/once/1")).await;
@@ -135,8 +140,9 @@
     assert!(!res.headers().contains_key("test-signature"));
 }
 
-/// A licence grant's route allows two upstreams, since the first may turn it away. The first one runs it
-/// and breaks off; sent again, the grant is issued twice.
+/// Failure: a licence grant is issued twice. Its route allows two upstreams, since the first may
+/// refuse it. The first upstream runs the call and breaks the connection, and the call is sent
+/// again.
 #[tokio::test]
 async fn a_call_that_may_run_once_is_not_sent_again_where_its_route_allows_more() {
     let mut routes = RouteTable::new(
@@ -156,8 +162,9 @@
     assert_eq!(a.arrivals().len() + b.arrivals().len(), 1);
 }
 
-/// A caller was turned away and asks why. The log has the status and nothing of what the host knew when
-/// it decided: how many upstreams, whose work, how old a manifest.
+/// Failure: a caller asks why its call was refused, and the log has only the status and not the
+/// state that the decision was based on: the number of upstreams, the hosts whose load was known,
+/// and the age of the manifest.
 #[tokio::test]
 async fn a_refusal_is_logged_with_what_decided_it() {
     let catalog = FakeCatalog::new(table(1));
@@ -193,13 +200,13 @@
 
 #[parameterized(
     broken = { ScriptStep::Break },
-    cut_short = { ScriptStep::CutShort },
+    truncated = { ScriptStep::Truncate },
     unsigned = { ScriptStep::Unsigned(200, "rot") },
-    crossed = { ScriptStep::Crossed },
+    other_request = { ScriptStep::AnswerOtherRequest },
     unsigned_failure = { ScriptStep::Unsigned(503, "") },
     failed = { ScriptStep::Answer(500, "failed") },
 )]
-fn what_is_no_whole_answer_to_the_call_does_not_reach_its_caller(act: ScriptStep) {
+fn an_invalid_or_incomplete_response_does_not_reach_the_caller(act: ScriptStep) {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         let (host, _, b) =
@@ -225,20 +232,20 @@
     assert!(res.headers().contains_key("test-signature"));
 }
 
-/// A caller hears the same words twice. An engine died in the middle of an event, the first half was
-/// passed on, and the next engine began the event again.
+/// Failure: a caller receives the same words twice. An engine died in the middle of an event, the
+/// first half of the event was forwarded, and the next engine sent the whole event again.
 #[tokio::test]
-async fn a_stream_that_breaks_goes_on_at_another_engine_after_the_last_whole_event() {
+async fn a_broken_stream_is_resumed_on_another_engine_after_the_last_complete_event() {
     let catalog = FakeCatalog::new(table(1));
     let script = [ScriptStep::EventsThenBreak(3), ScriptStep::Events(6)];
-    // Both do the same, so that it does not matter which one is asked first.
+    // Both upstreams have the same script, so it does not matter which one is chosen first.
     let a = ScriptedUpstream::start(script.clone()).await;
     let b = ScriptedUpstream::start(script).await;
     catalog.list("a", "app", a.addr);
     catalog.list("b", "app", b.addr);
     let host = TestHost::start("host", &catalog).await;
-    // Of the two calls at least one meets an engine that breaks off and one that goes on.
-    let mut went_on = 0;
+    // At least one of the calls meets an engine that breaks off and one that resumes.
+    let mut resumed = 0;
     for _ in 0..3 {
         let Ok(res) = host.try_call(request("/stream/1")).await else {
             continue;
@@ -246,16 +253,16 @@
         let expected: String = (1..=6).map(event).collect();
         assert_eq!(String::from_utf8_lossy(res.body()), expected);
         let arrivals = [a.arrivals(), b.arrivals()].concat();
-        went_on += arrivals
+        resumed += arrivals
             .iter()
             .filter(|arrival| arrival.header("test-after") == Some("3"))
             .count();
     }
-    assert!(went_on > 0, "no stream went on elsewhere");
+    assert!(resumed > 0, "no stream was resumed on another engine");
 }
 
 #[tokio::test]
-async fn a_stream_that_cannot_be_resumed_is_cut_and_does_not_look_complete() {
+async fn a_stream_that_cannot_be_resumed_is_truncated_and_does_not_look_complete() {
     let (host, a, b) = host_with_two_upstreams(
         "app",
         ScriptStep::EventsThenBreak(3),
@@ -268,7 +275,7 @@
 }
 
 #[tokio::test]
-async fn an_engine_that_falls_silent_is_left_for_another() {
+async fn a_silent_engine_is_replaced_by_another() {
     let (host, a, b) =
         host_with_two_upstreams("app", ScriptStep::EventsThenHang(2), ScriptStep::Events(4)).await;
     for _ in 0..3 {
@@ -277,43 +284,43 @@
         assert_eq!(String::from_utf8_lossy(res.body()), expected);
     }
     assert_eq!(
-        a.left_early(),
+        a.early_disconnects(),
         a.arrivals().len(),
-        "its connections were closed"
+        "connections to the silent engine must be closed"
     );
     assert_eq!(b.arrivals().len(), 3);
 }
 
-/// An engine works for a caller who has hung up. The host does not look at the caller's connection
-/// while it waits, and the engine is busy until the deadline.
+/// Failure: an engine works for a caller who has disconnected, and is busy until the deadline,
+/// because the host does not watch the connection of the caller while it waits.
 #[tokio::test]
-async fn when_a_caller_leaves_its_upstream_is_left_as_well() {
+async fn the_upstream_connection_is_closed_when_the_caller_disconnects() {
     let (host, upstream, _) = host_with_one_upstream("app", ScriptStep::Hang).await;
     let asked = tokio::time::timeout(Duration::from_millis(300), host.call(request("/once/1")));
     assert!(asked.await.is_err());
-    wait_until(|| upstream.left_early() == 1).await;
+    wait_until(|| upstream.early_disconnects() == 1).await;
     wait_until(|| host.gateway.in_flight() == 0).await;
 }
 
 #[tokio::test]
-async fn a_call_has_its_final_answer_when_its_time_is_up() {
+async fn a_call_gets_its_final_response_at_its_deadline() {
     let (host, upstream, _) = host_with_one_upstream("app", ScriptStep::Hang).await;
     let mut req = request("/once/1");
     req.headers_mut()
         .insert("test-deadline-ms", "400".parse().unwrap());
     let res = host.call(req).await;
     assert_eq!(status(&res), 504);
-    wait_until(|| upstream.left_early() == 1).await;
+    wait_until(|| upstream.early_disconnects() == 1).await;
     let arrivals = upstream.arrivals();
     let left_ms: u64 = arrivals[0].header("test-left-ms").unwrap().parse().unwrap();
     assert!(
         left_ms <= 400,
-        "no more time than the caller gave: {left_ms}"
+        "the upstream must not get more time than the caller gave: {left_ms}"
     );
 }
 
 #[tokio::test]
-async fn an_upstream_that_leaves_gets_no_new_calls() {
+async fn a_leaving_upstream_gets_no_new_calls() {
     let catalog = FakeCatalog::new(table(1));
     let leaving = ScriptedUpstream::start([ScriptStep::Answer(200, "a")]).await;
     let staying = ScriptedUpstream::start([ScriptStep::Answer(200, "b")]).await;
@@ -329,10 +336,10 @@
     assert_eq!(leaving.arrivals().len(), before);
 }
 
-/// A customer's key was stolen and taken back. One host can't reach the platform, does not hear of
-/// it, and goes on serving the thief.
+/// Failure: a customer's key was stolen and revoked. One host cannot reach the platform, does not
+/// learn of the revocation, and goes on serving the thief.
 #[tokio::test]
-async fn a_host_that_cannot_renew_its_knowledge_serves_no_keys() {
+async fn a_host_whose_key_lease_has_expired_serves_no_keys() {
     let catalog = FakeCatalog::new(table(1));
     let upstream = ScriptedUpstream::start([ScriptStep::Answer(200, "ok")]).await;
     catalog.list("a", "app", upstream.addr);
@@ -351,7 +358,7 @@
 }
 
 #[tokio::test]
-async fn a_key_that_was_taken_back_stops_working() {
+async fn a_revoked_key_stops_working() {
     let (host, _, catalog) = host_with_one_upstream("app", ScriptStep::Answer(200, "ok")).await;
     assert_eq!(
         status(&host.call(request_of("key-2", "/safe/1")).await),
@@ -381,10 +388,10 @@
     assert_eq!(host.gateway.beliefs.routes().unwrap().generation.0, 7);
 }
 
-/// A host is replaced while a caller waits for its answer. The process ends with the request, and
-/// the caller's connection breaks.
+/// Failure: a host is replaced while a caller waits for its response. The process exits before the
+/// request ends, and the connection of the caller breaks.
 #[tokio::test]
-async fn a_stopping_host_finishes_what_runs_and_closes_after_each_answer() {
+async fn a_stopping_host_finishes_running_calls_and_closes_after_each_response() {
     let (host, _, _) = host_with_one_upstream(
         "app",
         ScriptStep::AnswerAfter(Duration::from_secs(4), "late"),
@@ -399,18 +406,22 @@
     host.gateway.begin_shutdown();
     assert_eq!(host.readiness().await, 503);
     let rejected = host.call(request("/none/1")).await;
-    assert_eq!(status(&rejected), 404, "what still comes is served");
+    assert_eq!(
+        status(&rejected),
+        404,
+        "requests are still served while draining"
+    );
     assert_eq!(rejected.headers().get("connection").unwrap(), "close");
     let res = running.await.unwrap().unwrap();
     assert_eq!(res.body().as_ref(), b"late");
     host.serving.await.unwrap();
 }
 
-/// A caller whose request came to a stopping host late gets half of a long answer: the process was
-/// killed before it could finish. The balancer went on sending connections to the host since too few
-/// others were in rotation.
+/// Failure: a caller whose request reached a stopping host late receives half of a long response,
+/// because the process is killed before the response ends. The balancer still sent connections to
+/// the host since too few other hosts were in rotation.
 #[tokio::test]
-async fn a_host_that_has_no_time_left_turns_new_calls_away_as_not_run() {
+async fn a_refusing_host_reports_new_calls_as_not_run() {
     let (host, upstream, _) = host_with_one_upstream(
         "app",
         ScriptStep::AnswerAfter(Duration::from_secs(5), "late"),
@@ -432,7 +443,7 @@
 }
 
 #[tokio::test]
-async fn every_line_of_the_decision_log_is_json_and_tells_how_a_request_ended() {
+async fn every_line_of_the_decision_log_is_json_and_records_how_a_request_ended() {
     let (host, _, _) =
         host_with_two_upstreams("app", ScriptStep::TurnAway, ScriptStep::TurnAway).await;
     assert_eq!(status(&host.call(request("/once/1")).await), 503);
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -1,4 +1,4 @@
-//! Upstreams that start again under the name of their last life.
+//! Upstreams that restart under the name of their former incarnation.
 
 mod gateway_world;
 
@@ -19,15 +19,15 @@
 use gateway_world::wait_until;
 use indexmap::IndexMap;
 
-fn knows(host: &TestHost, id: &UpstreamId) -> bool {
+fn is_listed(host: &TestHost, id: &UpstreamId) -> bool {
     host.gateway.beliefs.is_listed(id)
 }
 
-/// An engine restarts within a second under its old id and stays without work for seconds: hosts still
-/// hold the answers and the memory of its last life against it, and its faults, and go on hearing of
-/// them from each other.
+/// Failure: an engine restarts within a second under its old id and gets no work for seconds,
+/// because hosts still count the requests, memory and faults of its former incarnation against it,
+/// and go on reporting them to each other.
 #[tokio::test]
-async fn what_hosts_held_of_a_former_life_is_not_held_against_the_next() {
+async fn the_state_of_a_former_incarnation_does_not_count_against_the_next() {
     let catalog = FakeCatalog::new(table(1));
     let upstream = ScriptedUpstream::start([ScriptStep::Answer(200, "ok")]).await;
     catalog.list("a", "app", upstream.addr);
@@ -50,13 +50,13 @@
         host.gateway.health().on_fault(&former, &domain, fault, now);
     }
     let id = catalog.restart("a", 2);
-    wait_until(|| knows(&host, &id)).await;
-    // Another host has not heard of the restart.
-    let told = HostLoad {
+    wait_until(|| is_listed(&host, &id)).await;
+    // Another host does not know of the restart yet.
+    let reported = HostLoad {
         in_flight: 7,
         ..HostLoad::default()
     };
-    let loads = IndexMap::from([(former.clone(), told)]);
+    let loads = IndexMap::from([(former.clone(), reported)]);
     let other = "other".parse().unwrap();
     host.gateway.ledger().hear(other, 1, loads, Instant::now());
     let load = host.gateway.ledger().load(&id, Instant::now());
@@ -67,10 +67,11 @@
     assert!(health.is_usable(&id, &domain, Instant::now()));
 }
 
-/// A caller waits out its whole time for an answer that nobody will give. Its upstream was cut off,
-/// restarted behind the cut, and the connection of its former life is silent.
+/// Failure: a caller waits until its deadline for a response that will never come. Its upstream was
+/// partitioned and restarted behind the partition, and the connection to the former incarnation is
+/// silent.
 #[tokio::test]
-async fn a_call_at_a_former_life_is_lost_and_not_waited_for() {
+async fn a_call_sent_to_a_former_incarnation_fails_without_waiting() {
     let catalog = FakeCatalog::new(table(1));
     let upstream = ScriptedUpstream::start([ScriptStep::Hang]).await;
     catalog.list("a", "app", upstream.addr);
@@ -88,14 +89,17 @@
         catalog.restart("a", 2);
     };
     let (status, ()) = tokio::join!(answer, restart);
-    assert_eq!(status, 502, "504 if its time had run out");
+    assert_eq!(
+        status, 502,
+        "the status would be 504 if the call had waited until its deadline"
+    );
     wait_until(|| host.log.text().contains("the upstream has restarted")).await;
 }
 
-/// A call is answered as lost although it runs. It went to an upstream that had restarted already, by
-/// its old entry; then the new one is read.
+/// Failure: a running call is reported as lost. The call was sent by the old list entry to an
+/// upstream that had restarted already, and then the new entry was read.
 #[tokio::test]
-async fn a_call_that_was_sent_after_the_restart_runs_in_the_new_life() {
+async fn a_call_sent_after_the_restart_runs_in_the_new_incarnation() {
     let catalog = FakeCatalog::new(table(1));
     let upstream =
         ScriptedUpstream::start([ScriptStep::AnswerAfter(Duration::from_secs(2), "ok")]).await;
@@ -109,7 +113,7 @@
     let restart = async {
         wait_until(|| upstream.arrivals().len() == 1).await;
         let id = catalog.restart("a", 2);
-        wait_until(|| knows(&host, &id)).await;
+        wait_until(|| is_listed(&host, &id)).await;
     };
     let (status, ()) = tokio::join!(answer, restart);
     assert_eq!(status, 200);
--- a/tests/gateway_world/catalog.rs
+++ b/tests/gateway_world/catalog.rs
@@ -1,4 +1,4 @@
-//! A platform's lists that a test changes by hand.
+//! A catalog of a platform that a test changes directly.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,14 +29,15 @@
 #[derive(Clone, Default)]
 struct State {
     era: StoreEra,
-    /// All manifests that were ever published; the text of one is its place here.
+    /// All manifests that were ever published. The text of a manifest is its index here.
     routes: Vec<RouteTable>,
-    /// Those that the platform knows of, by their places; the place of one here, and one, is its revision.
+    /// The manifests that the platform knows, by index in `routes`. The revision of a manifest is
+    /// its index here plus one.
     published: Vec<usize>,
     upstreams: Vec<Listed>,
-    /// All changes of the upstreams; the place of one, and one, is its version.
+    /// All changes of the upstreams. The version of a change is its index plus one.
     changes: Vec<UpstreamChange>,
-    /// Changes that are forgotten, from the first one on.
+    /// The number of changes, from the first one, that are no longer available.
     forgotten: usize,
     hosts: Vec<ListedHost>,
 }
@@ -57,14 +58,14 @@
     }
 }
 
-/// What the platform held once.
+/// A snapshot of the state of the platform.
 pub struct Snapshot(State);
 
-/// The platform as one host, or all of them, reach it.
+/// A connection to the platform, shared by all hosts or used by one.
 #[derive(Default)]
 pub struct FakeCatalog {
     state: Arc<Mutex<State>>,
-    is_away: AtomicBool,
+    is_unreachable: AtomicBool,
     reads: AtomicUsize,
     whole_reads: AtomicUsize,
 }
@@ -76,7 +77,7 @@
         Arc::new(catalog)
     }
 
-    /// The same platform by another way, which can be cut on its own.
+    /// The same platform over a separate link, which can fail on its own.
     pub fn separate_link(&self) -> Arc<Self> {
         Arc::new(Self {
             state: Arc::clone(&self.state),
@@ -86,9 +87,9 @@
 
     pub fn publish(&self, routes: RouteTable) {
         let mut state = self.state.lock().unwrap();
-        let place = state.routes.len();
+        let index = state.routes.len();
         state.routes.push(routes);
-        state.published.push(place);
+        state.published.push(index);
     }
 
     pub fn has_routes(&self) -> bool {
@@ -108,7 +109,7 @@
         });
     }
 
-    /// An upstream starts again under its name.
+    /// Restarts an upstream under the same name and returns its new id.
     pub fn restart(&self, name: &str, started: u64) -> UpstreamId {
         let mut state = self.state.lock().unwrap();
         let entry = state.upstreams.iter().find(|u| u.name.as_str() == name);
@@ -119,7 +120,7 @@
         id
     }
 
-    /// An upstream says that it leaves.
+    /// Marks an upstream as leaving.
     pub fn mark_leaving(&self, id: &str) {
         let mut state = self.state.lock().unwrap();
         let entry = state.upstreams.iter().find(|u| u.id.as_str() == id);
@@ -128,7 +129,7 @@
         state.change(entry);
     }
 
-    /// An upstream's entry is taken off the list.
+    /// Removes the entry of an upstream from the list.
     pub fn remove(&self, name: &str) {
         let mut state = self.state.lock().unwrap();
         state.upstreams.retain(|known| known.name.as_str() != name);
@@ -136,18 +137,18 @@
         state.changes.push(UpstreamChange::Gone(name));
     }
 
-    /// The platform forgets what has changed among the upstreams so far.
+    /// Drops the history of changes of the upstreams.
     pub fn forget_changes(&self) {
         let mut state = self.state.lock().unwrap();
         state.forgotten = state.changes.len();
     }
 
-    /// What the platform holds now, to come back from later.
+    /// A snapshot of the current state, for a later [`Self::restore`].
     pub fn snapshot(&self) -> Snapshot {
         Snapshot(self.state.lock().unwrap().clone())
     }
 
-    /// The platform comes back from an older copy in its next era.
+    /// Restores the platform from a snapshot, in its next era.
     pub fn restore(&self, copy: Snapshot) {
         let mut state = self.state.lock().unwrap();
         let era = StoreEra(state.era.0 + 1);
@@ -159,17 +160,17 @@
         };
     }
 
-    /// The platform can or can't be reached.
-    pub fn set_unreachable(&self, is_away: bool) {
-        self.is_away.store(is_away, Ordering::Relaxed);
+    /// Makes the platform unreachable or reachable.
+    pub fn set_unreachable(&self, is_unreachable: bool) {
+        self.is_unreachable.store(is_unreachable, Ordering::Relaxed);
     }
 
-    /// How often the manifest was asked for.
+    /// How often the manifest was requested.
     pub fn reads(&self) -> usize {
         self.reads.load(Ordering::Relaxed)
     }
 
-    /// How often all upstreams were asked for.
+    /// How often the complete list of upstreams was requested.
     pub fn whole_reads(&self) -> usize {
         self.whole_reads.load(Ordering::Relaxed)
     }
@@ -178,21 +179,22 @@
         self.state.lock().unwrap().hosts.clone()
     }
 
-    fn answer<T>(&self, read: impl FnOnce(&mut State) -> T) -> Result<T, CatalogError> {
+    fn respond<T>(&self, read: impl FnOnce(&mut State) -> T) -> Result<T, CatalogError> {
         let mut state = self.state.lock().unwrap();
-        if self.is_away.load(Ordering::Relaxed) {
-            return Err(CatalogError::NoAnswer("away".to_owned()));
+        if self.is_unreachable.load(Ordering::Relaxed) {
+            return Err(CatalogError::NoAnswer("unreachable".to_owned()));
         }
         Ok(read(&mut state))
     }
 
-    /// Waits as long as a watch says, or until there is a change; `version` says which one is the last.
+    /// Waits until there is a change or the time of the watch is over. `version` returns the
+    /// version of the last change.
     async fn wait(
         &self,
         watch: Option<Watch>,
         version: impl Fn(&State) -> usize,
     ) -> Result<ObjectVersion, CatalogError> {
-        let last = || self.answer(|state| ObjectVersion::in_era(state.era, version(state) as u64));
+        let last = || self.respond(|state| ObjectVersion::in_era(state.era, version(state) as u64));
         let Some(watch) = watch else {
             return last();
         };
@@ -215,10 +217,10 @@
         let as_of = Some(self.wait(watch, |state| state.changes.len()).await?);
         let Some(watch) = watch else {
             self.whole_reads.fetch_add(1, Ordering::Relaxed);
-            let value = self.answer(|state| UpstreamsRead::Whole(state.upstreams.clone()))?;
+            let value = self.respond(|state| UpstreamsRead::Whole(state.upstreams.clone()))?;
             return Ok(CatalogRead { value, as_of });
         };
-        let changes = self.answer(|state| state.changes_since(watch.since))??;
+        let changes = self.respond(|state| state.changes_since(watch.since))??;
         let value = UpstreamsRead::Changes(changes);
         Ok(CatalogRead { value, as_of })
     }
@@ -229,13 +231,13 @@
         watch: Option<Watch>,
     ) -> Result<CatalogRead<RoutesRead>, CatalogError> {
         let version = self.wait(watch, |state| state.published.len()).await?;
-        let place = version.revision().checked_sub(1);
-        let place = usize::try_from(place.ok_or(CatalogError::Absent)?).unwrap();
-        let place = self.answer(|state| state.published[place])?;
+        let index = version.revision().checked_sub(1);
+        let index = usize::try_from(index.ok_or(CatalogError::Absent)?).unwrap();
+        let index = self.respond(|state| state.published[index])?;
         let value = if known == Some(version) {
             RoutesRead::Unchanged
         } else {
-            let text = place.to_string();
+            let text = index.to_string();
             RoutesRead::Changed { version, text }
         };
         let as_of = Some(version);
@@ -254,8 +256,8 @@
     }
 
     fn decode_routes(&self, text: &str) -> Result<RouteTable, CatalogError> {
-        let place: usize = text.parse().unwrap();
-        Ok(self.state.lock().unwrap().routes[place].clone())
+        let index: usize = text.parse().unwrap();
+        Ok(self.state.lock().unwrap().routes[index].clone())
     }
 
     fn upstreams(
@@ -266,17 +268,17 @@
     }
 
     fn hosts(&self) -> BoxFuture<'_, Result<Vec<ListedHost>, CatalogError>> {
-        let read = self.answer(|state| state.hosts.clone());
+        let read = self.respond(|state| state.hosts.clone());
         async move { read }.boxed()
     }
 
     fn announce(&self, host: ListedHost) -> BoxFuture<'_, Result<(), CatalogError>> {
-        let done = self.answer(|state| state.hosts.push(host));
+        let done = self.respond(|state| state.hosts.push(host));
         async move { done }.boxed()
     }
 
     fn withdraw(&self, host: HostId) -> BoxFuture<'_, Result<(), CatalogError>> {
-        let done = self.answer(|state| state.hosts.retain(|listed| listed.host != host));
+        let done = self.respond(|state| state.hosts.retain(|listed| listed.host != host));
         async move { done }.boxed()
     }
 }
--- a/tests/gateway_world/header_codec.rs
+++ b/tests/gateway_world/header_codec.rs
@@ -1,4 +1,4 @@
-//! Headers of the tests' own.
+//! A header codec with the names that the tests use.
 
 use std::time::Duration;
 
--- a/tests/gateway_world/mod.rs
+++ b/tests/gateway_world/mod.rs
@@ -1,4 +1,4 @@
-//! Gateways over loopback, with a catalog, headers, orders and upstreams written for tests.
+//! Gateways over loopback, with a catalog, header codec, engine client and upstreams for tests.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -42,22 +42,22 @@
 
 use catalog::FakeCatalog;
 use header_codec::TestHeaderCodec;
-use orders::FakeOrders;
+use orders::FakeEngineClient;
 
-/// What a test gives up after when it waits for something to become true.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a test waits for a condition before it fails.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A host under test.
+/// A gateway under test.
 pub struct TestHost {
     pub gateway: Arc<Gateway>,
     pub callers: SocketAddr,
     pub ready: SocketAddr,
-    pub orders: Arc<FakeOrders>,
+    pub orders: Arc<FakeEngineClient>,
     pub log: LogLines,
     pub serving: JoinHandle<()>,
 }
 
-/// What a host wrote into its decision log.
+/// The decision log of a host.
 #[derive(Clone, Default)]
 pub struct LogLines(Arc<Mutex<Vec<u8>>>);
 
@@ -88,6 +88,7 @@
     "127.0.0.1:0".parse().unwrap()
 }
 
+/// The configuration of a host with this name on loopback.
 pub fn conf(name: &str) -> GatewayConf {
     GatewayConf {
         host: name.parse().unwrap(),
@@ -112,10 +113,10 @@
         Self::start_with(conf(name), catalog).await
     }
 
-    /// Starts a host and waits until it has read manifest and upstreams, if there are any to read.
+    /// Starts a host and waits until it has read the manifest and the upstreams, if there are any.
     pub async fn start_with(conf: GatewayConf, catalog: &Arc<FakeCatalog>) -> Self {
         let clock: Arc<dyn Clock> = Arc::new(SystemClock);
-        let orders = Arc::new(FakeOrders::default());
+        let orders = Arc::new(FakeEngineClient::default());
         let log = LogLines::default();
         let decision_log =
             DecisionLog::new(conf.host.clone(), Arc::clone(&clock), Box::new(log.clone()));
@@ -123,7 +124,7 @@
             conf,
             clock,
             Arc::new(TestHeaderCodec),
-            Arc::<FakeOrders>::clone(&orders),
+            Arc::<FakeEngineClient>::clone(&orders),
             decision_log,
             GatewayMetrics::new().unwrap(),
         ));
@@ -150,42 +151,42 @@
         host
     }
 
-    /// Waits until the host has so many hosts on its list.
+    /// Waits until the list of hosts has `count` entries.
     pub async fn wait_for_hosts(&self, count: usize) {
         wait_until(|| self.gateway.beliefs.hosts().len() == count).await;
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     pub async fn call(&self, req: Request<Full<Bytes>>) -> Response<Bytes> {
-        self.try_call(req).await.expect("an answer")
+        self.try_call(req).await.expect("the host responds")
     }
 
     pub async fn try_call(
         &self,
         req: Request<Full<Bytes>>,
     ) -> Result<Response<Bytes>, one_shot::OneShotError> {
-        one_shot::call(self.callers, req, 1 << 20, PATIENCE).await
+        one_shot::call(self.callers, req, 1 << 20, TIMEOUT).await
     }
 
     /// The status of the readiness page.
     pub async fn readiness(&self) -> u16 {
         let req = Request::get("/readyz").header("host", "ready");
         let req = req.body(Full::default()).unwrap();
-        let res = one_shot::call(self.ready, req, 1 << 10, PATIENCE).await;
+        let res = one_shot::call(self.ready, req, 1 << 10, TIMEOUT).await;
         res.unwrap().status().as_u16()
     }
 }
 
-/// Waits until something is true.
-pub async fn wait_until(mut is_true: impl FnMut() -> bool) {
+/// Waits until the condition holds.
+pub async fn wait_until(mut condition: impl FnMut() -> bool) {
     let waiting = async {
-        while !is_true() {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, waiting)
+    tokio::time::timeout(TIMEOUT, waiting)
         .await
-        .expect("it becomes true");
+        .expect("the condition holds in time");
 }
 
 /// A route of `service` at `app.example/PREFIX/`.
@@ -208,7 +209,7 @@
     }
 }
 
-/// The routes that most tests use: `safe`, `once`, `stream` and `fixed` (a stream that can't be
+/// The routes that most tests use: `safe`, `once`, `stream` and `fixed` (a stream that cannot be
 /// resumed) of the plain service `app`, and `model` of the engines `llm`.
 pub fn table(generation: u64) -> RouteTable {
     let resumable = CallKind::Stream { is_resumable: true };
@@ -249,11 +250,12 @@
     }
 }
 
-/// A request of customer acme.
+/// A request of the customer acme.
 pub fn request(path: &str) -> Request<Full<Bytes>> {
     request_of("key-1", path)
 }
 
+/// A request with the key of a customer.
 pub fn request_of(key: &str, path: &str) -> Request<Full<Bytes>> {
     Request::post(path)
         .header("host", "app.example")
--- a/tests/gateway_world/orders.rs
+++ b/tests/gateway_world/orders.rs
@@ -1,4 +1,4 @@
-//! Engines' memory that can be set aside, and is counted.
+//! A fake client for orders to engines, which records reservations and requests.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -14,7 +14,7 @@
 use indexmap::IndexMap;
 
 #[derive(Default)]
-pub struct FakeOrders {
+pub struct FakeEngineClient {
     reserved: Mutex<IndexMap<(SocketAddr, String), u64>>,
     made: Mutex<usize>,
     refuses_from: Mutex<Option<usize>>,
@@ -24,45 +24,45 @@
     reports: Mutex<usize>,
 }
 
-impl FakeOrders {
-    /// Tokens that are set aside now.
+impl FakeEngineClient {
+    /// The number of tokens reserved now.
     pub fn reserved_tokens(&self) -> u64 {
         self.reserved.lock().unwrap().values().sum()
     }
 
-    /// How many reservations were ever made.
+    /// The number of reservations and renewals that succeeded.
     pub fn made(&self) -> usize {
         *self.made.lock().unwrap()
     }
 
-    /// An engine answers no more orders.
+    /// Makes an engine respond to no more orders.
     pub fn silence(&self, engine: SocketAddr) {
         *self.silent.lock().unwrap() = Some(engine);
     }
 
-    /// How often an engine was asked to set memory aside or to renew it.
+    /// How often an engine was requested to reserve memory or to renew a reservation.
     pub fn asked(&self, engine: SocketAddr) -> usize {
         let asked = self.asked.lock().unwrap();
         asked.get(&engine).copied().unwrap_or(0)
     }
 
-    /// An engine says that it works this much slower than its model.
+    /// Makes an engine report that it works this much slower than its model.
     pub fn slow_down(&self, engine: SocketAddr, slowdown: Slowdown) {
         self.slowdowns.lock().unwrap().insert(engine, slowdown);
     }
 
-    /// How often engines were asked how they do.
+    /// How often engines were requested for reports.
     pub fn reports(&self) -> usize {
         *self.reports.lock().unwrap()
     }
 
-    /// Refuses every reservation after this many.
+    /// Refuses every reservation once this many have been made.
     pub fn refuse_from(&self, made: usize) {
         *self.refuses_from.lock().unwrap() = Some(made);
     }
 }
 
-impl EngineOrders for FakeOrders {
+impl EngineOrders for FakeEngineClient {
     fn reserve<'a>(
         &'a self,
         engine: SocketAddr,
@@ -72,7 +72,7 @@
     ) -> BoxFuture<'a, Result<(), OrderError>> {
         *self.asked.lock().unwrap().entry(engine).or_default() += 1;
         if *self.silent.lock().unwrap() == Some(engine) {
-            return async { Err(OrderError::NoAnswer("dark".to_owned())) }.boxed();
+            return async { Err(OrderError::NoAnswer("silent".to_owned())) }.boxed();
         }
         let mut made = self.made.lock().unwrap();
         let is_refused = self
--- a/tests/gateway_world/upstream.rs
+++ b/tests/gateway_world/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream that does what a test tells it, request by request.
+//! An upstream that follows a script, one step per request.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -11,34 +11,34 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// What to do with one request.
+/// How the upstream handles one request.
 #[derive(Clone, Debug)]
 pub enum ScriptStep {
-    /// Answer with this status and body, signed.
+    /// Respond with this status and body, signed.
     Answer(u16, &'static str),
-    /// The same with status 200, after a while.
+    /// Respond with status 200 and this body, signed, after a delay.
     AnswerAfter(Duration, &'static str),
-    /// Answer without a signature.
+    /// Respond without a signature.
     Unsigned(u16, &'static str),
-    /// Answer another request than the one that was sent.
-    Crossed,
-    /// Say that it did not run.
+    /// Respond with the id of a different request.
+    AnswerOtherRequest,
+    /// Refuse the request as not run.
     TurnAway,
-    /// Break the connection without an answer.
+    /// Reset the connection without a response.
     Break,
-    /// Announce more bytes than come, then close.
-    CutShort,
-    /// Say nothing until the other end leaves.
+    /// Announce a longer body than is sent, then close the connection.
+    Truncate,
+    /// Send nothing until the other end disconnects.
     Hang,
-    /// Write the events after the one that was asked for up to this one, and end.
+    /// Send the events after the requested one up to this one, and end the stream.
     Events(u32),
-    /// The same, and then break in the middle of the next event.
+    /// Send the same events, and reset the connection in the middle of the next event.
     EventsThenBreak(u32),
-    /// The same, and then say nothing until the other end leaves.
+    /// Send the same events, and then nothing until the other end disconnects.
     EventsThenHang(u32),
 }
 
-/// A request as it arrived.
+/// A received request.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub head: String,
@@ -56,14 +56,14 @@
 
 #[derive(Default)]
 struct State {
-    acts: VecDeque<ScriptStep>,
+    script: VecDeque<ScriptStep>,
     arrivals: Vec<Arrival>,
-    left_early: usize,
-    /// What it says of its limit in its answers.
+    early_disconnects: usize,
+    /// The limit that responses advertise.
     limit: Option<&'static str>,
 }
 
-/// An upstream on a port of its own. After the last act it repeats it.
+/// A scripted upstream on a port of its own. The last step of the script is repeated.
 #[derive(Clone)]
 pub struct ScriptedUpstream {
     pub addr: SocketAddr,
@@ -71,10 +71,10 @@
 }
 
 impl ScriptedUpstream {
-    pub async fn start(acts: impl IntoIterator<Item = ScriptStep>) -> Self {
+    pub async fn start(script: impl IntoIterator<Item = ScriptStep>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let state = State {
-            acts: acts.into_iter().collect(),
+            script: script.into_iter().collect(),
             ..State::default()
         };
         let upstream = Self {
@@ -95,12 +95,12 @@
         self.state.lock().unwrap().arrivals.clone()
     }
 
-    /// How often the other end left while a request was waiting.
-    pub fn left_early(&self) -> usize {
-        self.state.lock().unwrap().left_early
+    /// How often the other end disconnected while a request was pending.
+    pub fn early_disconnects(&self) -> usize {
+        self.state.lock().unwrap().early_disconnects
     }
 
-    /// Names a limit in the answers from now on, or none.
+    /// Sets the limit that responses advertise from now on; none removes it.
     pub fn set_limit(&self, limit: Option<&'static str>) {
         self.state.lock().unwrap().limit = limit;
     }
@@ -109,19 +109,19 @@
         let Some(arrival) = read_request(&mut stream).await else {
             return;
         };
-        let act = {
+        let step = {
             let mut state = self.state.lock().unwrap();
             state.arrivals.push(arrival.clone());
-            if state.acts.len() > 1 {
-                state.acts.pop_front().unwrap()
+            if state.script.len() > 1 {
+                state.script.pop_front().unwrap()
             } else {
-                state.acts.front().expect("an act").clone()
+                state.script.front().expect("the script has a step").clone()
             }
         };
-        self.act(&mut stream, &arrival, act).await;
+        self.run(&mut stream, &arrival, step).await;
     }
 
-    async fn act(&self, stream: &mut TcpStream, arrival: &Arrival, act: ScriptStep) {
+    async fn run(&self, stream: &mut TcpStream, arrival: &Arrival, step: ScriptStep) {
         let request = arrival.header("test-request").unwrap_or_default();
         let limit = self.state.lock().unwrap().limit;
         let limit = limit.map_or_else(String::new, |limit| format!("test-limit: {limit}\r\n"));
@@ -130,7 +130,7 @@
             .header("test-after")
             .and_then(|after| after.parse().ok())
             .unwrap_or(0);
-        let whole = |status: u16, headers: &str, body: &str| {
+        let full = |status: u16, headers: &str, body: &str| {
             let len = body.len();
             format!("HTTP/1.1 {status} X\r\n{headers}content-length: {len}\r\n\r\n{body}")
         };
@@ -138,21 +138,21 @@
             let events: String = (after + 1..=to).map(event).collect();
             format!("HTTP/1.1 200 OK\r\n{signed}content-type: text/event-stream\r\n\r\n{events}")
         };
-        let text = match &act {
-            ScriptStep::Answer(status, body) => whole(*status, &signed, body),
+        let text = match &step {
+            ScriptStep::Answer(status, body) => full(*status, &signed, body),
             ScriptStep::AnswerAfter(after, body) => {
                 tokio::time::sleep(*after).await;
-                whole(200, &signed, body)
+                full(200, &signed, body)
             }
             ScriptStep::Unsigned(status, body) => {
-                whole(*status, &format!("test-request: {request}\r\n"), body)
+                full(*status, &format!("test-request: {request}\r\n"), body)
             }
-            ScriptStep::Crossed => {
-                whole(200, "test-request: other\r\ntest-signature: s\r\n", "other")
+            ScriptStep::AnswerOtherRequest => {
+                full(200, "test-request: other\r\ntest-signature: s\r\n", "other")
             }
-            ScriptStep::TurnAway => whole(503, "test-not-run: 1\r\n", ""),
-            ScriptStep::CutShort => {
-                format!("HTTP/1.1 200 OK\r\n{signed}content-length: 100\r\n\r\nnot all of it")
+            ScriptStep::TurnAway => full(503, "test-not-run: 1\r\n", ""),
+            ScriptStep::Truncate => {
+                format!("HTTP/1.1 200 OK\r\n{signed}content-length: 100\r\n\r\nincomplete")
             }
             ScriptStep::Break | ScriptStep::Hang => String::new(),
             ScriptStep::Events(to) | ScriptStep::EventsThenHang(to) => events(*to),
@@ -164,31 +164,33 @@
         if stream.write_all(text.as_bytes()).await.is_err() {
             return;
         }
-        match act {
-            ScriptStep::Hang | ScriptStep::EventsThenHang(_) => self.wait_until_left(stream).await,
+        match step {
+            ScriptStep::Hang | ScriptStep::EventsThenHang(_) => {
+                self.wait_for_disconnect(stream).await
+            }
             ScriptStep::Break | ScriptStep::EventsThenBreak(_) => reset(stream),
             _ => {}
         }
     }
 
-    async fn wait_until_left(&self, stream: &mut TcpStream) {
+    async fn wait_for_disconnect(&self, stream: &mut TcpStream) {
         let mut byte = [0_u8];
         let read = stream.read(&mut byte).await;
         if !matches!(read, Ok(1)) {
-            self.state.lock().unwrap().left_early += 1;
+            self.state.lock().unwrap().early_disconnects += 1;
         }
     }
 }
 
-/// Event number `id`.
+/// The event with the number `id`.
 pub fn event(id: u32) -> String {
     format!("id: {id}\ndata: word-{id}\n\n")
 }
 
-/// Makes the drop of the stream reset the connection, so that what was written before does not look
-/// like a whole answer.
+/// Resets the connection when the stream is dropped, so that the data sent before does not look
+/// like a complete response.
 fn reset(stream: &TcpStream) {
-    // Waits until what was written has been read, since a reset may overtake it.
+    // Waits until the data has been read, since a reset may overtake it.
     std::thread::sleep(Duration::from_millis(30));
     #[allow(deprecated)]
     stream.set_linger(Some(Duration::ZERO)).unwrap();
