--- a/src/gateway/handler.rs
+++ b/src/gateway/handler.rs
@@ -165,16 +165,16 @@
     let call = Arc::new(call);
     let mut courier = Courier::new(Arc::clone(gateway), Arc::clone(&call));
     loop {
-        let answered = match courier.deliver(None).await {
-            Delivery::Answered(answered) => answered,
+        let response = match courier.deliver(None).await {
+            Delivery::Answered(response) => response,
             Delivery::Refused(refusal) => {
                 return local_response(gateway, &call.head.request, &refusal, tracker);
             }
         };
-        if call.route.kind.is_stream() && answered.head.status.is_success() {
-            return stream_response(courier, answered, tracker);
+        if call.route.kind.is_stream() && response.head.status.is_success() {
+            return stream_response(courier, response, tracker);
         }
-        match full_response(&courier, *answered).await {
+        match full_response(&courier, *response).await {
             Ok(res) => {
                 tracker.on_first_event(gateway.clock.now());
                 let outcome = if res.status().is_success() {
@@ -196,16 +196,16 @@
 
 fn stream_response(
     courier: Courier,
-    mut answered: Box<UpstreamResponse>,
+    mut response: Box<UpstreamResponse>,
     tracker: RequestTracker,
 ) -> Response<ResponseBody> {
-    let mut headers = std::mem::take(&mut answered.head.headers);
+    let mut headers = std::mem::take(&mut response.head.headers);
     remove_connection_headers(&mut headers);
     headers.remove(PROXY_AUTHENTICATE);
     // An engine that resumes the stream may produce a different length.
     headers.remove(CONTENT_LENGTH);
-    let status = answered.head.status;
-    let relay = StreamRelay::new(courier, answered, tracker);
+    let status = response.head.status;
+    let relay = StreamRelay::new(courier, response, tracker);
     let chunks = stream::unfold(relay, |mut relay| async move {
         let chunk = relay.next().await?;
         Some((chunk, relay))
@@ -220,14 +220,14 @@
 /// may be sent again.
 async fn full_response(
     courier: &Courier,
-    answered: UpstreamResponse,
+    response: UpstreamResponse,
 ) -> Result<Response<ResponseBody>, Option<CallRefusal>> {
     let UpstreamResponse {
         head,
         body,
         upstream,
         ..
-    } = answered;
+    } = response;
     let read = Limited::new(body, BUFFERED_RESPONSE_MAX).collect();
     let why = match timeout_at(courier.call.deadline.into(), read).await {
         Err(_) => return Err(Some(CallRefusal::DeadlineExceeded)),
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -181,7 +181,7 @@
     sends: &SendHistory<'_>,
     now: Instant,
 ) -> EngineAsk {
-    let news = gateway.news_route();
+    let route = gateway.news_route();
     // The caller of an interrupted stream waits for the next event, however late.
     let patience_min = if sends.has_run {
         call.patience()
@@ -195,8 +195,8 @@
         patience_left: call.patience_left(now).max(patience_min),
         time_left: call.time_left(now),
         strictest_pause: routes.strictest_pause(&call.service),
-        news_age: news.near_age,
-        far_news_age: news.far_age,
+        news_age: route.near_age,
+        far_news_age: route.far_age,
         is_far: false,
         draw: rand::random(),
     }
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -142,7 +142,7 @@
                 fault: UpstreamFault::TurnedAway,
                 arrived: true,
                 at_fault: response.at_fault.filter(|addr| *addr != upstream.addr),
-                why: format!("turned away with {}", head.status),
+                why: format!("refused with {}", head.status),
             };
         }
         let is_valid = response.is_signed
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -285,7 +285,7 @@
     /// Waits until a shutdown has been requested.
     pub async fn shutdown_requested(&self) {
         let mut requested = self.shutdown_requested_at.subscribe();
-        // Fails only when the sender is dropped, which lives as long as this host.
+        // Fails only when the sender is dropped, which exists as long as this host.
         let _ = requested.wait_for(Option::is_some).await;
     }
 
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -45,13 +45,13 @@
 impl StreamRelay {
     pub(crate) fn new(
         courier: Courier,
-        answered: Box<UpstreamResponse>,
+        response: Box<UpstreamResponse>,
         tracker: RequestTracker,
     ) -> Self {
-        let last_chunk_at = answered.sent_at;
+        let last_chunk_at = response.sent_at;
         Self {
             courier,
-            current: Some(answered),
+            current: Some(response),
             splitter: EventSplitter::default(),
             tracker,
             last_chunk_at,
@@ -101,14 +101,14 @@
             return NextChunk::DeadlineExceeded;
         }
         let silence_budget = self.silence_budget(now);
-        let Some(answered) = &mut self.current else {
+        let Some(response) = &mut self.current else {
             return NextChunk::Broken(UpstreamFault::Broken, "no engine".to_owned());
         };
         let wait = silence_budget.map_or(time_left, |left| left.min(time_left));
         let gateway = &self.courier.gateway;
-        let lost = gateway.lives.lost(&answered.upstream.id, answered.sent_at);
+        let lost = gateway.lives.lost(&response.upstream.id, response.sent_at);
         let next = tokio::select! {
-            next = timeout(wait, answered.body.frame()) => next,
+            next = timeout(wait, response.body.frame()) => next,
             () = lost => return NextChunk::Broken(UpstreamFault::Broken, UPSTREAM_RESTARTED.to_owned()),
         };
         match next {
@@ -125,7 +125,7 @@
         if !self.courier.may_run_again() {
             return None;
         }
-        let forecast = self.current.as_ref().map(|answered| answered.forecast)?;
+        let forecast = self.current.as_ref().map(|response| response.forecast)?;
         let pause = self.courier.call.route.pause_objective;
         let pause = pause.map_or(SILENCE_DEFAULT, |pause| pause * SILENCE_OBJECTIVES_MAX);
         let allowed = if self.has_event {
@@ -145,8 +145,8 @@
         } else {
             self.tracker.on_first_event(now);
         }
-        if let Some(answered) = &mut self.current {
-            answered.load.on_prefill_done();
+        if let Some(response) = &mut self.current {
+            response.load.on_prefill_done();
         }
         self.has_event = true;
         self.last_chunk_at = now;
@@ -167,9 +167,9 @@
         self.splitter.discard_partial_event();
         let last_event = self.splitter.last_id().map(str::to_owned);
         match self.courier.deliver(last_event.as_deref()).await {
-            Delivery::Answered(answered) if answered.head.status.is_success() => {
-                self.last_chunk_at = answered.sent_at;
-                self.current = Some(answered);
+            Delivery::Answered(response) if response.head.status.is_success() => {
+                self.last_chunk_at = response.sent_at;
+                self.current = Some(response);
                 true
             }
             Delivery::Answered(_) | Delivery::Refused(_) => false,
--- a/tests/decide_retry.rs
+++ b/tests/decide_retry.rs
@@ -31,7 +31,7 @@
     third = { |f| FailedAttempt { attempts: 3, ..f }, GiveUpReason::Attempts },
     no_time = { |f| FailedAttempt { retry_after: Some(Duration::from_secs(11)), ..f }, GiveUpReason::Deadline },
 )]
-fn some_attempts_are_never_retried(
+fn some_attempts_are_never_repeated(
     change: fn(FailedAttempt) -> FailedAttempt,
     reason: GiveUpReason,
 ) {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn an_attempt_that_did_not_run_is_retried_even_if_not_repeatable() {
+fn what_provably_did_not_run_is_repeated_although_it_may_not_run_twice() {
     let now = Instant::now();
     let attempt = FailedAttempt {
         is_repeatable: false,
@@ -99,7 +99,7 @@
 /// crashes of distinct attempts every host refuses the request. One crash that is reported twice
 /// counts once.
 #[test]
-fn two_crashes_on_any_hosts_make_a_request_refused_everywhere() {
+fn two_crashes_anywhere_make_a_request_poison() {
     let now = Instant::now();
     let (mut here, mut there) = (PoisonList::new(), PoisonList::new());
     let reports = here.on_crash(&[fingerprint()], AttemptId(1), now);
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -46,10 +46,10 @@
 /// A host with one upstream `a` of one service, and its catalog.
 async fn host_with_one_upstream(
     service: &str,
-    act: ScriptStep,
+    step: ScriptStep,
 ) -> (TestHost, ScriptedUpstream, Arc<FakeCatalog>) {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = ScriptedUpstream::start([act]).await;
+    let upstream = ScriptedUpstream::start([step]).await;
     catalog.list("a", service, upstream.addr);
     (TestHost::start("host", &catalog).await, upstream, catalog)
 }
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test]
-async fn a_call_and_its_response_are_forwarded_unchanged() {
+async fn a_call_and_its_answer_are_passed_through_untouched() {
     let (host, upstream, _) =
         host_with_one_upstream("app", ScriptStep::Answer(201, "answer")).await;
     let mut req = request("/safe/a%20b/c?x=1&y=%2F");
@@ -98,7 +98,7 @@
 }
 
 #[tokio::test]
-async fn a_host_without_manifest_refuses_calls_and_is_not_ready() {
+async fn a_host_that_knows_no_manifest_turns_calls_away_and_is_not_ready() {
     let host = TestHost::start("host", &Arc::new(FakeCatalog::default())).await;
     let res = host.call(request("/safe/1")).await;
     assert_eq!(status(&res), 503);
@@ -121,7 +121,7 @@
 }
 
 #[tokio::test]
-async fn a_refused_call_is_sent_to_another_upstream() {
+async fn a_call_that_was_turned_away_goes_to_another_upstream() {
     let (host, a, b) =
         host_with_two_upstreams("app", ScriptStep::TurnAway, ScriptStep::Answer(200, "ok")).await;
     for _ in 0..4 {
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test]
-async fn a_call_refused_by_all_upstreams_is_reported_as_not_run() {
+async fn a_call_that_all_turned_away_is_answered_as_not_run() {
     let (host, _, _) =
         host_with_two_upstreams("app", ScriptStep::TurnAway, ScriptStep::TurnAway).await;
     let res = host.call(request("/once/1")).await;
@@ -200,17 +200,17 @@
 
 #[parameterized(
     broken = { ScriptStep::Break },
-    truncated = { ScriptStep::Truncate },
+    cut_short = { ScriptStep::Truncate },
     unsigned = { ScriptStep::Unsigned(200, "rot") },
     other_request = { ScriptStep::AnswerOtherRequest },
     unsigned_failure = { ScriptStep::Unsigned(503, "") },
     failed = { ScriptStep::Answer(500, "failed") },
 )]
-fn an_invalid_or_incomplete_response_does_not_reach_the_caller(act: ScriptStep) {
+fn an_invalid_or_incomplete_response_does_not_reach_the_caller(step: ScriptStep) {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         let (host, _, b) =
-            host_with_two_upstreams("app", act, ScriptStep::Answer(200, "right")).await;
+            host_with_two_upstreams("app", step, ScriptStep::Answer(200, "right")).await;
         for _ in 0..4 {
             let res = host.call(request("/safe/1")).await;
             assert_eq!((status(&res), res.body().as_ref()), (200, &b"right"[..]));
@@ -235,7 +235,7 @@
 /// Failure: a caller receives the same words twice. An engine died in the middle of an event, the
 /// first half of the event was forwarded, and the next engine sent the whole event again.
 #[tokio::test]
-async fn a_broken_stream_is_resumed_on_another_engine_after_the_last_complete_event() {
+async fn a_stream_that_breaks_goes_on_at_another_engine_after_the_last_whole_event() {
     let catalog = FakeCatalog::new(table(1));
     let script = [ScriptStep::EventsThenBreak(3), ScriptStep::Events(6)];
     // Both upstreams have the same script, so it does not matter which one is chosen first.
@@ -262,7 +262,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_cannot_be_resumed_is_truncated_and_does_not_look_complete() {
+async fn a_stream_that_cannot_be_resumed_is_cut_and_does_not_look_complete() {
     let (host, a, b) = host_with_two_upstreams(
         "app",
         ScriptStep::EventsThenBreak(3),
@@ -303,7 +303,7 @@
 }
 
 #[tokio::test]
-async fn a_call_gets_its_final_response_at_its_deadline() {
+async fn a_call_has_its_final_answer_when_its_time_is_up() {
     let (host, upstream, _) = host_with_one_upstream("app", ScriptStep::Hang).await;
     let mut req = request("/once/1");
     req.headers_mut()
@@ -320,7 +320,7 @@
 }
 
 #[tokio::test]
-async fn a_leaving_upstream_gets_no_new_calls() {
+async fn an_upstream_that_leaves_gets_no_new_calls() {
     let catalog = FakeCatalog::new(table(1));
     let leaving = ScriptedUpstream::start([ScriptStep::Answer(200, "a")]).await;
     let staying = ScriptedUpstream::start([ScriptStep::Answer(200, "b")]).await;
@@ -339,7 +339,7 @@
 /// Failure: a customer's key was stolen and revoked. One host cannot reach the platform, does not
 /// learn of the revocation, and goes on serving the thief.
 #[tokio::test]
-async fn a_host_whose_key_lease_has_expired_serves_no_keys() {
+async fn a_host_that_cannot_renew_its_knowledge_serves_no_keys() {
     let catalog = FakeCatalog::new(table(1));
     let upstream = ScriptedUpstream::start([ScriptStep::Answer(200, "ok")]).await;
     catalog.list("a", "app", upstream.addr);
@@ -358,7 +358,7 @@
 }
 
 #[tokio::test]
-async fn a_revoked_key_stops_working() {
+async fn a_key_that_was_taken_back_stops_working() {
     let (host, _, catalog) = host_with_one_upstream("app", ScriptStep::Answer(200, "ok")).await;
     assert_eq!(
         status(&host.call(request_of("key-2", "/safe/1")).await),
@@ -391,7 +391,7 @@
 /// Failure: a host is replaced while a caller waits for its response. The process exits before the
 /// request ends, and the connection of the caller breaks.
 #[tokio::test]
-async fn a_stopping_host_finishes_running_calls_and_closes_after_each_response() {
+async fn a_stopping_host_finishes_what_runs_and_closes_after_each_answer() {
     let (host, _, _) = host_with_one_upstream(
         "app",
         ScriptStep::AnswerAfter(Duration::from_secs(4), "late"),
@@ -421,7 +421,7 @@
 /// because the process is killed before the response ends. The balancer still sent connections to
 /// the host since too few other hosts were in rotation.
 #[tokio::test]
-async fn a_refusing_host_reports_new_calls_as_not_run() {
+async fn a_host_that_has_no_time_left_turns_new_calls_away_as_not_run() {
     let (host, upstream, _) = host_with_one_upstream(
         "app",
         ScriptStep::AnswerAfter(Duration::from_secs(5), "late"),
@@ -443,7 +443,7 @@
 }
 
 #[tokio::test]
-async fn every_line_of_the_decision_log_is_json_and_records_how_a_request_ended() {
+async fn every_line_of_the_decision_log_is_json_and_tells_how_a_request_ended() {
     let (host, _, _) =
         host_with_two_upstreams("app", ScriptStep::TurnAway, ScriptStep::TurnAway).await;
     assert_eq!(status(&host.call(request("/once/1")).await), 503);
