--- a/tests/cmd_explain.rs
+++ b/tests/cmd_explain.rs
@@ -29,7 +29,7 @@
 /// and one was refused by a host that could not reach the platform. Returns that host's log.
 async fn three_failures() -> String {
     let catalog = FakeCatalog::new(table(1));
-    let full = ScriptedUpstream::start([ScriptStep::TurnAway]).await;
+    let full = ScriptedUpstream::start([ScriptStep::Refuse]).await;
     let lost = ScriptedUpstream::start([ScriptStep::Break]).await;
     catalog.list("full", "app", full.addr);
     let mut conf = conf("host-1");
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -61,7 +61,7 @@
 #[tokio::test]
 async fn a_call_and_its_answer_are_passed_through_untouched() {
     let (host, upstream, _) =
-        host_with_one_upstream("app", ScriptStep::Answer(201, "answer")).await;
+        host_with_one_upstream("app", ScriptStep::Respond(201, "answer")).await;
     let mut req = request("/safe/a%20b/c?x=1&y=%2F");
     req.headers_mut()
         .insert("own-header", "kept".parse().unwrap());
@@ -88,7 +88,7 @@
 #[tokio::test]
 async fn calls_without_route_or_key_are_rejected() {
     let (host, upstream, _) =
-        host_with_one_upstream("app", ScriptStep::Answer(200, "answer")).await;
+        host_with_one_upstream("app", ScriptStep::Respond(200, "answer")).await;
     assert_eq!(status(&host.call(request("/none/1")).await), 404);
     assert_eq!(
         status(&host.call(request_of("key-9", "/safe/1")).await),
@@ -123,7 +123,7 @@
 #[tokio::test]
 async fn a_call_that_was_turned_away_goes_to_another_upstream() {
     let (host, a, b) =
-        host_with_two_upstreams("app", ScriptStep::TurnAway, ScriptStep::Answer(200, "ok")).await;
+        host_with_two_upstreams("app", ScriptStep::Refuse, ScriptStep::Respond(200, "ok")).await;
     for _ in 0..4 {
         assert_eq!(status(&host.call(request("/once/1")).await), 200);
     }
@@ -132,8 +132,7 @@
 
 #[tokio::test]
 async fn a_call_that_all_turned_away_is_answered_as_not_run() {
-    let (host, _, _) =
-        host_with_two_upstreams("app", ScriptStep::TurnAway, ScriptStep::TurnAway).await;
+    let (host, _, _) = host_with_two_upstreams("app", ScriptStep::Refuse, ScriptStep::Refuse).await;
     let res = host.call(request("/once/1")).await;
     assert_eq!(status(&res), 503);
     assert!(res.headers().contains_key("retry-after"));
@@ -202,15 +201,15 @@
     broken = { ScriptStep::Break },
     cut_short = { ScriptStep::Truncate },
     unsigned = { ScriptStep::Unsigned(200, "rot") },
-    other_request = { ScriptStep::AnswerOtherRequest },
+    other_request = { ScriptStep::RespondToOther },
     unsigned_failure = { ScriptStep::Unsigned(503, "") },
-    failed = { ScriptStep::Answer(500, "failed") },
+    failed = { ScriptStep::Respond(500, "failed") },
 )]
 fn an_invalid_or_incomplete_response_does_not_reach_the_caller(step: ScriptStep) {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         let (host, _, b) =
-            host_with_two_upstreams("app", step, ScriptStep::Answer(200, "right")).await;
+            host_with_two_upstreams("app", step, ScriptStep::Respond(200, "right")).await;
         for _ in 0..4 {
             let res = host.call(request("/safe/1")).await;
             assert_eq!((status(&res), res.body().as_ref()), (200, &b"right"[..]));
@@ -223,8 +222,8 @@
 async fn an_upstreams_failure_reaches_the_caller_as_it_is() {
     let (host, _, _) = host_with_two_upstreams(
         "app",
-        ScriptStep::Answer(500, "why"),
-        ScriptStep::Answer(500, "why"),
+        ScriptStep::Respond(500, "why"),
+        ScriptStep::Respond(500, "why"),
     )
     .await;
     let res = host.call(request("/safe/1")).await;
@@ -322,8 +321,8 @@
 #[tokio::test]
 async fn an_upstream_that_leaves_gets_no_new_calls() {
     let catalog = FakeCatalog::new(table(1));
-    let leaving = ScriptedUpstream::start([ScriptStep::Answer(200, "a")]).await;
-    let staying = ScriptedUpstream::start([ScriptStep::Answer(200, "b")]).await;
+    let leaving = ScriptedUpstream::start([ScriptStep::Respond(200, "a")]).await;
+    let staying = ScriptedUpstream::start([ScriptStep::Respond(200, "b")]).await;
     catalog.list("a", "app", leaving.addr);
     catalog.list("b", "app", staying.addr);
     let host = TestHost::start("host", &catalog).await;
@@ -341,7 +340,7 @@
 #[tokio::test]
 async fn a_host_that_cannot_renew_its_knowledge_serves_no_keys() {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = ScriptedUpstream::start([ScriptStep::Answer(200, "ok")]).await;
+    let upstream = ScriptedUpstream::start([ScriptStep::Respond(200, "ok")]).await;
     catalog.list("a", "app", upstream.addr);
     let mut conf = conf("host");
     conf.key_lease = Some(Duration::from_millis(1_500));
@@ -359,7 +358,7 @@
 
 #[tokio::test]
 async fn a_key_that_was_taken_back_stops_working() {
-    let (host, _, catalog) = host_with_one_upstream("app", ScriptStep::Answer(200, "ok")).await;
+    let (host, _, catalog) = host_with_one_upstream("app", ScriptStep::Respond(200, "ok")).await;
     assert_eq!(
         status(&host.call(request_of("key-2", "/safe/1")).await),
         200
@@ -379,7 +378,7 @@
 
 #[tokio::test]
 async fn an_older_manifest_never_replaces_a_newer_one() {
-    let (host, _, catalog) = host_with_one_upstream("app", ScriptStep::Answer(200, "ok")).await;
+    let (host, _, catalog) = host_with_one_upstream("app", ScriptStep::Respond(200, "ok")).await;
     catalog.publish(table(7));
     wait_until(|| host.gateway.beliefs.routes().unwrap().generation.0 == 7).await;
     catalog.publish(table(3));
@@ -394,7 +393,7 @@
 async fn a_stopping_host_finishes_what_runs_and_closes_after_each_answer() {
     let (host, _, _) = host_with_one_upstream(
         "app",
-        ScriptStep::AnswerAfter(Duration::from_secs(4), "late"),
+        ScriptStep::RespondAfter(Duration::from_secs(4), "late"),
     )
     .await;
     let callers = host.callers;
@@ -424,7 +423,7 @@
 async fn a_host_that_has_no_time_left_turns_new_calls_away_as_not_run() {
     let (host, upstream, _) = host_with_one_upstream(
         "app",
-        ScriptStep::AnswerAfter(Duration::from_secs(5), "late"),
+        ScriptStep::RespondAfter(Duration::from_secs(5), "late"),
     )
     .await;
     let callers = host.callers;
@@ -444,8 +443,7 @@
 
 #[tokio::test]
 async fn every_line_of_the_decision_log_is_json_and_tells_how_a_request_ended() {
-    let (host, _, _) =
-        host_with_two_upstreams("app", ScriptStep::TurnAway, ScriptStep::TurnAway).await;
+    let (host, _, _) = host_with_two_upstreams("app", ScriptStep::Refuse, ScriptStep::Refuse).await;
     assert_eq!(status(&host.call(request("/once/1")).await), 503);
     let ended = || {
         let lines = host.log.lines();
--- a/tests/gateway_hosts.rs
+++ b/tests/gateway_hosts.rs
@@ -205,7 +205,7 @@
     second_domain: &str,
 ) -> (TestHost, Arc<FakeCatalog>, TestHost, Arc<FakeCatalog>) {
     let first_way = FakeCatalog::new(table(1));
-    let upstream = ScriptedUpstream::start([ScriptStep::Answer(200, "ok")]).await;
+    let upstream = ScriptedUpstream::start([ScriptStep::Respond(200, "ok")]).await;
     first_way.list("a", "app", upstream.addr);
     let second_way = first_way.separate_link();
     let first = TestHost::start("a-first", &first_way).await;
@@ -281,7 +281,7 @@
 /// Hosts of one failure domain that all hear each other, each with a way of its own to the platform.
 async fn neighbours(count: usize) -> Vec<(TestHost, Arc<FakeCatalog>)> {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = ScriptedUpstream::start([ScriptStep::Answer(200, "ok")]).await;
+    let upstream = ScriptedUpstream::start([ScriptStep::Respond(200, "ok")]).await;
     catalog.list("a", "app", upstream.addr);
     let mut hosts = Vec::new();
     for number in 0..count {
--- a/tests/gateway_news.rs
+++ b/tests/gateway_news.rs
@@ -46,7 +46,7 @@
 #[tokio::test]
 async fn work_of_another_domain_is_heard_through_its_collector() {
     let catalog = FakeCatalog::new(table(1));
-    let engine = ScriptedUpstream::start([ScriptStep::Answer(200, "a")]).await;
+    let engine = ScriptedUpstream::start([ScriptStep::Respond(200, "a")]).await;
     catalog.list("a", "llm", engine.addr);
     catalog.list("b", "llm", engine.addr);
     let host = TestHost::start("host", &catalog).await;
@@ -70,7 +70,7 @@
 #[tokio::test]
 async fn a_starting_host_reads_before_it_asks_others() {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = ScriptedUpstream::start([ScriptStep::Answer(200, "a")]).await;
+    let upstream = ScriptedUpstream::start([ScriptStep::Respond(200, "a")]).await;
     catalog.list("a", "app", upstream.addr);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let silent = ListedHost {
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -29,7 +29,7 @@
 #[tokio::test]
 async fn the_state_of_a_former_incarnation_does_not_count_against_the_next() {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = ScriptedUpstream::start([ScriptStep::Answer(200, "ok")]).await;
+    let upstream = ScriptedUpstream::start([ScriptStep::Respond(200, "ok")]).await;
     catalog.list("a", "app", upstream.addr);
     let host = TestHost::start("host", &catalog).await;
     let former: UpstreamId = "a".parse().unwrap();
@@ -102,7 +102,7 @@
 async fn a_call_sent_after_the_restart_runs_in_the_new_incarnation() {
     let catalog = FakeCatalog::new(table(1));
     let upstream =
-        ScriptedUpstream::start([ScriptStep::AnswerAfter(Duration::from_secs(2), "ok")]).await;
+        ScriptedUpstream::start([ScriptStep::RespondAfter(Duration::from_secs(2), "ok")]).await;
     catalog.list("a", "app", upstream.addr);
     let host = TestHost::start("host", &catalog).await;
     let (former, domain) = ("a".parse().unwrap(), "here".parse().unwrap());
--- a/tests/gateway_store_returns.rs
+++ b/tests/gateway_store_returns.rs
@@ -16,7 +16,7 @@
 use gateway_world::wait_until;
 
 async fn answering() -> ScriptedUpstream {
-    ScriptedUpstream::start([ScriptStep::Answer(200, "a")]).await
+    ScriptedUpstream::start([ScriptStep::Respond(200, "a")]).await
 }
 
 fn generation(host: &TestHost) -> Generation {
--- a/tests/gateway_versions.rs
+++ b/tests/gateway_versions.rs
@@ -110,8 +110,8 @@
 async fn a_host_reads_through_a_neighbour_of_the_former_version() {
     let catalog = FakeCatalog::new(table(1));
     let (own, read) = (
-        ScriptedUpstream::start([ScriptStep::Answer(200, "own")]).await,
-        ScriptedUpstream::start([ScriptStep::Answer(200, "read")]).await,
+        ScriptedUpstream::start([ScriptStep::Respond(200, "own")]).await,
+        ScriptedUpstream::start([ScriptStep::Respond(200, "read")]).await,
     );
     catalog.list("a", "app", own.addr);
     let host = TestHost::start("b-newer", &catalog).await;
--- a/tests/gateway_world/upstream.rs
+++ b/tests/gateway_world/upstream.rs
@@ -139,18 +139,18 @@
             format!("HTTP/1.1 200 OK\r\n{signed}content-type: text/event-stream\r\n\r\n{events}")
         };
         let text = match &step {
-            ScriptStep::Answer(status, body) => full(*status, &signed, body),
-            ScriptStep::AnswerAfter(after, body) => {
+            ScriptStep::Respond(status, body) => full(*status, &signed, body),
+            ScriptStep::RespondAfter(after, body) => {
                 tokio::time::sleep(*after).await;
                 full(200, &signed, body)
             }
             ScriptStep::Unsigned(status, body) => {
                 full(*status, &format!("test-request: {request}\r\n"), body)
             }
-            ScriptStep::AnswerOtherRequest => {
+            ScriptStep::RespondToOther => {
                 full(200, "test-request: other\r\ntest-signature: s\r\n", "other")
             }
-            ScriptStep::TurnAway => full(503, "test-not-run: 1\r\n", ""),
+            ScriptStep::Refuse => full(503, "test-not-run: 1\r\n", ""),
             ScriptStep::Truncate => {
                 format!("HTTP/1.1 200 OK\r\n{signed}content-length: 100\r\n\r\nincomplete")
             }
