--- a/tests/gateway_world/upstream.rs
+++ b/tests/gateway_world/upstream.rs
@@ -15,15 +15,15 @@
 #[derive(Clone, Debug)]
 pub enum ScriptStep {
     /// Respond with this status and body, signed.
-    Answer(u16, &'static str),
+    Respond(u16, &'static str),
     /// Respond with status 200 and this body, signed, after a delay.
-    AnswerAfter(Duration, &'static str),
+    RespondAfter(Duration, &'static str),
     /// Respond without a signature.
     Unsigned(u16, &'static str),
     /// Respond with the id of a different request.
-    AnswerOtherRequest,
+    RespondToOther,
     /// Refuse the request as not run.
-    TurnAway,
+    Refuse,
     /// Reset the connection without a response.
     Break,
     /// Announce a longer body than is sent, then close the connection.
