--- a/src/decide/health_tracker.rs
+++ b/src/decide/health_tracker.rs
@@ -186,7 +186,7 @@
                 pause.min(PAUSE_MAX)
             }
             UpstreamFault::Broken => PAUSE_BROKEN,
-            UpstreamFault::TurnedAway => PAUSE_REFUSED,
+            UpstreamFault::RequestRefused => PAUSE_REFUSED,
             UpstreamFault::Failed => Duration::ZERO,
         };
         record.pause(pause, now);
--- a/src/gateway/courier.rs
+++ b/src/gateway/courier.rs
@@ -305,7 +305,7 @@
         let listed = by_service.get(&self.call.service);
         let helper = listed.and_then(|listed| listed.iter().find(|u| u.addr == addr));
         if let Some(helper) = helper {
-            self.on_fault(helper, UpstreamFault::TurnedAway, "named as at fault");
+            self.on_fault(helper, UpstreamFault::RequestRefused, "named as at fault");
         }
     }
 
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -139,7 +139,7 @@
             .on_response_limit(&upstream.id, &response.limit);
         if response.did_not_run {
             return SendOutcome::NotRun {
-                fault: UpstreamFault::TurnedAway,
+                fault: UpstreamFault::RequestRefused,
                 arrived: true,
                 at_fault: response.at_fault.filter(|addr| *addr != upstream.addr),
                 why: format!("refused with {}", head.status),
