--- a/src/decide/health_tracker.rs
+++ b/src/decide/health_tracker.rs
@@ -59,7 +59,7 @@
     /// The upstream sent nothing for far longer than the work takes.
     Silent,
     /// The upstream refused the request without running it.
-    TurnedAway,
+    RequestRefused,
     /// The upstream responded with an error of its own.
     Failed,
 }
@@ -77,7 +77,7 @@
             Self::ConnectRefused => "connect_refused",
             Self::Broken => "broken",
             Self::Silent => "silent",
-            Self::TurnedAway => "turned_away",
+            Self::RequestRefused => "turned_away",
             Self::Failed => "failed",
         }
     }
