--- a/src/gateway/courier.rs
+++ b/src/gateway/courier.rs
@@ -174,7 +174,7 @@
                 } else {
                     let now = self.gateway.clock.now();
                     let mut health = self.gateway.health();
-                    health.on_answer(&upstream.id, &upstream.domain, now);
+                    health.on_response(&upstream.id, &upstream.domain, now);
                 }
                 let again = failed
                     && self.may_run_again()
--- a/tests/decide_gateway.rs
+++ b/tests/decide_gateway.rs
@@ -99,7 +99,7 @@
     health.on_fault(&first[0], &there, UpstreamFault::ConnectTimeout, later);
     let second = health.take_due_probes(later + ms(700));
     assert!(second != first, "the one that was tried may itself be dead");
-    health.on_answer(&upstream("a"), &there, later);
+    health.on_response(&upstream("a"), &there, later);
     assert!(health.is_usable(&untried, &there, later));
 }
 
@@ -131,7 +131,7 @@
 fn what_answers_here_is_used_whatever_a_neighbour_says() {
     let (mut health, now) = (HealthTracker::default(), Instant::now());
     let (sound, there) = (upstream("sound"), domain("there"));
-    health.on_answer(&sound, &there, now);
+    health.on_response(&sound, &there, now);
     health.on_unreachable_report(&sound, &there, now + ms(200));
     health.on_partition_report(&there, now + ms(200));
     assert!(health.is_usable(&sound, &there, now + ms(200)));
