--- a/src/decide/health_tracker.rs
+++ b/src/decide/health_tracker.rs
@@ -206,7 +206,7 @@
     }
 
     /// Records that an upstream responded.
-    pub fn on_answer(&mut self, upstream: &UpstreamId, domain: &FailureDomainId, now: Instant) {
+    pub fn on_response(&mut self, upstream: &UpstreamId, domain: &FailureDomainId, now: Instant) {
         let record = self.record(upstream, domain);
         record.on_reached();
         record.responded_at = Some(now);
