--- a/tests/gateway_world/upstream.rs
+++ b/tests/gateway_world/upstream.rs
@@ -165,15 +165,13 @@
             return;
         }
         match step {
-            ScriptStep::Hang | ScriptStep::EventsThenHang(_) => {
-                self.wait_for_disconnect(stream).await
-            }
+            ScriptStep::Hang | ScriptStep::EventsThenHang(_) => self.wait_closed(stream).await,
             ScriptStep::Break | ScriptStep::EventsThenBreak(_) => reset(stream),
             _ => {}
         }
     }
 
-    async fn wait_for_disconnect(&self, stream: &mut TcpStream) {
+    async fn wait_closed(&self, stream: &mut TcpStream) {
         let mut byte = [0_u8];
         let read = stream.read(&mut byte).await;
         if !matches!(read, Ok(1)) {
