--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -145,7 +145,7 @@
 
     fn on_route(&self, route: NewsRoute) {
         if route.is_another_way_than(&self.logged_route()) {
-            self.log.record(DecisionEvent::NewsRoute {
+            self.log.record(DecisionEvent::UpdateRouteChanged {
                 collector: route.collector.as_ref().map(ToString::to_string),
                 near_age_ms: whole_millis(route.near_age),
                 far_age_ms: whole_millis(route.far_age),
