--- a/src/gateway/decision_event.rs
+++ b/src/gateway/decision_event.rs
@@ -58,7 +58,8 @@
         restarted: Vec<String>,
     },
     /// Messages of other hosts arrive by a different route.
-    NewsRoute {
+    #[serde(rename = "news_route")]
+    UpdateRouteChanged {
         /// The host that forwards messages of other failure domains; none if all hosts send to each
         /// other directly, or if this host is the collector.
         collector: Option<String>,
