--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -152,7 +152,7 @@
             });
             self.set_logged_route(route.clone());
         }
-        self.set_news_route(route);
+        self.set_update_route(route);
     }
 
     fn changed(&self) -> &Notify {
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -181,7 +181,7 @@
     sends: &SendHistory<'_>,
     now: Instant,
 ) -> EngineAsk {
-    let route = gateway.news_route();
+    let route = gateway.update_route();
     // The caller of an interrupted stream waits for the next event, however late.
     let patience_min = if sends.has_run {
         call.patience()
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -196,7 +196,7 @@
 
     /// The time until this host's sends are known to the other hosts.
     pub(crate) fn send_visibility_delay(&self) -> Duration {
-        let route = self.news_route();
+        let route = self.update_route();
         route.near_age.max(route.far_age) + BROADCAST_LATENCY
     }
 
--- a/src/gateway/share/readers.rs
+++ b/src/gateway/share/readers.rs
@@ -141,7 +141,7 @@
     pub(crate) fn choose(&self, gateway: &Gateway, trusts_list: bool) -> Option<ListedHost> {
         let now = gateway.clock.now();
         let hosts = gateway.beliefs.hosts();
-        let collector = gateway.news_route().collector;
+        let collector = gateway.update_route().collector;
         let conf = &gateway.conf;
         let mut state = self.lock();
         let at = gateway.clock.since_boot();
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -98,7 +98,7 @@
     /// Notified when a message arrives from a host that is not on the list.
     pub(crate) hosts_changed: Notify,
     pub(crate) messages_sent: AtomicU64,
-    news_route: Mutex<NewsRoute>,
+    update_route: Mutex<NewsRoute>,
     logged_route: Mutex<NewsRoute>,
     /// Selects the host that reads the platform for this one.
     pub(crate) readers: Readers,
@@ -148,7 +148,7 @@
             upstreams_changed: Notify::new(),
             hosts_changed: Notify::new(),
             messages_sent: AtomicU64::new(0),
-            news_route: Mutex::default(),
+            update_route: Mutex::default(),
             logged_route: Mutex::default(),
             readers: Readers::default(),
             slowdowns: Slowdowns::default(),
@@ -168,8 +168,8 @@
     }
 
     /// The route by which messages of other hosts arrive.
-    pub(crate) fn news_route(&self) -> NewsRoute {
-        let route = self.news_route.lock();
+    pub(crate) fn update_route(&self) -> NewsRoute {
+        let route = self.update_route.lock();
         route.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
@@ -184,9 +184,9 @@
         *logged.unwrap_or_else(PoisonError::into_inner) = route;
     }
 
-    pub(crate) fn set_news_route(&self, route: NewsRoute) {
+    pub(crate) fn set_update_route(&self, route: NewsRoute) {
         let mut current = self
-            .news_route
+            .update_route
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         *current = route;
