--- a/src/decide/health_tracker.rs
+++ b/src/decide/health_tracker.rs
@@ -248,7 +248,7 @@
 
     /// Records the report of a host of the same failure domain that another domain is partitioned.
     /// The report is ignored if the domain has responded to this host recently.
-    pub fn on_partition_report(&mut self, domain: &FailureDomainId, now: Instant) {
+    pub fn on_unreachable_domain_report(&mut self, domain: &FailureDomainId, now: Instant) {
         let domain_record = self.domains.entry(domain.clone()).or_default();
         if is_within(domain_record.responded_at, RESPONSE_VALID_FOR, now)
             || domain_record.is_partitioned()
@@ -270,7 +270,7 @@
 
     /// The failure domains that this host itself recently found partitioned, for reports to other
     /// hosts.
-    pub fn partitioned_domains(&self, now: Instant) -> impl Iterator<Item = &FailureDomainId> {
+    pub fn unreachable_domains(&self, now: Instant) -> impl Iterator<Item = &FailureDomainId> {
         let reported = self.domains.iter().filter(move |(_, domain_record)| {
             domain_record.is_partitioned() && is_within(domain_record.failed_at, REPORTED_FOR, now)
         });
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -69,7 +69,7 @@
             .map(ToString::to_string)
             .collect();
         let cut_off = health
-            .partitioned_domains(now)
+            .unreachable_domains(now)
             .map(ToString::to_string)
             .collect();
         drop(health);
@@ -180,7 +180,7 @@
         };
         let mut health = self.health();
         for domain in news.cut_off.iter().filter_map(|name| name.parse().ok()) {
-            health.on_partition_report(&domain, now);
+            health.on_unreachable_domain_report(&domain, now);
         }
         for upstream in by_service.values().flatten() {
             if news.unreachable.iter().any(|id| id == upstream.id.as_str()) {
--- a/tests/decide_gateway.rs
+++ b/tests/decide_gateway.rs
@@ -115,15 +115,15 @@
     }
     let told: Vec<UpstreamId> = finder.unreachable_upstreams(now).cloned().collect();
     assert_eq!(told, [dead.clone(), upstream("b")]);
-    assert!(finder.partitioned_domains(now).eq([&there]));
+    assert!(finder.unreachable_domains(now).eq([&there]));
     neighbour.on_unreachable_report(&dead, &there, now);
     assert!(!neighbour.is_usable(&dead, &there, now));
     assert!(neighbour.is_usable(&upstream("c"), &there, now));
-    neighbour.on_partition_report(&there, now);
+    neighbour.on_unreachable_domain_report(&there, now);
     assert!(!neighbour.is_usable(&upstream("c"), &there, now));
     // What was only heard is not told on, or it would go round for ever.
     assert_eq!(neighbour.unreachable_upstreams(now).count(), 0);
-    assert_eq!(neighbour.partitioned_domains(now).count(), 0);
+    assert_eq!(neighbour.unreachable_domains(now).count(), 0);
 }
 
 /// A host behind a broken link takes a sound engine for dead, and all of its domain believe it.
@@ -133,7 +133,7 @@
     let (sound, there) = (upstream("sound"), domain("there"));
     health.on_response(&sound, &there, now);
     health.on_unreachable_report(&sound, &there, now + ms(200));
-    health.on_partition_report(&there, now + ms(200));
+    health.on_unreachable_domain_report(&there, now + ms(200));
     assert!(health.is_usable(&sound, &there, now + ms(200)));
 }
 
