--- a/src/decide/health_tracker.rs
+++ b/src/decide/health_tracker.rs
@@ -30,9 +30,9 @@
 /// leave.
 const PAUSE_REFUSED: Duration = Duration::from_millis(150);
 /// Connection timeouts in one failure domain, with no response from the domain in between, after
-/// which the whole domain counts as partitioned. A single upstream may have died.
+/// which the whole domain counts as unreachable. A single upstream may have died.
 const DOMAIN_TIMEOUT_THRESHOLD: u32 = 2;
-/// The time between two probes of a partitioned failure domain.
+/// The time between two probes of an unreachable failure domain.
 const DOMAIN_PROBE_INTERVAL: Duration = Duration::from_millis(600);
 /// For this long after a response, reports of other hosts that an upstream or a domain is
 /// unreachable are ignored.
@@ -143,13 +143,13 @@
 }
 
 impl DomainRecord {
-    fn is_partitioned(&self) -> bool {
+    fn is_unreachable(&self) -> bool {
         self.timeouts >= DOMAIN_TIMEOUT_THRESHOLD
     }
 
-    /// When a partitioned domain is to be probed; none if the domain is not partitioned.
+    /// When an unreachable domain is to be probed; none if the domain is reachable.
     fn probe_at(&self) -> Option<Instant> {
-        let last = self.last_timeout_at.filter(|_| self.is_partitioned())?;
+        let last = self.last_timeout_at.filter(|_| self.is_unreachable())?;
         Some(last + DOMAIN_PROBE_INTERVAL)
     }
 }
@@ -246,12 +246,12 @@
         self.upstreams.get(upstream)?.lost_at
     }
 
-    /// Records the report of a host of the same failure domain that another domain is partitioned.
+    /// Records the report of a host of the same failure domain that another domain is unreachable.
     /// The report is ignored if the domain has responded to this host recently.
     pub fn on_unreachable_domain_report(&mut self, domain: &FailureDomainId, now: Instant) {
         let domain_record = self.domains.entry(domain.clone()).or_default();
         if is_within(domain_record.responded_at, RESPONSE_VALID_FOR, now)
-            || domain_record.is_partitioned()
+            || domain_record.is_unreachable()
         {
             return;
         }
@@ -268,11 +268,11 @@
         reported.map(|(id, _)| id)
     }
 
-    /// The failure domains that this host itself recently found partitioned, for reports to other
+    /// The failure domains that this host itself recently found unreachable, for reports to other
     /// hosts.
     pub fn unreachable_domains(&self, now: Instant) -> impl Iterator<Item = &FailureDomainId> {
         let reported = self.domains.iter().filter(move |(_, domain_record)| {
-            domain_record.is_partitioned() && is_within(domain_record.failed_at, REPORTED_FOR, now)
+            domain_record.is_unreachable() && is_within(domain_record.failed_at, REPORTED_FOR, now)
         });
         reported.map(|(domain, _)| domain)
     }
@@ -292,13 +292,13 @@
                 due.extend(least_recent.map(|(id, _)| id.clone()));
             }
         }
-        let is_partitioned = |record: &UpstreamRecord| {
+        let is_domain_unreachable = |record: &UpstreamRecord| {
             domains
                 .get(&record.domain)
-                .is_some_and(DomainRecord::is_partitioned)
+                .is_some_and(DomainRecord::is_unreachable)
         };
         let single = self.upstreams.iter().filter(|(_, record)| {
-            record.is_unreachable && !record.is_paused(now) && !is_partitioned(record)
+            record.is_unreachable && !record.is_paused(now) && !is_domain_unreachable(record)
         });
         due.extend(single.map(|(id, _)| id.clone()));
         for id in &due {
@@ -314,7 +314,7 @@
         let domains = self.domains.values().filter_map(DomainRecord::probe_at);
         let upstreams = self.upstreams.values().filter(|record| {
             let domain_record = self.domains.get(&record.domain);
-            record.is_unreachable && !domain_record.is_some_and(DomainRecord::is_partitioned)
+            record.is_unreachable && !domain_record.is_some_and(DomainRecord::is_unreachable)
         });
         domains
             .chain(upstreams.filter_map(|record| record.paused_until))
@@ -325,11 +325,11 @@
     pub fn is_usable(&self, upstream: &UpstreamId, domain: &FailureDomainId, now: Instant) -> bool {
         let record = self.upstreams.get(upstream);
         let is_suspended = record.is_some_and(|r| r.is_unreachable || r.is_paused(now));
-        let is_partitioned = self
+        let is_domain_unreachable = self
             .domains
             .get(domain)
-            .is_some_and(DomainRecord::is_partitioned);
-        !is_suspended && !is_partitioned
+            .is_some_and(DomainRecord::is_unreachable);
+        !is_suspended && !is_domain_unreachable
     }
 
     /// Whether the upstream's failure rate is so high that other upstreams are preferred.
