--- a/src/gateway/conf.rs
+++ b/src/gateway/conf.rs
@@ -19,7 +19,7 @@
     pub callers_addr: SocketAddr,
     /// The address of the readiness page for the balancer.
     pub ready_addr: SocketAddr,
-    /// The address on which hosts exchange messages.
+    /// The address on which hosts exchange updates.
     pub exchange_addr: SocketAddr,
     /// The address of the metrics page.
     pub metrics_addr: SocketAddr,
@@ -27,7 +27,7 @@
     /// revoked.
     pub key_lease: Option<Duration>,
     /// The processor capacity that this host may use. Among the hosts of a failure domain the one
-    /// with the largest capacity collects messages.
+    /// with the largest capacity collects updates.
     pub processors: Millicores,
     /// The bound on retries for all hosts together.
     pub retry_bound: RetryBound,
--- a/src/gateway/decision_event.rs
+++ b/src/gateway/decision_event.rs
@@ -57,15 +57,15 @@
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         restarted: Vec<String>,
     },
-    /// Messages of other hosts arrive by a different route.
+    /// Updates of other hosts arrive by a different route.
     #[serde(rename = "news_route")]
     UpdateRouteChanged {
-        /// The host that forwards messages of other failure domains; none if all hosts send to each
+        /// The host that forwards updates of other failure domains; none if all hosts send to each
         /// other directly, or if this host is the collector.
         collector: Option<String>,
-        /// The maximum age of messages of this failure domain when none is lost, in ms.
+        /// The maximum age of updates of this failure domain when none is lost, in ms.
         near_age_ms: u64,
-        /// The maximum age of messages of other failure domains when none is lost, in ms.
+        /// The maximum age of updates of other failure domains when none is lost, in ms.
         far_age_ms: u64,
     },
     /// The store of the platform was restored from an older copy. Later writes are lost, and its
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -95,7 +95,7 @@
     /// Notified when the host that reads the platform for this one has a different list of
     /// upstreams.
     pub(crate) upstreams_changed: Notify,
-    /// Notified when a message arrives from a host that is not on the list.
+    /// Notified when an update arrives from a host that is not on the list.
     pub(crate) hosts_changed: Notify,
     pub(crate) messages_sent: AtomicU64,
     update_route: Mutex<NewsRoute>,
@@ -167,7 +167,7 @@
         self.health.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The route by which messages of other hosts arrive.
+    /// The route by which updates of other hosts arrive.
     pub(crate) fn update_route(&self) -> NewsRoute {
         let route = self.update_route.lock();
         route.unwrap_or_else(PoisonError::into_inner).clone()
