--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -88,7 +88,7 @@
             upstreams_version,
             host: self.conf.host.to_string(),
             incarnation: self.incarnation,
-            sequence: self.messages_sent.fetch_add(1, Ordering::Relaxed),
+            sequence: self.updates_sent.fetch_add(1, Ordering::Relaxed),
             loads,
             poisons: poisons.iter().map(poison_news).collect(),
             ..HostNews::default()
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -97,7 +97,7 @@
     pub(crate) upstreams_changed: Notify,
     /// Notified when an update arrives from a host that is not on the list.
     pub(crate) hosts_changed: Notify,
-    pub(crate) messages_sent: AtomicU64,
+    pub(crate) updates_sent: AtomicU64,
     update_route: Mutex<NewsRoute>,
     logged_route: Mutex<NewsRoute>,
     /// Selects the host that reads the platform for this one.
@@ -147,7 +147,7 @@
             routes_changed: Notify::new(),
             upstreams_changed: Notify::new(),
             hosts_changed: Notify::new(),
-            messages_sent: AtomicU64::new(0),
+            updates_sent: AtomicU64::new(0),
             update_route: Mutex::default(),
             logged_route: Mutex::default(),
             readers: Readers::default(),
