--- a/src/gateway/load_guard.rs
+++ b/src/gateway/load_guard.rs
@@ -9,32 +9,32 @@
 /// The load of one send, which is subtracted when the guard is dropped, however the request ends.
 pub(crate) struct LoadGuard {
     gateway: Arc<Gateway>,
-    shares: Vec<(UpstreamId, LoadShare)>,
+    loads: Vec<(UpstreamId, LoadShare)>,
     /// Avoids locking the ledger at each event after the first.
     is_prefilled: bool,
 }
 
 impl LoadGuard {
-    pub(crate) fn new(gateway: &Arc<Gateway>, shares: Vec<(UpstreamId, LoadShare)>) -> Self {
+    pub(crate) fn new(gateway: &Arc<Gateway>, loads: Vec<(UpstreamId, LoadShare)>) -> Self {
         let now = gateway.clock.now();
         let mut ledger = gateway.ledger();
-        for (upstream, share) in &shares {
-            ledger.start(upstream, share, now);
+        for (upstream, load) in &loads {
+            ledger.start(upstream, load, now);
         }
         drop(ledger);
         gateway
             .rate_limits
-            .on_sent(shares.iter().map(|(id, _)| id), now);
+            .on_sent(loads.iter().map(|(id, _)| id), now);
         // Hosts that do not know of prompts sent by each other choose the same engines, and each of
         // these prompts is then delayed beyond its forecast by the prefill of the others.
-        if shares.iter().any(|(_, share)| !share.read_time.is_zero()) {
+        if loads.iter().any(|(_, load)| !load.read_time.is_zero()) {
             gateway.broadcast_now.notify_one();
         } else {
             gateway.load_changed.notify_one();
         }
         Self {
             gateway: Arc::clone(gateway),
-            shares,
+            loads,
             is_prefilled: false,
         }
     }
@@ -48,8 +48,8 @@
         }
         self.is_prefilled = true;
         let mut ledger = self.gateway.ledger();
-        for (upstream, share) in &mut self.shares {
-            ledger.read_done(upstream, share);
+        for (upstream, load) in &mut self.loads {
+            ledger.read_done(upstream, load);
         }
     }
 }
@@ -57,8 +57,8 @@
 impl Drop for LoadGuard {
     fn drop(&mut self) {
         let mut ledger = self.gateway.ledger();
-        for (upstream, share) in &self.shares {
-            ledger.end(upstream, share);
+        for (upstream, load) in &self.loads {
+            ledger.end(upstream, load);
         }
         drop(ledger);
         self.gateway.load_changed.notify_one();
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -44,7 +44,7 @@
     /// Memory to reserve on engines before the send. The leader's own reservation is first.
     pub(crate) reserves: Vec<EngineReservation>,
     /// The load that the send adds to each upstream, the leader first.
-    pub(crate) shares: Vec<(UpstreamId, LoadShare)>,
+    pub(crate) loads: Vec<(UpstreamId, LoadShare)>,
     pub(crate) forecast: Duration,
     /// The limit that the upstream advertises, if any.
     pub(crate) limit: Option<LimitSeen>,
@@ -54,7 +54,7 @@
     /// The engines that prefill parts of the prompt beside the leader, which generates the
     /// response.
     pub(crate) fn helper_ids(&self) -> impl Iterator<Item = &UpstreamId> {
-        self.shares.iter().skip(1).map(|(id, _)| id)
+        self.loads.iter().skip(1).map(|(id, _)| id)
     }
 }
 
@@ -98,9 +98,9 @@
         }
         let chosen = match model {
             Some(model) => {
-                let ask = engine_ask(gateway, &routes, call, sends, now);
+                let request = engine_request(gateway, &routes, call, sends, now);
                 let views = engine_views(gateway, &usable, &limits, now);
-                decide_among_engines(call, model, &usable, &views, &ask, now)
+                decide_among_engines(call, model, &usable, &views, &request, now)
             }
             None => decide_among_instances(gateway, &usable, &limits, now),
         };
@@ -156,14 +156,14 @@
     let model = engine_model(&routes, call)?;
     let by_service = gateway.beliefs.upstreams()?;
     let listed = by_service.get(&call.service)?;
-    let ask = engine_ask(gateway, &routes, call, sends, now);
-    if ask.class(model) == PromptClass::Short {
+    let request = engine_request(gateway, &routes, call, sends, now);
+    if request.class(model) == PromptClass::Short {
         return None;
     }
     let usable = usable(gateway, listed, sends.tried, now);
     let limits = LimitStates::of(gateway, &usable, now);
     let views = engine_views(gateway, &usable, &limits, now);
-    let (near, all) = survey_engines(model, &views, &ask);
+    let (near, all) = survey_engines(model, &views, &request);
     Some((near.into(), all.into()))
 }
 
@@ -174,7 +174,7 @@
     call.route.kind.is_stream().then_some(model)
 }
 
-fn engine_ask(
+fn engine_request(
     gateway: &Gateway,
     routes: &RouteTable,
     call: &Call,
@@ -244,7 +244,7 @@
     let Some(upstream) = chosen.and_then(|id| find(usable, id)) else {
         return no_upstream();
     };
-    let share = LoadShare {
+    let load = LoadShare {
         takes_place: true,
         is_short: false,
         pause: None,
@@ -257,7 +257,7 @@
         upstream: upstream.clone(),
         helpers: Vec::new(),
         reserves: Vec::new(),
-        shares: vec![(upstream.id.clone(), share)],
+        loads: vec![(upstream.id.clone(), load)],
         forecast: Duration::ZERO,
         limit: None,
     }))
@@ -268,11 +268,11 @@
     model: &EngineModel,
     usable: &[&Listed],
     views: &[EngineView],
-    ask: &EngineAsk,
+    request: &EngineAsk,
     now: Instant,
 ) -> PlacementDecision {
-    match choose_engines(model, views, ask) {
-        EngineChoice::Send(plan) => engine_send_plan(call, model, ask, &plan, usable, now),
+    match choose_engines(model, views, request) {
+        EngineChoice::Send(plan) => engine_send_plan(call, model, request, &plan, usable, now),
         EngineChoice::Wait(wait) => PlacementDecision::Wait(wait),
         EngineChoice::Refuse {
             reason,
@@ -307,7 +307,7 @@
 fn engine_send_plan(
     call: &Call,
     model: &EngineModel,
-    ask: &EngineAsk,
+    request: &EngineAsk,
     plan: &EnginePlan,
     usable: &[&Listed],
     now: Instant,
@@ -336,7 +336,7 @@
         upstream: upstream.clone(),
         helpers,
         reserves,
-        shares: plan.shares(model, ask, call.route.pause_objective, now),
+        loads: plan.shares(model, request, call.route.pause_objective, now),
         forecast: plan.forecast,
         limit: None,
     }))
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -34,7 +34,7 @@
 /// The rate limits that upstreams advertise, and the calls that wait for them.
 #[derive(Debug)]
 pub(crate) struct RateLimits {
-    book: Mutex<RateLimitBook>,
+    tracker: Mutex<RateLimitBook>,
     /// When a malformed limit of an upstream was last logged.
     malformed_logged_at: Mutex<IndexMap<UpstreamId, Instant>>,
     /// The number of calls of each service that wait for a limit to allow one more request.
@@ -45,14 +45,14 @@
     /// The state of a host that starts at `now` and knows no limits.
     pub(crate) fn new(now: Instant) -> Self {
         Self {
-            book: Mutex::new(RateLimitBook::new(now)),
+            tracker: Mutex::new(RateLimitBook::new(now)),
             malformed_logged_at: Mutex::default(),
             waiting: Mutex::default(),
         }
     }
 
     pub(crate) fn book(&self) -> MutexGuard<'_, RateLimitBook> {
-        self.book.lock().unwrap_or_else(PoisonError::into_inner)
+        self.tracker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Records that this host sends a request to these upstreams.
@@ -61,16 +61,16 @@
         upstreams: impl Iterator<Item = &'a UpstreamId>,
         now: Instant,
     ) {
-        let mut book = self.book();
+        let mut tracker = self.book();
         for upstream in upstreams {
-            book.on_sent(upstream, now);
+            tracker.on_sent(upstream, now);
         }
     }
 
     /// Whether any of these upstreams has a limit.
     pub(crate) fn has_any_limit(&self, upstreams: &[&Listed]) -> bool {
-        let book = self.book();
-        upstreams.iter().any(|u| book.limit(&u.id).is_some())
+        let tracker = self.book();
+        upstreams.iter().any(|u| tracker.limit(&u.id).is_some())
     }
 
     /// The number of calls of a service that wait on this host for a limit.
@@ -130,9 +130,9 @@
             }
         };
         let now = self.clock.now();
-        let mut book = self.rate_limits.book();
-        let is_change = book.on_answer(upstream, limit, now);
-        drop(book);
+        let mut tracker = self.rate_limits.book();
+        let is_change = tracker.on_answer(upstream, limit, now);
+        drop(tracker);
         if is_change {
             self.on_limit_change(upstream, limit, None, Duration::ZERO);
         }
@@ -146,9 +146,9 @@
         report: &LimitReport,
         now: Instant,
     ) {
-        let mut book = self.rate_limits.book();
-        let is_change = book.hear(source.clone(), upstream, report, now);
-        drop(book);
+        let mut tracker = self.rate_limits.book();
+        let is_change = tracker.hear(source.clone(), upstream, report, now);
+        drop(tracker);
         if is_change {
             self.on_limit_change(upstream, report.limit, Some(source.host()), report.age);
         }
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -98,7 +98,7 @@
     ) -> SendOutcome {
         let now = self.gateway.clock.now();
         let timeout_after = self.response_timeout(&plan, now);
-        let load = LoadGuard::new(self.gateway, plan.shares);
+        let load = LoadGuard::new(self.gateway, plan.loads);
         let upstream = plan.upstream;
         let reservations = reservation.iter().flat_map(ReservationGuard::reservations);
         let mut helpers: Vec<HelperAddr> = reservations.map(EngineReservation::helper).collect();
--- a/tests/gateway_world/mod.rs
+++ b/tests/gateway_world/mod.rs
@@ -3,8 +3,8 @@
 #![allow(dead_code, unreachable_pub)]
 
 pub mod catalog;
+pub mod engine_client;
 pub mod header_codec;
-pub mod orders;
 pub mod upstream;
 
 use std::net::SocketAddr;
@@ -41,8 +41,8 @@
 use tokio::task::JoinHandle;
 
 use catalog::FakeCatalog;
+use engine_client::FakeEngineClient;
 use header_codec::TestHeaderCodec;
-use orders::FakeEngineClient;
 
 /// How long a test waits for a condition before it fails.
 const TIMEOUT: Duration = Duration::from_secs(20);
