--- a/src/gateway/limit_states.rs
+++ b/src/gateway/limit_states.rs
@@ -30,7 +30,7 @@
             return Self::default();
         }
         let hosts = gateway.hosts_heard(now);
-        let mut book = gateway.rate_limits.book();
+        let mut book = gateway.rate_limits.tracker();
         book.set_fleet(hosts, gateway.send_visibility_delay());
         let limited = upstreams.iter().filter_map(|upstream| {
             let view = book.view(&upstream.id, now)?;
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -78,7 +78,7 @@
             slow: self.slowdowns.own(now).iter().map(slow_news).collect(),
             limits: self
                 .rate_limits
-                .book()
+                .tracker()
                 .reports(now)
                 .map(limit_news)
                 .collect(),
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    pub(crate) fn book(&self) -> MutexGuard<'_, RateLimitBook> {
+    pub(crate) fn tracker(&self) -> MutexGuard<'_, RateLimitBook> {
         self.tracker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -61,7 +61,7 @@
         upstreams: impl Iterator<Item = &'a UpstreamId>,
         now: Instant,
     ) {
-        let mut tracker = self.book();
+        let mut tracker = self.tracker();
         for upstream in upstreams {
             tracker.on_sent(upstream, now);
         }
@@ -69,7 +69,7 @@
 
     /// Whether any of these upstreams has a limit.
     pub(crate) fn has_any_limit(&self, upstreams: &[&Listed]) -> bool {
-        let tracker = self.book();
+        let tracker = self.tracker();
         upstreams.iter().any(|u| tracker.limit(&u.id).is_some())
     }
 
@@ -94,7 +94,7 @@
 
     /// Drops the state of upstreams that are off the list.
     pub(crate) fn retain(&self, is_listed: impl Fn(&UpstreamId) -> bool) {
-        self.book().keep(&is_listed);
+        self.tracker().keep(&is_listed);
         self.malformed_logged()
             .retain(|upstream, _| is_listed(upstream));
     }
@@ -130,7 +130,7 @@
             }
         };
         let now = self.clock.now();
-        let mut tracker = self.rate_limits.book();
+        let mut tracker = self.rate_limits.tracker();
         let is_change = tracker.on_answer(upstream, limit, now);
         drop(tracker);
         if is_change {
@@ -146,7 +146,7 @@
         report: &LimitReport,
         now: Instant,
     ) {
-        let mut tracker = self.rate_limits.book();
+        let mut tracker = self.rate_limits.tracker();
         let is_change = tracker.hear(source.clone(), upstream, report, now);
         drop(tracker);
         if is_change {
