--- a/src/gateway/engine_reports.rs
+++ b/src/gateway/engine_reports.rs
@@ -75,7 +75,7 @@
 }
 
 async fn ask(gateway: Arc<Gateway>, engine: Listed) {
-    let report = match gateway.orders.report(engine.addr).await {
+    let report = match gateway.engine_client.report(engine.addr).await {
         Ok(report) => report,
         Err(err) => {
             // Whether it can be reached is found out where requests are sent.
--- a/src/gateway/reservation.rs
+++ b/src/gateway/reservation.rs
@@ -127,8 +127,8 @@
 }
 
 async fn reserve(gateway: &Gateway, reservation: &EngineReservation) -> Result<(), OrderError> {
-    let orders = &gateway.orders;
-    orders
+    let engine_client = &gateway.engine_client;
+    engine_client
         .reserve(
             reservation.engine,
             &reservation.name,
@@ -169,7 +169,7 @@
 async fn release(gateway: Arc<Gateway>, reservation: EngineReservation) {
     for _ in 0..RELEASE_ATTEMPTS_MAX {
         match gateway
-            .orders
+            .engine_client
             .release(reservation.engine, &reservation.name)
             .await
         {
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -62,7 +62,7 @@
     /// The headers of the platform.
     pub header_codec: Arc<dyn HeaderCodec>,
     /// The client for orders to engines.
-    pub orders: Arc<dyn EngineOrders>,
+    pub engine_client: Arc<dyn EngineOrders>,
     /// The host's current view of the platform.
     pub beliefs: Beliefs,
     /// The decision log.
@@ -115,7 +115,7 @@
         conf: GatewayConf,
         clock: Arc<dyn Clock>,
         header_codec: Arc<dyn HeaderCodec>,
-        orders: Arc<dyn EngineOrders>,
+        engine_client: Arc<dyn EngineOrders>,
         log: DecisionLog,
         metrics: GatewayMetrics,
     ) -> Self {
@@ -125,7 +125,7 @@
             conf,
             clock,
             header_codec,
-            orders,
+            engine_client,
             beliefs: Beliefs::default(),
             log,
             metrics,
