--- a/tests/gateway_world/mod.rs
+++ b/tests/gateway_world/mod.rs
@@ -52,7 +52,7 @@
     pub gateway: Arc<Gateway>,
     pub callers: SocketAddr,
     pub ready: SocketAddr,
-    pub orders: Arc<FakeEngineClient>,
+    pub engine_client: Arc<FakeEngineClient>,
     pub log: LogLines,
     pub serving: JoinHandle<()>,
 }
@@ -116,7 +116,7 @@
     /// Starts a host and waits until it has read the manifest and the upstreams, if there are any.
     pub async fn start_with(conf: GatewayConf, catalog: &Arc<FakeCatalog>) -> Self {
         let clock: Arc<dyn Clock> = Arc::new(SystemClock);
-        let orders = Arc::new(FakeEngineClient::default());
+        let engine_client = Arc::new(FakeEngineClient::default());
         let log = LogLines::default();
         let decision_log =
             DecisionLog::new(conf.host.clone(), Arc::clone(&clock), Box::new(log.clone()));
@@ -124,7 +124,7 @@
             conf,
             clock,
             Arc::new(TestHeaderCodec),
-            Arc::<FakeEngineClient>::clone(&orders),
+            Arc::<FakeEngineClient>::clone(&engine_client),
             decision_log,
             GatewayMetrics::new().unwrap(),
         ));
@@ -141,7 +141,7 @@
             gateway,
             callers,
             ready,
-            orders,
+            engine_client,
             log,
             serving,
         };
