--- a/tests/gateway_hosts.rs
+++ b/tests/gateway_hosts.rs
@@ -118,7 +118,7 @@
     wait_until(|| slow.arrivals().len() == 1).await;
     asking
         .engine_client
-        .slow_down(slow.addr, Slowdown::new(8.0));
+        .set_slowdown(slow.addr, Slowdown::new(8.0));
     wait_until(|| asking.log.text().contains("upstream_speed")).await;
     while sound.arrivals().is_empty() {
         let req = request("/model/1");
@@ -130,7 +130,11 @@
         assert_eq!(status(&told.call(request("/model/1")).await), 200);
     }
     assert_eq!(slow.arrivals().len(), before, "sent to the slow engine");
-    assert_eq!(told.engine_client.reports(), 0, "one host of a domain asks");
+    assert_eq!(
+        told.engine_client.report_requests(),
+        0,
+        "one host of a domain asks"
+    );
     hanging.abort();
 }
 
@@ -174,7 +178,7 @@
     let (host, _, asking) = reserving().await;
     asking.abort();
     wait_until(|| host.engine_client.reserved_tokens() == 0).await;
-    assert!(host.engine_client.made() > 0);
+    assert!(host.engine_client.reservations_made() > 0);
 }
 
 /// Engines run out of memory that nobody uses. The engine that led a long prompt lost its power and
@@ -187,14 +191,14 @@
     } else {
         (a, b)
     };
-    wait_until(|| host.engine_client.asked(other.addr) >= 2).await;
-    host.engine_client.silence(leader.addr);
+    wait_until(|| host.engine_client.reserve_requests(other.addr) >= 2).await;
+    host.engine_client.set_silent(leader.addr);
     let (led, kept) = (
-        host.engine_client.asked(leader.addr),
-        host.engine_client.asked(other.addr),
+        host.engine_client.reserve_requests(leader.addr),
+        host.engine_client.reserve_requests(other.addr),
     );
-    wait_until(|| host.engine_client.asked(leader.addr) >= led + 3).await;
-    let renewed = host.engine_client.asked(other.addr) - kept;
+    wait_until(|| host.engine_client.reserve_requests(leader.addr) >= led + 3).await;
+    let renewed = host.engine_client.reserve_requests(other.addr) - kept;
     assert!(
         renewed <= 1,
         "renewed {renewed} times, at most the one under way"
