--- a/tests/gateway_world/engine_client.rs
+++ b/tests/gateway_world/engine_client.rs
@@ -31,28 +31,28 @@
     }
 
     /// The number of reservations and renewals that succeeded.
-    pub fn made(&self) -> usize {
+    pub fn reservations_made(&self) -> usize {
         *self.made.lock().unwrap()
     }
 
     /// Makes an engine respond to no more orders.
-    pub fn silence(&self, engine: SocketAddr) {
+    pub fn set_silent(&self, engine: SocketAddr) {
         *self.silent.lock().unwrap() = Some(engine);
     }
 
     /// How often an engine was requested to reserve memory or to renew a reservation.
-    pub fn asked(&self, engine: SocketAddr) -> usize {
+    pub fn reserve_requests(&self, engine: SocketAddr) -> usize {
         let asked = self.asked.lock().unwrap();
         asked.get(&engine).copied().unwrap_or(0)
     }
 
     /// Makes an engine report that it works this much slower than its model.
-    pub fn slow_down(&self, engine: SocketAddr, slowdown: Slowdown) {
+    pub fn set_slowdown(&self, engine: SocketAddr, slowdown: Slowdown) {
         self.slowdowns.lock().unwrap().insert(engine, slowdown);
     }
 
     /// How often engines were requested for reports.
-    pub fn reports(&self) -> usize {
+    pub fn report_requests(&self) -> usize {
         *self.reports.lock().unwrap()
     }
 
