--- a/src/gateway/courier.rs
+++ b/src/gateway/courier.rs
@@ -228,11 +228,11 @@
     /// Sets aside the memory that a placement asks for. Without it nothing is sent, and the engines that refused
     /// are not asked for as much again at once.
     async fn reserve(&self, placement: &SendPlan) -> Option<Option<ReservationGuard>> {
-        if placement.reserves.is_empty() {
+        if placement.reservations.is_empty() {
             return Some(None);
         }
         let request = &self.call.head.request;
-        let parts = placement.reserves.clone();
+        let parts = placement.reservations.clone();
         match ReservationGuard::acquire(&self.gateway, request, parts).await {
             Ok(reservation) => Some(Some(reservation)),
             Err(refused) => {
@@ -397,7 +397,7 @@
             request: self.call.head.request.clone(),
             upstream: placement.upstream.id.to_string(),
             helpers: placement.helper_ids().map(ToString::to_string).collect(),
-            reserves: placement.reserves.len(),
+            reserves: placement.reservations.len(),
             earlier_sends: self.runs + self.unrun,
             forecast_ms: whole_millis(placement.forecast),
             elapsed_ms: whole_millis(now.saturating_duration_since(self.call.arrived_at)),
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -42,7 +42,7 @@
     /// Engines that prefill a part of the prompt and hold nothing of it.
     pub(crate) helpers: Vec<HelperAddr>,
     /// Memory to reserve on engines before the send. The leader's own reservation is first.
-    pub(crate) reserves: Vec<EngineReservation>,
+    pub(crate) reservations: Vec<EngineReservation>,
     /// The load that the send adds to each upstream, the leader first.
     pub(crate) loads: Vec<(UpstreamId, LoadShare)>,
     pub(crate) forecast: Duration,
@@ -256,7 +256,7 @@
     PlacementDecision::Send(Box::new(SendPlan {
         upstream: upstream.clone(),
         helpers: Vec::new(),
-        reserves: Vec::new(),
+        reservations: Vec::new(),
         loads: vec![(upstream.id.clone(), load)],
         forecast: Duration::ZERO,
         limit: None,
@@ -316,16 +316,16 @@
         return no_upstream();
     };
     let mut helpers = Vec::new();
-    let mut reserves = Vec::new();
+    let mut reservations = Vec::new();
     if let Some(reserve) = plan.reserve(&plan.leader) {
-        reserves.push(EngineReservation::new(upstream, reserve.tokens));
+        reservations.push(EngineReservation::new(upstream, reserve.tokens));
     }
     for id in &plan.helpers {
         let Some(helper) = find(usable, id) else {
             continue;
         };
         match plan.reserve(id) {
-            Some(reserve) => reserves.push(EngineReservation::new(helper, reserve.tokens)),
+            Some(reserve) => reservations.push(EngineReservation::new(helper, reserve.tokens)),
             None => helpers.push(HelperAddr {
                 addr: helper.addr,
                 reservation: None,
@@ -335,7 +335,7 @@
     PlacementDecision::Send(Box::new(SendPlan {
         upstream: upstream.clone(),
         helpers,
-        reserves,
+        reservations,
         loads: plan.shares(model, request, call.route.pause_objective, now),
         forecast: plan.forecast,
         limit: None,
