--- a/tests/gateway_world/engine_client.rs
+++ b/tests/gateway_world/engine_client.rs
@@ -16,12 +16,12 @@
 #[derive(Default)]
 pub struct FakeEngineClient {
     reserved: Mutex<IndexMap<(SocketAddr, String), u64>>,
-    made: Mutex<usize>,
+    reservations_made: Mutex<usize>,
     refuses_from: Mutex<Option<usize>>,
     silent: Mutex<Option<SocketAddr>>,
-    asked: Mutex<IndexMap<SocketAddr, usize>>,
+    reserve_requests: Mutex<IndexMap<SocketAddr, usize>>,
     slowdowns: Mutex<IndexMap<SocketAddr, Slowdown>>,
-    reports: Mutex<usize>,
+    report_requests: Mutex<usize>,
 }
 
 impl FakeEngineClient {
@@ -32,7 +32,7 @@
 
     /// The number of reservations and renewals that succeeded.
     pub fn reservations_made(&self) -> usize {
-        *self.made.lock().unwrap()
+        *self.reservations_made.lock().unwrap()
     }
 
     /// Makes an engine respond to no more orders.
@@ -42,8 +42,8 @@
 
     /// How often an engine was requested to reserve memory or to renew a reservation.
     pub fn reserve_requests(&self, engine: SocketAddr) -> usize {
-        let asked = self.asked.lock().unwrap();
-        asked.get(&engine).copied().unwrap_or(0)
+        let requests = self.reserve_requests.lock().unwrap();
+        requests.get(&engine).copied().unwrap_or(0)
     }
 
     /// Makes an engine report that it works this much slower than its model.
@@ -53,7 +53,7 @@
 
     /// How often engines were requested for reports.
     pub fn report_requests(&self) -> usize {
-        *self.reports.lock().unwrap()
+        *self.report_requests.lock().unwrap()
     }
 
     /// Refuses every reservation once this many have been made.
@@ -70,11 +70,16 @@
         tokens: Tokens,
         _: Duration,
     ) -> BoxFuture<'a, Result<(), OrderError>> {
-        *self.asked.lock().unwrap().entry(engine).or_default() += 1;
+        *self
+            .reserve_requests
+            .lock()
+            .unwrap()
+            .entry(engine)
+            .or_default() += 1;
         if *self.silent.lock().unwrap() == Some(engine) {
             return async { Err(OrderError::NoAnswer("silent".to_owned())) }.boxed();
         }
-        let mut made = self.made.lock().unwrap();
+        let mut made = self.reservations_made.lock().unwrap();
         let is_refused = self
             .refuses_from
             .lock()
@@ -91,7 +96,7 @@
     }
 
     fn report(&self, engine: SocketAddr) -> BoxFuture<'_, Result<EngineReport, OrderError>> {
-        *self.reports.lock().unwrap() += 1;
+        *self.report_requests.lock().unwrap() += 1;
         let known = self.slowdowns.lock().unwrap().get(&engine).copied();
         let slowdown = known.unwrap_or(Slowdown::NONE);
         async move { Ok(EngineReport { slowdown }) }.boxed()
