--- a/src/decide/engine_fleet.rs
+++ b/src/decide/engine_fleet.rs
@@ -9,7 +9,7 @@
 use crate::decide::Done;
 use crate::decide::EjectionStep;
 use crate::decide::Ended;
-use crate::decide::Hold;
+use crate::decide::GrantHold;
 use crate::decide::LaneSplit;
 use crate::decide::LiveGrant;
 use crate::decide::PoolMedian;
@@ -124,7 +124,7 @@
     }
 
     /// Enters a grant at each of its engines.
-    pub(crate) fn hold(&mut self, grant: &LiveGrant, hold: &Hold, prefill: f64, now: Instant) {
+    pub(crate) fn hold(&mut self, grant: &LiveGrant, hold: &GrantHold, prefill: f64, now: Instant) {
         for id in &grant.upstreams {
             if let Some(upstream) = self.upstreams.get_mut(id) {
                 upstream.on_grant(now);
@@ -280,12 +280,12 @@
 /// Whether a first token tells of the engine's speed. Under load it tells of what waits inside the
 /// engine as well, and a speed that follows that swings: the engine is left idle, looks fast again,
 /// and gets too much. So once it is known a speed is learned only from what did not wait.
-fn is_telling(hold: &Hold, speed: &SpeedEstimate) -> bool {
+fn is_telling(hold: &GrantHold, speed: &SpeedEstimate) -> bool {
     !hold.has_waited || speed.samples() < SAMPLES_UNDER_LOAD
 }
 
 /// The prefill that the engine did for a grant, by its own word where it gave one.
-fn prefill_done(hold: &Hold, done: &Done) -> Tokens {
+fn prefill_done(hold: &GrantHold, done: &Done) -> Tokens {
     if done.prompt_tokens == Tokens::ZERO {
         hold.prefill_tokens
     } else {
--- a/src/decide/grant_hold.rs
+++ b/src/decide/grant_hold.rs
@@ -9,7 +9,7 @@
 
 /// What one grant holds of one upstream.
 #[derive(Clone, Debug)]
-pub struct Hold {
+pub struct GrantHold {
     /// Engine memory.
     pub memory_tokens: Tokens,
     /// The prefill expected for it, less what is probably cached.
@@ -27,7 +27,7 @@
     /// How long it is expected to take in all.
     pub expected: Duration,
     /// Prefill that the upstream had before it when it was granted; the ledger fills it in.
-    pub ahead_before: f64,
+    pub prefill_ahead: f64,
     /// The upstream's count of granted prefill of higher rank then; the ledger fills it in.
-    pub higher_mark: f64,
+    pub higher_prefill_mark: f64,
 }
--- a/src/decide/ledger.rs
+++ b/src/decide/ledger.rs
@@ -9,7 +9,7 @@
 
 use indexmap::IndexMap;
 
-use crate::decide::Hold;
+use crate::decide::GrantHold;
 use crate::decide::Lane;
 use crate::decide::Peak;
 use crate::decide::Prefill;
@@ -42,7 +42,7 @@
 pub struct UpstreamLedger {
     /// How fast it reads prompts.
     pub speed: SpeedEstimate,
-    holds: IndexMap<GrantId, Hold>,
+    holds: IndexMap<GrantId, GrantHold>,
     /// In the order in which engines work: by rank, then by arrival.
     prefills: Vec<Prefill>,
     short_rate: WorkRate,
@@ -112,12 +112,12 @@
     }
 
     /// Enters a grant with its prefill.
-    pub fn hold(&mut self, grant: GrantId, mut hold: Hold, prefill: f64) {
+    pub fn hold(&mut self, grant: GrantId, mut hold: GrantHold, prefill: f64) {
         self.release(&grant);
         let ahead = |p: &&Prefill| p.rank <= hold.rank;
-        let ahead_before: f64 = self.prefills.iter().filter(ahead).map(|p| p.left).sum();
-        hold.ahead_before = ahead_before + self.unknown_prefill;
-        hold.higher_mark = self.granted_above(hold.rank);
+        let prefill_ahead: f64 = self.prefills.iter().filter(ahead).map(|p| p.left).sum();
+        hold.prefill_ahead = prefill_ahead + self.unknown_prefill;
+        hold.higher_prefill_mark = self.granted_above(hold.rank);
         *self.granted_prefill.entry(hold.rank).or_default() += prefill;
         if prefill > 0.0 {
             let place = self.prefills.partition_point(|p| p.rank <= hold.rank);
@@ -150,7 +150,7 @@
     }
 
     /// Ends a grant. Its prefill, if any was left, is over.
-    pub fn release(&mut self, grant: &GrantId) -> Option<Hold> {
+    pub fn release(&mut self, grant: &GrantId) -> Option<GrantHold> {
         let hold = self.holds.swap_remove(grant)?;
         self.prefills.retain(|prefill| prefill.grant != *grant);
         self.held_tokens = self.held_tokens.saturating_sub(hold.memory_tokens);
@@ -160,9 +160,9 @@
 
     /// The prefill of others that engines do before this hold's is done: what they had, and what
     /// came later with a higher rank.
-    pub fn ahead_of(&self, hold: &Hold) -> f64 {
-        let higher = self.granted_above(hold.rank) - hold.higher_mark;
-        hold.ahead_before + higher.max(0.0)
+    pub fn ahead_of(&self, hold: &GrantHold) -> f64 {
+        let higher = self.granted_above(hold.rank) - hold.higher_prefill_mark;
+        hold.prefill_ahead + higher.max(0.0)
     }
 
     /// Memory that is promised to nobody.
@@ -253,7 +253,7 @@
     }
 
     /// The holds.
-    pub fn holds(&self) -> &IndexMap<GrantId, Hold> {
+    pub fn holds(&self) -> &IndexMap<GrantId, GrantHold> {
         &self.holds
     }
 
@@ -284,7 +284,7 @@
     /// A report that holds more than the engine has, or shows nothing of attempts that run for long,
     /// is wrong and not only late.
     fn is_plausible(&self, report: &LoadReport, capacity: Tokens, now: Instant) -> bool {
-        let is_old = |hold: &&Hold| now.saturating_duration_since(hold.since) > REPORT_LAG * 2;
+        let is_old = |hold: &&GrantHold| now.saturating_duration_since(hold.since) > REPORT_LAG * 2;
         let old = self.holds.values().filter(is_old).count() as u64;
         let shows_old = (report.running + report.waiting) * 2 >= old;
         report.used_tokens <= capacity && shows_old
--- a/src/decide/shipped/engines.rs
+++ b/src/decide/shipped/engines.rs
@@ -12,7 +12,7 @@
 use crate::decide::Estimator;
 use crate::decide::FairQueue;
 use crate::decide::Forecast;
-use crate::decide::Hold;
+use crate::decide::GrantHold;
 use crate::decide::Intake;
 use crate::decide::Lane;
 use crate::decide::LiveGrant;
@@ -315,7 +315,7 @@
         (prefill, expected): (f64, Duration),
         now: Instant,
     ) {
-        let hold = Hold {
+        let hold = GrantHold {
             memory_tokens: gang_share(waiting.memory_tokens(), grant.upstreams.len()),
             prefill_tokens: whole(prefill),
             rank: engine_priority(&waiting.work),
@@ -324,8 +324,8 @@
             has_waited: now.saturating_duration_since(waiting.since) > self.fleet.tuning.headroom,
             since: now,
             expected: expected.min(EXPECTED_MAX),
-            ahead_before: 0.0,
-            higher_mark: 0.0,
+            prefill_ahead: 0.0,
+            higher_prefill_mark: 0.0,
         };
         self.fleet.hold(&grant, &hold, prefill, now);
         let granted = Granted {
