--- a/src/decide/host_coverage.rs
+++ b/src/decide/host_coverage.rs
@@ -2,14 +2,14 @@
 
 /// Hosts of the platform's list, this one included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HostsHeard {
+pub struct HostCoverage {
     /// All of them.
     pub listed: usize,
     /// Those whose work is known here, by their own word or by a collector's.
     pub heard: usize,
 }
 
-impl HostsHeard {
+impl HostCoverage {
     /// The part of all hosts that is heard.
     pub fn part(self) -> f64 {
         let listed = self.listed.max(1);
--- a/src/decide/rate_limit.rs
+++ b/src/decide/rate_limit.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use crate::decide::HostsHeard;
+use crate::decide::HostCoverage;
 use crate::units::RequestsPerSecond;
 
 /// The time over which a limit is kept.
@@ -47,7 +47,7 @@
     /// How long the limit has allowed one more request, as far as this host knows; none if it doesn't.
     pub open_for: Option<Duration>,
     /// The hosts that share the limit.
-    pub hosts: HostsHeard,
+    pub hosts: HostCoverage,
     /// The time since this host was started.
     pub runs_for: Duration,
     /// How old the news of what others have sent may be.
@@ -91,7 +91,7 @@
     /// This host's part of the rate and of those that it hears. Hosts that can't hear each other keep the limit
     /// together.
     fn rate(&self) -> f64 {
-        self.limit.0 * self.hosts.part()
+        self.limit.0 * self.hosts.heard_fraction()
     }
 
     /// Requests that may still be sent now.
--- a/src/decide/rate_limit_book.rs
+++ b/src/decide/rate_limit_book.rs
@@ -6,7 +6,7 @@
 
 use indexmap::IndexMap;
 
-use crate::decide::HostsHeard;
+use crate::decide::HostCoverage;
 use crate::decide::LIMIT_BURST_WINDOW;
 use crate::decide::LIMIT_WINDOW;
 use crate::decide::LoadSource;
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 pub struct RateLimitBook {
     started_at: Instant,
-    hosts: HostsHeard,
+    hosts: HostCoverage,
     news_age: Duration,
     known: IndexMap<UpstreamId, Known>,
     /// This host's sends, also to upstreams without a limit: when one names it, what it got before counts.
@@ -73,7 +73,7 @@
     pub fn new(now: Instant) -> Self {
         Self {
             started_at: now,
-            hosts: HostsHeard {
+            hosts: HostCoverage {
                 listed: 1,
                 heard: 1,
             },
@@ -165,7 +165,7 @@
     }
 
     /// Takes in which hosts are heard, and how old news of their sends may be.
-    pub fn set_fleet(&mut self, hosts: HostsHeard, news_age: Duration) {
+    pub fn set_fleet(&mut self, hosts: HostCoverage, news_age: Duration) {
         self.hosts = hosts;
         self.news_age = news_age;
     }
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -9,7 +9,7 @@
 use indexmap::IndexMap;
 use indexmap::IndexSet;
 
-use crate::decide::HostsHeard;
+use crate::decide::HostCoverage;
 use crate::decide::LimitReport;
 use crate::decide::LoadSource;
 use crate::decide::RateLimitBook;
@@ -172,7 +172,7 @@
     }
 
     /// How many of the listed hosts this one hears, by their own word or by that of their domain's collector.
-    pub(crate) fn hosts_heard(&self, now: Instant) -> HostsHeard {
+    pub(crate) fn hosts_heard(&self, now: Instant) -> HostCoverage {
         let hosts = self.beliefs.hosts();
         let ledger = self.ledger();
         let speaks = |listed: &&ListedHost| ledger.speaks_for_domain(&listed.host, now);
@@ -183,7 +183,7 @@
                 || spoken_for.contains(&listed.domain)
                 || ledger.is_heard(&listed.host, now)
         };
-        HostsHeard {
+        HostCoverage {
             listed: hosts.len(),
             heard: hosts.iter().filter(is_heard).count(),
         }
--- a/tests/decide_rate_limits.rs
+++ b/tests/decide_rate_limits.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use banyanarch::decide::HostsHeard;
+use banyanarch::decide::HostCoverage;
 use banyanarch::decide::LIMIT_WINDOW;
 use banyanarch::decide::LimitReport;
 use banyanarch::decide::LoadSource;
@@ -177,7 +177,7 @@
 fn what_a_host_told_is_replaced_and_ends() {
     let (now, engine) = (Instant::now(), upstream());
     let mut book = RateLimitBook::new(now);
-    let hosts = HostsHeard {
+    let hosts = HostCoverage {
         listed: 2,
         heard: 2,
     };
--- a/tests/limit_world/mod.rs
+++ b/tests/limit_world/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use banyanarch::decide::HostsHeard;
+use banyanarch::decide::HostCoverage;
 use banyanarch::decide::LimitReport;
 use banyanarch::decide::LoadSource;
 use banyanarch::decide::RateLimitBook;
@@ -203,7 +203,7 @@
     fn admits(&mut self, index: usize) -> bool {
         let now = self.instant();
         let heard = (0..self.hosts.len()).filter(|other| self.hears(index, *other));
-        let hosts = HostsHeard {
+        let hosts = HostCoverage {
             listed: self.hosts.len(),
             heard: heard.count(),
         };
