--- a/src/decide/host_coverage.rs
+++ b/src/decide/host_coverage.rs
@@ -11,7 +11,7 @@
 
 impl HostCoverage {
     /// The part of all hosts that is heard.
-    pub fn part(self) -> f64 {
+    pub fn heard_fraction(self) -> f64 {
         let listed = self.listed.max(1);
         self.heard.clamp(1, listed) as f64 / listed as f64
     }
