--- a/src/decide/engines/plan.rs
+++ b/src/decide/engines/plan.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 use crate::decide::EngineModel;
-use crate::decide::HelpsUntil;
-use crate::decide::LoadShare;
+use crate::decide::HelperRelease;
+use crate::decide::RequestLoad;
 use crate::decide::RefuseReason;
 use crate::decide::engines::EngineAsk;
 use crate::decide::engines::PromptClass;
@@ -51,10 +51,10 @@
         ask: &EngineAsk,
         pause: Option<Duration>,
         now: Instant,
-    ) -> Vec<(UpstreamId, LoadShare)> {
+    ) -> Vec<(UpstreamId, RequestLoad)> {
         let held = |engine| self.reserve(engine).map(|reserve| reserve.tokens);
-        let leader = LoadShare {
-            takes_place: true,
+        let leader = RequestLoad {
+            takes_slot: true,
             is_short: ask.class(model) == PromptClass::Short,
             pause,
             read_time: self.part_time,
@@ -63,12 +63,12 @@
             read_due: (ask.class(model) != PromptClass::Short).then(|| now + ask.objective_left),
         };
         let helpers = self.helpers.iter().map(|id| {
-            let share = LoadShare {
-                takes_place: false,
+            let share = RequestLoad {
+                takes_slot: false,
                 held_tokens: held(id).unwrap_or(Tokens::ZERO),
                 helps: Some(match held(id) {
-                    Some(_) => HelpsUntil::Ended,
-                    None => HelpsUntil::Read,
+                    Some(_) => HelperRelease::AnswerEnded,
+                    None => HelperRelease::PromptRead,
                 }),
                 ..leader
             };
--- a/src/decide/load_ledger.rs
+++ b/src/decide/load_ledger.rs
@@ -11,7 +11,7 @@
 
 use crate::decide::Extent;
 use crate::decide::HostLoad;
-use crate::decide::LoadShare;
+use crate::decide::RequestLoad;
 use crate::decide::LoadSource;
 use crate::decide::UpstreamLoad;
 use crate::decide::own_load::OwnLoad;
@@ -51,7 +51,7 @@
 
 impl LoadLedger {
     /// Takes in that a request was sent to an upstream.
-    pub fn start(&mut self, upstream: &UpstreamId, share: &LoadShare, now: Instant) {
+    pub fn start(&mut self, upstream: &UpstreamId, share: &RequestLoad, now: Instant) {
         let reads = !share.read_time.is_zero();
         let read_until = reads.then(|| self.queue.on_sent(upstream, share.read_time, now));
         let new = || OwnLoad::new(now);
@@ -60,14 +60,14 @@
     }
 
     /// Takes in that its prompt has been read there, and takes out of the share what has ended with it.
-    pub fn read_done(&mut self, upstream: &UpstreamId, share: &mut LoadShare) {
+    pub fn read_done(&mut self, upstream: &UpstreamId, share: &mut RequestLoad) {
         if let Some(own) = self.own.get_mut(upstream) {
             own.read_done(share);
         }
     }
 
     /// Takes in that it has ended there.
-    pub fn end(&mut self, upstream: &UpstreamId, share: &LoadShare) {
+    pub fn end(&mut self, upstream: &UpstreamId, share: &RequestLoad) {
         if let Some(own) = self.own.get_mut(upstream) {
             own.end(share);
         }
--- a/src/decide/own_load.rs
+++ b/src/decide/own_load.rs
@@ -5,9 +5,9 @@
 
 use indexmap::IndexMap;
 
-use crate::decide::HelpsUntil;
+use crate::decide::HelperRelease;
 use crate::decide::HostLoad;
-use crate::decide::LoadShare;
+use crate::decide::RequestLoad;
 use crate::decide::ReadSent;
 use crate::units::Tokens;
 
@@ -49,11 +49,11 @@
     }
 
     /// Takes in a request that was sent; what it adds to the reading there is read by `read_until`.
-    pub(crate) fn start(&mut self, share: &LoadShare, read_until: Option<Instant>, now: Instant) {
-        self.in_flight += u32::from(share.takes_place);
-        self.short_in_flight += u32::from(share.takes_place && share.is_short);
+    pub(crate) fn start(&mut self, share: &RequestLoad, read_until: Option<Instant>, now: Instant) {
+        self.in_flight += u32::from(share.takes_slot);
+        self.short_in_flight += u32::from(share.takes_slot && share.is_short);
         self.helping += u32::from(share.helps.is_some());
-        if let Some(pause) = share.pause.filter(|_| share.takes_place) {
+        if let Some(pause) = share.pause.filter(|_| share.takes_slot) {
             *self.pauses.entry(pause).or_default() += 1;
         }
         if let Some(read_until) = read_until {
@@ -66,9 +66,9 @@
     }
 
     /// Takes in that its prompt has been read, and takes out of the share what has ended with it.
-    pub(crate) fn read_done(&mut self, share: &mut LoadShare) {
+    pub(crate) fn read_done(&mut self, share: &mut RequestLoad) {
         self.forget_due(share.read_due.take());
-        if share.helps == Some(HelpsUntil::Read) {
+        if share.helps == Some(HelperRelease::PromptRead) {
             share.helps = None;
             self.helping = self.helping.saturating_sub(1);
         }
@@ -82,17 +82,17 @@
     }
 
     /// Takes in that it has ended.
-    pub(crate) fn end(&mut self, share: &LoadShare) {
+    pub(crate) fn end(&mut self, share: &RequestLoad) {
         self.forget_due(share.read_due);
         self.helping = self
             .helping
             .saturating_sub(u32::from(share.helps.is_some()));
-        let place = u32::from(share.takes_place);
+        let place = u32::from(share.takes_slot);
         self.in_flight = self.in_flight.saturating_sub(place);
         self.short_in_flight = self
             .short_in_flight
             .saturating_sub(place * u32::from(share.is_short));
-        if let Some(pause) = share.pause.filter(|_| share.takes_place)
+        if let Some(pause) = share.pause.filter(|_| share.takes_slot)
             && let Some(count) = self.pauses.get_mut(&pause)
         {
             *count -= 1;
--- a/src/decide/request_load.rs
+++ b/src/decide/request_load.rs
@@ -7,7 +7,7 @@
 
 /// How long an engine that reads a part of another engine's prompt counts as helping it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HelpsUntil {
+pub enum HelperRelease {
     /// Until the whole prompt is read.
     Read,
     /// Until the answer has ended: it keeps a part of the prompt.
@@ -16,9 +16,9 @@
 
 /// What one request adds to one upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LoadShare {
+pub struct RequestLoad {
     /// Whether it takes a place there; an engine that only reads a part gives no place.
-    pub takes_place: bool,
+    pub takes_slot: bool,
     /// Whether its prompt is short.
     pub is_short: bool,
     /// The longest pause that its caller accepts between two events.
@@ -28,7 +28,7 @@
     /// Memory that it takes there.
     pub held_tokens: Tokens,
     /// How long it helps another engine there; none if it is sent there itself.
-    pub helps: Option<HelpsUntil>,
+    pub helps: Option<HelperRelease>,
     /// When its first event has to be there to be on time; none if nothing there is put behind others
     /// for its sake.
     pub read_due: Option<Instant>,
--- a/src/gateway/load_guard.rs
+++ b/src/gateway/load_guard.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::decide::LoadShare;
+use crate::decide::RequestLoad;
 use crate::gateway::Gateway;
 use crate::units::UpstreamId;
 
@@ -10,13 +10,13 @@
 /// request ends.
 pub(crate) struct LoadGuard {
     gateway: Arc<Gateway>,
-    shares: Vec<(UpstreamId, LoadShare)>,
+    shares: Vec<(UpstreamId, RequestLoad)>,
     /// Spares the ledger's lock at each event after the first.
     is_read: bool,
 }
 
 impl LoadGuard {
-    pub(crate) fn new(gateway: &Arc<Gateway>, shares: Vec<(UpstreamId, LoadShare)>) -> Self {
+    pub(crate) fn new(gateway: &Arc<Gateway>, shares: Vec<(UpstreamId, RequestLoad)>) -> Self {
         let now = gateway.clock.now();
         let mut ledger = gateway.ledger();
         for (upstream, share) in &shares {
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -5,7 +5,7 @@
 
 use crate::decide::EngineModel;
 use crate::decide::InstanceView;
-use crate::decide::LoadShare;
+use crate::decide::RequestLoad;
 use crate::decide::RefuseReason;
 use crate::decide::choose_instance;
 use crate::decide::engines::EngineAsk;
@@ -43,7 +43,7 @@
     /// Memory that engines set aside before the send, the first engine's own first.
     pub(crate) reserves: Vec<Part>,
     /// What the send adds to whose load.
-    pub(crate) shares: Vec<(UpstreamId, LoadShare)>,
+    pub(crate) shares: Vec<(UpstreamId, RequestLoad)>,
     pub(crate) forecast: Duration,
     /// The limit that the upstream has named; none if it has named none.
     pub(crate) limit: Option<LimitSeen>,
@@ -237,8 +237,8 @@
     let Some(upstream) = chosen.and_then(|id| find(usable, id)) else {
         return no_upstream();
     };
-    let share = LoadShare {
-        takes_place: true,
+    let share = RequestLoad {
+        takes_slot: true,
         is_short: false,
         pause: None,
         read_time: Duration::ZERO,
--- a/tests/decide_gateway.rs
+++ b/tests/decide_gateway.rs
@@ -4,12 +4,12 @@
 use std::time::Instant;
 
 use banyanarch::decide::HealthBook;
-use banyanarch::decide::HelpsUntil;
+use banyanarch::decide::HelperRelease;
 use banyanarch::decide::HostLoad;
 use banyanarch::decide::InstanceView;
 use banyanarch::decide::LoadLedger;
-use banyanarch::decide::LoadShare;
 use banyanarch::decide::ReadSent;
+use banyanarch::decide::RequestLoad;
 use banyanarch::decide::RetryBound;
 use banyanarch::decide::RetryWindow;
 use banyanarch::decide::UpstreamFault;
@@ -32,9 +32,9 @@
     name.parse().unwrap()
 }
 
-fn share(is_short: bool) -> LoadShare {
-    LoadShare {
-        takes_place: true,
+fn share(is_short: bool) -> RequestLoad {
+    RequestLoad {
+        takes_slot: true,
         is_short,
         pause: Some(ms(500)),
         read_time: ms(100),
@@ -341,7 +341,7 @@
     let now = Instant::now();
     let mut ledger = LoadLedger::default();
     let engine = upstream("e");
-    let due_in = |due| LoadShare {
+    let due_in = |due| RequestLoad {
         read_due: Some(now + ms(due)),
         ..share(false)
     };
@@ -367,15 +367,15 @@
 /// Engines turn prompts away that hosts send: they help as many others as they have slots, and hosts
 /// know only of the answers that are written there.
 #[parameterized(
-    reads_a_part = { HelpsUntil::Read, 0 },
-    keeps_a_part = { HelpsUntil::Ended, 1 },
+    reads_a_part = { HelperRelease::PromptRead, 0 },
+    keeps_a_part = { HelperRelease::AnswerEnded, 1 },
 )]
-fn an_engine_counts_as_helping_until_it_is_done(until: HelpsUntil, after_reading: u32) {
+fn an_engine_counts_as_helping_until_it_is_done(until: HelperRelease, after_reading: u32) {
     let now = Instant::now();
     let mut ledger = LoadLedger::default();
     let engine = upstream("e");
-    let mut share = LoadShare {
-        takes_place: false,
+    let mut share = RequestLoad {
+        takes_slot: false,
         helps: Some(until),
         ..share(false)
     };
--- a/tests/engine_world/world.rs
+++ b/tests/engine_world/world.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use banyanarch::decide::LoadShare;
+use banyanarch::decide::RequestLoad;
 use banyanarch::decide::engines::EngineAsk;
 use banyanarch::decide::engines::EngineChoice;
 use banyanarch::decide::engines::EnginePlan;
@@ -52,7 +52,7 @@
     /// When it reached the host that has it now.
     arrived: Duration,
     plan: Option<EnginePlan>,
-    shares: Vec<(UpstreamId, LoadShare)>,
+    shares: Vec<(UpstreamId, RequestLoad)>,
     sent_at: Duration,
     parts_left: usize,
     first_event: Option<Duration>,
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use banyanarch::decide::HostLoad;
-use banyanarch::decide::LoadShare;
+use banyanarch::decide::RequestLoad;
 use banyanarch::decide::UpstreamFault;
 use banyanarch::units::Tokens;
 use banyanarch::units::UpstreamId;
@@ -33,8 +33,8 @@
     catalog.list("a", "app", upstream.addr);
     let host = TestHost::start("host", &catalog).await;
     let former: UpstreamId = "a".parse().unwrap();
-    let share = LoadShare {
-        takes_place: true,
+    let share = RequestLoad {
+        takes_slot: true,
         is_short: true,
         pause: None,
         read_time: Duration::from_secs(5),
