--- a/src/decide/engines/plan.rs
+++ b/src/decide/engines/plan.rs
@@ -59,14 +59,14 @@
             pause,
             read_time: self.part_time,
             held_tokens: held(&self.leader).unwrap_or_else(|| ask.needed()),
-            helps: None,
+            helper_release: None,
             read_due: (ask.class(model) != PromptClass::Short).then(|| now + ask.objective_left),
         };
         let helpers = self.helpers.iter().map(|id| {
             let share = RequestLoad {
                 takes_slot: false,
                 held_tokens: held(id).unwrap_or(Tokens::ZERO),
-                helps: Some(match held(id) {
+                helper_release: Some(match held(id) {
                     Some(_) => HelperRelease::AnswerEnded,
                     None => HelperRelease::PromptRead,
                 }),
--- a/src/decide/own_load.rs
+++ b/src/decide/own_load.rs
@@ -52,7 +52,7 @@
     pub(crate) fn start(&mut self, share: &RequestLoad, read_until: Option<Instant>, now: Instant) {
         self.in_flight += u32::from(share.takes_slot);
         self.short_in_flight += u32::from(share.takes_slot && share.is_short);
-        self.helping += u32::from(share.helps.is_some());
+        self.helping += u32::from(share.helper_release.is_some());
         if let Some(pause) = share.pause.filter(|_| share.takes_slot) {
             *self.pauses.entry(pause).or_default() += 1;
         }
@@ -68,8 +68,8 @@
     /// Takes in that its prompt has been read, and takes out of the share what has ended with it.
     pub(crate) fn read_done(&mut self, share: &mut RequestLoad) {
         self.forget_due(share.read_due.take());
-        if share.helps == Some(HelperRelease::PromptRead) {
-            share.helps = None;
+        if share.helper_release == Some(HelperRelease::PromptRead) {
+            share.helper_release = None;
             self.helping = self.helping.saturating_sub(1);
         }
     }
@@ -86,7 +86,7 @@
         self.forget_due(share.read_due);
         self.helping = self
             .helping
-            .saturating_sub(u32::from(share.helps.is_some()));
+            .saturating_sub(u32::from(share.helper_release.is_some()));
         let place = u32::from(share.takes_slot);
         self.in_flight = self.in_flight.saturating_sub(place);
         self.short_in_flight = self
--- a/src/decide/request_load.rs
+++ b/src/decide/request_load.rs
@@ -28,7 +28,7 @@
     /// Memory that it takes there.
     pub held_tokens: Tokens,
     /// How long it helps another engine there; none if it is sent there itself.
-    pub helps: Option<HelperRelease>,
+    pub helper_release: Option<HelperRelease>,
     /// When its first event has to be there to be on time; none if nothing there is put behind others
     /// for its sake.
     pub read_due: Option<Instant>,
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -243,7 +243,7 @@
         pause: None,
         read_time: Duration::ZERO,
         held_tokens: Tokens::ZERO,
-        helps: None,
+        helper_release: None,
         read_due: None,
     };
     Choice::Send(Box::new(Placement {
--- a/tests/decide_gateway.rs
+++ b/tests/decide_gateway.rs
@@ -39,7 +39,7 @@
         pause: Some(ms(500)),
         read_time: ms(100),
         held_tokens: Tokens(5_000),
-        helps: None,
+        helper_release: None,
         read_due: None,
     }
 }
@@ -376,7 +376,7 @@
     let engine = upstream("e");
     let mut share = RequestLoad {
         takes_slot: false,
-        helps: Some(until),
+        helper_release: Some(until),
         ..share(false)
     };
     ledger.start(&engine, &share, now);
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -39,7 +39,7 @@
         pause: None,
         read_time: Duration::from_secs(5),
         held_tokens: Tokens(9_000),
-        helps: None,
+        helper_release: None,
         read_due: None,
     };
     let now = Instant::now();
