--- a/src/decide/load_ledger.rs
+++ b/src/decide/load_ledger.rs
@@ -17,7 +17,7 @@
 use crate::decide::own_load::OwnLoad;
 use crate::decide::peer_loads::PeerLoad;
 use crate::decide::peer_loads::PeerLoads;
-use crate::decide::peer_sum::PeerSum;
+use crate::decide::peer_load_sum::PeerLoadSum;
 use crate::decide::read_queue::ReadQueue;
 use crate::units::HostId;
 use crate::units::Tokens;
@@ -41,7 +41,7 @@
     own: IndexMap<UpstreamId, OwnLoad>,
     peers: IndexMap<LoadSource, PeerLoads>,
     /// What the peers have said, added up.
-    sums: IndexMap<UpstreamId, PeerSum>,
+    sums: IndexMap<UpstreamId, PeerLoadSum>,
     /// No peer falls silent before this.
     next_silent_at: Option<Instant>,
     queue: ReadQueue,
@@ -187,7 +187,7 @@
         self.refused.retain(|_, (_, until)| *until > now);
         self.own.retain(|id, own| own.is_told(now) || is_listed(id));
         self.sums
-            .retain(|id, sum| is_listed(id) || *sum != PeerSum::default());
+            .retain(|id, sum| is_listed(id) || *sum != PeerLoadSum::default());
         for peer in self.peers.values_mut() {
             peer.by_upstream.retain(|id, said| {
                 let is_listed = is_listed(id);
@@ -216,7 +216,7 @@
             return sum.map_or_else(UpstreamLoad::default, |sum| sum.seen_at(now));
         }
         // Some have fallen silent and were not forgotten yet.
-        let mut sum = PeerSum::default();
+        let mut sum = PeerLoadSum::default();
         let heard = self
             .peers
             .values()
@@ -258,7 +258,7 @@
 }
 
 /// Takes all that a source has said out of the sums.
-fn take_away(sums: &mut IndexMap<UpstreamId, PeerSum>, peer: &PeerLoads) {
+fn take_away(sums: &mut IndexMap<UpstreamId, PeerLoadSum>, peer: &PeerLoads) {
     for (upstream, load, heard_at) in peer.loads() {
         if let Some(sum) = sums.get_mut(upstream) {
             sum.remove(load, heard_at);
@@ -267,7 +267,7 @@
 }
 
 /// Ends the work at upstreams that the last message of a source did not name.
-fn end_unnamed(sums: &mut IndexMap<UpstreamId, PeerSum>, peer: &mut PeerLoads) {
+fn end_unnamed(sums: &mut IndexMap<UpstreamId, PeerLoadSum>, peer: &mut PeerLoads) {
     for (upstream, said) in &mut peer.by_upstream {
         if said.message == peer.messages {
             continue;
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -35,7 +35,7 @@
 mod own_load;
 mod peak;
 mod peer_loads;
-mod peer_sum;
+mod peer_load_sum;
 pub(crate) mod placement;
 mod poison;
 mod poison_mark;
--- a/src/decide/peer_load_sum.rs
+++ b/src/decide/peer_load_sum.rs
@@ -13,7 +13,7 @@
 /// 38,000 names up; with sums it reads 195 numbers. Least times can't be subtracted again, so they
 /// are kept one by one: few hosts have a prompt being read at the same engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct PeerSum {
+pub(crate) struct PeerLoadSum {
     in_flight: u32,
     short_in_flight: u32,
     helping: u32,
@@ -24,7 +24,7 @@
     dues: Vec<Instant>,
 }
 
-impl PeerSum {
+impl PeerLoadSum {
     /// Adds what one host said at `heard_at`.
     pub(crate) fn add(&mut self, load: &HostLoad, heard_at: Instant) {
         self.in_flight += load.in_flight;
@@ -40,7 +40,7 @@
         self.dues.extend(due_at(load, heard_at));
     }
 
-    /// Takes away what [`PeerSum::add`] added.
+    /// Takes away what [`PeerLoadSum::add`] added.
     pub(crate) fn remove(&mut self, load: &HostLoad, heard_at: Instant) {
         self.in_flight = self.in_flight.saturating_sub(load.in_flight);
         self.short_in_flight = self.short_in_flight.saturating_sub(load.short_in_flight);
