--- a/src/decide/engines/mod.rs
+++ b/src/decide/engines/mod.rs
@@ -6,26 +6,26 @@
 //! together in equal parts, and no part is put where it would stretch the pauses of an answer that
 //! is being written beyond what its caller accepts ([`EngineView::room`]).
 
-mod ask;
-pub mod border;
+pub mod boundary;
+mod engine_counts;
+mod engine_request;
 mod group;
 mod leader;
+mod locality;
 mod long;
-mod near;
+mod memory_reservation;
 mod parts;
 mod plan;
-mod reserve;
 mod short;
-mod survey;
 mod view;
 
-pub use ask::EngineAsk;
-pub use ask::PromptClass;
+pub use engine_counts::BestGroup;
+pub use engine_counts::Survey;
+pub use engine_request::EngineAsk;
+pub use engine_request::PromptClass;
+pub use memory_reservation::Reserve;
 pub use plan::EngineChoice;
 pub use plan::EnginePlan;
-pub use reserve::Reserve;
-pub use survey::BestGroup;
-pub use survey::Survey;
 pub use view::EngineView;
 
 use crate::decide::EngineModel;
@@ -41,7 +41,7 @@
     if engines.is_empty() {
         return EngineChoice::refuse_soon(RefuseReason::NoUpstream);
     }
-    near::choose(model, engines, ask)
+    locality::choose(model, engines, ask)
 }
 
 /// What a choice would be made from now: the engines of the host's own failure domain, and all of them.
@@ -50,7 +50,7 @@
     engines: &[EngineView],
     ask: &EngineAsk,
 ) -> (Survey, Survey) {
-    near::survey(model, engines, ask)
+    locality::survey(model, engines, ask)
 }
 
 fn choose_among(model: &EngineModel, engines: &[EngineView], ask: &EngineAsk) -> EngineChoice {
--- a/src/decide/engines/plan.rs
+++ b/src/decide/engines/plan.rs
@@ -5,8 +5,8 @@
 
 use crate::decide::EngineModel;
 use crate::decide::HelperRelease;
-use crate::decide::RequestLoad;
 use crate::decide::RefuseReason;
+use crate::decide::RequestLoad;
 use crate::decide::engines::EngineAsk;
 use crate::decide::engines::PromptClass;
 use crate::decide::engines::Reserve;
--- a/src/decide/load_ledger.rs
+++ b/src/decide/load_ledger.rs
@@ -11,13 +11,13 @@
 
 use crate::decide::Extent;
 use crate::decide::HostLoad;
-use crate::decide::RequestLoad;
 use crate::decide::LoadSource;
+use crate::decide::RequestLoad;
 use crate::decide::UpstreamLoad;
 use crate::decide::own_load::OwnLoad;
+use crate::decide::peer_load_sum::PeerLoadSum;
 use crate::decide::peer_loads::PeerLoad;
 use crate::decide::peer_loads::PeerLoads;
-use crate::decide::peer_load_sum::PeerLoadSum;
 use crate::decide::read_queue::ReadQueue;
 use crate::units::HostId;
 use crate::units::Tokens;
--- a/src/decide/own_load.rs
+++ b/src/decide/own_load.rs
@@ -7,8 +7,8 @@
 
 use crate::decide::HelperRelease;
 use crate::decide::HostLoad;
-use crate::decide::RequestLoad;
 use crate::decide::ReadSent;
+use crate::decide::RequestLoad;
 use crate::units::Tokens;
 
 /// How long a host goes on telling what it has sent to an upstream to be read in, when it has nothing
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -5,8 +5,8 @@
 
 use crate::decide::EngineModel;
 use crate::decide::InstanceView;
-use crate::decide::RequestLoad;
 use crate::decide::RefuseReason;
+use crate::decide::RequestLoad;
 use crate::decide::choose_instance;
 use crate::decide::engines::EngineAsk;
 use crate::decide::engines::EngineChoice;
