--- a/src/decide/engines/boundary.rs
+++ b/src/decide/engines/boundary.rs
@@ -11,7 +11,7 @@
 
 /// How many engines, from the front, are for short prompts now. It follows the number of answers to
 /// short prompts that are being written, so it moves within the time of one answer, both ways.
-pub fn short_border(model: &EngineModel, engines: &[EngineView]) -> usize {
+pub fn short_engine_count(model: &EngineModel, engines: &[EngineView]) -> usize {
     let count = engines.len();
     if count < 2 {
         return count;
--- a/src/decide/engines/engine_counts.rs
+++ b/src/decide/engines/engine_counts.rs
@@ -5,10 +5,10 @@
 use crate::decide::EngineModel;
 use crate::decide::engines::EngineAsk;
 use crate::decide::engines::EngineView;
-use crate::decide::engines::border::short_border;
+use crate::decide::engines::boundary::short_engine_count;
 use crate::decide::engines::long::best_group;
+use crate::decide::engines::memory_reservation::share_kept;
 use crate::decide::engines::parts::smallest_part;
-use crate::decide::engines::reserve::share_kept;
 
 /// The engines that a choice is made among, counted by what each could do for one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -51,7 +51,7 @@
 impl Survey {
     /// Counts the engines.
     pub fn of(model: &EngineModel, engines: &[EngineView], ask: &EngineAsk) -> Self {
-        let border = short_border(model, engines);
+        let border = short_engine_count(model, engines);
         let part_time = smallest_part(model, ask);
         let share = share_kept(ask);
         let has_room = |engine: &EngineView| engine.has_room(model, part_time);
--- a/src/decide/engines/group.rs
+++ b/src/decide/engines/group.rs
@@ -8,10 +8,10 @@
 use crate::decide::engines::EngineView;
 use crate::decide::engines::Reserve;
 use crate::decide::engines::leader::leader;
+use crate::decide::engines::memory_reservation::reserves;
 use crate::decide::engines::parts::is_free;
 use crate::decide::engines::parts::needs_idle_engines;
 use crate::decide::engines::parts::parts_wanted;
-use crate::decide::engines::reserve::reserves;
 
 /// What making a prompt late that is being read there counts as in the order of helpers, in reading
 /// that waits there: as much as a middling part.
--- a/src/decide/engines/leader.rs
+++ b/src/decide/engines/leader.rs
@@ -6,8 +6,8 @@
 use crate::decide::engines::EngineAsk;
 use crate::decide::engines::EngineView;
 use crate::decide::engines::PromptClass;
+use crate::decide::engines::memory_reservation::share_kept;
 use crate::decide::engines::parts::is_free;
-use crate::decide::engines::reserve::share_kept;
 
 /// The engine that writes the answer: of those with a place and the memory for its share, the first
 /// that can read its part without stretching pauses; so answers to long prompts gather on few
--- a/src/decide/engines/long.rs
+++ b/src/decide/engines/long.rs
@@ -14,7 +14,7 @@
 use crate::decide::engines::EnginePlan;
 use crate::decide::engines::EngineView;
 use crate::decide::engines::PromptClass;
-use crate::decide::engines::border::ceil;
+use crate::decide::engines::boundary::ceil;
 use crate::decide::engines::group::Group;
 use crate::decide::engines::group::group;
 use crate::decide::engines::parts::BACKLOG_MAX;
--- a/src/decide/engines/mod.rs
+++ b/src/decide/engines/mod.rs
@@ -54,7 +54,7 @@
 }
 
 fn choose_among(model: &EngineModel, engines: &[EngineView], ask: &EngineAsk) -> EngineChoice {
-    let border = border::short_border(model, engines);
+    let border = boundary::short_engine_count(model, engines);
     match ask.class(model) {
         PromptClass::Short => short::choose(model, engines, border, ask),
         PromptClass::Medium | PromptClass::Long => long::choose(model, engines, border, ask),
--- a/src/decide/engines/parts.rs
+++ b/src/decide/engines/parts.rs
@@ -5,7 +5,7 @@
 use crate::decide::EngineModel;
 use crate::decide::engines::EngineAsk;
 use crate::decide::engines::EngineView;
-use crate::decide::engines::border::ceil;
+use crate::decide::engines::boundary::ceil;
 
 /// The aim for one engine's part of a prompt. Two such parts in one pass with writers stay within a
 /// pause of 200 ms.
--- a/src/decide/engines/short.rs
+++ b/src/decide/engines/short.rs
@@ -8,7 +8,7 @@
 use crate::decide::engines::EngineChoice;
 use crate::decide::engines::EnginePlan;
 use crate::decide::engines::EngineView;
-use crate::decide::engines::border::ceil;
+use crate::decide::engines::boundary::ceil;
 use crate::decide::engines::parts::parts_wanted;
 use crate::units::UpstreamId;
 
--- a/tests/decide_engines.rs
+++ b/tests/decide_engines.rs
@@ -12,7 +12,7 @@
 use banyanarch::decide::engines::EngineView;
 use banyanarch::decide::engines::PromptClass;
 use banyanarch::decide::engines::Reserve;
-use banyanarch::decide::engines::border;
+use banyanarch::decide::engines::boundary;
 use banyanarch::decide::engines::choose_engines;
 use banyanarch::decide::engines::survey_engines;
 use banyanarch::units::Slowdown;
@@ -156,7 +156,7 @@
         write_short(engine, 16);
         engine.load.in_flight = 12;
     }
-    let kept = border::short_border(&model(), &engines);
+    let kept = boundary::short_engine_count(&model(), &engines);
     assert!(kept < 23, "long prompts keep some engines");
 }
 
