--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -13,7 +13,7 @@
 use banyanarch::decide::LimitState;
 use banyanarch::decide::LoadLedger;
 use banyanarch::decide::ReadSent;
-use banyanarch::decide::engines::EngineAsk;
+use banyanarch::decide::engines::EngineRequest;
 use banyanarch::decide::engines::EngineView;
 use banyanarch::decide::engines::choose_engines;
 use banyanarch::units::Slowdown;
@@ -99,8 +99,8 @@
     }
 }
 
-fn ask() -> EngineAsk {
-    EngineAsk {
+fn ask() -> EngineRequest {
+    EngineRequest {
         prompt: Tokens(5_000),
         output: Tokens(1_800),
         objective_left: Duration::from_millis(300),
--- a/src/decide/engines/engine_counts.rs
+++ b/src/decide/engines/engine_counts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::decide::EngineModel;
-use crate::decide::engines::EngineAsk;
+use crate::decide::engines::EngineRequest;
 use crate::decide::engines::EngineView;
 use crate::decide::engines::boundary::short_engine_count;
 use crate::decide::engines::long::best_group;
@@ -50,7 +50,7 @@
 
 impl Survey {
     /// Counts the engines.
-    pub fn of(model: &EngineModel, engines: &[EngineView], ask: &EngineAsk) -> Self {
+    pub fn of(model: &EngineModel, engines: &[EngineView], ask: &EngineRequest) -> Self {
         let border = short_engine_count(model, engines);
         let part_time = smallest_part(model, ask);
         let share = share_kept(ask);
--- a/src/decide/engines/engine_request.rs
+++ b/src/decide/engines/engine_request.rs
@@ -28,7 +28,7 @@
 
 /// A request that wants engines.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EngineAsk {
+pub struct EngineRequest {
     /// The prompt.
     pub prompt: Tokens,
     /// The longest answer.
@@ -53,7 +53,7 @@
     pub draw: u32,
 }
 
-impl EngineAsk {
+impl EngineRequest {
     /// The class of the prompt on engines of this model.
     pub fn class(&self, model: &EngineModel) -> PromptClass {
         if model.read_time(self.prompt) <= self.short_read_time(model) {
--- a/src/decide/engines/group.rs
+++ b/src/decide/engines/group.rs
@@ -4,7 +4,7 @@
 
 use crate::decide::EngineModel;
 use crate::decide::engines::BestGroup;
-use crate::decide::engines::EngineAsk;
+use crate::decide::engines::EngineRequest;
 use crate::decide::engines::EngineView;
 use crate::decide::engines::Reserve;
 use crate::decide::engines::leader::leader;
@@ -73,7 +73,7 @@
     model: &EngineModel,
     leaders: &'a [EngineView],
     readers: &'a [EngineView],
-    ask: &EngineAsk,
+    ask: &EngineRequest,
 ) -> Option<Group<'a>> {
     let read_time = model.read_time(ask.prompt);
     let most = parts_wanted(read_time, readers.len() + 1);
@@ -87,7 +87,7 @@
     model: &EngineModel,
     leaders: &'a [EngineView],
     readers: &'a [EngineView],
-    ask: &EngineAsk,
+    ask: &EngineRequest,
     parts: usize,
 ) -> Option<Group<'a>> {
     let part_time = model.read_time(ask.prompt) / u32::try_from(parts).unwrap_or(1);
--- a/src/decide/engines/leader.rs
+++ b/src/decide/engines/leader.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::decide::EngineModel;
-use crate::decide::engines::EngineAsk;
+use crate::decide::engines::EngineRequest;
 use crate::decide::engines::EngineView;
 use crate::decide::engines::PromptClass;
 use crate::decide::engines::memory_reservation::share_kept;
@@ -16,7 +16,7 @@
     model: &EngineModel,
     engines: &'a [EngineView],
     part_time: Duration,
-    ask: &EngineAsk,
+    ask: &EngineRequest,
 ) -> Option<&'a EngineView> {
     let placed = || engines.iter().filter(|engine| engine.has_place(model));
     let is_gentle = |engine: &&EngineView| engine.has_room(model, part_time);
@@ -45,7 +45,7 @@
 /// memory over and over, and all but one are refused.
 fn drawn<'a>(
     engines: impl Iterator<Item = &'a EngineView>,
-    ask: &EngineAsk,
+    ask: &EngineRequest,
 ) -> Option<&'a EngineView> {
     let drawn = engines.enumerate();
     let drawn = drawn.min_by_key(|(index, _)| ask.shuffle(*index));
--- a/src/decide/engines/locality.rs
+++ b/src/decide/engines/locality.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use crate::decide::EngineModel;
-use crate::decide::engines::EngineAsk;
 use crate::decide::engines::EngineChoice;
 use crate::decide::engines::EnginePlan;
+use crate::decide::engines::EngineRequest;
 use crate::decide::engines::EngineView;
 use crate::decide::engines::Survey;
 use crate::decide::engines::choose_among;
@@ -28,7 +28,11 @@
 const FAR_TRIES: u32 = 12;
 
 /// Chooses among near engines and among all of them, and takes the better one.
-pub(super) fn choose(model: &EngineModel, engines: &[EngineView], ask: &EngineAsk) -> EngineChoice {
+pub(super) fn choose(
+    model: &EngineModel,
+    engines: &[EngineView],
+    ask: &EngineRequest,
+) -> EngineChoice {
     let far_ask = far(ask);
     if !far_ask.is_far {
         return choose_among(model, engines, &far_ask);
@@ -60,7 +64,7 @@
 pub(super) fn survey(
     model: &EngineModel,
     engines: &[EngineView],
-    ask: &EngineAsk,
+    ask: &EngineRequest,
 ) -> (Survey, Survey) {
     let near = Survey::of(model, &near_engines(engines), ask);
     (near, Survey::of(model, engines, &far(ask)))
@@ -71,8 +75,8 @@
 }
 
 /// The same request to engines of any domain.
-fn far(ask: &EngineAsk) -> EngineAsk {
-    EngineAsk {
+fn far(ask: &EngineRequest) -> EngineRequest {
+    EngineRequest {
         news_age: ask.far_news_age,
         is_far: ask.news_age < ask.far_news_age,
         ..ask.clone()
--- a/src/decide/engines/long.rs
+++ b/src/decide/engines/long.rs
@@ -9,9 +9,9 @@
 
 use crate::decide::EngineModel;
 use crate::decide::RefuseReason;
-use crate::decide::engines::EngineAsk;
 use crate::decide::engines::EngineChoice;
 use crate::decide::engines::EnginePlan;
+use crate::decide::engines::EngineRequest;
 use crate::decide::engines::EngineView;
 use crate::decide::engines::PromptClass;
 use crate::decide::engines::boundary::ceil;
@@ -36,7 +36,7 @@
     model: &EngineModel,
     engines: &[EngineView],
     border: usize,
-    ask: &EngineAsk,
+    ask: &EngineRequest,
 ) -> EngineChoice {
     match best_group(model, engines, border, ask) {
         Some(group) => decide(model, engines, group, ask),
@@ -51,7 +51,7 @@
     model: &EngineModel,
     engines: &'a [EngineView],
     border: usize,
-    ask: &EngineAsk,
+    ask: &EngineRequest,
 ) -> Option<Group<'a>> {
     let (short_side, long_side) = match engines.split_at(border) {
         (short_side, []) => (short_side, engines),
@@ -102,7 +102,7 @@
     model: &EngineModel,
     engines: &[EngineView],
     best: Group<'_>,
-    ask: &EngineAsk,
+    ask: &EngineRequest,
 ) -> EngineChoice {
     let parts = best.helpers.len() + 1;
     if best.forecast + least_write_time(model, ask, parts) > ask.time_left {
@@ -133,7 +133,7 @@
 /// back, was taken for a new one and turned away again, the longest first: half of the longest tenth were
 /// not served at all, while most callers stay long enough for engines to be free again. What will not be
 /// read before its caller leaves is turned away at once.
-fn decide_late(best: Group<'_>, ask: &EngineAsk) -> EngineChoice {
+fn decide_late(best: Group<'_>, ask: &EngineRequest) -> EngineChoice {
     if best.forecast > ask.patience_left {
         return EngineChoice::refuse(RefuseReason::QueueFull, best.backlog);
     }
@@ -145,7 +145,11 @@
 
 /// No group can serve the prompt now. It waits while as many engines as may read it together could serve it in
 /// time if they were idle, and is turned away where not even these can.
-fn refuse_or_wait(model: &EngineModel, engines: &[EngineView], ask: &EngineAsk) -> EngineChoice {
+fn refuse_or_wait(
+    model: &EngineModel,
+    engines: &[EngineView],
+    ask: &EngineRequest,
+) -> EngineChoice {
     let count = engines.len().clamp(1, HELPERS_MAX);
     let parts = u32::try_from(count).unwrap_or(1);
     if ask.needed().0 > u64::from(parts) * model.memory_tokens.0 {
@@ -170,7 +174,7 @@
 
 /// Time that half of the longest answer takes; most answers are shorter than the longest. A step takes as long as
 /// the context of one part of the prompt does.
-fn least_write_time(model: &EngineModel, ask: &EngineAsk, parts: usize) -> Duration {
+fn least_write_time(model: &EngineModel, ask: &EngineRequest, parts: usize) -> Duration {
     let parts = u64::try_from(parts).unwrap_or(u64::MAX).max(1);
     model.write_time(ask.output, 1, Tokens(ask.prompt.0.div_ceil(parts))) / 2
 }
--- a/src/decide/engines/memory_reservation.rs
+++ b/src/decide/engines/memory_reservation.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::decide::EngineModel;
-use crate::decide::engines::EngineAsk;
+use crate::decide::engines::EngineRequest;
 use crate::decide::engines::EngineView;
 use crate::decide::engines::PromptClass;
 use crate::decide::engines::parts::HELPERS_MAX;
@@ -36,7 +36,7 @@
     leader: &EngineView,
     others: &[&EngineView],
     part_time: Duration,
-    ask: &EngineAsk,
+    ask: &EngineRequest,
 ) -> Option<Vec<Reserve>> {
     if ask.class(model) != PromptClass::Long {
         return Some(Vec::new());
@@ -51,7 +51,7 @@
 }
 
 /// What each keeper sets aside of a long prompt and its answer where all have the memory.
-pub(super) fn share_kept(ask: &EngineAsk) -> Tokens {
+pub(super) fn share_kept(ask: &EngineRequest) -> Tokens {
     Tokens(ask.needed().0.div_ceil(KEEPERS))
 }
 
--- a/src/decide/engines/mod.rs
+++ b/src/decide/engines/mod.rs
@@ -21,7 +21,7 @@
 
 pub use engine_counts::BestGroup;
 pub use engine_counts::Survey;
-pub use engine_request::EngineAsk;
+pub use engine_request::EngineRequest;
 pub use engine_request::PromptClass;
 pub use memory_reservation::Reserve;
 pub use plan::EngineChoice;
@@ -36,7 +36,7 @@
 pub fn choose_engines(
     model: &EngineModel,
     engines: &[EngineView],
-    ask: &EngineAsk,
+    ask: &EngineRequest,
 ) -> EngineChoice {
     if engines.is_empty() {
         return EngineChoice::refuse_soon(RefuseReason::NoUpstream);
@@ -48,12 +48,12 @@
 pub fn survey_engines(
     model: &EngineModel,
     engines: &[EngineView],
-    ask: &EngineAsk,
+    ask: &EngineRequest,
 ) -> (Survey, Survey) {
     locality::survey(model, engines, ask)
 }
 
-fn choose_among(model: &EngineModel, engines: &[EngineView], ask: &EngineAsk) -> EngineChoice {
+fn choose_among(model: &EngineModel, engines: &[EngineView], ask: &EngineRequest) -> EngineChoice {
     let border = boundary::short_engine_count(model, engines);
     match ask.class(model) {
         PromptClass::Short => short::choose(model, engines, border, ask),
--- a/src/decide/engines/parts.rs
+++ b/src/decide/engines/parts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::decide::EngineModel;
-use crate::decide::engines::EngineAsk;
+use crate::decide::engines::EngineRequest;
 use crate::decide::engines::EngineView;
 use crate::decide::engines::boundary::ceil;
 
@@ -28,18 +28,18 @@
 
 /// Whether a prompt is late and so long that even its smallest parts stretch the pauses of any answer: only
 /// engines that write none can read it, wherever they are.
-pub(super) fn needs_idle_engines(model: &EngineModel, ask: &EngineAsk) -> bool {
+pub(super) fn needs_idle_engines(model: &EngineModel, ask: &EngineRequest) -> bool {
     ask.objective_left.is_zero() && smallest_part(model, ask) > PART_BESIDE_ANSWERS_MAX
 }
 
 /// Engine time of one part where as many engines as may read the prompt together do.
-pub(super) fn smallest_part(model: &EngineModel, ask: &EngineAsk) -> Duration {
+pub(super) fn smallest_part(model: &EngineModel, ask: &EngineRequest) -> Duration {
     let parts = u32::try_from(HELPERS_MAX).unwrap_or(u32::MAX);
     model.read_time(ask.prompt) / parts
 }
 
 /// What an engine may have left to read when a prompt with parts of this length is sent there.
-fn backlog_max(ask: &EngineAsk, part_time: Duration) -> Duration {
+fn backlog_max(ask: &EngineRequest, part_time: Duration) -> Duration {
     let is_late = ask.objective_left.mul_f64(IN_TIME_PART) < part_time;
     if is_late {
         LATE_BACKLOG_MAX
@@ -54,7 +54,7 @@
     model: &EngineModel,
     engine: &EngineView,
     part_time: Duration,
-    ask: &EngineAsk,
+    ask: &EngineRequest,
 ) -> bool {
     engine.has_room(model, part_time) && engine.backlog() <= backlog_max(ask, part_time)
 }
--- a/src/decide/engines/plan.rs
+++ b/src/decide/engines/plan.rs
@@ -7,7 +7,7 @@
 use crate::decide::HelperRelease;
 use crate::decide::RefuseReason;
 use crate::decide::RequestLoad;
-use crate::decide::engines::EngineAsk;
+use crate::decide::engines::EngineRequest;
 use crate::decide::engines::PromptClass;
 use crate::decide::engines::Reserve;
 use crate::units::Tokens;
@@ -48,7 +48,7 @@
     pub fn shares(
         &self,
         model: &EngineModel,
-        ask: &EngineAsk,
+        ask: &EngineRequest,
         pause: Option<Duration>,
         now: Instant,
     ) -> Vec<(UpstreamId, RequestLoad)> {
--- a/src/decide/engines/short.rs
+++ b/src/decide/engines/short.rs
@@ -4,9 +4,9 @@
 
 use crate::decide::EngineModel;
 use crate::decide::RefuseReason;
-use crate::decide::engines::EngineAsk;
 use crate::decide::engines::EngineChoice;
 use crate::decide::engines::EnginePlan;
+use crate::decide::engines::EngineRequest;
 use crate::decide::engines::EngineView;
 use crate::decide::engines::boundary::ceil;
 use crate::decide::engines::parts::parts_wanted;
@@ -34,7 +34,7 @@
     model: &EngineModel,
     engines: &[EngineView],
     border: usize,
-    ask: &EngineAsk,
+    ask: &EngineRequest,
 ) -> EngineChoice {
     let (short_side, _) = engines.split_at(border);
     let parts = parts_wanted(model.read_time(ask.prompt), short_side.len());
@@ -67,7 +67,7 @@
     model: &EngineModel,
     engines: &'a [EngineView],
     part_time: Duration,
-    ask: &EngineAsk,
+    ask: &EngineRequest,
 ) -> Option<&'a EngineView> {
     let able = engines
         .iter()
@@ -98,7 +98,7 @@
 fn to_fill<'a>(
     model: &EngineModel,
     engines: &[&'a EngineView],
-    ask: &EngineAsk,
+    ask: &EngineRequest,
 ) -> Vec<&'a EngineView> {
     let slots = f64::from(model.slots);
     let is_open = |engine: &&&EngineView| f64::from(engine.load.in_flight) < slots * FILL_PART;
@@ -114,7 +114,11 @@
 
 /// All places are taken: a request that is still on time waits for one; one that is not, or that
 /// has no time left for its answer, is told to come back.
-fn wait_for_place(model: &EngineModel, engines: &[EngineView], ask: &EngineAsk) -> EngineChoice {
+fn wait_for_place(
+    model: &EngineModel,
+    engines: &[EngineView],
+    ask: &EngineRequest,
+) -> EngineChoice {
     let write_time = model.write_time(ask.output, model.slots, ask.prompt);
     let places = u32::try_from(engines.len())
         .unwrap_or(u32::MAX)
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -8,9 +8,9 @@
 use crate::decide::RefuseReason;
 use crate::decide::RequestLoad;
 use crate::decide::choose_instance;
-use crate::decide::engines::EngineAsk;
 use crate::decide::engines::EngineChoice;
 use crate::decide::engines::EnginePlan;
+use crate::decide::engines::EngineRequest;
 use crate::decide::engines::EngineView;
 use crate::decide::engines::PromptClass;
 use crate::decide::engines::choose_engines;
@@ -173,7 +173,7 @@
     call: &Call,
     sends: &Sends<'_>,
     now: Instant,
-) -> EngineAsk {
+) -> EngineRequest {
     let news = gateway.news_route();
     // The caller of a stream that broke off stays for its next event, however late it is.
     let least = if sends.has_run {
@@ -181,7 +181,7 @@
     } else {
         Duration::ZERO
     };
-    EngineAsk {
+    EngineRequest {
         prompt: call.head.prompt,
         output: call.head.output,
         objective_left: call.objective_left(now).max(least),
@@ -261,7 +261,7 @@
     model: &EngineModel,
     usable: &[&Listed],
     views: &[EngineView],
-    ask: &EngineAsk,
+    ask: &EngineRequest,
     now: Instant,
 ) -> Choice {
     match choose_engines(model, views, ask) {
@@ -300,7 +300,7 @@
 fn place(
     call: &Call,
     model: &EngineModel,
-    ask: &EngineAsk,
+    ask: &EngineRequest,
     plan: &EnginePlan,
     usable: &[&Listed],
     now: Instant,
--- a/tests/decide_engines.rs
+++ b/tests/decide_engines.rs
@@ -6,9 +6,9 @@
 use banyanarch::decide::LimitState;
 use banyanarch::decide::RefuseReason;
 use banyanarch::decide::UpstreamLoad;
-use banyanarch::decide::engines::EngineAsk;
 use banyanarch::decide::engines::EngineChoice;
 use banyanarch::decide::engines::EnginePlan;
+use banyanarch::decide::engines::EngineRequest;
 use banyanarch::decide::engines::EngineView;
 use banyanarch::decide::engines::PromptClass;
 use banyanarch::decide::engines::Reserve;
@@ -57,8 +57,8 @@
     }
 }
 
-fn ask(prompt: u64) -> EngineAsk {
-    EngineAsk {
+fn ask(prompt: u64) -> EngineRequest {
+    EngineRequest {
         prompt: Tokens(prompt),
         output: Tokens(1_600),
         objective_left: ms(if prompt > 100_000 { 3_000 } else { 300 }),
@@ -179,7 +179,7 @@
     }
     let waits = choose_engines(&model(), &engines, &ask(5_000));
     assert!(matches!(waits, EngineChoice::Wait(_)), "{waits:?}");
-    let late = EngineAsk {
+    let late = EngineRequest {
         objective_left: Duration::ZERO,
         ..ask(5_000)
     };
@@ -204,7 +204,7 @@
     set_reading(&mut engines, ms(600), Some(ms(750)));
     let choice = choose_engines(&model(), &engines, &ask(210_000));
     assert!(matches!(choice, EngineChoice::Wait(_)), "{choice:?}");
-    let pressed = EngineAsk {
+    let pressed = EngineRequest {
         objective_left: ms(1_000),
         ..ask(210_000)
     };
@@ -224,7 +224,7 @@
     set_reading(&mut engines, ms(2_900), None);
     let choice = choose_engines(&model(), &engines, &ask(210_000));
     assert!(matches!(choice, EngineChoice::Wait(_)), "{choice:?}");
-    let late = EngineAsk {
+    let late = EngineRequest {
         objective_left: Duration::ZERO,
         patience_left: ms(5_000),
         ..ask(210_000)
@@ -257,7 +257,7 @@
 
 #[test]
 fn what_cannot_be_done_in_time_is_refused_at_once() {
-    let hopeless = EngineAsk {
+    let hopeless = EngineRequest {
         time_left: ms(600),
         ..ask(210_000)
     };
@@ -304,7 +304,7 @@
     for engine in &mut engines[7..] {
         engine.load.read_backlog = ms(2_000);
     }
-    let medium = EngineAsk {
+    let medium = EngineRequest {
         objective_left: ms(1_500),
         ..ask(45_000)
     };
@@ -427,7 +427,7 @@
         engine.load.read_backlog = Duration::from_micros(100 * index as u64);
     }
     let chosen = (0..60_u32).map(|host| {
-        let ask = EngineAsk {
+        let ask = EngineRequest {
             news_age: ms(170),
             far_news_age: ms(170),
             draw: host.wrapping_mul(0x85EB_CA6B),
@@ -449,7 +449,7 @@
 fn answers_to_clauses_fill_the_first_engines_before_the_next() {
     let mut engines = engines(23);
     for sent in 0..30 {
-        let ask = EngineAsk {
+        let ask = EngineRequest {
             draw: 0x85EB_CA6B_u32.wrapping_mul(sent),
             ..ask(5_000)
         };
@@ -475,7 +475,7 @@
     prompt: u64,
     class: PromptClass,
 ) {
-    let ask = EngineAsk {
+    let ask = EngineRequest {
         strictest_pause: pause_ms.map(Duration::from_millis),
         ..ask(prompt)
     };
@@ -533,8 +533,8 @@
     engines
 }
 
-fn late(prompt: u64, time_left: Duration) -> EngineAsk {
-    EngineAsk {
+fn late(prompt: u64, time_left: Duration) -> EngineRequest {
+    EngineRequest {
         objective_left: Duration::ZERO,
         time_left,
         ..ask(prompt)
@@ -633,7 +633,7 @@
     let short = plan(choose_engines(&model(), &engines, &ask(5_000)));
     assert_ne!(index(&short.leader), 0);
     for draw in 0..20 {
-        let long = EngineAsk {
+        let long = EngineRequest {
             draw,
             ..ask(210_000)
         };
--- a/tests/decide_engines_near.rs
+++ b/tests/decide_engines_near.rs
@@ -5,9 +5,9 @@
 use banyanarch::decide::EngineModel;
 use banyanarch::decide::LimitState;
 use banyanarch::decide::UpstreamLoad;
-use banyanarch::decide::engines::EngineAsk;
 use banyanarch::decide::engines::EngineChoice;
 use banyanarch::decide::engines::EnginePlan;
+use banyanarch::decide::engines::EngineRequest;
 use banyanarch::decide::engines::EngineView;
 use banyanarch::decide::engines::choose_engines;
 use banyanarch::units::Slowdown;
@@ -49,8 +49,8 @@
     (0..ENGINES).map(engine).collect()
 }
 
-fn ask(prompt: u64, draw: u32) -> EngineAsk {
-    EngineAsk {
+fn ask(prompt: u64, draw: u32) -> EngineRequest {
+    EngineRequest {
         prompt: Tokens(prompt),
         output: Tokens(1_800),
         objective_left: ms(if prompt > 100_000 { 4_000 } else { 300 }),
@@ -134,7 +134,7 @@
         engine.load.strictest_pause = Some(ms(250));
     }
     for draw in 1..12 {
-        let late = EngineAsk {
+        let late = EngineRequest {
             objective_left: Duration::ZERO,
             ..ask(700_000, draw)
         };
@@ -153,7 +153,7 @@
 /// domains.
 #[test]
 fn where_all_news_are_as_young_the_domain_does_not_matter() {
-    let same_age = EngineAsk {
+    let same_age = EngineRequest {
         far_news_age: ms(97),
         ..ask(5_000, 3)
     };
--- a/tests/engine_world/host.rs
+++ b/tests/engine_world/host.rs
@@ -6,8 +6,8 @@
 use banyanarch::decide::HostLoad;
 use banyanarch::decide::LimitState;
 use banyanarch::decide::LoadLedger;
-use banyanarch::decide::engines::EngineAsk;
 use banyanarch::decide::engines::EngineChoice;
+use banyanarch::decide::engines::EngineRequest;
 use banyanarch::decide::engines::EngineView;
 use banyanarch::decide::engines::choose_engines;
 use banyanarch::units::HostId;
@@ -64,7 +64,7 @@
         &self,
         site: &Site,
         engines: &[UpstreamId],
-        ask: &EngineAsk,
+        ask: &EngineRequest,
         at: Duration,
         now: Instant,
     ) -> EngineChoice {
--- a/tests/engine_world/world.rs
+++ b/tests/engine_world/world.rs
@@ -4,9 +4,9 @@
 use std::time::Instant;
 
 use banyanarch::decide::RequestLoad;
-use banyanarch::decide::engines::EngineAsk;
 use banyanarch::decide::engines::EngineChoice;
 use banyanarch::decide::engines::EnginePlan;
+use banyanarch::decide::engines::EngineRequest;
 use banyanarch::routing::callers_patience;
 use banyanarch::units::UpstreamId;
 use rand::Rng;
@@ -168,7 +168,7 @@
             return;
         }
         let now = self.instant();
-        let ask = EngineAsk {
+        let ask = EngineRequest {
             prompt: asked.prompt,
             output: asked.output_max,
             objective_left: class.objective.saturating_sub(waited),
