--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -108,7 +108,7 @@
         time_left: Duration::from_secs(10),
         strictest_pause: Some(Duration::from_millis(200)),
         news_age: Duration::from_millis(100),
-        far_news_age: Duration::from_millis(100),
+        far_load_age: Duration::from_millis(100),
         is_far: false,
         draw: 0x5EED,
     }
--- a/src/decide/engines/engine_request.rs
+++ b/src/decide/engines/engine_request.rs
@@ -46,7 +46,7 @@
     /// How old the news may be of what other hosts of this host's failure domain have sent.
     pub news_age: Duration,
     /// The same of hosts of other domains.
-    pub far_news_age: Duration,
+    pub far_load_age: Duration,
     /// Drawn for this choice, even over all `u32`. Engines that are about equally good are told
     /// apart by it: hosts know of each other's work a little late, and if all of them took the very
     /// best engine, that one would get what all have.
--- a/src/decide/engines/locality.rs
+++ b/src/decide/engines/locality.rs
@@ -77,8 +77,8 @@
 /// The same request to engines of any domain.
 fn far(ask: &EngineRequest) -> EngineRequest {
     EngineRequest {
-        news_age: ask.far_news_age,
-        is_far: ask.news_age < ask.far_news_age,
+        news_age: ask.far_load_age,
+        is_far: ask.news_age < ask.far_load_age,
         ..ask.clone()
     }
 }
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -189,7 +189,7 @@
         time_left: call.time_left(now),
         strictest_pause: routes.strictest_pause(&call.service),
         news_age: news.near_age,
-        far_news_age: news.far_age,
+        far_load_age: news.far_age,
         is_far: false,
         draw: rand::random(),
     }
--- a/tests/decide_engines_near.rs
+++ b/tests/decide_engines_near.rs
@@ -58,7 +58,7 @@
         time_left: ms(15_000),
         strictest_pause: Some(Duration::from_millis(200)),
         news_age: ms(97),
-        far_news_age: ms(100),
+        far_load_age: ms(100),
         is_far: false,
         draw,
     }
@@ -154,7 +154,7 @@
 #[test]
 fn where_all_news_are_as_young_the_domain_does_not_matter() {
     let same_age = EngineRequest {
-        far_news_age: ms(97),
+        far_load_age: ms(97),
         ..ask(5_000, 3)
     };
     let mut far = engines();
--- a/tests/engine_world/load.rs
+++ b/tests/engine_world/load.rs
@@ -76,7 +76,7 @@
     /// From a host's telling to the hearing of hosts of other domains.
     pub far_news_way: Duration,
     /// How old hosts take the news from other domains for.
-    pub far_news_age: Duration,
+    pub far_load_age: Duration,
     /// How often at most it tells them at once of what it has sent.
     pub urgent_interval: Duration,
     /// Such messages that may follow each other before they have to be as rare as the others.
@@ -130,7 +130,7 @@
             news_interval: Duration::from_millis(170),
             domains: 1,
             far_news_way: Duration::from_millis(2),
-            far_news_age: Duration::from_millis(170),
+            far_load_age: Duration::from_millis(170),
             urgent_interval: Duration::from_millis(10),
             urgent_burst: 3,
             slow: None,
@@ -212,7 +212,7 @@
             Class::long(1.52, 210_000.0, 3.0, 22.0),
         ];
         site.news_interval = Duration::from_millis(15);
-        site.far_news_age = site.news_interval;
+        site.far_load_age = site.news_interval;
         site
     }
 
@@ -246,7 +246,7 @@
         site.domains = 5;
         site.news_interval = Duration::from_millis(97);
         site.far_news_way = Duration::from_millis(50);
-        site.far_news_age = Duration::from_millis(100);
+        site.far_load_age = Duration::from_millis(100);
         for (class, pause_ms) in site.classes.iter_mut().zip([250, 600, 1_000]) {
             class.pause = Duration::from_millis(pause_ms);
             class.events_mean *= 0.73;
--- a/tests/engine_world/world.rs
+++ b/tests/engine_world/world.rs
@@ -177,7 +177,7 @@
             time_left,
             strictest_pause: self.site.classes.iter().map(|class| class.pause).min(),
             news_age: self.site.news_interval,
-            far_news_age: self.site.far_news_age,
+            far_load_age: self.site.far_load_age,
             is_far: false,
             draw: self.rng.random(),
         };
