--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -107,9 +107,9 @@
         patience_left: Duration::from_millis(1_500),
         time_left: Duration::from_secs(10),
         strictest_pause: Some(Duration::from_millis(200)),
-        news_age: Duration::from_millis(100),
+        near_load_age: Duration::from_millis(100),
         far_load_age: Duration::from_millis(100),
-        is_far: false,
+        spans_domains: false,
         draw: 0x5EED,
     }
 }
--- a/src/decide/engines/engine_request.rs
+++ b/src/decide/engines/engine_request.rs
@@ -34,7 +34,7 @@
     /// The longest answer.
     pub output: Tokens,
     /// Whether hosts that hear of each other late choose among these engines.
-    pub is_far: bool,
+    pub spans_domains: bool,
     /// What is left of the time in which the first event is on time.
     pub objective_left: Duration,
     /// How long its caller still stays without a first event.
@@ -44,7 +44,7 @@
     /// The shortest pause between two events that any caller of the service accepts; none if none says.
     pub strictest_pause: Option<Duration>,
     /// How old the news may be of what other hosts of this host's failure domain have sent.
-    pub news_age: Duration,
+    pub near_load_age: Duration,
     /// The same of hosts of other domains.
     pub far_load_age: Duration,
     /// Drawn for this choice, even over all `u32`. Engines that are about equally good are told
@@ -88,10 +88,10 @@
     pub(super) fn unseen(&self, model: &EngineModel, short_in_flight: u32) -> f64 {
         let write_time = model.write_time(self.output, model.slots, Tokens::ZERO) / 2;
         let lives = write_time
-            .max(self.news_age)
+            .max(self.near_load_age)
             .as_secs_f64()
             .max(f64::EPSILON);
-        f64::from(short_in_flight) * self.news_age.as_secs_f64() / lives
+        f64::from(short_in_flight) * self.near_load_age.as_secs_f64() / lives
     }
 
     /// The memory that it takes from its first to its last token.
--- a/src/decide/engines/leader.rs
+++ b/src/decide/engines/leader.rs
@@ -24,7 +24,7 @@
         let share = share_kept(ask);
         let fitting = || placed().filter(|engine| engine.free_tokens(model) >= share);
         let is_free = |engine: &&EngineView| is_free(model, engine, part_time, ask);
-        let first = if ask.is_far {
+        let first = if ask.spans_domains {
             drawn(fitting().filter(is_free), ask)
         } else {
             fitting().find(is_free)
--- a/src/decide/engines/locality.rs
+++ b/src/decide/engines/locality.rs
@@ -34,7 +34,7 @@
     ask: &EngineRequest,
 ) -> EngineChoice {
     let far_ask = far(ask);
-    if !far_ask.is_far {
+    if !far_ask.spans_domains {
         return choose_among(model, engines, &far_ask);
     }
     let near = near_engines(engines);
@@ -77,8 +77,8 @@
 /// The same request to engines of any domain.
 fn far(ask: &EngineRequest) -> EngineRequest {
     EngineRequest {
-        news_age: ask.far_load_age,
-        is_far: ask.news_age < ask.far_load_age,
+        near_load_age: ask.far_load_age,
+        spans_domains: ask.near_load_age < ask.far_load_age,
         ..ask.clone()
     }
 }
--- a/src/decide/engines/long.rs
+++ b/src/decide/engines/long.rs
@@ -63,7 +63,7 @@
     // not wait behind long ones.
     let sides = match ask.class(model) {
         // Each domain has a border of its own, so short answers stand anywhere among far engines.
-        PromptClass::Long if ask.is_far && needs_idle => vec![(engines, engines)],
+        PromptClass::Long if ask.spans_domains && needs_idle => vec![(engines, engines)],
         PromptClass::Long => vec![
             (long_leaders, helpers),
             (long_side, long_side),
--- a/tests/decide_engines.rs
+++ b/tests/decide_engines.rs
@@ -65,9 +65,9 @@
         patience_left: ms(if prompt > 100_000 { 12_000 } else { 2_000 }),
         time_left: ms(15_000),
         strictest_pause: Some(Duration::from_millis(200)),
-        news_age: Duration::ZERO,
+        near_load_age: Duration::ZERO,
         far_load_age: Duration::ZERO,
-        is_far: false,
+        spans_domains: false,
         draw: 7,
     }
 }
@@ -428,7 +428,7 @@
     }
     let chosen = (0..60_u32).map(|host| {
         let ask = EngineRequest {
-            news_age: ms(170),
+            near_load_age: ms(170),
             far_load_age: ms(170),
             draw: host.wrapping_mul(0x85EB_CA6B),
             ..ask(5_000)
--- a/tests/decide_engines_near.rs
+++ b/tests/decide_engines_near.rs
@@ -57,9 +57,9 @@
         patience_left: ms(12_000),
         time_left: ms(15_000),
         strictest_pause: Some(Duration::from_millis(200)),
-        news_age: ms(97),
+        near_load_age: ms(97),
         far_load_age: ms(100),
-        is_far: false,
+        spans_domains: false,
         draw,
     }
 }
--- a/tests/engine_world/world.rs
+++ b/tests/engine_world/world.rs
@@ -176,9 +176,9 @@
                 .saturating_sub(waited),
             time_left,
             strictest_pause: self.site.classes.iter().map(|class| class.pause).min(),
-            news_age: self.site.news_interval,
+            near_load_age: self.site.news_interval,
             far_load_age: self.site.far_load_age,
-            is_far: false,
+            spans_domains: false,
             draw: self.rng.random(),
         };
         let choice = self.hosts[run.host].choose(&self.site, &self.ids, &ask, self.now, now);
