--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -188,9 +188,9 @@
         patience_left: call.patience_left(now).max(least),
         time_left: call.time_left(now),
         strictest_pause: routes.strictest_pause(&call.service),
-        news_age: news.near_age,
+        near_load_age: news.near_age,
         far_load_age: news.far_age,
-        is_far: false,
+        spans_domains: false,
         draw: rand::random(),
     }
 }
