--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -110,7 +110,7 @@
         near_load_age: Duration::from_millis(100),
         far_load_age: Duration::from_millis(100),
         spans_domains: false,
-        draw: 0x5EED,
+        shuffle_seed: 0x5EED,
     }
 }
 
--- a/src/decide/engines/engine_request.rs
+++ b/src/decide/engines/engine_request.rs
@@ -50,7 +50,7 @@
     /// Drawn for this choice, even over all `u32`. Engines that are about equally good are told
     /// apart by it: hosts know of each other's work a little late, and if all of them took the very
     /// best engine, that one would get what all have.
-    pub draw: u32,
+    pub shuffle_seed: u32,
 }
 
 impl EngineRequest {
@@ -80,7 +80,7 @@
     pub(super) fn shuffle(&self, engine: usize) -> u32 {
         let index = u32::try_from(engine).unwrap_or(u32::MAX);
         // Multiplication by an odd number permutes all u32, so equal ranks fall apart evenly.
-        (index ^ self.draw).wrapping_mul(0x9E37_79B1)
+        (index ^ self.shuffle_seed).wrapping_mul(0x9E37_79B1)
     }
 
     /// How many short prompts other hosts may have sent that this one has not heard of, where this many
--- a/src/decide/engines/locality.rs
+++ b/src/decide/engines/locality.rs
@@ -45,7 +45,7 @@
     // The longest prompts are few, and a domain seldom has as many idle engines as one needs: waiting
     // for these, two thirds of the longest tenth were turned away at their deadline. While they can
     // still be on time they wait: sent anywhere at once, they take the engines of other long prompts.
-    let looks_far = needs_idle_engines(model, ask) || ask.draw.is_multiple_of(FAR_TRIES);
+    let looks_far = needs_idle_engines(model, ask) || ask.shuffle_seed.is_multiple_of(FAR_TRIES);
     if matches!(near, EngineChoice::Wait(_)) && !looks_far {
         return near;
     }
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -191,7 +191,7 @@
         near_load_age: news.near_age,
         far_load_age: news.far_age,
         spans_domains: false,
-        draw: rand::random(),
+        shuffle_seed: rand::random(),
     }
 }
 
--- a/tests/decide_engines.rs
+++ b/tests/decide_engines.rs
@@ -68,7 +68,7 @@
         near_load_age: Duration::ZERO,
         far_load_age: Duration::ZERO,
         spans_domains: false,
-        draw: 7,
+        shuffle_seed: 7,
     }
 }
 
@@ -430,7 +430,7 @@
         let ask = EngineRequest {
             near_load_age: ms(170),
             far_load_age: ms(170),
-            draw: host.wrapping_mul(0x85EB_CA6B),
+            shuffle_seed: host.wrapping_mul(0x85EB_CA6B),
             ..ask(5_000)
         };
         index(&plan(choose_engines(&model(), &engines, &ask)).leader)
@@ -450,7 +450,7 @@
     let mut engines = engines(23);
     for sent in 0..30 {
         let ask = EngineRequest {
-            draw: 0x85EB_CA6B_u32.wrapping_mul(sent),
+            shuffle_seed: 0x85EB_CA6B_u32.wrapping_mul(sent),
             ..ask(5_000)
         };
         let leader = index(&plan(choose_engines(&model(), &engines, &ask)).leader);
@@ -634,7 +634,7 @@
     assert_ne!(index(&short.leader), 0);
     for draw in 0..20 {
         let long = EngineRequest {
-            draw,
+            shuffle_seed: draw,
             ..ask(210_000)
         };
         let long = plan(choose_engines(&model(), &engines, &long));
--- a/tests/decide_engines_near.rs
+++ b/tests/decide_engines_near.rs
@@ -60,7 +60,7 @@
         near_load_age: ms(97),
         far_load_age: ms(100),
         spans_domains: false,
-        draw,
+        shuffle_seed: draw,
     }
 }
 
--- a/tests/engine_world/world.rs
+++ b/tests/engine_world/world.rs
@@ -179,7 +179,7 @@
             near_load_age: self.site.news_interval,
             far_load_age: self.site.far_load_age,
             spans_domains: false,
-            draw: self.rng.random(),
+            shuffle_seed: self.rng.random(),
         };
         let choice = self.hosts[run.host].choose(&self.site, &self.ids, &ask, self.now, now);
         match choice {
