--- a/src/decide/engines/engine_counts.rs
+++ b/src/decide/engines/engine_counts.rs
@@ -12,7 +12,7 @@
 
 /// The engines that a choice is made among, counted by what each could do for one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Survey {
+pub struct EngineCounts {
     /// All of them.
     pub engines: usize,
     /// Those before the border between short and long prompts.
@@ -48,7 +48,7 @@
     pub makes_late: bool,
 }
 
-impl Survey {
+impl EngineCounts {
     /// Counts the engines.
     pub fn of(model: &EngineModel, engines: &[EngineView], ask: &EngineRequest) -> Self {
         let border = short_engine_count(model, engines);
--- a/src/decide/engines/locality.rs
+++ b/src/decide/engines/locality.rs
@@ -9,10 +9,10 @@
 
 use crate::decide::EngineModel;
 use crate::decide::engines::EngineChoice;
+use crate::decide::engines::EngineCounts;
 use crate::decide::engines::EnginePlan;
 use crate::decide::engines::EngineRequest;
 use crate::decide::engines::EngineView;
-use crate::decide::engines::Survey;
 use crate::decide::engines::choose_among;
 use crate::decide::engines::parts::needs_idle_engines;
 
@@ -65,9 +65,9 @@
     model: &EngineModel,
     engines: &[EngineView],
     ask: &EngineRequest,
-) -> (Survey, Survey) {
-    let near = Survey::of(model, &near_engines(engines), ask);
-    (near, Survey::of(model, engines, &far(ask)))
+) -> (EngineCounts, EngineCounts) {
+    let near = EngineCounts::of(model, &near_engines(engines), ask);
+    (near, EngineCounts::of(model, engines, &far(ask)))
 }
 
 fn near_engines(engines: &[EngineView]) -> Vec<EngineView> {
--- a/src/decide/engines/mod.rs
+++ b/src/decide/engines/mod.rs
@@ -20,7 +20,7 @@
 mod view;
 
 pub use engine_counts::BestGroup;
-pub use engine_counts::Survey;
+pub use engine_counts::EngineCounts;
 pub use engine_request::EngineRequest;
 pub use engine_request::PromptClass;
 pub use memory_reservation::Reserve;
@@ -45,11 +45,11 @@
 }
 
 /// What a choice would be made from now: the engines of the host's own failure domain, and all of them.
-pub fn survey_engines(
+pub fn count_engines(
     model: &EngineModel,
     engines: &[EngineView],
     ask: &EngineRequest,
-) -> (Survey, Survey) {
+) -> (EngineCounts, EngineCounts) {
     locality::survey(model, engines, ask)
 }
 
--- a/src/gateway/engines_seen.rs
+++ b/src/gateway/engines_seen.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use crate::decide::engines::BestGroup;
-use crate::decide::engines::Survey;
+use crate::decide::engines::EngineCounts;
 use crate::units::whole_millis;
 
 /// Engines of a service as one host saw them, counted by what they could do for one request.
@@ -51,8 +51,8 @@
     pub makes_late: bool,
 }
 
-impl From<Survey> for EnginesSeen {
-    fn from(survey: Survey) -> Self {
+impl From<EngineCounts> for EnginesSeen {
+    fn from(survey: EngineCounts) -> Self {
         Self {
             engines: survey.engines,
             short_side: survey.short_side,
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -14,7 +14,7 @@
 use crate::decide::engines::EngineView;
 use crate::decide::engines::PromptClass;
 use crate::decide::engines::choose_engines;
-use crate::decide::engines::survey_engines;
+use crate::decide::engines::count_engines;
 use crate::gateway::Call;
 use crate::gateway::EnginesSeen;
 use crate::gateway::Gateway;
@@ -156,7 +156,7 @@
     let usable = usable(gateway, listed, sends.tried, now);
     let limits = LimitStates::of(gateway, &usable, now);
     let views = views(gateway, &usable, &limits, now);
-    let (near, all) = survey_engines(model, &views, &ask);
+    let (near, all) = count_engines(model, &views, &ask);
     Some((near.into(), all.into()))
 }
 
--- a/tests/decide_engines.rs
+++ b/tests/decide_engines.rs
@@ -14,7 +14,7 @@
 use banyanarch::decide::engines::Reserve;
 use banyanarch::decide::engines::boundary;
 use banyanarch::decide::engines::choose_engines;
-use banyanarch::decide::engines::survey_engines;
+use banyanarch::decide::engines::count_engines;
 use banyanarch::units::Slowdown;
 use banyanarch::units::Tokens;
 use banyanarch::units::UpstreamId;
@@ -492,7 +492,7 @@
     for engine in &mut engines[6..] {
         engine.is_near = false;
     }
-    let (near, all) = survey_engines(&model(), &engines, &ask(600_000));
+    let (near, all) = count_engines(&model(), &engines, &ask(600_000));
     assert_eq!((near.engines, all.engines), (6, 20));
     assert_eq!((near.with_place, all.with_place), (5, 19));
     assert_eq!((near.with_memory, all.with_memory), (5, 19));
