--- a/src/decide/engines/group.rs
+++ b/src/decide/engines/group.rs
@@ -6,7 +6,7 @@
 use crate::decide::engines::BestGroup;
 use crate::decide::engines::EngineRequest;
 use crate::decide::engines::EngineView;
-use crate::decide::engines::Reserve;
+use crate::decide::engines::MemoryReservation;
 use crate::decide::engines::leader::leader;
 use crate::decide::engines::memory_reservation::reserves;
 use crate::decide::engines::parts::is_free;
@@ -28,7 +28,7 @@
     pub(super) leader: &'a EngineView,
     /// The helpers, without the leader.
     pub(super) helpers: Vec<&'a EngineView>,
-    pub(super) reserves: Vec<Reserve>,
+    pub(super) reserves: Vec<MemoryReservation>,
     pub(super) part_time: Duration,
     pub(super) forecast: Duration,
     /// What waits at the busiest of them.
--- a/src/decide/engines/memory_reservation.rs
+++ b/src/decide/engines/memory_reservation.rs
@@ -18,7 +18,7 @@
 
 /// Memory that an engine sets aside for a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reserve {
+pub struct MemoryReservation {
     /// The engine: the leader or one of the helpers.
     pub engine: UpstreamId,
     /// How much.
@@ -37,7 +37,7 @@
     others: &[&EngineView],
     part_time: Duration,
     ask: &EngineRequest,
-) -> Option<Vec<Reserve>> {
+) -> Option<Vec<MemoryReservation>> {
     if ask.class(model) != PromptClass::Long {
         return Some(Vec::new());
     }
@@ -62,7 +62,7 @@
     others: &[&EngineView],
     needed: Tokens,
     each: Tokens,
-) -> Option<Vec<Reserve>> {
+) -> Option<Vec<MemoryReservation>> {
     let mut missing = needed;
     let mut reserves = Vec::new();
     let engines = [leader].into_iter().chain(others.iter().copied());
@@ -73,7 +73,7 @@
             break;
         }
         missing = missing.saturating_sub(tokens);
-        reserves.push(Reserve {
+        reserves.push(MemoryReservation {
             engine: engine.id.clone(),
             tokens,
         });
--- a/src/decide/engines/mod.rs
+++ b/src/decide/engines/mod.rs
@@ -23,7 +23,7 @@
 pub use engine_counts::EngineCounts;
 pub use engine_request::EngineRequest;
 pub use engine_request::PromptClass;
-pub use memory_reservation::Reserve;
+pub use memory_reservation::MemoryReservation;
 pub use plan::EngineChoice;
 pub use plan::EnginePlan;
 pub use view::EngineView;
--- a/src/decide/engines/plan.rs
+++ b/src/decide/engines/plan.rs
@@ -8,8 +8,8 @@
 use crate::decide::RefuseReason;
 use crate::decide::RequestLoad;
 use crate::decide::engines::EngineRequest;
+use crate::decide::engines::MemoryReservation;
 use crate::decide::engines::PromptClass;
-use crate::decide::engines::Reserve;
 use crate::units::Tokens;
 use crate::units::UpstreamId;
 
@@ -28,7 +28,7 @@
     /// The engines that read the other parts.
     pub helpers: Vec<UpstreamId>,
     /// Memory that is set aside before the prompt is sent, first the leader's.
-    pub reserves: Vec<Reserve>,
+    pub reserves: Vec<MemoryReservation>,
     /// Engine time of one part.
     pub part_time: Duration,
     /// When the first event is expected, from now.
@@ -37,7 +37,7 @@
 
 impl EnginePlan {
     /// The memory that an engine sets aside.
-    pub fn reserve(&self, engine: &UpstreamId) -> Option<&Reserve> {
+    pub fn reserve(&self, engine: &UpstreamId) -> Option<&MemoryReservation> {
         self.reserves
             .iter()
             .find(|reserve| reserve.engine == *engine)
--- a/tests/decide_engines.rs
+++ b/tests/decide_engines.rs
@@ -10,8 +10,8 @@
 use banyanarch::decide::engines::EnginePlan;
 use banyanarch::decide::engines::EngineRequest;
 use banyanarch::decide::engines::EngineView;
+use banyanarch::decide::engines::MemoryReservation;
 use banyanarch::decide::engines::PromptClass;
-use banyanarch::decide::engines::Reserve;
 use banyanarch::decide::engines::boundary;
 use banyanarch::decide::engines::choose_engines;
 use banyanarch::decide::engines::count_engines;
@@ -324,11 +324,15 @@
 #[test]
 fn a_prompt_of_several_engines_memory_reserves_it() {
     let plan = plan(choose_engines(&model(), &engines(23), &ask(900_000)));
-    let reserved: u64 = plan.reserves.iter().map(|reserve| reserve.tokens.0).sum();
+    let reserved: u64 = plan
+        .reservations
+        .iter()
+        .map(|reserve| reserve.tokens.0)
+        .sum();
     assert_eq!(reserved, 901_600);
-    assert_eq!(plan.reserves.len(), 3, "no more engines than it needs");
-    assert_eq!(plan.reserves[0].engine, plan.leader);
-    for reserve in &plan.reserves[1..] {
+    assert_eq!(plan.reservations.len(), 3, "no more engines than it needs");
+    assert_eq!(plan.reservations[0].engine, plan.leader);
+    for reserve in &plan.reservations[1..] {
         assert!(plan.helpers.contains(&reserve.engine));
         assert!(reserve.tokens.0 <= 436_500);
     }
@@ -339,8 +343,12 @@
 #[test]
 fn the_memory_of_a_long_answer_is_set_aside_at_its_leader_too() {
     let plan = plan(choose_engines(&model(), &engines(23), &ask(210_000)));
-    assert_eq!(plan.reserves[0].engine, plan.leader);
-    let reserved: u64 = plan.reserves.iter().map(|reserve| reserve.tokens.0).sum();
+    assert_eq!(plan.reservations[0].engine, plan.leader);
+    let reserved: u64 = plan
+        .reservations
+        .iter()
+        .map(|reserve| reserve.tokens.0)
+        .sum();
     assert_eq!(reserved, 211_600);
     let mut full = engines(23);
     for engine in &mut full {
@@ -366,7 +374,7 @@
         engines[led].load.in_flight += 1;
         engines[led].load.strictest_pause = Some(ms(800));
         engines[led].load.read_backlog += plan.part_time;
-        for reserve in &plan.reserves {
+        for reserve in &plan.reservations {
             engines[index(&reserve.engine)].load.held_tokens += reserve.tokens;
         }
         leaders.push(led);
@@ -569,7 +577,7 @@
         &late(800_000, ms(9_000)),
     ));
     assert!(
-        plan.reserves
+        plan.reservations
             .iter()
             .all(|reserve| index(&reserve.engine) < 20),
         "{plan:?}"
@@ -617,11 +625,11 @@
         engine.load.refused_tokens = Some(Tokens(50_000));
     }
     let plan = plan(choose_engines(&model(), &engines, &ask(300_000)));
-    let keeps_too_much = |reserve: &Reserve| {
+    let keeps_too_much = |reserve: &MemoryReservation| {
         let is_refused = index(&reserve.engine) < 20;
         is_refused && reserve.tokens >= Tokens(50_000)
     };
-    assert!(!plan.reserves.iter().any(keeps_too_much), "{plan:?}");
+    assert!(!plan.reservations.iter().any(keeps_too_much), "{plan:?}");
 }
 
 /// An engine that has named a limit is asked to read parts of others' prompts, or gets more than the limit allows.
--- a/tests/engine_world/world.rs
+++ b/tests/engine_world/world.rs
@@ -186,7 +186,7 @@
             EngineChoice::Send(plan) => {
                 let pause = class.pause;
                 self.runs[request].shares = plan.shares(&self.site.model, &ask, Some(pause), now);
-                let has_reserves = !plan.reserves.is_empty();
+                let has_reserves = !plan.reservations.is_empty();
                 self.runs[request].plan = Some(plan);
                 self.runs[request].sent_at = self.now;
                 let delay = if has_reserves { WAY } else { Duration::ZERO };
@@ -204,7 +204,7 @@
     fn place(&mut self, request: usize) {
         let plan = self.runs[request].plan.clone().unwrap();
         let limit = self.site.model.memory_tokens.0;
-        let is_full = plan.reserves.iter().any(|reserve| {
+        let is_full = plan.reservations.iter().any(|reserve| {
             let engine = &self.engines[self.index(&reserve.engine)];
             engine.reserved_tokens + reserve.tokens.0 > limit
         });
@@ -212,7 +212,7 @@
             self.push(self.now + RESERVE_PAUSE, Event::Decide(request));
             return;
         }
-        for reserve in &plan.reserves {
+        for reserve in &plan.reservations {
             let index = self.index(&reserve.engine);
             self.engines[index].reserved_tokens += reserve.tokens.0;
         }
@@ -343,7 +343,7 @@
             self.hosts[host].ledger.end(&engine, &share);
         }
         let plan = self.runs[request].plan.clone().unwrap();
-        for reserve in &plan.reserves {
+        for reserve in &plan.reservations {
             let index = self.index(&reserve.engine);
             self.engines[index].reserved_tokens -= reserve.tokens.0;
         }
