--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -310,14 +310,14 @@
     };
     let mut helpers = Vec::new();
     let mut reserves = Vec::new();
-    if let Some(reserve) = plan.reserve(&plan.leader) {
+    if let Some(reserve) = plan.reservation(&plan.leader) {
         reserves.push(Part::new(upstream, reserve.tokens));
     }
     for id in &plan.helpers {
         let Some(helper) = find(usable, id) else {
             continue;
         };
-        match plan.reserve(id) {
+        match plan.reservation(id) {
             Some(reserve) => reserves.push(Part::new(helper, reserve.tokens)),
             None => helpers.push(HelperAddr {
                 addr: helper.addr,
@@ -329,7 +329,7 @@
         upstream: upstream.clone(),
         helpers,
         reserves,
-        shares: plan.shares(model, ask, call.route.pause_objective, now),
+        shares: plan.request_loads(model, ask, call.route.pause_objective, now),
         forecast: plan.forecast,
         limit: None,
     }))
--- a/tests/engine_world/world.rs
+++ b/tests/engine_world/world.rs
@@ -185,7 +185,8 @@
         match choice {
             EngineChoice::Send(plan) => {
                 let pause = class.pause;
-                self.runs[request].shares = plan.shares(&self.site.model, &ask, Some(pause), now);
+                self.runs[request].shares =
+                    plan.request_loads(&self.site.model, &ask, Some(pause), now);
                 let has_reserves = !plan.reservations.is_empty();
                 self.runs[request].plan = Some(plan);
                 self.runs[request].sent_at = self.now;
@@ -255,7 +256,7 @@
         for (engine, id) in helpers.into_iter().zip(&plan.helpers) {
             self.engines[engine].helping += 1;
             let run = &mut self.runs[request];
-            if plan.reserve(id).is_some() {
+            if plan.reservation(id).is_some() {
                 run.helpers_until_end.push(engine);
             } else {
                 run.helpers_until_read.push(engine);
