--- a/src/decide/engines/plan.rs
+++ b/src/decide/engines/plan.rs
@@ -28,7 +28,7 @@
     /// The engines that read the other parts.
     pub helpers: Vec<UpstreamId>,
     /// Memory that is set aside before the prompt is sent, first the leader's.
-    pub reserves: Vec<MemoryReservation>,
+    pub reservations: Vec<MemoryReservation>,
     /// Engine time of one part.
     pub part_time: Duration,
     /// When the first event is expected, from now.
@@ -37,22 +37,22 @@
 
 impl EnginePlan {
     /// The memory that an engine sets aside.
-    pub fn reserve(&self, engine: &UpstreamId) -> Option<&MemoryReservation> {
-        self.reserves
+    pub fn reservation(&self, engine: &UpstreamId) -> Option<&MemoryReservation> {
+        self.reservations
             .iter()
             .find(|reserve| reserve.engine == *engine)
     }
 
     /// What the request adds to each engine's load, first the leader's. Its caller accepts `pause`
     /// between two events.
-    pub fn shares(
+    pub fn request_loads(
         &self,
         model: &EngineModel,
         ask: &EngineRequest,
         pause: Option<Duration>,
         now: Instant,
     ) -> Vec<(UpstreamId, RequestLoad)> {
-        let held = |engine| self.reserve(engine).map(|reserve| reserve.tokens);
+        let held = |engine| self.reservation(engine).map(|reserve| reserve.tokens);
         let leader = RequestLoad {
             takes_slot: true,
             is_short: ask.class(model) == PromptClass::Short,
