--- a/src/decide/engines/long.rs
+++ b/src/decide/engines/long.rs
@@ -166,7 +166,7 @@
     EnginePlan {
         leader: group.leader.id.clone(),
         helpers: group.helpers.iter().map(|e| e.id.clone()).collect(),
-        reserves: group.reserves,
+        reservations: group.reserves,
         part_time: group.part_time,
         forecast: group.forecast,
     }
--- a/src/decide/engines/short.rs
+++ b/src/decide/engines/short.rs
@@ -57,7 +57,7 @@
     EngineChoice::Send(EnginePlan {
         leader: leader.id.clone(),
         helpers,
-        reserves: Vec::new(),
+        reservations: Vec::new(),
         part_time,
         forecast: leader.first_event(model, part_time),
     })
