--- a/src/decide/load_ledger.rs
+++ b/src/decide/load_ledger.rs
@@ -82,7 +82,7 @@
         loads: impl IntoIterator<Item = (UpstreamId, HostLoad)>,
         now: Instant,
     ) {
-        self.hear_part(
+        self.record_loads(
             LoadSource::Host(host),
             incarnation,
             Extent::Whole,
@@ -92,7 +92,7 @@
     }
 
     /// Takes in what a source says, which replaces what it said before of the same upstreams, or of all.
-    pub fn hear_part(
+    pub fn record_loads(
         &mut self,
         source: LoadSource,
         incarnation: u64,
@@ -152,7 +152,7 @@
     }
 
     /// Takes in that an engine has refused to set this much memory aside, or did not answer.
-    pub fn memory_refused(&mut self, upstream: &UpstreamId, tokens: Tokens, now: Instant) {
+    pub fn record_memory_refusal(&mut self, upstream: &UpstreamId, tokens: Tokens, now: Instant) {
         let until = now + REFUSAL_BELIEVED_FOR;
         let least = self.refused_tokens(upstream, now);
         let tokens = least.map_or(tokens, |least| tokens.min(least));
@@ -251,7 +251,7 @@
     }
 
     /// The other hosts, or those that speak for them, that were heard lately.
-    pub fn peers_heard(&self, now: Instant) -> usize {
+    pub fn live_peer_count(&self, now: Instant) -> usize {
         let is_heard = |peer: &&PeerLoads| peer.is_heard(PEER_KEPT_FOR, now);
         self.peers.values().filter(is_heard).count()
     }
--- a/src/gateway/courier.rs
+++ b/src/gateway/courier.rs
@@ -245,7 +245,7 @@
         let now = self.gateway.clock.now();
         let mut ledger = self.gateway.ledger();
         for part in refused {
-            ledger.memory_refused(&part.id, part.tokens, now);
+            ledger.record_memory_refusal(&part.id, part.tokens, now);
         }
     }
 
@@ -370,7 +370,7 @@
             all: all.map(Box::new),
             retry_after_ms: whole_millis(retry_after),
             upstreams: listed.unwrap_or(0),
-            hosts_heard: gateway.ledger().peers_heard(now),
+            hosts_heard: gateway.ledger().live_peer_count(now),
             manifest_age_ms: gateway.manifest_age().map_or(0, whole_millis),
         });
     }
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -130,7 +130,7 @@
             }
         }
         let mut ledger = self.ledger();
-        ledger.hear_part(source, news.incarnation, extent, loads, now);
+        ledger.record_loads(source, news.incarnation, extent, loads, now);
     }
 
     fn hosts(&self) -> Arc<Vec<ListedHost>> {
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -253,7 +253,7 @@
     if !is_announced {
         // Until it is on the list nobody sends news here.
         dependency.interval(FAILED_INTERVAL)
-    } else if gateway.ledger().peers_heard(now) == 0 {
+    } else if gateway.ledger().live_peer_count(now) == 0 {
         // Where all hosts start together the first read shows few of them, and one that knows no other
         // reads everything from the platform itself.
         dependency
--- a/tests/decide_gateway.rs
+++ b/tests/decide_gateway.rs
@@ -331,7 +331,7 @@
     hear(&mut ledger, &engine, 1, peer, now);
     assert_eq!(ledger.load(&engine, now + ms(900)).in_flight, 20);
     assert_eq!(ledger.load(&engine, now + ms(1_000)).in_flight, 0);
-    assert_eq!(ledger.peers_heard(now + ms(1_000)), 0);
+    assert_eq!(ledger.live_peer_count(now + ms(1_000)), 0);
 }
 
 /// An archive is made late by the next one, which another host sends: it does not know that somebody
@@ -402,10 +402,10 @@
     let engine = upstream("e");
     let refused = |ledger: &LoadLedger, at| ledger.load(&engine, now + ms(at)).refused_tokens;
     assert_eq!(refused(&ledger, 0), None);
-    ledger.memory_refused(&engine, Tokens(100_000), now);
-    ledger.memory_refused(&engine, Tokens(200_000), now + ms(500));
+    ledger.record_memory_refusal(&engine, Tokens(100_000), now);
+    ledger.record_memory_refusal(&engine, Tokens(200_000), now + ms(500));
     assert_eq!(refused(&ledger, 600), Some(Tokens(100_000)));
     assert_eq!(refused(&ledger, 1_500), None);
-    ledger.memory_refused(&engine, Tokens(300_000), now + ms(2_000));
+    ledger.record_memory_refusal(&engine, Tokens(300_000), now + ms(2_000));
     assert_eq!(refused(&ledger, 2_100), Some(Tokens(300_000)));
 }
--- a/tests/decide_ledger.rs
+++ b/tests/decide_ledger.rs
@@ -124,7 +124,7 @@
         let loads: Vec<(usize, HostLoad)> = (0..named).map(|_| drawn()).collect();
         let said = loads.iter().map(|(index, load)| (upstream(*index), *load));
         let source = LoadSource::Host(host(speaker));
-        ledger.hear_part(source, incarnation, extent, said, now);
+        ledger.record_loads(source, incarnation, extent, said, now);
         reckoning.hear(speaker, incarnation, extent, &loads, now);
         let asked = rng.random_range(0..upstreams);
         let asked_at = now + Duration::from_millis(rng.random_range(0..1_200));
@@ -166,7 +166,7 @@
     };
     ledger.hear(host(1), 7, [(upstream(1), load)], now);
     let collector = LoadSource::Collector(host(1));
-    ledger.hear_part(collector, 7, Extent::Whole, [(upstream(1), load)], now);
+    ledger.record_loads(collector, 7, Extent::Whole, [(upstream(1), load)], now);
     assert_eq!(ledger.load(&upstream(1), now).in_flight, 4);
     assert!(ledger.is_heard(&host(1), now));
 }
--- a/tests/gateway_hosts.rs
+++ b/tests/gateway_hosts.rs
@@ -109,7 +109,13 @@
     catalog.list("b", "llm", sound.addr);
     let asking = TestHost::start("a-first", &catalog).await;
     let told = TestHost::start("b-second", &catalog).await;
-    until(|| told.gateway.ledger().peers_heard(told.gateway.clock.now()) == 1).await;
+    until(|| {
+        told.gateway
+            .ledger()
+            .live_peer_count(told.gateway.clock.now())
+            == 1
+    })
+    .await;
     let calls = asking.callers;
     let hanging = tokio::spawn(async move {
         let req = request("/model/1");
@@ -215,7 +221,7 @@
     let second = TestHost::start_with(conf, &second_way).await;
     let is_heard = || {
         let now = second.gateway.clock.now();
-        second.gateway.ledger().peers_heard(now) == 1
+        second.gateway.ledger().live_peer_count(now) == 1
     };
     until(is_heard).await;
     (first, first_way, second, second_way)
@@ -291,7 +297,11 @@
         hosts.push((TestHost::start_with(conf, &way).await, way));
     }
     for (host, _) in &hosts {
-        let heard = || host.gateway.ledger().peers_heard(host.gateway.clock.now());
+        let heard = || {
+            host.gateway
+                .ledger()
+                .live_peer_count(host.gateway.clock.now())
+        };
         until(|| heard() + 1 == count).await;
     }
     hosts
--- a/tests/gateway_reads.rs
+++ b/tests/gateway_reads.rs
@@ -25,7 +25,7 @@
         hosts.push((TestHost::start_with(conf(name), &way).await, way));
     }
     let second = &hosts[1].0.gateway;
-    until(|| second.ledger().peers_heard(second.clock.now()) == 1).await;
+    until(|| second.ledger().live_peer_count(second.clock.now()) == 1).await;
     hosts.try_into().ok().unwrap()
 }
 
--- a/tests/news_world/node.rs
+++ b/tests/news_world/node.rs
@@ -130,7 +130,7 @@
             let loads = news.loads.iter();
             let loads = loads.map(|load| (id(load), requests(load.in_flight)));
             self.ledger
-                .hear_part(source, news.incarnation, extent, loads, now);
+                .record_loads(source, news.incarnation, extent, loads, now);
         }
         self.ledger.forget_silent(now);
         on
