--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -84,7 +84,7 @@
         .map(|step| (ids[(host * 7 + step * 3) % ids.len()].clone(), load()))
         .collect();
     let host = format!("host-{host:03}").parse().unwrap();
-    ledger.hear(host, 1, loads, now);
+    ledger.record_host_loads(host, 1, loads, now);
 }
 
 fn load() -> HostLoad {
--- a/src/gateway/engine_reports.rs
+++ b/src/gateway/engine_reports.rs
@@ -52,7 +52,7 @@
     let own = &gateway.conf.host;
     let lives = |listed: &&ListedHost| {
         listed.domain == gateway.conf.domain
-            && (listed.host == *own || ledger.is_heard(&listed.host, now))
+            && (listed.host == *own || ledger.is_host_live(&listed.host, now))
     };
     strongest(hosts.iter().filter(lives)).is_some_and(|asking| asking.host == *own)
 }
--- a/src/gateway/load_guard.rs
+++ b/src/gateway/load_guard.rs
@@ -20,7 +20,7 @@
         let now = gateway.clock.now();
         let mut ledger = gateway.ledger();
         for (upstream, share) in &shares {
-            ledger.start(upstream, share, now);
+            ledger.start_request(upstream, share, now);
         }
         drop(ledger);
         gateway
@@ -50,7 +50,7 @@
         self.is_read = true;
         let mut ledger = self.gateway.ledger();
         for (upstream, share) in &mut self.shares {
-            ledger.read_done(upstream, share);
+            ledger.finish_reading(upstream, share);
         }
     }
 }
@@ -59,7 +59,7 @@
     fn drop(&mut self) {
         let mut ledger = self.gateway.ledger();
         for (upstream, share) in &self.shares {
-            ledger.end(upstream, share);
+            ledger.end_request(upstream, share);
         }
         drop(ledger);
         self.gateway.load_changed.notify_one();
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -56,7 +56,7 @@
     fn news(&self) -> HostNews {
         let now = self.clock.now();
         let ledger = self.ledger();
-        let loads = ledger.own(now).map(|(id, load)| load_news(id, &load));
+        let loads = ledger.own_loads(now).map(|(id, load)| load_news(id, &load));
         let loads = loads.collect();
         drop(ledger);
         let mut poisons = self.crashes_to_tell();
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -286,7 +286,7 @@
 ) -> Vec<EngineView> {
     let slowdowns = gateway.slowdowns.known(now);
     let mut ledger = gateway.ledger();
-    ledger.forget_silent(now);
+    ledger.expire_peers(now);
     let views = usable.iter().map(|upstream| EngineView {
         id: upstream.id.clone(),
         load: ledger.load(&upstream.id, now),
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -175,13 +175,13 @@
     pub(crate) fn hosts_heard(&self, now: Instant) -> HostCoverage {
         let hosts = self.beliefs.hosts();
         let ledger = self.ledger();
-        let speaks = |listed: &&ListedHost| ledger.speaks_for_domain(&listed.host, now);
+        let speaks = |listed: &&ListedHost| ledger.is_collector_live(&listed.host, now);
         let spoken_for = hosts.iter().filter(speaks).map(|listed| &listed.domain);
         let spoken_for: IndexSet<&FailureDomainId> = spoken_for.collect();
         let is_heard = |listed: &&ListedHost| {
             listed.host == self.conf.host
                 || spoken_for.contains(&listed.domain)
-                || ledger.is_heard(&listed.host, now)
+                || ledger.is_host_live(&listed.host, now)
         };
         HostCoverage {
             listed: hosts.len(),
--- a/src/gateway/share/readers.rs
+++ b/src/gateway/share/readers.rs
@@ -120,7 +120,7 @@
         let ledger = gateway.ledger();
         let tries = |listed: &&ListedHost| {
             listed.domain == gateway.conf.domain
-                && ledger.is_heard(&listed.host, now)
+                && ledger.is_host_live(&listed.host, now)
                 && state.is_fresh(&listed.host, at) == Some(false)
         };
         let others = hosts.iter().filter(tries).count();
@@ -149,7 +149,7 @@
         let has_just_started = now.saturating_duration_since(gateway.started_at) < STARTS_FOR;
         let is_able = |listed: &&ListedHost| {
             let is_here = listed.host == conf.host;
-            let lives = (trusts_list && has_just_started) || ledger.is_heard(&listed.host, now);
+            let lives = (trusts_list && has_just_started) || ledger.is_host_live(&listed.host, now);
             let is_stale = state.is_fresh(&listed.host, at) == Some(false);
             (is_here || (lives && !is_stale)) && state.is_fit(&listed.host, now)
         };
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -166,7 +166,9 @@
     let usable = gateway.beliefs.set_upstreams(listed);
     gateway.health().keep(|id| staying.contains(id));
     let now = gateway.clock.now();
-    gateway.ledger().keep(|id| staying.contains(id), now);
+    gateway
+        .ledger()
+        .retain_listed(|id| staying.contains(id), now);
     gateway.rate_limits.keep(|id| staying.contains(id));
     note_changes(gateway, known, &staying, &restarted, usable);
     staying
@@ -236,7 +238,7 @@
         if *gateway.beliefs.hosts() != hosts {
             gateway.beliefs.set_hosts(hosts);
         }
-        gateway.ledger().forget_silent(gateway.clock.now());
+        gateway.ledger().expire_peers(gateway.clock.now());
         let interval = hosts_interval(&gateway, is_announced, &dependency);
         let soonest = interval.min(STRANGERS_INTERVAL);
         sleep(soonest).await;
--- a/tests/decide_gateway.rs
+++ b/tests/decide_gateway.rs
@@ -228,7 +228,7 @@
     now: Instant,
 ) {
     let loads = IndexMap::from([(engine.clone(), said)]);
-    ledger.hear("peer".parse().unwrap(), incarnation, loads, now);
+    ledger.record_host_loads("peer".parse().unwrap(), incarnation, loads, now);
 }
 
 /// Three hosts send a long prompt each to the same engine, which reads them one after the other for
@@ -241,13 +241,13 @@
     let engine = upstream("e");
     for host in ["one", "two", "three"] {
         let nothing = IndexMap::from([(engine.clone(), HostLoad::default())]);
-        ledger.hear(host.parse().unwrap(), 1, nothing, now);
+        ledger.record_host_loads(host.parse().unwrap(), 1, nothing, now);
         let load = HostLoad {
             read: sent(400, 400),
             ..HostLoad::default()
         };
         let loads = IndexMap::from([(engine.clone(), load)]);
-        ledger.hear(host.parse().unwrap(), 1, loads, now);
+        ledger.record_host_loads(host.parse().unwrap(), 1, loads, now);
     }
     assert_eq!(ledger.load(&engine, now).read_backlog, ms(1_200));
     assert_eq!(ledger.load(&engine, now + ms(400)).read_backlog, ms(800));
@@ -294,7 +294,7 @@
     let now = Instant::now();
     let mut ledger = LoadLedger::default();
     let engine = upstream("e");
-    ledger.start(&engine, &share(true), now);
+    ledger.start_request(&engine, &share(true), now);
     let peer = HostLoad {
         in_flight: 3,
         short_in_flight: 1,
@@ -312,7 +312,7 @@
     assert_eq!(load.strictest_pause, Some(ms(200)));
     assert_eq!(load.held_tokens, Tokens(5_100));
     assert_eq!(ledger.load(&engine, now + ms(60)).read_backlog, ms(65));
-    ledger.end(&engine, &share(true));
+    ledger.end_request(&engine, &share(true));
     let after = ledger.load(&engine, now + ms(200));
     assert_eq!((after.in_flight, after.read_backlog), (3, Duration::ZERO));
 }
@@ -346,8 +346,8 @@
         ..share(false)
     };
     let read_due = |ledger: &LoadLedger, at| ledger.load(&engine, now + ms(at)).read_due;
-    ledger.start(&engine, &due_in(900), now);
-    ledger.start(&engine, &due_in(700), now);
+    ledger.start_request(&engine, &due_in(900), now);
+    ledger.start_request(&engine, &due_in(700), now);
     assert_eq!(read_due(&ledger, 100), Some(ms(600)));
     let peer = HostLoad {
         read_due: Some(ms(400)),
@@ -357,10 +357,10 @@
     assert_eq!(read_due(&ledger, 100), Some(ms(300)), "the news grow old");
     let nothing = HostLoad::default();
     hear(&mut ledger, &engine, 1, nothing, now + ms(100));
-    ledger.read_done(&engine, &mut due_in(700));
+    ledger.finish_reading(&engine, &mut due_in(700));
     assert_eq!(read_due(&ledger, 100), Some(ms(800)));
     assert_eq!(read_due(&ledger, 900), None, "it is late already");
-    ledger.end(&engine, &due_in(900));
+    ledger.end_request(&engine, &due_in(900));
     assert_eq!(read_due(&ledger, 100), None);
 }
 
@@ -379,17 +379,17 @@
         helper_release: Some(until),
         ..share(false)
     };
-    ledger.start(&engine, &share, now);
+    ledger.start_request(&engine, &share, now);
     let peer = HostLoad {
         helping: 2,
         ..HostLoad::default()
     };
     hear(&mut ledger, &engine, 1, peer, now);
     assert_eq!(ledger.load(&engine, now).helping, 3);
-    ledger.read_done(&engine, &mut share);
-    ledger.read_done(&engine, &mut share);
+    ledger.finish_reading(&engine, &mut share);
+    ledger.finish_reading(&engine, &mut share);
     assert_eq!(ledger.load(&engine, now).helping, 2 + after_reading);
-    ledger.end(&engine, &share);
+    ledger.end_request(&engine, &share);
     assert_eq!(ledger.load(&engine, now).helping, 2);
 }
 
--- a/tests/decide_ledger.rs
+++ b/tests/decide_ledger.rs
@@ -149,8 +149,8 @@
         assert_eq!(sum.strictest_pause, pause);
         assert_eq!(sum.read_due, due.min());
         if rng.random_range(0..10) == 0 {
-            ledger.forget_silent(now);
-            ledger.keep(|id| id != &upstream(0), now);
+            ledger.expire_peers(now);
+            ledger.retain_listed(|id| id != &upstream(0), now);
         }
     }
 }
@@ -164,9 +164,9 @@
         in_flight: 2,
         ..HostLoad::default()
     };
-    ledger.hear(host(1), 7, [(upstream(1), load)], now);
+    ledger.record_host_loads(host(1), 7, [(upstream(1), load)], now);
     let collector = LoadSource::Collector(host(1));
     ledger.record_loads(collector, 7, Extent::Whole, [(upstream(1), load)], now);
     assert_eq!(ledger.load(&upstream(1), now).in_flight, 4);
-    assert!(ledger.is_heard(&host(1), now));
+    assert!(ledger.is_host_live(&host(1), now));
 }
--- a/tests/engine_world/host.rs
+++ b/tests/engine_world/host.rs
@@ -47,7 +47,10 @@
     }
 
     pub fn news(&self, now: Instant) -> News {
-        let loads = self.ledger.own(now).map(|(id, load)| (id.clone(), load));
+        let loads = self
+            .ledger
+            .own_loads(now)
+            .map(|(id, load)| (id.clone(), load));
         News {
             host: self.id.clone(),
             domain: self.domain,
@@ -57,7 +60,7 @@
 
     pub fn hear(&mut self, news: &News, now: Instant) {
         self.ledger
-            .hear(news.host.clone(), 1, news.loads.clone(), now);
+            .record_host_loads(news.host.clone(), 1, news.loads.clone(), now);
     }
 
     pub fn choose(
--- a/tests/engine_world/world.rs
+++ b/tests/engine_world/world.rs
@@ -220,7 +220,7 @@
         let now = self.instant();
         let host = self.runs[request].host;
         for (engine, share) in &self.runs[request].shares {
-            self.hosts[host].ledger.start(engine, share, now);
+            self.hosts[host].ledger.start_request(engine, share, now);
         }
         self.changed(host, true);
         self.push(self.now + WAY, Event::Start(request));
@@ -313,7 +313,7 @@
         if run.first_event.is_none() {
             run.first_event = Some(now);
             for (engine, share) in &mut run.shares {
-                self.hosts[run.host].ledger.read_done(engine, share);
+                self.hosts[run.host].ledger.finish_reading(engine, share);
             }
             for engine in std::mem::take(&mut run.helpers_until_read) {
                 self.engines[engine].helping -= 1;
@@ -341,7 +341,7 @@
     fn end_work(&mut self, request: usize) {
         let host = self.runs[request].host;
         for (engine, share) in std::mem::take(&mut self.runs[request].shares) {
-            self.hosts[host].ledger.end(&engine, &share);
+            self.hosts[host].ledger.end_request(&engine, &share);
         }
         let plan = self.runs[request].plan.clone().unwrap();
         for reserve in &plan.reservations {
--- a/tests/gateway_hosts.rs
+++ b/tests/gateway_hosts.rs
@@ -377,7 +377,7 @@
     let now = host.gateway.clock.now();
     host.gateway
         .ledger()
-        .hear("peer".parse().unwrap(), 1, loads, now);
+        .record_host_loads("peer".parse().unwrap(), 1, loads, now);
     let res = answer.await;
     assert_eq!(status(&res), 200);
     let whole: String = (1..=5).map(event).collect();
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -43,7 +43,7 @@
         read_due: None,
     };
     let now = Instant::now();
-    host.gateway.ledger().start(&former, &share, now);
+    host.gateway.ledger().start_request(&former, &share, now);
     let domain = "here".parse().unwrap();
     for _ in 0..4 {
         let fault = UpstreamFault::ConnectRefused;
@@ -58,7 +58,9 @@
     };
     let loads = IndexMap::from([(former.clone(), told)]);
     let other = "other".parse().unwrap();
-    host.gateway.ledger().hear(other, 1, loads, Instant::now());
+    host.gateway
+        .ledger()
+        .record_host_loads(other, 1, loads, Instant::now());
     let load = host.gateway.ledger().load(&id, Instant::now());
     assert_eq!(load.in_flight, 0);
     assert_eq!(load.held_tokens, Tokens::ZERO);
--- a/tests/gateway_versions.rs
+++ b/tests/gateway_versions.rs
@@ -99,7 +99,9 @@
     loop {
         let now = gateway.clock.now();
         let host = "a-former".parse().unwrap();
-        gateway.ledger().hear(host, 1, IndexMap::new(), now);
+        gateway
+            .ledger()
+            .record_host_loads(host, 1, IndexMap::new(), now);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
--- a/tests/news_world/node.rs
+++ b/tests/news_world/node.rs
@@ -132,7 +132,7 @@
             self.ledger
                 .record_loads(source, news.incarnation, extent, loads, now);
         }
-        self.ledger.forget_silent(now);
+        self.ledger.expire_peers(now);
         on
     }
 }
