--- a/src/decide/load_ledger.rs
+++ b/src/decide/load_ledger.rs
@@ -51,7 +51,7 @@
 
 impl LoadLedger {
     /// Takes in that a request was sent to an upstream.
-    pub fn start(&mut self, upstream: &UpstreamId, share: &RequestLoad, now: Instant) {
+    pub fn start_request(&mut self, upstream: &UpstreamId, share: &RequestLoad, now: Instant) {
         let reads = !share.read_time.is_zero();
         let read_until = reads.then(|| self.queue.on_sent(upstream, share.read_time, now));
         let new = || OwnLoad::new(now);
@@ -60,14 +60,14 @@
     }
 
     /// Takes in that its prompt has been read there, and takes out of the share what has ended with it.
-    pub fn read_done(&mut self, upstream: &UpstreamId, share: &mut RequestLoad) {
+    pub fn finish_reading(&mut self, upstream: &UpstreamId, share: &mut RequestLoad) {
         if let Some(own) = self.own.get_mut(upstream) {
             own.read_done(share);
         }
     }
 
     /// Takes in that it has ended there.
-    pub fn end(&mut self, upstream: &UpstreamId, share: &RequestLoad) {
+    pub fn end_request(&mut self, upstream: &UpstreamId, share: &RequestLoad) {
         if let Some(own) = self.own.get_mut(upstream) {
             own.end(share);
         }
@@ -75,7 +75,7 @@
 
     /// Takes in what another host says of all its work, which replaces what it said before.
     /// `incarnation` is drawn at each start of that host.
-    pub fn hear(
+    pub fn record_host_loads(
         &mut self,
         host: HostId,
         incarnation: u64,
@@ -100,7 +100,7 @@
         loads: impl IntoIterator<Item = (UpstreamId, HostLoad)>,
         now: Instant,
     ) {
-        self.forget_silent(now);
+        self.expire_peers(now);
         let silent_at = now + PEER_KEPT_FOR;
         self.next_silent_at = Some(
             self.next_silent_at
@@ -165,7 +165,7 @@
     }
 
     /// Forgets hosts that have fallen silent.
-    pub fn forget_silent(&mut self, now: Instant) {
+    pub fn expire_peers(&mut self, now: Instant) {
         if self.next_silent_at.is_none_or(|at| now < at) {
             return;
         }
@@ -182,7 +182,7 @@
     }
 
     /// Forgets upstreams that are off the list and have no work left.
-    pub fn keep(&mut self, is_listed: impl Fn(&UpstreamId) -> bool, now: Instant) {
+    pub fn retain_listed(&mut self, is_listed: impl Fn(&UpstreamId) -> bool, now: Instant) {
         self.queue.forget_done(now);
         self.refused.retain(|_, (_, until)| *until > now);
         self.own.retain(|id, own| own.is_told(now) || is_listed(id));
@@ -230,18 +230,18 @@
     }
 
     /// This host's own work, to be told to the others.
-    pub fn own(&self, now: Instant) -> impl Iterator<Item = (&UpstreamId, HostLoad)> {
+    pub fn own_loads(&self, now: Instant) -> impl Iterator<Item = (&UpstreamId, HostLoad)> {
         let told = self.own.iter().filter(move |(_, own)| own.is_told(now));
         told.map(move |(id, own)| (id, own.seen_at(now)))
     }
 
     /// Whether another host was heard within the last few of the intervals at which hosts send.
-    pub fn is_heard(&self, host: &HostId, now: Instant) -> bool {
-        self.has_spoken(&LoadSource::Host(host.clone()), now) || self.speaks_for_domain(host, now)
+    pub fn is_host_live(&self, host: &HostId, now: Instant) -> bool {
+        self.has_spoken(&LoadSource::Host(host.clone()), now) || self.is_collector_live(host, now)
     }
 
     /// Whether a host was heard so lately to speak for all hosts of its failure domain.
-    pub fn speaks_for_domain(&self, host: &HostId, now: Instant) -> bool {
+    pub fn is_collector_live(&self, host: &HostId, now: Instant) -> bool {
         self.has_spoken(&LoadSource::Collector(host.clone()), now)
     }
 
