--- a/src/decide/request_load.rs
+++ b/src/decide/request_load.rs
@@ -9,9 +9,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HelperRelease {
     /// Until the whole prompt is read.
-    Read,
+    PromptRead,
     /// Until the answer has ended: it keeps a part of the prompt.
-    Ended,
+    AnswerEnded,
 }
 
 /// What one request adds to one upstream.
