--- a/examples/engine_loads/main.rs
+++ b/examples/engine_loads/main.rs
@@ -19,10 +19,10 @@
 use engine_world::Load;
 use engine_world::MEDIUM;
 use engine_world::Phase;
+use engine_world::RunResults;
 use engine_world::SHORT;
 use engine_world::Site;
 use engine_world::SlowStretch;
-use engine_world::Tally;
 use engine_world::World;
 use pico_args::Arguments;
 
@@ -32,12 +32,12 @@
 /// What a caller loses who comes back and is not served, as a part of the worth of its answer.
 const REFUSED_AGAIN_COST: f64 = 0.3;
 
-fn play(site: &Site, long: f64, seed: u64) -> Tally {
+fn play(site: &Site, long: f64, seed: u64) -> RunResults {
     let load = Load::draw(site, &Phase::by_turns(9.5, long), seed);
     World::play(site.clone(), load, seed)
 }
 
-fn play_all(site: &Site, long: f64, seeds: u64) -> Vec<Tally> {
+fn play_all(site: &Site, long: f64, seeds: u64) -> Vec<RunResults> {
     std::thread::scope(|scope| {
         let plays = (1..=seeds).map(|seed| scope.spawn(move || play(site, long, seed)));
         let plays: Vec<_> = plays.collect();
@@ -48,15 +48,16 @@
     })
 }
 
-fn print_means(name: &str, long: f64, tallies: &[Tally]) {
-    let mean =
-        |of: &dyn Fn(&Tally) -> f64| tallies.iter().map(of).sum::<f64>() / tallies.len() as f64;
+fn print_means(name: &str, long: f64, tallies: &[RunResults]) {
+    let mean = |of: &dyn Fn(&RunResults) -> f64| {
+        tallies.iter().map(of).sum::<f64>() / tallies.len() as f64
+    };
     println!(
         "{name} x{long}: earned {:.3} less refused again {:.3} | short {:.3} medium {:.3} long {:.3} \
          (largest tenth {:.2} fifth {:.2} rest {:.2} late {:.2}) largest tenth served {:.2} of all {:.2} \
          turned away {:.0} forecast error \
          medium {:.0} {:.0} long {:.0} {:.0} ms (median, 90th percentile)",
-        mean(&Tally::earned_all),
+        mean(&RunResults::earned_all),
         mean(&|tally| tally.earned_all() - REFUSED_AGAIN_COST * tally.refused_again()),
         mean(&|tally| tally.earned(SHORT)),
         mean(&|tally| tally.earned(MEDIUM)),
--- a/tests/decide_engine_load.rs
+++ b/tests/decide_engine_load.rs
@@ -10,17 +10,17 @@
 use engine_world::Load;
 use engine_world::MEDIUM;
 use engine_world::Phase;
+use engine_world::RunResults;
 use engine_world::SHORT;
 use engine_world::Site;
 use engine_world::SlowStretch;
-use engine_world::Tally;
 use engine_world::World;
 use yare::parameterized;
 
 /// Times the usual rate of archives in their stretches.
 const ARCHIVES: f64 = 2.7;
 
-fn play(site: &Site, phases: &[Phase], seed: u64) -> Tally {
+fn play(site: &Site, phases: &[Phase], seed: u64) -> RunResults {
     let load = Load::draw(site, phases, seed);
     let tally = World::play(site.clone(), load, seed);
     println!("{tally}");
--- a/tests/engine_world/mod.rs
+++ b/tests/engine_world/mod.rs
@@ -19,5 +19,5 @@
 pub use load::Site;
 pub use load::SlowStretch;
 pub use tally::Ended;
-pub use tally::Tally;
+pub use tally::RunResults;
 pub use world::World;
--- a/tests/engine_world/tally.rs
+++ b/tests/engine_world/tally.rs
@@ -30,12 +30,12 @@
 
 /// All of a run.
 #[derive(Clone, Debug)]
-pub struct Tally {
+pub struct RunResults {
     pub outcomes: Vec<Outcome>,
     pub classes: Vec<Class>,
 }
 
-impl Tally {
+impl RunResults {
     /// What was earned of what could be, by class.
     pub fn earned(&self, class: usize) -> f64 {
         earned(self.outcomes.iter().filter(|o| o.class == class))
@@ -117,7 +117,7 @@
     got.sum::<f64>() / owed.max(1e-9)
 }
 
-impl fmt::Display for Tally {
+impl fmt::Display for RunResults {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "earned {:.3}", self.earned_all())?;
         for (index, class) in self.classes.iter().enumerate() {
--- a/tests/engine_world/world.rs
+++ b/tests/engine_world/world.rs
@@ -21,7 +21,7 @@
 use super::load::Site;
 use super::tally::Ended;
 use super::tally::Outcome;
-use super::tally::Tally;
+use super::tally::RunResults;
 
 /// One way from a host to an engine or another host, connecting included.
 const WAY: Duration = Duration::from_millis(2);
@@ -83,7 +83,7 @@
 
 impl World {
     /// Plays a load to its end.
-    pub fn play(site: Site, load: Load, seed: u64) -> Tally {
+    pub fn play(site: Site, load: Load, seed: u64) -> RunResults {
         let mut world = Self::new(site, load, seed);
         for index in 0..world.load.requests.len() {
             let arrives = world.load.requests[index].arrives;
@@ -440,7 +440,7 @@
         id.as_str()[1..].parse().unwrap()
     }
 
-    fn tally(self) -> Tally {
+    fn tally(self) -> RunResults {
         let runs = self.runs.iter().zip(&self.load.requests);
         let outcomes = runs.map(|(run, asked)| Outcome {
             class: asked.class,
@@ -452,7 +452,7 @@
             first_event: run.first_event.map(|at| at.saturating_sub(run.sent_at)),
             forecast: run.plan.as_ref().map_or(Duration::ZERO, |p| p.forecast),
         });
-        Tally {
+        RunResults {
             outcomes: outcomes.collect(),
             classes: self.site.classes.to_vec(),
         }
