--- a/examples/engine_loads/main.rs
+++ b/examples/engine_loads/main.rs
@@ -22,7 +22,7 @@
 use engine_world::RunResults;
 use engine_world::SHORT;
 use engine_world::Site;
-use engine_world::SlowStretch;
+use engine_world::SlowPeriod;
 use engine_world::World;
 use pico_args::Arguments;
 
@@ -33,8 +33,8 @@
 const REFUSED_AGAIN_COST: f64 = 0.3;
 
 fn play(site: &Site, long: f64, seed: u64) -> RunResults {
-    let load = Load::draw(site, &Phase::by_turns(9.5, long), seed);
-    World::play(site.clone(), load, seed)
+    let load = Load::draw(site, &Phase::alternating(9.5, long), seed);
+    World::run(site.clone(), load, seed)
 }
 
 fn play_all(site: &Site, long: f64, seeds: u64) -> Vec<RunResults> {
@@ -76,9 +76,9 @@
     );
 }
 
-fn slow_stretch(is_known: bool) -> SlowStretch {
+fn slow_period(is_known: bool) -> SlowPeriod {
     let known_after = if is_known { 0.8 } else { 1e6 };
-    SlowStretch {
+    SlowPeriod {
         from: Duration::from_secs(3),
         until: Duration::from_secs(12),
         one_in: 5,
@@ -92,7 +92,7 @@
     let seeds = args.opt_value_from_str("--seeds")?.unwrap_or(SEEDS_DEFAULT);
     let only: Option<String> = args.opt_value_from_str("--site")?;
     let slow: Option<String> = args.opt_value_from_str("--slow")?;
-    let slow = slow.map(|slow| slow_stretch(slow == "known"));
+    let slow = slow.map(|slow| slow_period(slow == "known"));
     let long: Option<f64> = args.opt_value_from_str("--long")?;
     let engines: Option<usize> = args.opt_value_from_str("--engines")?;
     let rates = long.map_or_else(|| LONG_RATES.to_vec(), |long| vec![long]);
@@ -101,7 +101,7 @@
         ("small", Site::small()),
         ("large", Site::large()),
         ("shifted", Site::shifted()),
-        ("domains", Site::in_domains()),
+        ("domains", Site::three_domains()),
         ("largest", Site::largest()),
     ];
     for (name, mut site) in sites {
--- a/tests/decide_engine_load.rs
+++ b/tests/decide_engine_load.rs
@@ -13,7 +13,7 @@
 use engine_world::RunResults;
 use engine_world::SHORT;
 use engine_world::Site;
-use engine_world::SlowStretch;
+use engine_world::SlowPeriod;
 use engine_world::World;
 use yare::parameterized;
 
@@ -22,7 +22,7 @@
 
 fn play(site: &Site, phases: &[Phase], seed: u64) -> RunResults {
     let load = Load::draw(site, phases, seed);
-    let tally = World::play(site.clone(), load, seed);
+    let tally = World::run(site.clone(), load, seed);
     println!("{tally}");
     tally
 }
@@ -32,7 +32,7 @@
 /// prompts send them to the same engines, and forecasts fall short by seconds.
 #[test]
 fn archives_and_clauses_by_turns_are_served_on_a_small_site() {
-    let tally = play(&Site::small(), &Phase::by_turns(9.0, ARCHIVES), 1);
+    let tally = play(&Site::small(), &Phase::alternating(9.0, ARCHIVES), 1);
     assert!(tally.earned_all() > 0.88, "{tally}");
     assert!(tally.earned(SHORT) > 0.92, "{tally}");
     assert!(tally.earned(MEDIUM) > 0.95, "{tally}");
@@ -41,7 +41,7 @@
 
 #[test]
 fn archives_and_clauses_by_turns_are_served_on_a_large_site() {
-    let tally = play(&Site::large(), &Phase::by_turns(5.0, ARCHIVES), 1);
+    let tally = play(&Site::large(), &Phase::alternating(5.0, ARCHIVES), 1);
     assert!(tally.earned_all() > 0.90, "{tally}");
     assert!(tally.earned(LONG) > 0.88, "{tally}");
     assert!(tally.error_ms(LONG, 0.5) < 400.0, "{tally}");
@@ -51,7 +51,11 @@
 /// of each other 50 ms late, and all choose the same engines.
 #[test]
 fn archives_and_clauses_by_turns_are_served_where_domains_hear_of_each_other_late() {
-    let tally = play(&Site::in_domains(), &Phase::by_turns(4.0, ARCHIVES), 1);
+    let tally = play(
+        &Site::three_domains(),
+        &Phase::alternating(4.0, ARCHIVES),
+        1,
+    );
     assert!(tally.earned_all() > 0.90, "{tally}");
     assert!(tally.earned(SHORT) > 0.92, "{tally}");
     assert!(tally.earned(LONG) > 0.88, "{tally}");
@@ -64,7 +68,7 @@
 fn archives_that_come_after_clauses_are_served_as_well() {
     let mut sums = (0.0, 0.0, 0.0);
     for seed in 1..=6 {
-        let tally = play(&Site::middle(), &Phase::by_turns(9.5, ARCHIVES), seed);
+        let tally = play(&Site::middle(), &Phase::alternating(9.5, ARCHIVES), seed);
         let (largest_tenth, _, _) = tally.served_by_size(LONG);
         sums.0 += tally.earned_all() / 6.0;
         sums.1 += tally.earned(LONG) / 6.0;
@@ -99,7 +103,7 @@
     shifted = { Site::shifted() },
 )]
 fn the_longest_are_served_while_long_and_short_prompts_take_turns(site: Site) {
-    let tally = play(&site, &Phase::by_turns(9.5, 2.9), 1);
+    let tally = play(&site, &Phase::alternating(9.5, 2.9), 1);
     let (largest_tenth, _, all) = tally.served_by_size(LONG);
     assert!(all > 0.95, "{tally}");
     assert!(largest_tenth > 0.85, "{tally}");
@@ -142,7 +146,7 @@
 
 fn with_slow_engines(known_after: Duration) -> Site {
     let mut site = Site::shifted();
-    site.slow = Some(SlowStretch {
+    site.slow = Some(SlowPeriod {
         from: Duration::from_secs(1),
         until: Duration::from_secs(7),
         one_in: 5,
--- a/tests/engine_world/load.rs
+++ b/tests/engine_world/load.rs
@@ -40,7 +40,7 @@
 
 impl Phase {
     /// Long prompts for some seconds, `long` times their rate, short ones for as long, and long ones again.
-    pub fn by_turns(for_s: f64, long: f64) -> Vec<Self> {
+    pub fn alternating(for_s: f64, long: f64) -> Vec<Self> {
         let phase = |factors| Self { for_s, factors };
         vec![
             phase([0.35, 1.3, long]),
@@ -52,7 +52,7 @@
 
 /// A stretch in which some engines work slower.
 #[derive(Clone, Copy, Debug)]
-pub struct SlowStretch {
+pub struct SlowPeriod {
     pub from: Duration,
     pub until: Duration,
     /// One engine in so many.
@@ -81,7 +81,7 @@
     pub urgent_interval: Duration,
     /// Such messages that may follow each other before they have to be as rare as the others.
     pub urgent_burst: u32,
-    pub slow: Option<SlowStretch>,
+    pub slow: Option<SlowPeriod>,
 }
 
 /// One request of a load.
@@ -217,7 +217,7 @@
     }
 
     /// Sixty-nine hosts in three failure domains before sixty engines.
-    pub fn in_domains() -> Self {
+    pub fn three_domains() -> Self {
         let mut site = Self::largest();
         site.hosts = 69;
         site.engines = 60;
--- a/tests/engine_world/mod.rs
+++ b/tests/engine_world/mod.rs
@@ -17,7 +17,7 @@
 pub use load::Phase;
 pub use load::SHORT;
 pub use load::Site;
-pub use load::SlowStretch;
+pub use load::SlowPeriod;
 pub use tally::Ended;
 pub use tally::RunResults;
 pub use world::World;
--- a/tests/engine_world/world.rs
+++ b/tests/engine_world/world.rs
@@ -83,7 +83,7 @@
 
 impl World {
     /// Plays a load to its end.
-    pub fn play(site: Site, load: Load, seed: u64) -> RunResults {
+    pub fn run(site: Site, load: Load, seed: u64) -> RunResults {
         let mut world = Self::new(site, load, seed);
         for index in 0..world.load.requests.len() {
             let arrives = world.load.requests[index].arrives;
