--- a/src/decide/engines/boundary.rs
+++ b/src/decide/engines/boundary.rs
@@ -1,29 +1,31 @@
-//! The border between engines for short prompts and engines for long ones.
+//! The boundary between the engines for short prompts and those for long ones.
 
 use crate::decide::EngineModel;
 use crate::decide::engines::EngineView;
 
-/// Short answers on an engine before the next engine is opened to short prompts, as a part of its
-/// slots. What is left takes up a burst until the border has moved.
-const SHORT_FILL_PART: f64 = 0.7;
-/// Engines kept for long prompts, as a part of all.
-const LONG_PART_MIN: f64 = 0.1;
+/// Fraction of an engine's slots that short prompts fill before the next engine is opened to them.
+/// The remaining slots absorb a burst until the boundary has moved.
+const SHORT_FILL_FRACTION: f64 = 0.7;
+/// Fraction of all engines that is always kept for long prompts.
+const LONG_ENGINES_FRACTION_MIN: f64 = 0.1;
 
-/// How many engines, from the front, are for short prompts now. It follows the number of answers to
-/// short prompts that are being written, so it moves within the time of one answer, both ways.
+/// The number of engines, counted from the front, that are for short prompts now.
+///
+/// The number follows the short prompts in flight, so within the time of one answer it adapts to
+/// rising as well as falling load.
 pub fn short_engine_count(model: &EngineModel, engines: &[EngineView]) -> usize {
     let count = engines.len();
     if count < 2 {
         return count;
     }
     let short: u32 = engines.iter().map(|e| e.load.short_in_flight).sum();
-    let fill = (f64::from(model.slots) * SHORT_FILL_PART).max(1.0);
+    let fill = (f64::from(model.slots) * SHORT_FILL_FRACTION).max(1.0);
     let wanted = ceil(f64::from(short + 1) / fill) + 1;
-    let kept_for_long = ceil(count as f64 * LONG_PART_MIN).max(1);
+    let kept_for_long = ceil(count as f64 * LONG_ENGINES_FRACTION_MIN).max(1);
     wanted.clamp(1, count.saturating_sub(kept_for_long).max(1))
 }
 
-/// Rounds up; only for small positive numbers.
+/// Rounds up and limits the result to the range of 0 to 1,000,000.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 pub(super) fn ceil(number: f64) -> usize {
     number.ceil().clamp(0.0, 1e6) as usize
--- a/src/decide/engines/engine_counts.rs
+++ b/src/decide/engines/engine_counts.rs
@@ -1,4 +1,4 @@
-//! What a choice of engines is made from, as counts for logs.
+//! Counts of the engines that a choice is made from, for logs.
 
 use std::time::Duration;
 
@@ -7,66 +7,66 @@
 use crate::decide::engines::EngineView;
 use crate::decide::engines::boundary::short_engine_count;
 use crate::decide::engines::long::best_group;
-use crate::decide::engines::memory_reservation::share_kept;
-use crate::decide::engines::parts::smallest_part;
+use crate::decide::engines::memory_reservation::reservation_share;
+use crate::decide::engines::parts::smallest_part_time;
 
-/// The engines that a choice is made among, counted by what each could do for one request.
+/// Numbers of engines, counted by what each could do for one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineCounts {
-    /// All of them.
+    /// All engines.
     pub engines: usize,
-    /// Those before the border between short and long prompts.
+    /// Engines before the boundary between short and long prompts.
     pub short_side: usize,
-    /// Those with a place for one more answer.
+    /// Engines with a free slot for one more answer.
     pub with_place: usize,
-    /// Those that may be named as a helper of one more prompt.
+    /// Engines that may be named as a helper of one more prompt.
     pub can_help: usize,
-    /// Those with memory for one share of the prompt and its answer.
+    /// Engines with enough memory for one share of the prompt and its answer.
     pub with_memory: usize,
-    /// Those that can read a smallest part without stretching the pauses of an answer too far.
+    /// Engines that can read the smallest part without lengthening the pauses of an answer too far.
     pub with_room: usize,
-    /// Those with room that have nothing left to read.
+    /// Engines counted in `with_room` that have no backlog.
     pub idle: usize,
-    /// The best group that can be formed now; none if no group has the places and the memory.
+    /// The best group that can be formed now; none if no group has the slots and the memory.
     pub best: Option<BestGroup>,
 }
 
-/// The group of engines that a choice would take.
+/// Summary of the group of engines that a choice would use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BestGroup {
-    /// How many engines read a part.
+    /// Number of engines that read a part.
     pub engines: usize,
-    /// When the first event is expected, from now.
+    /// Expected time until the first event.
     pub forecast: Duration,
     /// Engine time of one part.
     pub part_time: Duration,
-    /// What is left to read at the busiest of them.
+    /// The longest read backlog among the engines.
     pub backlog: Duration,
-    /// Answers whose pauses would be stretched too far.
+    /// Number of answers whose pauses would become too long.
     pub stretched: u32,
-    /// Whether another prompt that is being read would come late by it.
+    /// Whether the group would make another prompt late that is already being read.
     pub makes_late: bool,
 }
 
 impl EngineCounts {
-    /// Counts the engines.
-    pub fn of(model: &EngineModel, engines: &[EngineView], ask: &EngineRequest) -> Self {
-        let border = short_engine_count(model, engines);
-        let part_time = smallest_part(model, ask);
-        let share = share_kept(ask);
-        let has_room = |engine: &EngineView| engine.has_room(model, part_time);
-        let is_idle = |engine: &EngineView| has_room(engine) && engine.backlog().is_zero();
+    /// Counts `engines` by what each could do for `request`.
+    pub fn of(model: &EngineModel, engines: &[EngineView], request: &EngineRequest) -> Self {
+        let short_engines = short_engine_count(model, engines);
+        let part_time = smallest_part_time(model, request);
+        let share = reservation_share(request);
+        let fits_part = |engine: &EngineView| engine.fits_part(model, part_time);
+        let is_idle = |engine: &EngineView| fits_part(engine) && engine.backlog().is_zero();
         let count = |is_counted: &dyn Fn(&EngineView) -> bool| {
             engines.iter().filter(|engine| is_counted(engine)).count()
         };
-        let best = best_group(model, engines, border, ask);
+        let best = best_group(model, engines, short_engines, request);
         Self {
             engines: engines.len(),
-            short_side: border,
-            with_place: count(&|engine| engine.has_place(model)),
+            short_side: short_engines,
+            with_place: count(&|engine| engine.has_free_slot(model)),
             can_help: count(&|engine| engine.can_help(model)),
             with_memory: count(&|engine| engine.free_tokens(model) >= share),
-            with_room: count(&has_room),
+            with_room: count(&fits_part),
             idle: count(&is_idle),
             best: best.map(|group| group.summary()),
         }
--- a/src/decide/engines/engine_request.rs
+++ b/src/decide/engines/engine_request.rs
@@ -1,101 +1,113 @@
-//! A request that wants engines.
+//! A request that needs engines, with what the choice depends on.
 
 use std::time::Duration;
 
 use crate::decide::EngineModel;
-use crate::decide::engines::view::PAUSE_PART;
+use crate::decide::engines::view::PLANNED_PAUSE_FRACTION;
 use crate::units::Tokens;
 
-/// A prompt that one engine reads in less than this is short where no caller says what pause it accepts.
+/// Longest reading time of a short prompt where no caller states which pause it accepts.
 const SHORT_READ_TIME_DEFAULT: Duration = Duration::from_millis(120);
-/// The least that is taken for it. Where a full engine's pass alone is longer than a caller's pause no prompt
-/// would be short, and all of them would wait for engines as long ones do.
+/// Lower bound of the longest reading time of a short prompt. Where a pass of a full engine is
+/// longer than the accepted pause, no prompt would be short without it, and all of them would wait
+/// for engines like long ones.
 const SHORT_READ_TIME_MIN: Duration = Duration::from_millis(60);
-/// A prompt that takes more than this part of an engine's memory is long: its answer is written
-/// among those that read long prompts, since few of them fit beside short ones.
-const LONG_MEMORY_PART: f64 = 0.25;
+/// Fraction of an engine's memory beyond which a prompt is long. Few such prompts fit beside short
+/// ones, so their answers are written on the engines for long prompts.
+const LONG_MEMORY_FRACTION: f64 = 0.25;
 
-/// How a prompt's length matters to where it goes.
+/// The class of a prompt, which determines the engines that read and answer it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PromptClass {
-    /// Read by one or two engines among short ones.
+    /// Read by one or two engines for short prompts, and answered there.
     Short,
-    /// Read by several engines, answered among short ones.
+    /// Read by several engines, and answered by an engine for short prompts.
     Medium,
-    /// Read and answered among long ones.
+    /// Read and answered by the engines for long prompts.
     Long,
 }
 
-/// A request that wants engines.
+/// A request that needs engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineRequest {
-    /// The prompt.
+    /// Length of the prompt.
     pub prompt: Tokens,
-    /// The longest answer.
+    /// Length of the longest answer.
     pub output: Tokens,
-    /// Whether hosts that hear of each other late choose among these engines.
+    /// Whether the choice is among the engines of all failure domains, so that the hosts that
+    /// choose know of each other's work late.
     pub spans_domains: bool,
-    /// What is left of the time in which the first event is on time.
+    /// Remaining time in which the first event is on time.
     pub objective_left: Duration,
-    /// How long its caller still stays without a first event.
+    /// How much longer the caller waits for a first event.
     pub patience_left: Duration,
-    /// What is left of the time in which the whole answer has to be there.
+    /// Remaining time until the deadline of the whole answer.
     pub time_left: Duration,
-    /// The shortest pause between two events that any caller of the service accepts; none if none says.
+    /// The shortest pause between two events that any caller of the service accepts; none if no
+    /// caller states one.
     pub strictest_pause: Option<Duration>,
-    /// How old the news may be of what other hosts of this host's failure domain have sent.
+    /// Greatest age of what this host knows of the work of other hosts in its failure domain.
     pub near_load_age: Duration,
-    /// The same of hosts of other domains.
+    /// Greatest age of what this host knows of the work of hosts in other domains.
     pub far_load_age: Duration,
-    /// Drawn for this choice, even over all `u32`. Engines that are about equally good are told
-    /// apart by it: hosts know of each other's work a little late, and if all of them took the very
-    /// best engine, that one would get what all have.
+    /// Random number of this choice, uniform over all `u32`, that decides between engines that are
+    /// about equally good. Hosts know of each other's work with a delay; if all of them chose the
+    /// very best engine, that engine would get the work of all hosts.
     pub shuffle_seed: u32,
 }
 
 impl EngineRequest {
-    /// The class of the prompt on engines of this model.
+    /// The class of the prompt on engines of `model`.
     pub fn class(&self, model: &EngineModel) -> PromptClass {
         if model.read_time(self.prompt) <= self.short_read_time(model) {
             PromptClass::Short
-        } else if self.prompt.as_f64() <= model.memory_tokens.as_f64() * LONG_MEMORY_PART {
+        } else if self.prompt.as_f64() <= model.memory_tokens.as_f64() * LONG_MEMORY_FRACTION {
             PromptClass::Medium
         } else {
             PromptClass::Long
         }
     }
 
-    /// The longest reading of a short prompt: read beside a full engine's answers, it leaves the strictest
-    /// of their pauses within what its caller accepts.
+    /// The longest reading time of a short prompt. A prompt that takes this long can be read on a
+    /// full engine without exceeding the shortest accepted pause.
     fn short_read_time(&self, model: &EngineModel) -> Duration {
         let full_pass = model.pass_time(model.slots, Tokens::ZERO);
         self.strictest_pause
             .map_or(SHORT_READ_TIME_DEFAULT, |pause| {
-                let left = pause.mul_f64(PAUSE_PART).saturating_sub(full_pass);
+                let left = pause
+                    .mul_f64(PLANNED_PAUSE_FRACTION)
+                    .saturating_sub(full_pass);
                 left.max(SHORT_READ_TIME_MIN)
             })
     }
 
-    /// A number that orders engines of the same rank, different for each choice.
-    pub(super) fn shuffle(&self, engine: usize) -> u32 {
+    /// Sort key of the engine at index `engine` among equally good ones; it differs for each
+    /// choice.
+    pub(super) fn shuffle_key(&self, engine: usize) -> u32 {
         let index = u32::try_from(engine).unwrap_or(u32::MAX);
-        // Multiplication by an odd number permutes all u32, so equal ranks fall apart evenly.
+        // Multiplication by an odd number permutes all u32, so the resulting order is uniform.
         (index ^ self.shuffle_seed).wrapping_mul(0x9E37_79B1)
     }
 
-    /// How many short prompts other hosts may have sent that this one has not heard of, where this many
-    /// short answers are being written: as many begin in a time as end in it.
-    pub(super) fn unseen(&self, model: &EngineModel, short_in_flight: u32) -> f64 {
+    /// Expected number of short prompts that other hosts have sent and not yet reported.
+    ///
+    /// `short_in_flight` short prompts are in flight; in a steady state as many start in a period
+    /// as end in it.
+    pub(super) fn unreported_short_prompts(
+        &self,
+        model: &EngineModel,
+        short_in_flight: u32,
+    ) -> f64 {
         let write_time = model.write_time(self.output, model.slots, Tokens::ZERO) / 2;
-        let lives = write_time
+        let answer_time = write_time
             .max(self.near_load_age)
             .as_secs_f64()
             .max(f64::EPSILON);
-        f64::from(short_in_flight) * self.near_load_age.as_secs_f64() / lives
+        f64::from(short_in_flight) * self.near_load_age.as_secs_f64() / answer_time
     }
 
-    /// The memory that it takes from its first to its last token.
-    pub fn needed(&self) -> Tokens {
+    /// Memory for the prompt and the longest answer.
+    pub fn memory_needed(&self) -> Tokens {
         self.prompt + self.output
     }
 }
--- a/src/decide/engines/leader.rs
+++ b/src/decide/engines/leader.rs
@@ -1,4 +1,4 @@
-//! The engine that writes the answer to a prompt that several read.
+//! Choice of the leader: the engine that writes the answer to a prompt that several engines read.
 
 use std::time::Duration;
 
@@ -6,48 +6,52 @@
 use crate::decide::engines::EngineRequest;
 use crate::decide::engines::EngineView;
 use crate::decide::engines::PromptClass;
-use crate::decide::engines::memory_reservation::share_kept;
-use crate::decide::engines::parts::is_free;
+use crate::decide::engines::memory_reservation::reservation_share;
+use crate::decide::engines::parts::accepts_part;
 
-/// The engine that writes the answer: of those with a place and the memory for its share, the first
-/// that can read its part without stretching pauses; so answers to long prompts gather on few
-/// engines. Where none has the memory, the one with the most.
-pub(super) fn leader<'a>(
+/// Chooses the leader among `engines`; none if no engine has a free slot.
+///
+/// For a long prompt the leader is the first engine that has a slot and the memory for its share
+/// and accepts its part, so that the answers to long prompts gather on few engines. If no engine
+/// has the memory, the leader is the engine with the least memory in use. For other prompts the
+/// leader is the engine with the shortest backlog.
+pub(super) fn choose_leader<'a>(
     model: &EngineModel,
     engines: &'a [EngineView],
     part_time: Duration,
-    ask: &EngineRequest,
+    request: &EngineRequest,
 ) -> Option<&'a EngineView> {
-    let placed = || engines.iter().filter(|engine| engine.has_place(model));
-    let is_gentle = |engine: &&EngineView| engine.has_room(model, part_time);
-    if ask.class(model) == PromptClass::Long {
-        let share = share_kept(ask);
-        let fitting = || placed().filter(|engine| engine.free_tokens(model) >= share);
-        let is_free = |engine: &&EngineView| is_free(model, engine, part_time, ask);
-        let first = if ask.spans_domains {
-            drawn(fitting().filter(is_free), ask)
+    let with_slot = || engines.iter().filter(|engine| engine.has_free_slot(model));
+    let fits = |engine: &&EngineView| engine.fits_part(model, part_time);
+    if request.class(model) == PromptClass::Long {
+        let share = reservation_share(request);
+        let with_memory = || with_slot().filter(|engine| engine.free_tokens(model) >= share);
+        let accepts_part = |engine: &&EngineView| accepts_part(model, engine, part_time, request);
+        let first = if request.spans_domains {
+            first_shuffled(with_memory().filter(accepts_part), request)
         } else {
-            fitting().find(is_free)
+            with_memory().find(accepts_part)
         };
         return first
-            .or_else(|| fitting().find(is_gentle))
-            .or_else(|| fitting().min_by_key(|engine| engine.backlog()))
-            .or_else(|| placed().min_by_key(|engine| engine.load.held_tokens));
+            .or_else(|| with_memory().find(fits))
+            .or_else(|| with_memory().min_by_key(|engine| engine.backlog()))
+            .or_else(|| with_slot().min_by_key(|engine| engine.load.held_tokens));
     }
-    let fitting = || placed().filter(|engine| engine.free_tokens(model) >= ask.needed());
-    fitting()
-        .filter(is_gentle)
+    let with_memory =
+        || with_slot().filter(|engine| engine.free_tokens(model) >= request.memory_needed());
+    with_memory()
+        .filter(fits)
         .min_by_key(|engine| (engine.backlog(), engine.load.in_flight))
-        .or_else(|| fitting().min_by_key(|engine| engine.backlog()))
+        .or_else(|| with_memory().min_by_key(|engine| engine.backlog()))
 }
 
-/// One of several engines. Hosts that hear of each other late and all take the first one reserve its
-/// memory over and over, and all but one are refused.
-fn drawn<'a>(
+/// One of `engines` at random. If hosts that learn of each other's work late all took the first
+/// engine, they would reserve the same memory, and all but one would be refused.
+fn first_shuffled<'a>(
     engines: impl Iterator<Item = &'a EngineView>,
-    ask: &EngineRequest,
+    request: &EngineRequest,
 ) -> Option<&'a EngineView> {
     let drawn = engines.enumerate();
-    let drawn = drawn.min_by_key(|(index, _)| ask.shuffle(*index));
+    let drawn = drawn.min_by_key(|(index, _)| request.shuffle_key(*index));
     drawn.map(|(_, engine)| engine)
 }
--- a/src/decide/engines/locality.rs
+++ b/src/decide/engines/locality.rs
@@ -1,9 +1,9 @@
-//! Whether a request goes to engines of its host's own failure domain or to any.
+//! Choice between the engines of the host's own failure domain (near engines) and all engines.
 //!
-//! Load it answers: 195 hosts that choose among the same 195 engines by news from other domains that
-//! are 40 ms old all fill the same ones, and half of the short answers come late. News of neighbours
-//! are a few ms old, so hosts choose among the engines of their own domain, and take another one where
-//! that is clearly better.
+//! Load reports from other domains are about 40 ms old. With 195 hosts that all chose among the
+//! same 195 engines, they filled the same ones, and half of the short answers were late. Reports
+//! from the own domain are a few ms old, so hosts prefer near engines and take a far one only where
+//! it is clearly better.
 
 use std::time::Duration;
 
@@ -16,42 +16,47 @@
 use crate::decide::engines::choose_among;
 use crate::decide::engines::parts::needs_idle_engines;
 
-/// Engines of a domain that are enough to choose among: a long prompt is read by up to sixteen.
-const NEAR_MIN: usize = 12;
-/// A far engine is taken if the first event comes sooner there by more than this: as long as reading
-/// three short prompts takes, which hosts of other domains may have sent there unseen.
-const FAR_GAIN: Duration = Duration::from_millis(60);
+/// The fewest near engines to choose among. A long prompt is read by up to sixteen engines.
+const NEAR_ENGINES_MIN: usize = 12;
+/// How much sooner the first event must be on a far engine for the host to choose it: the time to
+/// read three short prompts, which hosts of other domains may have sent there in the meantime.
+const FAR_GAIN_MIN: Duration = Duration::from_millis(60);
 
-/// A prompt that waits for near engines goes to others at one choice in so many. Where all that wait go
-/// to the same far engines at once, one in three came late of a load that turns between long and short
-/// prompts; where none does, a domain with half of all callers leaves a quarter of them late.
-const FAR_TRIES: u32 = 12;
+/// A prompt that waits for near engines tries all engines at one choice in this many.
+///
+/// If every waiting prompt goes to the same far engines at once, one in three is late under a load
+/// that alternates between long and short prompts. If none does, a quarter of the callers are late
+/// in a domain that half of all callers use.
+const FAR_CHOICE_INTERVAL: u32 = 12;
 
-/// Chooses among near engines and among all of them, and takes the better one.
+/// Chooses among the near engines and, where useful, among all engines, and returns the better
+/// choice.
 pub(super) fn choose(
     model: &EngineModel,
     engines: &[EngineView],
-    ask: &EngineRequest,
+    request: &EngineRequest,
 ) -> EngineChoice {
-    let far_ask = far(ask);
-    if !far_ask.spans_domains {
-        return choose_among(model, engines, &far_ask);
+    let far_request = spanning_domains(request);
+    if !far_request.spans_domains {
+        return choose_among(model, engines, &far_request);
     }
     let near = near_engines(engines);
-    if near.len() < NEAR_MIN || near.len() == engines.len() {
-        return choose_among(model, engines, &far_ask);
+    if near.len() < NEAR_ENGINES_MIN || near.len() == engines.len() {
+        return choose_among(model, engines, &far_request);
     }
-    let near = choose_among(model, &near, ask);
-    // The longest prompts are few, and a domain seldom has as many idle engines as one needs: waiting
-    // for these, two thirds of the longest tenth were turned away at their deadline. While they can
-    // still be on time they wait: sent anywhere at once, they take the engines of other long prompts.
-    let looks_far = needs_idle_engines(model, ask) || ask.shuffle_seed.is_multiple_of(FAR_TRIES);
-    if matches!(near, EngineChoice::Wait(_)) && !looks_far {
+    let near = choose_among(model, &near, request);
+    // A domain seldom has as many idle engines as one of the longest prompts needs. When late ones
+    // waited for near engines, two thirds of the longest tenth were refused at their deadline.
+    // Those that can still be on time do wait: sent anywhere at once, they would take the engines
+    // of other long prompts.
+    let tries_all_engines = needs_idle_engines(model, request)
+        || request.shuffle_seed.is_multiple_of(FAR_CHOICE_INTERVAL);
+    if matches!(near, EngineChoice::Wait(_)) && !tries_all_engines {
         return near;
     }
-    match (near, choose_among(model, engines, &far_ask)) {
+    match (near, choose_among(model, engines, &far_request)) {
         (EngineChoice::Send(near), EngineChoice::Send(any)) => {
-            EngineChoice::Send(better(model, engines, near, any))
+            EngineChoice::Send(better_plan(model, engines, near, any))
         }
         (EngineChoice::Send(plan), _) | (_, EngineChoice::Send(plan)) => EngineChoice::Send(plan),
         (EngineChoice::Wait(one), EngineChoice::Wait(other)) => EngineChoice::Wait(one.min(other)),
@@ -60,41 +65,44 @@
     }
 }
 
-/// Counts the engines of the host's own failure domain, and all of them.
+/// Counts the near engines, and all engines.
 pub(super) fn survey(
     model: &EngineModel,
     engines: &[EngineView],
-    ask: &EngineRequest,
+    request: &EngineRequest,
 ) -> (EngineCounts, EngineCounts) {
-    let near = EngineCounts::of(model, &near_engines(engines), ask);
-    (near, EngineCounts::of(model, engines, &far(ask)))
+    let near = EngineCounts::of(model, &near_engines(engines), request);
+    (
+        near,
+        EngineCounts::of(model, engines, &spanning_domains(request)),
+    )
 }
 
 fn near_engines(engines: &[EngineView]) -> Vec<EngineView> {
     engines.iter().filter(|e| e.is_near).cloned().collect()
 }
 
-/// The same request to engines of any domain.
-fn far(ask: &EngineRequest) -> EngineRequest {
+/// The same request, for a choice among the engines of all domains.
+fn spanning_domains(request: &EngineRequest) -> EngineRequest {
     EngineRequest {
-        near_load_age: ask.far_load_age,
-        spans_domains: ask.near_load_age < ask.far_load_age,
-        ..ask.clone()
+        near_load_age: request.far_load_age,
+        spans_domains: request.near_load_age < request.far_load_age,
+        ..request.clone()
     }
 }
 
-fn better(
+fn better_plan(
     model: &EngineModel,
     engines: &[EngineView],
     near: EnginePlan,
     any: EnginePlan,
 ) -> EnginePlan {
-    let stretches = |plan: &EnginePlan| {
+    let lengthens_pauses = |plan: &EnginePlan| {
         let leader = engines.iter().find(|engine| engine.id == plan.leader);
-        leader.is_some_and(|leader| !leader.has_room(model, plan.part_time))
+        leader.is_some_and(|leader| !leader.fits_part(model, plan.part_time))
     };
-    let is_sooner = any.forecast + FAR_GAIN < near.forecast;
-    if is_sooner || (stretches(&near) && !stretches(&any)) {
+    let is_sooner = any.forecast + FAR_GAIN_MIN < near.forecast;
+    if is_sooner || (lengthens_pauses(&near) && !lengthens_pauses(&any)) {
         any
     } else {
         near
--- a/src/decide/engines/memory_reservation.rs
+++ b/src/decide/engines/memory_reservation.rs
@@ -1,4 +1,4 @@
-//! Memory that engines set aside for a long prompt.
+//! Memory reservations of a long prompt.
 
 use std::time::Duration;
 
@@ -6,57 +6,75 @@
 use crate::decide::engines::EngineRequest;
 use crate::decide::engines::EngineView;
 use crate::decide::engines::PromptClass;
-use crate::decide::engines::parts::HELPERS_MAX;
-use crate::decide::engines::parts::is_free;
+use crate::decide::engines::parts::GROUP_SIZE_MAX;
+use crate::decide::engines::parts::accepts_part;
 use crate::units::Tokens;
 use crate::units::UpstreamId;
 
-/// Engines that keep a long prompt. If its leader kept all of it, the few leaders would be out of
-/// memory with two prompts each; every further engine is one more whose end ends the answer, and
-/// three orders.
-const KEEPERS: u64 = 3;
+/// Engines that share the memory of a long prompt where all of them have enough.
+///
+/// If the leader alone held the prompt, the few leaders would run out of memory with two prompts
+/// each. Every further engine is one more whose failure ends the answer, and costs three more
+/// orders to engines.
+const RESERVING_ENGINES: u64 = 3;
 
-/// Memory that an engine sets aside for a prompt.
+/// Memory that one engine reserves for a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemoryReservation {
-    /// The engine: the leader or one of the helpers.
+    /// The leader or one of the helpers.
     pub engine: UpstreamId,
-    /// How much.
+    /// The amount of memory, in tokens.
     pub tokens: Tokens,
 }
 
-/// The memory that is set aside for a long prompt: the leader's, and of helpers what the leader has
-/// is to have no room for; none if there is not enough.
+/// Plans the reservations of a long prompt: a share at the leader and the rest at helpers. Returns
+/// none if the engines do not have enough memory together.
 ///
-/// The engine itself is the judge of its memory: two hosts that choose it in the same moment would
-/// otherwise send it more than it holds, and the later prompt would wait inside for seconds with its
-/// parts read everywhere else. Medium prompts are small against the memory and need none of this.
-pub(super) fn reserves(
+/// Engines grant reservations themselves. Otherwise two hosts that choose the same engine at the
+/// same moment could send it more than it can hold, and the later prompt would wait inside the
+/// engine for seconds although its other parts have been read elsewhere. Medium prompts are small
+/// compared with an engine's memory and need no reservation.
+pub(super) fn plan_reservations(
     model: &EngineModel,
     leader: &EngineView,
     others: &[&EngineView],
     part_time: Duration,
-    ask: &EngineRequest,
+    request: &EngineRequest,
 ) -> Option<Vec<MemoryReservation>> {
-    if ask.class(model) != PromptClass::Long {
+    if request.class(model) != PromptClass::Long {
         return Some(Vec::new());
     }
     let mut by_room: Vec<&EngineView> = others.to_vec();
     by_room.sort_by_key(|engine| {
-        let is_free = is_free(model, engine, part_time, ask);
-        (!is_free, engine.load.held_tokens)
+        let accepts_part = accepts_part(model, engine, part_time, request);
+        (!accepts_part, engine.load.held_tokens)
     });
-    keep(model, leader, &by_room, ask.needed(), share_kept(ask))
-        .or_else(|| keep(model, leader, &by_room, ask.needed(), ask.needed()))
+    reserve_up_to(
+        model,
+        leader,
+        &by_room,
+        request.memory_needed(),
+        reservation_share(request),
+    )
+    .or_else(|| {
+        reserve_up_to(
+            model,
+            leader,
+            &by_room,
+            request.memory_needed(),
+            request.memory_needed(),
+        )
+    })
 }
 
-/// What each keeper sets aside of a long prompt and its answer where all have the memory.
-pub(super) fn share_kept(ask: &EngineRequest) -> Tokens {
-    Tokens(ask.needed().0.div_ceil(KEEPERS))
+/// The memory that each of [`RESERVING_ENGINES`] reserves for a long prompt and its answer.
+pub(super) fn reservation_share(request: &EngineRequest) -> Tokens {
+    Tokens(request.memory_needed().0.div_ceil(RESERVING_ENGINES))
 }
 
-/// Sets aside at most `each` on every engine, the leader first.
-fn keep(
+/// Reserves at most `each` per engine, starting with the leader, until `needed` is covered. Returns
+/// none if it cannot be.
+fn reserve_up_to(
     model: &EngineModel,
     leader: &EngineView,
     others: &[&EngineView],
@@ -64,19 +82,19 @@
     each: Tokens,
 ) -> Option<Vec<MemoryReservation>> {
     let mut missing = needed;
-    let mut reserves = Vec::new();
+    let mut reservations = Vec::new();
     let engines = [leader].into_iter().chain(others.iter().copied());
-    for engine in engines.take(HELPERS_MAX) {
+    for engine in engines.take(GROUP_SIZE_MAX) {
         let free = engine.free_tokens(model);
         let tokens = missing.min(free).min(each);
         if tokens == Tokens::ZERO {
             break;
         }
         missing = missing.saturating_sub(tokens);
-        reserves.push(MemoryReservation {
+        reservations.push(MemoryReservation {
             engine: engine.id.clone(),
             tokens,
         });
     }
-    (missing == Tokens::ZERO).then_some(reserves)
+    (missing == Tokens::ZERO).then_some(reservations)
 }
--- a/src/decide/engines/mod.rs
+++ b/src/decide/engines/mod.rs
@@ -1,10 +1,12 @@
-//! Which engines read a prompt and which one writes its answer.
+//! Selection of the engines that read a prompt (prefill) and of the one that writes the answer
+//! (decode).
 //!
-//! Load it answers: prompts from a thousand to a million tokens on the same engines. A long prompt
-//! that one engine reads stops every answer there for seconds and comes late itself. So short
-//! prompts are packed on as few engines as carry them ([`border`]), the others read long prompts
-//! together in equal parts, and no part is put where it would stretch the pauses of an answer that
-//! is being written beyond what its caller accepts ([`EngineView::room`]).
+//! Engines serve prompts of a thousand to a million tokens side by side. If one engine reads a long
+//! prompt alone, all answers on that engine stop for seconds, and the long prompt itself is late.
+//! Therefore short prompts are packed onto as few engines as can carry them ([`boundary`]), and the
+//! other engines read long prompts together in equal parts. An engine gets no part that would
+//! lengthen the pauses in an answer beyond what the caller accepts
+//! ([`EngineView::read_headroom`]).
 
 pub mod boundary;
 mod engine_counts;
@@ -31,32 +33,39 @@
 use crate::decide::EngineModel;
 use crate::decide::RefuseReason;
 
-/// Chooses engines. `engines` holds those that may get work, in an order that is the same on every
-/// host, since the border between short and long prompts is a place in it.
+/// Chooses the engines for a request, or decides that the request waits or is refused.
+///
+/// `engines` holds the engines that may get work. The order must be the same on every host, because
+/// the boundary between short and long prompts is an index into it.
 pub fn choose_engines(
     model: &EngineModel,
     engines: &[EngineView],
-    ask: &EngineRequest,
+    request: &EngineRequest,
 ) -> EngineChoice {
     if engines.is_empty() {
         return EngineChoice::refuse_soon(RefuseReason::NoUpstream);
     }
-    locality::choose(model, engines, ask)
+    locality::choose(model, engines, request)
 }
 
-/// What a choice would be made from now: the engines of the host's own failure domain, and all of them.
+/// Counts the engines that a choice would be made from now: first those in the host's own failure
+/// domain, then all.
 pub fn count_engines(
     model: &EngineModel,
     engines: &[EngineView],
-    ask: &EngineRequest,
+    request: &EngineRequest,
 ) -> (EngineCounts, EngineCounts) {
-    locality::survey(model, engines, ask)
+    locality::survey(model, engines, request)
 }
 
-fn choose_among(model: &EngineModel, engines: &[EngineView], ask: &EngineRequest) -> EngineChoice {
-    let border = boundary::short_engine_count(model, engines);
-    match ask.class(model) {
-        PromptClass::Short => short::choose(model, engines, border, ask),
-        PromptClass::Medium | PromptClass::Long => long::choose(model, engines, border, ask),
+fn choose_among(
+    model: &EngineModel,
+    engines: &[EngineView],
+    request: &EngineRequest,
+) -> EngineChoice {
+    let boundary = boundary::short_engine_count(model, engines);
+    match request.class(model) {
+        PromptClass::Short => short::choose(model, engines, boundary, request),
+        PromptClass::Medium | PromptClass::Long => long::choose(model, engines, boundary, request),
     }
 }
--- a/src/decide/engines/parts.rs
+++ b/src/decide/engines/parts.rs
@@ -1,4 +1,4 @@
-//! How a prompt is divided among engines, and which engines can take a part of it now.
+//! Division of a prompt into parts, and the check whether an engine can take a part now.
 
 use std::time::Duration;
 
@@ -7,40 +7,42 @@
 use crate::decide::engines::EngineView;
 use crate::decide::engines::boundary::ceil;
 
-/// The aim for one engine's part of a prompt. Two such parts in one pass with writers stay within a
-/// pause of 200 ms.
-const PART_TIME: Duration = Duration::from_millis(60);
-/// The longest part that is read beside answers: callers accept pauses of a second at most, and a pass and
-/// other hosts' work need their share of it.
-const PART_BESIDE_ANSWERS_MAX: Duration = Duration::from_millis(800);
-/// Engines that may be named as helpers of one prompt, the first with its own reservation included.
-pub(super) const HELPERS_MAX: usize = 16;
-/// Reading that waits at engines when another prompt is sent there. What waits at hosts instead can
-/// still be overtaken by a prompt that is more pressed for time. Engines read a new part first, so this
-/// only bounds what is put off at once.
+/// Target for the engine time of one part. Two such parts in one pass that also writes answers stay
+/// within a pause of 200 ms.
+const PART_TIME_TARGET: Duration = Duration::from_millis(60);
+/// The longest part that is read on an engine that also writes answers. Callers accept pauses of at
+/// most a second, which also has to cover a pass and the work of other hosts.
+const PART_TIME_BESIDE_ANSWERS_MAX: Duration = Duration::from_millis(800);
+/// The most engines that read or hold one prompt, including the leader.
+pub(super) const GROUP_SIZE_MAX: usize = 16;
+/// The largest read backlog with which an engine still gets another prompt. A prompt that waits at
+/// its host instead can still be overtaken by a more urgent one. Engines read new parts first, so
+/// this bounds how much work one prompt delays.
 pub(super) const BACKLOG_MAX: Duration = Duration::from_secs(1);
-/// The same for prompts that will be late anyway: they go behind all that can still be on time. Less than a
-/// pass.
+/// Like [`BACKLOG_MAX`], for prompts that will be late anyway. It is shorter than a pass, so that
+/// late prompts go behind all prompts that can still be on time.
 pub(super) const LATE_BACKLOG_MAX: Duration = Duration::from_millis(10);
-/// The part of the time left to its first event in which a prompt that can't wait any longer has to be
-/// read for it to be sent behind others; the forecast of one that goes to engines now is nearly exact.
-pub(super) const IN_TIME_PART: f64 = 0.9;
+/// Fraction of the remaining time to the first event within which a prompt has to be read to count
+/// as on time. The margin can be small, since the forecast of a prompt that is sent now is nearly
+/// exact.
+pub(super) const IN_TIME_FRACTION: f64 = 0.9;
 
-/// Whether a prompt is late and so long that even its smallest parts stretch the pauses of any answer: only
-/// engines that write none can read it, wherever they are.
-pub(super) fn needs_idle_engines(model: &EngineModel, ask: &EngineRequest) -> bool {
-    ask.objective_left.is_zero() && smallest_part(model, ask) > PART_BESIDE_ANSWERS_MAX
+/// Whether a prompt is late and so long that even its smallest parts would lengthen the pauses of
+/// any answer too far. Only engines that write no answers can read such a prompt.
+pub(super) fn needs_idle_engines(model: &EngineModel, request: &EngineRequest) -> bool {
+    request.objective_left.is_zero()
+        && smallest_part_time(model, request) > PART_TIME_BESIDE_ANSWERS_MAX
 }
 
-/// Engine time of one part where as many engines as may read the prompt together do.
-pub(super) fn smallest_part(model: &EngineModel, ask: &EngineRequest) -> Duration {
-    let parts = u32::try_from(HELPERS_MAX).unwrap_or(u32::MAX);
-    model.read_time(ask.prompt) / parts
+/// Engine time of one part if the prompt is split among [`GROUP_SIZE_MAX`] engines.
+pub(super) fn smallest_part_time(model: &EngineModel, request: &EngineRequest) -> Duration {
+    let parts = u32::try_from(GROUP_SIZE_MAX).unwrap_or(u32::MAX);
+    model.read_time(request.prompt) / parts
 }
 
-/// What an engine may have left to read when a prompt with parts of this length is sent there.
-fn backlog_max(ask: &EngineRequest, part_time: Duration) -> Duration {
-    let is_late = ask.objective_left.mul_f64(IN_TIME_PART) < part_time;
+/// The largest read backlog that an engine may have to get a part of `part_time`.
+fn backlog_max(request: &EngineRequest, part_time: Duration) -> Duration {
+    let is_late = request.objective_left.mul_f64(IN_TIME_FRACTION) < part_time;
     if is_late {
         LATE_BACKLOG_MAX
     } else {
@@ -48,19 +50,19 @@
     }
 }
 
-/// Whether a part of this length can be sent to an engine now: it stretches no pause there, and little is left to
-/// read. A group is judged by the same rule, so its engines are chosen by it.
-pub(super) fn is_free(
+/// Whether an engine can take a part of `part_time` now: no pause becomes too long, and the backlog
+/// is small. Groups are judged by the same two conditions, so their engines are chosen by them.
+pub(super) fn accepts_part(
     model: &EngineModel,
     engine: &EngineView,
     part_time: Duration,
-    ask: &EngineRequest,
+    request: &EngineRequest,
 ) -> bool {
-    engine.has_room(model, part_time) && engine.backlog() <= backlog_max(ask, part_time)
+    engine.fits_part(model, part_time) && engine.backlog() <= backlog_max(request, part_time)
 }
 
-/// How many of `available` engines are to read a prompt together.
+/// The number of engines, out of `available`, that should read a prompt together.
 pub(super) fn parts_wanted(read_time: Duration, available: usize) -> usize {
-    let wanted = ceil(read_time.as_secs_f64() / PART_TIME.as_secs_f64());
-    wanted.clamp(1, available.clamp(1, HELPERS_MAX))
+    let wanted = ceil(read_time.as_secs_f64() / PART_TIME_TARGET.as_secs_f64());
+    wanted.clamp(1, available.clamp(1, GROUP_SIZE_MAX))
 }
--- a/src/decide/engines/plan.rs
+++ b/src/decide/engines/plan.rs
@@ -1,4 +1,4 @@
-//! What to do with a request that wants engines.
+//! The outcome of a choice of engines.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,54 +13,55 @@
 use crate::units::Tokens;
 use crate::units::UpstreamId;
 
-/// The shortest wait before a decision is made again: less would be awake more than it helps.
+/// The shortest wait before a choice is repeated. Shorter waits cost more wake-ups than they gain.
 const WAIT_MIN: Duration = Duration::from_millis(15);
-/// The longest wait: other hosts' work changes meanwhile.
+/// The longest wait before a choice is repeated, since the work of other hosts changes meanwhile.
 const WAIT_MAX: Duration = Duration::from_millis(120);
-/// The shortest time after which a caller is asked to come back.
+/// The shortest time after which a caller is asked to retry.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(500);
 
-/// Engines for one request.
+/// The engines for one request and their tasks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EnginePlan {
     /// The engine that gets the request and writes the answer.
     pub leader: UpstreamId,
-    /// The engines that read the other parts.
+    /// The engines that read the other parts of the prompt.
     pub helpers: Vec<UpstreamId>,
-    /// Memory that is set aside before the prompt is sent, first the leader's.
+    /// Memory that is reserved before the prompt is sent, the leader's first.
     pub reservations: Vec<MemoryReservation>,
     /// Engine time of one part.
     pub part_time: Duration,
-    /// When the first event is expected, from now.
+    /// Expected time until the first event.
     pub forecast: Duration,
 }
 
 impl EnginePlan {
-    /// The memory that an engine sets aside.
+    /// The reservation at `engine`; none if that engine reserves no memory.
     pub fn reservation(&self, engine: &UpstreamId) -> Option<&MemoryReservation> {
         self.reservations
             .iter()
             .find(|reserve| reserve.engine == *engine)
     }
 
-    /// What the request adds to each engine's load, first the leader's. Its caller accepts `pause`
-    /// between two events.
+    /// The load that the request adds to each engine, the leader's first. `pause` is the longest
+    /// pause between two events that the caller accepts.
     pub fn request_loads(
         &self,
         model: &EngineModel,
-        ask: &EngineRequest,
+        request: &EngineRequest,
         pause: Option<Duration>,
         now: Instant,
     ) -> Vec<(UpstreamId, RequestLoad)> {
         let held = |engine| self.reservation(engine).map(|reserve| reserve.tokens);
         let leader = RequestLoad {
             takes_slot: true,
-            is_short: ask.class(model) == PromptClass::Short,
+            is_short: request.class(model) == PromptClass::Short,
             pause,
             read_time: self.part_time,
-            held_tokens: held(&self.leader).unwrap_or_else(|| ask.needed()),
+            held_tokens: held(&self.leader).unwrap_or_else(|| request.memory_needed()),
             helper_release: None,
-            read_due: (ask.class(model) != PromptClass::Short).then(|| now + ask.objective_left),
+            read_due: (request.class(model) != PromptClass::Short)
+                .then(|| now + request.objective_left),
         };
         let helpers = self.helpers.iter().map(|id| {
             let share = RequestLoad {
@@ -80,18 +81,18 @@
     }
 }
 
-/// What to do with a request.
+/// What to do with a request that needs engines.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineChoice {
-    /// Send it.
+    /// Send the request.
     Send(EnginePlan),
-    /// Ask again after this time.
+    /// Repeat the choice after this time.
     Wait(Duration),
-    /// Turn it away, not run.
+    /// Refuse the request, which has not run.
     Refuse {
-        /// Why.
+        /// The reason for the refusal.
         reason: RefuseReason,
-        /// When it can be served, as far as is known.
+        /// Estimated time until the request can be served.
         retry_after: Duration,
     },
 }
--- a/tests/engine_world/mod.rs
+++ b/tests/engine_world/mod.rs
@@ -8,7 +8,7 @@
 mod event_queue;
 mod host;
 mod load;
-mod tally;
+mod run_results;
 mod world;
 
 pub use load::LONG;
@@ -18,6 +18,6 @@
 pub use load::SHORT;
 pub use load::Site;
 pub use load::SlowPeriod;
-pub use tally::Ended;
-pub use tally::RunResults;
+pub use run_results::Ended;
+pub use run_results::RunResults;
 pub use world::World;
--- a/tests/engine_world/world.rs
+++ b/tests/engine_world/world.rs
@@ -19,9 +19,9 @@
 use super::host::News;
 use super::load::Load;
 use super::load::Site;
-use super::tally::Ended;
-use super::tally::Outcome;
-use super::tally::RunResults;
+use super::run_results::Ended;
+use super::run_results::Outcome;
+use super::run_results::RunResults;
 
 /// One way from a host to an engine or another host, connecting included.
 const WAY: Duration = Duration::from_millis(2);
