--- a/src/decide/engine_fleet.rs
+++ b/src/decide/engine_fleet.rs
@@ -1,4 +1,4 @@
-//! The engines of one pool: who is in, who is out, and what each has been given.
+//! The engines of one pool: which of them may get work, and what work each has been given.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -25,16 +25,18 @@
 use crate::units::TokensPerSecond;
 use crate::units::UpstreamId;
 
-/// Upstreams that are new together are warmed in steps only while they are at most this part of the
-/// pool: there must be others that carry the load meanwhile.
-const COLD_PART_MAX: f64 = 0.5;
-/// Samples that are taken in under load, to leave a wrong setting behind.
-const SAMPLES_UNDER_LOAD: u32 = 4;
-/// No engine is believed to be faster than the median by more than this: a true one loses a little
-/// work by it, a wrong one would draw all of it.
-const FASTER_MAX: f64 = 1.3;
-/// How often stalls are looked for.
-const STALL_CHECK: Duration = Duration::from_secs(1);
+/// New upstreams are warmed up in steps only if they are at most this fraction of the pool, since
+/// the other upstreams have to carry the load meanwhile.
+const COLD_FRACTION_MAX: f64 = 0.5;
+/// Number of speed samples that are accepted even under load, so that a wrong initial speed is
+/// corrected.
+const LOADED_SAMPLES_MAX: u32 = 4;
+/// Upper bound of an engine's estimated speed, as a multiple of the median. The bound costs an
+/// engine that really is faster a little work; an engine whose estimate is too high would get all
+/// work.
+const SPEED_OVER_MEDIAN_MAX: f64 = 1.3;
+/// Interval between checks for stalled engines.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The engines of one pool.
 #[derive(Debug)]
@@ -43,7 +45,7 @@
     pub(crate) split: LaneSplit,
     pub(crate) tuning: Tuning,
     first_speed: TokensPerSecond,
-    /// Over the engines that may get work, as of the last change.
+    /// Medians over the engines that may get work, as of the last change.
     median: PoolMedian,
     stalls_checked_at: Option<Instant>,
 }
@@ -60,12 +62,13 @@
         }
     }
 
-    /// Takes in the list. One that has vanished stays, closed, until its grants have ended.
-    pub(crate) fn set(&mut self, seen: &[UpstreamSeen], now: Instant) {
+    /// Replaces the list of upstreams. An upstream that is no longer listed gets no new work and is
+    /// removed when its grants have ended.
+    pub(crate) fn set_upstreams(&mut self, seen: &[UpstreamSeen], now: Instant) {
         let is_new = |seen: &&UpstreamSeen| !self.upstreams.contains_key(&seen.id);
         let new = seen.iter().filter(is_new).count();
         let is_cold =
-            (new as f64) <= COLD_PART_MAX * seen.len() as f64 && !self.upstreams.is_empty();
+            (new as f64) <= COLD_FRACTION_MAX * seen.len() as f64 && !self.upstreams.is_empty();
         let speed = self.first_estimate();
         for upstream in self.upstreams.values_mut() {
             upstream.seen.health = UpstreamHealth::Leaving;
@@ -80,12 +83,13 @@
             let upstream = self.upstreams.entry(seen.id.clone()).or_insert_with(new);
             upstream.seen = seen.clone();
         }
-        self.drop_gone();
+        self.remove_gone();
         self.upstreams.sort_unstable_keys();
         self.update_median(now);
     }
 
-    /// Lets the prefill of all engines go on until `now`, and follows the load.
+    /// Advances the prefill of all engines to `now`, ejects stalled engines and updates the split
+    /// between the lanes.
     pub(crate) fn advance(
         &mut self,
         long_waited: Option<Duration>,
@@ -98,33 +102,39 @@
         let since_check = |at| now.saturating_duration_since(at);
         if self
             .stalls_checked_at
-            .is_none_or(|at| since_check(at) >= STALL_CHECK)
+            .is_none_or(|at| since_check(at) >= STALL_CHECK_INTERVAL)
         {
             self.stalls_checked_at = Some(now);
             self.eject_stalled(now, rng);
         }
         let input = SplitInput {
-            upstreams: self.open(now).count(),
+            upstreams: self.open_upstreams(now).count(),
             speed: self.median_speed(),
             long_waited,
         };
         self.split.update(&input, &self.tuning, now);
     }
 
-    pub(crate) fn open(&self, now: Instant) -> impl Iterator<Item = &PoolUpstream> {
+    pub(crate) fn open_upstreams(&self, now: Instant) -> impl Iterator<Item = &PoolUpstream> {
         self.upstreams
             .values()
             .filter(move |upstream| upstream.is_open(now))
     }
 
-    pub(crate) fn live(&self) -> impl Iterator<Item = &PoolUpstream> {
+    pub(crate) fn live_upstreams(&self) -> impl Iterator<Item = &PoolUpstream> {
         self.upstreams
             .values()
             .filter(|upstream| upstream.is_live())
     }
 
-    /// Enters a grant at each of its engines.
-    pub(crate) fn hold(&mut self, grant: &LiveGrant, hold: &GrantHold, prefill: f64, now: Instant) {
+    /// Records a grant at each of its engines.
+    pub(crate) fn record_grant(
+        &mut self,
+        grant: &LiveGrant,
+        hold: &GrantHold,
+        prefill: f64,
+        now: Instant,
+    ) {
         for id in &grant.upstreams {
             if let Some(upstream) = self.upstreams.get_mut(id) {
                 upstream.on_grant(now);
@@ -136,8 +146,8 @@
         }
     }
 
-    /// Ends a grant at each of its engines, and learns from it.
-    pub(crate) fn finish(
+    /// Ends a grant at each of its engines, and updates their speed, health and prefix estimates.
+    pub(crate) fn finish_grant(
         &mut self,
         grant: &LiveGrant,
         hinted: Tokens,
@@ -152,7 +162,7 @@
             upstream.ledger.advance(now);
             let hold = upstream.ledger.release(&grant.id);
             if grant.upstreams.len() > 1 {
-                // Which member failed is not known, and a gang's speed is not that of one engine.
+                // The member that failed is unknown, and a gang's speed is not that of one engine.
                 upstream.on_progress(None, now);
                 continue;
             }
@@ -162,65 +172,70 @@
                 let ahead = upstream.ledger.ahead_of(&hold);
                 let own = prefill_done(&hold, done);
                 let speed = &mut upstream.ledger.speed;
-                if is_telling(&hold, speed) {
+                if is_speed_sample(&hold, speed) {
                     speed.observe(own, ahead, first_token);
                 } else {
                     speed.observe_least(own, first_token);
                 }
             }
-            self.judge(id, done.ended, now, rng);
+            self.update_ejection(id, done.ended, now, rng);
         }
-        self.drop_gone();
+        self.remove_gone();
     }
 
     /// The memory of the largest engine that is not leaving.
     pub(crate) fn largest_memory(&self) -> Tokens {
-        let memory = self.live().map(|upstream| upstream.seen.memory_tokens);
+        let memory = self
+            .live_upstreams()
+            .map(|upstream| upstream.seen.memory_tokens);
         memory.max().unwrap_or_default()
     }
 
-    /// Medians over the engines that may get work.
+    /// The medians over the engines that may get work.
     pub(crate) fn median(&self) -> PoolMedian {
         self.median
     }
 
-    /// The median prefill speed, never 0.
+    /// The median prefill speed, in tokens per second; never 0.
     pub(crate) fn median_speed(&self) -> f64 {
         self.median.speed.max(1.0)
     }
 
-    /// Prefill a second over all engines that may get work.
+    /// Total prefill speed of all engines that may get work, in tokens per second.
     pub(crate) fn speed(&self, now: Instant) -> f64 {
-        self.open(now)
+        self.open_upstreams(now)
             .map(|upstream| upstream.ledger.speed.get())
             .sum()
     }
 
-    /// Follows what has been seen. Engines of which nothing has been seen are expected to be like
-    /// the others, not like their settings.
+    /// Recomputes the medians. Engines without samples are expected to be as fast as the others,
+    /// not as their settings say.
     fn update_median(&mut self, now: Instant) {
         let is_seen = |upstream: &&PoolUpstream| upstream.ledger.speed.samples() > 0;
-        self.median = PoolMedian::of(self.open(now).filter(is_seen));
+        self.median = PoolMedian::of(self.open_upstreams(now).filter(is_seen));
         if self.median.speed <= 0.0 {
-            self.median = PoolMedian::of(self.open(now));
+            self.median = PoolMedian::of(self.open_upstreams(now));
         }
-        let like_others = SpeedEstimate::new(TokensPerSecond(self.median.speed.max(1.0)));
+        let median_estimate = SpeedEstimate::new(TokensPerSecond(self.median.speed.max(1.0)));
         for upstream in self.upstreams.values_mut() {
             if upstream.ledger.speed.samples() == 0 && self.median.speed > 0.0 {
-                upstream.ledger.speed = like_others;
+                upstream.ledger.speed = median_estimate;
             }
-            upstream.ledger.speed.bound(self.median.speed * FASTER_MAX);
+            upstream
+                .ledger
+                .speed
+                .bound(self.median.speed * SPEED_OVER_MEDIAN_MAX);
         }
     }
 
-    fn judge(&mut self, id: &UpstreamId, ended: Ended, now: Instant, rng: &mut StdRng) {
+    fn update_ejection(&mut self, id: &UpstreamId, ended: Ended, now: Instant, rng: &mut StdRng) {
         self.update_median(now);
         let median = self.median();
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
         let is_slow = upstream.is_slow(&median, self.tuning.slow_part);
-        let was_out = upstream.ejection.is_out();
+        let was_ejected = upstream.ejection.is_out();
         let step = upstream.ejection.on_end(ended);
         if ended == Ended::Completed {
             upstream.warm_up.on_success(now);
@@ -229,18 +244,18 @@
             EjectionStep::Return if is_slow => upstream.ejection.eject(now, rng),
             EjectionStep::Return => upstream.warm_up = WarmUp::cold(now),
             EjectionStep::Eject => self.eject(id, now, rng),
-            EjectionStep::Stay if is_slow && !was_out => self.eject(id, now, rng),
+            EjectionStep::Stay if is_slow && !was_ejected => self.eject(id, now, rng),
             EjectionStep::Stay => {}
         }
     }
 
     fn eject(&mut self, id: &UpstreamId, now: Instant, rng: &mut StdRng) {
-        let live = self.live().count();
-        let out = self
-            .live()
+        let live = self.live_upstreams().count();
+        let ejected = self
+            .live_upstreams()
             .filter(|u| u.ejection.is_out() && u.seen.id != *id)
             .count();
-        if (out + 1) as f64 > live as f64 * self.tuning.out_part_max {
+        if (ejected + 1) as f64 > live as f64 * self.tuning.out_part_max {
             return;
         }
         if let Some(upstream) = self.upstreams.get_mut(id) {
@@ -251,7 +266,7 @@
     fn eject_stalled(&mut self, now: Instant, rng: &mut StdRng) {
         let is_stalled = |u: &&PoolUpstream| u.is_stalled(now) && !u.ejection.is_out();
         let stalled: Vec<UpstreamId> = self
-            .live()
+            .live_upstreams()
             .filter(is_stalled)
             .map(|u| u.seen.id.clone())
             .collect();
@@ -260,7 +275,7 @@
         }
     }
 
-    /// What a new engine is expected to do: the same as those that are known.
+    /// The initial speed estimate of a new engine: the median of the known engines.
     fn first_estimate(&self) -> SpeedEstimate {
         let median = PoolMedian::of(self.upstreams.values()).speed;
         let speed = if median > 0.0 {
@@ -271,20 +286,22 @@
         SpeedEstimate::new(speed)
     }
 
-    fn drop_gone(&mut self) {
+    fn remove_gone(&mut self) {
         self.upstreams
             .retain(|_, upstream| upstream.is_live() || upstream.running() > 0);
     }
 }
 
-/// Whether a first token tells of the engine's speed. Under load it tells of what waits inside the
-/// engine as well, and a speed that follows that swings: the engine is left idle, looks fast again,
-/// and gets too much. So once it is known a speed is learned only from what did not wait.
-fn is_telling(hold: &GrantHold, speed: &SpeedEstimate) -> bool {
-    !hold.has_waited || speed.samples() < SAMPLES_UNDER_LOAD
+/// Whether the time to the first token of a grant may be used as a sample of the engine's speed.
+///
+/// Under load that time includes waiting inside the engine. An estimate that followed it would
+/// oscillate: the engine is left idle, looks fast again and gets too much work. So after the first
+/// samples, only requests that did not wait are used.
+fn is_speed_sample(hold: &GrantHold, speed: &SpeedEstimate) -> bool {
+    !hold.has_waited || speed.samples() < LOADED_SAMPLES_MAX
 }
 
-/// The prefill that the engine did for a grant, by its own word where it gave one.
+/// The prefill that the engine did for a grant: as reported by the engine, or else as expected.
 fn prefill_done(hold: &GrantHold, done: &Done) -> Tokens {
     if done.prompt_tokens == Tokens::ZERO {
         hold.prefill_tokens
--- a/src/decide/engine_model.rs
+++ b/src/decide/engine_model.rs
@@ -1,44 +1,45 @@
-//! How long an engine takes for its work, by the model that the manifest gives.
+//! Speed model of an engine, as given in the manifest.
 //!
-//! An engine works in passes. A pass with writers is `stride` token steps long, and everything that
-//! is read in meanwhile lengthens it; so a long prompt shows as a pause in every answer that the
-//! same engine is writing.
+//! An engine works in passes. A pass that writes answers consists of `stride` token steps, and
+//! every prompt that is read in the same pass lengthens it. A long prompt therefore causes a pause
+//! in each answer that the engine is writing.
 
 use std::time::Duration;
 
 use crate::units::Tokens;
 
-/// The speed of the engines of one service. All times are of one engine that works at full speed.
+/// The speed model of the engines of one service. All times are those of one engine at full speed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineModel {
-    /// Requests that it works on at once; more wait inside the engine.
+    /// Number of requests that an engine processes at once; further requests wait inside the
+    /// engine.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Capacity of the engine's memory, in tokens.
     pub memory_tokens: Tokens,
-    /// Token steps of one pass, which is also the tokens of one event.
+    /// Token steps of one pass, equal to the number of tokens in one event.
     pub stride: u32,
-    /// A step without anything in it, in ms.
+    /// Base time of a step, in ms.
     pub step_ms: f64,
-    /// What each request that is being written adds to a step, in ms.
+    /// Time that each answer being written adds to a step, in ms.
     pub step_per_writer_ms: f64,
-    /// What each 1,000 tokens of context of the requests being written add to a step, in ms.
+    /// Time that each 1,000 tokens of context of the answers being written add to a step, in ms.
     pub step_per_kilotoken_ms: f64,
-    /// Prompt tokens read in a millisecond.
+    /// Prompt tokens read per millisecond.
     pub read_tokens_per_ms: f64,
-    /// What a million pairs of a prompt token and an earlier one add to reading, in ms.
+    /// Time that each million pairs of a prompt token and an earlier one add to reading, in ms.
     pub read_per_megapair_ms: f64,
 }
 
 impl EngineModel {
-    /// The engine time to read a whole prompt in, split over however many engines.
+    /// Total engine time to read a prompt, independent of the number of engines that share it.
     pub fn read_time(&self, prompt: Tokens) -> Duration {
         let tokens = prompt.as_f64();
         let megapairs = tokens * tokens / 2.0 / 1e6;
         millis(tokens / self.read_tokens_per_ms + megapairs * self.read_per_megapair_ms)
     }
 
-    /// How long a pass takes with this many writers, whose prompts and answers together have
-    /// `context` tokens, when nothing is read in.
+    /// Time of a pass that writes `writers` answers and reads no prompt. The prompts and answers
+    /// together have `context` tokens.
     pub fn pass_time(&self, writers: u32, context: Tokens) -> Duration {
         let step_ms = self.step_ms
             + f64::from(writers) * self.step_per_writer_ms
@@ -46,8 +47,8 @@
         millis(step_ms * f64::from(self.stride.max(1)))
     }
 
-    /// How long it takes to write an answer among `writers`, whose prompts and answers together have
-    /// `context` tokens.
+    /// Time to write an answer of `output` tokens on an engine that writes `writers` answers. Their
+    /// prompts and answers together have `context` tokens.
     pub fn write_time(&self, output: Tokens, writers: u32, context: Tokens) -> Duration {
         let passes = output.0.div_ceil(u64::from(self.stride.max(1)));
         let passes = u32::try_from(passes).unwrap_or(u32::MAX);
--- a/src/decide/engine_priority.rs
+++ b/src/decide/engine_priority.rs
@@ -1,16 +1,17 @@
-//! The rank that an engine is given for a request.
+//! The priority that is passed to an engine with a request.
 
 use crate::decide::LengthClass;
 use crate::decide::Work;
 use crate::units::Priority;
 
-/// Engine ranks inside one priority of the manifest, one for each length class.
+/// Engine priorities per priority of the manifest, one for each length class.
 const CLASSES: u8 = 4;
 
-/// The rank for `X-Priority`: by the manifest's priority first, then the shorter class first.
+/// The value of `X-Priority`, ordered by the manifest's priority and then by length class, the
+/// shortest first.
 ///
-/// Load it answers: a long prefill in chunks on the same engine as short prompts. Engines that
-/// honour priorities then read the short prompt in between two chunks, not beside all of them.
+/// Engines that honour priorities then read a short prompt between two chunks of a long prefill
+/// instead of alongside all of its chunks.
 pub fn engine_priority(work: &Work) -> Priority {
     let class = match work.class() {
         LengthClass::Short => 0,
--- a/src/decide/grant_hold.rs
+++ b/src/decide/grant_hold.rs
@@ -1,4 +1,4 @@
-//! What one grant holds of one upstream.
+//! The resources of one upstream that one grant occupies.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,27 +7,29 @@
 use crate::units::Priority;
 use crate::units::Tokens;
 
-/// What one grant holds of one upstream.
+/// The resources of one upstream that one grant occupies, with what is expected of it.
 #[derive(Clone, Debug)]
 pub struct GrantHold {
-    /// Engine memory.
+    /// Engine memory, in tokens.
     pub memory_tokens: Tokens,
-    /// The prefill expected for it, less what is probably cached.
+    /// The expected prefill, less what is probably cached.
     pub prefill_tokens: Tokens,
-    /// The rank that the engine was given.
+    /// The priority that was passed to the engine.
     pub rank: Priority,
-    /// Its lane.
+    /// The lane of the prefill.
     pub lane: Lane,
     /// Whether another upstream failed the request before.
     pub is_suspect: bool,
-    /// Whether it waited in the home's queue, so that its engine was probably full.
+    /// Whether the request waited in the home's queue, so that its engine was probably full.
     pub has_waited: bool,
-    /// When it was granted.
+    /// Time of the grant.
     pub since: Instant,
-    /// How long it is expected to take in all.
+    /// Expected duration from the grant to the end of the answer.
     pub expected: Duration,
-    /// Prefill that the upstream had before it when it was granted; the ledger fills it in.
+    /// Prefill in tokens that was ahead of this grant at the upstream when it was made; set by the
+    /// ledger.
     pub prefill_ahead: f64,
-    /// The upstream's count of granted prefill of higher rank then; the ledger fills it in.
+    /// The upstream's running total of granted prefill of higher priority at that time; set by the
+    /// ledger.
     pub higher_prefill_mark: f64,
 }
--- a/src/decide/host_coverage.rs
+++ b/src/decide/host_coverage.rs
@@ -1,16 +1,16 @@
-//! How many of all hosts are heard.
+//! How many of the listed hosts this host has load reports from.
 
-/// Hosts of the platform's list, this one included.
+/// Counts of the hosts on the platform's list, including this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostCoverage {
-    /// All of them.
+    /// All hosts on the list.
     pub listed: usize,
-    /// Those whose work is known here, by their own word or by a collector's.
+    /// Hosts whose work is known here, from their own reports or from a collector's.
     pub heard: usize,
 }
 
 impl HostCoverage {
-    /// The part of all hosts that is heard.
+    /// The fraction of the listed hosts whose work is known; never 0.
     pub fn heard_fraction(self) -> f64 {
         let listed = self.listed.max(1);
         self.heard.clamp(1, listed) as f64 / listed as f64
--- a/src/decide/host_load.rs
+++ b/src/decide/host_load.rs
@@ -1,25 +1,25 @@
-//! Work of one host at one upstream.
+//! The work of one host at one upstream.
 
 use std::time::Duration;
 
 use crate::decide::ReadSent;
 use crate::units::Tokens;
 
-/// Work of one host at one upstream, as it is told to the others.
+/// The work of one host at one upstream, as reported to the other hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HostLoad {
-    /// Requests that were sent there and have not ended.
+    /// Requests that were sent to the upstream and have not ended.
     pub in_flight: u32,
-    /// Those of them whose prompt is short.
+    /// Requests in flight whose prompt is short.
     pub short_in_flight: u32,
-    /// Prompts of other engines that it helps to read or keeps a part of.
+    /// Prompts of other engines that the upstream helps to read or holds a part of.
     pub helping: u32,
-    /// The shortest pause that the caller of one of them accepts between two events.
+    /// The shortest pause between two events that a caller of these requests accepts.
     pub strictest_pause: Option<Duration>,
-    /// Memory that these requests take, in tokens.
+    /// Memory that these requests occupy, in tokens.
     pub held_tokens: Tokens,
-    /// What was sent there to be read in.
+    /// Reading time of the prompts that were sent to the upstream.
     pub read: ReadSent,
-    /// Time until the first of the prompts being read there has to have its first event to be on time.
+    /// Time until the earliest due time of a first event among the prompts that are being read.
     pub read_due: Option<Duration>,
 }
--- a/src/decide/load_ledger.rs
+++ b/src/decide/load_ledger.rs
@@ -1,8 +1,9 @@
-//! What hosts know of each other's work at upstreams.
+//! The account of the work of all hosts at all upstreams.
 //!
-//! Load it answers: several hosts that choose an upstream at the same moment, each by its own work
-//! alone, all choose the same one. Each host tells the others its own part within milliseconds; the
-//! sum is nearer to the truth than a report of the upstream, which lags by hundreds of milliseconds.
+//! Several hosts that choose an upstream at the same moment would choose the same one if each knew
+//! only its own work. Each host therefore reports its work to the others within milliseconds. The
+//! sum is more accurate than the load that the upstream itself reports, which lags by hundreds of
+//! milliseconds.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -23,58 +24,61 @@
 use crate::units::Tokens;
 use crate::units::UpstreamId;
 
-/// A host that was not heard for this long has died or is cut off, and its work at upstreams ends
-/// with its connections. Four of the usual intervals at which hosts send, two of the longest.
-const PEER_KEPT_FOR: Duration = Duration::from_secs(1);
+/// A host without reports for this long has died or is cut off, and its work at upstreams ends with
+/// its connections. The time is four of the usual intervals between reports, or two of the longest.
+const PEER_EXPIRY: Duration = Duration::from_secs(1);
 
-/// A host that was heard within this time is alive and can be asked: two of the usual intervals, one
-/// of the longest with what a message may be late.
-const PEER_HEARD_WITHIN: Duration = Duration::from_millis(700);
+/// A host with a report within this time is live and can be asked. The time is two of the usual
+/// intervals between reports, or one of the longest with the largest delay of a message.
+const PEER_LIVE_WITHIN: Duration = Duration::from_millis(700);
 
-/// How long an engine's refusal to set memory aside is believed. What a dead host had set aside lapses after a few
-/// seconds, and answers end meanwhile.
-const REFUSAL_BELIEVED_FOR: Duration = Duration::from_secs(1);
+/// How long an engine's refusal to reserve memory is taken into account. Reservations of a dead
+/// host lapse after a few seconds, and answers end in the meantime.
+const REFUSAL_VALID_FOR: Duration = Duration::from_secs(1);
 
-/// The work of this host and of the others, by upstream.
+/// The work of this host and of its peers, by upstream.
 #[derive(Debug, Default)]
 pub struct LoadLedger {
-    own: IndexMap<UpstreamId, OwnLoad>,
+    own_loads: IndexMap<UpstreamId, OwnLoad>,
     peers: IndexMap<LoadSource, PeerLoads>,
-    /// What the peers have said, added up.
+    /// The work of all peers, by upstream.
     sums: IndexMap<UpstreamId, PeerLoadSum>,
-    /// No peer falls silent before this.
-    next_silent_at: Option<Instant>,
-    queue: ReadQueue,
-    /// Engines that have refused to set memory aside: how much, and until when that is believed.
-    refused: IndexMap<UpstreamId, (Tokens, Instant)>,
+    /// No peer expires before this time.
+    next_expiry: Option<Instant>,
+    read_queue: ReadQueue,
+    /// The amount of memory that an engine has refused to reserve, and until when the refusal
+    /// counts.
+    refusals: IndexMap<UpstreamId, (Tokens, Instant)>,
 }
 
 impl LoadLedger {
-    /// Takes in that a request was sent to an upstream.
-    pub fn start_request(&mut self, upstream: &UpstreamId, share: &RequestLoad, now: Instant) {
-        let reads = !share.read_time.is_zero();
-        let read_until = reads.then(|| self.queue.on_sent(upstream, share.read_time, now));
+    /// Adds a request of this host that was sent to an upstream.
+    pub fn start_request(&mut self, upstream: &UpstreamId, load: &RequestLoad, now: Instant) {
+        let has_reading = !load.read_time.is_zero();
+        let read_until =
+            has_reading.then(|| self.read_queue.on_sent(upstream, load.read_time, now));
         let new = || OwnLoad::new(now);
-        let own = self.own.entry(upstream.clone()).or_insert_with(new);
-        own.start(share, read_until, now);
+        let own = self.own_loads.entry(upstream.clone()).or_insert_with(new);
+        own.start_request(load, read_until, now);
     }
 
-    /// Takes in that its prompt has been read there, and takes out of the share what has ended with it.
-    pub fn finish_reading(&mut self, upstream: &UpstreamId, share: &mut RequestLoad) {
-        if let Some(own) = self.own.get_mut(upstream) {
-            own.read_done(share);
+    /// Records that the upstream has read the prompt of a request, and clears the fields of `load`
+    /// that end with that.
+    pub fn finish_reading(&mut self, upstream: &UpstreamId, load: &mut RequestLoad) {
+        if let Some(own) = self.own_loads.get_mut(upstream) {
+            own.finish_reading(load);
         }
     }
 
-    /// Takes in that it has ended there.
-    pub fn end_request(&mut self, upstream: &UpstreamId, share: &RequestLoad) {
-        if let Some(own) = self.own.get_mut(upstream) {
-            own.end(share);
+    /// Subtracts a request of this host that has ended.
+    pub fn end_request(&mut self, upstream: &UpstreamId, load: &RequestLoad) {
+        if let Some(own) = self.own_loads.get_mut(upstream) {
+            own.end_request(load);
         }
     }
 
-    /// Takes in what another host says of all its work, which replaces what it said before.
-    /// `incarnation` is drawn at each start of that host.
+    /// Records a report of another host about all its work, which replaces its previous reports.
+    /// `incarnation` is a random number that the host draws at each start.
     pub fn record_host_loads(
         &mut self,
         host: HostId,
@@ -91,7 +95,8 @@
         );
     }
 
-    /// Takes in what a source says, which replaces what it said before of the same upstreams, or of all.
+    /// Records a report of a source, which replaces its previous reports about the same upstreams,
+    /// or about all upstreams if `extent` is [`Extent::Whole`].
     pub fn record_loads(
         &mut self,
         source: LoadSource,
@@ -101,27 +106,27 @@
         now: Instant,
     ) {
         self.expire_peers(now);
-        let silent_at = now + PEER_KEPT_FOR;
-        self.next_silent_at = Some(
-            self.next_silent_at
-                .map_or(silent_at, |at| at.min(silent_at)),
-        );
+        let expires_at = now + PEER_EXPIRY;
+        self.next_expiry = Some(self.next_expiry.map_or(expires_at, |at| at.min(expires_at)));
         let Self {
-            peers, sums, queue, ..
+            peers,
+            sums,
+            read_queue,
+            ..
         } = self;
         let new = || PeerLoads::new(incarnation, now);
         let peer = peers.entry(source).or_insert_with(new);
         if peer.incarnation != incarnation {
-            take_away(sums, peer);
+            subtract_source(sums, peer);
             *peer = PeerLoads::new(incarnation, now);
         }
-        peer.heard_at = now;
-        peer.messages += 1;
+        peer.received_at = now;
+        peer.messages_received += 1;
         for (upstream, load) in loads {
-            let known = peer.by_upstream.get(&upstream);
-            queue.hear(
+            let previous = peer.by_upstream.get(&upstream);
+            read_queue.hear(
                 &upstream,
-                known.and_then(|known| known.read_total),
+                previous.and_then(|previous| previous.read_total),
                 load.read,
                 now,
             );
@@ -131,70 +136,71 @@
             };
             if let Some(PeerLoad {
                 load: Some(load),
-                heard_at,
+                received_at,
                 ..
-            }) = known
+            }) = previous
             {
-                sum.remove(load, *heard_at);
+                sum.remove(load, *received_at);
             }
             sum.add(&load, now);
-            let said = PeerLoad {
+            let entry = PeerLoad {
                 load: Some(load),
-                heard_at: now,
-                message: peer.messages,
+                received_at: now,
+                message_number: peer.messages_received,
                 read_total: Some(load.read.total),
             };
-            peer.by_upstream.insert(upstream, said);
+            peer.by_upstream.insert(upstream, entry);
         }
         if extent == Extent::Whole {
-            end_unnamed(sums, peer);
+            end_unnamed_loads(sums, peer);
         }
     }
 
-    /// Takes in that an engine has refused to set this much memory aside, or did not answer.
+    /// Records that an engine has refused to reserve this much memory, or did not answer.
     pub fn record_memory_refusal(&mut self, upstream: &UpstreamId, tokens: Tokens, now: Instant) {
-        let until = now + REFUSAL_BELIEVED_FOR;
+        let until = now + REFUSAL_VALID_FOR;
         let least = self.refused_tokens(upstream, now);
         let tokens = least.map_or(tokens, |least| tokens.min(least));
-        self.refused.insert(upstream.clone(), (tokens, until));
+        self.refusals.insert(upstream.clone(), (tokens, until));
     }
 
     fn refused_tokens(&self, upstream: &UpstreamId, now: Instant) -> Option<Tokens> {
-        let (tokens, until) = self.refused.get(upstream)?;
+        let (tokens, until) = self.refusals.get(upstream)?;
         (*until > now).then_some(*tokens)
     }
 
-    /// Forgets hosts that have fallen silent.
+    /// Removes sources whose reports have expired.
     pub fn expire_peers(&mut self, now: Instant) {
-        if self.next_silent_at.is_none_or(|at| now < at) {
+        if self.next_expiry.is_none_or(|at| now < at) {
             return;
         }
         let Self { peers, sums, .. } = self;
         peers.retain(|_, peer| {
-            let is_kept = peer.is_heard(PEER_KEPT_FOR, now);
-            if !is_kept {
-                take_away(sums, peer);
+            let is_live = peer.heard_within(PEER_EXPIRY, now);
+            if !is_live {
+                subtract_source(sums, peer);
             }
-            is_kept
+            is_live
         });
-        let first = self.peers.values().map(|peer| peer.heard_at).min();
-        self.next_silent_at = first.map(|heard_at| heard_at + PEER_KEPT_FOR);
+        let oldest = self.peers.values().map(|peer| peer.received_at).min();
+        self.next_expiry = oldest.map(|received_at| received_at + PEER_EXPIRY);
     }
 
-    /// Forgets upstreams that are off the list and have no work left.
+    /// Removes upstreams that are no longer listed and have no work left.
     pub fn retain_listed(&mut self, is_listed: impl Fn(&UpstreamId) -> bool, now: Instant) {
-        self.queue.forget_done(now);
-        self.refused.retain(|_, (_, until)| *until > now);
-        self.own.retain(|id, own| own.is_told(now) || is_listed(id));
+        self.read_queue.forget_done(now);
+        self.refusals.retain(|_, (_, until)| *until > now);
+        self.own_loads
+            .retain(|id, own| own.is_reported(now) || is_listed(id));
         self.sums
             .retain(|id, sum| is_listed(id) || *sum != PeerLoadSum::default());
         for peer in self.peers.values_mut() {
-            peer.by_upstream.retain(|id, said| {
+            peer.by_upstream.retain(|id, entry| {
                 let is_listed = is_listed(id);
                 if !is_listed {
-                    said.read_total = None;
+                    entry.read_total = None;
                 }
-                is_listed || said.load.is_some()
+                is_listed || entry.load.is_some()
             });
         }
     }
@@ -202,80 +208,84 @@
     /// The work of all hosts at one upstream.
     pub fn load(&self, upstream: &UpstreamId, now: Instant) -> UpstreamLoad {
         let mut load = self.load_of_peers(upstream, now);
-        load.read_backlog = self.queue.backlog(upstream, now);
+        load.read_backlog = self.read_queue.backlog(upstream, now);
         load.refused_tokens = self.refused_tokens(upstream, now);
-        if let Some(own) = self.own.get(upstream) {
-            load.add(&own.seen_at(now));
+        if let Some(own) = self.own_loads.get(upstream) {
+            load.add(&own.snapshot(now));
         }
         load
     }
 
     fn load_of_peers(&self, upstream: &UpstreamId, now: Instant) -> UpstreamLoad {
-        if self.next_silent_at.is_none_or(|at| now < at) {
+        if self.next_expiry.is_none_or(|at| now < at) {
             let sum = self.sums.get(upstream);
-            return sum.map_or_else(UpstreamLoad::default, |sum| sum.seen_at(now));
+            return sum.map_or_else(UpstreamLoad::default, |sum| sum.snapshot(now));
         }
-        // Some have fallen silent and were not forgotten yet.
+        // Some peers have expired and are still part of the sums.
         let mut sum = PeerLoadSum::default();
-        let heard = self
+        let live = self
             .peers
             .values()
-            .filter(|peer| peer.is_heard(PEER_KEPT_FOR, now));
-        for said in heard.filter_map(|peer| peer.by_upstream.get(upstream)) {
-            if let Some(load) = &said.load {
-                sum.add(load, said.heard_at);
+            .filter(|peer| peer.heard_within(PEER_EXPIRY, now));
+        for entry in live.filter_map(|peer| peer.by_upstream.get(upstream)) {
+            if let Some(load) = &entry.load {
+                sum.add(load, entry.received_at);
             }
         }
-        sum.seen_at(now)
+        sum.snapshot(now)
     }
 
-    /// This host's own work, to be told to the others.
+    /// This host's own work by upstream, for reports to other hosts.
     pub fn own_loads(&self, now: Instant) -> impl Iterator<Item = (&UpstreamId, HostLoad)> {
-        let told = self.own.iter().filter(move |(_, own)| own.is_told(now));
-        told.map(move |(id, own)| (id, own.seen_at(now)))
+        let reported = self
+            .own_loads
+            .iter()
+            .filter(move |(_, own)| own.is_reported(now));
+        reported.map(move |(id, own)| (id, own.snapshot(now)))
     }
 
-    /// Whether another host was heard within the last few of the intervals at which hosts send.
+    /// Whether another host has sent a report recently, as a host or as a collector.
     pub fn is_host_live(&self, host: &HostId, now: Instant) -> bool {
-        self.has_spoken(&LoadSource::Host(host.clone()), now) || self.is_collector_live(host, now)
+        self.is_source_live(&LoadSource::Host(host.clone()), now)
+            || self.is_collector_live(host, now)
     }
 
-    /// Whether a host was heard so lately to speak for all hosts of its failure domain.
+    /// Whether a host has recently sent a report as the collector of its failure domain.
     pub fn is_collector_live(&self, host: &HostId, now: Instant) -> bool {
-        self.has_spoken(&LoadSource::Collector(host.clone()), now)
+        self.is_source_live(&LoadSource::Collector(host.clone()), now)
     }
 
-    fn has_spoken(&self, source: &LoadSource, now: Instant) -> bool {
+    fn is_source_live(&self, source: &LoadSource, now: Instant) -> bool {
         let peer = self.peers.get(source);
-        peer.is_some_and(|peer| peer.is_heard(PEER_HEARD_WITHIN, now))
+        peer.is_some_and(|peer| peer.heard_within(PEER_LIVE_WITHIN, now))
     }
 
-    /// The other hosts, or those that speak for them, that were heard lately.
+    /// Number of sources, hosts and collectors, whose reports have not expired.
     pub fn live_peer_count(&self, now: Instant) -> usize {
-        let is_heard = |peer: &&PeerLoads| peer.is_heard(PEER_KEPT_FOR, now);
-        self.peers.values().filter(is_heard).count()
+        let is_live = |peer: &&PeerLoads| peer.heard_within(PEER_EXPIRY, now);
+        self.peers.values().filter(is_live).count()
     }
 }
 
-/// Takes all that a source has said out of the sums.
-fn take_away(sums: &mut IndexMap<UpstreamId, PeerLoadSum>, peer: &PeerLoads) {
-    for (upstream, load, heard_at) in peer.loads() {
+/// Subtracts the work that a source has reported from the sums.
+fn subtract_source(sums: &mut IndexMap<UpstreamId, PeerLoadSum>, peer: &PeerLoads) {
+    for (upstream, load, received_at) in peer.loads() {
         if let Some(sum) = sums.get_mut(upstream) {
-            sum.remove(load, heard_at);
+            sum.remove(load, received_at);
         }
     }
 }
 
-/// Ends the work at upstreams that the last message of a source did not name.
-fn end_unnamed(sums: &mut IndexMap<UpstreamId, PeerLoadSum>, peer: &mut PeerLoads) {
-    for (upstream, said) in &mut peer.by_upstream {
-        if said.message == peer.messages {
+/// Removes the work at upstreams that the last message of a source does not name.
+fn end_unnamed_loads(sums: &mut IndexMap<UpstreamId, PeerLoadSum>, peer: &mut PeerLoads) {
+    for (upstream, entry) in &mut peer.by_upstream {
+        if entry.message_number == peer.messages_received {
             continue;
         }
-        if let Some(load) = said.load.take()
+        if let Some(load) = entry.load.take()
             && let Some(sum) = sums.get_mut(upstream)
         {
-            sum.remove(&load, said.heard_at);
+            sum.remove(&load, entry.received_at);
         }
     }
 }
--- a/src/decide/load_source.rs
+++ b/src/decide/load_source.rs
@@ -1,19 +1,21 @@
-//! Who speaks of work at upstreams.
+//! The sender of a load report.
 
 use crate::units::HostId;
 
-/// Who speaks of work at upstreams. A host that collects for its failure domain has two voices: its
-/// own in its domain, and the one for all hosts of its domain in the others.
+/// The sender of a report about work at upstreams.
+///
+/// A host that collects the reports of its failure domain sends in two roles: as a host inside its
+/// domain, and as the collector for all hosts of its domain in other domains.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LoadSource {
-    /// A host, of its own work.
+    /// A host that reports its own work.
     Host(HostId),
-    /// A host, of the work of all hosts of its failure domain.
+    /// A host that reports the work of all hosts in its failure domain.
     Collector(HostId),
 }
 
 impl LoadSource {
-    /// The host that speaks.
+    /// The host that sends the report.
     pub fn host(&self) -> &HostId {
         let (Self::Host(host) | Self::Collector(host)) = self;
         host
--- a/src/decide/own_load.rs
+++ b/src/decide/own_load.rs
@@ -1,4 +1,4 @@
-//! A host's own work at one upstream.
+//! This host's own work at one upstream.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,29 +11,29 @@
 use crate::decide::RequestLoad;
 use crate::units::Tokens;
 
-/// How long a host goes on telling what it has sent to an upstream to be read in, when it has nothing
-/// else there. Longer than several messages take, so that a lost one is made up for.
-const SENT_TOLD_FOR: Duration = Duration::from_secs(1);
+/// How long a host goes on reporting the reading time that it has sent to an upstream when it has
+/// no other work there. The time covers several reports, so that a lost one is made up for.
+const SENT_REPORTED_FOR: Duration = Duration::from_secs(1);
 
-/// A host's own work at one upstream.
+/// This host's own work at one upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnLoad {
     in_flight: u32,
     short_in_flight: u32,
     helping: u32,
-    /// How many requests accept which pause.
+    /// Accepted pauses, each with the number of requests that accept it.
     pauses: IndexMap<Duration, u32>,
     held_tokens: Tokens,
     read_total: Duration,
-    /// When the last of it will have been read.
+    /// When the last of the sent prompts will have been read.
     read_until: Instant,
     sent_at: Instant,
-    /// When the prompts that are being read there are due.
-    dues: Vec<Instant>,
+    /// When the first events of the prompts being read are due.
+    due_times: Vec<Instant>,
 }
 
 impl OwnLoad {
-    /// No work yet.
+    /// An account without work.
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             in_flight: 0,
@@ -44,55 +44,62 @@
             read_total: Duration::ZERO,
             read_until: now,
             sent_at: now,
-            dues: Vec::new(),
+            due_times: Vec::new(),
         }
     }
 
-    /// Takes in a request that was sent; what it adds to the reading there is read by `read_until`.
-    pub(crate) fn start(&mut self, share: &RequestLoad, read_until: Option<Instant>, now: Instant) {
-        self.in_flight += u32::from(share.takes_slot);
-        self.short_in_flight += u32::from(share.takes_slot && share.is_short);
-        self.helping += u32::from(share.helper_release.is_some());
-        if let Some(pause) = share.pause.filter(|_| share.takes_slot) {
+    /// Adds a request that was sent. `read_until` is when the upstream will have read the prompt;
+    /// none if there is nothing to read.
+    pub(crate) fn start_request(
+        &mut self,
+        load: &RequestLoad,
+        read_until: Option<Instant>,
+        now: Instant,
+    ) {
+        self.in_flight += u32::from(load.takes_slot);
+        self.short_in_flight += u32::from(load.takes_slot && load.is_short);
+        self.helping += u32::from(load.helper_release.is_some());
+        if let Some(pause) = load.pause.filter(|_| load.takes_slot) {
             *self.pauses.entry(pause).or_default() += 1;
         }
         if let Some(read_until) = read_until {
-            self.read_total += share.read_time;
+            self.read_total += load.read_time;
             self.read_until = read_until;
             self.sent_at = now;
-            self.dues.extend(share.read_due);
+            self.due_times.extend(load.read_due);
         }
-        self.held_tokens += share.held_tokens;
+        self.held_tokens += load.held_tokens;
     }
 
-    /// Takes in that its prompt has been read, and takes out of the share what has ended with it.
-    pub(crate) fn read_done(&mut self, share: &mut RequestLoad) {
-        self.forget_due(share.read_due.take());
-        if share.helper_release == Some(HelperRelease::PromptRead) {
-            share.helper_release = None;
+    /// Records that the prompt of a request has been read, and clears the fields of `load` that end
+    /// with that.
+    pub(crate) fn finish_reading(&mut self, load: &mut RequestLoad) {
+        self.remove_due(load.read_due.take());
+        if load.helper_release == Some(HelperRelease::PromptRead) {
+            load.helper_release = None;
             self.helping = self.helping.saturating_sub(1);
         }
     }
 
-    fn forget_due(&mut self, due: Option<Instant>) {
-        let place = self.dues.iter().position(|known| Some(*known) == due);
-        if let Some(place) = place {
-            self.dues.swap_remove(place);
+    fn remove_due(&mut self, due: Option<Instant>) {
+        let index = self.due_times.iter().position(|known| Some(*known) == due);
+        if let Some(index) = index {
+            self.due_times.swap_remove(index);
         }
     }
 
-    /// Takes in that it has ended.
-    pub(crate) fn end(&mut self, share: &RequestLoad) {
-        self.forget_due(share.read_due);
+    /// Subtracts a request that has ended.
+    pub(crate) fn end_request(&mut self, load: &RequestLoad) {
+        self.remove_due(load.read_due);
         self.helping = self
             .helping
-            .saturating_sub(u32::from(share.helper_release.is_some()));
-        let place = u32::from(share.takes_slot);
-        self.in_flight = self.in_flight.saturating_sub(place);
+            .saturating_sub(u32::from(load.helper_release.is_some()));
+        let slots = u32::from(load.takes_slot);
+        self.in_flight = self.in_flight.saturating_sub(slots);
         self.short_in_flight = self
             .short_in_flight
-            .saturating_sub(place * u32::from(share.is_short));
-        if let Some(pause) = share.pause.filter(|_| share.takes_slot)
+            .saturating_sub(slots * u32::from(load.is_short));
+        if let Some(pause) = load.pause.filter(|_| load.takes_slot)
             && let Some(count) = self.pauses.get_mut(&pause)
         {
             *count -= 1;
@@ -100,11 +107,11 @@
                 self.pauses.swap_remove(&pause);
             }
         }
-        self.held_tokens = self.held_tokens.saturating_sub(share.held_tokens);
+        self.held_tokens = self.held_tokens.saturating_sub(load.held_tokens);
     }
 
-    /// What the others are told of it.
-    pub(crate) fn seen_at(&self, now: Instant) -> HostLoad {
+    /// The work at `now`, as it is reported to other hosts.
+    pub(crate) fn snapshot(&self, now: Instant) -> HostLoad {
         HostLoad {
             in_flight: self.in_flight,
             short_in_flight: self.short_in_flight,
@@ -119,17 +126,17 @@
         }
     }
 
-    /// Time until the next one that can still be on time is due.
+    /// Time until the earliest due time that has not passed.
     fn next_due(&self, now: Instant) -> Option<Duration> {
-        let open = self.dues.iter().filter(|due| **due > now);
+        let open = self.due_times.iter().filter(|due| **due > now);
         open.min().map(|due| due.saturating_duration_since(now))
     }
 
-    /// Whether there is something to tell.
-    pub(crate) fn is_told(&self, now: Instant) -> bool {
+    /// Whether there is work to report to other hosts.
+    pub(crate) fn is_reported(&self, now: Instant) -> bool {
         self.in_flight > 0
             || self.helping > 0
             || self.held_tokens > Tokens::ZERO
-            || now.saturating_duration_since(self.sent_at) < SENT_TOLD_FOR
+            || now.saturating_duration_since(self.sent_at) < SENT_REPORTED_FOR
     }
 }
--- a/src/decide/peer_load_sum.rs
+++ b/src/decide/peer_load_sum.rs
@@ -1,4 +1,4 @@
-//! What the other hosts have at one upstream, added up.
+//! The work of all other hosts at one upstream.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,26 +7,27 @@
 use crate::decide::UpstreamLoad;
 use crate::units::Tokens;
 
-/// The sum over the other hosts that are heard. It is kept up to date as each of them speaks.
+/// The sum of the work of all live peers, updated with each of their reports.
 ///
-/// Load it answers: a choice among 195 engines that adds up what 194 hosts have said of each looks
-/// 38,000 names up; with sums it reads 195 numbers. Least times can't be subtracted again, so they
-/// are kept one by one: few hosts have a prompt being read at the same engine.
+/// Without sums, a choice among 195 engines would look up 38,000 entries, one for each engine and
+/// each of 194 peers; with sums it reads 195. A minimum cannot be subtracted again, so pauses and
+/// due times are kept in lists. The lists are short, since few hosts have a prompt being read at
+/// the same engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct PeerLoadSum {
     in_flight: u32,
     short_in_flight: u32,
     helping: u32,
     held_tokens: Tokens,
-    /// How many hosts have which strictest pause.
+    /// The shortest accepted pauses, each with the number of hosts that report it.
     pauses: Vec<(Duration, u32)>,
-    /// When the first prompt of each host that is being read there is due.
-    dues: Vec<Instant>,
+    /// For each host, the earliest due time of a first event among the prompts being read.
+    due_times: Vec<Instant>,
 }
 
 impl PeerLoadSum {
-    /// Adds what one host said at `heard_at`.
-    pub(crate) fn add(&mut self, load: &HostLoad, heard_at: Instant) {
+    /// Adds the work that one host reported at `received_at`.
+    pub(crate) fn add(&mut self, load: &HostLoad, received_at: Instant) {
         self.in_flight += load.in_flight;
         self.short_in_flight += load.short_in_flight;
         self.helping += load.helping;
@@ -37,11 +38,11 @@
                 None => self.pauses.push((pause, 1)),
             }
         }
-        self.dues.extend(due_at(load, heard_at));
+        self.due_times.extend(due_at(load, received_at));
     }
 
-    /// Takes away what [`PeerLoadSum::add`] added.
-    pub(crate) fn remove(&mut self, load: &HostLoad, heard_at: Instant) {
+    /// Subtracts what [`PeerLoadSum::add`] added.
+    pub(crate) fn remove(&mut self, load: &HostLoad, received_at: Instant) {
         self.in_flight = self.in_flight.saturating_sub(load.in_flight);
         self.short_in_flight = self.short_in_flight.saturating_sub(load.short_in_flight);
         self.helping = self.helping.saturating_sub(load.helping);
@@ -54,17 +55,17 @@
                 self.pauses.swap_remove(at);
             }
         }
-        if let Some(due) = due_at(load, heard_at)
-            && let Some(at) = self.dues.iter().position(|known| *known == due)
+        if let Some(due) = due_at(load, received_at)
+            && let Some(at) = self.due_times.iter().position(|known| *known == due)
         {
-            self.dues.swap_remove(at);
+            self.due_times.swap_remove(at);
         }
     }
 
-    /// The sum as it is now. What is overdue at another host stays due at once until that host says
-    /// otherwise.
-    pub(crate) fn seen_at(&self, now: Instant) -> UpstreamLoad {
-        let due = self.dues.iter().min();
+    /// The sum at `now`. A prompt that is overdue at another host counts as due now until that host
+    /// reports otherwise.
+    pub(crate) fn snapshot(&self, now: Instant) -> UpstreamLoad {
+        let due = self.due_times.iter().min();
         UpstreamLoad {
             in_flight: self.in_flight,
             short_in_flight: self.short_in_flight,
@@ -78,6 +79,6 @@
     }
 }
 
-fn due_at(load: &HostLoad, heard_at: Instant) -> Option<Instant> {
-    load.read_due.map(|due| heard_at + due)
+fn due_at(load: &HostLoad, received_at: Instant) -> Option<Instant> {
+    load.read_due.map(|due| received_at + due)
 }
--- a/src/decide/peer_loads.rs
+++ b/src/decide/peer_loads.rs
@@ -1,4 +1,4 @@
-//! What one source of news has said last of work at upstreams.
+//! The latest report of one source about work at upstreams.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,53 +8,54 @@
 use crate::decide::HostLoad;
 use crate::units::UpstreamId;
 
-/// What one source has said of the work at one upstream.
+/// The latest report of one source about one upstream.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PeerLoad {
-    /// The work; none if it named the upstream before and does no longer.
+    /// The work; none if an earlier report named the upstream and the latest does not.
     pub(crate) load: Option<HostLoad>,
-    /// When it said so.
-    pub(crate) heard_at: Instant,
-    /// In which of its messages.
-    pub(crate) message: u64,
-    /// What it has said last of its reading total there; none if the upstream was off the list since.
+    /// When the report was received.
+    pub(crate) received_at: Instant,
+    /// Number of the message, counted per source.
+    pub(crate) message_number: u64,
+    /// The last reported running total of reading time; none if the upstream has been off the list
+    /// since.
     pub(crate) read_total: Option<Duration>,
 }
 
-/// What one source has said last.
+/// The latest reports of one source about all upstreams.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerLoads {
-    /// Drawn at its start.
+    /// Random number that the source draws at each start.
     pub(crate) incarnation: u64,
-    /// When it was heard last.
-    pub(crate) heard_at: Instant,
-    /// Messages heard of it.
-    pub(crate) messages: u64,
-    /// The work by upstream, also where it has ended.
+    /// When the last message was received.
+    pub(crate) received_at: Instant,
+    /// Number of messages received.
+    pub(crate) messages_received: u64,
+    /// Reports by upstream, including those whose work has ended.
     pub(crate) by_upstream: IndexMap<UpstreamId, PeerLoad>,
 }
 
 impl PeerLoads {
-    /// A source that was not heard before.
+    /// A source of which no message was received yet.
     pub(crate) fn new(incarnation: u64, now: Instant) -> Self {
         Self {
             incarnation,
-            heard_at: now,
-            messages: 0,
+            received_at: now,
+            messages_received: 0,
             by_upstream: IndexMap::new(),
         }
     }
 
-    /// Whether it was heard within this time.
-    pub(crate) fn is_heard(&self, within: Duration, now: Instant) -> bool {
-        now.saturating_duration_since(self.heard_at) < within
+    /// Whether a message was received less than `within` ago.
+    pub(crate) fn heard_within(&self, within: Duration, now: Instant) -> bool {
+        now.saturating_duration_since(self.received_at) < within
     }
 
-    /// The work that it speaks of now, and when it did.
+    /// The current work by upstream, with the time at which each report was received.
     pub(crate) fn loads(&self) -> impl Iterator<Item = (&UpstreamId, &HostLoad, Instant)> {
-        self.by_upstream.iter().filter_map(|(id, said)| {
-            let load = said.load.as_ref()?;
-            Some((id, load, said.heard_at))
+        self.by_upstream.iter().filter_map(|(id, entry)| {
+            let load = entry.load.as_ref()?;
+            Some((id, load, entry.received_at))
         })
     }
 }
--- a/src/decide/request_load.rs
+++ b/src/decide/request_load.rs
@@ -1,35 +1,36 @@
-//! What one request adds to one upstream.
+//! The load that one request adds to one upstream.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::units::Tokens;
 
-/// How long an engine that reads a part of another engine's prompt counts as helping it.
+/// When an engine that reads a part of another engine's prompt stops counting as a helper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HelperRelease {
-    /// Until the whole prompt is read.
+    /// When the whole prompt is read.
     PromptRead,
-    /// Until the answer has ended: it keeps a part of the prompt.
+    /// When the answer ends, because the engine holds a part of the prompt.
     AnswerEnded,
 }
 
-/// What one request adds to one upstream.
+/// The load that one request adds to one upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestLoad {
-    /// Whether it takes a place there; an engine that only reads a part gives no place.
+    /// Whether the request occupies a slot. An engine that only reads a part gives no slot.
     pub takes_slot: bool,
-    /// Whether its prompt is short.
+    /// Whether the prompt is short.
     pub is_short: bool,
-    /// The longest pause that its caller accepts between two events.
+    /// The longest pause between two events that the caller accepts; none if the caller states
+    /// none.
     pub pause: Option<Duration>,
-    /// Time that reading its prompt takes there.
+    /// Time that the upstream needs to read the prompt, or its part of it.
     pub read_time: Duration,
-    /// Memory that it takes there.
+    /// Memory that the request occupies, in tokens.
     pub held_tokens: Tokens,
-    /// How long it helps another engine there; none if it is sent there itself.
+    /// When the engine is released as a helper; none if it answers the request itself.
     pub helper_release: Option<HelperRelease>,
-    /// When its first event has to be there to be on time; none if nothing there is put behind others
-    /// for its sake.
+    /// When the first event is due; none if the upstream need not delay other work to keep that
+    /// time.
     pub read_due: Option<Instant>,
 }
--- a/src/decide/shipped/engines.rs
+++ b/src/decide/shipped/engines.rs
@@ -1,4 +1,4 @@
-//! The shipped policy for a pool of model engines.
+//! The production policy for a pool of model engines.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -30,8 +30,8 @@
 use crate::decide::placement::duration;
 use crate::decide::placement::whole;
 use crate::decide::shipped::GangStep;
-use crate::decide::shipped::Granted;
-use crate::decide::shipped::Lanes;
+use crate::decide::shipped::GrantRecord;
+use crate::decide::shipped::PoolQueues;
 use crate::units::GrantId;
 use crate::units::RequestId;
 use crate::units::Tokens;
@@ -40,41 +40,42 @@
 use crate::upstream::CacheEvent;
 use crate::upstream::LoadReport;
 
-/// Requests that wait at most, over all lanes: about ten megabytes.
+/// The most requests that wait, over all queues; they take about ten megabytes.
 const WAITING_MAX: usize = 10_000;
-/// Requests tried when the first can't be placed, so that one that waits for a certain upstream does
-/// not hold up the others.
-const TRIED_MAX: usize = 8;
-/// A lane with longer waits than this is loaded: customers over their rate are turned away.
-const SHORT_LOADED: Duration = Duration::from_millis(250);
-const LONG_LOADED: Duration = Duration::from_secs(5);
-/// Forecasts beyond this are as good as never.
-const EXPECTED_MAX: Duration = Duration::from_secs(86_400);
-/// The least and the longest time between two polls while requests wait: the headroom of placement
-/// covers the least, and the longest lets what depends on time go on.
+/// Requests that are tried from the head of a queue, so that one that waits for a certain upstream
+/// does not block the others.
+const HEADS_TRIED_MAX: usize = 8;
+/// Drain time beyond which the short lane is loaded and customers over their rate are refused.
+const SHORT_LOADED_DRAIN: Duration = Duration::from_millis(250);
+/// Drain time beyond which the long lane is loaded and customers over their rate are refused.
+const LONG_LOADED_DRAIN: Duration = Duration::from_secs(5);
+/// Upper bound of the expected duration of a grant; a longer one means never.
+const EXPECTED_TIME_MAX: Duration = Duration::from_secs(86_400);
+/// The shortest time between two polls while requests wait. The headroom of placement covers it.
 const WAKE_MIN: Duration = Duration::from_millis(2);
+/// The longest time between two polls while requests wait, so that time-dependent state advances.
 const WAKE_MAX: Duration = Duration::from_millis(100);
 
-/// The shipped policy for model engines.
+/// The production policy for a pool of model engines.
 #[derive(Debug)]
 pub struct EnginePolicy {
     intake: Intake,
     fleet: EngineFleet,
     estimator: Estimator,
-    lanes: Lanes,
-    granted: IndexMap<GrantId, Granted>,
+    queues: PoolQueues,
+    grants: IndexMap<GrantId, GrantRecord>,
     wake: Option<Instant>,
 }
 
-/// What became of an attempt to place a request.
-enum Step {
-    Went,
+/// The result of an attempt to place a request.
+enum PlaceOutcome {
+    Granted,
     Refused,
     Blocked,
 }
 
-/// Where a request goes.
-struct Chosen {
+/// The upstreams of a request, and what is expected of them.
+struct Assignment {
     upstreams: Vec<UpstreamId>,
     prefill_tokens: f64,
     expected: Duration,
@@ -82,15 +83,15 @@
 }
 
 impl EnginePolicy {
-    /// A policy without upstreams.
+    /// Creates a policy without upstreams.
     pub fn new(conf: PolicyConfig, speed: TokensPerSecond, seed: u64) -> Self {
         let fleet = EngineFleet::new(conf.tuning.clone(), speed);
         Self {
             intake: Intake::new(conf, seed),
             fleet,
             estimator: Estimator::new(),
-            lanes: Lanes::default(),
-            granted: IndexMap::new(),
+            queues: PoolQueues::default(),
+            grants: IndexMap::new(),
             wake: None,
         }
     }
@@ -99,7 +100,7 @@
         self.fleet.tuning.lane(waiting.prompt_tokens)
     }
 
-    fn size_up(&self, work: Work, now: Instant) -> Waiting {
+    fn estimate(&self, work: Work, now: Instant) -> Waiting {
         let (account, share) = self.intake.account(&work.customer);
         let prompt_tokens = self.estimator.prompt_tokens(&work, &account);
         Waiting {
@@ -112,33 +113,33 @@
         }
     }
 
-    /// Whether to let a request in, and if not, why not and how long its lane takes to drain.
+    /// Decides whether to admit a request. A refusal has a reason and the drain time of the lane.
     fn admit(&mut self, waiting: &Waiting, now: Instant) -> Result<(), (RefuseReason, Duration)> {
         if waiting.work.deadline <= now {
             return Err((RefuseReason::Expired, Duration::ZERO));
         }
-        if self.fleet.live().next().is_none() {
+        if self.fleet.live_upstreams().next().is_none() {
             return Err((RefuseReason::NoUpstream, Duration::ZERO));
         }
         let lane = self.lane_of(waiting);
         let drain = self.drain_time(lane, now);
-        if self.lanes.len() >= WAITING_MAX {
+        if self.queues.len() >= WAITING_MAX {
             return Err((RefuseReason::QueueFull, drain));
         }
         let (account, share) = self.intake.account(&waiting.work.customer);
-        let is_within = self.intake.take_rate(&account, &share, now);
-        let loaded = match lane {
-            Lane::Short => SHORT_LOADED,
-            Lane::Long => LONG_LOADED,
+        let is_within_rate = self.intake.take_rate(&account, &share, now);
+        let loaded_drain = match lane {
+            Lane::Short => SHORT_LOADED_DRAIN,
+            Lane::Long => LONG_LOADED_DRAIN,
         };
-        if !is_within && drain > loaded {
+        if !is_within_rate && drain > loaded_drain {
             return Err((RefuseReason::CustomerLimit, drain));
         }
         let remaining = waiting.work.deadline.saturating_duration_since(now);
         let remaining = remaining.mul_f64(self.fleet.tuning.admit_part);
         match self
             .forecast(waiting, lane, now)
-            .judge(remaining, self.granted.is_empty())
+            .judge(remaining, self.grants.is_empty())
         {
             Admission::Admit => Ok(()),
             Admission::TooLate => Err((RefuseReason::Deadline, drain)),
@@ -151,7 +152,7 @@
         let speed = self.fleet.median_speed() * self.gang_size(waiting) as f64;
         Forecast {
             wait: self
-                .lanes
+                .queues
                 .get(lane)
                 .wait(waiting, self.nominal_drain(lane, now), now),
             prefill: duration(prefill / speed),
@@ -159,25 +160,25 @@
         }
     }
 
-    /// The longest prefix that some engine probably has.
+    /// Length of the longest prefix that some engine has probably cached, in tokens.
     fn cached_tokens(&self, work: &Work, now: Instant) -> f64 {
         if work.prefixes.is_empty() {
             return 0.0;
         }
         let cached = self
             .fleet
-            .open(now)
+            .open_upstreams(now)
             .map(|u| u.prefix.cached_tokens(work, now));
         cached.fold(0.0, f64::max)
     }
 
     fn drain_time(&self, lane: Lane, now: Instant) -> Duration {
-        self.lanes
+        self.queues
             .get(lane)
             .drain_time(self.nominal_drain(lane, now), now)
     }
 
-    /// The cost a second that leaves a lane's queue while nothing better is known.
+    /// Cost per second at which a lane's queue drains while no rate has been observed.
     fn nominal_drain(&self, lane: Lane, now: Instant) -> f64 {
         let all = self.fleet.speed(now).max(1.0);
         let long = self.fleet.split.open() as f64 * self.fleet.median_speed();
@@ -199,7 +200,7 @@
     }
 
     fn expire(&mut self, now: Instant) {
-        let expired = self.lanes.take_expired(now);
+        let expired = self.queues.take_expired(now);
         for waiting in expired {
             self.refuse(&waiting, RefuseReason::Expired, now);
         }
@@ -207,16 +208,16 @@
 
     fn dispatch_lane(&mut self, lane: Lane, now: Instant) {
         while self.places(now).has_room(lane) {
-            let heads = self.lanes.get(lane).queue.heads(TRIED_MAX);
+            let heads = self.queues.get(lane).queue.heads(HEADS_TRIED_MAX);
             let requests: Vec<RequestId> = heads.iter().map(|head| head.work.request).collect();
-            let mut steps = requests
+            let mut outcomes = requests
                 .iter()
                 .map(|request| self.try_place(request, lane, now));
-            if steps.all(|step| matches!(step, Step::Blocked)) {
+            if outcomes.all(|outcome| matches!(outcome, PlaceOutcome::Blocked)) {
                 break;
             }
         }
-        self.lanes.get_mut(lane).on_blocked(now);
+        self.queues.get_mut(lane).on_blocked(now);
     }
 
     fn places(&self, now: Instant) -> Places<'_> {
@@ -229,9 +230,9 @@
         }
     }
 
-    fn try_place(&mut self, request: &RequestId, lane: Lane, now: Instant) -> Step {
-        let Some(waiting) = self.lanes.get(lane).queue.get(request) else {
-            return Step::Blocked;
+    fn try_place(&mut self, request: &RequestId, lane: Lane, now: Instant) -> PlaceOutcome {
+        let Some(waiting) = self.queues.get(lane).queue.get(request) else {
+            return PlaceOutcome::Blocked;
         };
         let Placement::Go {
             index,
@@ -240,31 +241,31 @@
             why,
         } = self.places(now).choose(waiting, lane)
         else {
-            return Step::Blocked;
+            return PlaceOutcome::Blocked;
         };
         let forecast = self.run_forecast(waiting, first_token);
         if self.is_too_late(waiting, forecast, now) {
-            if let Some(waiting) = self.lanes.get_mut(lane).queue.remove(request) {
+            if let Some(waiting) = self.queues.get_mut(lane).queue.remove(request) {
                 self.refuse(&waiting, RefuseReason::Deadline, now);
             }
-            return Step::Refused;
+            return PlaceOutcome::Refused;
         }
         let upstream = self
             .fleet
             .upstreams
             .get_index(index)
             .map(|(id, _)| id.clone());
-        let Some(waiting) = self.lanes.get_mut(lane).take(request, now) else {
-            return Step::Blocked;
+        let Some(waiting) = self.queues.get_mut(lane).take(request, now) else {
+            return PlaceOutcome::Blocked;
         };
-        let chosen = Chosen {
+        let assignment = Assignment {
             upstreams: upstream.into_iter().collect(),
             prefill_tokens,
             expected: forecast.total(),
             why,
         };
-        self.grant(&waiting, chosen, now);
-        Step::Went
+        self.grant(&waiting, assignment, now);
+        PlaceOutcome::Granted
     }
 
     fn run_forecast(&self, waiting: &Waiting, first_token: Duration) -> Forecast {
@@ -275,17 +276,17 @@
         }
     }
 
-    /// Whether a request that could go now would not end in time.
+    /// Whether a request that is placed now would end after its deadline.
     fn is_too_late(&self, waiting: &Waiting, forecast: Forecast, now: Instant) -> bool {
         let remaining = waiting.work.deadline.saturating_duration_since(now);
-        forecast.judge(remaining, self.granted.is_empty()) == Admission::TooLate
+        forecast.judge(remaining, self.grants.is_empty()) == Admission::TooLate
     }
 
-    fn grant(&mut self, waiting: &Waiting, chosen: Chosen, now: Instant) {
+    fn grant(&mut self, waiting: &Waiting, assignment: Assignment, now: Instant) {
         let id = self
             .intake
-            .grant(waiting, chosen.upstreams.clone(), chosen.why, now);
-        let leader = chosen
+            .grant(waiting, assignment.upstreams.clone(), assignment.why, now);
+        let leader = assignment
             .upstreams
             .first()
             .and_then(|id| self.fleet.upstreams.get(id));
@@ -294,20 +295,20 @@
         let grant = LiveGrant {
             id,
             work: waiting.work.clone(),
-            upstreams: chosen.upstreams,
+            upstreams: assignment.upstreams,
         };
-        let prefill = chosen.prefill_tokens;
-        self.enter(
+        let prefill = assignment.prefill_tokens;
+        self.record_grant(
             grant,
             waiting,
             hinted_tokens,
-            (prefill, chosen.expected),
+            (prefill, assignment.expected),
             now,
         );
     }
 
-    /// Enters a grant in the ledger, with its prefill and the time expected for it.
-    fn enter(
+    /// Records a grant in the ledger, with its expected prefill and duration.
+    fn record_grant(
         &mut self,
         grant: LiveGrant,
         waiting: &Waiting,
@@ -323,22 +324,22 @@
             is_suspect: waiting.is_suspect(),
             has_waited: now.saturating_duration_since(waiting.since) > self.fleet.tuning.headroom,
             since: now,
-            expected: expected.min(EXPECTED_MAX),
+            expected: expected.min(EXPECTED_TIME_MAX),
             prefill_ahead: 0.0,
             higher_prefill_mark: 0.0,
         };
-        self.fleet.hold(&grant, &hold, prefill, now);
-        let granted = Granted {
+        self.fleet.record_grant(&grant, &hold, prefill, now);
+        let record = GrantRecord {
             account: waiting.account.clone(),
             hinted_tokens,
             grant,
         };
-        self.granted.insert(granted.grant.id, granted);
+        self.grants.insert(record.grant.id, record);
     }
 
     fn dispatch_gangs(&mut self, now: Instant) {
         loop {
-            match self.lanes.gangs.next(&mut self.fleet, now) {
+            match self.queues.gangs.next(&mut self.fleet, now) {
                 GangStep::Nothing => return,
                 GangStep::TooLarge(waiting) => self.refuse(&waiting, RefuseReason::TooLarge, now),
                 GangStep::Grant(waiting, members) => self.grant_gang(&waiting, members, now),
@@ -354,41 +355,42 @@
             self.refuse(waiting, RefuseReason::Deadline, now);
             return;
         }
-        let chosen = Chosen {
+        let assignment = Assignment {
             upstreams: members,
             prefill_tokens,
             expected: forecast.total(),
             why: "gang",
         };
-        self.grant(waiting, chosen, now);
+        self.grant(waiting, assignment, now);
     }
 
     fn long_waited(&self, now: Instant) -> Option<Duration> {
-        let head = self.lanes.long.queue.heads(1).first().copied()?;
+        let head = self.queues.long.queue.heads(1).first().copied()?;
         Some(now.saturating_duration_since(head.since))
     }
 
-    /// When to poll again: when an engine is expected to be ready, or a request's time runs out.
+    /// Sets the time of the next poll: when an engine is expected to be ready, or a request
+    /// expires.
     fn plan_wake(&mut self, now: Instant) {
-        if self.lanes.len() == 0 {
+        if self.queues.len() == 0 {
             self.wake = None;
             return;
         }
-        let is_short_waiting = !self.lanes.short.queue.is_empty();
-        let engines = self.fleet.open(now).filter(|_| is_short_waiting);
+        let is_short_waiting = !self.queues.short.queue.is_empty();
+        let engines = self.fleet.open_upstreams(now).filter(|_| is_short_waiting);
         let ready = engines
             .map(|u| duration(u.ledger.lane_backlog(Lane::Short) / u.ledger.speed.get()))
             .min();
         let ready_at = now + ready.unwrap_or(WAKE_MAX).clamp(WAKE_MIN, WAKE_MAX);
-        let expiry = self.lanes.queues().filter_map(FairQueue::next_expiry).min();
+        let expiry = self.queues.all().filter_map(FairQueue::next_expiry).min();
         self.wake = Some(expiry.map_or(ready_at, |expiry| expiry.min(ready_at)));
     }
 }
 
 impl Policy for EnginePolicy {
     fn set_upstreams(&mut self, upstreams: &[UpstreamSeen], now: Instant) {
-        self.lanes.gangs.unreserve(&mut self.fleet);
-        self.fleet.set(upstreams, now);
+        self.queues.gangs.release_reservation(&mut self.fleet);
+        self.fleet.set_upstreams(upstreams, now);
     }
 
     fn set_config(&mut self, conf: &PolicyConfig, _now: Instant) {
@@ -397,7 +399,7 @@
     }
 
     fn offer(&mut self, work: Work, now: Instant) {
-        let waiting = self.size_up(work, now);
+        let waiting = self.estimate(work, now);
         if let Err((reason, drain)) = self.admit(&waiting, now) {
             self.intake.refuse(waiting.work.request, reason, drain);
             return;
@@ -408,14 +410,14 @@
             .split
             .on_admitted(tokens, lane == Lane::Long, now);
         if self.gang_size(&waiting) > 1 {
-            self.lanes.gangs.queue.push(waiting);
+            self.queues.gangs.queue.push(waiting);
         } else {
-            self.lanes.get_mut(lane).queue.push(waiting);
+            self.queues.get_mut(lane).queue.push(waiting);
         }
     }
 
     fn withdraw(&mut self, request: RequestId, _now: Instant) {
-        self.lanes.remove(&request);
+        self.queues.remove(&request);
     }
 
     fn poll(&mut self, now: Instant) -> Vec<Decision> {
@@ -434,36 +436,36 @@
     }
 
     fn finish(&mut self, grant: GrantId, done: Done, now: Instant) {
-        let Some(granted) = self.granted.swap_remove(&grant) else {
+        let Some(record) = self.grants.swap_remove(&grant) else {
             return;
         };
-        let work = &granted.grant.work;
-        self.estimator.observe(work, &granted.account, &done);
+        let work = &record.grant.work;
+        self.estimator.observe(work, &record.account, &done);
         let rng = &mut self.intake.rng;
         self.fleet
-            .finish(&granted.grant, granted.hinted_tokens, &done, now, rng);
+            .finish_grant(&record.grant, record.hinted_tokens, &done, now, rng);
     }
 
     fn adopt(&mut self, grant: LiveGrant, now: Instant) {
-        if self.granted.contains_key(&grant.id) {
+        if self.grants.contains_key(&grant.id) {
             return;
         }
-        let waiting = self.size_up(grant.work.clone(), now);
-        // How far it has come is not known. A short prefill is over by now; a long one may not be,
-        // and the engine's next reports tell.
+        let waiting = self.estimate(grant.work.clone(), now);
+        // The progress of the grant is unknown. A short prefill is over by now; a long one may not
+        // be, and the engine's next reports correct it.
         let prefill = match self.lane_of(&waiting) {
             Lane::Short => 0.0,
             Lane::Long => waiting.prompt_tokens.as_f64() / grant.upstreams.len().max(1) as f64,
         };
         let first_token = duration(prefill / self.fleet.median_speed());
         let expected = self.run_forecast(&waiting, first_token).total();
-        self.enter(grant, &waiting, Tokens::ZERO, (prefill, expected), now);
+        self.record_grant(grant, &waiting, Tokens::ZERO, (prefill, expected), now);
     }
 
     fn live_grants(&self) -> Vec<LiveGrant> {
-        self.granted
+        self.grants
             .values()
-            .map(|granted| granted.grant.clone())
+            .map(|record| record.grant.clone())
             .collect()
     }
 
@@ -483,14 +485,14 @@
     fn load(&self, now: Instant) -> PoolLoad {
         let free = self
             .fleet
-            .open(now)
+            .open_upstreams(now)
             .map(|u| u.ledger.free_tokens(u.seen.memory_tokens));
         PoolLoad {
-            waiting: self.lanes.len() as u64,
-            running: self.granted.len() as u64,
+            waiting: self.queues.len() as u64,
+            running: self.grants.len() as u64,
             short_wait: self.drain_time(Lane::Short, now),
             free_tokens: free.sum(),
-            upstreams: u32::try_from(self.fleet.open(now).count()).unwrap_or(u32::MAX),
+            upstreams: u32::try_from(self.fleet.open_upstreams(now).count()).unwrap_or(u32::MAX),
         }
     }
 }
--- a/src/decide/shipped/gang_queue.rs
+++ b/src/decide/shipped/gang_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a gang of engines, one of which has its engines reserved.
+//! The queue of requests that need a gang of engines. The first request has its engines reserved.
 
 use std::time::Instant;
 
@@ -12,39 +12,39 @@
 use crate::units::Tokens;
 use crate::units::UpstreamId;
 
-/// Requests that wait for a gang.
+/// The requests that wait for a gang.
 #[derive(Debug, Default)]
 pub(crate) struct GangQueue {
     pub(crate) queue: FairQueue,
     reservation: Option<Reservation>,
 }
 
-/// What to do next about gangs.
+/// The next step for the gang queue.
 #[derive(Debug)]
 pub(crate) enum GangStep {
-    /// Nothing for now.
+    /// No request can be granted or refused now.
     Nothing,
-    /// Not all engines together hold this one.
+    /// All engines together do not have the memory for this request.
     TooLarge(Waiting),
-    /// All of these engines have room for it.
+    /// All of these engines have room for the request.
     Grant(Waiting, Vec<UpstreamId>),
 }
 
 impl GangQueue {
-    /// What to do next; to be asked again until there is nothing.
+    /// Returns the next step; call again until the result is [`GangStep::Nothing`].
     pub(crate) fn next(&mut self, fleet: &mut EngineFleet, now: Instant) -> GangStep {
         let Some(head) = self.queue.heads(1).first().copied() else {
-            self.unreserve(fleet);
+            self.release_reservation(fleet);
             return GangStep::Nothing;
         };
         let request = head.work.request;
         let is_reserved = self
             .reservation
             .as_ref()
-            .is_some_and(|kept| kept.request == request);
+            .is_some_and(|reservation| reservation.request == request);
         if !is_reserved || self.has_lost_member(fleet, now) {
             let head = head.clone();
-            self.unreserve(fleet);
+            self.release_reservation(fleet);
             match plan_gang(&head, &fleet.upstreams, fleet.split.open(), now) {
                 GangPlan::Wait => return GangStep::Nothing,
                 GangPlan::TooLarge => {
@@ -57,9 +57,12 @@
         self.grant_if_room(fleet, now)
     }
 
-    /// Gives reserved memory back.
-    pub(crate) fn unreserve(&mut self, fleet: &mut EngineFleet) {
-        let members = self.reservation.take().map(|kept| kept.members);
+    /// Releases the reserved memory.
+    pub(crate) fn release_reservation(&mut self, fleet: &mut EngineFleet) {
+        let members = self
+            .reservation
+            .take()
+            .map(|reservation| reservation.members);
         for member in members.unwrap_or_default() {
             if let Some(upstream) = fleet.upstreams.get_mut(&member) {
                 upstream.ledger.reserve(Tokens::ZERO);
@@ -77,24 +80,24 @@
     }
 
     fn has_lost_member(&self, fleet: &EngineFleet, now: Instant) -> bool {
-        let has_room = |kept| gang_has_room(kept, &fleet.upstreams, now);
+        let has_room = |reservation| gang_has_room(reservation, &fleet.upstreams, now);
         self.reservation
             .as_ref()
-            .is_some_and(|kept| has_room(kept).is_none())
+            .is_some_and(|reservation| has_room(reservation).is_none())
     }
 
     fn grant_if_room(&mut self, fleet: &mut EngineFleet, now: Instant) -> GangStep {
-        let kept = self
+        let reservation = self
             .reservation
             .clone()
-            .filter(|kept| gang_has_room(kept, &fleet.upstreams, now) == Some(true));
-        let Some(kept) = kept else {
+            .filter(|reservation| gang_has_room(reservation, &fleet.upstreams, now) == Some(true));
+        let Some(reservation) = reservation else {
             return GangStep::Nothing;
         };
-        self.unreserve(fleet);
-        let taken = self.queue.take(&kept.request);
+        self.release_reservation(fleet);
+        let taken = self.queue.take(&reservation.request);
         taken.map_or(GangStep::Nothing, |waiting| {
-            GangStep::Grant(waiting, kept.members)
+            GangStep::Grant(waiting, reservation.members)
         })
     }
 }
--- a/src/decide/shipped/lane_queue.rs
+++ b/src/decide/shipped/lane_queue.rs
@@ -1,4 +1,4 @@
-//! Requests of one lane that wait, and how fast they leave.
+//! The queue of one lane and the rate at which requests leave it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,7 +9,7 @@
 use crate::decide::placement::duration;
 use crate::units::RequestId;
 
-/// Requests of one lane that wait.
+/// The waiting requests of one lane.
 #[derive(Debug, Default)]
 pub(crate) struct LaneQueue {
     pub(crate) queue: FairQueue,
@@ -17,24 +17,24 @@
 }
 
 impl LaneQueue {
-    /// Takes a request out to be served.
+    /// Removes a request that is to be served.
     pub(crate) fn take(&mut self, request: &RequestId, now: Instant) -> Option<Waiting> {
         let waiting = self.queue.take(request)?;
         self.drain.observe(waiting.cost(), true, now);
         Some(waiting)
     }
 
-    /// Takes in that nothing more can be served now.
+    /// Records that no further request can be served now.
     pub(crate) fn on_blocked(&mut self, now: Instant) {
         self.drain.observe(0.0, !self.queue.is_empty(), now);
     }
 
-    /// How long the whole queue takes to drain, at `nominal` cost a second if nothing is known.
+    /// Time until the whole queue has drained, at `nominal` cost per second while no rate is known.
     pub(crate) fn drain_time(&self, nominal: f64, now: Instant) -> Duration {
         duration(self.queue.cost() / self.drain.per_second(nominal, now))
     }
 
-    /// How long a request like this one would wait.
+    /// Time that a request like `waiting` would wait in this queue.
     pub(crate) fn wait(&self, waiting: &Waiting, nominal: f64, now: Instant) -> Duration {
         let rank = waiting.work.priority;
         let ahead = self.queue.cost_ahead(rank, &waiting.account, waiting.share);
--- a/src/decide/shipped/mod.rs
+++ b/src/decide/shipped/mod.rs
@@ -1,16 +1,16 @@
-//! The shipped policy: one for pools of model engines, one for pools of a plain service.
+//! The production policies: one for pools of model engines and one for pools of a plain service.
 
 mod engines;
 mod gang_queue;
-mod granted;
+mod grant_record;
 mod lane_queue;
-mod lanes;
+mod pool_queues;
 mod services;
 
 pub use engines::EnginePolicy;
 pub(crate) use gang_queue::GangQueue;
 pub(crate) use gang_queue::GangStep;
-pub(crate) use granted::Granted;
+pub(crate) use grant_record::GrantRecord;
 pub(crate) use lane_queue::LaneQueue;
-pub(crate) use lanes::Lanes;
+pub(crate) use pool_queues::PoolQueues;
 pub use services::ServicePolicy;
--- a/src/decide/shipped/lanes.rs
+++ b/src/decide/shipped/pool_queues.rs
@@ -1,4 +1,4 @@
-//! All requests of a pool that wait.
+//! The queues of a pool: one per lane and one for gangs.
 
 use std::time::Instant;
 
@@ -9,15 +9,15 @@
 use crate::decide::shipped::LaneQueue;
 use crate::units::RequestId;
 
-/// All requests of a pool that wait.
+/// The waiting requests of a pool, by queue.
 #[derive(Debug, Default)]
-pub(crate) struct Lanes {
+pub(crate) struct PoolQueues {
     pub(crate) short: LaneQueue,
     pub(crate) long: LaneQueue,
     pub(crate) gangs: GangQueue,
 }
 
-impl Lanes {
+impl PoolQueues {
     pub(crate) fn get(&self, lane: Lane) -> &LaneQueue {
         match lane {
             Lane::Short => &self.short,
@@ -32,12 +32,12 @@
         }
     }
 
-    pub(crate) fn queues(&self) -> impl Iterator<Item = &FairQueue> {
+    pub(crate) fn all(&self) -> impl Iterator<Item = &FairQueue> {
         [&self.short.queue, &self.long.queue, &self.gangs.queue].into_iter()
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.queues().map(FairQueue::len).sum()
+        self.all().map(FairQueue::len).sum()
     }
 
     pub(crate) fn remove(&mut self, request: &RequestId) {
--- a/src/decide/shipped/services.rs
+++ b/src/decide/shipped/services.rs
@@ -1,4 +1,4 @@
-//! The shipped policy for a pool of a plain service.
+//! The production policy for a pool of a plain service.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -27,7 +27,7 @@
 use crate::decide::WarmUp;
 use crate::decide::Work;
 use crate::decide::placement::duration;
-use crate::decide::shipped::Granted;
+use crate::decide::shipped::GrantRecord;
 use crate::units::GrantId;
 use crate::units::RequestId;
 use crate::units::Tokens;
@@ -35,37 +35,37 @@
 use crate::upstream::CacheEvent;
 use crate::upstream::LoadReport;
 
-/// Calls that wait at most.
+/// The most calls that wait.
 const WAITING_MAX: usize = 10_000;
-/// With longer waits customers over their rate are turned away.
-const LOADED: Duration = Duration::from_millis(250);
-/// Calls tried when the first can't be placed.
-const TRIED_MAX: usize = 4;
-/// At most this part of the instances is out at the same time.
-const OUT_PART_MAX: f64 = 0.5;
-/// How often calls that wait are looked at without any other cause.
-const WAKE: Duration = Duration::from_millis(50);
+/// Drain time beyond which customers over their rate are refused.
+const LOADED_DRAIN: Duration = Duration::from_millis(250);
+/// Calls that are tried from the head of the queue when the first cannot be placed.
+const HEADS_TRIED_MAX: usize = 4;
+/// The largest fraction of the instances that is ejected at the same time.
+const EJECTED_FRACTION_MAX: f64 = 0.5;
+/// Interval between polls while calls wait and no other event triggers one.
+const WAKE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The shipped policy for a plain service.
+/// The production policy for a pool of a plain service.
 #[derive(Debug)]
 pub struct ServicePolicy {
     intake: Intake,
     upstreams: IndexMap<UpstreamId, ServiceUpstream>,
     queue: FairQueue,
     drain: DrainRate,
-    granted: IndexMap<GrantId, Granted>,
+    grants: IndexMap<GrantId, GrantRecord>,
     wake: Option<Instant>,
 }
 
 impl ServicePolicy {
-    /// A policy without upstreams.
+    /// Creates a policy without upstreams.
     pub fn new(conf: PolicyConfig, seed: u64) -> Self {
         Self {
             intake: Intake::new(conf, seed),
             upstreams: IndexMap::new(),
             queue: FairQueue::new(),
             drain: DrainRate::default(),
-            granted: IndexMap::new(),
+            grants: IndexMap::new(),
             wake: None,
         }
     }
@@ -77,36 +77,36 @@
         if !self.upstreams.values().any(ServiceUpstream::is_live) {
             return Err((RefuseReason::NoUpstream, Duration::ZERO));
         }
-        let drain = self.wait_for(self.queue.cost(), now);
+        let drain = self.wait_time(self.queue.cost(), now);
         if self.queue.len() >= WAITING_MAX {
             return Err((RefuseReason::QueueFull, drain));
         }
         let (account, share) = self.intake.account(&waiting.work.customer);
-        let is_within = self.intake.take_rate(&account, &share, now);
-        if !is_within && drain > LOADED {
+        let is_within_rate = self.intake.take_rate(&account, &share, now);
+        if !is_within_rate && drain > LOADED_DRAIN {
             return Err((RefuseReason::CustomerLimit, drain));
         }
         let rank = waiting.work.priority;
         let ahead = self.queue.cost_ahead(rank, &waiting.account, waiting.share);
         let forecast = Forecast {
-            wait: self.wait_for(ahead, now),
+            wait: self.wait_time(ahead, now),
             prefill: Duration::ZERO,
             output: self.latency(),
         };
         let remaining = waiting.work.deadline.saturating_duration_since(now);
-        match forecast.judge(remaining, self.granted.is_empty()) {
+        match forecast.judge(remaining, self.grants.is_empty()) {
             Admission::Admit => Ok(()),
             Admission::TooLate => Err((RefuseReason::Deadline, drain)),
         }
     }
 
-    /// The latency to be expected: the best that any instance has shown.
+    /// The expected latency: the best of all instances.
     fn latency(&self) -> Duration {
         let seen = self.upstreams.values().filter_map(|u| u.limit.latency());
         seen.min().unwrap_or_default()
     }
 
-    fn wait_for(&self, cost: f64, now: Instant) -> Duration {
+    fn wait_time(&self, cost: f64, now: Instant) -> Duration {
         if cost <= 0.0 {
             return Duration::ZERO;
         }
@@ -116,7 +116,7 @@
         duration(cost / self.drain.per_second(nominal, now))
     }
 
-    /// The upstream for a call; none if all are full.
+    /// Chooses the upstream for a call and the reason to log; none if all are full.
     fn choose(&self, waiting: &Waiting, now: Instant) -> Option<(UpstreamId, &'static str)> {
         let is_suspect = waiting.is_suspect();
         let mut probes = self.upstreams.values().filter(|_| !is_suspect);
@@ -150,10 +150,13 @@
     }
 
     fn next_call(&self, now: Instant) -> Option<(RequestId, UpstreamId, &'static str)> {
-        self.queue.heads(TRIED_MAX).into_iter().find_map(|waiting| {
-            let (upstream, why) = self.choose(waiting, now)?;
-            Some((waiting.work.request, upstream, why))
-        })
+        self.queue
+            .heads(HEADS_TRIED_MAX)
+            .into_iter()
+            .find_map(|waiting| {
+                let (upstream, why) = self.choose(waiting, now)?;
+                Some((waiting.work.request, upstream, why))
+            })
     }
 
     fn grant(&mut self, waiting: &Waiting, upstream: UpstreamId, why: &'static str, now: Instant) {
@@ -163,18 +166,18 @@
             work: waiting.work.clone(),
             upstreams: vec![upstream],
         };
-        self.enter(grant, waiting, now);
+        self.record_grant(grant, waiting, now);
     }
 
-    fn enter(&mut self, grant: LiveGrant, waiting: &Waiting, now: Instant) {
+    fn record_grant(&mut self, grant: LiveGrant, waiting: &Waiting, now: Instant) {
         for id in &grant.upstreams {
             if let Some(upstream) = self.upstreams.get_mut(id) {
                 upstream.on_grant(now);
             }
         }
-        self.granted.insert(
+        self.grants.insert(
             grant.id,
-            Granted {
+            GrantRecord {
                 grant,
                 account: waiting.account.clone(),
                 hinted_tokens: Tokens::ZERO,
@@ -182,7 +185,7 @@
         );
     }
 
-    fn size_up(&self, work: Work, now: Instant) -> Waiting {
+    fn estimate(&self, work: Work, now: Instant) -> Waiting {
         let (account, share) = self.intake.account(&work.customer);
         Waiting {
             work,
@@ -194,11 +197,11 @@
         }
     }
 
-    fn judge(&mut self, id: &UpstreamId, ended: Ended, now: Instant) {
+    fn update_ejection(&mut self, id: &UpstreamId, ended: Ended, now: Instant) {
         let live = self.upstreams.values().filter(|u| u.is_live()).count();
         let is_other_out = |u: &&ServiceUpstream| u.ejection.is_out() && u.seen.id != *id;
         let out = self.upstreams.values().filter(is_other_out).count();
-        let may_eject = (out + 1) as f64 <= live as f64 * OUT_PART_MAX;
+        let may_eject = (out + 1) as f64 <= live as f64 * EJECTED_FRACTION_MAX;
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
@@ -237,7 +240,7 @@
     }
 
     fn offer(&mut self, work: Work, now: Instant) {
-        let waiting = self.size_up(work, now);
+        let waiting = self.estimate(work, now);
         match self.admit(&waiting, now) {
             Ok(()) => self.queue.push(waiting),
             Err((reason, drain)) => self.intake.refuse(waiting.work.request, reason, drain),
@@ -250,14 +253,14 @@
 
     fn poll(&mut self, now: Instant) -> Vec<Decision> {
         for waiting in self.queue.take_expired(now) {
-            let drain = self.wait_for(self.queue.cost(), now);
+            let drain = self.wait_time(self.queue.cost(), now);
             self.intake
                 .refuse(waiting.work.request, RefuseReason::Expired, drain);
         }
         self.dispatch(now);
-        let wake_at = now + WAKE;
+        let next_poll = now + WAKE_INTERVAL;
         let expiry = self.queue.next_expiry();
-        self.wake = expiry.map(|expiry| expiry.min(wake_at));
+        self.wake = expiry.map(|expiry| expiry.min(next_poll));
         self.intake.take_due()
     }
 
@@ -266,31 +269,31 @@
     }
 
     fn finish(&mut self, grant: GrantId, done: Done, now: Instant) {
-        let Some(granted) = self.granted.swap_remove(&grant) else {
+        let Some(record) = self.grants.swap_remove(&grant) else {
             return;
         };
-        for id in &granted.grant.upstreams {
+        for id in &record.grant.upstreams {
             if let Some(upstream) = self.upstreams.get_mut(id) {
                 upstream.on_done(&done, now);
             }
-            self.judge(id, done.ended, now);
+            self.update_ejection(id, done.ended, now);
         }
         self.upstreams
             .retain(|_, upstream| upstream.is_live() || upstream.running > 0);
     }
 
     fn adopt(&mut self, grant: LiveGrant, now: Instant) {
-        if self.granted.contains_key(&grant.id) {
+        if self.grants.contains_key(&grant.id) {
             return;
         }
-        let waiting = self.size_up(grant.work.clone(), now);
-        self.enter(grant, &waiting, now);
+        let waiting = self.estimate(grant.work.clone(), now);
+        self.record_grant(grant, &waiting, now);
     }
 
     fn live_grants(&self) -> Vec<LiveGrant> {
-        self.granted
+        self.grants
             .values()
-            .map(|granted| granted.grant.clone())
+            .map(|record| record.grant.clone())
             .collect()
     }
 
@@ -305,8 +308,8 @@
             .filter(|u| u.access(now) == Access::Open);
         PoolLoad {
             waiting: self.queue.len() as u64,
-            running: self.granted.len() as u64,
-            short_wait: self.wait_for(self.queue.cost(), now),
+            running: self.grants.len() as u64,
+            short_wait: self.wait_time(self.queue.cost(), now),
             free_tokens: Tokens::ZERO,
             upstreams: u32::try_from(open.count()).unwrap_or(u32::MAX),
         }
