--- a/tests/decide_engine_load.rs
+++ b/tests/decide_engine_load.rs
@@ -1,4 +1,4 @@
-//! Loads of many requests on engines by the published speed model, on a fixed seed.
+//! Simulated loads on engines that follow the published speed model, with fixed seeds.
 
 mod engine_world;
 
@@ -17,61 +17,73 @@
 use engine_world::World;
 use yare::parameterized;
 
-/// Times the usual rate of archives in their stretches.
-const ARCHIVES: f64 = 2.7;
+/// Rate of long prompts in their phases, as a multiple of the usual rate.
+const LONG_RATE_FACTOR: f64 = 2.7;
 
-fn play(site: &Site, phases: &[Phase], seed: u64) -> RunResults {
+fn run(site: &Site, phases: &[Phase], seed: u64) -> RunResults {
     let load = Load::draw(site, phases, seed);
-    let tally = World::run(site.clone(), load, seed);
-    println!("{tally}");
-    tally
+    let results = World::run(site.clone(), load, seed);
+    println!("{results}");
+    results
 }
 
-/// Audits come late or are turned away while half of the engines' time is unused, on seven hosts and
-/// on seventy. The load turns between archives and clauses; hosts that hear late of each other's
-/// prompts send them to the same engines, and forecasts fall short by seconds.
+/// Long prompts were late or refused while half of the engines' time was unused, with 7 hosts as
+/// well as with 70. When the load alternates between long and short prompts, hosts that learn late
+/// of each other's prompts send them to the same engines, and forecasts are too short by seconds.
 #[test]
-fn archives_and_clauses_by_turns_are_served_on_a_small_site() {
-    let tally = play(&Site::small(), &Phase::alternating(9.0, ARCHIVES), 1);
-    assert!(tally.earned_all() > 0.88, "{tally}");
-    assert!(tally.earned(SHORT) > 0.92, "{tally}");
-    assert!(tally.earned(MEDIUM) > 0.95, "{tally}");
-    assert!(tally.earned(LONG) > 0.80, "{tally}");
+fn alternating_long_and_short_prompts_are_served_on_a_small_site() {
+    let results = run(
+        &Site::small(),
+        &Phase::alternating(9.0, LONG_RATE_FACTOR),
+        1,
+    );
+    assert!(results.earned_all() > 0.88, "{results}");
+    assert!(results.earned(SHORT) > 0.92, "{results}");
+    assert!(results.earned(MEDIUM) > 0.95, "{results}");
+    assert!(results.earned(LONG) > 0.80, "{results}");
 }
 
 #[test]
-fn archives_and_clauses_by_turns_are_served_on_a_large_site() {
-    let tally = play(&Site::large(), &Phase::alternating(5.0, ARCHIVES), 1);
-    assert!(tally.earned_all() > 0.90, "{tally}");
-    assert!(tally.earned(LONG) > 0.88, "{tally}");
-    assert!(tally.error_ms(LONG, 0.5) < 400.0, "{tally}");
+fn alternating_long_and_short_prompts_are_served_on_a_large_site() {
+    let results = run(
+        &Site::large(),
+        &Phase::alternating(5.0, LONG_RATE_FACTOR),
+        1,
+    );
+    assert!(results.earned_all() > 0.90, "{results}");
+    assert!(results.earned(LONG) > 0.88, "{results}");
+    assert!(results.error_ms(LONG, 0.5) < 400.0, "{results}");
 }
 
-/// Half of the clauses come late in a large fleet while engines have room: hosts of other domains hear
-/// of each other 50 ms late, and all choose the same engines.
+/// Half of the short prompts were late in a large fleet although engines were free: hosts of
+/// different domains learn of each other's work 50 ms late, and all chose the same engines.
 #[test]
-fn archives_and_clauses_by_turns_are_served_where_domains_hear_of_each_other_late() {
-    let tally = play(
+fn alternating_long_and_short_prompts_are_served_with_late_reports_between_domains() {
+    let results = run(
         &Site::three_domains(),
-        &Phase::alternating(4.0, ARCHIVES),
+        &Phase::alternating(4.0, LONG_RATE_FACTOR),
         1,
     );
-    assert!(tally.earned_all() > 0.90, "{tally}");
-    assert!(tally.earned(SHORT) > 0.92, "{tally}");
-    assert!(tally.earned(LONG) > 0.88, "{tally}");
+    assert!(results.earned_all() > 0.90, "{results}");
+    assert!(results.earned(SHORT) > 0.92, "{results}");
+    assert!(results.earned(LONG) > 0.88, "{results}");
 }
 
-/// Archives come late or are turned away for ten seconds after clauses, and hardly before them: the
-/// answers to clauses were spread over all engines, and each archive that was sent put off those that
-/// engines were reading already. The longest were turned away twice.
+/// Long prompts were late or refused for ten seconds after a phase of short prompts, the longest of
+/// them twice: the short answers were spread over all engines, and each long prompt that was sent
+/// delayed those that engines were already reading.
 #[test]
-fn archives_that_come_after_clauses_are_served_as_well() {
+fn long_prompts_after_a_phase_of_short_ones_are_served() {
     let mut sums = (0.0, 0.0, 0.0);
     for seed in 1..=6 {
-        let tally = play(&Site::middle(), &Phase::alternating(9.5, ARCHIVES), seed);
-        let (largest_tenth, _, _) = tally.served_by_size(LONG);
-        sums.0 += tally.earned_all() / 6.0;
-        sums.1 += tally.earned(LONG) / 6.0;
+        let results = run(
+            &Site::middle(),
+            &Phase::alternating(9.5, LONG_RATE_FACTOR),
+            seed,
+        );
+        let (largest_tenth, _, _) = results.served_by_size(LONG);
+        sums.0 += results.earned_all() / 6.0;
+        sums.1 += results.earned(LONG) / 6.0;
         sums.2 += largest_tenth / 6.0;
     }
     let (all, long, largest_tenth_served) = sums;
@@ -80,68 +92,68 @@
     assert!(largest_tenth_served > 0.85, "{largest_tenth_served}");
 }
 
-/// Studios whose catalogues are the longest get no audit at all: whenever engines are short of time
-/// the few longest prompts are the first to be turned away, and they cost most.
+/// Callers with the longest prompts got no answer at all: whenever engines were busy, the few
+/// longest prompts were the first to be refused, and each of them is worth the most.
 #[test]
-fn no_length_is_turned_away_for_the_others_under_load() {
+fn no_prompt_length_is_starved_under_load() {
     let phases = [Phase {
         for_s: 12.0,
         factors: [0.35, 1.3, 2.7],
     }];
-    let tally = play(&Site::large(), &phases, 3);
-    let (largest_tenth, next_fifth, all) = tally.served_by_size(LONG);
-    assert!(all > 0.85, "{tally}");
-    assert!(largest_tenth > all / 2.0, "{tally}");
-    assert!(next_fifth > all * 0.7, "{tally}");
+    let results = run(&Site::large(), &phases, 3);
+    let (largest_tenth, next_fifth, all) = results.served_by_size(LONG);
+    assert!(all > 0.85, "{results}");
+    assert!(largest_tenth > all / 2.0, "{results}");
+    assert!(next_fifth > all * 0.7, "{results}");
 }
 
-/// Studios with the longest catalogues wait until their deadline, and others of their kind are served: a prompt
-/// of half a million tokens and more needs sixteen engines that write nothing, and the group that it was judged by
-/// had one that did while enough others were idle.
+/// The longest prompts waited until their deadline while other long prompts were served. A prompt
+/// of half a million tokens or more needs sixteen engines that write no answers. The group that was
+/// chosen included an engine that did, although enough others were idle.
 #[parameterized(
     large = { Site::large() },
     shifted = { Site::shifted() },
 )]
-fn the_longest_are_served_while_long_and_short_prompts_take_turns(site: Site) {
-    let tally = play(&site, &Phase::alternating(9.5, 2.9), 1);
-    let (largest_tenth, _, all) = tally.served_by_size(LONG);
-    assert!(all > 0.95, "{tally}");
-    assert!(largest_tenth > 0.85, "{tally}");
+fn the_longest_prompts_are_served_while_long_and_short_prompts_alternate(site: Site) {
+    let results = run(&site, &Phase::alternating(9.5, 2.9), 1);
+    let (largest_tenth, _, all) = results.served_by_size(LONG);
+    assert!(all > 0.95, "{results}");
+    assert!(largest_tenth > 0.85, "{results}");
 }
 
-/// Twice as many archives as engines can read in. Let in without a bound all of them are late; those
-/// that are let in have to be on time, and the others hear it at once.
+/// Twice as many long prompts arrive as engines can read. If all were admitted, all would be late.
+/// Those that are admitted have to be on time, and the others have to be refused at once.
 #[test]
-fn beyond_what_engines_can_read_those_that_are_let_in_are_on_time() {
+fn admitted_prompts_are_on_time_when_more_arrive_than_engines_can_read() {
     let phases = [Phase {
         for_s: 8.0,
         factors: [0.35, 1.3, 5.4],
     }];
-    let tally = play(&Site::small(), &phases, 4);
+    let results = run(&Site::small(), &phases, 4);
     let (on_time, late) = (
-        tally.part(LONG, Ended::OnTime),
-        tally.part(LONG, Ended::Late),
+        results.part(LONG, Ended::OnTime),
+        results.part(LONG, Ended::Late),
     );
-    assert!(on_time > 0.35, "{tally}");
-    assert!(late < on_time / 2.0, "{tally}");
-    assert!(tally.earned(SHORT) > 0.8, "{tally}");
+    assert!(on_time > 0.35, "{results}");
+    assert!(late < on_time / 2.0, "{results}");
+    assert!(results.earned(SHORT) > 0.8, "{results}");
 }
 
-/// Clauses alone, at nearly all the places that engines have.
+/// A load of short prompts alone that uses nearly all slots of the engines.
 #[test]
-fn clauses_alone_are_on_time() {
+fn short_prompts_alone_are_on_time() {
     let phases = [Phase {
         for_s: 6.0,
         factors: [2.4, 0.5, 0.0],
     }];
     let mut site = Site::large();
     site.classes[LONG].per_s = 0.001;
-    let tally = play(&site, &phases, 5);
-    assert!(tally.earned(SHORT) > 0.93, "{tally}");
-    // Hosts that tell of short prompts only in their turn choose the same engines.
+    let results = run(&site, &phases, 5);
+    assert!(results.earned(SHORT) > 0.93, "{results}");
+    // Without urgent reports of short prompts, hosts choose the same engines.
     site.urgent_interval = Duration::from_millis(170);
-    let slower = play(&site, &phases, 5);
-    assert!(slower.earned(SHORT) < tally.earned(SHORT), "{slower}");
+    let slower = run(&site, &phases, 5);
+    assert!(slower.earned(SHORT) < results.earned(SHORT), "{slower}");
 }
 
 fn with_slow_engines(known_after: Duration) -> Site {
@@ -156,21 +168,25 @@
     site
 }
 
-/// A fifth of the engines works at less than a third of its speed for some seconds. They get as much as the
-/// others: answers there pause for too long, and prompts that several engines read wait for them.
+/// A fifth of the engines works at less than a third of its speed for some seconds. If these
+/// engines get as much work as the others, answers on them pause for too long, and prompts that
+/// several engines read wait for them.
 #[test]
-fn slow_engines_get_what_they_can_do() {
+fn slow_engines_get_less_work() {
     let phases = [Phase {
         for_s: 8.0,
         factors: [1.0, 1.0, 1.0],
     }];
-    let (mut asked, mut unasked) = (0.0, 0.0);
+    let (mut informed, mut uninformed) = (0.0, 0.0);
     for seed in 1..=3 {
         let known = with_slow_engines(Duration::from_millis(800));
-        asked += play(&known, &phases, seed).earned_all() / 3.0;
+        informed += run(&known, &phases, seed).earned_all() / 3.0;
         let never = with_slow_engines(Duration::from_secs(1_000));
-        unasked += play(&never, &phases, seed).earned_all() / 3.0;
+        uninformed += run(&never, &phases, seed).earned_all() / 3.0;
     }
-    assert!(asked > unasked + 0.03, "{asked}, {unasked} if not asked");
-    assert!(asked > 0.90, "{asked}");
+    assert!(
+        informed > uninformed + 0.03,
+        "{informed}, {uninformed} if not informed"
+    );
+    assert!(informed > 0.90, "{informed}");
 }
--- a/tests/decide_engines.rs
+++ b/tests/decide_engines.rs
@@ -1,4 +1,4 @@
-//! Which engines read a prompt: loads of long prompts among short ones, without a network.
+//! Tests of the choice of engines for long and short prompts, without a network.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 use banyanarch::units::UpstreamId;
 use yare::parameterized;
 
-/// Engines that read 256 tokens a ms and write a token step in 0.925 ms, 46 steps a pass.
+/// Engines that read 256 tokens per ms and take 0.925 ms per token step, with 46 steps per pass.
 fn model() -> EngineModel {
     EngineModel {
         slots: 16,
@@ -49,15 +49,15 @@
     (0..count).map(engine).collect()
 }
 
-/// All engines have this much to read; the first of it is due in `due`.
-fn set_reading(engines: &mut [EngineView], backlog: Duration, due: Option<Duration>) {
+/// Gives all engines this read backlog, with the earliest first event due in `due`.
+fn set_backlog(engines: &mut [EngineView], backlog: Duration, due: Option<Duration>) {
     for engine in engines {
         engine.load.read_backlog = backlog;
         engine.load.read_due = due;
     }
 }
 
-fn ask(prompt: u64) -> EngineRequest {
+fn request(prompt: u64) -> EngineRequest {
     EngineRequest {
         prompt: Tokens(prompt),
         output: Tokens(1_600),
@@ -99,19 +99,19 @@
     assert!(alone >= ms(43) && full <= ms(60), "{alone:?} {full:?}");
 }
 
-/// Puts short answers on an engine.
-fn write_short(engine: &mut EngineView, count: u32) {
+/// Makes an engine write `count` short answers.
+fn set_short_answers(engine: &mut EngineView, count: u32) {
     engine.load.in_flight = count;
     engine.load.short_in_flight = count;
     engine.load.strictest_pause = Some(ms(200));
     engine.load.held_tokens = Tokens(u64::from(count) * 6_500);
 }
 
-/// A caller at the counter waits for a clause while an archive is read. One engine reads all of it,
-/// and every answer that it was writing stands still for three seconds.
+/// If one engine read the whole of a long prompt, every answer that it writes would pause for three
+/// seconds.
 #[test]
 fn a_long_prompt_is_read_by_many_engines_in_equal_parts() {
-    let plan = plan(choose_engines(&model(), &engines(23), &ask(210_000)));
+    let plan = plan(choose_engines(&model(), &engines(23), &request(210_000)));
     assert!(plan.helpers.len() >= 15, "{plan:?}");
     assert!(plan.part_time <= ms(180), "{:?}", plan.part_time);
     let count = plan.helpers.len() + 1;
@@ -126,34 +126,34 @@
 fn short_prompts_stay_on_the_first_engines_and_long_ones_off_them() {
     let mut engines = engines(23);
     for engine in &mut engines[..4] {
-        write_short(engine, 6);
+        set_short_answers(engine, 6);
     }
-    let short = plan(choose_engines(&model(), &engines, &ask(5_000)));
+    let short = plan(choose_engines(&model(), &engines, &request(5_000)));
     assert!(index(&short.leader) < 4, "{short:?}");
     assert!(short.helpers.is_empty());
-    let long = plan(choose_engines(&model(), &engines, &ask(210_000)));
+    let long = plan(choose_engines(&model(), &engines, &request(210_000)));
     let readers = long.helpers.iter().chain([&long.leader]);
     assert!(readers.clone().all(|id| index(id) >= 4), "{long:?}");
 }
 
-/// The load turns from archives to clauses within a second. Without a border that moves, the short
-/// prompts queue on the engines that were enough for them before, and the others idle.
+/// The load can change from long to short prompts within a second. With a fixed boundary the short
+/// prompts would queue on the engines that were enough for them before, while the others are idle.
 #[test]
-fn the_border_follows_the_number_of_short_answers() {
+fn the_boundary_follows_the_number_of_short_answers() {
     let mut engines = engines(23);
-    let reach = |engines: &[EngineView]| {
-        let long = plan(choose_engines(&model(), engines, &ask(210_000)));
+    let first_long_engine = |engines: &[EngineView]| {
+        let long = plan(choose_engines(&model(), engines, &request(210_000)));
         let readers = long.helpers.iter().chain([&long.leader]);
         readers.map(index).min().unwrap()
     };
-    let at_rest = reach(&engines);
+    let idle = first_long_engine(&engines);
     for engine in &mut engines[..12] {
-        write_short(engine, 14);
+        set_short_answers(engine, 14);
     }
-    let under_load = reach(&engines);
-    assert!(at_rest < 3 && under_load > 12, "{at_rest} {under_load}");
+    let loaded = first_long_engine(&engines);
+    assert!(idle < 3 && loaded > 12, "{idle} {loaded}");
     for engine in &mut engines {
-        write_short(engine, 16);
+        set_short_answers(engine, 16);
         engine.load.in_flight = 12;
     }
     let kept = boundary::short_engine_count(&model(), &engines);
@@ -161,27 +161,27 @@
 }
 
 #[test]
-fn a_short_prompt_spills_over_to_idle_engines_of_long_ones() {
+fn a_short_prompt_goes_to_an_idle_engine_for_long_prompts_when_its_own_are_full() {
     let mut engines = engines(8);
     for engine in &mut engines[..6] {
-        write_short(engine, 16);
+        set_short_answers(engine, 16);
     }
     engines[6].load.read_backlog = ms(200);
-    let plan = plan(choose_engines(&model(), &engines, &ask(5_000)));
+    let plan = plan(choose_engines(&model(), &engines, &request(5_000)));
     assert_eq!(index(&plan.leader), 7);
 }
 
 #[test]
-fn when_all_places_are_taken_a_request_waits_only_while_it_is_on_time() {
+fn when_all_slots_are_taken_a_request_waits_only_while_it_is_on_time() {
     let mut engines = engines(4);
     for engine in &mut engines {
-        write_short(engine, 16);
+        set_short_answers(engine, 16);
     }
-    let waits = choose_engines(&model(), &engines, &ask(5_000));
-    assert!(matches!(waits, EngineChoice::Wait(_)), "{waits:?}");
+    let choice = choose_engines(&model(), &engines, &request(5_000));
+    assert!(matches!(choice, EngineChoice::Wait(_)), "{choice:?}");
     let late = EngineRequest {
         objective_left: Duration::ZERO,
-        ..ask(5_000)
+        ..request(5_000)
     };
     let refused = choose_engines(&model(), &engines, &late);
     assert!(
@@ -196,54 +196,54 @@
     );
 }
 
-/// Ten archives arrive together. Engines read the newest part first, so each one that is sent puts off
-/// those before it: the first callers' answers come seconds after their time, one after the other.
+/// Engines read the newest part first, so each of ten long prompts that arrive together delays
+/// those before it, and the first callers' answers are seconds late.
 #[test]
 fn a_long_prompt_waits_at_its_host_while_it_would_make_others_late() {
     let mut engines = engines(23);
-    set_reading(&mut engines, ms(600), Some(ms(750)));
-    let choice = choose_engines(&model(), &engines, &ask(210_000));
+    set_backlog(&mut engines, ms(600), Some(ms(750)));
+    let choice = choose_engines(&model(), &engines, &request(210_000));
     assert!(matches!(choice, EngineChoice::Wait(_)), "{choice:?}");
-    let pressed = EngineRequest {
+    let urgent = EngineRequest {
         objective_left: ms(1_000),
-        ..ask(210_000)
+        ..request(210_000)
     };
-    let choice = choose_engines(&model(), &engines, &pressed);
+    let choice = choose_engines(&model(), &engines, &urgent);
     assert!(matches!(choice, EngineChoice::Send(_)), "{choice:?}");
-    // Nothing there comes late by it.
-    set_reading(&mut engines, ms(600), Some(ms(2_000)));
-    let choice = choose_engines(&model(), &engines, &ask(210_000));
+    // No prompt would be late because of it.
+    set_backlog(&mut engines, ms(600), Some(ms(2_000)));
+    let choice = choose_engines(&model(), &engines, &request(210_000));
     assert!(matches!(choice, EngineChoice::Send(_)), "{choice:?}");
 }
 
-/// An audit that comes a moment late is turned away, comes back, is taken for a new one and turned away
-/// again, while its caller would have waited for ten seconds and engines idle after five.
+/// A long prompt that would be slightly late was refused, retried as a new request and refused
+/// again, although its caller would have waited for ten seconds and engines were idle after five.
 #[test]
 fn a_long_prompt_that_will_be_late_waits_behind_others_while_its_caller_stays() {
     let mut engines = engines(23);
-    set_reading(&mut engines, ms(2_900), None);
-    let choice = choose_engines(&model(), &engines, &ask(210_000));
+    set_backlog(&mut engines, ms(2_900), None);
+    let choice = choose_engines(&model(), &engines, &request(210_000));
     assert!(matches!(choice, EngineChoice::Wait(_)), "{choice:?}");
     let late = EngineRequest {
         objective_left: Duration::ZERO,
         patience_left: ms(5_000),
-        ..ask(210_000)
+        ..request(210_000)
     };
-    set_reading(&mut engines, ms(100), Some(ms(200)));
+    set_backlog(&mut engines, ms(100), Some(ms(200)));
     let choice = choose_engines(&model(), &engines, &late);
     assert!(matches!(choice, EngineChoice::Wait(_)), "{choice:?}");
-    set_reading(&mut engines, Duration::ZERO, None);
+    set_backlog(&mut engines, Duration::ZERO, None);
     let choice = choose_engines(&model(), &engines, &late);
     assert!(matches!(choice, EngineChoice::Send(_)), "{choice:?}");
 }
 
-/// More archives come than engines can read while their callers stay. Kept at the host they are turned
-/// away in the end, when it is too late to ask anybody else.
+/// More long prompts arrive than engines can read while their callers wait. Kept at the host, they
+/// would be refused when it is too late for the caller to try elsewhere.
 #[test]
-fn a_long_prompt_that_would_come_after_its_caller_has_left_is_told_so_at_once() {
+fn a_long_prompt_that_cannot_be_read_before_its_caller_leaves_is_refused_at_once() {
     let mut engines = engines(23);
-    set_reading(&mut engines, ms(11_900), None);
-    let choice = choose_engines(&model(), &engines, &ask(210_000));
+    set_backlog(&mut engines, ms(11_900), None);
+    let choice = choose_engines(&model(), &engines, &request(210_000));
     let EngineChoice::Refuse {
         reason,
         retry_after,
@@ -256,10 +256,10 @@
 }
 
 #[test]
-fn what_cannot_be_done_in_time_is_refused_at_once() {
+fn a_prompt_that_cannot_meet_its_deadline_is_refused_at_once() {
     let hopeless = EngineRequest {
         time_left: ms(600),
-        ..ask(210_000)
+        ..request(210_000)
     };
     let refused = choose_engines(&model(), &engines(23), &hopeless);
     assert!(
@@ -274,15 +274,15 @@
     );
 }
 
-/// Clauses are being written on all engines when an archive comes. Split over all of them, its parts
-/// stretch the pauses of every clause beyond what the callers accept, for the sake of one audit.
+/// Split over all engines, the parts of one long prompt would lengthen the pauses of all short
+/// answers beyond what their callers accept.
 #[test]
-fn no_part_goes_where_it_would_stretch_pauses_too_far() {
+fn no_part_goes_to_an_engine_whose_pauses_would_become_too_long() {
     let mut engines = engines(23);
     for engine in &mut engines[..18] {
-        write_short(engine, 6);
+        set_short_answers(engine, 6);
     }
-    let plan = plan(choose_engines(&model(), &engines, &ask(210_000)));
+    let plan = plan(choose_engines(&model(), &engines, &request(210_000)));
     let readers: Vec<usize> = plan
         .helpers
         .iter()
@@ -293,20 +293,20 @@
     assert!(readers.len() >= 4, "{readers:?}");
 }
 
-/// A summary of 45,000 tokens is read among clauses in parts that fit into their pauses, so it does
-/// not wait behind the archives.
+/// A prompt of 45,000 tokens is read in parts that fit into the pauses of short answers, so it does
+/// not wait behind long prompts.
 #[test]
 fn a_medium_prompt_is_read_and_answered_among_short_ones() {
     let mut engines = engines(23);
     for engine in &mut engines[..6] {
-        write_short(engine, 8);
+        set_short_answers(engine, 8);
     }
     for engine in &mut engines[7..] {
         engine.load.read_backlog = ms(2_000);
     }
     let medium = EngineRequest {
         objective_left: ms(1_500),
-        ..ask(45_000)
+        ..request(45_000)
     };
     let plan = plan(choose_engines(&model(), &engines, &medium));
     let readers: Vec<usize> = plan
@@ -319,11 +319,11 @@
     assert!(plan.part_time <= ms(70), "{:?}", plan.part_time);
 }
 
-/// A prompt of 900,000 tokens needs twice the memory of an engine. Refused as too large it never
-/// runs anywhere, on a fleet with the memory of twenty.
+/// A prompt of 900,000 tokens needs twice the memory of one engine. If it were refused as too
+/// large, it would never run, although the fleet has the memory of twenty engines.
 #[test]
-fn a_prompt_of_several_engines_memory_reserves_it() {
-    let plan = plan(choose_engines(&model(), &engines(23), &ask(900_000)));
+fn a_prompt_larger_than_one_engine_reserves_memory_on_several() {
+    let plan = plan(choose_engines(&model(), &engines(23), &request(900_000)));
     let reserved: u64 = plan
         .reservations
         .iter()
@@ -338,11 +338,12 @@
     }
 }
 
-/// Two hosts send a prompt of 300,000 tokens to one engine in the same moment. It holds one of them;
-/// the other waits inside for seconds, with its parts read everywhere else.
+/// If two hosts send a prompt of 300,000 tokens to one engine at the same moment, the engine has
+/// memory for only one. Without a reservation the other waits inside the engine for seconds,
+/// although its other parts have been read.
 #[test]
-fn the_memory_of_a_long_answer_is_set_aside_at_its_leader_too() {
-    let plan = plan(choose_engines(&model(), &engines(23), &ask(210_000)));
+fn the_memory_of_a_long_answer_is_reserved_at_its_leader_too() {
+    let plan = plan(choose_engines(&model(), &engines(23), &request(210_000)));
     assert_eq!(plan.reservations[0].engine, plan.leader);
     let reserved: u64 = plan
         .reservations
@@ -354,30 +355,31 @@
     for engine in &mut full {
         engine.load.held_tokens = Tokens(440_000);
     }
-    let waits = choose_engines(&model(), &full, &ask(210_000));
-    assert!(matches!(waits, EngineChoice::Wait(_)), "{waits:?}");
+    let choice = choose_engines(&model(), &full, &request(210_000));
+    assert!(matches!(choice, EngineChoice::Wait(_)), "{choice:?}");
 }
 
-/// An audit's own part is not read for four seconds, while all its other parts have been. Its engine
-/// helps with other prompts as well, whose parts go first, and more of them keep coming.
+/// The leader's part of a long prompt was not read for four seconds after all other parts had been
+/// read: the leader also helped with other prompts, whose parts are read first, and more of them
+/// kept arriving.
 #[test]
 fn an_engine_that_writes_long_answers_does_not_help_with_long_prompts() {
     let mut engines = engines(23);
     for engine in &mut engines[..2] {
-        write_short(engine, 2);
+        set_short_answers(engine, 2);
     }
     let mut leaders = Vec::new();
     let mut helpers = Vec::new();
     for _ in 0..6 {
-        let plan = plan(choose_engines(&model(), &engines, &ask(210_000)));
-        let led = index(&plan.leader);
-        engines[led].load.in_flight += 1;
-        engines[led].load.strictest_pause = Some(ms(800));
-        engines[led].load.read_backlog += plan.part_time;
+        let plan = plan(choose_engines(&model(), &engines, &request(210_000)));
+        let leader = index(&plan.leader);
+        engines[leader].load.in_flight += 1;
+        engines[leader].load.strictest_pause = Some(ms(800));
+        engines[leader].load.read_backlog += plan.part_time;
         for reserve in &plan.reservations {
             engines[index(&reserve.engine)].load.held_tokens += reserve.tokens;
         }
-        leaders.push(led);
+        leaders.push(leader);
         helpers.extend(plan.helpers.iter().map(index));
     }
     assert!(
@@ -387,8 +389,8 @@
 }
 
 #[test]
-fn a_prompt_beyond_all_memory_is_refused() {
-    let refused = choose_engines(&model(), &engines(2), &ask(1_000_000));
+fn a_prompt_larger_than_all_memory_is_refused() {
+    let refused = choose_engines(&model(), &engines(2), &request(1_000_000));
     assert!(
         matches!(
             refused,
@@ -403,7 +405,7 @@
 
 #[test]
 fn without_engines_a_request_is_refused() {
-    let refused = choose_engines(&model(), &[], &ask(5_000));
+    let refused = choose_engines(&model(), &[], &request(5_000));
     assert!(
         matches!(
             refused,
@@ -421,27 +423,27 @@
     medium = { 45_000, PromptClass::Medium },
     long = { 210_000, PromptClass::Long },
 )]
-fn the_class_follows_from_time_to_read_and_memory(prompt: u64, expected: PromptClass) {
-    assert_eq!(ask(prompt).class(&model()), expected);
+fn the_class_follows_from_reading_time_and_memory(prompt: u64, expected: PromptClass) {
+    assert_eq!(request(prompt).class(&model()), expected);
 }
 
-/// Sixty hosts, each a little late in what it knows, get a burst of clauses. All see the same engine
-/// as the least busy by a few milliseconds, and all take it.
+/// Sixty hosts with slightly outdated reports get a burst of short prompts. All see the same engine
+/// as the least busy by a few milliseconds, and without a random choice all would use it.
 #[test]
-fn hosts_that_see_the_same_spread_over_engines_that_are_about_equal() {
+fn hosts_with_the_same_view_spread_over_engines_that_are_about_equal() {
     let mut engines = engines(23);
     for (index, engine) in engines.iter_mut().enumerate() {
-        write_short(engine, 6);
+        set_short_answers(engine, 6);
         engine.load.read_backlog = Duration::from_micros(100 * index as u64);
     }
     let chosen = (0..60_u32).map(|host| {
-        let ask = EngineRequest {
+        let request = EngineRequest {
             near_load_age: ms(170),
             far_load_age: ms(170),
             shuffle_seed: host.wrapping_mul(0x85EB_CA6B),
-            ..ask(5_000)
+            ..request(5_000)
         };
-        index(&plan(choose_engines(&model(), &engines, &ask)).leader)
+        index(&plan(choose_engines(&model(), &engines, &request)).leader)
     });
     let mut counts = [0_u32; 23];
     for leader in chosen {
@@ -451,56 +453,57 @@
     assert!(*most <= 15, "{counts:?}");
 }
 
-/// Clauses, then archives a second later: every engine writes a few answers to clauses for as long as the
-/// longest of them takes, and no archive can be read on any without stretching somebody's pauses.
+/// If short answers are spread over all engines, a long prompt that arrives a second later finds no
+/// engine where it would not lengthen pauses, until the longest of these answers ends.
 #[test]
-fn answers_to_clauses_fill_the_first_engines_before_the_next() {
+fn short_answers_fill_the_first_engines_before_the_next() {
     let mut engines = engines(23);
     for sent in 0..30 {
-        let ask = EngineRequest {
+        let request = EngineRequest {
             shuffle_seed: 0x85EB_CA6B_u32.wrapping_mul(sent),
-            ..ask(5_000)
+            ..request(5_000)
         };
-        let leader = index(&plan(choose_engines(&model(), &engines, &ask)).leader);
+        let leader = index(&plan(choose_engines(&model(), &engines, &request)).leader);
         let writing = engines[leader].load.in_flight + 1;
-        write_short(&mut engines[leader], writing);
+        set_short_answers(&mut engines[leader], writing);
     }
     let busy = engines.iter().filter(|e| e.load.in_flight > 0).count();
     assert!(busy <= 3, "{busy}");
 }
 
-/// Callers accept shorter pauses than a full engine's pass takes. No prompt is short any more, and the
-/// shortest wait for engines that they don't need.
+/// Where callers accept only pauses shorter than the pass of a full engine, no prompt would count
+/// as short, and the shortest would wait for engines that they do not need.
 #[parameterized(
     pause_of_the_callers = { Some(200), 20_000, PromptClass::Short },
     longer_pause = { Some(400), 40_000, PromptClass::Short },
     longer_than_fits = { Some(200), 40_000, PromptClass::Medium },
     shorter_than_a_pass = { Some(40), 5_000, PromptClass::Short },
-    nobody_says = { None, 20_000, PromptClass::Short },
+    no_pause_stated = { None, 20_000, PromptClass::Short },
 )]
-fn how_long_a_short_prompt_may_be_follows_the_strictest_pause(
+fn the_longest_short_prompt_follows_from_the_strictest_pause(
     pause_ms: Option<u64>,
     prompt: u64,
     class: PromptClass,
 ) {
-    let ask = EngineRequest {
+    let request = EngineRequest {
         strictest_pause: pause_ms.map(Duration::from_millis),
-        ..ask(prompt)
+        ..request(prompt)
     };
-    assert_eq!(ask.class(&model()), class);
+    assert_eq!(request.class(&model()), class);
 }
 
-/// A refusal that does not say what its host saw can't be told from a wrong one.
+/// Without the state that the host saw, a correct refusal cannot be told from a wrong one in the
+/// log.
 #[test]
-fn a_survey_counts_what_engines_could_do_for_a_prompt() {
+fn engines_are_counted_by_what_they_could_do_for_a_prompt() {
     let mut engines = engines(20);
-    write_short(&mut engines[0], 16);
-    set_reading(&mut engines[1..5], ms(400), None);
+    set_short_answers(&mut engines[0], 16);
+    set_backlog(&mut engines[1..5], ms(400), None);
     engines[5].load.held_tokens = Tokens(440_000);
     for engine in &mut engines[6..] {
         engine.is_near = false;
     }
-    let (near, all) = count_engines(&model(), &engines, &ask(600_000));
+    let (near, all) = count_engines(&model(), &engines, &request(600_000));
     assert_eq!((near.engines, all.engines), (6, 20));
     assert_eq!((near.with_place, all.with_place), (5, 19));
     assert_eq!((near.with_memory, all.with_memory), (5, 19));
@@ -510,18 +513,18 @@
     assert_eq!(all.best.map(|best| best.stretched), Some(0));
 }
 
-/// A prompt is turned away after it was sent, and costs a retry: one of its helpers reads parts for as many
-/// others as it has slots, which hosts did not count.
+/// A prompt was rejected after it had been sent, which cost a retry: one of its helpers already
+/// helped with as many prompts as it has slots, which hosts did not count.
 #[parameterized(
     medium = { 45_000 },
     long = { 300_000 },
 )]
-fn an_engine_that_helps_as_many_as_it_has_slots_is_named_no_more(prompt: u64) {
+fn an_engine_without_free_helper_slots_is_not_named_as_helper(prompt: u64) {
     let mut engines = engines(23);
     for engine in &mut engines[..10] {
         engine.load.helping = model().slots;
     }
-    let plan = plan(choose_engines(&model(), &engines, &ask(prompt)));
+    let plan = plan(choose_engines(&model(), &engines, &request(prompt)));
     let full: Vec<&UpstreamId> = engines[..10].iter().map(|engine| &engine.id).collect();
     assert!(plan.helpers.len() >= 3, "{plan:?}");
     assert!(
@@ -530,11 +533,12 @@
     );
 }
 
-/// Forty engines of which the first 20 are idle; the others write answers, those for long answers too.
+/// 40 engines of which the first 20 are idle. The others, including those for long answers, write
+/// answers.
 fn half_idle() -> Vec<EngineView> {
     let mut engines = engines(40);
     for engine in &mut engines[20..] {
-        write_short(engine, 1);
+        set_short_answers(engine, 1);
         engine.load.short_in_flight = 0;
         engine.load.strictest_pause = Some(ms(1_000));
     }
@@ -545,14 +549,15 @@
     EngineRequest {
         objective_left: Duration::ZERO,
         time_left,
-        ..ask(prompt)
+        ..request(prompt)
     }
 }
 
-/// The longest prompts wait until their deadline beside sixteen idle engines: their answer was to be written
-/// by one of the few engines that write long answers, and each of these writes one.
+/// The longest prompts waited until their deadline although sixteen engines were idle: their
+/// answers could be written only by one of the few engines for long answers, each of which was
+/// writing one.
 #[test]
-fn a_late_prompt_of_the_longest_is_led_by_an_idle_engine_where_no_other_can() {
+fn a_late_prompt_of_the_longest_is_answered_by_an_idle_engine_if_no_other_can() {
     let plan = plan(choose_engines(
         &model(),
         &half_idle(),
@@ -562,15 +567,15 @@
     assert!(index(&plan.leader) < 20, "{plan:?}");
 }
 
-/// The longest prompts wait until their deadline beside sixteen idle engines: those with the most memory free
-/// were to keep it, and one of them has something left to read.
+/// The longest prompts waited until their deadline although sixteen engines were idle: the engines
+/// with the most free memory were to reserve it, and one of them had a backlog.
 #[test]
-fn a_late_prompt_is_kept_by_engines_with_nothing_left_to_read() {
+fn a_late_prompt_reserves_memory_on_engines_without_a_backlog() {
     let mut engines = engines(40);
     for engine in &mut engines[..20] {
         engine.load.held_tokens = Tokens(50_000);
     }
-    set_reading(&mut engines[20..], ms(300), None);
+    set_backlog(&mut engines[20..], ms(300), None);
     let plan = plan(choose_engines(
         &model(),
         &engines,
@@ -584,16 +589,16 @@
     );
 }
 
-/// A prompt that idle engines would read in three seconds is refused as soon as it arrives, ten seconds before
-/// its deadline: all but a few engines had short answers at that moment.
+/// A prompt that idle engines would read in three seconds was refused on arrival, ten seconds
+/// before its deadline, because all but a few engines had short answers at that moment.
 #[parameterized(
-    time_for_it = { 9_000, true },
-    not_even_idle_engines_have_the_time = { 3_500, false },
+    enough_time = { 9_000, true },
+    too_short_for_idle_engines = { 3_500, false },
 )]
-fn a_deadline_is_judged_by_what_engines_could_do_and_not_by_this_moment(left_ms: u64, waits: bool) {
+fn a_deadline_is_judged_by_what_idle_engines_could_do(left_ms: u64, waits: bool) {
     let mut engines = engines(40);
     for engine in &mut engines[..36] {
-        write_short(engine, 9);
+        set_short_answers(engine, 9);
     }
     let choice = choose_engines(&model(), &engines, &late(1_000_000, ms(left_ms)));
     let is_expected = match choice {
@@ -604,12 +609,13 @@
     assert!(is_expected, "{choice:?}");
 }
 
-/// The longest prompts wait until their deadline beside sixteen idle engines: where another prompt is overdue,
-/// an idle engine came after one that writes an answer, which no long part may be sent to.
+/// The longest prompts waited until their deadline although sixteen engines were idle: an idle
+/// engine with an overdue prompt was ordered after one that writes an answer, to which no long part
+/// may be sent.
 #[test]
 fn a_late_prompt_takes_idle_engines_before_those_that_write() {
     let mut engines = half_idle();
-    set_reading(&mut engines[..20], Duration::ZERO, Some(Duration::ZERO));
+    set_backlog(&mut engines[..20], Duration::ZERO, Some(Duration::ZERO));
     let plan = plan(choose_engines(
         &model(),
         &engines,
@@ -619,31 +625,32 @@
 }
 
 #[test]
-fn memory_that_an_engine_has_just_refused_is_taken_elsewhere() {
+fn memory_that_an_engine_has_just_refused_is_reserved_elsewhere() {
     let mut engines = engines(23);
     for engine in &mut engines[..20] {
         engine.load.refused_tokens = Some(Tokens(50_000));
     }
-    let plan = plan(choose_engines(&model(), &engines, &ask(300_000)));
-    let keeps_too_much = |reserve: &MemoryReservation| {
+    let plan = plan(choose_engines(&model(), &engines, &request(300_000)));
+    let exceeds_refusal = |reserve: &MemoryReservation| {
         let is_refused = index(&reserve.engine) < 20;
         is_refused && reserve.tokens >= Tokens(50_000)
     };
-    assert!(!plan.reservations.iter().any(keeps_too_much), "{plan:?}");
+    assert!(!plan.reservations.iter().any(exceeds_refusal), "{plan:?}");
 }
 
-/// An engine that has named a limit is asked to read parts of others' prompts, or gets more than the limit allows.
+/// An engine that has set a rate limit was asked to read parts of other prompts, or got more
+/// requests than the limit allows.
 #[test]
-fn an_engine_in_need_helps_no_others_and_gets_what_its_limit_allows() {
+fn an_engine_with_a_rate_limit_is_no_helper_and_gets_what_its_limit_allows() {
     let mut engines = engines(20);
     engines[0].limit = LimitState::Exhausted;
     engines[1].limit = LimitState::Open;
-    let short = plan(choose_engines(&model(), &engines, &ask(5_000)));
+    let short = plan(choose_engines(&model(), &engines, &request(5_000)));
     assert_ne!(index(&short.leader), 0);
     for draw in 0..20 {
         let long = EngineRequest {
             shuffle_seed: draw,
-            ..ask(210_000)
+            ..request(210_000)
         };
         let long = plan(choose_engines(&model(), &engines, &long));
         assert_ne!(index(&long.leader), 0);
--- a/tests/decide_engines_near.rs
+++ b/tests/decide_engines_near.rs
@@ -1,4 +1,4 @@
-//! Engines of one's own failure domain first: what hosts of a large fleet choose.
+//! Tests of the preference for engines of the host's own failure domain in a large fleet.
 
 use std::time::Duration;
 
@@ -15,11 +15,12 @@
 use banyanarch::units::UpstreamId;
 use indexmap::IndexSet;
 
-/// Engines in all, and failure domains.
+/// Number of engines.
 const ENGINES: usize = 100;
+/// Number of failure domains.
 const DOMAINS: usize = 5;
-/// The domain of the host that chooses; the first engine is in another one.
-const OWN: usize = 3;
+/// The domain of the host that chooses. The first engine is in another domain.
+const OWN_DOMAIN: usize = 3;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -42,14 +43,14 @@
     let engine = |index: usize| EngineView {
         id: format!("e{index:03}").parse().unwrap(),
         load: UpstreamLoad::default(),
-        is_near: index % DOMAINS == OWN,
+        is_near: index % DOMAINS == OWN_DOMAIN,
         slowdown: Slowdown::NONE,
         limit: LimitState::Unlimited,
     };
     (0..ENGINES).map(engine).collect()
 }
 
-fn ask(prompt: u64, draw: u32) -> EngineRequest {
+fn request(prompt: u64, draw: u32) -> EngineRequest {
     EngineRequest {
         prompt: Tokens(prompt),
         output: Tokens(1_800),
@@ -73,62 +74,65 @@
 
 fn is_near(plan: &EnginePlan) -> bool {
     let leader: usize = plan.leader.as_str()[1..].parse().unwrap();
-    leader % DOMAINS == OWN
+    leader % DOMAINS == OWN_DOMAIN
 }
 
-/// Half of all short answers of a fleet of 195 hosts come late: each host chooses among all engines by
-/// what other domains have told it 40 ms ago, and all fill the same ones.
+/// Half of all short answers in a fleet of 195 hosts were late: each host chose among all engines
+/// by reports from other domains that were 40 ms old, and all filled the same engines.
 #[test]
 fn short_prompts_stay_in_their_domain_while_it_is_as_good_as_others() {
     for draw in 0..50 {
-        let plan = sent(choose_engines(&model(), &engines(), &ask(5_000, draw)));
+        let plan = sent(choose_engines(&model(), &engines(), &request(5_000, draw)));
         assert!(plan.as_ref().is_some_and(is_near), "{plan:?}");
     }
 }
 
-/// Half of the callers move to one domain. Its engines have long to read, and its short prompts come
-/// late beside idle engines of the other domains.
+/// When half of the callers use one domain, its engines have a long backlog, and its short prompts
+/// would be late although engines of other domains are idle.
 #[test]
-fn a_busy_domain_sends_its_short_prompts_farther() {
+fn a_busy_domain_sends_its_short_prompts_to_other_domains() {
     let mut engines = engines();
     for engine in engines.iter_mut().filter(|engine| engine.is_near) {
         engine.load.read_backlog = ms(150);
     }
     for draw in 0..50 {
-        let plan = sent(choose_engines(&model(), &engines, &ask(5_000, draw)));
+        let plan = sent(choose_engines(&model(), &engines, &request(5_000, draw)));
         assert!(plan.is_some_and(|plan| !is_near(&plan)));
     }
 }
 
-/// All long prompts that wait for the engines of their domain see the same free ones in another. They
-/// go there at once, reserve the same memory, and of 6,890 reservations 5,263 are for nobody.
+/// All long prompts that wait for the engines of their domain see the same free engines in another
+/// domain. When all went there at once, they tried to reserve the same memory, and 5,263 of 6,890
+/// reservations were never used.
 #[test]
-fn few_of_the_long_prompts_that_wait_go_farther_at_once() {
+fn few_of_the_waiting_long_prompts_go_to_other_domains_at_once() {
     let mut engines = engines();
     for engine in engines.iter_mut().filter(|engine| engine.is_near) {
         engine.load.read_backlog = ms(1_500);
     }
-    let choices = (0..1_200).map(|draw| choose_engines(&model(), &engines, &ask(300_000, draw)));
+    let choices =
+        (0..1_200).map(|draw| choose_engines(&model(), &engines, &request(300_000, draw)));
     let plans: Vec<EnginePlan> = choices.filter_map(sent).collect();
     assert!(
         (50..=200).contains(&plans.len()),
-        "{} go farther",
+        "{} go to other domains",
         plans.len()
     );
     let leaders: IndexSet<&str> = plans.iter().map(|plan| plan.leader.as_str()).collect();
     assert!(leaders.len() >= 4, "all go to {leaders:?}");
 }
 
-/// The longest prompts need sixteen engines that write no answers. Their domain never has as many free
-/// at load; they wait for their deadline and are turned away while others have them.
+/// The longest prompts need sixteen engines that write no answers. Under load their own domain
+/// never has that many, so they waited until their deadline and were refused although other domains
+/// had them.
 #[test]
-fn the_longest_prompts_that_are_late_go_wherever_engines_are_idle() {
+fn the_longest_late_prompts_go_to_any_domain_with_idle_engines() {
     let mut engines = engines();
     for engine in engines.iter_mut().filter(|engine| engine.is_near) {
         engine.load.in_flight = 1;
         engine.load.strictest_pause = Some(ms(250));
     }
-    // Short answers of the other domains stand anywhere in the order of engines.
+    // In other domains, engines anywhere in the order write short answers.
     for engine in engines.iter_mut().step_by(2) {
         engine.load.in_flight = 1;
         engine.load.strictest_pause = Some(ms(250));
@@ -136,7 +140,7 @@
     for draw in 1..12 {
         let late = EngineRequest {
             objective_left: Duration::ZERO,
-            ..ask(700_000, draw)
+            ..request(700_000, draw)
         };
         let plan = sent(choose_engines(&model(), &engines, &late));
         let plan = plan.expect("sent to idle engines");
@@ -149,13 +153,13 @@
     }
 }
 
-/// In a small fleet all hosts hear of each other at once, and a long prompt needs engines of all
-/// domains.
+/// In a small fleet all hosts get each other's reports at once, and a long prompt needs engines of
+/// all domains.
 #[test]
-fn where_all_news_are_as_young_the_domain_does_not_matter() {
+fn the_domain_does_not_matter_where_all_reports_are_equally_recent() {
     let same_age = EngineRequest {
         far_load_age: ms(97),
-        ..ask(5_000, 3)
+        ..request(5_000, 3)
     };
     let mut far = engines();
     let mut near = engines();
--- a/tests/engine_world/engine.rs
+++ b/tests/engine_world/engine.rs
@@ -1,4 +1,4 @@
-//! One engine: passes of token steps in which waiting prompts are read.
+//! A simulated engine, which works in passes of token steps and reads waiting prompts in them.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use banyanarch::decide::EngineModel;
 use banyanarch::units::Slowdown;
 
-/// Prompt tokens that one token step reads at most.
+/// The most prompt tokens that one token step reads.
 const CHUNK_TOKENS: f64 = 2_048.0;
 
 /// A part of a prompt that waits to be read.
@@ -26,32 +26,32 @@
     is_new: bool,
 }
 
-/// What a pass has brought.
+/// The results of a pass.
 #[derive(Debug, Default)]
 pub struct PassEnd {
     /// Requests whose part here has been read.
     pub read: Vec<usize>,
-    /// Requests of whose answer an event was written, and whether it was the last.
+    /// Requests that got an event of their answer, and whether it was the last event.
     pub written: Vec<(usize, bool)>,
 }
 
-/// An engine.
+/// A simulated engine.
 #[derive(Debug, Default)]
 pub struct Engine {
     helped: VecDeque<Part>,
     own: VecDeque<Part>,
     writers: Vec<Writer>,
-    /// Requests that have all parts read and wait for a place.
+    /// Requests whose parts have all been read and that wait for a slot.
     ready: VecDeque<Writer>,
     pass: Option<PassEnd>,
     pub reserved_tokens: u64,
-    /// Prompts of other engines that this one helps to read or keeps a part of.
+    /// Prompts of other engines that this engine helps to read or holds a part of.
     pub helping: u32,
 }
 
 impl Engine {
-    /// A part of a prompt arrives; `is_own` where this engine writes the answer. An engine reads a part
-    /// that it helps with ahead of all that waits there, earlier such parts included.
+    /// Adds a part of a prompt. `is_own` tells whether this engine writes the answer. An engine
+    /// reads a part that it helps with ahead of everything that waits, earlier such parts included.
     pub fn push_part(&mut self, request: usize, read_ms: f64, tokens: f64, is_own: bool) {
         let part = Part {
             request,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// All parts of a prompt have been read: its answer is written here from the next pass on.
+    /// Adds an answer whose prompt has been read completely. It is written from the next pass on.
     pub fn push_writer(&mut self, request: usize, events: u32, context_tokens: f64) {
         self.ready.push_back(Writer {
             request,
@@ -79,7 +79,7 @@
         self.pass.is_none()
     }
 
-    /// Begins a pass if there is work. Returns how long it takes.
+    /// Begins a pass if there is work, and returns its duration.
     pub fn begin(&mut self, model: &EngineModel, slowdown: Slowdown) -> Option<Duration> {
         while self.writers.len() < model.slots as usize
             && let Some(writer) = self.ready.pop_front()
@@ -90,7 +90,7 @@
         if self.writers.is_empty() && !is_reading {
             return None;
         }
-        // The first token of the only answers here does not wait for a whole pass.
+        // If all answers are new, their first token does not wait for a whole pass.
         let all_new = self.writers.iter().all(|writer| writer.is_new);
         let steps = if all_new { 1 } else { model.stride };
         let context: f64 = self.writers.iter().map(|w| w.context_tokens).sum();
@@ -110,7 +110,7 @@
         Some(slowdown.stretch(Duration::from_secs_f64(took_ms / 1e3)))
     }
 
-    /// Ends the pass under way.
+    /// Ends the current pass.
     pub fn end(&mut self) -> PassEnd {
         self.pass.take().unwrap_or_default()
     }
--- a/tests/engine_world/host.rs
+++ b/tests/engine_world/host.rs
@@ -1,4 +1,4 @@
-//! A host: what it knows of all work, and how it chooses.
+//! A simulated host, with its account of all work and its choice of engines.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,9 +16,9 @@
 
 use super::load::Site;
 
-/// What one host tells the others.
+/// A report of one host about its work.
 #[derive(Clone, Debug)]
-pub struct News {
+pub struct LoadReport {
     pub host: HostId,
     pub domain: usize,
     pub loads: IndexMap<UpstreamId, HostLoad>,
@@ -28,10 +28,10 @@
     pub id: HostId,
     pub domain: usize,
     pub ledger: LoadLedger,
-    pub tells_at: Option<Duration>,
-    pub told_at: Option<Duration>,
-    /// When the host would tell next if its messages were evenly spread.
-    pub even_at: Duration,
+    pub next_report_at: Option<Duration>,
+    pub last_report_at: Option<Duration>,
+    /// When the next report would be sent if reports were evenly spaced.
+    pub next_even_report_at: Duration,
 }
 
 impl Host {
@@ -40,34 +40,34 @@
             id: format!("host-{index:02}").parse().unwrap(),
             domain,
             ledger: LoadLedger::default(),
-            tells_at: None,
-            told_at: None,
-            even_at: Duration::ZERO,
+            next_report_at: None,
+            last_report_at: None,
+            next_even_report_at: Duration::ZERO,
         }
     }
 
-    pub fn news(&self, now: Instant) -> News {
+    pub fn report(&self, now: Instant) -> LoadReport {
         let loads = self
             .ledger
             .own_loads(now)
             .map(|(id, load)| (id.clone(), load));
-        News {
+        LoadReport {
             host: self.id.clone(),
             domain: self.domain,
             loads: loads.collect(),
         }
     }
 
-    pub fn hear(&mut self, news: &News, now: Instant) {
+    pub fn receive_report(&mut self, report: &LoadReport, now: Instant) {
         self.ledger
-            .record_host_loads(news.host.clone(), 1, news.loads.clone(), now);
+            .record_host_loads(report.host.clone(), 1, report.loads.clone(), now);
     }
 
     pub fn choose(
         &self,
         site: &Site,
         engines: &[UpstreamId],
-        ask: &EngineRequest,
+        engine_request: &EngineRequest,
         at: Duration,
         now: Instant,
     ) -> EngineChoice {
@@ -79,6 +79,6 @@
             limit: LimitState::Unlimited,
         };
         let views: Vec<EngineView> = engines.iter().enumerate().map(view).collect();
-        choose_engines(&site.model, &views, ask)
+        choose_engines(&site.model, &views, engine_request)
     }
 }
--- a/tests/engine_world/load.rs
+++ b/tests/engine_world/load.rs
@@ -1,4 +1,4 @@
-//! Sites and what their callers send.
+//! Sites and the requests that their callers send.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// What one kind of request is like. Lengths are log-normal with these means and spreads.
+/// The properties of one class of requests. Lengths have a log-normal distribution with the given
+/// mean and spread (standard deviation relative to the mean).
 #[derive(Clone, Debug)]
 pub struct Class {
     pub name: &'static str,
@@ -22,24 +23,25 @@
     pub objective: Duration,
     pub pause: Duration,
     pub timeout: Duration,
-    /// What an answer of the mean length is worth on time; late it is worth a quarter.
+    /// Worth of an answer of mean length that is on time; a late answer is worth a quarter.
     pub worth: f64,
 }
 
-/// A stretch of the load with a factor for each class.
+/// A period of the load with a rate factor for each class.
 #[derive(Clone, Copy, Debug)]
 pub struct Phase {
     pub for_s: f64,
     pub factors: [f64; 3],
 }
 
-/// The places of the classes in a site and in a phase's factors.
+/// Indices of the classes in a site and in the factors of a phase.
 pub const SHORT: usize = 0;
 pub const MEDIUM: usize = 1;
 pub const LONG: usize = 2;
 
 impl Phase {
-    /// Long prompts for some seconds, `long` times their rate, short ones for as long, and long ones again.
+    /// Three phases of `for_s` seconds each: mostly long prompts at `long` times their rate, mostly
+    /// short prompts, and mostly long prompts again.
     pub fn alternating(for_s: f64, long: f64) -> Vec<Self> {
         let phase = |factors| Self { for_s, factors };
         vec![
@@ -50,15 +52,16 @@
     }
 }
 
-/// A stretch in which some engines work slower.
+/// A period in which some engines are slower.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowPeriod {
     pub from: Duration,
     pub until: Duration,
-    /// One engine in so many.
+    /// One engine in this many is slower.
     pub one_in: usize,
     pub slowdown: Slowdown,
-    /// When hosts know of it; never if they don't ask.
+    /// Delay until hosts know the slowdown. A delay beyond the end of the run stands for hosts that
+    /// do not ask engines for their speed.
     pub known_after: Duration,
 }
 
@@ -69,17 +72,17 @@
     pub engines: usize,
     pub model: EngineModel,
     pub classes: [Class; 3],
-    /// How often a host tells the others of its work while it changes.
-    pub news_interval: Duration,
-    /// Failure domains; the hosts of one tell each other.
+    /// Interval between reports of a host whose work changes.
+    pub report_interval: Duration,
+    /// Number of failure domains. Hosts in the same domain send reports to each other directly.
     pub domains: usize,
-    /// From a host's telling to the hearing of hosts of other domains.
-    pub far_news_way: Duration,
-    /// How old hosts take the news from other domains for.
+    /// Delay of a report to hosts in other domains.
+    pub far_report_delay: Duration,
+    /// Age that hosts assume for reports from other domains.
     pub far_load_age: Duration,
-    /// How often at most it tells them at once of what it has sent.
+    /// Shortest interval between urgent reports about requests that were just sent.
     pub urgent_interval: Duration,
-    /// Such messages that may follow each other before they have to be as rare as the others.
+    /// Number of urgent reports in a row before they have to keep `report_interval`.
     pub urgent_burst: u32,
     pub slow: Option<SlowPeriod>,
 }
@@ -95,7 +98,7 @@
     pub worth: f64,
 }
 
-/// All requests of a run, in the order in which they arrive.
+/// All requests of a run, in order of arrival.
 #[derive(Clone, Debug)]
 pub struct Load {
     pub requests: Vec<Request>,
@@ -106,7 +109,7 @@
 }
 
 impl Site {
-    /// Sixty-nine hosts before 78 engines.
+    /// 69 hosts and 78 engines.
     pub fn large() -> Self {
         let model = EngineModel {
             slots: 12,
@@ -127,9 +130,9 @@
                 Class::medium(12.2),
                 Class::long(3.6, 300_000.0, 4.0, 30.0),
             ],
-            news_interval: Duration::from_millis(170),
+            report_interval: Duration::from_millis(170),
             domains: 1,
-            far_news_way: Duration::from_millis(2),
+            far_report_delay: Duration::from_millis(2),
             far_load_age: Duration::from_millis(170),
             urgent_interval: Duration::from_millis(10),
             urgent_burst: 3,
@@ -137,8 +140,8 @@
         }
     }
 
-    /// Seventy-nine hosts in three failure domains before 45 engines with less memory, of callers that
-    /// accept longer pauses.
+    /// 79 hosts in three failure domains and 45 engines with less memory, with callers that accept
+    /// longer pauses.
     pub fn shifted() -> Self {
         let mut site = Self::largest();
         site.hosts = 79;
@@ -154,7 +157,7 @@
             read_tokens_per_ms: 177.0,
             read_per_megapair_ms: 0.184,
         };
-        site.news_interval = Duration::from_millis(65);
+        site.report_interval = Duration::from_millis(65);
         for (class, per_s) in site.classes.iter_mut().zip([54.4, 5.98, 1.47]) {
             class.per_s = per_s;
             class.events_mean /= 0.73;
@@ -164,7 +167,7 @@
         site
     }
 
-    /// How slow an engine is at a time.
+    /// The slowdown of an engine at a time.
     pub fn slowdown(&self, engine: usize, at: Duration) -> Slowdown {
         match self.slow {
             Some(slow)
@@ -176,7 +179,7 @@
         }
     }
 
-    /// How slow hosts take an engine for at a time.
+    /// The slowdown of an engine that hosts know of at a time.
     pub fn known_slowdown(&self, engine: usize, at: Duration) -> Slowdown {
         let known_after = self.slow.map_or(Duration::ZERO, |slow| slow.known_after);
         match at.checked_sub(known_after) {
@@ -185,7 +188,7 @@
         }
     }
 
-    /// Eight hosts before 18 engines.
+    /// 8 hosts and 18 engines.
     pub fn middle() -> Self {
         let mut site = Self::small();
         site.hosts = 8;
@@ -198,7 +201,7 @@
         site
     }
 
-    /// Seven hosts before 23 engines.
+    /// 7 hosts and 23 engines.
     pub fn small() -> Self {
         let mut site = Self::large();
         site.hosts = 7;
@@ -211,26 +214,26 @@
             Class::medium(3.66),
             Class::long(1.52, 210_000.0, 3.0, 22.0),
         ];
-        site.news_interval = Duration::from_millis(15);
-        site.far_load_age = site.news_interval;
+        site.report_interval = Duration::from_millis(15);
+        site.far_load_age = site.report_interval;
         site
     }
 
-    /// Sixty-nine hosts in three failure domains before sixty engines.
+    /// 69 hosts in three failure domains and 60 engines.
     pub fn three_domains() -> Self {
         let mut site = Self::largest();
         site.hosts = 69;
         site.engines = 60;
         site.domains = 3;
-        site.news_interval = Duration::from_millis(57);
+        site.report_interval = Duration::from_millis(57);
         for class in &mut site.classes {
             class.per_s *= 60.0 / 195.0;
         }
         site
     }
 
-    /// A hundred and ninety-five hosts in five failure domains before as many engines, each with few
-    /// places. News from other domains come by way of collectors.
+    /// 195 hosts in five failure domains and 195 engines with few slots. Reports from other domains
+    /// are sent by way of collectors.
     pub fn largest() -> Self {
         let mut site = Self::large();
         site.hosts = 195;
@@ -244,8 +247,8 @@
             Class::long(6.91, 300_000.0, 4.0, 26.0),
         ];
         site.domains = 5;
-        site.news_interval = Duration::from_millis(97);
-        site.far_news_way = Duration::from_millis(50);
+        site.report_interval = Duration::from_millis(97);
+        site.far_report_delay = Duration::from_millis(50);
         site.far_load_age = Duration::from_millis(100);
         for (class, pause_ms) in site.classes.iter_mut().zip([250, 600, 1_000]) {
             class.pause = Duration::from_millis(pause_ms);
@@ -332,7 +335,7 @@
 
 fn log_normal(rng: &mut StdRng, mean: f64, spread: f64) -> f64 {
     let variance = (1.0 + spread * spread).ln();
-    // Box and Muller.
+    // Box-Muller transform.
     let radius = (-2.0 * (1.0 - rng.random::<f64>()).ln()).sqrt();
     let normal = radius * (std::f64::consts::TAU * rng.random::<f64>()).cos();
     (mean.ln() - variance / 2.0 + variance.sqrt() * normal).exp()
--- a/tests/engine_world/mod.rs
+++ b/tests/engine_world/mod.rs
@@ -1,5 +1,6 @@
-//! Engines by the published speed model, and hosts that choose among them by what they know of each
-//! other, under a clock moved by hand. Loads are drawn from a fixed seed, so a run repeats exactly.
+//! Simulation of engines that follow the published speed model and of hosts that choose among them
+//! by their reports to each other. Time is simulated, and loads are drawn from a fixed seed, so a
+//! run is reproducible.
 
 #![allow(dead_code, unreachable_pub)]
 
--- a/tests/engine_world/run_results.rs
+++ b/tests/engine_world/run_results.rs
@@ -1,4 +1,4 @@
-//! What the callers got.
+//! The results of a run, as its callers see them.
 
 use std::fmt;
 use std::time::Duration;
@@ -13,14 +13,14 @@
     Refused,
 }
 
-/// One request's end.
+/// The outcome of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
     pub class: usize,
     pub ended: Ended,
-    /// How often its caller was turned away.
+    /// Number of times that the request was refused.
     pub refusals: u32,
-    /// Sends that an engine turned away because of a helper without room.
+    /// Sends that an engine rejected because a helper had no free helper slot.
     pub turned_away: u32,
     pub worth: f64,
     pub prompt_tokens: f64,
@@ -28,7 +28,7 @@
     pub forecast: Duration,
 }
 
-/// All of a run.
+/// The outcomes of all requests of a run.
 #[derive(Clone, Debug)]
 pub struct RunResults {
     pub outcomes: Vec<Outcome>,
@@ -36,7 +36,7 @@
 }
 
 impl RunResults {
-    /// What was earned of what could be, by class.
+    /// The worth that was earned by a class, as a fraction of what could be earned.
     pub fn earned(&self, class: usize) -> f64 {
         earned(self.outcomes.iter().filter(|o| o.class == class))
     }
@@ -45,7 +45,7 @@
         earned(self.outcomes.iter())
     }
 
-    /// The worth of requests that came back after a refusal and were not served, of all worth.
+    /// The worth of requests that were refused, retried and not served, as a fraction of all worth.
     pub fn refused_again(&self) -> f64 {
         let again = |o: &&Outcome| o.refusals > 0 && o.ended == Ended::Refused;
         let lost: f64 = self.outcomes.iter().filter(again).map(|o| o.worth).sum();
@@ -59,8 +59,8 @@
         count as f64 / of.count().max(1) as f64
     }
 
-    /// The parts of the largest tenth, of the fifth below it and of all requests of a class that
-    /// were served at all.
+    /// The fractions of requests that were served, on time or late: of the largest tenth of a
+    /// class, of the fifth below it and of the whole class.
     pub fn served_by_size(&self, class: usize) -> (f64, f64, f64) {
         let mut of: Vec<&Outcome> = self.outcomes.iter().filter(|o| o.class == class).collect();
         of.sort_by(|a, b| b.prompt_tokens.total_cmp(&a.prompt_tokens));
@@ -72,8 +72,8 @@
         (served(&of[..tenth]), served(&of[tenth..third]), served(&of))
     }
 
-    /// What was earned of what could be, of the largest tenth, of the fifth below it and of the rest of
-    /// a class.
+    /// The fractions of the possible worth that were earned: by the largest tenth of a class, by
+    /// the fifth below it and by the rest.
     pub fn earned_by_size(&self, class: usize) -> (f64, f64, f64) {
         let mut of: Vec<&Outcome> = self.outcomes.iter().filter(|o| o.class == class).collect();
         of.sort_by(|a, b| b.prompt_tokens.total_cmp(&a.prompt_tokens));
@@ -86,13 +86,13 @@
         )
     }
 
-    /// Sends that engines turned away because of a helper without room.
+    /// Sends that engines rejected because a helper had no free helper slot.
     pub fn turned_away(&self) -> u32 {
         self.outcomes.iter().map(|o| o.turned_away).sum()
     }
 
-    /// A quantile of the time from the last send's forecast to the first event, in ms; negative
-    /// where it came before.
+    /// A quantile of the forecast error in ms: the time from the forecast of the last send to the
+    /// first event, negative if the event came earlier.
     pub fn error_ms(&self, class: usize, quantile: f64) -> f64 {
         let of = self.outcomes.iter().filter(|o| o.class == class);
         let errors = of.filter_map(|o| {
--- a/tests/engine_world/world.rs
+++ b/tests/engine_world/world.rs
@@ -1,4 +1,4 @@
-//! Plays a load: callers, hosts, engines and the news between hosts.
+//! Runs a load: callers, hosts, engines and the reports between hosts.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,43 +16,45 @@
 use super::engine::Engine;
 use super::event_queue::EventQueue;
 use super::host::Host;
-use super::host::News;
+use super::host::LoadReport;
 use super::load::Load;
 use super::load::Site;
 use super::run_results::Ended;
 use super::run_results::Outcome;
 use super::run_results::RunResults;
 
-/// One way from a host to an engine or another host, connecting included.
-const WAY: Duration = Duration::from_millis(2);
-/// From a caller to a host and back.
-const CALLER_WAY: Duration = Duration::from_millis(7);
-/// After memory was refused.
-const RESERVE_PAUSE: Duration = Duration::from_millis(40);
+/// Delay of a message from a host to an engine or another host, including the time to connect.
+const NETWORK_DELAY: Duration = Duration::from_millis(2);
+/// Round trip from a caller to a host.
+const CALLER_ROUND_TRIP: Duration = Duration::from_millis(7);
+/// Delay before a choice is repeated after a refused reservation.
+const RESERVE_RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// Sends of one prompt that engines may turn away: a host pays each out of its part of the retries.
-const TURNED_AWAY_MAX: u32 = 2;
+/// The most sends of one prompt that engines may reject. Each counts against the retry budget of
+/// the host.
+const REJECTED_SENDS_MAX: u32 = 2;
+/// Retry time of a caller whose request was rejected by engines too often.
 const NO_ENGINE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Event {
     Arrive(usize),
     Decide(usize),
-    Place(usize),
+    Reserve(usize),
     Start(usize),
     PassEnds(usize),
-    Tell(usize),
-    Hear(usize),
-    HearFar(usize),
+    SendReport(usize),
+    ReceiveReport(usize),
+    ReceiveFarReport(usize),
 }
 
-/// A request on its way.
+/// The state of one request.
 struct Run {
     host: usize,
-    /// When it reached the host that has it now.
+    /// When the request reached its current host.
     arrived: Duration,
     plan: Option<EnginePlan>,
-    shares: Vec<(UpstreamId, RequestLoad)>,
+    request_loads: Vec<(UpstreamId, RequestLoad)>,
     sent_at: Duration,
     parts_left: usize,
     first_event: Option<Duration>,
@@ -60,13 +62,14 @@
     longest_pause: Duration,
     refusals: u32,
     turned_away: u32,
-    /// Engines that help until the prompt is read, and those that keep a part of it until the end.
+    /// Engines that are released as helpers when the prompt is read.
     helpers_until_read: Vec<usize>,
+    /// Engines that hold a part of the prompt until the answer ends.
     helpers_until_end: Vec<usize>,
     outcome: Option<Ended>,
 }
 
-/// A deployment under a load.
+/// A simulated site under a load.
 pub struct World {
     site: Site,
     load: Load,
@@ -78,11 +81,11 @@
     engines: Vec<Engine>,
     ids: Vec<UpstreamId>,
     runs: Vec<Run>,
-    news: Vec<News>,
+    reports: Vec<LoadReport>,
 }
 
 impl World {
-    /// Plays a load to its end.
+    /// Runs a load to its end.
     pub fn run(site: Site, load: Load, seed: u64) -> RunResults {
         let mut world = Self::new(site, load, seed);
         for index in 0..world.load.requests.len() {
@@ -91,9 +94,9 @@
         }
         while let Some((at, event)) = world.events.pop_until(Duration::MAX) {
             world.now = at;
-            world.on(event);
+            world.handle(event);
         }
-        world.tally()
+        world.results()
     }
 
     fn new(site: Site, load: Load, seed: u64) -> Self {
@@ -102,7 +105,7 @@
             host: 0,
             arrived: Duration::ZERO,
             plan: None,
-            shares: Vec::new(),
+            request_loads: Vec::new(),
             sent_at: Duration::ZERO,
             parts_left: 0,
             first_event: None,
@@ -125,7 +128,7 @@
             now: Duration::ZERO,
             rng: StdRng::seed_from_u64(seed),
             events: EventQueue::default(),
-            news: Vec::new(),
+            reports: Vec::new(),
             site,
             load,
         }
@@ -139,7 +142,7 @@
         self.base + self.now
     }
 
-    fn on(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive(request) => {
                 self.runs[request].host = self.rng.random_range(0..self.hosts.len());
@@ -147,51 +150,56 @@
                 self.decide(request);
             }
             Event::Decide(request) => self.decide(request),
-            Event::Place(request) => self.place(request),
+            Event::Reserve(request) => self.reserve(request),
             Event::Start(request) => self.start(request),
-            Event::PassEnds(engine) => self.pass_ends(engine),
-            Event::Tell(host) => self.tell(host),
-            Event::Hear(news) => self.hear(news),
-            Event::HearFar(news) => self.hear_far(news),
+            Event::PassEnds(engine) => self.finish_pass(engine),
+            Event::SendReport(host) => self.send_report(host),
+            Event::ReceiveReport(report) => self.receive_report(report),
+            Event::ReceiveFarReport(report) => self.receive_far_report(report),
         }
     }
 
     fn decide(&mut self, request: usize) {
-        let asked = &self.load.requests[request];
-        let class = &self.site.classes[asked.class];
+        let spec = &self.load.requests[request];
+        let class = &self.site.classes[spec.class];
         let run = &self.runs[request];
         let waited = self.now - run.arrived;
-        let since_first = self.now - asked.arrives;
+        let since_first = self.now - spec.arrives;
         let time_left = class.timeout.saturating_sub(since_first);
         if time_left.is_zero() {
             self.runs[request].outcome = Some(Ended::Refused);
             return;
         }
         let now = self.instant();
-        let ask = EngineRequest {
-            prompt: asked.prompt,
-            output: asked.output_max,
+        let engine_request = EngineRequest {
+            prompt: spec.prompt,
+            output: spec.output_max,
             objective_left: class.objective.saturating_sub(waited),
             patience_left: callers_patience(class.objective, Some(class.pause))
                 .saturating_sub(waited),
             time_left,
             strictest_pause: self.site.classes.iter().map(|class| class.pause).min(),
-            near_load_age: self.site.news_interval,
+            near_load_age: self.site.report_interval,
             far_load_age: self.site.far_load_age,
             spans_domains: false,
             shuffle_seed: self.rng.random(),
         };
-        let choice = self.hosts[run.host].choose(&self.site, &self.ids, &ask, self.now, now);
+        let choice =
+            self.hosts[run.host].choose(&self.site, &self.ids, &engine_request, self.now, now);
         match choice {
             EngineChoice::Send(plan) => {
                 let pause = class.pause;
-                self.runs[request].shares =
-                    plan.request_loads(&self.site.model, &ask, Some(pause), now);
+                self.runs[request].request_loads =
+                    plan.request_loads(&self.site.model, &engine_request, Some(pause), now);
                 let has_reserves = !plan.reservations.is_empty();
                 self.runs[request].plan = Some(plan);
                 self.runs[request].sent_at = self.now;
-                let delay = if has_reserves { WAY } else { Duration::ZERO };
-                self.push(self.now + delay, Event::Place(request));
+                let delay = if has_reserves {
+                    NETWORK_DELAY
+                } else {
+                    Duration::ZERO
+                };
+                self.push(self.now + delay, Event::Reserve(request));
             }
             EngineChoice::Wait(wait) => {
                 let wait = wait.mul_f64(self.rng.random_range(0.5..1.5));
@@ -201,8 +209,8 @@
         }
     }
 
-    /// Sets memory aside and puts the work on the books.
-    fn place(&mut self, request: usize) {
+    /// Reserves memory and adds the request to its host's load ledger.
+    fn reserve(&mut self, request: usize) {
         let plan = self.runs[request].plan.clone().unwrap();
         let limit = self.site.model.memory_tokens.0;
         let is_full = plan.reservations.iter().any(|reserve| {
@@ -210,7 +218,7 @@
             engine.reserved_tokens + reserve.tokens.0 > limit
         });
         if is_full {
-            self.push(self.now + RESERVE_PAUSE, Event::Decide(request));
+            self.push(self.now + RESERVE_RETRY_DELAY, Event::Decide(request));
             return;
         }
         for reserve in &plan.reservations {
@@ -219,17 +227,17 @@
         }
         let now = self.instant();
         let host = self.runs[request].host;
-        for (engine, share) in &self.runs[request].shares {
-            self.hosts[host].ledger.start_request(engine, share, now);
+        for (engine, load) in &self.runs[request].request_loads {
+            self.hosts[host].ledger.start_request(engine, load, now);
         }
-        self.changed(host, true);
-        self.push(self.now + WAY, Event::Start(request));
+        self.schedule_report(host, true);
+        self.push(self.now + NETWORK_DELAY, Event::Start(request));
     }
 
     fn start(&mut self, request: usize) {
         let plan = self.runs[request].plan.clone().unwrap();
-        if !self.take_helpers(request, &plan) {
-            self.turn_away(request);
+        if !self.claim_helpers(request, &plan) {
+            self.reject_send(request);
             return;
         }
         let tokens = self.load.requests[request].prompt.as_f64();
@@ -241,12 +249,12 @@
         for (place, engine) in engines.into_iter().enumerate() {
             let part_tokens = tokens / count as f64;
             self.engines[engine].push_part(request, read_ms, part_tokens, place == 0);
-            self.wake(engine);
+            self.start_pass(engine);
         }
     }
 
-    /// Counts the prompt at its helpers; false if one of them has no room for it.
-    fn take_helpers(&mut self, request: usize, plan: &EnginePlan) -> bool {
+    /// Claims a helper slot at each helper of the plan. Returns false if one of them has none free.
+    fn claim_helpers(&mut self, request: usize, plan: &EnginePlan) -> bool {
         let helpers: Vec<usize> = plan.helpers.iter().map(|id| self.index(id)).collect();
         let slots = self.site.model.slots;
         let is_full = |helper: &usize| self.engines[*helper].helping >= slots;
@@ -265,7 +273,7 @@
         true
     }
 
-    fn wake(&mut self, engine: usize) {
+    fn start_pass(&mut self, engine: usize) {
         let slowdown = self.site.slowdown(engine, self.now);
         if self.engines[engine].is_idle()
             && let Some(took) = self.engines[engine].begin(&self.site.model, slowdown)
@@ -274,7 +282,7 @@
         }
     }
 
-    fn pass_ends(&mut self, engine: usize) {
+    fn finish_pass(&mut self, engine: usize) {
         let end = self.engines[engine].end();
         for (request, is_last) in end.written {
             self.on_event(request, is_last);
@@ -284,22 +292,22 @@
             if self.runs[request].parts_left == 0 {
                 let leader = self.runs[request].plan.as_ref().unwrap().leader.clone();
                 let leader = self.index(&leader);
-                let asked = &self.load.requests[request];
-                let (events, context) = (asked.events, asked.prompt.as_f64());
+                let spec = &self.load.requests[request];
+                let (events, context) = (spec.events, spec.prompt.as_f64());
                 let parts = self.parts(request);
                 if parts > 1.0 {
                     self.engines[leader].push_writer(request, events, context / parts);
-                    self.wake(leader);
+                    self.start_pass(leader);
                     continue;
                 }
-                // The pass that has read the whole prompt also writes the first event.
+                // The pass that reads the end of the prompt also writes the first event.
                 self.on_event(request, events <= 1);
                 if events > 1 {
                     self.engines[leader].push_writer(request, events - 1, context);
                 }
             }
         }
-        self.wake(engine);
+        self.start_pass(engine);
     }
 
     fn parts(&self, request: usize) -> f64 {
@@ -312,8 +320,8 @@
         let run = &mut self.runs[request];
         if run.first_event.is_none() {
             run.first_event = Some(now);
-            for (engine, share) in &mut run.shares {
-                self.hosts[run.host].ledger.finish_reading(engine, share);
+            for (engine, load) in &mut run.request_loads {
+                self.hosts[run.host].ledger.finish_reading(engine, load);
             }
             for engine in std::mem::take(&mut run.helpers_until_read) {
                 self.engines[engine].helping -= 1;
@@ -325,9 +333,9 @@
         if !is_last {
             return;
         }
-        let asked = &self.load.requests[request];
-        let class = &self.site.classes[asked.class];
-        let first = run.first_event.unwrap_or(now) + CALLER_WAY - asked.arrives;
+        let spec = &self.load.requests[request];
+        let class = &self.site.classes[spec.class];
+        let first = run.first_event.unwrap_or(now) + CALLER_ROUND_TRIP - spec.arrives;
         let is_on_time = first <= class.objective && run.longest_pause <= class.pause;
         run.outcome = Some(if is_on_time {
             Ended::OnTime
@@ -337,11 +345,11 @@
         self.end_work(request);
     }
 
-    /// Takes a request's work off its host's books and off its engines.
+    /// Removes a request from its host's load ledger and from its engines.
     fn end_work(&mut self, request: usize) {
         let host = self.runs[request].host;
-        for (engine, share) in std::mem::take(&mut self.runs[request].shares) {
-            self.hosts[host].ledger.end_request(&engine, &share);
+        for (engine, load) in std::mem::take(&mut self.runs[request].request_loads) {
+            self.hosts[host].ledger.end_request(&engine, &load);
         }
         let plan = self.runs[request].plan.clone().unwrap();
         for reserve in &plan.reservations {
@@ -351,25 +359,26 @@
         for engine in std::mem::take(&mut self.runs[request].helpers_until_end) {
             self.engines[engine].helping -= 1;
         }
-        self.changed(host, false);
+        self.schedule_report(host, false);
     }
 
-    /// An engine turns a prompt away, since a helper helps as many others as it has slots.
-    fn turn_away(&mut self, request: usize) {
+    /// Handles a send that is rejected because a helper already helps with as many prompts as it
+    /// has slots.
+    fn reject_send(&mut self, request: usize) {
         self.end_work(request);
         self.runs[request].turned_away += 1;
-        if self.runs[request].turned_away > TURNED_AWAY_MAX {
+        if self.runs[request].turned_away > REJECTED_SENDS_MAX {
             self.refuse(request, NO_ENGINE_RETRY_AFTER);
         } else {
-            self.push(self.now + WAY, Event::Decide(request));
+            self.push(self.now + NETWORK_DELAY, Event::Decide(request));
         }
     }
 
-    /// The caller comes back once.
+    /// Refuses a request. The caller retries once.
     fn refuse(&mut self, request: usize, retry_after: Duration) {
-        let asked = &self.load.requests[request];
-        let class = &self.site.classes[asked.class];
-        let time_left = class.timeout.saturating_sub(self.now - asked.arrives);
+        let spec = &self.load.requests[request];
+        let class = &self.site.classes[spec.class];
+        let time_left = class.timeout.saturating_sub(self.now - spec.arrives);
         self.runs[request].refusals += 1;
         let comes_back = self.runs[request].refusals == 1;
         if comes_back && retry_after < time_left {
@@ -380,58 +389,66 @@
         }
     }
 
-    /// A host tells the others when it is its turn, or sooner.
-    fn changed(&mut self, host: usize, is_urgent: bool) {
-        let (interval, burst) = (self.site.news_interval, self.site.urgent_burst);
-        let told_at = self.hosts[host].told_at;
+    /// Schedules the next report of a host: after the report interval, or sooner if it is urgent.
+    fn schedule_report(&mut self, host: usize, is_urgent: bool) {
+        let (interval, burst) = (self.site.report_interval, self.site.urgent_burst);
+        let last_report_at = self.hosts[host].last_report_at;
         let due = if is_urgent {
-            let due = told_at.map_or(self.now, |at| at + self.site.urgent_interval);
-            due.max(self.hosts[host].even_at.saturating_sub(interval * burst))
+            let due = last_report_at.map_or(self.now, |at| at + self.site.urgent_interval);
+            due.max(
+                self.hosts[host]
+                    .next_even_report_at
+                    .saturating_sub(interval * burst),
+            )
         } else {
-            told_at.map_or(self.now, |at| at + interval)
+            last_report_at.map_or(self.now, |at| at + interval)
         };
         let due = due.max(self.now);
-        if self.hosts[host].tells_at.is_none_or(|at| due < at) {
-            self.hosts[host].tells_at = Some(due);
-            self.push(due, Event::Tell(host));
+        if self.hosts[host].next_report_at.is_none_or(|at| due < at) {
+            self.hosts[host].next_report_at = Some(due);
+            self.push(due, Event::SendReport(host));
         }
     }
 
-    fn tell(&mut self, host: usize) {
-        if self.hosts[host].tells_at != Some(self.now) {
+    fn send_report(&mut self, host: usize) {
+        if self.hosts[host].next_report_at != Some(self.now) {
             return;
         }
         let now = self.instant();
-        self.hosts[host].tells_at = None;
-        let even_at = self.hosts[host].even_at.max(self.now);
-        self.hosts[host].even_at = even_at + self.site.news_interval;
-        self.hosts[host].told_at = Some(self.now);
-        let news = self.hosts[host].news(now);
-        self.news.push(news);
-        self.push(self.now + WAY, Event::Hear(self.news.len() - 1));
+        self.hosts[host].next_report_at = None;
+        let next_even_report_at = self.hosts[host].next_even_report_at.max(self.now);
+        self.hosts[host].next_even_report_at = next_even_report_at + self.site.report_interval;
+        self.hosts[host].last_report_at = Some(self.now);
+        let report = self.hosts[host].report(now);
+        self.reports.push(report);
+        self.push(
+            self.now + NETWORK_DELAY,
+            Event::ReceiveReport(self.reports.len() - 1),
+        );
         if self.site.domains > 1 {
             self.push(
-                self.now + self.site.far_news_way,
-                Event::HearFar(self.news.len() - 1),
+                self.now + self.site.far_report_delay,
+                Event::ReceiveFarReport(self.reports.len() - 1),
             );
         }
     }
 
-    fn hear(&mut self, news: usize) {
-        self.hear_where(news, |domain, speakers| domain == speakers);
+    fn receive_report(&mut self, report: usize) {
+        self.deliver_report(report, |domain, sender| domain == sender);
     }
 
-    fn hear_far(&mut self, news: usize) {
-        self.hear_where(news, |domain, speakers| domain != speakers);
+    fn receive_far_report(&mut self, report: usize) {
+        self.deliver_report(report, |domain, sender| domain != sender);
     }
 
-    /// The hosts of the domains that are chosen, by theirs and the speaker's, hear of it.
-    fn hear_where(&mut self, news: usize, is_heard: impl Fn(usize, usize) -> bool) {
+    /// Delivers a report to the other hosts for which `is_receiver` is true, given their domain and
+    /// the domain of the sender.
+    fn deliver_report(&mut self, report: usize, is_receiver: impl Fn(usize, usize) -> bool) {
         let now = self.instant();
-        let news = self.news[news].clone();
+        let report = self.reports[report].clone();
         for host in &mut self.hosts {
-            if host.id != news.host && is_heard(host.domain, news.domain) {
-                host.hear(&news, now);
+            if host.id != report.host && is_receiver(host.domain, report.domain) {
+                host.receive_report(&report, now);
             }
         }
     }
@@ -440,15 +457,15 @@
         id.as_str()[1..].parse().unwrap()
     }
 
-    fn tally(self) -> RunResults {
+    fn results(self) -> RunResults {
         let runs = self.runs.iter().zip(&self.load.requests);
-        let outcomes = runs.map(|(run, asked)| Outcome {
-            class: asked.class,
+        let outcomes = runs.map(|(run, spec)| Outcome {
+            class: spec.class,
             ended: run.outcome.unwrap_or(Ended::Refused),
             refusals: run.refusals,
             turned_away: run.turned_away,
-            worth: asked.worth,
-            prompt_tokens: asked.prompt.as_f64(),
+            worth: spec.worth,
+            prompt_tokens: spec.prompt.as_f64(),
             first_event: run.first_event.map(|at| at.saturating_sub(run.sent_at)),
             forecast: run.plan.as_ref().map_or(Duration::ZERO, |p| p.forecast),
         });
