--- a/examples/engine_loads/main.rs
+++ b/examples/engine_loads/main.rs
@@ -68,7 +68,7 @@
         mean(&|tally| tally.part(LONG, Ended::Late)),
         mean(&|tally| tally.served_by_size(LONG).0),
         mean(&|tally| tally.served_by_size(LONG).2),
-        mean(&|tally| f64::from(tally.turned_away())),
+        mean(&|tally| f64::from(tally.rejected_sends())),
         mean(&|tally| tally.error_ms(MEDIUM, 0.5)),
         mean(&|tally| tally.error_ms(MEDIUM, 0.9)),
         mean(&|tally| tally.error_ms(LONG, 0.5)),
--- a/tests/engine_world/run_results.rs
+++ b/tests/engine_world/run_results.rs
@@ -21,7 +21,7 @@
     /// Number of times that the request was refused.
     pub refusals: u32,
     /// Sends that an engine rejected because a helper had no free helper slot.
-    pub turned_away: u32,
+    pub rejected_sends: u32,
     pub worth: f64,
     pub prompt_tokens: f64,
     pub first_event: Option<Duration>,
@@ -87,8 +87,8 @@
     }
 
     /// Sends that engines rejected because a helper had no free helper slot.
-    pub fn turned_away(&self) -> u32 {
-        self.outcomes.iter().map(|o| o.turned_away).sum()
+    pub fn rejected_sends(&self) -> u32 {
+        self.outcomes.iter().map(|o| o.rejected_sends).sum()
     }
 
     /// A quantile of the forecast error in ms: the time from the forecast of the last send to the
--- a/tests/engine_world/world.rs
+++ b/tests/engine_world/world.rs
@@ -61,7 +61,7 @@
     last_event: Duration,
     longest_pause: Duration,
     refusals: u32,
-    turned_away: u32,
+    rejected_sends: u32,
     /// Engines that are released as helpers when the prompt is read.
     helpers_until_read: Vec<usize>,
     /// Engines that hold a part of the prompt until the answer ends.
@@ -112,7 +112,7 @@
             last_event: Duration::ZERO,
             longest_pause: Duration::ZERO,
             refusals: 0,
-            turned_away: 0,
+            rejected_sends: 0,
             helpers_until_read: Vec::new(),
             helpers_until_end: Vec::new(),
             outcome: None,
@@ -366,8 +366,8 @@
     /// has slots.
     fn reject_send(&mut self, request: usize) {
         self.end_work(request);
-        self.runs[request].turned_away += 1;
-        if self.runs[request].turned_away > REJECTED_SENDS_MAX {
+        self.runs[request].rejected_sends += 1;
+        if self.runs[request].rejected_sends > REJECTED_SENDS_MAX {
             self.refuse(request, NO_ENGINE_RETRY_AFTER);
         } else {
             self.push(self.now + NETWORK_DELAY, Event::Decide(request));
@@ -463,7 +463,7 @@
             class: spec.class,
             ended: run.outcome.unwrap_or(Ended::Refused),
             refusals: run.refusals,
-            turned_away: run.turned_away,
+            rejected_sends: run.rejected_sends,
             worth: spec.worth,
             prompt_tokens: spec.prompt.as_f64(),
             first_event: run.first_event.map(|at| at.saturating_sub(run.sent_at)),
