--- a/tests/decide_engine_load.rs
+++ b/tests/decide_engine_load.rs
@@ -186,7 +186,7 @@
     }
     assert!(
         informed > uninformed + 0.03,
-        "{informed}, {uninformed} if not informed"
+        "{informed}, {uninformed} without known slowdowns"
     );
     assert!(informed > 0.90, "{informed}");
 }
