--- a/src/decide/engine_fleet.rs
+++ b/src/decide/engine_fleet.rs
@@ -115,12 +115,14 @@
         self.split.update(&input, &self.tuning, now);
     }
 
+    /// The engines that may get work as usual.
     pub(crate) fn open_upstreams(&self, now: Instant) -> impl Iterator<Item = &PoolUpstream> {
         self.upstreams
             .values()
             .filter(move |upstream| upstream.is_open(now))
     }
 
+    /// The engines that are not leaving.
     pub(crate) fn live_upstreams(&self) -> impl Iterator<Item = &PoolUpstream> {
         self.upstreams
             .values()
@@ -228,6 +230,7 @@
         }
     }
 
+    /// Ejects or readmits an engine after an attempt that ended as `ended`.
     fn update_ejection(&mut self, id: &UpstreamId, ended: Ended, now: Instant, rng: &mut StdRng) {
         self.update_median(now);
         let median = self.median();
@@ -249,6 +252,7 @@
         }
     }
 
+    /// Ejects an engine unless too large a fraction of the pool would be ejected.
     fn eject(&mut self, id: &UpstreamId, now: Instant, rng: &mut StdRng) {
         let live = self.live_upstreams().count();
         let ejected = self
--- a/src/decide/engines/group.rs
+++ b/src/decide/engines/group.rs
@@ -17,7 +17,7 @@
 /// value is the time of a part of medium length.
 const LATENESS_COST: Duration = Duration::from_millis(200);
 /// Helpers are ordered by their cost in steps of this size; costs in the same step count as equal.
-const EQUAL_BACKLOG_STEP: Duration = Duration::from_millis(20);
+const HELPER_COST_STEP: Duration = Duration::from_millis(20);
 /// Cost of making the pauses of one answer too long, expressed as time to the first event.
 ///
 /// The cost only serves to compare groups, since no prompt is sent to a group that makes a pause
@@ -106,7 +106,7 @@
             + LATENESS_COST * makes_late;
         (
             is_last,
-            cost.as_millis() / EQUAL_BACKLOG_STEP.as_millis(),
+            cost.as_millis() / HELPER_COST_STEP.as_millis(),
             request.shuffle_key(*index),
         )
     });
--- a/src/decide/engines/leader.rs
+++ b/src/decide/engines/leader.rs
@@ -9,12 +9,13 @@
 use crate::decide::engines::memory_reservation::reservation_share;
 use crate::decide::engines::parts::accepts_part;
 
-/// Chooses the leader among `engines`; none if no engine has a free slot.
+/// Chooses the leader among the `engines` with a free slot; none if no engine qualifies.
 ///
-/// For a long prompt the leader is the first engine that has a slot and the memory for its share
-/// and accepts its part, so that the answers to long prompts gather on few engines. If no engine
-/// has the memory, the leader is the engine with the least memory in use. For other prompts the
-/// leader is the engine with the shortest backlog.
+/// For a long prompt the leader is the first engine that has the memory for its share and accepts
+/// its part, so that the answers to long prompts gather on few engines. A choice that spans domains
+/// picks one of these engines at random. If no engine has the memory, the leader is the engine with
+/// the least memory in use. For a medium prompt the leader is the engine with the shortest backlog
+/// out of those with enough memory, preferably one whose pauses do not become too long.
 pub(super) fn choose_leader<'a>(
     model: &EngineModel,
     engines: &'a [EngineView],
@@ -51,7 +52,7 @@
     engines: impl Iterator<Item = &'a EngineView>,
     request: &EngineRequest,
 ) -> Option<&'a EngineView> {
-    let drawn = engines.enumerate();
-    let drawn = drawn.min_by_key(|(index, _)| request.shuffle_key(*index));
-    drawn.map(|(_, engine)| engine)
+    let shuffled = engines.enumerate();
+    let shuffled = shuffled.min_by_key(|(index, _)| request.shuffle_key(*index));
+    shuffled.map(|(_, engine)| engine)
 }
--- a/src/decide/engines/locality.rs
+++ b/src/decide/engines/locality.rs
@@ -66,7 +66,7 @@
 }
 
 /// Counts the near engines, and all engines.
-pub(super) fn survey(
+pub(super) fn count_engines(
     model: &EngineModel,
     engines: &[EngineView],
     request: &EngineRequest,
--- a/src/decide/engines/mod.rs
+++ b/src/decide/engines/mod.rs
@@ -55,7 +55,7 @@
     engines: &[EngineView],
     request: &EngineRequest,
 ) -> (EngineCounts, EngineCounts) {
-    locality::survey(model, engines, request)
+    locality::count_engines(model, engines, request)
 }
 
 fn choose_among(
--- a/src/decide/engines/short.rs
+++ b/src/decide/engines/short.rs
@@ -40,13 +40,13 @@
     let (short_side, _) = engines.split_at(short_engines);
     let parts = parts_wanted(model.read_time(request.prompt), short_side.len());
     let part_time = model.read_time(request.prompt) / u32::try_from(parts).unwrap_or(1);
-    let is_good = |engine: &EngineView| {
+    let is_acceptable = |engine: &EngineView| {
         engine.time_to_first_event(model, part_time) <= request.objective_left
             && engine.fits_part(model, part_time)
     };
     let best_near = best_engine(model, short_side, part_time, request);
     let leader = match best_near {
-        Some(engine) if is_good(engine) => Some(engine),
+        Some(engine) if is_acceptable(engine) => Some(engine),
         _ => best_engine(model, engines, part_time, request),
     };
     let Some(leader) = leader else {
@@ -70,7 +70,7 @@
     part_time: Duration,
     request: &EngineRequest,
 ) -> Option<&'a EngineView> {
-    let able = engines.iter().filter(|engine| {
+    let candidates = engines.iter().filter(|engine| {
         engine.has_free_slot(model) && engine.free_tokens(model) >= request.memory_needed()
     });
     let rank = |engine: &EngineView| {
@@ -80,17 +80,17 @@
             engine.time_to_first_event(model, part_time),
         )
     };
-    let able: Vec<&EngineView> = able.collect();
-    let (lengthens_pauses, soonest) = able.iter().map(|engine| rank(engine)).min()?;
+    let candidates: Vec<&EngineView> = candidates.collect();
+    let (lengthens_pauses, soonest) = candidates.iter().map(|engine| rank(engine)).min()?;
     let is_about_equal = |engine: &&EngineView| {
         let (own_lengthens, first_event) = rank(engine);
         own_lengthens == lengthens_pauses && first_event <= soonest + EQUAL_FIRST_EVENTS
     };
-    let about_equal: Vec<&EngineView> = able.into_iter().filter(is_about_equal).collect();
-    let drawn_from = engines_to_fill(model, &about_equal, request);
-    let mut drawn: Vec<(usize, &EngineView)> = drawn_from.into_iter().enumerate().collect();
-    drawn.sort_by_key(|(index, _)| request.shuffle_key(*index));
-    let compared = drawn
+    let about_equal: Vec<&EngineView> = candidates.into_iter().filter(is_about_equal).collect();
+    let to_fill = engines_to_fill(model, &about_equal, request);
+    let mut shuffled: Vec<(usize, &EngineView)> = to_fill.into_iter().enumerate().collect();
+    shuffled.sort_by_key(|(index, _)| request.shuffle_key(*index));
+    let compared = shuffled
         .iter()
         .take(CANDIDATES_COMPARED)
         .map(|(_, engine)| *engine);
--- a/src/decide/peer_loads.rs
+++ b/src/decide/peer_loads.rs
@@ -15,7 +15,7 @@
     pub(crate) load: Option<HostLoad>,
     /// When the report was received.
     pub(crate) received_at: Instant,
-    /// Number of the message, counted per source.
+    /// Number of the message that contained the report, counted per source.
     pub(crate) message_number: u64,
     /// The last reported running total of reading time; none if the upstream has been off the list
     /// since.
--- a/src/decide/request_load.rs
+++ b/src/decide/request_load.rs
@@ -30,7 +30,6 @@
     pub held_tokens: Tokens,
     /// When the engine is released as a helper; none if it answers the request itself.
     pub helper_release: Option<HelperRelease>,
-    /// When the first event is due; none if the upstream need not delay other work to keep that
-    /// time.
+    /// When the first event is due; none if no other work is delayed to keep that time.
     pub read_due: Option<Instant>,
 }
--- a/src/decide/shipped/engines.rs
+++ b/src/decide/shipped/engines.rs
@@ -1,4 +1,4 @@
-//! The production policy for a pool of model engines.
+//! The shipped policy for a pool of model engines.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -49,14 +49,14 @@
 const SHORT_LOADED_DRAIN: Duration = Duration::from_millis(250);
 /// Drain time beyond which the long lane is loaded and customers over their rate are refused.
 const LONG_LOADED_DRAIN: Duration = Duration::from_secs(5);
-/// Upper bound of the expected duration of a grant; a longer one means never.
+/// Upper bound of the expected duration of a grant. Anything longer is as good as never.
 const EXPECTED_TIME_MAX: Duration = Duration::from_secs(86_400);
 /// The shortest time between two polls while requests wait. The headroom of placement covers it.
 const WAKE_MIN: Duration = Duration::from_millis(2);
 /// The longest time between two polls while requests wait, so that time-dependent state advances.
 const WAKE_MAX: Duration = Duration::from_millis(100);
 
-/// The production policy for a pool of model engines.
+/// The shipped policy for a pool of model engines.
 #[derive(Debug)]
 pub struct EnginePolicy {
     intake: Intake,
--- a/src/decide/shipped/mod.rs
+++ b/src/decide/shipped/mod.rs
@@ -1,4 +1,4 @@
-//! The production policies: one for pools of model engines and one for pools of a plain service.
+//! The shipped policies: one for pools of model engines and one for pools of a plain service.
 
 mod engines;
 mod gang_queue;
--- a/src/decide/shipped/services.rs
+++ b/src/decide/shipped/services.rs
@@ -1,4 +1,4 @@
-//! The production policy for a pool of a plain service.
+//! The shipped policy for a pool of a plain service.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -46,7 +46,7 @@
 /// Interval between polls while calls wait and no other event triggers one.
 const WAKE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The production policy for a pool of a plain service.
+/// The shipped policy for a pool of a plain service.
 #[derive(Debug)]
 pub struct ServicePolicy {
     intake: Intake,
--- a/tests/engine_world/engine.rs
+++ b/tests/engine_world/engine.rs
@@ -38,11 +38,11 @@
 /// A simulated engine.
 #[derive(Debug, Default)]
 pub struct Engine {
-    helped: VecDeque<Part>,
-    own: VecDeque<Part>,
+    helper_parts: VecDeque<Part>,
+    own_parts: VecDeque<Part>,
     writers: Vec<Writer>,
     /// Requests whose parts have all been read and that wait for a slot.
-    ready: VecDeque<Writer>,
+    ready_writers: VecDeque<Writer>,
     pass: Option<PassEnd>,
     pub reserved_tokens: u64,
     /// Prompts of other engines that this engine helps to read or holds a part of.
@@ -59,15 +59,15 @@
             left_tokens: tokens,
         };
         if is_own {
-            self.own.push_back(part);
+            self.own_parts.push_back(part);
         } else {
-            self.helped.push_front(part);
+            self.helper_parts.push_front(part);
         }
     }
 
     /// Adds an answer whose prompt has been read completely. It is written from the next pass on.
     pub fn push_writer(&mut self, request: usize, events: u32, context_tokens: f64) {
-        self.ready.push_back(Writer {
+        self.ready_writers.push_back(Writer {
             request,
             events_left: events.max(1),
             context_tokens,
@@ -82,11 +82,11 @@
     /// Begins a pass if there is work, and returns its duration.
     pub fn begin(&mut self, model: &EngineModel, slowdown: Slowdown) -> Option<Duration> {
         while self.writers.len() < model.slots as usize
-            && let Some(writer) = self.ready.pop_front()
+            && let Some(writer) = self.ready_writers.pop_front()
         {
             self.writers.push(writer);
         }
-        let is_reading = !self.helped.is_empty() || !self.own.is_empty();
+        let is_reading = !self.helper_parts.is_empty() || !self.own_parts.is_empty();
         if self.writers.is_empty() && !is_reading {
             return None;
         }
@@ -118,10 +118,10 @@
     fn read(&mut self, mut tokens_left: f64, end: &mut PassEnd) -> f64 {
         let mut took_ms = 0.0;
         while tokens_left > 0.5 {
-            let queue = if self.helped.is_empty() {
-                &mut self.own
+            let queue = if self.helper_parts.is_empty() {
+                &mut self.own_parts
             } else {
-                &mut self.helped
+                &mut self.helper_parts
             };
             let Some(part) = queue.front_mut() else {
                 break;
