--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -120,9 +120,9 @@
         memory_tokens: Tokens(450_000),
         stride: 73,
         step_ms: 0.925,
-        step_per_writer_ms: 0.004_83,
+        step_per_sequence_ms: 0.004_83,
         step_per_kilotoken_ms: 0.002_54,
-        read_tokens_per_ms: 256.0,
-        read_per_megapair_ms: 0.091_7,
+        prefill_tokens_per_ms: 256.0,
+        prefill_per_megapair_ms: 0.091_7,
     }
 }
--- a/src/decide/engine_model.rs
+++ b/src/decide/engine_model.rs
@@ -21,28 +21,28 @@
     /// Base time of a step, in ms.
     pub step_ms: f64,
     /// Time that each answer being written adds to a step, in ms.
-    pub step_per_writer_ms: f64,
+    pub step_per_sequence_ms: f64,
     /// Time that each 1,000 tokens of context of the answers being written add to a step, in ms.
     pub step_per_kilotoken_ms: f64,
     /// Prompt tokens read per millisecond.
-    pub read_tokens_per_ms: f64,
+    pub prefill_tokens_per_ms: f64,
     /// Time that each million pairs of a prompt token and an earlier one add to reading, in ms.
-    pub read_per_megapair_ms: f64,
+    pub prefill_per_megapair_ms: f64,
 }
 
 impl EngineModel {
     /// Total engine time to read a prompt, independent of the number of engines that share it.
-    pub fn read_time(&self, prompt: Tokens) -> Duration {
+    pub fn prefill_time(&self, prompt: Tokens) -> Duration {
         let tokens = prompt.as_f64();
         let megapairs = tokens * tokens / 2.0 / 1e6;
-        millis(tokens / self.read_tokens_per_ms + megapairs * self.read_per_megapair_ms)
+        millis(tokens / self.prefill_tokens_per_ms + megapairs * self.prefill_per_megapair_ms)
     }
 
     /// Time of a pass that writes `writers` answers and reads no prompt. The prompts and answers
     /// together have `context` tokens.
     pub fn pass_time(&self, writers: u32, context: Tokens) -> Duration {
         let step_ms = self.step_ms
-            + f64::from(writers) * self.step_per_writer_ms
+            + f64::from(writers) * self.step_per_sequence_ms
             + context.as_f64() / 1e3 * self.step_per_kilotoken_ms;
         millis(step_ms * f64::from(self.stride.max(1)))
     }
--- a/src/decide/engines/engine_request.rs
+++ b/src/decide/engines/engine_request.rs
@@ -59,7 +59,7 @@
 impl EngineRequest {
     /// The class of the prompt on engines of `model`.
     pub fn class(&self, model: &EngineModel) -> PromptClass {
-        if model.read_time(self.prompt) <= self.short_read_time(model) {
+        if model.prefill_time(self.prompt) <= self.short_read_time(model) {
             PromptClass::Short
         } else if self.prompt.as_f64() <= model.memory_tokens.as_f64() * LONG_MEMORY_FRACTION {
             PromptClass::Medium
--- a/src/decide/engines/group.rs
+++ b/src/decide/engines/group.rs
@@ -77,8 +77,8 @@
     readers: &'a [EngineView],
     request: &EngineRequest,
 ) -> Option<Group<'a>> {
-    let read_time = model.read_time(request.prompt);
-    let most = parts_wanted(read_time, readers.len() + 1);
+    let prefill_time = model.prefill_time(request.prompt);
+    let most = parts_wanted(prefill_time, readers.len() + 1);
     (1..=most)
         .filter_map(|parts| group_of(model, leaders, readers, request, parts))
         .min_by_key(Group::cost)
@@ -93,7 +93,7 @@
     request: &EngineRequest,
     parts: usize,
 ) -> Option<Group<'a>> {
-    let part_time = model.read_time(request.prompt) / u32::try_from(parts).unwrap_or(1);
+    let part_time = model.prefill_time(request.prompt) / u32::try_from(parts).unwrap_or(1);
     let leader = choose_leader(model, leaders, part_time, request)?;
     let mut others: Vec<(usize, &EngineView)> = readers.iter().enumerate().collect();
     let needs_idle = needs_idle_engines(model, request);
--- a/src/decide/engines/long.rs
+++ b/src/decide/engines/long.rs
@@ -161,8 +161,8 @@
     if request.memory_needed().0 > u64::from(parts) * model.memory_tokens.0 {
         return EngineChoice::refuse_soon(RefuseReason::TooLarge);
     }
-    let read_time = model.read_time(request.prompt) / parts;
-    if read_time + least_write_time(model, request, count) > request.time_left {
+    let prefill_time = model.prefill_time(request.prompt) / parts;
+    if prefill_time + least_write_time(model, request, count) > request.time_left {
         return EngineChoice::refuse_soon(RefuseReason::Deadline);
     }
     EngineChoice::wait(Duration::MAX)
--- a/src/decide/engines/parts.rs
+++ b/src/decide/engines/parts.rs
@@ -37,7 +37,7 @@
 /// Engine time of one part if the prompt is split among [`GROUP_SIZE_MAX`] engines.
 pub(super) fn smallest_part_time(model: &EngineModel, request: &EngineRequest) -> Duration {
     let parts = u32::try_from(GROUP_SIZE_MAX).unwrap_or(u32::MAX);
-    model.read_time(request.prompt) / parts
+    model.prefill_time(request.prompt) / parts
 }
 
 /// The largest read backlog that an engine may have to get a part of `part_time`.
@@ -62,7 +62,7 @@
 }
 
 /// The number of engines, out of `available`, that should read a prompt together.
-pub(super) fn parts_wanted(read_time: Duration, available: usize) -> usize {
-    let wanted = ceil(read_time.as_secs_f64() / PART_TIME_TARGET.as_secs_f64());
+pub(super) fn parts_wanted(prefill_time: Duration, available: usize) -> usize {
+    let wanted = ceil(prefill_time.as_secs_f64() / PART_TIME_TARGET.as_secs_f64());
     wanted.clamp(1, available.clamp(1, GROUP_SIZE_MAX))
 }
--- a/src/decide/engines/plan.rs
+++ b/src/decide/engines/plan.rs
@@ -57,7 +57,7 @@
             takes_slot: true,
             is_short: request.class(model) == PromptClass::Short,
             pause,
-            read_time: self.part_time,
+            prefill_time: self.part_time,
             held_tokens: held(&self.leader).unwrap_or_else(|| request.memory_needed()),
             helper_release: None,
             read_due: (request.class(model) != PromptClass::Short)
--- a/src/decide/engines/short.rs
+++ b/src/decide/engines/short.rs
@@ -38,8 +38,8 @@
     request: &EngineRequest,
 ) -> EngineChoice {
     let (short_side, _) = engines.split_at(short_engines);
-    let parts = parts_wanted(model.read_time(request.prompt), short_side.len());
-    let part_time = model.read_time(request.prompt) / u32::try_from(parts).unwrap_or(1);
+    let parts = parts_wanted(model.prefill_time(request.prompt), short_side.len());
+    let part_time = model.prefill_time(request.prompt) / u32::try_from(parts).unwrap_or(1);
     let is_acceptable = |engine: &EngineView| {
         engine.time_to_first_event(model, part_time) <= request.objective_left
             && engine.fits_part(model, part_time)
@@ -54,7 +54,7 @@
     };
     let helpers = choose_helpers(model, short_side, &leader.id, part_time, parts - 1);
     let parts = u32::try_from(helpers.len() + 1).unwrap_or(1);
-    let part_time = model.read_time(request.prompt) / parts;
+    let part_time = model.prefill_time(request.prompt) / parts;
     EngineChoice::Send(EnginePlan {
         leader: leader.id.clone(),
         helpers,
--- a/src/decide/engines/view.rs
+++ b/src/decide/engines/view.rs
@@ -102,8 +102,8 @@
     /// Time until this engine, as a helper, has read a part that is sent now. Engines read the
     /// parts that they help with ahead of everything that waits.
     pub fn time_to_read_as_helper(&self, model: &EngineModel, part_time: Duration) -> Duration {
-        let read_time = self.slowdown.stretch(part_time);
-        read_time + self.pass_time(model).mul_f64(PASSES_TO_FIRST_EVENT)
+        let prefill_time = self.slowdown.stretch(part_time);
+        prefill_time + self.pass_time(model).mul_f64(PASSES_TO_FIRST_EVENT)
     }
 
     /// Whether a part that is read first would make a prompt late that this engine is already
--- a/src/decide/load_ledger.rs
+++ b/src/decide/load_ledger.rs
@@ -54,9 +54,9 @@
 impl LoadLedger {
     /// Adds a request of this host that was sent to an upstream.
     pub fn start_request(&mut self, upstream: &UpstreamId, load: &RequestLoad, now: Instant) {
-        let has_reading = !load.read_time.is_zero();
+        let has_reading = !load.prefill_time.is_zero();
         let read_until =
-            has_reading.then(|| self.read_queue.on_sent(upstream, load.read_time, now));
+            has_reading.then(|| self.read_queue.on_sent(upstream, load.prefill_time, now));
         let new = || OwnLoad::new(now);
         let own = self.own_loads.entry(upstream.clone()).or_insert_with(new);
         own.start_request(load, read_until, now);
--- a/src/decide/own_load.rs
+++ b/src/decide/own_load.rs
@@ -63,7 +63,7 @@
             *self.pauses.entry(pause).or_default() += 1;
         }
         if let Some(read_until) = read_until {
-            self.read_total += load.read_time;
+            self.read_total += load.prefill_time;
             self.read_until = read_until;
             self.sent_at = now;
             self.due_times.extend(load.read_due);
--- a/src/decide/read_queue.rs
+++ b/src/decide/read_queue.rs
@@ -39,11 +39,11 @@
     pub(crate) fn on_sent(
         &mut self,
         upstream: &UpstreamId,
-        read_time: Duration,
+        prefill_time: Duration,
         now: Instant,
     ) -> Instant {
         let until = self.until.entry(upstream.clone()).or_insert(now);
-        *until = (*until).max(now + READ_START_DELAY) + read_time;
+        *until = (*until).max(now + READ_START_DELAY) + prefill_time;
         *until
     }
 
--- a/src/decide/request_load.rs
+++ b/src/decide/request_load.rs
@@ -25,7 +25,7 @@
     /// none.
     pub pause: Option<Duration>,
     /// Time that the upstream needs to read the prompt, or its part of it.
-    pub read_time: Duration,
+    pub prefill_time: Duration,
     /// Memory that the request occupies, in tokens.
     pub held_tokens: Tokens,
     /// When the engine is released as a helper; none if it answers the request itself.
--- a/src/gateway/load_guard.rs
+++ b/src/gateway/load_guard.rs
@@ -28,7 +28,10 @@
             .on_sent(shares.iter().map(|(id, _)| id), now);
         // Hosts that do not know of each other's prompts choose the same engines, and all of these
         // come later than forecast by the time of the others.
-        if shares.iter().any(|(_, share)| !share.read_time.is_zero()) {
+        if shares
+            .iter()
+            .any(|(_, share)| !share.prefill_time.is_zero())
+        {
             gateway.load_urgent.notify_one();
         } else {
             gateway.load_changed.notify_one();
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -241,7 +241,7 @@
         takes_slot: true,
         is_short: false,
         pause: None,
-        read_time: Duration::ZERO,
+        prefill_time: Duration::ZERO,
         held_tokens: Tokens::ZERO,
         helper_release: None,
         read_due: None,
--- a/tests/decide_engines.rs
+++ b/tests/decide_engines.rs
@@ -27,10 +27,10 @@
         memory_tokens: Tokens(450_000),
         stride: 46,
         step_ms: 0.925,
-        step_per_writer_ms: 0.00483,
+        step_per_sequence_ms: 0.00483,
         step_per_kilotoken_ms: 0.00254,
-        read_tokens_per_ms: 256.0,
-        read_per_megapair_ms: 0.0917,
+        prefill_tokens_per_ms: 256.0,
+        prefill_per_megapair_ms: 0.0917,
     }
 }
 
@@ -89,7 +89,10 @@
     long = { 210_000, 2_842 },
 )]
 fn reading_takes_what_the_published_model_says(prompt: u64, expected_ms: u128) {
-    assert_eq!(model().read_time(Tokens(prompt)).as_millis(), expected_ms);
+    assert_eq!(
+        model().prefill_time(Tokens(prompt)).as_millis(),
+        expected_ms
+    );
 }
 
 #[test]
--- a/tests/decide_gateway.rs
+++ b/tests/decide_gateway.rs
@@ -37,7 +37,7 @@
         takes_slot: true,
         is_short,
         pause: Some(ms(500)),
-        read_time: ms(100),
+        prefill_time: ms(100),
         held_tokens: Tokens(5_000),
         helper_release: None,
         read_due: None,
--- a/tests/engine_world/engine.rs
+++ b/tests/engine_world/engine.rs
@@ -95,7 +95,7 @@
         let steps = if all_new { 1 } else { model.stride };
         let context: f64 = self.writers.iter().map(|w| w.context_tokens).sum();
         let step_ms = model.step_ms
-            + self.writers.len() as f64 * model.step_per_writer_ms
+            + self.writers.len() as f64 * model.step_per_sequence_ms
             + context / 1e3 * model.step_per_kilotoken_ms;
         let mut end = PassEnd::default();
         let read_ms = self.read(f64::from(steps) * CHUNK_TOKENS, &mut end);
--- a/tests/engine_world/load.rs
+++ b/tests/engine_world/load.rs
@@ -116,10 +116,10 @@
             memory_tokens: Tokens(382_500),
             stride: 52,
             step_ms: 0.925,
-            step_per_writer_ms: 0.00483,
+            step_per_sequence_ms: 0.00483,
             step_per_kilotoken_ms: 0.00254,
-            read_tokens_per_ms: 256.0,
-            read_per_megapair_ms: 0.0917,
+            prefill_tokens_per_ms: 256.0,
+            prefill_per_megapair_ms: 0.0917,
         };
         Self {
             hosts: 69,
@@ -152,10 +152,10 @@
             memory_tokens: Tokens(267_750),
             stride: 57,
             step_ms: 0.85,
-            step_per_writer_ms: 0.00425,
+            step_per_sequence_ms: 0.00425,
             step_per_kilotoken_ms: 0.00285,
-            read_tokens_per_ms: 177.0,
-            read_per_megapair_ms: 0.184,
+            prefill_tokens_per_ms: 177.0,
+            prefill_per_megapair_ms: 0.184,
         };
         site.report_interval = Duration::from_millis(65);
         for (class, per_s) in site.classes.iter_mut().zip([54.4, 5.98, 1.47]) {
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -37,7 +37,7 @@
         takes_slot: true,
         is_short: true,
         pause: None,
-        read_time: Duration::from_secs(5),
+        prefill_time: Duration::from_secs(5),
         held_tokens: Tokens(9_000),
         helper_release: None,
         read_due: None,
--- a/tests/gateway_world/mod.rs
+++ b/tests/gateway_world/mod.rs
@@ -242,10 +242,10 @@
         memory_tokens: Tokens(450_000),
         stride: 46,
         step_ms: 0.925,
-        step_per_writer_ms: 0.00483,
+        step_per_sequence_ms: 0.00483,
         step_per_kilotoken_ms: 0.00254,
-        read_tokens_per_ms: 256.0,
-        read_per_megapair_ms: 0.0917,
+        prefill_tokens_per_ms: 256.0,
+        prefill_per_megapair_ms: 0.0917,
     }
 }
 
