--- a/src/decide/load_ledger.rs
+++ b/src/decide/load_ledger.rs
@@ -64,9 +64,9 @@
 
     /// Records that the upstream has read the prompt of a request, and clears the fields of `load`
     /// that end with that.
-    pub fn finish_reading(&mut self, upstream: &UpstreamId, load: &mut RequestLoad) {
+    pub fn finish_prefill(&mut self, upstream: &UpstreamId, load: &mut RequestLoad) {
         if let Some(own) = self.own_loads.get_mut(upstream) {
-            own.finish_reading(load);
+            own.finish_prefill(load);
         }
     }
 
--- a/src/decide/own_load.rs
+++ b/src/decide/own_load.rs
@@ -73,7 +73,7 @@
 
     /// Records that the prompt of a request has been read, and clears the fields of `load` that end
     /// with that.
-    pub(crate) fn finish_reading(&mut self, load: &mut RequestLoad) {
+    pub(crate) fn finish_prefill(&mut self, load: &mut RequestLoad) {
         self.remove_due(load.read_due.take());
         if load.helper_release == Some(HelperRelease::PromptRead) {
             load.helper_release = None;
--- a/src/gateway/load_guard.rs
+++ b/src/gateway/load_guard.rs
@@ -53,7 +53,7 @@
         self.is_read = true;
         let mut ledger = self.gateway.ledger();
         for (upstream, share) in &mut self.shares {
-            ledger.finish_reading(upstream, share);
+            ledger.finish_prefill(upstream, share);
         }
     }
 }
--- a/tests/decide_gateway.rs
+++ b/tests/decide_gateway.rs
@@ -357,7 +357,7 @@
     assert_eq!(read_due(&ledger, 100), Some(ms(300)), "the news grow old");
     let nothing = HostLoad::default();
     hear(&mut ledger, &engine, 1, nothing, now + ms(100));
-    ledger.finish_reading(&engine, &mut due_in(700));
+    ledger.finish_prefill(&engine, &mut due_in(700));
     assert_eq!(read_due(&ledger, 100), Some(ms(800)));
     assert_eq!(read_due(&ledger, 900), None, "it is late already");
     ledger.end_request(&engine, &due_in(900));
@@ -386,8 +386,8 @@
     };
     hear(&mut ledger, &engine, 1, peer, now);
     assert_eq!(ledger.load(&engine, now).helping, 3);
-    ledger.finish_reading(&engine, &mut share);
-    ledger.finish_reading(&engine, &mut share);
+    ledger.finish_prefill(&engine, &mut share);
+    ledger.finish_prefill(&engine, &mut share);
     assert_eq!(ledger.load(&engine, now).helping, 2 + after_reading);
     ledger.end_request(&engine, &share);
     assert_eq!(ledger.load(&engine, now).helping, 2);
--- a/tests/engine_world/world.rs
+++ b/tests/engine_world/world.rs
@@ -321,7 +321,7 @@
         if run.first_event.is_none() {
             run.first_event = Some(now);
             for (engine, load) in &mut run.request_loads {
-                self.hosts[run.host].ledger.finish_reading(engine, load);
+                self.hosts[run.host].ledger.finish_prefill(engine, load);
             }
             for engine in std::mem::take(&mut run.helpers_until_read) {
                 self.engines[engine].helping -= 1;
