--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -94,7 +94,7 @@
         helping: 0,
         strictest_pause: Some(Duration::from_millis(250)),
         held_tokens: Tokens(6_700),
-        read: ReadSent::default(),
+        prefill: ReadSent::default(),
         read_due: None,
     }
 }
--- a/src/decide/host_load.rs
+++ b/src/decide/host_load.rs
@@ -19,7 +19,7 @@
     /// Memory that these requests occupy, in tokens.
     pub held_tokens: Tokens,
     /// Reading time of the prompts that were sent to the upstream.
-    pub read: ReadSent,
+    pub prefill: ReadSent,
     /// Time until the earliest due time of a first event among the prompts that are being read.
     pub read_due: Option<Duration>,
 }
--- a/src/decide/load_ledger.rs
+++ b/src/decide/load_ledger.rs
@@ -127,7 +127,7 @@
             read_queue.hear(
                 &upstream,
                 previous.and_then(|previous| previous.read_total),
-                load.read,
+                load.prefill,
                 now,
             );
             let sum = match sums.get_mut(&upstream) {
@@ -147,7 +147,7 @@
                 load: Some(load),
                 received_at: now,
                 message_number: peer.messages_received,
-                read_total: Some(load.read.total),
+                read_total: Some(load.prefill.total),
             };
             peer.by_upstream.insert(upstream, entry);
         }
--- a/src/decide/own_load.rs
+++ b/src/decide/own_load.rs
@@ -118,7 +118,7 @@
             helping: self.helping,
             strictest_pause: self.pauses.keys().min().copied(),
             held_tokens: self.held_tokens,
-            read: ReadSent {
+            prefill: ReadSent {
                 total: self.read_total,
                 remaining: self.read_until.saturating_duration_since(now),
             },
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -229,8 +229,8 @@
         upstream: id.to_string(),
         in_flight: load.in_flight,
         short_in_flight: load.short_in_flight,
-        read_remaining_ms: whole_millis_u32(load.read.remaining),
-        read_total_us: whole_micros(load.read.total),
+        read_remaining_ms: whole_millis_u32(load.prefill.remaining),
+        read_total_us: whole_micros(load.prefill.total),
         strictest_pause_ms: load.strictest_pause.map_or(0, whole_millis_u32),
         held_tokens: load.held_tokens.0,
         helping: load.helping,
@@ -253,7 +253,7 @@
         short_in_flight: news.short_in_flight,
         strictest_pause: (news.strictest_pause_ms > 0)
             .then(|| Duration::from_millis(news.strictest_pause_ms.into())),
-        read: ReadSent {
+        prefill: ReadSent {
             total: Duration::from_micros(news.read_total_us),
             remaining: Duration::from_millis(news.read_remaining_ms.into()),
         },
--- a/tests/decide_gateway.rs
+++ b/tests/decide_gateway.rs
@@ -243,7 +243,7 @@
         let nothing = IndexMap::from([(engine.clone(), HostLoad::default())]);
         ledger.record_host_loads(host.parse().unwrap(), 1, nothing, now);
         let load = HostLoad {
-            read: sent(400, 400),
+            prefill: sent(400, 400),
             ..HostLoad::default()
         };
         let loads = IndexMap::from([(engine.clone(), load)]);
@@ -261,7 +261,7 @@
     let mut ledger = LoadLedger::default();
     let engine = upstream("e");
     let said = |total_ms, remaining_ms| HostLoad {
-        read: sent(total_ms, remaining_ms),
+        prefill: sent(total_ms, remaining_ms),
         ..HostLoad::default()
     };
     // Of the first news it is not known how much of the total is still waiting.
@@ -301,7 +301,7 @@
         helping: 0,
         strictest_pause: Some(ms(200)),
         held_tokens: Tokens(100),
-        read: sent(50, 50),
+        prefill: sent(50, 50),
         read_due: None,
     };
     hear(&mut ledger, &engine, 1, peer, now);
--- a/tests/decide_ledger.rs
+++ b/tests/decide_ledger.rs
@@ -90,7 +90,7 @@
         strictest_pause: (pause > 0).then(|| Duration::from_millis(200 * pause)),
         helping: rng.random_range(0..4),
         held_tokens: Tokens(rng.random_range(0..100_000)),
-        read: ReadSent::default(),
+        prefill: ReadSent::default(),
         read_due: (due > 1_500).then(|| Duration::from_millis(due)),
     }
 }
--- a/tests/gateway_hosts.rs
+++ b/tests/gateway_hosts.rs
@@ -367,7 +367,7 @@
     catalog.list("b", "llm", busy.addr);
     let engine: UpstreamId = "b".parse().unwrap();
     let load = HostLoad {
-        read: ReadSent {
+        prefill: ReadSent {
             total: Duration::from_millis(2_900),
             remaining: Duration::from_millis(2_900),
         },
