--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -107,8 +107,8 @@
         patience_left: Duration::from_millis(1_500),
         time_left: Duration::from_secs(10),
         strictest_pause: Some(Duration::from_millis(200)),
-        near_load_age: Duration::from_millis(100),
-        far_load_age: Duration::from_millis(100),
+        local_load_age_max: Duration::from_millis(100),
+        remote_load_age_max: Duration::from_millis(100),
         spans_domains: false,
         shuffle_seed: 0x5EED,
     }
--- a/src/decide/engines/engine_request.rs
+++ b/src/decide/engines/engine_request.rs
@@ -47,9 +47,9 @@
     /// caller states one.
     pub strictest_pause: Option<Duration>,
     /// Greatest age of what this host knows of the work of other hosts in its failure domain.
-    pub near_load_age: Duration,
+    pub local_load_age_max: Duration,
     /// Greatest age of what this host knows of the work of hosts in other domains.
-    pub far_load_age: Duration,
+    pub remote_load_age_max: Duration,
     /// Random number of this choice, uniform over all `u32`, that decides between engines that are
     /// about equally good. Hosts know of each other's work with a delay; if all of them chose the
     /// very best engine, that engine would get the work of all hosts.
@@ -100,10 +100,10 @@
     ) -> f64 {
         let write_time = model.write_time(self.output, model.slots, Tokens::ZERO) / 2;
         let answer_time = write_time
-            .max(self.near_load_age)
+            .max(self.local_load_age_max)
             .as_secs_f64()
             .max(f64::EPSILON);
-        f64::from(short_in_flight) * self.near_load_age.as_secs_f64() / answer_time
+        f64::from(short_in_flight) * self.local_load_age_max.as_secs_f64() / answer_time
     }
 
     /// Memory for the prompt and the longest answer.
--- a/src/decide/engines/locality.rs
+++ b/src/decide/engines/locality.rs
@@ -85,8 +85,8 @@
 /// The same request, for a choice among the engines of all domains.
 fn spanning_domains(request: &EngineRequest) -> EngineRequest {
     EngineRequest {
-        near_load_age: request.far_load_age,
-        spans_domains: request.near_load_age < request.far_load_age,
+        local_load_age_max: request.remote_load_age_max,
+        spans_domains: request.local_load_age_max < request.remote_load_age_max,
         ..request.clone()
     }
 }
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -188,8 +188,8 @@
         patience_left: call.patience_left(now).max(least),
         time_left: call.time_left(now),
         strictest_pause: routes.strictest_pause(&call.service),
-        near_load_age: news.near_age,
-        far_load_age: news.far_age,
+        local_load_age_max: news.near_age,
+        remote_load_age_max: news.far_age,
         spans_domains: false,
         shuffle_seed: rand::random(),
     }
--- a/tests/decide_engines.rs
+++ b/tests/decide_engines.rs
@@ -65,8 +65,8 @@
         patience_left: ms(if prompt > 100_000 { 12_000 } else { 2_000 }),
         time_left: ms(15_000),
         strictest_pause: Some(Duration::from_millis(200)),
-        near_load_age: Duration::ZERO,
-        far_load_age: Duration::ZERO,
+        local_load_age_max: Duration::ZERO,
+        remote_load_age_max: Duration::ZERO,
         spans_domains: false,
         shuffle_seed: 7,
     }
@@ -441,8 +441,8 @@
     }
     let chosen = (0..60_u32).map(|host| {
         let request = EngineRequest {
-            near_load_age: ms(170),
-            far_load_age: ms(170),
+            local_load_age_max: ms(170),
+            remote_load_age_max: ms(170),
             shuffle_seed: host.wrapping_mul(0x85EB_CA6B),
             ..request(5_000)
         };
--- a/tests/decide_engines_near.rs
+++ b/tests/decide_engines_near.rs
@@ -58,8 +58,8 @@
         patience_left: ms(12_000),
         time_left: ms(15_000),
         strictest_pause: Some(Duration::from_millis(200)),
-        near_load_age: ms(97),
-        far_load_age: ms(100),
+        local_load_age_max: ms(97),
+        remote_load_age_max: ms(100),
         spans_domains: false,
         shuffle_seed: draw,
     }
@@ -158,7 +158,7 @@
 #[test]
 fn the_domain_does_not_matter_where_all_reports_are_equally_recent() {
     let same_age = EngineRequest {
-        far_load_age: ms(97),
+        remote_load_age_max: ms(97),
         ..request(5_000, 3)
     };
     let mut far = engines();
--- a/tests/engine_world/load.rs
+++ b/tests/engine_world/load.rs
@@ -79,7 +79,7 @@
     /// Delay of a report to hosts in other domains.
     pub far_report_delay: Duration,
     /// Age that hosts assume for reports from other domains.
-    pub far_load_age: Duration,
+    pub remote_load_age_max: Duration,
     /// Shortest interval between urgent reports about requests that were just sent.
     pub urgent_interval: Duration,
     /// Number of urgent reports in a row before they have to keep `report_interval`.
@@ -133,7 +133,7 @@
             report_interval: Duration::from_millis(170),
             domains: 1,
             far_report_delay: Duration::from_millis(2),
-            far_load_age: Duration::from_millis(170),
+            remote_load_age_max: Duration::from_millis(170),
             urgent_interval: Duration::from_millis(10),
             urgent_burst: 3,
             slow: None,
@@ -215,7 +215,7 @@
             Class::long(1.52, 210_000.0, 3.0, 22.0),
         ];
         site.report_interval = Duration::from_millis(15);
-        site.far_load_age = site.report_interval;
+        site.remote_load_age_max = site.report_interval;
         site
     }
 
@@ -249,7 +249,7 @@
         site.domains = 5;
         site.report_interval = Duration::from_millis(97);
         site.far_report_delay = Duration::from_millis(50);
-        site.far_load_age = Duration::from_millis(100);
+        site.remote_load_age_max = Duration::from_millis(100);
         for (class, pause_ms) in site.classes.iter_mut().zip([250, 600, 1_000]) {
             class.pause = Duration::from_millis(pause_ms);
             class.events_mean *= 0.73;
--- a/tests/engine_world/world.rs
+++ b/tests/engine_world/world.rs
@@ -179,8 +179,8 @@
                 .saturating_sub(waited),
             time_left,
             strictest_pause: self.site.classes.iter().map(|class| class.pause).min(),
-            near_load_age: self.site.report_interval,
-            far_load_age: self.site.far_load_age,
+            local_load_age_max: self.site.report_interval,
+            remote_load_age_max: self.site.remote_load_age_max,
             spans_domains: false,
             shuffle_seed: self.rng.random(),
         };
