--- a/src/decide/engines/engine_request.rs
+++ b/src/decide/engines/engine_request.rs
@@ -7,11 +7,11 @@
 use crate::units::Tokens;
 
 /// Longest reading time of a short prompt where no caller states which pause it accepts.
-const SHORT_READ_TIME_DEFAULT: Duration = Duration::from_millis(120);
+const SHORT_PREFILL_TIME_DEFAULT: Duration = Duration::from_millis(120);
 /// Lower bound of the longest reading time of a short prompt. Where a pass of a full engine is
 /// longer than the accepted pause, no prompt would be short without it, and all of them would wait
 /// for engines like long ones.
-const SHORT_READ_TIME_MIN: Duration = Duration::from_millis(60);
+const SHORT_PREFILL_TIME_MIN: Duration = Duration::from_millis(60);
 /// Fraction of an engine's memory beyond which a prompt is long. Few such prompts fit beside short
 /// ones, so their answers are written on the engines for long prompts.
 const LONG_MEMORY_FRACTION: f64 = 0.25;
@@ -59,7 +59,7 @@
 impl EngineRequest {
     /// The class of the prompt on engines of `model`.
     pub fn class(&self, model: &EngineModel) -> PromptClass {
-        if model.prefill_time(self.prompt) <= self.short_read_time(model) {
+        if model.prefill_time(self.prompt) <= self.short_prefill_time(model) {
             PromptClass::Short
         } else if self.prompt.as_f64() <= model.memory_tokens.as_f64() * LONG_MEMORY_FRACTION {
             PromptClass::Medium
@@ -70,14 +70,14 @@
 
     /// The longest reading time of a short prompt. A prompt that takes this long can be read on a
     /// full engine without exceeding the shortest accepted pause.
-    fn short_read_time(&self, model: &EngineModel) -> Duration {
+    fn short_prefill_time(&self, model: &EngineModel) -> Duration {
         let full_pass = model.pass_time(model.slots, Tokens::ZERO);
         self.strictest_pause
-            .map_or(SHORT_READ_TIME_DEFAULT, |pause| {
+            .map_or(SHORT_PREFILL_TIME_DEFAULT, |pause| {
                 let left = pause
                     .mul_f64(PLANNED_PAUSE_FRACTION)
                     .saturating_sub(full_pass);
-                left.max(SHORT_READ_TIME_MIN)
+                left.max(SHORT_PREFILL_TIME_MIN)
             })
     }
 
--- a/src/decide/engines/mod.rs
+++ b/src/decide/engines/mod.rs
@@ -6,7 +6,7 @@
 //! Therefore short prompts are packed onto as few engines as can carry them ([`boundary`]), and the
 //! other engines read long prompts together in equal parts. An engine gets no part that would
 //! lengthen the pauses in an answer beyond what the caller accepts
-//! ([`EngineView::read_headroom`]).
+//! ([`EngineView::prefill_headroom`]).
 
 pub mod boundary;
 mod engine_counts;
--- a/src/decide/engines/view.rs
+++ b/src/decide/engines/view.rs
@@ -80,7 +80,7 @@
 
     /// Whether the engine can read a part without lengthening the pauses of its answers too far.
     pub fn fits_part(&self, model: &EngineModel, part_time: Duration) -> bool {
-        self.slowdown.stretch(part_time) <= self.read_headroom(model)
+        self.slowdown.stretch(part_time) <= self.prefill_headroom(model)
     }
 
     /// Reading time that can be added to the backlog before the pauses of the engine's answers
@@ -89,7 +89,7 @@
     /// Without this limit, a long prompt read among short ones would stall every answer on the
     /// engine. A pause lasts one pass, and a pass lasts as long as its steps and everything that is
     /// read in it.
-    pub fn read_headroom(&self, model: &EngineModel) -> Duration {
+    pub fn prefill_headroom(&self, model: &EngineModel) -> Duration {
         let Some(pause) = self.load.strictest_pause else {
             return Duration::MAX;
         };
--- a/src/decide/load_ledger.rs
+++ b/src/decide/load_ledger.rs
@@ -54,12 +54,12 @@
 impl LoadLedger {
     /// Adds a request of this host that was sent to an upstream.
     pub fn start_request(&mut self, upstream: &UpstreamId, load: &RequestLoad, now: Instant) {
-        let has_reading = !load.prefill_time.is_zero();
-        let read_until =
-            has_reading.then(|| self.read_queue.on_sent(upstream, load.prefill_time, now));
+        let has_prefill = !load.prefill_time.is_zero();
+        let prefill_until =
+            has_prefill.then(|| self.read_queue.on_sent(upstream, load.prefill_time, now));
         let new = || OwnLoad::new(now);
         let own = self.own_loads.entry(upstream.clone()).or_insert_with(new);
-        own.start_request(load, read_until, now);
+        own.start_request(load, prefill_until, now);
     }
 
     /// Records that the upstream has read the prompt of a request, and clears the fields of `load`
@@ -96,12 +96,12 @@
     }
 
     /// Records a report of a source, which replaces its previous reports about the same upstreams,
-    /// or about all upstreams if `extent` is [`Extent::Whole`].
+    /// or about all upstreams if `update_kind` is [`Extent::Whole`].
     pub fn record_loads(
         &mut self,
         source: LoadSource,
         incarnation: u64,
-        extent: Extent,
+        update_kind: Extent,
         loads: impl IntoIterator<Item = (UpstreamId, HostLoad)>,
         now: Instant,
     ) {
@@ -126,7 +126,7 @@
             let previous = peer.by_upstream.get(&upstream);
             read_queue.hear(
                 &upstream,
-                previous.and_then(|previous| previous.read_total),
+                previous.and_then(|previous| previous.prefill_total),
                 load.prefill,
                 now,
             );
@@ -147,11 +147,11 @@
                 load: Some(load),
                 received_at: now,
                 message_number: peer.messages_received,
-                read_total: Some(load.prefill.total),
+                prefill_total: Some(load.prefill.total),
             };
             peer.by_upstream.insert(upstream, entry);
         }
-        if extent == Extent::Whole {
+        if update_kind == Extent::Whole {
             end_unnamed_loads(sums, peer);
         }
     }
@@ -198,7 +198,7 @@
             peer.by_upstream.retain(|id, entry| {
                 let is_listed = is_listed(id);
                 if !is_listed {
-                    entry.read_total = None;
+                    entry.prefill_total = None;
                 }
                 is_listed || entry.load.is_some()
             });
--- a/src/decide/own_load.rs
+++ b/src/decide/own_load.rs
@@ -24,9 +24,9 @@
     /// Accepted pauses, each with the number of requests that accept it.
     pauses: IndexMap<Duration, u32>,
     held_tokens: Tokens,
-    read_total: Duration,
+    prefill_total: Duration,
     /// When the last of the sent prompts will have been read.
-    read_until: Instant,
+    prefill_until: Instant,
     sent_at: Instant,
     /// When the first events of the prompts being read are due.
     due_times: Vec<Instant>,
@@ -41,19 +41,19 @@
             helping: 0,
             pauses: IndexMap::new(),
             held_tokens: Tokens::ZERO,
-            read_total: Duration::ZERO,
-            read_until: now,
+            prefill_total: Duration::ZERO,
+            prefill_until: now,
             sent_at: now,
             due_times: Vec::new(),
         }
     }
 
-    /// Adds a request that was sent. `read_until` is when the upstream will have read the prompt;
+    /// Adds a request that was sent. `prefill_until` is when the upstream will have read the prompt;
     /// none if there is nothing to read.
     pub(crate) fn start_request(
         &mut self,
         load: &RequestLoad,
-        read_until: Option<Instant>,
+        prefill_until: Option<Instant>,
         now: Instant,
     ) {
         self.in_flight += u32::from(load.takes_slot);
@@ -62,9 +62,9 @@
         if let Some(pause) = load.pause.filter(|_| load.takes_slot) {
             *self.pauses.entry(pause).or_default() += 1;
         }
-        if let Some(read_until) = read_until {
-            self.read_total += load.prefill_time;
-            self.read_until = read_until;
+        if let Some(prefill_until) = prefill_until {
+            self.prefill_total += load.prefill_time;
+            self.prefill_until = prefill_until;
             self.sent_at = now;
             self.due_times.extend(load.read_due);
         }
@@ -119,8 +119,8 @@
             strictest_pause: self.pauses.keys().min().copied(),
             held_tokens: self.held_tokens,
             prefill: ReadSent {
-                total: self.read_total,
-                remaining: self.read_until.saturating_duration_since(now),
+                total: self.prefill_total,
+                remaining: self.prefill_until.saturating_duration_since(now),
             },
             read_due: self.next_due(now),
         }
--- a/src/decide/peer_loads.rs
+++ b/src/decide/peer_loads.rs
@@ -19,7 +19,7 @@
     pub(crate) message_number: u64,
     /// The last reported running total of reading time; none if the upstream has been off the list
     /// since.
-    pub(crate) read_total: Option<Duration>,
+    pub(crate) prefill_total: Option<Duration>,
 }
 
 /// The latest reports of one source about all upstreams.
