--- a/src/gateway/share/held.rs
+++ b/src/gateway/share/held.rs
@@ -95,10 +95,10 @@
         let mut lists = self.lock();
         let is_new = if answer.is_partial {
             let gone = answer.gone.iter().filter_map(|name| name.parse().ok());
-            let gone = gone.map(UpstreamChange::Gone);
+            let gone = gone.map(UpstreamChange::Removed);
             let is_new = lists
                 .upstreams
-                .apply(gone.chain(listed.map(UpstreamChange::Listed)));
+                .apply(gone.chain(listed.map(UpstreamChange::Upserted)));
             if lists.upstreams.version() != answer.version {
                 warn!("share: changes of the upstreams do not fit, asks for all of them");
                 lists.upstreams_version = 0;
@@ -244,8 +244,8 @@
     };
     for change in changes {
         match change {
-            UpstreamChange::Listed(listed) => answer.upstreams.push((&listed).into()),
-            UpstreamChange::Gone(name) => answer.gone.push(name.to_string()),
+            UpstreamChange::Upserted(listed) => answer.upstreams.push((&listed).into()),
+            UpstreamChange::Removed(name) => answer.gone.push(name.to_string()),
         }
     }
     answer
--- a/src/gateway/share/upstream_list.rs
+++ b/src/gateway/share/upstream_list.rs
@@ -60,8 +60,8 @@
         let names: IndexSet<&UpstreamName> = listed.iter().map(|u| &u.name).collect();
         let gone = self.known.keys().filter(|name| !names.contains(name));
         let gone: Vec<UpstreamName> = gone.cloned().collect();
-        let listed = listed.iter().cloned().map(UpstreamChange::Listed);
-        self.apply(listed.chain(gone.into_iter().map(UpstreamChange::Gone)))
+        let listed = listed.iter().cloned().map(UpstreamChange::Upserted);
+        self.apply(listed.chain(gone.into_iter().map(UpstreamChange::Removed)))
     }
 
     /// Takes in what has changed. Returns whether the list is another one.
@@ -70,8 +70,8 @@
         let mut has_changed = false;
         for change in changes {
             has_changed |= match change {
-                UpstreamChange::Listed(listed) => self.put(listed, step),
-                UpstreamChange::Gone(name) => self.remove(name, step),
+                UpstreamChange::Upserted(listed) => self.put(listed, step),
+                UpstreamChange::Removed(name) => self.remove(name, step),
             };
         }
         if self.version != 0 && !has_changed {
@@ -97,9 +97,9 @@
             return None;
         }
         let gone = self.gone.iter().filter(|(step, _)| *step > since);
-        let gone = gone.map(|(_, name)| UpstreamChange::Gone(name.clone()));
+        let gone = gone.map(|(_, name)| UpstreamChange::Removed(name.clone()));
         let changed = self.known.values().filter(|known| known.step > since);
-        let changed = changed.map(|known| UpstreamChange::Listed(known.listed.clone()));
+        let changed = changed.map(|known| UpstreamChange::Upserted(known.listed.clone()));
         // One that has left and come back stands in both: it is listed in the end.
         Some(gone.chain(changed).collect())
     }
--- a/tests/gateway_world/catalog.rs
+++ b/tests/gateway_world/catalog.rs
@@ -45,7 +45,7 @@
     fn change(&mut self, listed: Listed) {
         self.upstreams.retain(|known| known.name != listed.name);
         self.upstreams.push(listed.clone());
-        self.changes.push(UpstreamChange::Listed(listed));
+        self.changes.push(UpstreamChange::Upserted(listed));
     }
 
     fn changes_since(&self, since: ObjectVersion) -> Result<Vec<UpstreamChange>, CatalogError> {
@@ -133,7 +133,7 @@
         let mut state = self.state.lock().unwrap();
         state.upstreams.retain(|known| known.name.as_str() != name);
         let name = name.parse().unwrap();
-        state.changes.push(UpstreamChange::Gone(name));
+        state.changes.push(UpstreamChange::Removed(name));
     }
 
     /// The platform forgets what has changed among the upstreams so far.
