--- a/src/gateway/catalog.rs
+++ b/src/gateway/catalog.rs
@@ -38,9 +38,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpstreamChange {
     /// It is new, or listed in another way.
-    Listed(Listed),
+    Upserted(Listed),
     /// It is off the list, or its entry names no upstream any more.
-    Gone(UpstreamName),
+    Removed(UpstreamName),
 }
 
 /// Where a read goes on: it waits for changes after one that is known.
