--- a/src/gateway/beliefs.rs
+++ b/src/gateway/beliefs.rs
@@ -14,7 +14,7 @@
 use crate::exchange::ListedHost;
 use crate::exchange::UpstreamHash;
 use crate::gateway::Freshness;
-use crate::gateway::Listed;
+use crate::gateway::ListedUpstream;
 use crate::gateway::RoutesStep;
 use crate::routing::RouteTable;
 use crate::units::HostId;
@@ -22,7 +22,7 @@
 use crate::units::UpstreamId;
 
 /// The upstreams that may be sent to, by service, each in order of id.
-pub type UpstreamsByService = IndexMap<ServiceId, Vec<Listed>>;
+pub type UpstreamsByService = IndexMap<ServiceId, Vec<ListedUpstream>>;
 
 /// What a gateway believes.
 #[derive(Debug, Default)]
@@ -78,7 +78,7 @@
     }
 
     /// Replaces the upstreams. Those that are leaving are left out. Returns how many are left.
-    pub fn set_upstreams(&self, listed: Vec<Listed>) -> usize {
+    pub fn set_upstreams(&self, listed: Vec<ListedUpstream>) -> usize {
         let mut by_service = UpstreamsByService::new();
         let staying = listed.into_iter().filter(|upstream| !upstream.is_leaving);
         for upstream in staying {
--- a/src/gateway/catalog.rs
+++ b/src/gateway/catalog.rs
@@ -17,7 +17,7 @@
 
 /// An upstream on the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedUpstream {
     /// Its id, new with each start.
     pub id: UpstreamId,
     /// What it calls itself; an upstream that started again may have the name of its last life.
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpstreamChange {
     /// It is new, or listed in another way.
-    Upserted(Listed),
+    Upserted(ListedUpstream),
     /// It is off the list, or its entry names no upstream any more.
     Removed(UpstreamName),
 }
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpstreamsRead {
     /// All of them.
-    Whole(Vec<Listed>),
+    Whole(Vec<ListedUpstream>),
     /// What has changed since the read before, in order.
     Changes(Vec<UpstreamChange>),
 }
--- a/src/gateway/courier.rs
+++ b/src/gateway/courier.rs
@@ -9,7 +9,7 @@
 use crate::gateway::Call;
 use crate::gateway::Event;
 use crate::gateway::Gateway;
-use crate::gateway::Listed;
+use crate::gateway::ListedUpstream;
 use crate::gateway::Refusal;
 use crate::gateway::limit_wait::LimitWait;
 use crate::gateway::placement::Choice;
@@ -256,7 +256,7 @@
     }
 
     /// Takes in that the connection to an upstream broke while the call may have been running.
-    pub(crate) fn on_lost(&self, upstream: &Listed, fault: UpstreamFault, why: &str) {
+    pub(crate) fn on_lost(&self, upstream: &ListedUpstream, fault: UpstreamFault, why: &str) {
         self.on_fault(upstream, fault, why);
         if fault == UpstreamFault::Broken {
             let now = self.gateway.clock.now();
@@ -277,7 +277,7 @@
         }
     }
 
-    fn on_fault(&self, upstream: &Listed, fault: UpstreamFault, why: &str) {
+    fn on_fault(&self, upstream: &ListedUpstream, fault: UpstreamFault, why: &str) {
         let now = self.gateway.clock.now();
         self.gateway
             .health()
--- a/src/gateway/departed.rs
+++ b/src/gateway/departed.rs
@@ -5,7 +5,7 @@
 
 use indexmap::IndexMap;
 
-use crate::gateway::Listed;
+use crate::gateway::ListedUpstream;
 use crate::units::UpstreamId;
 
 /// How long it is remembered. Longer than a store that has come back from an older copy lists them as staying.
@@ -20,7 +20,11 @@
 
 impl Departed {
     /// Takes in a list. Returns it with those that leave marked that said so before.
-    pub(crate) fn mark(&mut self, mut listed: Vec<Listed>, now: Instant) -> Vec<Listed> {
+    pub(crate) fn mark(
+        &mut self,
+        mut listed: Vec<ListedUpstream>,
+        now: Instant,
+    ) -> Vec<ListedUpstream> {
         self.0
             .retain(|_, at| now.saturating_duration_since(*at) < REMEMBERED_FOR);
         for upstream in &mut listed {
--- a/src/gateway/engine_reports.rs
+++ b/src/gateway/engine_reports.rs
@@ -16,7 +16,7 @@
 use crate::exchange::strongest;
 use crate::gateway::Event;
 use crate::gateway::Gateway;
-use crate::gateway::Listed;
+use crate::gateway::ListedUpstream;
 
 /// Between two questions to an engine that has work. Its answer is up to 200 ms old, so all hosts reckon
 /// with a slow engine after a second and a half at most; asked twice as often, engines would cost more
@@ -58,7 +58,7 @@
 }
 
 /// The engines of this failure domain that have work, as far as this host knows.
-fn busy_engines(gateway: &Gateway) -> Vec<Listed> {
+fn busy_engines(gateway: &Gateway) -> Vec<ListedUpstream> {
     let (Some(routes), Some(by_service)) = (gateway.beliefs.routes(), gateway.beliefs.upstreams())
     else {
         return Vec::new();
@@ -66,15 +66,15 @@
     let services = routes.services.values();
     let of_engines = services.filter(|service| service.engine.is_some());
     let listed = of_engines.filter_map(|service| by_service.get(&service.name));
-    let near = |listed: &&Listed| listed.domain == gateway.conf.domain;
+    let near = |listed: &&ListedUpstream| listed.domain == gateway.conf.domain;
     let now = gateway.clock.now();
     let ledger = gateway.ledger();
-    let is_busy = |listed: &&Listed| ledger.load(&listed.id, now).has_work();
+    let is_busy = |listed: &&ListedUpstream| ledger.load(&listed.id, now).has_work();
     let busy = listed.flatten().filter(near).filter(is_busy);
     busy.cloned().collect()
 }
 
-async fn ask(gateway: Arc<Gateway>, engine: Listed) {
+async fn ask(gateway: Arc<Gateway>, engine: ListedUpstream) {
     let report = match gateway.orders.report(engine.addr).await {
         Ok(report) => report,
         Err(err) => {
--- a/src/gateway/limit_states.rs
+++ b/src/gateway/limit_states.rs
@@ -9,7 +9,7 @@
 use crate::decide::RateLimitView;
 use crate::gateway::Gateway;
 use crate::gateway::LimitSeen;
-use crate::gateway::Listed;
+use crate::gateway::ListedUpstream;
 use crate::units::UpstreamId;
 
 #[derive(Clone, Copy, Debug)]
@@ -25,7 +25,7 @@
 
 impl LimitStates {
     /// The limits of these upstreams now.
-    pub(crate) fn of(gateway: &Gateway, upstreams: &[&Listed], now: Instant) -> Self {
+    pub(crate) fn of(gateway: &Gateway, upstreams: &[&ListedUpstream], now: Instant) -> Self {
         if !gateway.rate_limits.is_any_limited(upstreams) {
             return Self::default();
         }
@@ -53,7 +53,7 @@
     }
 
     /// How long all of these upstreams are exhausted; none if one is not, or if none has a limit.
-    pub(crate) fn exhausted_for(&self, upstreams: &[&Listed]) -> Option<Duration> {
+    pub(crate) fn exhausted_for(&self, upstreams: &[&ListedUpstream]) -> Option<Duration> {
         if self.0.is_empty() || upstreams.iter().any(|upstream| self.is_open(&upstream.id)) {
             return None;
         }
--- a/src/gateway/lives.rs
+++ b/src/gateway/lives.rs
@@ -7,7 +7,7 @@
 use indexmap::IndexMap;
 use tokio::sync::watch;
 
-use crate::gateway::Listed;
+use crate::gateway::ListedUpstream;
 use crate::units::UpstreamId;
 use crate::units::UpstreamName;
 
@@ -42,7 +42,7 @@
     /// Returns the lives that are over.
     pub(crate) fn take_in(
         &self,
-        listed: &[Listed],
+        listed: &[ListedUpstream],
         lost_at: impl Fn(&UpstreamId) -> Option<Instant>,
     ) -> Vec<UpstreamId> {
         let mut latest = self.latest.lock().unwrap_or_else(PoisonError::into_inner);
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -58,7 +58,7 @@
 pub use catalog::Catalog;
 pub use catalog::CatalogError;
 pub use catalog::CatalogRead;
-pub use catalog::Listed;
+pub use catalog::ListedUpstream;
 pub use catalog::RoutesRead;
 pub use catalog::UpstreamChange;
 pub use catalog::UpstreamsRead;
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -20,7 +20,7 @@
 use crate::gateway::Gateway;
 use crate::gateway::HelperAddr;
 use crate::gateway::LimitSeen;
-use crate::gateway::Listed;
+use crate::gateway::ListedUpstream;
 use crate::gateway::Refusal;
 use crate::gateway::limit_states::LimitStates;
 use crate::gateway::reservation::Part;
@@ -37,7 +37,7 @@
 
 /// Where a send goes.
 pub(crate) struct Placement {
-    pub(crate) upstream: Listed,
+    pub(crate) upstream: ListedUpstream,
     /// Engines that read a part and keep nothing.
     pub(crate) helpers: Vec<HelperAddr>,
     /// Memory that engines set aside before the send, the first engine's own first.
@@ -199,13 +199,13 @@
 /// no others.
 fn usable<'a>(
     gateway: &Gateway,
-    listed: &'a [Listed],
+    listed: &'a [ListedUpstream],
     tried: &[UpstreamId],
     now: Instant,
-) -> Vec<&'a Listed> {
-    let untried: Vec<&Listed> = listed.iter().filter(|u| !tried.contains(&u.id)).collect();
+) -> Vec<&'a ListedUpstream> {
+    let untried: Vec<&ListedUpstream> = listed.iter().filter(|u| !tried.contains(&u.id)).collect();
     let health = gateway.health();
-    let sound: Vec<&Listed> = untried
+    let sound: Vec<&ListedUpstream> = untried
         .iter()
         .copied()
         .filter(|upstream| health.is_usable(&upstream.id, &upstream.domain, now))
@@ -215,7 +215,7 @@
 
 fn among_instances(
     gateway: &Gateway,
-    usable: &[&Listed],
+    usable: &[&ListedUpstream],
     limits: &LimitStates,
     now: Instant,
 ) -> Choice {
@@ -259,7 +259,7 @@
 fn among_engines(
     call: &Call,
     model: &EngineModel,
-    usable: &[&Listed],
+    usable: &[&ListedUpstream],
     views: &[EngineView],
     ask: &EngineAsk,
     now: Instant,
@@ -280,7 +280,7 @@
 /// The engines as this host sees them now.
 fn views(
     gateway: &Gateway,
-    usable: &[&Listed],
+    usable: &[&ListedUpstream],
     limits: &LimitStates,
     now: Instant,
 ) -> Vec<EngineView> {
@@ -302,7 +302,7 @@
     model: &EngineModel,
     ask: &EngineAsk,
     plan: &EnginePlan,
-    usable: &[&Listed],
+    usable: &[&ListedUpstream],
     now: Instant,
 ) -> Choice {
     let Some(upstream) = find(usable, &plan.leader) else {
@@ -335,7 +335,7 @@
     }))
 }
 
-fn find<'a>(usable: &[&'a Listed], id: &UpstreamId) -> Option<&'a Listed> {
+fn find<'a>(usable: &[&'a ListedUpstream], id: &UpstreamId) -> Option<&'a ListedUpstream> {
     usable.iter().find(|upstream| upstream.id == *id).copied()
 }
 
--- a/src/gateway/probe.rs
+++ b/src/gateway/probe.rs
@@ -8,7 +8,7 @@
 
 use crate::decide::UpstreamFault;
 use crate::gateway::Gateway;
-use crate::gateway::Listed;
+use crate::gateway::ListedUpstream;
 use crate::gateway::send::CONNECT_TIMEOUT;
 use crate::units::UpstreamId;
 
@@ -33,7 +33,7 @@
     }
 }
 
-async fn try_one(gateway: Arc<Gateway>, upstream: Listed) {
+async fn try_one(gateway: Arc<Gateway>, upstream: ListedUpstream) {
     let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(upstream.addr)).await;
     let now = gateway.clock.now();
     let mut health = gateway.health();
@@ -50,7 +50,7 @@
     gateway.health_changed.notify_one();
 }
 
-fn listed(gateway: &Gateway, id: &UpstreamId) -> Option<Listed> {
+fn listed(gateway: &Gateway, id: &UpstreamId) -> Option<ListedUpstream> {
     let by_service = gateway.beliefs.upstreams()?;
     let mut all = by_service.values().flatten();
     all.find(|upstream| upstream.id == *id).cloned()
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -17,7 +17,7 @@
 use crate::gateway::Event;
 use crate::gateway::Gateway;
 use crate::gateway::LimitSaid;
-use crate::gateway::Listed;
+use crate::gateway::ListedUpstream;
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 use crate::units::RequestsPerSecond;
@@ -68,7 +68,7 @@
     }
 
     /// Whether one of these upstreams has a limit.
-    pub(crate) fn is_any_limited(&self, upstreams: &[&Listed]) -> bool {
+    pub(crate) fn is_any_limited(&self, upstreams: &[&ListedUpstream]) -> bool {
         let book = self.book();
         upstreams.iter().any(|u| book.limit(&u.id).is_some())
     }
--- a/src/gateway/reservation.rs
+++ b/src/gateway/reservation.rs
@@ -16,7 +16,7 @@
 use crate::gateway::Event;
 use crate::gateway::Gateway;
 use crate::gateway::HelperAddr;
-use crate::gateway::Listed;
+use crate::gateway::ListedUpstream;
 use crate::gateway::OrderError;
 use crate::units::Tokens;
 use crate::units::UpstreamId;
@@ -41,7 +41,7 @@
 }
 
 impl Part {
-    pub(crate) fn new(engine: &Listed, tokens: Tokens) -> Self {
+    pub(crate) fn new(engine: &ListedUpstream, tokens: Tokens) -> Self {
         let name = format!("b{:016x}", rand::random::<u64>());
         Self {
             id: engine.id.clone(),
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -17,7 +17,7 @@
 use crate::gateway::Call;
 use crate::gateway::Gateway;
 use crate::gateway::HelperAddr;
-use crate::gateway::Listed;
+use crate::gateway::ListedUpstream;
 use crate::gateway::SendHead;
 use crate::gateway::load_guard::LoadGuard;
 use crate::gateway::placement::Placement;
@@ -49,7 +49,7 @@
 pub(crate) struct Answered {
     pub(crate) head: response::Parts,
     pub(crate) body: OneShotBody,
-    pub(crate) upstream: Listed,
+    pub(crate) upstream: ListedUpstream,
     /// When its first event was expected, from the send on.
     pub(crate) forecast: Duration,
     pub(crate) sent_at: Instant,
--- a/src/gateway/share/held.rs
+++ b/src/gateway/share/held.rs
@@ -10,7 +10,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::exchange::ListedHost;
-use crate::gateway::Listed;
+use crate::gateway::ListedUpstream;
 use crate::gateway::UpstreamChange;
 use crate::gateway::share::message::Answer;
 use crate::gateway::share::message::Ask;
@@ -72,7 +72,7 @@
     }
 
     /// Takes in all upstreams. Returns whether they are others than before.
-    pub(crate) fn put_upstreams(&self, listed: &[Listed], proved_at: Duration) -> bool {
+    pub(crate) fn put_upstreams(&self, listed: &[ListedUpstream], proved_at: Duration) -> bool {
         let mut lists = self.lock();
         lists.upstreams_proved_at = Some(proved_at);
         let is_new = lists.upstreams.replace(listed);
@@ -106,7 +106,9 @@
             }
             is_new
         } else {
-            lists.upstreams.replace(&listed.collect::<Vec<Listed>>())
+            lists
+                .upstreams
+                .replace(&listed.collect::<Vec<ListedUpstream>>())
         };
         lists.upstreams_version = answer.version;
         lists.upstreams_proved_at = Some(proved_at);
@@ -154,7 +156,7 @@
     }
 
     /// The upstreams as they were read last; none before the first read.
-    pub(crate) fn upstreams(&self) -> Option<Arc<Vec<Listed>>> {
+    pub(crate) fn upstreams(&self) -> Option<Arc<Vec<ListedUpstream>>> {
         let lists = self.lock();
         lists.upstreams_proved_at?;
         Some(Arc::clone(lists.upstreams.listed()))
--- a/src/gateway/share/message.rs
+++ b/src/gateway/share/message.rs
@@ -7,7 +7,7 @@
 use tokio_util::codec::LengthDelimitedCodec;
 
 use crate::exchange::ListedHost;
-use crate::gateway::Listed;
+use crate::gateway::ListedUpstream;
 use crate::units::Millicores;
 
 /// The largest message: a manifest has at most about a megabyte.
@@ -142,8 +142,8 @@
     pub(crate) id: String,
 }
 
-impl From<&Listed> for UpstreamEntry {
-    fn from(listed: &Listed) -> Self {
+impl From<&ListedUpstream> for UpstreamEntry {
+    fn from(listed: &ListedUpstream) -> Self {
         Self {
             name: listed.name.to_string(),
             service: listed.service.to_string(),
@@ -158,13 +158,13 @@
 
 impl UpstreamEntry {
     /// The upstream; none if a field is not what it should be.
-    pub(crate) fn listed(&self) -> Option<Listed> {
+    pub(crate) fn listed(&self) -> Option<ListedUpstream> {
         let id = if self.id.is_empty() {
             &self.name
         } else {
             &self.id
         };
-        Some(Listed {
+        Some(ListedUpstream {
             id: id.parse().ok()?,
             service: self.service.parse().ok()?,
             addr: self.addr.parse::<SocketAddr>().ok()?,
--- a/src/gateway/share/upstream_list.rs
+++ b/src/gateway/share/upstream_list.rs
@@ -7,7 +7,7 @@
 use indexmap::IndexSet;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::gateway::Listed;
+use crate::gateway::ListedUpstream;
 use crate::gateway::UpstreamChange;
 use crate::units::UpstreamName;
 
@@ -20,7 +20,7 @@
 /// An upstream with the step in which it was listed like this.
 #[derive(Clone, Debug)]
 struct Known {
-    listed: Listed,
+    listed: ListedUpstream,
     hash: u64,
     step: u64,
 }
@@ -41,7 +41,7 @@
     gone: VecDeque<(u64, UpstreamName)>,
     /// Earlier versions, each with its step.
     versions: VecDeque<(u64, u64)>,
-    listed: Arc<Vec<Listed>>,
+    listed: Arc<Vec<ListedUpstream>>,
 }
 
 impl UpstreamList {
@@ -51,12 +51,12 @@
     }
 
     /// All of them.
-    pub(crate) fn listed(&self) -> &Arc<Vec<Listed>> {
+    pub(crate) fn listed(&self) -> &Arc<Vec<ListedUpstream>> {
         &self.listed
     }
 
     /// Takes in a whole list. Returns whether it is another one.
-    pub(crate) fn replace(&mut self, listed: &[Listed]) -> bool {
+    pub(crate) fn replace(&mut self, listed: &[ListedUpstream]) -> bool {
         let names: IndexSet<&UpstreamName> = listed.iter().map(|u| &u.name).collect();
         let gone = self.known.keys().filter(|name| !names.contains(name));
         let gone: Vec<UpstreamName> = gone.cloned().collect();
@@ -104,7 +104,7 @@
         Some(gone.chain(changed).collect())
     }
 
-    fn put(&mut self, listed: Listed, step: u64) -> bool {
+    fn put(&mut self, listed: ListedUpstream, step: u64) -> bool {
         let hash = hash_of(&listed);
         let before = self.known.get(&listed.name);
         if before.is_some_and(|before| before.listed == listed) {
@@ -128,8 +128,8 @@
     }
 }
 
-fn hash_of(listed: &Listed) -> u64 {
-    let Listed {
+fn hash_of(listed: &ListedUpstream) -> u64 {
+    let ListedUpstream {
         id,
         name,
         service,
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -16,7 +16,7 @@
 use crate::gateway::Catalog;
 use crate::gateway::Event;
 use crate::gateway::Gateway;
-use crate::gateway::Listed;
+use crate::gateway::ListedUpstream;
 use crate::gateway::RoutesStep;
 use crate::gateway::departed::Departed;
 use crate::gateway::dependency::Dependency;
@@ -154,7 +154,7 @@
 /// not now.
 fn take_in_upstreams(
     gateway: &Gateway,
-    listed: Vec<Listed>,
+    listed: Vec<ListedUpstream>,
     known: &IndexSet<UpstreamId>,
 ) -> IndexSet<UpstreamId> {
     gateway.load_changed.notify_one();
--- a/tests/gateway_world/catalog.rs
+++ b/tests/gateway_world/catalog.rs
@@ -13,7 +13,7 @@
 use banyanarch::gateway::Catalog;
 use banyanarch::gateway::CatalogError;
 use banyanarch::gateway::CatalogRead;
-use banyanarch::gateway::Listed;
+use banyanarch::gateway::ListedUpstream;
 use banyanarch::gateway::RoutesRead;
 use banyanarch::gateway::UpstreamChange;
 use banyanarch::gateway::UpstreamsRead;
@@ -33,7 +33,7 @@
     routes: Vec<RouteTable>,
     /// Those that the platform knows of, by their places; the place of one here, and one, is its revision.
     published: Vec<usize>,
-    upstreams: Vec<Listed>,
+    upstreams: Vec<ListedUpstream>,
     /// All changes of the upstreams; the place of one, and one, is its version.
     changes: Vec<UpstreamChange>,
     /// Changes that are forgotten, from the first one on.
@@ -42,7 +42,7 @@
 }
 
 impl State {
-    fn change(&mut self, listed: Listed) {
+    fn change(&mut self, listed: ListedUpstream) {
         self.upstreams.retain(|known| known.name != listed.name);
         self.upstreams.push(listed.clone());
         self.changes.push(UpstreamChange::Upserted(listed));
@@ -97,7 +97,7 @@
 
     /// Lists an upstream of a service; in id order by `id`.
     pub fn list(&self, id: &str, service: &str, addr: SocketAddr) {
-        self.state.lock().unwrap().change(Listed {
+        self.state.lock().unwrap().change(ListedUpstream {
             id: id.parse().unwrap(),
             name: id.parse().unwrap(),
             service: service.parse().unwrap(),
