--- a/src/gateway/beliefs.rs
+++ b/src/gateway/beliefs.rs
@@ -26,7 +26,7 @@
 
 /// What a gateway believes.
 #[derive(Debug, Default)]
-pub struct Beliefs {
+pub struct PlatformView {
     routes: RwLock<Option<Arc<RouteTable>>>,
     freshness: Mutex<Freshness>,
     upstreams: RwLock<Option<Arc<UpstreamsByService>>>,
@@ -36,7 +36,7 @@
     host_names: RwLock<IndexSet<HostId>>,
 }
 
-impl Beliefs {
+impl PlatformView {
     /// The manifest in force; none before the first read.
     pub fn routes(&self) -> Option<Arc<RouteTable>> {
         self.routes
--- a/src/gateway/courier.rs
+++ b/src/gateway/courier.rs
@@ -297,7 +297,7 @@
 
     /// An engine turned a prompt away because of another one that was to read a part.
     fn on_helper_fault(&self, addr: std::net::SocketAddr) {
-        let Some(by_service) = self.gateway.beliefs.upstreams() else {
+        let Some(by_service) = self.gateway.platform_view.upstreams() else {
             return;
         };
         let listed = by_service.get(&self.call.service);
@@ -355,7 +355,7 @@
     fn log_refused(&self, reason: RefuseReason, retry_after: Duration) {
         let gateway = &self.gateway;
         let now = gateway.clock.now();
-        let by_service = gateway.beliefs.upstreams();
+        let by_service = gateway.platform_view.upstreams();
         let listed = by_service.and_then(|all| all.get(&self.call.service).map(Vec::len));
         let (near, all) = survey(gateway, &self.call, &self.sends(), now).unzip();
         gateway.log.note(Event::Refused {
--- a/src/gateway/dependency.rs
+++ b/src/gateway/dependency.rs
@@ -103,7 +103,7 @@
             Err(ReadError::Catalog(err)) => self.on_failed(asked_at, err),
             Err(ReadError::OthersStale) => {
                 let now = self.gateway.clock.now();
-                let hosts = self.gateway.beliefs.hosts().len();
+                let hosts = self.gateway.platform_view.hosts().len();
                 let spread = TURN_SPREAD.saturating_mul(u32::try_from(hosts).unwrap_or(u32::MAX));
                 let due_at = now + spread.mul_f64(rand::random());
                 self.platform_due_at.get_or_insert(due_at);
--- a/src/gateway/engine_reports.rs
+++ b/src/gateway/engine_reports.rs
@@ -47,7 +47,7 @@
 /// Whether this host is the one of its domain that asks: the strongest of those that live.
 fn is_asking_host(gateway: &Gateway) -> bool {
     let now = gateway.clock.now();
-    let hosts = gateway.beliefs.hosts();
+    let hosts = gateway.platform_view.hosts();
     let ledger = gateway.ledger();
     let own = &gateway.conf.host;
     let lives = |listed: &&ListedHost| {
@@ -59,8 +59,10 @@
 
 /// The engines of this failure domain that have work, as far as this host knows.
 fn busy_engines(gateway: &Gateway) -> Vec<ListedUpstream> {
-    let (Some(routes), Some(by_service)) = (gateway.beliefs.routes(), gateway.beliefs.upstreams())
-    else {
+    let (Some(routes), Some(by_service)) = (
+        gateway.platform_view.routes(),
+        gateway.platform_view.upstreams(),
+    ) else {
         return Vec::new();
     };
     let services = routes.services.values();
--- a/src/gateway/handler.rs
+++ b/src/gateway/handler.rs
@@ -79,7 +79,7 @@
     if gateway.phase() >= DrainPhase::Finishing {
         return Err(refused(Refusal::Stopping));
     }
-    let routes = gateway.beliefs.routes();
+    let routes = gateway.platform_view.routes();
     let routes = routes.ok_or_else(|| refused(Refusal::NoManifest))?;
     let mut call = route_call(gateway, &routes, head, said, arrived).map_err(refused)?;
     let body_max = routes.limits.body_bytes;
@@ -106,7 +106,7 @@
     arrived: Instant,
 ) -> Result<Call, Refusal> {
     let now = gateway.clock.since_boot();
-    let freshness = gateway.beliefs.freshness();
+    let freshness = gateway.platform_view.freshness();
     // A host that can't reach the platform may lack a new route or key: it does not say that there
     // is none, which a caller takes as final.
     let reject = |refusal| {
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -52,7 +52,7 @@
 
 pub use answer_body::AnswerBody;
 pub use answer_body::CutOff;
-pub use beliefs::Beliefs;
+pub use beliefs::PlatformView;
 pub use beliefs::UpstreamsByService;
 pub use call::Call;
 pub use catalog::Catalog;
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -98,7 +98,7 @@
         if host == self.conf.host {
             return;
         }
-        if !self.beliefs.is_host(&host) {
+        if !self.platform_view.is_host(&host) {
             self.hosts_news.notify_one();
         }
         for poison in news.poisons.iter().filter_map(read_poison) {
@@ -116,7 +116,7 @@
         } else {
             Extent::Whole
         };
-        let names = self.beliefs.upstream_names();
+        let names = self.platform_view.upstream_names();
         let loads = news.loads.iter();
         let loads = loads.filter_map(|load| Some((upstream_of(load, &names)?, read_load(load))));
         for slow in &news.slow {
@@ -134,7 +134,7 @@
     }
 
     fn hosts(&self) -> Arc<Vec<ListedHost>> {
-        self.beliefs.hosts()
+        self.platform_view.hosts()
     }
 
     fn on_route(&self, route: NewsRoute) {
@@ -164,12 +164,12 @@
         if news.unreachable.is_empty() && news.cut_off.is_empty() {
             return;
         }
-        let hosts = self.beliefs.hosts();
+        let hosts = self.platform_view.hosts();
         let sender = hosts.iter().find(|listed| listed.host == *host);
         if sender.is_none_or(|sender| sender.domain != self.conf.domain) {
             return;
         }
-        let Some(by_service) = self.beliefs.upstreams() else {
+        let Some(by_service) = self.platform_view.upstreams() else {
             return;
         };
         let mut health = self.health();
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -77,8 +77,10 @@
 
 /// Chooses among the upstreams of a call's service.
 pub(crate) fn choose(gateway: &Gateway, call: &Call, sends: &Sends<'_>, now: Instant) -> Choice {
-    let (Some(routes), Some(by_service)) = (gateway.beliefs.routes(), gateway.beliefs.upstreams())
-    else {
+    let (Some(routes), Some(by_service)) = (
+        gateway.platform_view.routes(),
+        gateway.platform_view.upstreams(),
+    ) else {
         return Choice::Refuse(Refusal::NoManifest);
     };
     let listed = by_service.get(&call.service);
@@ -145,9 +147,9 @@
     sends: &Sends<'_>,
     now: Instant,
 ) -> Option<(EnginesSeen, EnginesSeen)> {
-    let routes = gateway.beliefs.routes()?;
+    let routes = gateway.platform_view.routes()?;
     let model = engine_model(&routes, call)?;
-    let by_service = gateway.beliefs.upstreams()?;
+    let by_service = gateway.platform_view.upstreams()?;
     let listed = by_service.get(&call.service)?;
     let ask = engine_ask(gateway, &routes, call, sends, now);
     if ask.class(model) == PromptClass::Short {
--- a/src/gateway/probe.rs
+++ b/src/gateway/probe.rs
@@ -51,7 +51,7 @@
 }
 
 fn listed(gateway: &Gateway, id: &UpstreamId) -> Option<ListedUpstream> {
-    let by_service = gateway.beliefs.upstreams()?;
+    let by_service = gateway.platform_view.upstreams()?;
     let mut all = by_service.values().flatten();
     all.find(|upstream| upstream.id == *id).cloned()
 }
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -173,7 +173,7 @@
 
     /// How many of the listed hosts this one hears, by their own word or by that of their domain's collector.
     pub(crate) fn hosts_heard(&self, now: Instant) -> HostsHeard {
-        let hosts = self.beliefs.hosts();
+        let hosts = self.platform_view.hosts();
         let ledger = self.ledger();
         let speaks = |listed: &&ListedHost| ledger.speaks_for_domain(&listed.host, now);
         let spoken_for = hosts.iter().filter(speaks).map(|listed| &listed.domain);
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -96,7 +96,7 @@
         return None;
     }
     let limits = gateway
-        .beliefs
+        .platform_view
         .routes()
         .map_or_else(CallerLimits::default, |routes| routes.limits);
     // hyper counts the time for a head from the end of the answer before it, so this bounds idle
--- a/src/gateway/share/readers.rs
+++ b/src/gateway/share/readers.rs
@@ -115,7 +115,7 @@
     pub(crate) fn trying(&self, gateway: &Gateway) -> u32 {
         let now = gateway.clock.now();
         let at = gateway.clock.since_boot();
-        let hosts = gateway.beliefs.hosts();
+        let hosts = gateway.platform_view.hosts();
         let state = self.lock();
         let ledger = gateway.ledger();
         let tries = |listed: &&ListedHost| {
@@ -140,7 +140,7 @@
     /// name. `trusts_list` says whether right after the start those count as well that were not heard yet.
     pub(crate) fn choose(&self, gateway: &Gateway, trusts_list: bool) -> Option<ListedHost> {
         let now = gateway.clock.now();
-        let hosts = gateway.beliefs.hosts();
+        let hosts = gateway.platform_view.hosts();
         let collector = gateway.news_route().collector;
         let conf = &gateway.conf;
         let mut state = self.lock();
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -21,7 +21,6 @@
 use crate::decide::PoisonList;
 use crate::decide::RetryWindow;
 use crate::exchange::NewsRoute;
-use crate::gateway::Beliefs;
 use crate::gateway::Call;
 use crate::gateway::DecisionLog;
 use crate::gateway::Dialect;
@@ -30,6 +29,7 @@
 use crate::gateway::Event;
 use crate::gateway::GatewayConf;
 use crate::gateway::Meters;
+use crate::gateway::PlatformView;
 use crate::gateway::lives::Lives;
 use crate::gateway::rate_limits::RateLimits;
 use crate::gateway::share::Held;
@@ -60,7 +60,7 @@
     /// Orders to engines.
     pub orders: Arc<dyn EngineOrders>,
     /// What is taken to be true.
-    pub beliefs: Beliefs,
+    pub platform_view: PlatformView,
     /// The decision log.
     pub log: DecisionLog,
     /// The metrics.
@@ -119,7 +119,7 @@
             clock,
             dialect,
             orders,
-            beliefs: Beliefs::default(),
+            platform_view: PlatformView::default(),
             log,
             meters,
             ledger: Mutex::default(),
@@ -215,7 +215,7 @@
     /// Takes one retry for a service out of this host's share of the budget.
     pub fn try_retry(&self, service: &ServiceId) -> bool {
         let now = self.clock.now();
-        let hosts = self.beliefs.hosts().len();
+        let hosts = self.platform_view.hosts().len();
         let mut retries = self.retries.lock().unwrap_or_else(PoisonError::into_inner);
         let window = retries.entry(service.clone()).or_default();
         window.try_retry(&self.conf.retry_bound, hosts, now)
@@ -228,31 +228,31 @@
             return true;
         }
         let now = self.clock.since_boot();
-        self.beliefs
+        self.platform_view
             .freshness()
             .holds_lease(self.conf.key_lease, now)
             && self.knows_key(call)
     }
 
     fn knows_key(&self, call: &Call) -> bool {
-        let routes = self.beliefs.routes();
+        let routes = self.platform_view.routes();
         let key = call.head.key.as_deref().unwrap_or_default();
         routes.is_some_and(|routes| routes.keys.customer(key) == call.customer.as_ref())
     }
 
     /// How old the manifest is.
     pub fn manifest_age(&self) -> Option<Duration> {
-        self.beliefs.freshness().age(self.clock.since_boot())
+        self.platform_view.freshness().age(self.clock.since_boot())
     }
 
     /// Whether the balancer may send connections here.
     pub fn is_ready(&self) -> bool {
         let now = self.clock.since_boot();
         self.phase() == DrainPhase::Serving
-            && self.beliefs.routes().is_some()
-            && self.beliefs.upstreams().is_some()
+            && self.platform_view.routes().is_some()
+            && self.platform_view.upstreams().is_some()
             && self
-                .beliefs
+                .platform_view
                 .freshness()
                 .holds_lease(self.conf.key_lease, now)
     }
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -66,7 +66,7 @@
         if let Ok(read) = read
             && is_understood
         {
-            gateway.beliefs.prove_fresh(read.proved_at);
+            gateway.platform_view.prove_fresh(read.proved_at);
         }
         let due_at = next_at(asked_at, goes_on);
         let news = &gateway.routes_news;
@@ -91,7 +91,7 @@
         routes: routes.route_count(),
         keys: routes.keys.len(),
     };
-    match gateway.beliefs.set_routes(routes) {
+    match gateway.platform_view.set_routes(routes) {
         RoutesStep::Taken => {
             gateway.load_changed.notify_one();
             gateway.log.note(event);
@@ -163,7 +163,7 @@
     let health = gateway.health();
     let restarted = gateway.lives.take_in(&listed, |id| health.lost_at(id));
     drop(health);
-    let usable = gateway.beliefs.set_upstreams(listed);
+    let usable = gateway.platform_view.set_upstreams(listed);
     gateway.health().keep(|id| staying.contains(id));
     let now = gateway.clock.now();
     gateway.ledger().keep(|id| staying.contains(id), now);
@@ -233,8 +233,8 @@
             told.set_listed(hosts, gateway.clock.now());
         }
         let hosts = told.hosts(gateway.clock.now());
-        if *gateway.beliefs.hosts() != hosts {
-            gateway.beliefs.set_hosts(hosts);
+        if *gateway.platform_view.hosts() != hosts {
+            gateway.platform_view.set_hosts(hosts);
         }
         gateway.ledger().forget_silent(gateway.clock.now());
         let interval = hosts_interval(&gateway, is_announced, &dependency);
--- a/src/gateway/tracker.rs
+++ b/src/gateway/tracker.rs
@@ -33,7 +33,10 @@
 
 impl Tracker {
     pub(crate) fn new(gateway: &Arc<Gateway>, arrived: Instant) -> Self {
-        let generation = gateway.beliefs.routes().map(|routes| routes.generation);
+        let generation = gateway
+            .platform_view
+            .routes()
+            .map(|routes| routes.generation);
         Self {
             gateway: Arc::clone(gateway),
             request: String::new(),
--- a/tests/cmd_explain.rs
+++ b/tests/cmd_explain.rs
@@ -38,7 +38,11 @@
     host.call(named("r-full", "key-1", "/once/1")).await;
     catalog.leave("full");
     catalog.list("lost", "app", lost.addr);
-    let is_listed = || host.gateway.beliefs.is_listed(&"lost".parse().unwrap());
+    let is_listed = || {
+        host.gateway
+            .platform_view
+            .is_listed(&"lost".parse().unwrap())
+    };
     until(is_listed).await;
     host.call(named("r-lost", "key-1", "/once/1")).await;
     catalog.set_away(true);
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -295,7 +295,7 @@
     catalog.list("b", "app", staying.addr);
     let host = TestHost::start("host", &catalog).await;
     catalog.leave("a");
-    until(|| !host.gateway.beliefs.is_listed(&"a".parse().unwrap())).await;
+    until(|| !host.gateway.platform_view.is_listed(&"a".parse().unwrap())).await;
     let before = leaving.arrivals().len();
     for _ in 0..6 {
         assert_eq!(status(&host.call(request("/safe/1")).await), 200);
@@ -335,7 +335,7 @@
     let keys = IndexMap::from([("key-1".to_owned(), "acme".parse().unwrap())]);
     next.keys = CustomerKeys::required(keys);
     catalog.publish(next);
-    let in_force = || host.gateway.beliefs.routes().unwrap().generation.0 == 2;
+    let in_force = || host.gateway.platform_view.routes().unwrap().generation.0 == 2;
     until(in_force).await;
     assert_eq!(
         status(&host.call(request_of("key-2", "/safe/1")).await),
@@ -348,11 +348,11 @@
 async fn an_older_manifest_never_replaces_a_newer_one() {
     let (host, _, catalog) = one("app", Act::Answer(200, "ok")).await;
     catalog.publish(table(7));
-    until(|| host.gateway.beliefs.routes().unwrap().generation.0 == 7).await;
+    until(|| host.gateway.platform_view.routes().unwrap().generation.0 == 7).await;
     catalog.publish(table(3));
     let reads = catalog.reads();
     until(|| catalog.reads() >= reads + 2).await;
-    assert_eq!(host.gateway.beliefs.routes().unwrap().generation.0, 7);
+    assert_eq!(host.gateway.platform_view.routes().unwrap().generation.0, 7);
 }
 
 /// A host is replaced while a caller waits for its answer. The process ends with the request, and
--- a/tests/gateway_hosts.rs
+++ b/tests/gateway_hosts.rs
@@ -151,7 +151,7 @@
     long.keys = std::mem::take(&mut routes.keys);
     catalog.publish(long);
     let host = TestHost::start("host", &catalog).await;
-    until(|| host.gateway.beliefs.routes().unwrap().generation.0 == 2).await;
+    until(|| host.gateway.platform_view.routes().unwrap().generation.0 == 2).await;
     let mut req = request("/long/1");
     req.headers_mut()
         .insert("test-prompt", "600000".parse().unwrap());
@@ -241,7 +241,7 @@
     until(|| second.gateway.is_ready()).await;
     assert_eq!(status(&second.call(request("/safe/1")).await), 200);
     first_way.publish(table(2));
-    until(|| second.gateway.beliefs.routes().unwrap().generation.0 == 2).await;
+    until(|| second.gateway.platform_view.routes().unwrap().generation.0 == 2).await;
     first_way.set_away(true);
     until(|| !second.gateway.is_ready()).await;
 }
@@ -275,7 +275,7 @@
     assert!((1..=9).contains(&asked), "{asked} reads in four seconds");
     way.set_away(false);
     way.publish(table(2));
-    until(|| host.gateway.beliefs.routes().unwrap().generation.0 == 2).await;
+    until(|| host.gateway.platform_view.routes().unwrap().generation.0 == 2).await;
 }
 
 /// Hosts of one failure domain that all hear each other, each with a way of its own to the platform.
@@ -332,7 +332,7 @@
     first_way.set_away(false);
     for (host, _) in &hosts {
         until(|| host.gateway.is_ready()).await;
-        assert_eq!(host.gateway.beliefs.routes().unwrap().generation.0, 2);
+        assert_eq!(host.gateway.platform_view.routes().unwrap().generation.0, 2);
         assert_eq!(status(&host.call(request("/safe/1")).await), 200);
     }
 }
--- a/tests/gateway_reads.rs
+++ b/tests/gateway_reads.rs
@@ -12,7 +12,7 @@
 use gateway_world::until;
 
 fn listed(host: &TestHost) -> Vec<String> {
-    let by_service = host.gateway.beliefs.upstreams().unwrap();
+    let by_service = host.gateway.platform_view.upstreams().unwrap();
     let ids = by_service.values().flatten();
     ids.map(|upstream| upstream.id.to_string()).collect()
 }
@@ -111,7 +111,7 @@
     let catalog = catalog_of(["a", "b", "c"]);
     let [(first, _), (second, _)] = two_hosts(&catalog).await;
     let names = || {
-        let hosts = first.gateway.beliefs.hosts();
+        let hosts = first.gateway.platform_view.hosts();
         let names = hosts.iter().map(|listed| listed.host.to_string());
         names.collect::<Vec<String>>()
     };
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -20,7 +20,7 @@
 use indexmap::IndexMap;
 
 fn knows(host: &TestHost, id: &UpstreamId) -> bool {
-    host.gateway.beliefs.is_listed(id)
+    host.gateway.platform_view.is_listed(id)
 }
 
 /// An engine restarts within a second under its old id and stays without work for seconds: hosts still
--- a/tests/gateway_store_returns.rs
+++ b/tests/gateway_store_returns.rs
@@ -20,7 +20,7 @@
 }
 
 fn generation(host: &TestHost) -> Generation {
-    let routes = host.gateway.beliefs.routes();
+    let routes = host.gateway.platform_view.routes();
     routes.map_or(Generation(0), |routes| routes.generation)
 }
 
@@ -114,7 +114,7 @@
     catalog.list("b", "app", staying.addr);
     let host = TestHost::start("host", &catalog).await;
     let usable = |host: &TestHost| {
-        let upstreams = host.gateway.beliefs.upstreams();
+        let upstreams = host.gateway.platform_view.upstreams();
         upstreams.map_or(0, |upstreams| upstreams.values().map(Vec::len).sum())
     };
     until(|| usable(&host) == 2).await;
@@ -140,7 +140,7 @@
     catalog.list("a", "app", upstreams[0].addr);
     let host = TestHost::start("host", &catalog).await;
     let names = |host: &TestHost| {
-        let upstreams = host.gateway.beliefs.upstreams();
+        let upstreams = host.gateway.platform_view.upstreams();
         let all = upstreams.iter().flat_map(|all| all.values().flatten());
         all.map(|upstream| upstream.id.to_string())
             .collect::<Vec<_>>()
--- a/tests/gateway_world/mod.rs
+++ b/tests/gateway_world/mod.rs
@@ -152,7 +152,7 @@
 
     /// Waits until the host has so many hosts on its list.
     pub async fn until_hosts(&self, count: usize) {
-        until(|| self.gateway.beliefs.hosts().len() == count).await;
+        until(|| self.gateway.platform_view.hosts().len() == count).await;
     }
 
     /// Sends a request and reads the whole answer.
