--- a/src/gateway/share/reader.rs
+++ b/src/gateway/share/reader.rs
@@ -126,7 +126,7 @@
         let watch = self.cursor.watch();
         let mut read = self.catalog.routes(object, watch).await;
         self.time(watch, asked_at);
-        if matches!(read, Err(CatalogError::Forgotten)) {
+        if matches!(read, Err(CatalogError::HistoryExpired)) {
             self.cursor = Cursor::default();
             read = self.catalog.routes(object, None).await;
         }
@@ -184,7 +184,7 @@
         let watch = self.cursor.watch();
         let mut read = self.catalog.upstreams(watch).await;
         self.time(watch, proved_at);
-        if matches!(read, Err(CatalogError::Forgotten)) {
+        if matches!(read, Err(CatalogError::HistoryExpired)) {
             self.cursor = Cursor::default();
             read = self.catalog.upstreams(None).await;
         }
--- a/tests/gateway_world/catalog.rs
+++ b/tests/gateway_world/catalog.rs
@@ -51,7 +51,7 @@
     fn changes_since(&self, since: ObjectVersion) -> Result<Vec<UpstreamChange>, CatalogError> {
         let since = usize::try_from(since.revision()).unwrap();
         if since < self.forgotten {
-            return Err(CatalogError::Forgotten);
+            return Err(CatalogError::HistoryExpired);
         }
         Ok(self.changes[since..].to_vec())
     }
@@ -204,7 +204,7 @@
         if last.era() == watch.since.era() {
             Ok(last)
         } else {
-            Err(CatalogError::Forgotten)
+            Err(CatalogError::HistoryExpired)
         }
     }
 
@@ -230,7 +230,7 @@
     ) -> Result<CatalogRead<RoutesRead>, CatalogError> {
         let version = self.wait(watch, |state| state.published.len()).await?;
         let place = version.revision().checked_sub(1);
-        let place = usize::try_from(place.ok_or(CatalogError::Absent)?).unwrap();
+        let place = usize::try_from(place.ok_or(CatalogError::NotFound)?).unwrap();
         let place = self.answer(|state| state.published[place])?;
         let value = if known == Some(version) {
             RoutesRead::Unchanged
