--- a/src/gateway/catalog.rs
+++ b/src/gateway/catalog.rs
@@ -88,25 +88,25 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CatalogError {
     /// There is no such object.
-    Absent,
+    NotFound,
     /// The platform turned the call away for now; nothing was done.
-    TurnedAway(String),
+    Rejected(String),
     /// No answer came. A write may have been done, or may still be.
     NoAnswer(String),
     /// The answer can't be understood: the object, and what is wrong with which field.
     Malformed(String),
     /// The platform no longer knows what has changed since.
-    Forgotten,
+    HistoryExpired,
 }
 
 impl fmt::Display for CatalogError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Absent => f.write_str("no such object"),
-            Self::TurnedAway(why) => write!(f, "turned away: {why}"),
+            Self::NotFound => f.write_str("no such object"),
+            Self::Rejected(why) => write!(f, "turned away: {why}"),
             Self::NoAnswer(why) => write!(f, "no answer: {why}"),
             Self::Malformed(what) => write!(f, "malformed: {what}"),
-            Self::Forgotten => f.write_str("the changes since are forgotten"),
+            Self::HistoryExpired => f.write_str("the changes since are forgotten"),
         }
     }
 }
