--- a/src/gateway/share/reader.rs
+++ b/src/gateway/share/reader.rs
@@ -192,13 +192,13 @@
         let held = &self.gateway.held;
         let mut goes_on = false;
         let has_changed = match read {
-            UpstreamsRead::Whole(listed) => held.put_upstreams(&listed, proved_at),
-            UpstreamsRead::Changes(changes) if changes.is_empty() => {
+            UpstreamsRead::Snapshot(listed) => held.put_upstreams(&listed, proved_at),
+            UpstreamsRead::Delta(changes) if changes.is_empty() => {
                 held.renew_upstreams(proved_at);
                 false
             }
             // Only an answer without a change shows that there are no more.
-            UpstreamsRead::Changes(changes) => {
+            UpstreamsRead::Delta(changes) => {
                 goes_on = true;
                 held.change_upstreams(changes)
             }
--- a/tests/gateway_world/catalog.rs
+++ b/tests/gateway_world/catalog.rs
@@ -215,11 +215,11 @@
         let as_of = Some(self.wait(watch, |state| state.changes.len()).await?);
         let Some(watch) = watch else {
             self.whole_reads.fetch_add(1, Ordering::Relaxed);
-            let value = self.answer(|state| UpstreamsRead::Whole(state.upstreams.clone()))?;
+            let value = self.answer(|state| UpstreamsRead::Snapshot(state.upstreams.clone()))?;
             return Ok(CatalogRead { value, as_of });
         };
         let changes = self.answer(|state| state.changes_since(watch.since))??;
-        let value = UpstreamsRead::Changes(changes);
+        let value = UpstreamsRead::Delta(changes);
         Ok(CatalogRead { value, as_of })
     }
 
