--- a/src/gateway/catalog.rs
+++ b/src/gateway/catalog.rs
@@ -79,9 +79,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpstreamsRead {
     /// All of them.
-    Whole(Vec<ListedUpstream>),
+    Snapshot(Vec<ListedUpstream>),
     /// What has changed since the read before, in order.
-    Changes(Vec<UpstreamChange>),
+    Delta(Vec<UpstreamChange>),
 }
 
 /// Why a read or a write of the catalog gave nothing.
