--- a/src/gateway/catalog.rs
+++ b/src/gateway/catalog.rs
@@ -137,8 +137,8 @@
     fn hosts(&self) -> BoxFuture<'_, Result<Vec<ListedHost>, CatalogError>>;
 
     /// Puts a host on the list, in place of what is there under its name.
-    fn announce(&self, host: ListedHost) -> BoxFuture<'_, Result<(), CatalogError>>;
+    fn register_host(&self, host: ListedHost) -> BoxFuture<'_, Result<(), CatalogError>>;
 
     /// Takes a host off the list.
-    fn withdraw(&self, host: HostId) -> BoxFuture<'_, Result<(), CatalogError>>;
+    fn deregister_host(&self, host: HostId) -> BoxFuture<'_, Result<(), CatalogError>>;
 }
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -218,7 +218,7 @@
         // An entry that was written in an earlier era may be gone.
         is_announced &= announced_in >= era;
         if !is_announced {
-            let announced = catalog.announce(own.clone()).await;
+            let announced = catalog.register_host(own.clone()).await;
             is_announced = announced.is_ok();
             announced_in = era;
             dependency.on_call(asked_at, &announced);
--- a/tests/gateway_news.rs
+++ b/tests/gateway_news.rs
@@ -79,7 +79,7 @@
         exchange_addr: listener.local_addr().unwrap(),
         processors: Some(Millicores(1_000)),
     };
-    catalog.announce(silent).await.unwrap();
+    catalog.register_host(silent).await.unwrap();
     let reads_when_asked = Arc::new(Mutex::new(None));
     let (asked, seen) = (Arc::clone(&reads_when_asked), Arc::clone(&catalog));
     tokio::spawn(async move {
--- a/tests/gateway_reads.rs
+++ b/tests/gateway_reads.rs
@@ -117,7 +117,7 @@
     };
     until(|| names().contains(&"b-second".to_owned())).await;
     let gone = second.gateway.conf.host.clone();
-    catalog.withdraw(gone).await.unwrap();
+    catalog.deregister_host(gone).await.unwrap();
     let _third = TestHost::start("c-third", &catalog.another_way()).await;
     until(|| names().contains(&"c-third".to_owned())).await;
     assert!(names().contains(&"b-second".to_owned()), "{:?}", names());
--- a/tests/gateway_versions.rs
+++ b/tests/gateway_versions.rs
@@ -124,7 +124,7 @@
     };
     tokio::spawn(serve_reads(listener, read.addr));
     tokio::spawn(tell_that_it_lives(Arc::clone(&host.gateway)));
-    catalog.announce(former).await.unwrap();
+    catalog.register_host(former).await.unwrap();
     until(|| host.gateway.platform_view.is_listed(&"b".parse().unwrap())).await;
     let res = host.call(request("/safe/1")).await;
     assert_eq!(res.body().as_ref(), b"read");
--- a/tests/gateway_world/catalog.rs
+++ b/tests/gateway_world/catalog.rs
@@ -270,12 +270,12 @@
         async move { read }.boxed()
     }
 
-    fn announce(&self, host: ListedHost) -> BoxFuture<'_, Result<(), CatalogError>> {
+    fn register_host(&self, host: ListedHost) -> BoxFuture<'_, Result<(), CatalogError>> {
         let done = self.answer(|state| state.hosts.push(host));
         async move { done }.boxed()
     }
 
-    fn withdraw(&self, host: HostId) -> BoxFuture<'_, Result<(), CatalogError>> {
+    fn deregister_host(&self, host: HostId) -> BoxFuture<'_, Result<(), CatalogError>> {
         let done = self.answer(|state| state.hosts.retain(|listed| listed.host != host));
         async move { done }.boxed()
     }
