--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -121,7 +121,7 @@
 async fn withdraw(gateway: Arc<Gateway>, catalog: Arc<dyn Catalog>) {
     gateway.stop_begun().await;
     let host = gateway.conf.host.clone();
-    match timeout(WITHDRAW_TIMEOUT, catalog.withdraw(host)).await {
+    match timeout(WITHDRAW_TIMEOUT, catalog.deregister_host(host)).await {
         Ok(Ok(())) => {}
         Ok(Err(err)) => warn!("gateway: still on the list of hosts: {err}"),
         Err(_) => warn!("gateway: still on the list of hosts: no answer"),
