--- a/src/gateway/beliefs.rs
+++ b/src/gateway/beliefs.rs
@@ -15,7 +15,7 @@
 use crate::exchange::UpstreamHash;
 use crate::gateway::Freshness;
 use crate::gateway::ListedUpstream;
-use crate::gateway::RoutesStep;
+use crate::gateway::RoutesUpdate;
 use crate::routing::RouteTable;
 use crate::units::HostId;
 use crate::units::ServiceId;
@@ -46,15 +46,15 @@
     }
 
     /// Puts a manifest in force unless it is already, or a newer one is.
-    pub fn set_routes(&self, routes: RouteTable) -> RoutesStep {
+    pub fn set_routes(&self, routes: RouteTable) -> RoutesUpdate {
         let mut current = self.routes.write().unwrap_or_else(PoisonError::into_inner);
         let in_force = current.as_ref().map(|current| current.generation);
         match in_force {
-            Some(in_force) if in_force == routes.generation => RoutesStep::Same,
-            Some(in_force) if in_force > routes.generation => RoutesStep::Older { in_force },
+            Some(in_force) if in_force == routes.generation => RoutesUpdate::Unchanged,
+            Some(in_force) if in_force > routes.generation => RoutesUpdate::Stale { in_force },
             _ => {
                 *current = Some(Arc::new(routes));
-                RoutesStep::Taken
+                RoutesUpdate::Applied
             }
         }
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -86,7 +86,7 @@
 pub use listeners::Listeners;
 pub use meters::Meters;
 pub use refusal::Refusal;
-pub use routes_step::RoutesStep;
+pub use routes_step::RoutesUpdate;
 pub use run::Reload;
 pub use run::run;
 pub use run::serve;
--- a/src/gateway/routes_step.rs
+++ b/src/gateway/routes_step.rs
@@ -4,7 +4,7 @@
 
 /// What came of putting a manifest in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RoutesStep {
+pub enum RoutesUpdate {
     /// It is in force now.
     Taken,
     /// It was in force already.
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -17,7 +17,7 @@
 use crate::gateway::Event;
 use crate::gateway::Gateway;
 use crate::gateway::ListedUpstream;
-use crate::gateway::RoutesStep;
+use crate::gateway::RoutesUpdate;
 use crate::gateway::departed::Departed;
 use crate::gateway::dependency::Dependency;
 use crate::gateway::dependency::FAILED_INTERVAL;
@@ -92,13 +92,13 @@
         keys: routes.keys.len(),
     };
     match gateway.platform_view.set_routes(routes) {
-        RoutesStep::Taken => {
+        RoutesUpdate::Applied => {
             gateway.load_changed.notify_one();
             gateway.log.note(event);
             true
         }
-        RoutesStep::Same => true,
-        RoutesStep::Older { in_force } => {
+        RoutesUpdate::Unchanged => true,
+        RoutesUpdate::Stale { in_force } => {
             gateway.log.note(Event::ManifestOlder {
                 in_force: in_force.0,
                 generation: generation.0,
