--- a/src/gateway/routes_step.rs
+++ b/src/gateway/routes_step.rs
@@ -6,11 +6,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoutesUpdate {
     /// It is in force now.
-    Taken,
+    Applied,
     /// It was in force already.
-    Same,
+    Unchanged,
     /// A newer one stays in force.
-    Older {
+    Stale {
         /// The number of that one.
         in_force: Generation,
     },
