--- a/src/gateway/reservation.rs
+++ b/src/gateway/reservation.rs
@@ -13,11 +13,11 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
+use crate::gateway::EngineClientError;
 use crate::gateway::Event;
 use crate::gateway::Gateway;
 use crate::gateway::HelperAddr;
 use crate::gateway::ListedUpstream;
-use crate::gateway::OrderError;
 use crate::units::Tokens;
 use crate::units::UpstreamId;
 
@@ -122,7 +122,7 @@
     }
 }
 
-async fn reserve(gateway: &Gateway, part: &Part) -> Result<(), OrderError> {
+async fn reserve(gateway: &Gateway, part: &Part) -> Result<(), EngineClientError> {
     let orders = &gateway.orders;
     orders
         .reserve(part.engine, &part.name, part.tokens, HOLD)
@@ -155,8 +155,8 @@
         match gateway.orders.release(part.engine, &part.name).await {
             Ok(()) => return,
             // The engine does not know it: it has lapsed or was never made.
-            Err(OrderError::Refused(_)) => return,
-            Err(OrderError::NoAnswer(why)) => {
+            Err(EngineClientError::Refused(_)) => return,
+            Err(EngineClientError::NoAnswer(why)) => {
                 log::warn!("reservation: not released: {why}");
                 sleep(RELEASE_PAUSE).await;
             }
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -25,7 +25,7 @@
 use crate::gateway::DecisionLog;
 use crate::gateway::Dialect;
 use crate::gateway::DrainPhase;
-use crate::gateway::EngineOrders;
+use crate::gateway::EngineClient;
 use crate::gateway::Event;
 use crate::gateway::GatewayConf;
 use crate::gateway::Meters;
@@ -58,7 +58,7 @@
     /// The headers of the platform.
     pub dialect: Arc<dyn Dialect>,
     /// Orders to engines.
-    pub orders: Arc<dyn EngineOrders>,
+    pub orders: Arc<dyn EngineClient>,
     /// What is taken to be true.
     pub platform_view: PlatformView,
     /// The decision log.
@@ -108,7 +108,7 @@
         conf: GatewayConf,
         clock: Arc<dyn Clock>,
         dialect: Arc<dyn Dialect>,
-        orders: Arc<dyn EngineOrders>,
+        orders: Arc<dyn EngineClient>,
         log: DecisionLog,
         meters: Meters,
     ) -> Self {
--- a/tests/gateway_world/orders.rs
+++ b/tests/gateway_world/orders.rs
@@ -4,9 +4,9 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use banyanarch::gateway::EngineOrders;
+use banyanarch::gateway::EngineClient;
+use banyanarch::gateway::EngineClientError;
 use banyanarch::gateway::EngineReport;
-use banyanarch::gateway::OrderError;
 use banyanarch::units::Slowdown;
 use banyanarch::units::Tokens;
 use futures_util::FutureExt;
@@ -62,17 +62,17 @@
     }
 }
 
-impl EngineOrders for FakeOrders {
+impl EngineClient for FakeOrders {
     fn reserve<'a>(
         &'a self,
         engine: SocketAddr,
         name: &'a str,
         tokens: Tokens,
         _: Duration,
-    ) -> BoxFuture<'a, Result<(), OrderError>> {
+    ) -> BoxFuture<'a, Result<(), EngineClientError>> {
         *self.asked.lock().unwrap().entry(engine).or_default() += 1;
         if *self.silent.lock().unwrap() == Some(engine) {
-            return async { Err(OrderError::NoAnswer("dark".to_owned())) }.boxed();
+            return async { Err(EngineClientError::NoAnswer("dark".to_owned())) }.boxed();
         }
         let mut made = self.made.lock().unwrap();
         let is_refused = self
@@ -81,7 +81,7 @@
             .unwrap()
             .is_some_and(|max| *made >= max);
         if is_refused {
-            let refused = OrderError::Refused("no memory".to_owned());
+            let refused = EngineClientError::Refused("no memory".to_owned());
             return async { Err(refused) }.boxed();
         }
         *made += 1;
@@ -90,7 +90,7 @@
         async { Ok(()) }.boxed()
     }
 
-    fn report(&self, engine: SocketAddr) -> BoxFuture<'_, Result<EngineReport, OrderError>> {
+    fn report(&self, engine: SocketAddr) -> BoxFuture<'_, Result<EngineReport, EngineClientError>> {
         *self.reports.lock().unwrap() += 1;
         let known = self.slowdowns.lock().unwrap().get(&engine).copied();
         let slowdown = known.unwrap_or(Slowdown::NONE);
@@ -101,7 +101,7 @@
         &'a self,
         engine: SocketAddr,
         name: &'a str,
-    ) -> BoxFuture<'a, Result<(), OrderError>> {
+    ) -> BoxFuture<'a, Result<(), EngineClientError>> {
         let key = (engine, name.to_owned());
         self.reserved.lock().unwrap().swap_remove(&key);
         async { Ok(()) }.boxed()
