--- a/src/cmd/log_story.rs
+++ b/src/cmd/log_story.rs
@@ -4,7 +4,7 @@
 
 use crate::cmd::log_causes::cause;
 use crate::cmd::logs::Line;
-use crate::gateway::EnginesSeen;
+use crate::gateway::EngineSurveyRecord;
 use crate::gateway::Event;
 
 /// What the logs know of one request, in order.
@@ -84,7 +84,11 @@
 }
 
 /// What a host saw of some of the engines, on a line of its own.
-fn write_seen(f: &mut fmt::Formatter<'_>, name: &str, seen: Option<&EnginesSeen>) -> fmt::Result {
+fn write_seen(
+    f: &mut fmt::Formatter<'_>,
+    name: &str,
+    seen: Option<&EngineSurveyRecord>,
+) -> fmt::Result {
     match seen {
         Some(seen) => write!(f, "\n                     {name}: {seen}"),
         None => Ok(()),
--- a/src/gateway/engines_seen.rs
+++ b/src/gateway/engines_seen.rs
@@ -12,7 +12,7 @@
 /// Engines of a service as one host saw them, counted by what they could do for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
-pub struct EnginesSeen {
+pub struct EngineSurveyRecord {
     /// Those that may get work.
     pub engines: usize,
     /// Those kept for short prompts.
@@ -30,13 +30,13 @@
     pub idle: usize,
     /// The best group that could be formed; none if there is none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub best: Option<GroupSeen>,
+    pub best: Option<EngineGroupRecord>,
 }
 
 /// Engines that could read a prompt together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
-pub struct GroupSeen {
+pub struct EngineGroupRecord {
     /// How many.
     pub engines: usize,
     /// When the first event was expected, in ms from then.
@@ -51,7 +51,7 @@
     pub makes_late: bool,
 }
 
-impl From<Survey> for EnginesSeen {
+impl From<Survey> for EngineSurveyRecord {
     fn from(survey: Survey) -> Self {
         Self {
             engines: survey.engines,
@@ -61,12 +61,12 @@
             with_memory: survey.with_memory,
             with_room: survey.with_room,
             idle: survey.idle,
-            best: survey.best.map(GroupSeen::from),
+            best: survey.best.map(EngineGroupRecord::from),
         }
     }
 }
 
-impl From<BestGroup> for GroupSeen {
+impl From<BestGroup> for EngineGroupRecord {
     fn from(best: BestGroup) -> Self {
         Self {
             engines: best.engines,
@@ -79,7 +79,7 @@
     }
 }
 
-impl fmt::Display for EnginesSeen {
+impl fmt::Display for EngineSurveyRecord {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -99,7 +99,7 @@
     }
 }
 
-impl fmt::Display for GroupSeen {
+impl fmt::Display for EngineGroupRecord {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
--- a/src/gateway/event.rs
+++ b/src/gateway/event.rs
@@ -5,8 +5,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::gateway::EnginesSeen;
-use crate::gateway::LimitSeen;
+use crate::gateway::EngineSurveyRecord;
+use crate::gateway::RateLimitRecord;
 
 /// One decision that touches a request, or one change of what the host takes to be true. Each is
 /// written as a line of JSON.
@@ -167,7 +167,7 @@
         manifest_age_ms: u64,
         /// What its upstream has named as its limit, and got; none if it has named none.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        limit: Option<LimitSeen>,
+        limit: Option<RateLimitRecord>,
     },
     /// A prompt for several engines has waited for a second; one line a request.
     Waiting {
@@ -184,9 +184,9 @@
         /// How often engines were chosen for it.
         choices: u32,
         /// The engines of this host's failure domain.
-        near: Box<EnginesSeen>,
+        near: Box<EngineSurveyRecord>,
         /// All engines of the service.
-        all: Box<EnginesSeen>,
+        all: Box<EngineSurveyRecord>,
     },
     /// A request was turned away by what this host knew then.
     Refused {
@@ -208,10 +208,10 @@
         choices: u32,
         /// For a prompt of several engines, those of this host's failure domain.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        near: Option<Box<EnginesSeen>>,
+        near: Option<Box<EngineSurveyRecord>>,
         /// The same of all engines of the service.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        all: Option<Box<EnginesSeen>>,
+        all: Option<Box<EngineSurveyRecord>>,
         /// When the caller was asked to come back, in ms.
         retry_after_ms: u64,
         /// Upstreams of its service that were on the list.
--- a/src/gateway/limit_seen.rs
+++ b/src/gateway/limit_seen.rs
@@ -8,7 +8,7 @@
 /// The limit that an upstream has named, and how much of it is used, as one host saw it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct LimitSeen {
+pub struct RateLimitRecord {
     /// The requests a second that it takes from all hosts together.
     pub per_s: f64,
     /// Requests that all hosts have sent there in the four seconds before.
@@ -19,7 +19,7 @@
     pub hosts_heard: usize,
 }
 
-impl From<&RateLimitView> for LimitSeen {
+impl From<&RateLimitView> for RateLimitRecord {
     fn from(view: &RateLimitView) -> Self {
         Self {
             per_s: view.limit.0,
--- a/src/gateway/limit_states.rs
+++ b/src/gateway/limit_states.rs
@@ -8,8 +8,8 @@
 use crate::decide::LimitState;
 use crate::decide::RateLimitView;
 use crate::gateway::Gateway;
-use crate::gateway::LimitSeen;
 use crate::gateway::ListedUpstream;
+use crate::gateway::RateLimitRecord;
 use crate::units::UpstreamId;
 
 #[derive(Clone, Copy, Debug)]
@@ -74,9 +74,9 @@
     }
 
     /// What the log tells of an upstream's limit.
-    pub(crate) fn seen(&self, upstream: &UpstreamId) -> Option<LimitSeen> {
+    pub(crate) fn seen(&self, upstream: &UpstreamId) -> Option<RateLimitRecord> {
         let limited = self.0.get(upstream)?;
-        Some(LimitSeen::from(&limited.view))
+        Some(RateLimitRecord::from(&limited.view))
     }
 
     /// How long this host's part of all these limits takes to admit so many calls.
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -16,11 +16,11 @@
 use crate::decide::engines::choose_engines;
 use crate::decide::engines::survey_engines;
 use crate::gateway::Call;
-use crate::gateway::EnginesSeen;
+use crate::gateway::EngineSurveyRecord;
 use crate::gateway::Gateway;
 use crate::gateway::HelperAddr;
-use crate::gateway::LimitSeen;
 use crate::gateway::ListedUpstream;
+use crate::gateway::RateLimitRecord;
 use crate::gateway::Refusal;
 use crate::gateway::limit_states::LimitStates;
 use crate::gateway::reservation::Part;
@@ -46,7 +46,7 @@
     pub(crate) shares: Vec<(UpstreamId, LoadShare)>,
     pub(crate) forecast: Duration,
     /// The limit that the upstream has named; none if it has named none.
-    pub(crate) limit: Option<LimitSeen>,
+    pub(crate) limit: Option<RateLimitRecord>,
 }
 
 impl Placement {
@@ -146,7 +146,7 @@
     call: &Call,
     sends: &Sends<'_>,
     now: Instant,
-) -> Option<(EnginesSeen, EnginesSeen)> {
+) -> Option<(EngineSurveyRecord, EngineSurveyRecord)> {
     let routes = gateway.platform_view.routes()?;
     let model = engine_model(&routes, call)?;
     let by_service = gateway.platform_view.upstreams()?;
