--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -7,7 +7,7 @@
 use hyper::HeaderMap;
 use hyper::StatusCode;
 
-use crate::gateway::LimitSaid;
+use crate::gateway::AdvertisedLimit;
 use crate::units::CustomerId;
 use crate::units::Tokens;
 use crate::units::UpstreamName;
@@ -66,7 +66,7 @@
     /// The upstream that the refusal is about, if it is another than the one that was asked.
     pub at_fault: Option<SocketAddr>,
     /// What it says of the requests a second that the upstream takes.
-    pub limit: LimitSaid,
+    pub limit: AdvertisedLimit,
 }
 
 /// Why a caller's head can't be understood.
--- a/src/gateway/limit_said.rs
+++ b/src/gateway/limit_said.rs
@@ -4,7 +4,7 @@
 
 /// What an upstream's answer says of the requests a second that it takes from all hosts together.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub enum LimitSaid {
+pub enum AdvertisedLimit {
     /// Nothing that counts: the answer is not the upstream's own, or the request did not run.
     #[default]
     Nothing,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -81,7 +81,7 @@
 pub use event::Event;
 pub use event_splitter::EventSplitter;
 pub use freshness::Freshness;
-pub use limit_said::LimitSaid;
+pub use limit_said::AdvertisedLimit;
 pub use limit_seen::RateLimitRecord;
 pub use listeners::Listeners;
 pub use meters::Meters;
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -14,9 +14,9 @@
 use crate::decide::LoadSource;
 use crate::decide::RateLimitBook;
 use crate::exchange::ListedHost;
+use crate::gateway::AdvertisedLimit;
 use crate::gateway::Event;
 use crate::gateway::Gateway;
-use crate::gateway::LimitSaid;
 use crate::gateway::ListedUpstream;
 use crate::units::FailureDomainId;
 use crate::units::HostId;
@@ -119,12 +119,12 @@
 
 impl Gateway {
     /// Takes in what an upstream's answer says of its limit. What can't be read changes nothing.
-    pub(crate) fn on_limit_said(&self, upstream: &UpstreamId, said: &LimitSaid) {
+    pub(crate) fn on_limit_said(&self, upstream: &UpstreamId, said: &AdvertisedLimit) {
         let limit = match said {
-            LimitSaid::Nothing => return,
-            LimitSaid::Unlimited => None,
-            LimitSaid::Limited(limit) => Some(*limit),
-            LimitSaid::Malformed(value) => {
+            AdvertisedLimit::Absent => return,
+            AdvertisedLimit::Unlimited => None,
+            AdvertisedLimit::Limited(limit) => Some(*limit),
+            AdvertisedLimit::Malformed(value) => {
                 self.on_malformed_limit(upstream, value);
                 return;
             }
--- a/tests/gateway_world/dialect.rs
+++ b/tests/gateway_world/dialect.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
+use banyanarch::gateway::AdvertisedLimit;
 use banyanarch::gateway::AnswerHead;
 use banyanarch::gateway::BadHead;
 use banyanarch::gateway::CallHead;
 use banyanarch::gateway::Dialect;
-use banyanarch::gateway::LimitSaid;
 use banyanarch::gateway::SendHead;
 use banyanarch::units::RequestsPerSecond;
 use banyanarch::units::Tokens;
@@ -29,13 +29,13 @@
     headers.insert(name, HeaderValue::try_from(value).unwrap());
 }
 
-fn limit(headers: &HeaderMap) -> LimitSaid {
+fn limit(headers: &HeaderMap) -> AdvertisedLimit {
     let Some(text) = text(headers, "test-limit") else {
-        return LimitSaid::Unlimited;
+        return AdvertisedLimit::Unlimited;
     };
     match text.parse() {
-        Ok(rate) => LimitSaid::Limited(RequestsPerSecond(rate)),
-        Err(_) => LimitSaid::Malformed(text),
+        Ok(rate) => AdvertisedLimit::Limited(RequestsPerSecond(rate)),
+        Err(_) => AdvertisedLimit::Malformed(text),
     }
 }
 
