--- a/src/gateway/limit_said.rs
+++ b/src/gateway/limit_said.rs
@@ -7,7 +7,7 @@
 pub enum AdvertisedLimit {
     /// Nothing that counts: the answer is not the upstream's own, or the request did not run.
     #[default]
-    Nothing,
+    Absent,
     /// It takes as many as come.
     Unlimited,
     /// It takes this many.
