--- a/src/gateway/courier.rs
+++ b/src/gateway/courier.rs
@@ -38,7 +38,7 @@
 const POISON_RETRY_AFTER: Duration = Duration::from_secs(10);
 
 /// What came of bringing a call to upstreams.
-pub(crate) enum Delivery {
+pub(crate) enum DispatchOutcome {
     /// An upstream answered; maybe with a failure, which goes to the caller as it is.
     Answered(Box<Answered>),
     /// Nobody did.
@@ -46,7 +46,7 @@
 }
 
 /// A call on its way, with what was tried.
-pub(crate) struct Courier {
+pub(crate) struct CallDispatcher {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) call: Arc<Call>,
     tried: Vec<UpstreamId>,
@@ -64,7 +64,7 @@
     limit_wait: Option<LimitWait>,
 }
 
-impl Courier {
+impl CallDispatcher {
     pub(crate) fn new(gateway: Arc<Gateway>, call: Arc<Call>) -> Self {
         Self {
             gateway,
@@ -90,17 +90,17 @@
 
     /// Sends the call until an upstream answers. `last_event` is the event after which a stream is
     /// to go on.
-    pub(crate) async fn deliver(&mut self, last_event: Option<&str>) -> Delivery {
+    pub(crate) async fn dispatch(&mut self, last_event: Option<&str>) -> DispatchOutcome {
         loop {
             let now = self.gateway.clock.now();
             if self.call.time_left(now).is_zero() {
-                return Delivery::Refused(self.time_up());
+                return DispatchOutcome::Refused(self.time_up());
             }
             if !self.gateway.may_send(&self.call) {
-                return Delivery::Refused(self.refuse(Refusal::StaleKnowledge));
+                return DispatchOutcome::Refused(self.refuse(Refusal::StaleKnowledge));
             }
             if self.is_poison(now) {
-                return Delivery::Refused(self.refuse(Refusal::Overload {
+                return DispatchOutcome::Refused(self.refuse(Refusal::Overload {
                     reason: RefuseReason::Poison,
                     retry_after: POISON_RETRY_AFTER,
                 }));
@@ -119,11 +119,11 @@
                     self.sleep_about(wait, now).await;
                     continue;
                 }
-                Choice::Refuse(refusal) => return Delivery::Refused(self.refuse(refusal)),
+                Choice::Refuse(refusal) => return DispatchOutcome::Refused(self.refuse(refusal)),
             };
             self.limit_wait = None;
             if self.arrivals > 0 && !self.gateway.try_retry(&self.call.service) {
-                return Delivery::Refused(self.refuse(Refusal::Overload {
+                return DispatchOutcome::Refused(self.refuse(Refusal::Overload {
                     reason: RefuseReason::RetryBudget,
                     retry_after: NO_UPSTREAM_RETRY_AFTER,
                 }));
@@ -151,7 +151,7 @@
         placement: Placement,
         reservation: Option<Reservation>,
         last_event: Option<&str>,
-    ) -> Option<Delivery> {
+    ) -> Option<DispatchOutcome> {
         let upstream = placement.upstream.clone();
         self.tried.push(upstream.id.clone());
         let is_last = self.runs + 1 >= self.runs_max();
@@ -183,7 +183,7 @@
                     self.arrivals = 0;
                     return None;
                 }
-                Some(Delivery::Answered(answered))
+                Some(DispatchOutcome::Answered(answered))
             }
             SendEnd::NotRun {
                 fault,
@@ -202,23 +202,25 @@
                         reason: RefuseReason::NoUpstream,
                         retry_after: NO_UPSTREAM_RETRY_AFTER,
                     };
-                    return Some(Delivery::Refused(self.refuse(refusal)));
+                    return Some(DispatchOutcome::Refused(self.refuse(refusal)));
                 }
                 None
             }
             SendEnd::Lost { fault, why } => {
                 self.arrivals += 1;
                 self.runs += 1;
-                self.on_lost(&upstream, fault, &why);
+                self.on_connection_lost(&upstream, fault, &why);
                 if self.may_run_again() {
                     return None;
                 }
                 let now = self.gateway.clock.now();
-                Some(Delivery::Refused(if self.call.time_left(now).is_zero() {
-                    Refusal::TimeUp
-                } else {
-                    Refusal::Unknown
-                }))
+                Some(DispatchOutcome::Refused(
+                    if self.call.time_left(now).is_zero() {
+                        Refusal::TimeUp
+                    } else {
+                        Refusal::Unknown
+                    },
+                ))
             }
         }
     }
@@ -256,7 +258,12 @@
     }
 
     /// Takes in that the connection to an upstream broke while the call may have been running.
-    pub(crate) fn on_lost(&self, upstream: &ListedUpstream, fault: UpstreamFault, why: &str) {
+    pub(crate) fn on_connection_lost(
+        &self,
+        upstream: &ListedUpstream,
+        fault: UpstreamFault,
+        why: &str,
+    ) {
         self.on_fault(upstream, fault, why);
         if fault == UpstreamFault::Broken {
             let now = self.gateway.clock.now();
--- a/src/gateway/handler.rs
+++ b/src/gateway/handler.rs
@@ -28,8 +28,8 @@
 use crate::gateway::DrainPhase;
 use crate::gateway::Gateway;
 use crate::gateway::Refusal;
-use crate::gateway::courier::Courier;
-use crate::gateway::courier::Delivery;
+use crate::gateway::courier::CallDispatcher;
+use crate::gateway::courier::DispatchOutcome;
 use crate::gateway::relay::Relay;
 use crate::gateway::send::Answered;
 use crate::gateway::tracker::Tracker;
@@ -151,18 +151,18 @@
 
 async fn serve(gateway: &Arc<Gateway>, call: Call, mut tracker: Tracker) -> Response<AnswerBody> {
     let call = Arc::new(call);
-    let mut courier = Courier::new(Arc::clone(gateway), Arc::clone(&call));
+    let mut dispatcher = CallDispatcher::new(Arc::clone(gateway), Arc::clone(&call));
     loop {
-        let answered = match courier.deliver(None).await {
-            Delivery::Answered(answered) => answered,
-            Delivery::Refused(refusal) => {
+        let answered = match dispatcher.dispatch(None).await {
+            DispatchOutcome::Answered(answered) => answered,
+            DispatchOutcome::Refused(refusal) => {
                 return own_answer(gateway, &call.head.request, &refusal, tracker);
             }
         };
         if call.route.kind.is_stream() && answered.head.status.is_success() {
-            return stream_answer(courier, answered, tracker);
+            return stream_answer(dispatcher, answered, tracker);
         }
-        match whole_answer(&courier, *answered).await {
+        match whole_answer(&dispatcher, *answered).await {
             Ok(res) => {
                 tracker.on_first_event(gateway.clock.now());
                 let outcome = if res.status().is_success() {
@@ -183,7 +183,7 @@
 }
 
 fn stream_answer(
-    courier: Courier,
+    dispatcher: CallDispatcher,
     mut answered: Box<Answered>,
     tracker: Tracker,
 ) -> Response<AnswerBody> {
@@ -193,7 +193,7 @@
     // An engine that goes on with the stream may write it in another length.
     headers.remove(CONTENT_LENGTH);
     let status = answered.head.status;
-    let relay = Relay::new(courier, answered, tracker);
+    let relay = Relay::new(dispatcher, answered, tracker);
     let pieces = stream::unfold(relay, |mut relay| async move {
         let piece = relay.next().await?;
         Some((piece, relay))
@@ -207,7 +207,7 @@
 /// Reads an answer to its end. Without one, says what to tell the caller, or nothing if the call may
 /// be sent once more.
 async fn whole_answer(
-    courier: &Courier,
+    dispatcher: &CallDispatcher,
     answered: Answered,
 ) -> Result<Response<AnswerBody>, Option<Refusal>> {
     let Answered {
@@ -217,10 +217,10 @@
         ..
     } = answered;
     let read = Limited::new(body, WHOLE_ANSWER_MAX).collect();
-    let why = match timeout_at(courier.call.ends_at.into(), read).await {
+    let why = match timeout_at(dispatcher.call.ends_at.into(), read).await {
         Err(_) => return Err(Some(Refusal::TimeUp)),
         Ok(Ok(body)) => {
-            courier.on_served();
+            dispatcher.on_served();
             let mut headers = head.headers;
             remove_connection_headers(&mut headers);
             headers.remove(PROXY_AUTHENTICATE);
@@ -231,8 +231,8 @@
         }
         Ok(Err(err)) => err.to_string(),
     };
-    courier.on_lost(&upstream, UpstreamFault::Broken, &why);
-    if courier.may_run_again() {
+    dispatcher.on_connection_lost(&upstream, UpstreamFault::Broken, &why);
+    if dispatcher.may_run_again() {
         Err(None)
     } else {
         Err(Some(Refusal::Unknown))
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -10,8 +10,8 @@
 use crate::decide::UpstreamFault;
 use crate::gateway::CutOff;
 use crate::gateway::EventSplitter;
-use crate::gateway::courier::Courier;
-use crate::gateway::courier::Delivery;
+use crate::gateway::courier::CallDispatcher;
+use crate::gateway::courier::DispatchOutcome;
 use crate::gateway::send::Answered;
 use crate::gateway::send::STARTED_AGAIN;
 use crate::gateway::send::first_event_patience;
@@ -24,7 +24,7 @@
 const SILENCE_DEFAULT: Duration = Duration::from_secs(2);
 /// A stream on its way to a caller.
 pub(crate) struct Relay {
-    courier: Courier,
+    dispatcher: CallDispatcher,
     current: Option<Box<Answered>>,
     splitter: EventSplitter,
     tracker: Tracker,
@@ -42,10 +42,14 @@
 }
 
 impl Relay {
-    pub(crate) fn new(courier: Courier, answered: Box<Answered>, tracker: Tracker) -> Self {
+    pub(crate) fn new(
+        dispatcher: CallDispatcher,
+        answered: Box<Answered>,
+        tracker: Tracker,
+    ) -> Self {
         let last_piece_at = answered.sent_at;
         Self {
-            courier,
+            dispatcher,
             current: Some(answered),
             splitter: EventSplitter::default(),
             tracker,
@@ -70,7 +74,7 @@
                 }
                 Next::End if !self.splitter.has_part() => {
                     self.finish("served");
-                    self.courier.on_served();
+                    self.dispatcher.on_served();
                     return None;
                 }
                 Next::End => {
@@ -90,8 +94,8 @@
     }
 
     async fn next_from_engine(&mut self) -> Next {
-        let now = self.courier.gateway.clock.now();
-        let time_left = self.courier.call.time_left(now);
+        let now = self.dispatcher.gateway.clock.now();
+        let time_left = self.dispatcher.call.time_left(now);
         if time_left.is_zero() {
             return Next::TimeUp;
         }
@@ -100,7 +104,7 @@
             return Next::Broken(UpstreamFault::Broken, "no engine".to_owned());
         };
         let limit = silence_left.map_or(time_left, |left| left.min(time_left));
-        let gateway = &self.courier.gateway;
+        let gateway = &self.dispatcher.gateway;
         let lost = gateway.lives.lost(&answered.upstream.id, answered.sent_at);
         let next = tokio::select! {
             next = timeout(limit, answered.body.frame()) => next,
@@ -117,16 +121,16 @@
 
     /// How long the engine may still be silent; no limit where no other engine may go on.
     fn silence_left(&self, now: Instant) -> Option<Duration> {
-        if !self.courier.may_run_again() {
+        if !self.dispatcher.may_run_again() {
             return None;
         }
         let forecast = self.current.as_ref().map(|answered| answered.forecast)?;
-        let pause = self.courier.call.route.pause_objective;
+        let pause = self.dispatcher.call.route.pause_objective;
         let pause = pause.map_or(SILENCE_DEFAULT, |pause| pause * SILENT_PAUSES);
         let patience = if self.has_event {
             pause
         } else {
-            pause.max(first_event_patience(&self.courier.call, forecast))
+            pause.max(first_event_patience(&self.dispatcher.call, forecast))
         };
         let silent = now.saturating_duration_since(self.last_piece_at);
         Some(
@@ -137,7 +141,7 @@
     }
 
     fn on_events(&mut self) {
-        let now = self.courier.gateway.clock.now();
+        let now = self.dispatcher.gateway.clock.now();
         if self.has_event {
             self.tracker
                 .on_pause(now.saturating_duration_since(self.last_piece_at));
@@ -156,20 +160,21 @@
     async fn go_on_elsewhere(&mut self, fault: UpstreamFault, why: String) -> bool {
         // Its connection is closed first: two engines must not write the same answer.
         if let Some(failed) = self.current.take() {
-            self.courier.on_lost(&failed.upstream, fault, &why);
+            self.dispatcher
+                .on_connection_lost(&failed.upstream, fault, &why);
         }
-        if !self.courier.may_run_again() {
+        if !self.dispatcher.may_run_again() {
             return false;
         }
         self.splitter.drop_part();
         let last_event = self.splitter.last_id().map(str::to_owned);
-        match self.courier.deliver(last_event.as_deref()).await {
-            Delivery::Answered(answered) if answered.head.status.is_success() => {
+        match self.dispatcher.dispatch(last_event.as_deref()).await {
+            DispatchOutcome::Answered(answered) if answered.head.status.is_success() => {
                 self.last_piece_at = answered.sent_at;
                 self.current = Some(answered);
                 true
             }
-            Delivery::Answered(_) | Delivery::Refused(_) => false,
+            DispatchOutcome::Answered(_) | DispatchOutcome::Refused(_) => false,
         }
     }
 
