--- a/src/gateway/departed.rs
+++ b/src/gateway/departed.rs
@@ -11,7 +11,7 @@
 /// How long it is remembered. Longer than a store that has come back from an older copy lists them as staying.
 const REMEMBERED_FOR: Duration = Duration::from_secs(60);
 
-/// Lives of upstreams that have said that they leave, and when they were listed so last.
+/// UpstreamIncarnations of upstreams that have said that they leave, and when they were listed so last.
 ///
 /// Failure it guards against: the store comes back from a copy that was made before an upstream said so, and hosts
 /// send to it again.
--- a/src/gateway/lives.rs
+++ b/src/gateway/lives.rs
@@ -1,4 +1,4 @@
-//! Lives of upstreams that are over because the same upstream has started again.
+//! UpstreamIncarnations of upstreams that are over because the same upstream has started again.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -22,13 +22,13 @@
 /// that was sent after the restart, by the old entry, runs in the new life; so a call is lost only if
 /// the upstream could not be reached, or broke off, after the call was sent.
 #[derive(Debug)]
-pub(crate) struct Lives {
+pub(crate) struct UpstreamIncarnations {
     latest: Mutex<IndexMap<UpstreamName, UpstreamId>>,
     /// Calls sent to a life before the instant are lost.
     ended: watch::Sender<IndexMap<UpstreamId, Instant>>,
 }
 
-impl Default for Lives {
+impl Default for UpstreamIncarnations {
     fn default() -> Self {
         Self {
             latest: Mutex::default(),
@@ -37,7 +37,7 @@
     }
 }
 
-impl Lives {
+impl UpstreamIncarnations {
     /// Takes in the list of upstreams. `lost_at` says when a life was last seen to be out of reach.
     /// Returns the lives that are over.
     pub(crate) fn take_in(
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -105,7 +105,9 @@
         };
         let limit = silence_left.map_or(time_left, |left| left.min(time_left));
         let gateway = &self.dispatcher.gateway;
-        let lost = gateway.lives.lost(&answered.upstream.id, answered.sent_at);
+        let lost = gateway
+            .incarnations
+            .wait_until_lost(&answered.upstream.id, answered.sent_at);
         let next = tokio::select! {
             next = timeout(limit, answered.body.frame()) => next,
             () = lost => return Next::Broken(UpstreamFault::Broken, STARTED_AGAIN.to_owned()),
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -113,7 +113,7 @@
         let sending = one_shot::send(upstream.addr, req, CONNECT_TIMEOUT.min(limit));
         let sent = tokio::select! {
             sent = timeout(limit, sending) => sent,
-            () = self.gateway.lives.lost(&upstream.id, now) => {
+            () = self.gateway.incarnations.wait_until_lost(&upstream.id, now) => {
                 return SendEnd::Lost {
                     fault: UpstreamFault::Broken,
                     why: STARTED_AGAIN.to_owned(),
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -30,7 +30,7 @@
 use crate::gateway::GatewayConf;
 use crate::gateway::Meters;
 use crate::gateway::PlatformView;
-use crate::gateway::lives::Lives;
+use crate::gateway::lives::UpstreamIncarnations;
 use crate::gateway::rate_limits::RateLimits;
 use crate::gateway::share::Held;
 use crate::gateway::share::Readers;
@@ -82,8 +82,8 @@
     pub(crate) incarnation: u64,
     /// What was read last, for other hosts that ask.
     pub(crate) held: Held,
-    /// Lives of upstreams that are over.
-    pub(crate) lives: Lives,
+    /// UpstreamIncarnations of upstreams that are over.
+    pub(crate) incarnations: UpstreamIncarnations,
     /// Notified when the host that reads for this one has another manifest.
     pub(crate) routes_news: Notify,
     /// Notified when it has other upstreams.
@@ -133,7 +133,7 @@
             health_changed: Notify::new(),
             incarnation: rand::random(),
             held: Held::default(),
-            lives: Lives::default(),
+            incarnations: UpstreamIncarnations::default(),
             routes_news: Notify::new(),
             upstreams_news: Notify::new(),
             hosts_news: Notify::new(),
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -161,7 +161,9 @@
     let staying = listed.iter().filter(|upstream| !upstream.is_leaving);
     let staying: IndexSet<UpstreamId> = staying.map(|u| u.id.clone()).collect();
     let health = gateway.health();
-    let restarted = gateway.lives.take_in(&listed, |id| health.lost_at(id));
+    let restarted = gateway
+        .incarnations
+        .update(&listed, |id| health.lost_at(id));
     drop(health);
     let usable = gateway.platform_view.set_upstreams(listed);
     gateway.health().keep(|id| staying.contains(id));
