--- a/src/gateway/lives.rs
+++ b/src/gateway/lives.rs
@@ -40,7 +40,7 @@
 impl UpstreamIncarnations {
     /// Takes in the list of upstreams. `lost_at` says when a life was last seen to be out of reach.
     /// Returns the lives that are over.
-    pub(crate) fn take_in(
+    pub(crate) fn update(
         &self,
         listed: &[ListedUpstream],
         lost_at: impl Fn(&UpstreamId) -> Option<Instant>,
@@ -67,7 +67,7 @@
     }
 
     /// Waits until a call that was sent to a life at `sent_at` is lost with it.
-    pub(crate) async fn lost(&self, upstream: &UpstreamId, sent_at: Instant) {
+    pub(crate) async fn wait_until_lost(&self, upstream: &UpstreamId, sent_at: Instant) {
         let mut ended = self.ended.subscribe();
         let is_lost = |ended: &IndexMap<UpstreamId, Instant>| {
             ended
