--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -62,7 +62,7 @@
         let mut poisons = self.crashes_to_tell();
         let surplus = poisons.len().saturating_sub(POISONS_MAX);
         let poisons = poisons.split_off(surplus);
-        let (routes_version, upstreams_version) = self.held.versions();
+        let (routes_version, upstreams_version) = self.catalog_cache.versions();
         let health = self.health();
         let unreachable = health.unreachable(now).map(ToString::to_string).collect();
         let cut_off = health.cut_off(now).map(ToString::to_string).collect();
@@ -187,7 +187,10 @@
 
     fn proof_age_plus_one_ms(&self) -> u32 {
         let now = self.clock.since_boot();
-        let age = self.held.proved_at().map(|at| now.saturating_sub(at));
+        let age = self
+            .catalog_cache
+            .proved_at()
+            .map(|at| now.saturating_sub(at));
         age.map_or(0, |age| whole_millis_u32(age).saturating_add(1))
     }
 
@@ -201,7 +204,7 @@
         let age = Duration::from_millis(age_ms.into());
         let proved_at = at.saturating_sub(age);
         let can_be_asked = self.readers.on_told(host, proved_at, age, now);
-        if can_be_asked && is_fresh(proved_at, at) && !self.held.is_fresh(at) {
+        if can_be_asked && is_fresh(proved_at, at) && !self.catalog_cache.is_fresh(at) {
             self.routes_news.notify_one();
             self.upstreams_news.notify_one();
         }
@@ -209,7 +212,7 @@
 
     /// Wakes the tasks that read if the host that reads for this one has something new.
     fn hear_versions(&self, host: &HostId, news: &HostNews) {
-        let (routes, upstreams) = self.held.versions();
+        let (routes, upstreams) = self.catalog_cache.versions();
         let has_upstreams = news.upstreams_version != 0 && news.upstreams_version != upstreams;
         let has_news = news.routes_version > routes || has_upstreams;
         if !has_news || !self.readers.is_asked(host) {
--- a/src/gateway/share/held.rs
+++ b/src/gateway/share/held.rs
@@ -50,9 +50,9 @@
 
 /// The lists as they were read last.
 #[derive(Debug, Default)]
-pub(crate) struct Held(Mutex<Lists>);
+pub(crate) struct CatalogCache(Mutex<Lists>);
 
-impl Held {
+impl CatalogCache {
     /// Takes in a newer manifest. What was certain of the one before it is certain of this one.
     pub(crate) fn put_routes(&self, version: u64, text: String, proved_at: Duration) {
         let mut lists = self.lock();
--- a/src/gateway/share/mod.rs
+++ b/src/gateway/share/mod.rs
@@ -15,7 +15,7 @@
 mod upstream_list;
 
 pub(crate) use cursor::WATCH_WAIT;
-pub(crate) use held::Held;
+pub(crate) use held::CatalogCache;
 pub(crate) use held::is_fresh;
 pub(crate) use reader::ReadError;
 pub(crate) use reader::Reader;
--- a/src/gateway/share/reader.rs
+++ b/src/gateway/share/reader.rs
@@ -98,12 +98,12 @@
 
     /// Reads the manifest. Returns its text if it is another version than is held.
     pub(crate) async fn routes(&mut self, source: Source) -> Result<Read<String>, ReadError> {
-        let (known, _) = self.gateway.held.versions();
+        let (known, _) = self.gateway.catalog_cache.versions();
         let asked = self.ask_others(source, List::Routes, known).await?;
         let Some((answer, proved_at)) = asked else {
             return self.routes_of_platform(known).await;
         };
-        let held = &self.gateway.held;
+        let held = &self.gateway.catalog_cache;
         // An older version from a host that is a little behind proves the newer one as well.
         let changed = if answer.version <= known {
             held.renew_routes(proved_at);
@@ -131,7 +131,7 @@
             read = self.catalog.routes(object, None).await;
         }
         let read = self.take(read)?;
-        let held = &self.gateway.held;
+        let held = &self.gateway.catalog_cache;
         let RoutesRead::Changed { version, text } = read else {
             held.renew_routes(asked_at);
             return Ok(Read {
@@ -157,12 +157,12 @@
 
     /// Reads the upstreams into what is held.
     pub(crate) async fn upstreams(&mut self, source: Source) -> Result<Read<()>, ReadError> {
-        let (_, known) = self.gateway.held.versions();
+        let (_, known) = self.gateway.catalog_cache.versions();
         let asked = self.ask_others(source, List::Upstreams, known).await?;
         let Some((answer, proved_at)) = asked else {
             return self.upstreams_of_platform().await;
         };
-        let held = &self.gateway.held;
+        let held = &self.gateway.catalog_cache;
         let has_changed = if answer.version == known {
             held.renew_upstreams(proved_at);
             false
@@ -189,7 +189,7 @@
             read = self.catalog.upstreams(None).await;
         }
         let read = self.take(read)?;
-        let held = &self.gateway.held;
+        let held = &self.gateway.catalog_cache;
         let mut goes_on = false;
         let has_changed = match read {
             UpstreamsRead::Snapshot(listed) => held.put_upstreams(&listed, proved_at),
@@ -216,9 +216,9 @@
         &mut self,
         source: Source,
     ) -> Result<Option<Vec<ListedHost>>, ReadError> {
-        let known = self.gateway.held.hosts_version();
+        let known = self.gateway.catalog_cache.hosts_version();
         let asked = self.ask_others(source, List::Hosts, known).await?;
-        let held = &self.gateway.held;
+        let held = &self.gateway.catalog_cache;
         let Some((answer, proved_at)) = asked else {
             let asked_at = self.gateway.clock.since_boot();
             let hosts = self.catalog.hosts().await?;
--- a/src/gateway/share/readers.rs
+++ b/src/gateway/share/readers.rs
@@ -153,7 +153,7 @@
             let is_stale = state.is_fresh(&listed.host, at) == Some(false);
             (is_here || (lives && !is_stale)) && state.is_fit(&listed.host, now)
         };
-        let has_nothing = !gateway.held.is_fresh(at);
+        let has_nothing = !gateway.catalog_cache.is_fresh(at);
         // A domain whose own hosts all have nothing fresh asks one of another, and a host that has nothing
         // itself those first that said that they have something.
         let rank = |listed: &&ListedHost| {
--- a/src/gateway/share/server.rs
+++ b/src/gateway/share/server.rs
@@ -54,7 +54,9 @@
                 return;
             }
         };
-        let answer = gateway.held.answer(&ask, gateway.clock.since_boot());
+        let answer = gateway
+            .catalog_cache
+            .answer(&ask, gateway.clock.since_boot());
         let sent = if ask.takes_parts {
             send_in_frames(&mut framed, &answer).await
         } else {
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -32,7 +32,7 @@
 use crate::gateway::PlatformView;
 use crate::gateway::lives::UpstreamIncarnations;
 use crate::gateway::rate_limits::RateLimits;
-use crate::gateway::share::Held;
+use crate::gateway::share::CatalogCache;
 use crate::gateway::share::Readers;
 use crate::gateway::slowdowns::Slowdowns;
 use crate::units::ServiceId;
@@ -81,7 +81,7 @@
     /// Drawn at the start; tells this life of the host from earlier ones.
     pub(crate) incarnation: u64,
     /// What was read last, for other hosts that ask.
-    pub(crate) held: Held,
+    pub(crate) catalog_cache: CatalogCache,
     /// UpstreamIncarnations of upstreams that are over.
     pub(crate) incarnations: UpstreamIncarnations,
     /// Notified when the host that reads for this one has another manifest.
@@ -132,7 +132,7 @@
             load_urgent: Notify::new(),
             health_changed: Notify::new(),
             incarnation: rand::random(),
-            held: Held::default(),
+            catalog_cache: CatalogCache::default(),
             incarnations: UpstreamIncarnations::default(),
             routes_news: Notify::new(),
             upstreams_news: Notify::new(),
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -51,7 +51,7 @@
     let mut source = Source::Any;
     loop {
         let asked_at = gateway.clock.now();
-        let before = gateway.held.routes_version();
+        let before = gateway.catalog_cache.routes_version();
         let read = reader.routes(source).await;
         note_return(&gateway, before);
         let read = read.and_then(|read| {
@@ -111,7 +111,7 @@
 /// Logs that the store has come back from an older copy, if the manifest that is held is of another era than the one
 /// before.
 fn note_return(gateway: &Gateway, before: ObjectVersion) {
-    let held = gateway.held.routes_version();
+    let held = gateway.catalog_cache.routes_version();
     if before == ObjectVersion::default() || before.era() == held.era() {
         return;
     }
@@ -139,7 +139,7 @@
         dependency.on_read(asked_at, &read);
         let goes_on = read.as_ref().is_ok_and(|read| read.goes_on);
         if read.is_ok_and(|read| read.changed.is_some())
-            && let Some(listed) = gateway.held.upstreams()
+            && let Some(listed) = gateway.catalog_cache.upstreams()
         {
             let listed = departed.mark(listed.to_vec(), gateway.clock.now());
             known = take_in_upstreams(&gateway, listed, &known);
@@ -216,7 +216,7 @@
     let mut announced_in = StoreEra::default();
     loop {
         let asked_at = gateway.clock.now();
-        let era = gateway.held.routes_version().era();
+        let era = gateway.catalog_cache.routes_version().era();
         // An entry that was written in an earlier era may be gone.
         is_announced &= announced_in >= era;
         if !is_announced {
