--- a/src/gateway/dependency.rs
+++ b/src/gateway/dependency.rs
@@ -61,7 +61,8 @@
         let alone = FAILED_INTERVAL
             .saturating_mul(1 << doublings.min(8))
             .min(FAILED_INTERVAL_MAX);
-        let together = FAILED_INTERVAL.saturating_mul(self.gateway.readers.trying(&self.gateway));
+        let together =
+            FAILED_INTERVAL.saturating_mul(self.gateway.reader_selector.trying(&self.gateway));
         // Hosts that lost the platform together must not ask it together.
         if together <= alone {
             alone.mul_f64(rand::random_range(0.75..1.25))
@@ -89,7 +90,7 @@
 
     /// Either another read of this host was answered, or another host has something fresh.
     fn source_after_news(&self) -> Source {
-        if self.gateway.readers.reached_at() > self.failed_at {
+        if self.gateway.reader_selector.reached_at() > self.failed_at {
             Source::Platform
         } else {
             Source::Others
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -203,7 +203,7 @@
         let at = self.clock.since_boot();
         let age = Duration::from_millis(age_ms.into());
         let proved_at = at.saturating_sub(age);
-        let can_be_asked = self.readers.on_told(host, proved_at, age, now);
+        let can_be_asked = self.reader_selector.on_told(host, proved_at, age, now);
         if can_be_asked && is_fresh(proved_at, at) && !self.catalog_cache.is_fresh(at) {
             self.routes_news.notify_one();
             self.upstreams_news.notify_one();
@@ -215,7 +215,7 @@
         let (routes, upstreams) = self.catalog_cache.versions();
         let has_upstreams = news.upstreams_version != 0 && news.upstreams_version != upstreams;
         let has_news = news.routes_version > routes || has_upstreams;
-        if !has_news || !self.readers.is_asked(host) {
+        if !has_news || !self.reader_selector.is_asked(host) {
             return;
         }
         if news.routes_version > routes {
--- a/src/gateway/share/mod.rs
+++ b/src/gateway/share/mod.rs
@@ -20,5 +20,5 @@
 pub(crate) use reader::ReadError;
 pub(crate) use reader::Reader;
 pub(crate) use reader::Source;
-pub(crate) use readers::Readers;
+pub(crate) use readers::ReaderSelector;
 pub(crate) use server::serve_reads;
--- a/src/gateway/share/reader.rs
+++ b/src/gateway/share/reader.rs
@@ -248,7 +248,7 @@
         match read {
             Ok(read) => {
                 let now = self.gateway.clock.now();
-                self.gateway.readers.on_reached(own, now);
+                self.gateway.reader_selector.on_reached(own, now);
                 self.cursor.go_on(read.as_of);
                 Ok(read.value)
             }
@@ -266,7 +266,7 @@
 
     fn on_unfit(&self, host: &HostId, why: Unfit) {
         let now = self.gateway.clock.now();
-        self.gateway.readers.on_unfit(host, why, now);
+        self.gateway.reader_selector.on_unfit(host, why, now);
     }
 
     /// What another host has of a list; none if the platform is to be asked.
@@ -298,7 +298,11 @@
         let trusts_list = known_version != 0;
         let mut asked = Asked::Nobody;
         for _ in 0..READERS_TRIED_MAX {
-            let Some(reader) = self.gateway.readers.choose(&self.gateway, trusts_list) else {
+            let Some(reader) = self
+                .gateway
+                .reader_selector
+                .choose(&self.gateway, trusts_list)
+            else {
                 // The others have nothing fresh, so it is this host's turn.
                 return Asked::Nobody;
             };
--- a/src/gateway/share/readers.rs
+++ b/src/gateway/share/readers.rs
@@ -64,9 +64,9 @@
 
 /// The hosts that could read for this one.
 #[derive(Debug, Default)]
-pub(crate) struct Readers(Mutex<State>);
+pub(crate) struct ReaderSelector(Mutex<State>);
 
-impl Readers {
+impl ReaderSelector {
     /// Takes in that a host, maybe this one, is not to be asked for a while.
     pub(crate) fn on_unfit(&self, host: &HostId, why: Unfit, now: Instant) {
         let mut state = self.lock();
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -33,7 +33,7 @@
 use crate::gateway::lives::UpstreamIncarnations;
 use crate::gateway::rate_limits::RateLimits;
 use crate::gateway::share::CatalogCache;
-use crate::gateway::share::Readers;
+use crate::gateway::share::ReaderSelector;
 use crate::gateway::slowdowns::Slowdowns;
 use crate::units::ServiceId;
 
@@ -94,7 +94,7 @@
     news_route: Mutex<NewsRoute>,
     logged_route: Mutex<NewsRoute>,
     /// Which host reads the platform for this one.
-    pub(crate) readers: Readers,
+    pub(crate) reader_selector: ReaderSelector,
     /// Which engines are slow.
     pub(crate) slowdowns: Slowdowns,
     /// Which upstreams take only so many requests a second.
@@ -140,7 +140,7 @@
             news_sent: AtomicU64::new(0),
             news_route: Mutex::default(),
             logged_route: Mutex::default(),
-            readers: Readers::default(),
+            reader_selector: ReaderSelector::default(),
             slowdowns: Slowdowns::default(),
             rate_limits: RateLimits::new(started_at),
             crashes: Mutex::default(),
