--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -286,7 +286,7 @@
     limits: &LimitStates,
     now: Instant,
 ) -> Vec<EngineView> {
-    let slowdowns = gateway.slowdowns.known(now);
+    let slowdowns = gateway.slowdowns.current(now);
     let mut ledger = gateway.ledger();
     ledger.forget_silent(now);
     let views = usable.iter().map(|upstream| EngineView {
--- a/src/gateway/slowdowns.rs
+++ b/src/gateway/slowdowns.rs
@@ -72,7 +72,7 @@
     }
 
     /// The engines that are slow, mostly none. Taken once for a choice among thousands of engines.
-    pub(crate) fn known(&self, now: Instant) -> IndexMap<UpstreamId, Slowdown> {
+    pub(crate) fn current(&self, now: Instant) -> IndexMap<UpstreamId, Slowdown> {
         let known = self.lock();
         let told = known.iter().filter(|(_, known)| known.is_told(now));
         told.map(|(id, known)| (id.clone(), known.slowdown))
