--- a/src/gateway/engine_reports.rs
+++ b/src/gateway/engine_reports.rs
@@ -28,7 +28,7 @@
 
 /// Asks the engines of this failure domain for as long as the process runs, while this host is the one
 /// that does.
-pub(crate) async fn keep_reports(gateway: Arc<Gateway>) {
+pub(crate) async fn poll_engine_reports(gateway: Arc<Gateway>) {
     loop {
         let begun_at = gateway.clock.now();
         if is_asking_host(&gateway) {
--- a/src/gateway/probe.rs
+++ b/src/gateway/probe.rs
@@ -13,7 +13,7 @@
 use crate::units::UpstreamId;
 
 /// Tries what is due for as long as the process runs; sleeps while all can be reached.
-pub(crate) async fn try_unreachable(gateway: Arc<Gateway>) {
+pub(crate) async fn probe_unreachable(gateway: Arc<Gateway>) {
     loop {
         let due = gateway.health().take_due(gateway.clock.now());
         for upstream in due.iter().filter_map(|id| listed(&gateway, id)) {
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -18,9 +18,9 @@
 use crate::gateway::Gateway;
 use crate::gateway::GatewayError;
 use crate::gateway::Listeners;
-use crate::gateway::engine_reports::keep_reports;
+use crate::gateway::engine_reports::poll_engine_reports;
 use crate::gateway::pages::GatewayPages;
-use crate::gateway::probe::try_unreachable;
+use crate::gateway::probe::probe_unreachable;
 use crate::gateway::server::serve_callers;
 use crate::gateway::share::serve_reads;
 use crate::gateway::sync;
@@ -70,21 +70,21 @@
     let mut tasks = tokio::task::JoinSet::new();
     tasks.spawn(Exchange::new(listeners.exchange, desk).run());
     tasks.spawn(serve_reads(Arc::clone(&gateway), listeners.share));
-    tasks.spawn(sync::keep_routes(
+    tasks.spawn(sync::sync_routes(
         Arc::clone(&gateway),
         Arc::clone(&catalog),
     ));
-    tasks.spawn(sync::keep_upstreams(
+    tasks.spawn(sync::sync_upstreams(
         Arc::clone(&gateway),
         Arc::clone(&catalog),
     ));
-    tasks.spawn(sync::keep_hosts(
+    tasks.spawn(sync::sync_hosts(
         Arc::clone(&gateway),
         Arc::clone(&catalog),
         exchange_addr,
     ));
-    tasks.spawn(try_unreachable(Arc::clone(&gateway)));
-    tasks.spawn(keep_reports(Arc::clone(&gateway)));
+    tasks.spawn(probe_unreachable(Arc::clone(&gateway)));
+    tasks.spawn(poll_engine_reports(Arc::clone(&gateway)));
     tasks.spawn(serve_pages(
         Arc::<GatewayPages>::clone(&pages),
         listeners.ready,
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -42,7 +42,7 @@
 const STRANGERS_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Reads the manifest for as long as the process runs.
-pub(crate) async fn keep_routes(gateway: Arc<Gateway>, catalog: Arc<dyn Catalog>) {
+pub(crate) async fn sync_routes(gateway: Arc<Gateway>, catalog: Arc<dyn Catalog>) {
     let mut reader = Reader::new(Arc::clone(&gateway), Arc::clone(&catalog));
     let mut dependency = Dependency::new(&gateway, "manifest");
     // A manifest that can't be decoded, or that is older than the one in force, is not in force, so reading it again
@@ -127,7 +127,7 @@
 }
 
 /// Reads the upstreams for as long as the process runs.
-pub(crate) async fn keep_upstreams(gateway: Arc<Gateway>, catalog: Arc<dyn Catalog>) {
+pub(crate) async fn sync_upstreams(gateway: Arc<Gateway>, catalog: Arc<dyn Catalog>) {
     let mut reader = Reader::new(Arc::clone(&gateway), catalog);
     let mut known: IndexSet<UpstreamId> = IndexSet::new();
     let mut departed = Departed::default();
@@ -197,7 +197,7 @@
 }
 
 /// Puts this host on the list and reads the others, for as long as the process runs.
-pub(crate) async fn keep_hosts(
+pub(crate) async fn sync_hosts(
     gateway: Arc<Gateway>,
     catalog: Arc<dyn Catalog>,
     exchange_addr: SocketAddr,
