--- a/src/gateway/limit_states.rs
+++ b/src/gateway/limit_states.rs
@@ -74,13 +74,13 @@
     }
 
     /// What the log tells of an upstream's limit.
-    pub(crate) fn seen(&self, upstream: &UpstreamId) -> Option<RateLimitRecord> {
+    pub(crate) fn record(&self, upstream: &UpstreamId) -> Option<RateLimitRecord> {
         let limited = self.0.get(upstream)?;
         Some(RateLimitRecord::from(&limited.view))
     }
 
     /// How long this host's part of all these limits takes to admit so many calls.
-    pub(crate) fn time_for(&self, calls: u32) -> Duration {
+    pub(crate) fn time_to_admit(&self, calls: u32) -> Duration {
         let per_s: f64 = self
             .0
             .values()
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -103,7 +103,7 @@
             return chosen;
         };
         if limits.admits(&placement.upstream.id) {
-            placement.limit = limits.seen(&placement.upstream.id);
+            placement.limit = limits.record(&placement.upstream.id);
             return Choice::Send(placement);
         }
     }
@@ -128,7 +128,7 @@
         opens_in
     } else {
         let before = gateway.rate_limits.waiting(&call.service);
-        opens_in.max(limits.time_for(before))
+        opens_in.max(limits.time_to_admit(before))
     };
     if turn_in <= patience {
         return Choice::WaitForLimit(opens_in);
