--- a/src/gateway/share/client.rs
+++ b/src/gateway/catalog_sharing/client.rs
@@ -14,10 +14,10 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-use crate::gateway::share::message::Answer;
-use crate::gateway::share::message::Ask;
-use crate::gateway::share::message::Link;
-use crate::gateway::share::message::MESSAGE_SIZE_MAX;
+use crate::gateway::catalog_sharing::message::Answer;
+use crate::gateway::catalog_sharing::message::Ask;
+use crate::gateway::catalog_sharing::message::Link;
+use crate::gateway::catalog_sharing::message::MESSAGE_SIZE_MAX;
 use crate::peer::framing;
 
 /// For each frame of an answer. A question inside a failure domain takes a millisecond or two, also to a
--- a/src/gateway/share/mod.rs
+++ b/src/gateway/catalog_sharing/mod.rs
@@ -5,20 +5,20 @@
 //! it. A host that gets no fresh answer reads for itself, so a reader that has died, stands still or
 //! is cut off costs one failed question.
 
+mod catalog_cache;
 mod client;
 mod cursor;
-mod held;
 mod message;
 mod reader;
-mod readers;
+mod reader_selector;
 mod server;
 mod upstream_list;
 
+pub(crate) use catalog_cache::CatalogCache;
+pub(crate) use catalog_cache::is_fresh;
 pub(crate) use cursor::WATCH_WAIT;
-pub(crate) use held::CatalogCache;
-pub(crate) use held::is_fresh;
 pub(crate) use reader::ReadError;
 pub(crate) use reader::Reader;
 pub(crate) use reader::Source;
-pub(crate) use readers::ReaderSelector;
+pub(crate) use reader_selector::ReaderSelector;
 pub(crate) use server::serve_reads;
--- a/src/gateway/share/server.rs
+++ b/src/gateway/catalog_sharing/server.rs
@@ -16,10 +16,10 @@
 use tokio_util::codec::Framed;
 
 use crate::gateway::Gateway;
-use crate::gateway::share::message::Answer;
-use crate::gateway::share::message::Ask;
-use crate::gateway::share::message::Link;
-use crate::gateway::share::message::MESSAGE_SIZE_MAX;
+use crate::gateway::catalog_sharing::message::Answer;
+use crate::gateway::catalog_sharing::message::Ask;
+use crate::gateway::catalog_sharing::message::Link;
+use crate::gateway::catalog_sharing::message::MESSAGE_SIZE_MAX;
 use crate::peer::framing;
 
 /// A host that has not asked for this long has left without a word.
--- a/src/gateway/dependency.rs
+++ b/src/gateway/dependency.rs
@@ -10,8 +10,8 @@
 use crate::gateway::CatalogError;
 use crate::gateway::Event;
 use crate::gateway::Gateway;
-use crate::gateway::share::ReadError;
-use crate::gateway::share::Source;
+use crate::gateway::catalog_sharing::ReadError;
+use crate::gateway::catalog_sharing::Source;
 use crate::units::whole_millis;
 
 /// After a failed call, for each host that tries together with this one; shorter than the interval of
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -29,7 +29,7 @@
 use crate::exchange::Voice;
 use crate::gateway::Event;
 use crate::gateway::Gateway;
-use crate::gateway::share::is_fresh;
+use crate::gateway::catalog_sharing::is_fresh;
 use crate::units::AttemptId;
 use crate::units::ContentHash;
 use crate::units::FailureDomainId;
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -18,11 +18,11 @@
 use crate::gateway::Gateway;
 use crate::gateway::GatewayError;
 use crate::gateway::Listeners;
+use crate::gateway::catalog_sharing::serve_reads;
 use crate::gateway::engine_reports::poll_engine_reports;
 use crate::gateway::pages::GatewayPages;
 use crate::gateway::probe::probe_unreachable;
 use crate::gateway::server::serve_callers;
-use crate::gateway::share::serve_reads;
 use crate::gateway::sync;
 
 /// Taking this host off the list is a courtesy: others find out by its silence.
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -30,11 +30,11 @@
 use crate::gateway::GatewayConf;
 use crate::gateway::Meters;
 use crate::gateway::PlatformView;
-use crate::gateway::lives::UpstreamIncarnations;
+use crate::gateway::catalog_sharing::CatalogCache;
+use crate::gateway::catalog_sharing::ReaderSelector;
 use crate::gateway::rate_limits::RateLimits;
-use crate::gateway::share::CatalogCache;
-use crate::gateway::share::ReaderSelector;
 use crate::gateway::slowdowns::Slowdowns;
+use crate::gateway::upstream_incarnations::UpstreamIncarnations;
 use crate::units::ServiceId;
 
 /// Crashes after which a request is refused. Callers here have no key that tells their requests
