--- a/src/gateway/advertised_limit.rs
+++ b/src/gateway/advertised_limit.rs
@@ -1,17 +1,19 @@
-//! What an upstream's answer says of the requests that it takes.
+//! The rate limit that an upstream advertises in its answers.
 
 use crate::units::RequestsPerSecond;
 
-/// What an upstream's answer says of the requests a second that it takes from all hosts together.
+/// The rate limit that an upstream advertises in an answer, in requests a second from all hosts
+/// together.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum AdvertisedLimit {
-    /// Nothing that counts: the answer is not the upstream's own, or the request did not run.
+    /// The answer advertises no valid limit: it is not the upstream's own, or the request did not
+    /// run.
     #[default]
     Absent,
-    /// It takes as many as come.
+    /// The upstream accepts any number of requests.
     Unlimited,
-    /// It takes this many.
+    /// The upstream accepts this many requests a second.
     Limited(RequestsPerSecond),
-    /// It says something that is no rate; the start of the text.
+    /// The limit is not a rate; the start of its text.
     Malformed(String),
 }
--- a/src/gateway/broadcast_hosts.rs
+++ b/src/gateway/broadcast_hosts.rs
@@ -1,4 +1,4 @@
-//! The hosts that this one tells of its work.
+//! The hosts to which this one broadcasts its load.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,48 +8,48 @@
 use crate::exchange::ListedHost;
 use crate::units::HostId;
 
-/// How long a host that has left the list is told on: longer than a restart takes, and than the list is
-/// behind.
-const LEFT_TOLD_FOR: Duration = Duration::from_secs(10);
+/// How long a host that has left the list still gets broadcasts: longer than a restart takes, and
+/// than the list lags.
+const DEPARTED_RETENTION: Duration = Duration::from_secs(10);
 
-/// The hosts on the platform's list, this one, and those that left the list lately.
+/// The hosts on the platform's list, this one, and those that left the list recently.
 ///
-/// Failure it guards against: hosts restart in turn. Each is off the list until the others have read that it
-/// is back, for a second or two, and nobody tells it anything: it sends its prompts to engines that others
-/// have filled. Its address is mostly the same.
+/// When hosts restart in turn, each is off the list until the others have read that it is back, for
+/// a second or two. Without broadcasts during that time, it would send its prompts to engines that
+/// others have filled. Its address is usually the same as before.
 #[derive(Debug)]
-pub(crate) struct ToldHosts {
+pub(crate) struct BroadcastHosts {
     own: ListedHost,
     listed: Vec<ListedHost>,
-    /// Those that left, and when.
-    left: IndexMap<HostId, (ListedHost, Instant)>,
+    /// Hosts that left the list, and when.
+    departed: IndexMap<HostId, (ListedHost, Instant)>,
 }
 
-impl ToldHosts {
-    /// This host alone.
+impl BroadcastHosts {
+    /// Starts with this host alone.
     pub(crate) fn new(own: ListedHost) -> Self {
         Self {
             own,
             listed: Vec::new(),
-            left: IndexMap::new(),
+            departed: IndexMap::new(),
         }
     }
 
-    /// Takes in the platform's list, which may be seconds old.
+    /// Sets the platform's list, which may be seconds old.
     pub(crate) fn set_listed(&mut self, listed: Vec<ListedHost>, now: Instant) {
         let before = std::mem::replace(&mut self.listed, listed);
         for host in before {
-            self.left.insert(host.host.clone(), (host, now));
+            self.departed.insert(host.host.clone(), (host, now));
         }
     }
 
-    /// All that are told, this host included.
+    /// All hosts that get broadcasts, this host included.
     pub(crate) fn hosts(&mut self, now: Instant) -> Vec<ListedHost> {
-        let is_told = |at: Instant| now.saturating_duration_since(at) < LEFT_TOLD_FOR;
-        self.left.retain(|_, (_, at)| is_told(*at));
+        let is_retained = |at: Instant| now.saturating_duration_since(at) < DEPARTED_RETENTION;
+        self.departed.retain(|_, (_, at)| is_retained(*at));
         let mut hosts: IndexMap<&HostId, &ListedHost> = IndexMap::new();
-        let left = self.left.values().map(|(host, _)| host);
-        for host in self.listed.iter().chain([&self.own]).chain(left) {
+        let departed = self.departed.values().map(|(host, _)| host);
+        for host in self.listed.iter().chain([&self.own]).chain(departed) {
             hosts.entry(&host.host).or_insert(host);
         }
         hosts.into_values().cloned().collect()
--- a/src/gateway/call_dispatcher.rs
+++ b/src/gateway/call_dispatcher.rs
@@ -1,4 +1,4 @@
-//! Brings one call to upstreams until one answers or nothing more may be done.
+//! Sends one call to upstreams until one answers or no further send is allowed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,40 +27,41 @@
 use crate::units::UpstreamId;
 use crate::units::whole_millis;
 
-/// Sends of one call that did not run, beside those that may have. Each costs a way there and back.
-const UNRUN_SENDS_MAX: u32 = 5;
-/// After memory was refused; several intervals of hosts' news.
-const RESERVE_PAUSE: Duration = Duration::from_millis(40);
-/// A prompt that waits for this long is logged with the engines that it waits for.
+/// Largest number of sends of one call that were not run, in addition to those that may have run.
+/// Each costs a round trip.
+const NOT_RUN_SENDS_MAX: u32 = 5;
+/// Delay after an engine refused a reservation; several intervals of the broadcasts between hosts.
+const RESERVE_RETRY_DELAY: Duration = Duration::from_millis(40);
+/// A prompt that has waited for this long is logged with the engines that it waits for.
 const LONG_WAIT: Duration = Duration::from_secs(1);
-/// When a caller may come again with a request that crashes upstreams: not while its other sends
-/// are still remembered by anybody.
+/// Time after which a caller may retry a request that crashes upstreams: until then some hosts may
+/// still remember its other sends.
 const POISON_RETRY_AFTER: Duration = Duration::from_secs(10);
 
-/// What came of bringing a call to upstreams.
+/// The result of dispatching a call.
 pub(crate) enum DispatchOutcome {
-    /// An upstream answered; maybe with a failure, which goes to the caller as it is.
+    /// An upstream answered, possibly with a failure, which the caller gets unchanged.
     Answered(Box<Answered>),
-    /// Nobody did.
+    /// No upstream answered.
     Refused(Refusal),
 }
 
-/// A call on its way, with what was tried.
+/// Dispatches a call and keeps track of its sends.
 pub(crate) struct CallDispatcher {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) call: Arc<Call>,
     tried: Vec<UpstreamId>,
-    /// Sends that reached an upstream.
+    /// Number of sends that reached an upstream; reset when the next retry is already paid for.
     arrivals: u32,
-    /// Sends that did not run.
-    unrun: u32,
-    /// Sends that may have run.
+    /// Number of sends that were certainly not run.
+    not_run: u32,
+    /// Number of sends that may have run.
     runs: u32,
-    /// How often upstreams were chosen.
+    /// Number of choices of upstreams.
     choices: u32,
-    /// Whether its waiting was logged.
+    /// Whether the waiting of the call was logged.
     is_wait_logged: bool,
-    /// Counts it among those that wait for an upstream's limit.
+    /// Counts the call among those that wait for the rate limit of an upstream.
     limit_wait: Option<LimitWait>,
 }
 
@@ -71,7 +72,7 @@
             call,
             tried: Vec::new(),
             arrivals: 0,
-            unrun: 0,
+            not_run: 0,
             runs: 0,
             choices: 0,
             is_wait_logged: false,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Whether one more send may run.
+    /// Whether the call may be run once more.
     pub(crate) fn may_run_again(&self) -> bool {
         self.runs == 0 || (self.call.route.kind.is_repeatable() && self.runs < self.runs_max())
     }
@@ -88,13 +89,12 @@
         self.call.route.runs_max.max(1)
     }
 
-    /// Sends the call until an upstream answers. `last_event` is the event after which a stream is
-    /// to go on.
+    /// Sends the call until an upstream answers. A resumed stream continues after `last_event`.
     pub(crate) async fn dispatch(&mut self, last_event: Option<&str>) -> DispatchOutcome {
         loop {
             let now = self.gateway.clock.now();
             if self.call.time_left(now).is_zero() {
-                return DispatchOutcome::Refused(self.time_up());
+                return DispatchOutcome::Refused(self.timeout_refusal());
             }
             if !self.gateway.may_send(&self.call) {
                 return DispatchOutcome::Refused(self.refuse(Refusal::StaleKnowledge));
@@ -110,13 +110,13 @@
                 Choice::Send(placement) => placement,
                 Choice::Wait(wait) => {
                     self.log_long_wait(now);
-                    self.sleep_about(wait, now).await;
+                    self.sleep_with_jitter(wait, now).await;
                     continue;
                 }
                 Choice::WaitForLimit(wait) => {
                     let new = || LimitWait::new(&self.gateway, &self.call.service);
                     self.limit_wait.get_or_insert_with(new);
-                    self.sleep_about(wait, now).await;
+                    self.sleep_with_jitter(wait, now).await;
                     continue;
                 }
                 Choice::Refuse(refusal) => return DispatchOutcome::Refused(self.refuse(refusal)),
@@ -132,20 +132,20 @@
                 continue;
             };
             let sent = self.send_once(*placement, reservation, last_event).await;
-            if let Some(delivery) = sent {
-                return delivery;
+            if let Some(outcome) = sent {
+                return outcome;
             }
         }
     }
 
-    /// Spread, so that requests that wait on several hosts for the same upstreams do not all choose them in the
-    /// same moment.
-    async fn sleep_about(&self, wait: Duration, now: Instant) {
+    /// Sleeps with jitter, so that requests that wait on several hosts for the same upstreams do
+    /// not all choose them at the same moment.
+    async fn sleep_with_jitter(&self, wait: Duration, now: Instant) {
         let wait = wait.mul_f64(rand::random_range(0.5..1.5));
         tokio::time::sleep(wait.min(self.call.time_left(now))).await;
     }
 
-    /// Sends once and says what is final; nothing if it is to be sent again.
+    /// Sends the call once. Returns the final outcome, or none if the call is to be sent again.
     async fn send_once(
         &mut self,
         placement: Placement,
@@ -155,7 +155,7 @@
         let upstream = placement.upstream.clone();
         self.tried.push(upstream.id.clone());
         let is_last = self.runs + 1 >= self.runs_max();
-        self.log_sent(&placement, self.gateway.clock.now());
+        self.log_send(&placement, self.gateway.clock.now());
         let sending = Sending {
             gateway: &self.gateway,
             call: &self.call,
@@ -174,12 +174,12 @@
                     let mut health = self.gateway.health();
                     health.on_answer(&upstream.id, &upstream.domain, now);
                 }
-                let again = failed
+                let is_retried = failed
                     && self.may_run_again()
-                    && self.has_time_for_more()
+                    && self.has_time_for_retry()
                     && self.gateway.try_retry(&self.call.service);
-                if again {
-                    // Paid for here, so the next send is not to be paid again.
+                if is_retried {
+                    // The retry is paid for here, so the next send must not pay for it again.
                     self.arrivals = 0;
                     return None;
                 }
@@ -194,10 +194,10 @@
                 if let Some(addr) = at_fault {
                     self.on_helper_fault(addr);
                 }
-                self.unrun += 1;
+                self.not_run += 1;
                 self.arrivals += u32::from(arrived);
                 self.on_fault(&upstream, fault, &why);
-                if self.unrun > UNRUN_SENDS_MAX {
+                if self.not_run > NOT_RUN_SENDS_MAX {
                     let refusal = Refusal::Overload {
                         reason: RefuseReason::NoUpstream,
                         retry_after: NO_UPSTREAM_RETRY_AFTER,
@@ -225,8 +225,8 @@
         }
     }
 
-    /// Sets aside the memory that a placement asks for. Without it nothing is sent, and the engines that refused
-    /// are not asked for as much again at once.
+    /// Reserves the memory that a placement needs. Without the reservation nothing is sent, and the
+    /// engines that refused are not asked for as much again immediately.
     async fn reserve(&self, placement: &Placement) -> Option<Option<Reservation>> {
         if placement.reserves.is_empty() {
             return Some(None);
@@ -236,14 +236,14 @@
         match Reservation::make(&self.gateway, request, parts).await {
             Ok(reservation) => Some(Some(reservation)),
             Err(refused) => {
-                self.on_memory_refused(&refused);
-                tokio::time::sleep(RESERVE_PAUSE).await;
+                self.on_reservation_refused(&refused);
+                tokio::time::sleep(RESERVE_RETRY_DELAY).await;
                 None
             }
         }
     }
 
-    fn on_memory_refused(&self, refused: &[Part]) {
+    fn on_reservation_refused(&self, refused: &[Part]) {
         let now = self.gateway.clock.now();
         let mut ledger = self.gateway.ledger();
         for part in refused {
@@ -253,11 +253,11 @@
 
     fn is_poison(&self, now: Instant) -> bool {
         let poison = self.gateway.poison();
-        // The hash of a body costs a tenth of a millisecond, so it is made only if there is a list.
+        // Hashing a body takes a tenth of a millisecond, so it is done only if there are any marks.
         !poison.is_empty() && poison.is_poison(&[self.call.poison_mark()], now)
     }
 
-    /// Takes in that the connection to an upstream broke while the call may have been running.
+    /// Records that the connection to an upstream broke while the call may have been running.
     pub(crate) fn on_connection_lost(
         &self,
         upstream: &ListedUpstream,
@@ -269,14 +269,14 @@
             let now = self.gateway.clock.now();
             let attempt = AttemptId(rand::random());
             let mark = self.call.poison_mark();
-            let news = self.gateway.poison().on_crash(&[mark], attempt, now);
-            if !news.is_empty() {
-                self.gateway.tell_crashes(news);
+            let crashes = self.gateway.poison().on_crash(&[mark], attempt, now);
+            if !crashes.is_empty() {
+                self.gateway.tell_crashes(crashes);
             }
         }
     }
 
-    /// Takes in that the call was served: it does not crash upstreams.
+    /// Records that the call was served, so it does not crash upstreams.
     pub(crate) fn on_served(&self) {
         let mut poison = self.gateway.poison();
         if !poison.is_empty() {
@@ -302,7 +302,7 @@
         });
     }
 
-    /// An engine turned a prompt away because of another one that was to read a part.
+    /// Records a fault of the helper because of which another engine turned a prompt away.
     fn on_helper_fault(&self, addr: std::net::SocketAddr) {
         let Some(by_service) = self.gateway.platform_view.upstreams() else {
             return;
@@ -310,18 +310,22 @@
         let listed = by_service.get(&self.call.service);
         let helper = listed.and_then(|listed| listed.iter().find(|u| u.addr == addr));
         if let Some(helper) = helper {
-            self.on_fault(helper, UpstreamFault::TurnedAway, "named as at fault");
+            self.on_fault(
+                helper,
+                UpstreamFault::TurnedAway,
+                "named as the cause by another engine",
+            );
         }
     }
 
-    /// What to tell the caller: a promise that the call has not run only while that is certain.
+    /// The refusal for the caller. It says that the call has not run only if that is certain.
     fn refuse(&self, refusal: Refusal) -> Refusal {
         if let Refusal::Overload {
             reason,
             retry_after,
         } = &refusal
         {
-            self.log_refused(*reason, *retry_after);
+            self.log_refusal(*reason, *retry_after);
         }
         if self.runs > 0 {
             return Refusal::Unknown;
@@ -359,7 +363,7 @@
         });
     }
 
-    fn log_refused(&self, reason: RefuseReason, retry_after: Duration) {
+    fn log_refusal(&self, reason: RefuseReason, retry_after: Duration) {
         let gateway = &self.gateway;
         let now = gateway.clock.now();
         let by_service = gateway.platform_view.upstreams();
@@ -382,7 +386,7 @@
         });
     }
 
-    fn time_up(&self) -> Refusal {
+    fn timeout_refusal(&self) -> Refusal {
         if self.runs > 0 {
             Refusal::TimeUp
         } else {
@@ -390,19 +394,19 @@
         }
     }
 
-    fn has_time_for_more(&self) -> bool {
+    fn has_time_for_retry(&self) -> bool {
         let left = self.call.time_left(self.gateway.clock.now());
         left > self.call.route.objective / 2
     }
 
-    fn log_sent(&self, placement: &Placement, now: Instant) {
+    fn log_send(&self, placement: &Placement, now: Instant) {
         self.gateway.meters.sent(self.arrivals > 0);
         self.gateway.log.note(Event::Sent {
             request: self.call.head.request.clone(),
             upstream: placement.upstream.id.to_string(),
             helpers: placement.helper_ids().map(ToString::to_string).collect(),
             reserves: placement.reserves.len(),
-            earlier_sends: self.runs + self.unrun,
+            earlier_sends: self.runs + self.not_run,
             forecast_ms: whole_millis(placement.forecast),
             elapsed_ms: whole_millis(now.saturating_duration_since(self.call.arrived)),
             prompt_tokens: self.call.head.prompt.0,
--- a/src/gateway/catalog_sharing/catalog_cache.rs
+++ b/src/gateway/catalog_sharing/catalog_cache.rs
@@ -1,4 +1,4 @@
-//! What a host has read last, for itself and for others.
+//! Cache of the lists that a host has read last, for itself and for its peers.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -12,132 +12,138 @@
 use crate::exchange::ListedHost;
 use crate::gateway::ListedUpstream;
 use crate::gateway::UpstreamChange;
-use crate::gateway::catalog_sharing::message::Answer;
-use crate::gateway::catalog_sharing::message::Ask;
 use crate::gateway::catalog_sharing::message::HostEntry;
-use crate::gateway::catalog_sharing::message::List;
+use crate::gateway::catalog_sharing::message::ListKind;
+use crate::gateway::catalog_sharing::message::ReadRequest;
+use crate::gateway::catalog_sharing::message::ReadResponse;
 use crate::gateway::catalog_sharing::message::UpstreamEntry;
-use crate::gateway::catalog_sharing::reader::ANSWER_AGE_MAX;
+use crate::gateway::catalog_sharing::reader::RESPONSE_AGE_MAX;
 use crate::gateway::catalog_sharing::upstream_list::UpstreamList;
 use crate::units::ObjectVersion;
 use crate::units::whole_millis;
 
-/// A list with the moment, since boot, at which it was certainly the newest.
+/// A list with the time since boot at which it was last confirmed to be the newest.
 #[derive(Clone, Debug)]
-struct Proved<T> {
+struct Confirmed<T> {
     version: u64,
     value: Arc<T>,
-    proved_at: Duration,
+    confirmed_at: Duration,
 }
 
-impl<T> Proved<T> {
-    /// The version and the age of the list, for an answer at `now`, since boot.
-    fn head(&self, now: Duration) -> Answer {
-        head(self.version, self.proved_at, now)
+impl<T> Confirmed<T> {
+    /// A response with the version and the age of the list at `now`, since boot.
+    fn header(&self, now: Duration) -> ReadResponse {
+        header(self.version, self.confirmed_at, now)
     }
 }
 
 #[derive(Debug, Default)]
 struct Lists {
-    routes: Option<Proved<String>>,
+    routes: Option<Confirmed<String>>,
     upstreams: UpstreamList,
-    /// The number by which the host that read them names them; 0 if they are to be told whole. A host of a
-    /// former version counts in another way.
+    /// The version that the reading host gave this list; 0 if the next response must be the full
+    /// list. A host of the previous version computes another number.
     upstreams_version: u64,
-    upstreams_proved_at: Option<Duration>,
-    hosts: Option<Proved<Vec<ListedHost>>>,
+    upstreams_confirmed_at: Option<Duration>,
+    hosts: Option<Confirmed<Vec<ListedHost>>>,
 }
 
-/// The lists as they were read last.
+/// The lists that were read last.
 #[derive(Debug, Default)]
 pub(crate) struct CatalogCache(Mutex<Lists>);
 
 impl CatalogCache {
-    /// Takes in a newer manifest. What was certain of the one before it is certain of this one.
-    pub(crate) fn put_routes(&self, version: u64, text: String, proved_at: Duration) {
+    /// Stores a newer manifest. A confirmation of the manifest before it applies to this one too.
+    pub(crate) fn set_routes(&self, version: u64, text: String, confirmed_at: Duration) {
         let mut lists = self.lock();
-        let before = lists.routes.as_ref().map(|routes| routes.proved_at);
-        lists.routes = Some(Proved {
+        let before = lists.routes.as_ref().map(|routes| routes.confirmed_at);
+        lists.routes = Some(Confirmed {
             version,
             value: Arc::new(text),
-            proved_at: before.map_or(proved_at, |before| before.max(proved_at)),
+            confirmed_at: before.map_or(confirmed_at, |before| before.max(confirmed_at)),
         });
     }
 
-    /// Takes in that the manifest was still the newest later than was known.
-    pub(crate) fn renew_routes(&self, proved_at: Duration) {
+    /// Records that the manifest was still the newest at this time since boot.
+    pub(crate) fn confirm_routes(&self, confirmed_at: Duration) {
         if let Some(routes) = &mut self.lock().routes {
-            routes.proved_at = routes.proved_at.max(proved_at);
+            routes.confirmed_at = routes.confirmed_at.max(confirmed_at);
         }
     }
 
-    /// Takes in all upstreams. Returns whether they are others than before.
-    pub(crate) fn put_upstreams(&self, listed: &[ListedUpstream], proved_at: Duration) -> bool {
+    /// Replaces all upstreams. Returns whether the list has changed.
+    pub(crate) fn replace_upstreams(
+        &self,
+        listed: &[ListedUpstream],
+        confirmed_at: Duration,
+    ) -> bool {
         let mut lists = self.lock();
-        lists.upstreams_proved_at = Some(proved_at);
-        let is_new = lists.upstreams.replace(listed);
+        lists.upstreams_confirmed_at = Some(confirmed_at);
+        let has_changed = lists.upstreams.replace(listed);
         lists.upstreams_version = lists.upstreams.version();
-        is_new
+        has_changed
     }
 
-    /// Takes in what has changed among the upstreams. Returns whether they are others than before.
-    pub(crate) fn change_upstreams(&self, changes: Vec<UpstreamChange>) -> bool {
+    /// Applies changes of the upstreams. Returns whether the list has changed.
+    pub(crate) fn apply_changes(&self, changes: Vec<UpstreamChange>) -> bool {
         let mut lists = self.lock();
-        let is_new = lists.upstreams.apply(changes);
+        let has_changed = lists.upstreams.apply(changes);
         lists.upstreams_version = lists.upstreams.version();
-        is_new
+        has_changed
     }
 
-    /// Takes in what another host answered to a question for upstreams. Returns whether they are others
-    /// than before.
-    pub(crate) fn hear_upstreams(&self, answer: &Answer, proved_at: Duration) -> bool {
-        let listed = answer.upstreams.iter().filter_map(UpstreamEntry::listed);
+    /// Applies the response of another host to a request for upstreams. Returns whether the list
+    /// has changed.
+    pub(crate) fn apply_response(&self, response: &ReadResponse, confirmed_at: Duration) -> bool {
+        let listed = response.upstreams.iter().filter_map(UpstreamEntry::decode);
         let mut lists = self.lock();
-        let is_new = if answer.is_partial {
-            let gone = answer.gone.iter().filter_map(|name| name.parse().ok());
-            let gone = gone.map(UpstreamChange::Removed);
-            let is_new = lists
+        let has_changed = if response.is_delta {
+            let removed = response.removed.iter().filter_map(|name| name.parse().ok());
+            let removed = removed.map(UpstreamChange::Removed);
+            let has_changed = lists
                 .upstreams
-                .apply(gone.chain(listed.map(UpstreamChange::Upserted)));
-            if lists.upstreams.version() != answer.version {
-                warn!("share: changes of the upstreams do not fit, asks for all of them");
+                .apply(removed.chain(listed.map(UpstreamChange::Upserted)));
+            if lists.upstreams.version() != response.version {
+                warn!(
+                    "catalog sharing: a delta of the upstreams does not match its version, requesting the full list"
+                );
                 lists.upstreams_version = 0;
-                return is_new;
+                return has_changed;
             }
-            is_new
+            has_changed
         } else {
             lists
                 .upstreams
                 .replace(&listed.collect::<Vec<ListedUpstream>>())
         };
-        lists.upstreams_version = answer.version;
-        lists.upstreams_proved_at = Some(proved_at);
-        is_new
+        lists.upstreams_version = response.version;
+        lists.upstreams_confirmed_at = Some(confirmed_at);
+        has_changed
     }
 
-    /// Takes in that the upstreams were still the newest later than was known.
-    pub(crate) fn renew_upstreams(&self, proved_at: Duration) {
+    /// Records that the upstreams were still current at this time since boot.
+    pub(crate) fn confirm_upstreams(&self, confirmed_at: Duration) {
         let mut lists = self.lock();
-        lists.upstreams_proved_at = lists.upstreams_proved_at.max(Some(proved_at));
+        lists.upstreams_confirmed_at = lists.upstreams_confirmed_at.max(Some(confirmed_at));
     }
 
-    /// Takes in the hosts.
-    pub(crate) fn put_hosts(&self, hosts: &[ListedHost], proved_at: Duration) {
-        self.lock().hosts = Some(Proved {
-            version: version_of(hosts),
+    /// Replaces the hosts.
+    pub(crate) fn set_hosts(&self, hosts: &[ListedHost], confirmed_at: Duration) {
+        self.lock().hosts = Some(Confirmed {
+            version: hosts_version_of(hosts),
             value: Arc::new(hosts.to_vec()),
-            proved_at,
+            confirmed_at,
         });
     }
 
-    /// Takes in that the hosts were the same later than was known.
-    pub(crate) fn renew_hosts(&self, proved_at: Duration) {
+    /// Records that the hosts were still current at this time since boot.
+    pub(crate) fn confirm_hosts(&self, confirmed_at: Duration) {
         if let Some(hosts) = &mut self.lock().hosts {
-            hosts.proved_at = hosts.proved_at.max(proved_at);
+            hosts.confirmed_at = hosts.confirmed_at.max(confirmed_at);
         }
     }
 
-    /// The versions of manifest and upstreams; 0 for what was not read yet.
+    /// The versions of the manifest and the upstreams; 0 for a list that was not read yet.
     pub(crate) fn versions(&self) -> (u64, u64) {
         let lists = self.lock();
         let routes = lists.routes.as_ref().map_or(0, |routes| routes.version);
@@ -155,54 +161,56 @@
         lists.hosts.as_ref().map_or(0, |hosts| hosts.version)
     }
 
-    /// The upstreams as they were read last; none before the first read.
+    /// The upstreams that were read last; none before the first read.
     pub(crate) fn upstreams(&self) -> Option<Arc<Vec<ListedUpstream>>> {
         let lists = self.lock();
-        lists.upstreams_proved_at?;
+        lists.upstreams_confirmed_at?;
         Some(Arc::clone(lists.upstreams.listed()))
     }
 
-    /// When, since boot, the upstreams were certainly the newest.
-    pub(crate) fn upstreams_proved_at(&self) -> Option<Duration> {
-        self.lock().upstreams_proved_at
+    /// The time since boot at which the upstreams were last confirmed to be current.
+    pub(crate) fn upstreams_confirmed_at(&self) -> Option<Duration> {
+        self.lock().upstreams_confirmed_at
     }
 
-    /// When, since boot, manifest and upstreams were certainly the newest; none before both were read.
-    pub(crate) fn proved_at(&self) -> Option<Duration> {
+    /// The time since boot at which the manifest and the upstreams were both last confirmed to be
+    /// current; none before both were read.
+    pub(crate) fn confirmed_at(&self) -> Option<Duration> {
         let lists = self.lock();
-        let routes = lists.routes.as_ref()?.proved_at;
-        Some(routes.min(lists.upstreams_proved_at?))
+        let routes = lists.routes.as_ref()?.confirmed_at;
+        Some(routes.min(lists.upstreams_confirmed_at?))
     }
 
-    /// Whether both lists are fresh enough at `now`, since boot, for other hosts to use them.
+    /// Whether the manifest and the upstreams are fresh enough at `now`, since boot, for other
+    /// hosts to use them.
     pub(crate) fn is_fresh(&self, now: Duration) -> bool {
-        self.proved_at()
-            .is_some_and(|proved_at| is_fresh(proved_at, now))
+        self.confirmed_at()
+            .is_some_and(|confirmed_at| is_fresh(confirmed_at, now))
     }
 
-    /// Answers another host at `now`, since boot.
-    pub(crate) fn answer(&self, ask: &Ask, now: Duration) -> Answer {
+    /// Responds to a request of another host at `now`, since boot.
+    pub(crate) fn respond(&self, request: &ReadRequest, now: Duration) -> ReadResponse {
         let lists = self.lock();
-        match List::try_from(ask.list) {
-            Ok(List::Routes) => lists.routes.as_ref().map(|routes| {
-                let mut answer = routes.head(now);
-                if routes.version != ask.known_version {
-                    answer.routes = routes.value.to_string();
+        match ListKind::try_from(request.list) {
+            Ok(ListKind::Routes) => lists.routes.as_ref().map(|routes| {
+                let mut response = routes.header(now);
+                if routes.version != request.known_version {
+                    response.routes = routes.value.to_string();
                 }
-                answer
+                response
             }),
-            Ok(List::Upstreams) => lists.upstreams_proved_at.map(|proved_at| {
-                let head = head(lists.upstreams_version, proved_at, now);
-                upstreams_for(&lists, ask, head)
+            Ok(ListKind::Upstreams) => lists.upstreams_confirmed_at.map(|confirmed_at| {
+                let header = header(lists.upstreams_version, confirmed_at, now);
+                add_upstreams(&lists, request, header)
             }),
-            Ok(List::Hosts) => lists.hosts.as_ref().map(|hosts| {
-                let mut answer = hosts.head(now);
-                if hosts.version != ask.known_version {
-                    answer.hosts = hosts.value.iter().map(HostEntry::from).collect();
+            Ok(ListKind::Hosts) => lists.hosts.as_ref().map(|hosts| {
+                let mut response = hosts.header(now);
+                if hosts.version != request.known_version {
+                    response.hosts = hosts.value.iter().map(HostEntry::from).collect();
                 }
-                answer
+                response
             }),
-            // A newer host asks for a list that this one does not know.
+            // A host of a newer version requests a list that this version does not have.
             Err(_) => None,
         }
         .unwrap_or_default()
@@ -213,48 +221,48 @@
     }
 }
 
-/// Whether a list that was the newest at `proved_at` is fresh enough at `now`, both since boot.
-pub(crate) fn is_fresh(proved_at: Duration, now: Duration) -> bool {
-    now.saturating_sub(proved_at) <= ANSWER_AGE_MAX
+/// Whether a list that was confirmed at `confirmed_at` is fresh enough at `now`, both since boot.
+pub(crate) fn is_fresh(confirmed_at: Duration, now: Duration) -> bool {
+    now.saturating_sub(confirmed_at) <= RESPONSE_AGE_MAX
 }
 
-/// An answer with nothing but the version and the age of a list.
-fn head(version: u64, proved_at: Duration, now: Duration) -> Answer {
-    Answer {
+/// A response with only the version and the age of a list.
+fn header(version: u64, confirmed_at: Duration, now: Duration) -> ReadResponse {
+    ReadResponse {
         version,
-        age_ms: whole_millis(now.saturating_sub(proved_at)),
-        ..Answer::default()
+        age_ms: whole_millis(now.saturating_sub(confirmed_at)),
+        ..ReadResponse::default()
     }
 }
 
-/// What an asking host is missing of the upstreams, added to `head`.
-fn upstreams_for(lists: &Lists, ask: &Ask, head: Answer) -> Answer {
-    if lists.upstreams_version == ask.known_version {
-        return head;
+/// Adds to `header` the upstreams that the requesting host does not have.
+fn add_upstreams(lists: &Lists, request: &ReadRequest, header: ReadResponse) -> ReadResponse {
+    if lists.upstreams_version == request.known_version {
+        return header;
     }
     let list = &lists.upstreams;
-    let changes = list.since(ask.known_version);
-    let Some(changes) = changes.filter(|_| ask.takes_parts) else {
-        return Answer {
+    let changes = list.changes_since(request.known_version);
+    let Some(changes) = changes.filter(|_| request.accepts_deltas) else {
+        return ReadResponse {
             upstreams: list.listed().iter().map(UpstreamEntry::from).collect(),
-            ..head
+            ..header
         };
     };
-    let mut answer = Answer {
-        is_partial: true,
-        ..head
+    let mut response = ReadResponse {
+        is_delta: true,
+        ..header
     };
     for change in changes {
         match change {
-            UpstreamChange::Upserted(listed) => answer.upstreams.push((&listed).into()),
-            UpstreamChange::Removed(name) => answer.gone.push(name.to_string()),
+            UpstreamChange::Upserted(listed) => response.upstreams.push((&listed).into()),
+            UpstreamChange::Removed(name) => response.removed.push(name.to_string()),
         }
     }
-    answer
+    response
 }
 
-/// The same for the same hosts in the same order.
-fn version_of(hosts: &[ListedHost]) -> u64 {
-    // 0 stands for none.
+/// A version that is the same for the same hosts in the same order.
+fn hosts_version_of(hosts: &[ListedHost]) -> u64 {
+    // Version 0 means that there is none.
     xxh3_64(format!("{hosts:?}").as_bytes()).max(1)
 }
--- a/src/gateway/catalog_sharing/client.rs
+++ b/src/gateway/catalog_sharing/client.rs
@@ -1,4 +1,4 @@
-//! Asks other hosts for their lists over a connection that is kept.
+//! A client that requests lists from other hosts over a connection that it keeps open.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,63 +14,82 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-use crate::gateway::catalog_sharing::message::Answer;
-use crate::gateway::catalog_sharing::message::Ask;
-use crate::gateway::catalog_sharing::message::Link;
 use crate::gateway::catalog_sharing::message::MESSAGE_SIZE_MAX;
+use crate::gateway::catalog_sharing::message::PeerConnection;
+use crate::gateway::catalog_sharing::message::ReadRequest;
+use crate::gateway::catalog_sharing::message::ReadResponse;
 use crate::peer::framing;
 
-/// For each frame of an answer. A question inside a failure domain takes a millisecond or two, also to a
-/// busy host some ten.
+/// Timeout of each frame of a response. A request inside a failure domain takes 1 to 2 ms, and
+/// about 10 ms to a busy host.
 const FRAME_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Frames of one answer: eight times those of a manifest of a megabyte. A host that announces more is broken,
-/// and would be listened to without end.
+/// Largest number of frames of one response: eight times those of a manifest of 1 MB. A host that
+/// announces more is broken, and reading its response would never end.
 const FRAMES_MAX: u32 = 512;
 
-/// Asks one host at a time.
+/// A client with a connection to one host at a time.
 #[derive(Default)]
-pub(super) struct ShareClient {
-    link: Option<(SocketAddr, Link)>,
+pub(super) struct ReadClient {
+    connection: Option<(SocketAddr, PeerConnection)>,
 }
 
-impl ShareClient {
-    /// Asks a host; none if it does not answer.
-    pub(super) async fn ask(&mut self, addr: SocketAddr, ask: &Ask) -> Option<Answer> {
-        let answer = self.exchange(addr, ask).await;
-        if answer.is_none() {
-            debug!("share: {addr} does not answer");
-            self.link = None;
+impl ReadClient {
+    /// Sends a request to a host; none if it does not respond.
+    pub(super) async fn request(
+        &mut self,
+        addr: SocketAddr,
+        request: &ReadRequest,
+    ) -> Option<ReadResponse> {
+        let response = self.try_request(addr, request).await;
+        if response.is_none() {
+            debug!("catalog sharing: {addr} does not respond");
+            self.connection = None;
         }
-        answer
+        response
     }
 
-    async fn exchange(&mut self, addr: SocketAddr, ask: &Ask) -> Option<Answer> {
-        if self.link.as_ref().is_none_or(|(linked, _)| *linked != addr) {
+    async fn try_request(
+        &mut self,
+        addr: SocketAddr,
+        request: &ReadRequest,
+    ) -> Option<ReadResponse> {
+        if self
+            .connection
+            .as_ref()
+            .is_none_or(|(connected, _)| *connected != addr)
+        {
             let connected = timeout(FRAME_TIMEOUT, TcpStream::connect(addr)).await;
             let stream = connected.ok()?.ok()?;
             stream.set_nodelay(true).ok()?;
-            self.link = Some((addr, Framed::new(stream, framing(MESSAGE_SIZE_MAX))));
+            self.connection = Some((addr, Framed::new(stream, framing(MESSAGE_SIZE_MAX))));
         }
-        let (_, link) = self.link.as_mut()?;
-        let asked = timeout(FRAME_TIMEOUT, link.send(Bytes::from(ask.encode_to_vec()))).await;
-        asked.ok()?.ok()?;
-        let head = Answer::decode(next_frame(link).await?).ok()?;
-        if head.frames == 0 {
-            return Some(head);
+        let (_, connection) = self.connection.as_mut()?;
+        let sent = timeout(
+            FRAME_TIMEOUT,
+            connection.send(Bytes::from(request.encode_to_vec())),
+        )
+        .await;
+        sent.ok()?.ok()?;
+        let first = ReadResponse::decode(next_frame(connection).await?).ok()?;
+        if first.frame_count == 0 {
+            return Some(first);
         }
-        if head.frames > FRAMES_MAX {
-            warn!("share: {addr} announces {} frames", head.frames);
+        if first.frame_count > FRAMES_MAX {
+            warn!(
+                "catalog sharing: {addr} announces a response of {} frames, more than {FRAMES_MAX}",
+                first.frame_count
+            );
             return None;
         }
-        let mut whole = BytesMut::new();
-        for _ in 0..head.frames {
-            whole.extend_from_slice(&next_frame(link).await?);
+        let mut buffer = BytesMut::new();
+        for _ in 0..first.frame_count {
+            buffer.extend_from_slice(&next_frame(connection).await?);
         }
-        Answer::decode(whole).ok()
+        ReadResponse::decode(buffer).ok()
     }
 }
 
-async fn next_frame(link: &mut Link) -> Option<BytesMut> {
-    timeout(FRAME_TIMEOUT, link.next()).await.ok()??.ok()
+async fn next_frame(connection: &mut PeerConnection) -> Option<BytesMut> {
+    timeout(FRAME_TIMEOUT, connection.next()).await.ok()??.ok()
 }
--- a/src/gateway/catalog_sharing/cursor.rs
+++ b/src/gateway/catalog_sharing/cursor.rs
@@ -1,30 +1,32 @@
-//! Where a host's own reads of one list of the platform go on.
+//! The position at which a host's own reads of one list of the platform resume.
 
 use std::time::Duration;
 
 use crate::gateway::Watch;
 use crate::units::ObjectVersion;
 
-/// How long the platform waits for a change before it answers. As long as the interval of reads without
-/// waiting, so it costs no more calls and what is known grows no older; a change is known at once.
+/// How long the platform waits for a change before it answers. It equals the interval of reads that
+/// do not wait, so watching costs no more calls and the lists are confirmed as often; a change is
+/// known at once.
 pub(crate) const WATCH_WAIT: Duration = Duration::from_millis(600);
 
-/// Where a host's own reads of one list go on; nowhere before the first one.
+/// The position at which a host's own reads of one list resume; none before the first read.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Cursor {
     as_of: Option<ObjectVersion>,
-    is_hurried: bool,
-    /// What the last answer took beyond the time for which it waited.
+    is_immediate: bool,
+    /// Duration of the last call beyond the time for which the platform was to wait.
     delay: Duration,
 }
 
 impl Cursor {
-    /// What the next read waits for; none if it is to read all.
+    /// The watch of the next read; none if the next read is to return the full list.
     ///
-    /// Load it answers: a platform that takes a third of a second for an answer. With its whole wait on top
-    /// what a host tells the others is too old for them, and all of them ask the platform as well.
+    /// The wait is shortened by the delay of the last call. If a platform that needs a third of a
+    /// second for a response also waited for the full time, the lists would be too old for the
+    /// peers of this host, and all of them would read the platform as well.
     pub(crate) fn watch(&self) -> Option<Watch> {
-        let wait = if self.is_hurried {
+        let wait = if self.is_immediate {
             Duration::ZERO
         } else {
             WATCH_WAIT.saturating_sub(self.delay)
@@ -33,20 +35,20 @@
         Some(Watch { since, wait })
     }
 
-    /// Takes in how long an answer took that was to wait for `wait`.
-    pub(crate) fn on_answered(&mut self, wait: Duration, took: Duration) {
+    /// Records the duration of a call for which the platform was to wait for `wait`.
+    pub(crate) fn record_duration(&mut self, wait: Duration, took: Duration) {
         self.delay = took.saturating_sub(wait);
     }
 
-    /// Takes in an answer that goes up to this change.
-    pub(crate) fn go_on(&mut self, as_of: Option<ObjectVersion>) {
+    /// Resumes the next read after this change.
+    pub(crate) fn resume_after(&mut self, as_of: Option<ObjectVersion>) {
         self.as_of = as_of;
-        self.is_hurried = false;
+        self.is_immediate = false;
     }
 
-    /// Whether the next answer is to come at once: after a change, since more may have changed, and after a
-    /// failure, since a call that waits takes as long to fail.
-    pub(crate) fn set_hurried(&mut self, is_hurried: bool) {
-        self.is_hurried = is_hurried;
+    /// Sets whether the next call returns without waiting: after a change, since more may have
+    /// changed, and after a failure, since a call that waits takes that much longer to fail.
+    pub(crate) fn set_immediate(&mut self, is_immediate: bool) {
+        self.is_immediate = is_immediate;
     }
 }
--- a/src/gateway/catalog_sharing/message.rs
+++ b/src/gateway/catalog_sharing/message.rs
@@ -1,4 +1,5 @@
-//! The messages between hosts that read and hosts that ask. Field numbers are never used again.
+//! Messages between the hosts that read the platform and the hosts that request their lists. Field
+//! numbers are never reused.
 
 use std::net::SocketAddr;
 
@@ -10,84 +11,86 @@
 use crate::gateway::ListedUpstream;
 use crate::units::Millicores;
 
-/// The largest message: a manifest has at most about a megabyte.
+/// Largest message in bytes. A manifest has at most about 1 MB.
 pub(super) const MESSAGE_SIZE_MAX: usize = 8 << 20;
 
-/// A connection on which hosts ask each other for lists.
-pub(super) type Link = Framed<TcpStream, LengthDelimitedCodec>;
+/// A connection on which hosts request lists from each other.
+pub(super) type PeerConnection = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// What is asked for.
+/// The list that a request is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(prost::Enumeration)]
 #[repr(i32)]
-pub(crate) enum List {
+pub(crate) enum ListKind {
     /// The manifest.
     Routes = 0,
     /// The upstreams.
     Upstreams = 1,
-    /// The hosts of this system.
+    /// The hosts of this deployment.
     Hosts = 2,
 }
 
-/// A question.
+/// A request for one list.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-pub(crate) struct Ask {
-    /// Which list.
-    #[prost(enumeration = "List", tag = "1")]
+pub(crate) struct ReadRequest {
+    /// The requested list.
+    #[prost(enumeration = "ListKind", tag = "1")]
     pub(crate) list: i32,
-    /// The version that the asking host has; 0 if none.
+    /// The version that the requesting host has; 0 if it has none.
     #[prost(uint64, tag = "2")]
     pub(crate) known_version: u64,
-    /// Whether the asking host understands changes of a list and answers in several frames.
+    /// Whether the requesting host understands deltas and responses in several frames.
     #[prost(bool, tag = "3")]
-    pub(crate) takes_parts: bool,
+    pub(crate) accepts_deltas: bool,
 }
 
-/// The answer.
+/// The response to a [`ReadRequest`].
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-pub(crate) struct Answer {
-    /// The version that the answering host has; 0 if none.
+pub(crate) struct ReadResponse {
+    /// The version that the responding host has; 0 if it has none.
     #[prost(uint64, tag = "1")]
     pub(crate) version: u64,
-    /// How long ago this version was certainly the newest, in ms.
+    /// Time since this version was confirmed to be the newest, in ms.
     #[prost(uint64, tag = "2")]
     pub(crate) age_ms: u64,
-    /// The manifest's text, if it was asked for and has another version.
+    /// The text of the manifest, if it was requested and its version differs.
     #[prost(string, tag = "3")]
     pub(crate) routes: String,
-    /// The upstreams, if they were asked for and have another version.
+    /// The upstreams, if they were requested and their version differs.
     #[prost(message, repeated, tag = "4")]
     pub(crate) upstreams: Vec<UpstreamEntry>,
-    /// Whether `upstreams` and `gone` are what has changed since the known version.
+    /// Whether `upstreams` and `removed` are a delta relative to the known version.
     #[prost(bool, tag = "5")]
-    pub(crate) is_partial: bool,
-    /// The names of upstreams that have left the list.
+    pub(crate) is_delta: bool,
+    /// Names of the upstreams that were removed from the list.
     #[prost(string, repeated, tag = "6")]
-    pub(crate) gone: Vec<String>,
-    /// The hosts, if they were asked for and have another version.
+    pub(crate) removed: Vec<String>,
+    /// The hosts, if they were requested and their version differs.
     #[prost(message, repeated, tag = "7")]
     pub(crate) hosts: Vec<HostEntry>,
-    /// The whole answer follows in so many frames; 0 if this is all of it.
+    /// Number of frames that follow and together hold the whole response; 0 if this message is the
+    /// whole response.
     #[prost(uint32, tag = "8")]
-    pub(crate) frames: u32,
+    pub(crate) frame_count: u32,
 }
 
-/// A host.
+/// A host on the platform's list.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub(crate) struct HostEntry {
-    /// Its name.
+    /// The host's name.
     #[prost(string, tag = "1")]
     pub(crate) name: String,
-    /// Its failure domain.
+    /// The host's failure domain.
     #[prost(string, tag = "2")]
     pub(crate) domain: String,
-    /// Where it exchanges news.
+    /// The address at which the host receives messages of its peers.
     #[prost(string, tag = "3")]
     pub(crate) exchange_addr: String,
-    /// Thousandths of a core that it may use; 0 if it is of a former version, which does not say.
+    /// Thousandths of a core that the host may use; 0 from a host of the previous version, which
+    /// does not report it.
     #[prost(uint32, tag = "4")]
     pub(crate) millicores: u32,
 }
@@ -98,14 +101,14 @@
             name: listed.host.to_string(),
             domain: listed.domain.to_string(),
             exchange_addr: listed.exchange_addr.to_string(),
-            millicores: listed.processors.map_or(0, |share| share.0),
+            millicores: listed.processors.map_or(0, |millicores| millicores.0),
         }
     }
 }
 
 impl HostEntry {
-    /// The host; none if a field is not what it should be.
-    pub(crate) fn listed(&self) -> Option<ListedHost> {
+    /// Decodes the host; none if a field is malformed.
+    pub(crate) fn decode(&self) -> Option<ListedHost> {
         Some(ListedHost {
             host: self.name.parse().ok()?,
             domain: self.domain.parse().ok()?,
@@ -115,29 +118,30 @@
     }
 }
 
-/// An upstream.
+/// An upstream on the platform's list.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub(crate) struct UpstreamEntry {
-    /// What it calls itself.
+    /// The upstream's name, which stays the same across restarts.
     #[prost(string, tag = "1")]
     pub(crate) name: String,
-    /// Its service.
+    /// The service that the upstream runs.
     #[prost(string, tag = "2")]
     pub(crate) service: String,
-    /// Its address.
+    /// The upstream's address.
     #[prost(string, tag = "3")]
     pub(crate) addr: String,
-    /// Its failure domain.
+    /// The upstream's failure domain.
     #[prost(string, tag = "4")]
     pub(crate) domain: String,
-    /// Requests that it works on at once.
+    /// Number of requests that the upstream processes concurrently.
     #[prost(uint32, tag = "5")]
     pub(crate) slots: u32,
-    /// Whether it leaves.
+    /// Whether the upstream is leaving.
     #[prost(bool, tag = "6")]
     pub(crate) is_leaving: bool,
-    /// The id of its life; empty from a host that knows upstreams by their names alone.
+    /// The id of the upstream's incarnation; empty from a host that identifies upstreams by name
+    /// alone.
     #[prost(string, tag = "7")]
     pub(crate) id: String,
 }
@@ -157,8 +161,8 @@
 }
 
 impl UpstreamEntry {
-    /// The upstream; none if a field is not what it should be.
-    pub(crate) fn listed(&self) -> Option<ListedUpstream> {
+    /// Decodes the upstream; none if a field is malformed.
+    pub(crate) fn decode(&self) -> Option<ListedUpstream> {
         let id = if self.id.is_empty() {
             &self.name
         } else {
--- a/src/gateway/catalog_sharing/mod.rs
+++ b/src/gateway/catalog_sharing/mod.rs
@@ -1,9 +1,10 @@
-//! One host of a failure domain reads the platform for the others.
+//! Sharing of the platform's lists between hosts: one host of a failure domain reads the platform
+//! for the others.
 //!
-//! Load it answers: each call to the platform costs, its rates grow more slowly than the fleet, and
-//! what 60 hosts read is the same. So the first host of a domain by name reads, and the others ask
-//! it. A host that gets no fresh answer reads for itself, so a reader that has died, stands still or
-//! is cut off costs one failed question.
+//! Every call to the platform has a cost, the platform's rate limits grow more slowly than the
+//! fleet, and all hosts, 60 for example, would read the same lists. So one host of a domain reads
+//! the platform and the others request its lists. A host that gets no fresh response reads the
+//! platform itself, so a reader that has died, hangs or is partitioned costs one failed request.
 
 mod catalog_cache;
 mod client;
@@ -17,8 +18,8 @@
 pub(crate) use catalog_cache::CatalogCache;
 pub(crate) use catalog_cache::is_fresh;
 pub(crate) use cursor::WATCH_WAIT;
+pub(crate) use reader::CatalogReader;
 pub(crate) use reader::ReadError;
-pub(crate) use reader::Reader;
-pub(crate) use reader::Source;
+pub(crate) use reader::ReadSource;
 pub(crate) use reader_selector::ReaderSelector;
 pub(crate) use server::serve_reads;
--- a/src/gateway/catalog_sharing/reader.rs
+++ b/src/gateway/catalog_sharing/reader.rs
@@ -12,54 +12,57 @@
 use crate::gateway::RoutesRead;
 use crate::gateway::UpstreamsRead;
 use crate::gateway::Watch;
-use crate::gateway::catalog_sharing::client::ShareClient;
+use crate::gateway::catalog_sharing::client::ReadClient;
 use crate::gateway::catalog_sharing::cursor::Cursor;
-use crate::gateway::catalog_sharing::message::Answer;
-use crate::gateway::catalog_sharing::message::Ask;
 use crate::gateway::catalog_sharing::message::HostEntry;
-use crate::gateway::catalog_sharing::message::List;
-use crate::gateway::catalog_sharing::reader_selector::Unfit;
+use crate::gateway::catalog_sharing::message::ListKind;
+use crate::gateway::catalog_sharing::message::ReadRequest;
+use crate::gateway::catalog_sharing::message::ReadResponse;
+use crate::gateway::catalog_sharing::reader_selector::Unavailable;
 use crate::units::HostId;
 use crate::units::ObjectVersion;
 
-/// An answer about lists that were read longer ago is not used: this host then reads for itself and
-/// is no worse off than without the other. Two watches, and two answers of a slow platform.
-pub(super) const ANSWER_AGE_MAX: Duration = Duration::from_millis(2_000);
-/// The same of the list of hosts, which changes seldom; longer than the platform is mostly away, so that
-/// not all hosts of a fleet ask it for their list when it is back.
+/// Largest age of a list in the response of another host. If the list is older, this host reads the
+/// platform itself and is no worse off than without the other host. The limit covers two watches
+/// and two responses of a slow platform.
+pub(super) const RESPONSE_AGE_MAX: Duration = Duration::from_millis(2_000);
+/// The same for the list of hosts, which changes rarely. It is longer than most outages of the
+/// platform, so that not all hosts of a fleet request the list from the platform when it has
+/// recovered.
 const HOSTS_AGE_MAX: Duration = Duration::from_secs(15);
 
-/// Hosts that are asked before this one reads for itself.
+/// Number of hosts that are asked before this host reads the platform itself.
 const READERS_TRIED_MAX: usize = 2;
 
-/// What came of one read.
-pub(crate) struct Read<T> {
-    /// What was read; none if it is what is known already.
+/// The result of one read.
+pub(crate) struct ReadOutcome<T> {
+    /// What was read; none if this host has it already.
     pub(crate) changed: Option<T>,
-    /// When, since boot, it was certainly the newest.
-    pub(crate) proved_at: Duration,
-    /// Whether newer content may follow at once.
-    pub(crate) goes_on: bool,
+    /// The time since boot at which the list was confirmed to be current.
+    pub(crate) confirmed_at: Duration,
+    /// Whether newer content may follow immediately.
+    pub(crate) has_more: bool,
 }
 
-/// Whom a read asks.
+/// Where a read gets the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Source {
-    /// The host that reads for this failure domain; the platform if that is this host or if none answers.
+pub(crate) enum ReadSource {
+    /// The host that reads for this failure domain; the platform if that is this host or if none
+    /// responds.
     Any,
-    /// Other hosts alone: this host is not due to ask the platform.
-    Others,
+    /// Other hosts only: this host is not yet due to call the platform.
+    Peers,
     /// The platform.
     Platform,
 }
 
-/// Why a read gave nothing.
+/// Why a read returned no list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ReadError {
-    /// The platform was asked.
+    /// A call to the platform failed.
     Catalog(CatalogError),
-    /// Other hosts have nothing fresh; the platform was not asked.
-    OthersStale,
+    /// No other host has a fresh list; the platform was not called.
+    PeersStale,
 }
 
 impl From<CatalogError> for ReadError {
@@ -68,195 +71,214 @@
     }
 }
 
-/// What came of asking other hosts.
-enum Asked {
-    /// One has a fresh answer, which was the newest at this time since boot.
-    Fresh(Answer, Duration),
-    /// Those that answered have nothing fresh.
+/// The result of requesting a list from other hosts.
+enum PeerResult {
+    /// A host responded with a fresh list, which was current at this time since boot.
+    Fresh(ReadResponse, Duration),
+    /// The hosts that responded have no fresh list.
     Stale,
-    /// There is none to ask, or none that answers.
-    Nobody,
+    /// There is no host to ask, or none responds.
+    NoResponse,
 }
 
-/// Reads the lists for one host.
-pub(crate) struct Reader {
+/// Reads the lists for one host into its [`CatalogCache`](super::CatalogCache).
+pub(crate) struct CatalogReader {
     gateway: Arc<Gateway>,
     catalog: Arc<dyn Catalog>,
     cursor: Cursor,
-    client: ShareClient,
+    client: ReadClient,
 }
 
-impl Reader {
+impl CatalogReader {
     pub(crate) fn new(gateway: Arc<Gateway>, catalog: Arc<dyn Catalog>) -> Self {
         Self {
             gateway,
             catalog,
             cursor: Cursor::default(),
-            client: ShareClient::default(),
+            client: ReadClient::default(),
         }
     }
 
-    /// Reads the manifest. Returns its text if it is another version than is held.
-    pub(crate) async fn routes(&mut self, source: Source) -> Result<Read<String>, ReadError> {
+    /// Reads the manifest. Returns its text if its version differs from the cached one.
+    pub(crate) async fn routes(
+        &mut self,
+        source: ReadSource,
+    ) -> Result<ReadOutcome<String>, ReadError> {
         let (known, _) = self.gateway.catalog_cache.versions();
-        let asked = self.ask_others(source, List::Routes, known).await?;
-        let Some((answer, proved_at)) = asked else {
-            return self.routes_of_platform(known).await;
+        let fetched = self
+            .request_from_peers(source, ListKind::Routes, known)
+            .await?;
+        let Some((response, confirmed_at)) = fetched else {
+            return self.routes_from_platform(known).await;
         };
-        let held = &self.gateway.catalog_cache;
-        // An older version from a host that is a little behind proves the newer one as well.
-        let changed = if answer.version <= known {
-            held.renew_routes(proved_at);
+        let cache = &self.gateway.catalog_cache;
+        // An older version from a host that lags slightly confirms the newer one as well.
+        let changed = if response.version <= known {
+            cache.confirm_routes(confirmed_at);
             None
         } else {
-            held.put_routes(answer.version, answer.routes.clone(), proved_at);
-            Some(answer.routes)
+            cache.set_routes(response.version, response.routes.clone(), confirmed_at);
+            Some(response.routes)
         };
-        Ok(Read {
+        Ok(ReadOutcome {
             changed,
-            proved_at,
-            goes_on: false,
+            confirmed_at,
+            has_more: false,
         })
     }
 
-    async fn routes_of_platform(&mut self, known: u64) -> Result<Read<String>, ReadError> {
-        // Before the question: what the answer shows is true at some moment after it.
-        let asked_at = self.gateway.clock.since_boot();
+    async fn routes_from_platform(&mut self, known: u64) -> Result<ReadOutcome<String>, ReadError> {
+        // Taken before the call: the response is true at some moment after it.
+        let requested_at = self.gateway.clock.since_boot();
         let object = (known != 0).then_some(ObjectVersion(known));
         let watch = self.cursor.watch();
         let mut read = self.catalog.routes(object, watch).await;
-        self.time(watch, asked_at);
+        self.record_duration(watch, requested_at);
         if matches!(read, Err(CatalogError::HistoryExpired)) {
             self.cursor = Cursor::default();
             read = self.catalog.routes(object, None).await;
         }
-        let read = self.take(read)?;
-        let held = &self.gateway.catalog_cache;
+        let read = self.record_read(read)?;
+        let cache = &self.gateway.catalog_cache;
         let RoutesRead::Changed { version, text } = read else {
-            held.renew_routes(asked_at);
-            return Ok(Read {
+            cache.confirm_routes(requested_at);
+            return Ok(ReadOutcome {
                 changed: None,
-                proved_at: asked_at,
-                goes_on: false,
+                confirmed_at: requested_at,
+                has_more: false,
             });
         };
-        let goes_on = watch.is_some();
-        self.cursor.set_hurried(goes_on);
-        // Only an answer without a change shows that there is no newer one.
-        let proved_at = if goes_on { Duration::ZERO } else { asked_at };
-        let is_news = version.0 > known;
-        if is_news {
-            held.put_routes(version.0, text.clone(), proved_at);
+        let has_more = watch.is_some();
+        self.cursor.set_immediate(has_more);
+        // Only a response without a change shows that there is no newer version.
+        let confirmed_at = if has_more {
+            Duration::ZERO
+        } else {
+            requested_at
+        };
+        let is_newer = version.0 > known;
+        if is_newer {
+            cache.set_routes(version.0, text.clone(), confirmed_at);
         }
-        Ok(Read {
-            changed: is_news.then_some(text),
-            proved_at,
-            goes_on,
+        Ok(ReadOutcome {
+            changed: is_newer.then_some(text),
+            confirmed_at,
+            has_more,
         })
     }
 
-    /// Reads the upstreams into what is held.
-    pub(crate) async fn upstreams(&mut self, source: Source) -> Result<Read<()>, ReadError> {
+    /// Reads the upstreams into the cache.
+    pub(crate) async fn upstreams(
+        &mut self,
+        source: ReadSource,
+    ) -> Result<ReadOutcome<()>, ReadError> {
         let (_, known) = self.gateway.catalog_cache.versions();
-        let asked = self.ask_others(source, List::Upstreams, known).await?;
-        let Some((answer, proved_at)) = asked else {
-            return self.upstreams_of_platform().await;
+        let fetched = self
+            .request_from_peers(source, ListKind::Upstreams, known)
+            .await?;
+        let Some((response, confirmed_at)) = fetched else {
+            return self.upstreams_from_platform().await;
         };
-        let held = &self.gateway.catalog_cache;
-        let has_changed = if answer.version == known {
-            held.renew_upstreams(proved_at);
+        let cache = &self.gateway.catalog_cache;
+        let has_changed = if response.version == known {
+            cache.confirm_upstreams(confirmed_at);
             false
         } else {
-            // What this host has read itself may be newer: an upstream that it knows to leave must not
-            // come back.
-            let is_newer = held.upstreams_proved_at() < Some(proved_at);
-            is_newer && held.hear_upstreams(&answer, proved_at)
+            // The list that this host has read itself may be newer: an upstream that this host
+            // knows to be leaving must not come back.
+            let is_newer = cache.upstreams_confirmed_at() < Some(confirmed_at);
+            is_newer && cache.apply_response(&response, confirmed_at)
         };
-        Ok(Read {
+        Ok(ReadOutcome {
             changed: has_changed.then_some(()),
-            proved_at,
-            goes_on: false,
+            confirmed_at,
+            has_more: false,
         })
     }
 
-    async fn upstreams_of_platform(&mut self) -> Result<Read<()>, ReadError> {
-        let proved_at = self.gateway.clock.since_boot();
+    async fn upstreams_from_platform(&mut self) -> Result<ReadOutcome<()>, ReadError> {
+        let confirmed_at = self.gateway.clock.since_boot();
         let watch = self.cursor.watch();
         let mut read = self.catalog.upstreams(watch).await;
-        self.time(watch, proved_at);
+        self.record_duration(watch, confirmed_at);
         if matches!(read, Err(CatalogError::HistoryExpired)) {
             self.cursor = Cursor::default();
             read = self.catalog.upstreams(None).await;
         }
-        let read = self.take(read)?;
-        let held = &self.gateway.catalog_cache;
-        let mut goes_on = false;
+        let read = self.record_read(read)?;
+        let cache = &self.gateway.catalog_cache;
+        let mut has_more = false;
         let has_changed = match read {
-            UpstreamsRead::Snapshot(listed) => held.put_upstreams(&listed, proved_at),
+            UpstreamsRead::Snapshot(listed) => cache.replace_upstreams(&listed, confirmed_at),
             UpstreamsRead::Delta(changes) if changes.is_empty() => {
-                held.renew_upstreams(proved_at);
+                cache.confirm_upstreams(confirmed_at);
                 false
             }
-            // Only an answer without a change shows that there are no more.
+            // Only a response without a change shows that there are no more changes.
             UpstreamsRead::Delta(changes) => {
-                goes_on = true;
-                held.change_upstreams(changes)
+                has_more = true;
+                cache.apply_changes(changes)
             }
         };
-        self.cursor.set_hurried(goes_on);
-        Ok(Read {
+        self.cursor.set_immediate(has_more);
+        Ok(ReadOutcome {
             changed: has_changed.then_some(()),
-            proved_at,
-            goes_on,
+            confirmed_at,
+            has_more,
         })
     }
 
-    /// Reads the hosts. Returns them if they are others than are held.
+    /// Reads the hosts. Returns them if they differ from the cached ones.
     pub(crate) async fn hosts(
         &mut self,
-        source: Source,
+        source: ReadSource,
     ) -> Result<Option<Vec<ListedHost>>, ReadError> {
         let known = self.gateway.catalog_cache.hosts_version();
-        let asked = self.ask_others(source, List::Hosts, known).await?;
-        let held = &self.gateway.catalog_cache;
-        let Some((answer, proved_at)) = asked else {
-            let asked_at = self.gateway.clock.since_boot();
+        let fetched = self
+            .request_from_peers(source, ListKind::Hosts, known)
+            .await?;
+        let cache = &self.gateway.catalog_cache;
+        let Some((response, confirmed_at)) = fetched else {
+            let requested_at = self.gateway.clock.since_boot();
             let hosts = self.catalog.hosts().await?;
-            held.put_hosts(&hosts, asked_at);
-            return Ok((held.hosts_version() != known).then_some(hosts));
+            cache.set_hosts(&hosts, requested_at);
+            return Ok((cache.hosts_version() != known).then_some(hosts));
         };
-        if answer.version == known {
-            held.renew_hosts(proved_at);
+        if response.version == known {
+            cache.confirm_hosts(confirmed_at);
             return Ok(None);
         }
-        let hosts = answer.hosts.iter().filter_map(HostEntry::listed);
+        let hosts = response.hosts.iter().filter_map(HostEntry::decode);
         let hosts: Vec<ListedHost> = hosts.collect();
-        held.put_hosts(&hosts, proved_at);
+        cache.set_hosts(&hosts, confirmed_at);
         Ok(Some(hosts))
     }
 
-    /// Takes in how long the platform took.
-    fn time(&mut self, watch: Option<Watch>, asked_at: Duration) {
-        let took = self.gateway.clock.since_boot().saturating_sub(asked_at);
+    /// Records the duration of a call to the platform.
+    fn record_duration(&mut self, watch: Option<Watch>, requested_at: Duration) {
+        let took = self.gateway.clock.since_boot().saturating_sub(requested_at);
         let wait = watch.map_or(Duration::ZERO, |watch| watch.wait);
-        self.cursor.on_answered(wait, took);
+        self.cursor.record_duration(wait, took);
     }
 
-    /// Takes in where the next read goes on, and whether this host itself reaches the platform.
-    fn take<T>(&mut self, read: Result<CatalogRead<T>, CatalogError>) -> Result<T, CatalogError> {
+    /// Records where the next read resumes, and whether this host itself reaches the platform.
+    fn record_read<T>(
+        &mut self,
+        read: Result<CatalogRead<T>, CatalogError>,
+    ) -> Result<T, CatalogError> {
         let own = &self.gateway.conf.host;
         match read {
             Ok(read) => {
                 let now = self.gateway.clock.now();
-                self.gateway.reader_selector.on_reached(own, now);
-                self.cursor.go_on(read.as_of);
+                self.gateway.reader_selector.on_platform_reached(own, now);
+                self.cursor.resume_after(read.as_of);
                 Ok(read.value)
             }
             Err(err) => {
-                self.on_unfit(own, Unfit::Stale);
-                self.cursor.set_hurried(true);
+                self.mark_unavailable(own, Unavailable::Stale);
+                self.cursor.set_immediate(true);
                 if matches!(err, CatalogError::Malformed(_)) {
-                    // The same changes would be as hard to read the next time.
+                    // Reading the same changes again would fail in the same way.
                     self.cursor = Cursor::default();
                 }
                 Err(err)
@@ -264,80 +286,92 @@
         }
     }
 
-    fn on_unfit(&self, host: &HostId, why: Unfit) {
+    fn mark_unavailable(&self, host: &HostId, why: Unavailable) {
         let now = self.gateway.clock.now();
-        self.gateway.reader_selector.on_unfit(host, why, now);
+        self.gateway
+            .reader_selector
+            .mark_unavailable(host, why, now);
     }
 
-    /// What another host has of a list; none if the platform is to be asked.
-    async fn ask_others(
+    /// Requests a list from other hosts; none if the platform is to be called.
+    async fn request_from_peers(
         &mut self,
-        source: Source,
-        list: List,
+        source: ReadSource,
+        list: ListKind,
         known_version: u64,
-    ) -> Result<Option<(Answer, Duration)>, ReadError> {
-        if source == Source::Platform {
+    ) -> Result<Option<(ReadResponse, Duration)>, ReadError> {
+        if source == ReadSource::Platform {
             return Ok(None);
         }
-        match self.ask_readers(list, known_version).await {
-            Asked::Fresh(answer, proved_at) => {
-                // What this host's own reads would go on with is older than this.
+        match self.request_from_readers(list, known_version).await {
+            PeerResult::Fresh(response, confirmed_at) => {
+                // This host's own reads would resume before this version.
                 self.cursor = Cursor::default();
-                Ok(Some((answer, proved_at)))
+                Ok(Some((response, confirmed_at)))
             }
-            Asked::Stale => Err(ReadError::OthersStale),
-            Asked::Nobody if source == Source::Others => Err(ReadError::OthersStale),
-            Asked::Nobody => Ok(None),
+            PeerResult::Stale => Err(ReadError::PeersStale),
+            PeerResult::NoResponse if source == ReadSource::Peers => Err(ReadError::PeersStale),
+            PeerResult::NoResponse => Ok(None),
         }
     }
 
-    /// Asks the host that reads for this failure domain, and the next one if it has no fresh answer.
-    async fn ask_readers(&mut self, list: List, known_version: u64) -> Asked {
-        // A host with nothing yet asks only those that it has heard: a dead one costs it time in which it
-        // can't serve.
-        let trusts_list = known_version != 0;
-        let mut asked = Asked::Nobody;
+    /// Requests a list from the host that reads for this failure domain, and from the next one if
+    /// it has no fresh list.
+    async fn request_from_readers(&mut self, list: ListKind, known_version: u64) -> PeerResult {
+        // A host without a list asks only hosts that it has received messages from: waiting for a
+        // dead one would delay the moment from which this host can serve.
+        let includes_unheard = known_version != 0;
+        let mut result = PeerResult::NoResponse;
         for _ in 0..READERS_TRIED_MAX {
             let Some(reader) = self
                 .gateway
                 .reader_selector
-                .choose(&self.gateway, trusts_list)
+                .choose(&self.gateway, includes_unheard)
             else {
-                // The others have nothing fresh, so it is this host's turn.
-                return Asked::Nobody;
+                // The other hosts have no fresh list, so this host reads the platform.
+                return PeerResult::NoResponse;
             };
-            asked = self.ask(reader.exchange_addr, list, known_version).await;
-            match asked {
-                Asked::Fresh(..) => return asked,
-                // One that has no list of hosts may be of a former version, and have fresh lists of the
-                // rest.
-                Asked::Stale if list == List::Hosts => {}
-                Asked::Stale => self.on_unfit(&reader.host, Unfit::Stale),
-                Asked::Nobody => self.on_unfit(&reader.host, Unfit::Silent),
+            result = self
+                .request(reader.exchange_addr, list, known_version)
+                .await;
+            match result {
+                PeerResult::Fresh(..) => return result,
+                // A host without a list of hosts may run the previous version and have fresh
+                // manifests and upstreams.
+                PeerResult::Stale if list == ListKind::Hosts => {}
+                PeerResult::Stale => self.mark_unavailable(&reader.host, Unavailable::Stale),
+                PeerResult::NoResponse => {
+                    self.mark_unavailable(&reader.host, Unavailable::NoResponse)
+                }
             }
         }
-        asked
+        result
     }
 
-    async fn ask(&mut self, addr: SocketAddr, list: List, known_version: u64) -> Asked {
-        let asked_at = self.gateway.clock.since_boot();
-        let ask = Ask {
+    async fn request(
+        &mut self,
+        addr: SocketAddr,
+        list: ListKind,
+        known_version: u64,
+    ) -> PeerResult {
+        let requested_at = self.gateway.clock.since_boot();
+        let request = ReadRequest {
             list: list.into(),
             known_version,
-            takes_parts: true,
+            accepts_deltas: true,
         };
-        let Some(answer) = self.client.ask(addr, &ask).await else {
-            return Asked::Nobody;
+        let Some(response) = self.client.request(addr, &request).await else {
+            return PeerResult::NoResponse;
         };
-        let age = Duration::from_millis(answer.age_ms);
+        let age = Duration::from_millis(response.age_ms);
         let age_max = match list {
-            List::Routes | List::Upstreams => ANSWER_AGE_MAX,
-            List::Hosts => HOSTS_AGE_MAX,
+            ListKind::Routes | ListKind::Upstreams => RESPONSE_AGE_MAX,
+            ListKind::Hosts => HOSTS_AGE_MAX,
         };
-        if answer.version == 0 || age > age_max {
-            return Asked::Stale;
+        if response.version == 0 || age > age_max {
+            return PeerResult::Stale;
         }
-        // The age was taken after the question was asked here, so this errs to the safe side.
-        Asked::Fresh(answer, asked_at.saturating_sub(age))
+        // The peer computed the age after `requested_at`, so this time is never too late.
+        PeerResult::Fresh(response, requested_at.saturating_sub(age))
     }
 }
--- a/src/gateway/catalog_sharing/server.rs
+++ b/src/gateway/catalog_sharing/server.rs
@@ -1,4 +1,4 @@
-//! Answers the hosts that ask.
+//! The server side: responds to hosts that request lists.
 
 use std::io;
 use std::sync::Arc;
@@ -16,78 +16,83 @@
 use tokio_util::codec::Framed;
 
 use crate::gateway::Gateway;
-use crate::gateway::catalog_sharing::message::Answer;
-use crate::gateway::catalog_sharing::message::Ask;
-use crate::gateway::catalog_sharing::message::Link;
 use crate::gateway::catalog_sharing::message::MESSAGE_SIZE_MAX;
+use crate::gateway::catalog_sharing::message::PeerConnection;
+use crate::gateway::catalog_sharing::message::ReadRequest;
+use crate::gateway::catalog_sharing::message::ReadResponse;
 use crate::peer::framing;
 
-/// A host that has not asked for this long has left without a word.
+/// A host that has sent no request for this long has left without closing its connection.
 const IDLE_MAX: Duration = Duration::from_secs(30);
-/// The longest frame: a hundred hosts that get one each at a time over 200 Mbit/s wait 65 ms for the next.
-const FRAME_LEN: usize = 16 << 10;
-/// The pause after the system refused a connection.
+/// Largest frame in bytes. If a hundred hosts receive one frame each over 200 Mbit/s, the next one
+/// arrives after 65 ms.
+const FRAME_SIZE_MAX: usize = 16 << 10;
+/// Pause after the system refused to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Answers for as long as the process runs.
+/// Responds to requests for as long as the process runs.
 pub(crate) async fn serve_reads(gateway: Arc<Gateway>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(serve_one(Arc::clone(&gateway), stream));
+                tokio::spawn(serve_connection(Arc::clone(&gateway), stream));
             }
             Err(err) => {
-                warn!("share: cannot accept: {err}");
+                warn!("catalog sharing: cannot accept a connection: {err}");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
     }
 }
 
-async fn serve_one(gateway: Arc<Gateway>, stream: TcpStream) {
+async fn serve_connection(gateway: Arc<Gateway>, stream: TcpStream) {
     let mut framed = Framed::new(stream, framing(MESSAGE_SIZE_MAX));
     while let Ok(Some(Ok(frame))) = timeout(IDLE_MAX, framed.next()).await {
-        let ask = match Ask::decode(frame) {
-            Ok(ask) => ask,
+        let request = match ReadRequest::decode(frame) {
+            Ok(request) => request,
             Err(err) => {
-                warn!("share: a question can't be read: {err}");
+                warn!("catalog sharing: cannot decode a request: {err}");
                 return;
             }
         };
-        let answer = gateway
+        let response = gateway
             .catalog_cache
-            .answer(&ask, gateway.clock.since_boot());
-        let sent = if ask.takes_parts {
-            send_in_frames(&mut framed, &answer).await
+            .respond(&request, gateway.clock.since_boot());
+        let sent = if request.accepts_deltas {
+            send_in_frames(&mut framed, &response).await
         } else {
-            framed.send(Bytes::from(answer.encode_to_vec())).await
+            framed.send(Bytes::from(response.encode_to_vec())).await
         };
         if let Err(err) = sent {
-            debug!("share: a host left before its answer: {err}");
+            debug!("catalog sharing: cannot send a response: {err}");
             return;
         }
     }
 }
 
-/// Sends an answer, a long one in several frames after one that says how many.
+/// Sends a response, a long one in several frames after a first one with their number.
 ///
-/// Failure it guards against: a manifest of half a megabyte goes to all hosts of a failure domain over one
-/// link, which takes longer than a host waits for an answer; each of them reads the platform then, again
-/// and again, and its own link is full of manifests. With frames a host waits as long as the answer goes on.
-async fn send_in_frames(framed: &mut Link, answer: &Answer) -> Result<(), io::Error> {
-    let bytes = Bytes::from(answer.encode_to_vec());
-    if bytes.len() <= FRAME_LEN {
+/// A manifest of half a megabyte that all hosts of a failure domain get over one link takes longer
+/// than a host waits for a response. Sent in one frame, it would make each of them read the
+/// platform again and again, and fill their own links with manifests. With frames, a host waits for
+/// as long as the response makes progress.
+async fn send_in_frames(
+    framed: &mut PeerConnection,
+    response: &ReadResponse,
+) -> Result<(), io::Error> {
+    let bytes = Bytes::from(response.encode_to_vec());
+    if bytes.len() <= FRAME_SIZE_MAX {
         return framed.send(bytes).await;
     }
-    let frames = bytes.chunks(FRAME_LEN).len();
-    let head = Answer {
-        frames: u32::try_from(frames).unwrap_or(u32::MAX),
-        ..Answer::default()
+    let frame_count = bytes.chunks(FRAME_SIZE_MAX).len();
+    let first = ReadResponse {
+        frame_count: u32::try_from(frame_count).unwrap_or(u32::MAX),
+        ..ReadResponse::default()
     };
-    framed.send(Bytes::from(head.encode_to_vec())).await?;
-    for at in (0..bytes.len()).step_by(FRAME_LEN) {
-        let end = bytes.len().min(at + FRAME_LEN);
-        framed.send(bytes.slice(at..end)).await?;
+    framed.send(Bytes::from(first.encode_to_vec())).await?;
+    for start in (0..bytes.len()).step_by(FRAME_SIZE_MAX) {
+        let end = bytes.len().min(start + FRAME_SIZE_MAX);
+        framed.send(bytes.slice(start..end)).await?;
     }
     Ok(())
 }
--- a/src/gateway/catalog_sharing/upstream_list.rs
+++ b/src/gateway/catalog_sharing/upstream_list.rs
@@ -1,4 +1,4 @@
-//! The upstreams as they were read last, and what has changed among them lately.
+//! The upstreams that were read last, and their recent changes.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,119 +11,125 @@
 use crate::gateway::UpstreamChange;
 use crate::units::UpstreamName;
 
-/// Versions whose changes are remembered. Hosts that ask are a few versions behind, also while all
-/// upstreams of a service are replaced one after the other.
+/// Number of versions whose changes are kept. Requesting hosts are a few versions behind, also
+/// while all upstreams of a service are replaced one after the other.
 const VERSIONS_MAX: usize = 256;
-/// Upstreams that have left which are remembered; more than leave within as many versions.
-const GONE_MAX: usize = 1_024;
+/// Number of removed upstreams that are kept; more than are removed within [`VERSIONS_MAX`]
+/// versions.
+const REMOVED_MAX: usize = 1_024;
 
-/// An upstream with the step in which it was listed like this.
+/// An upstream with the update that last changed its entry.
 #[derive(Clone, Debug)]
-struct Known {
+struct Entry {
     listed: ListedUpstream,
     hash: u64,
-    step: u64,
+    update: u64,
 }
 
-/// A list of upstreams that says what has changed since an earlier version of it.
+/// A list of upstreams that can report its changes since an earlier version.
 ///
-/// Load it answers: a fleet of 300 hosts before 3,000 upstreams, of which some change several times a
-/// second. Told whole, each change is 400 KB to each host: hosts that ask the same one wait for seconds,
-/// and an upstream that leaves goes on getting requests meanwhile.
+/// In a fleet of 300 hosts and 3,000 upstreams, some upstreams change several times a second. Sent
+/// in full, each change is 400 KB to each host: hosts that request the list from the same reader
+/// would wait for seconds, and an upstream that is leaving would get requests meanwhile.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UpstreamList {
     version: u64,
-    /// Grows with each change.
-    step: u64,
-    known: IndexMap<UpstreamName, Known>,
-    /// The sum of the hashes of what is known, which makes the version.
-    sum: u64,
-    gone: VecDeque<(u64, UpstreamName)>,
-    /// Earlier versions, each with its step.
+    /// Number of the last update that changed the list.
+    update: u64,
+    entries: IndexMap<UpstreamName, Entry>,
+    /// The sum of the hashes of all entries, from which the version is computed.
+    hash_sum: u64,
+    removed: VecDeque<(u64, UpstreamName)>,
+    /// Recent versions, each with the number of its update.
     versions: VecDeque<(u64, u64)>,
     listed: Arc<Vec<ListedUpstream>>,
 }
 
 impl UpstreamList {
-    /// The same for the same upstreams on every host; 0 before the first read.
+    /// The version, which is the same for the same upstreams on every host; 0 before the first
+    /// read.
     pub(crate) fn version(&self) -> u64 {
         self.version
     }
 
-    /// All of them.
+    /// All upstreams.
     pub(crate) fn listed(&self) -> &Arc<Vec<ListedUpstream>> {
         &self.listed
     }
 
-    /// Takes in a whole list. Returns whether it is another one.
+    /// Replaces the full list. Returns whether it has changed.
     pub(crate) fn replace(&mut self, listed: &[ListedUpstream]) -> bool {
         let names: IndexSet<&UpstreamName> = listed.iter().map(|u| &u.name).collect();
-        let gone = self.known.keys().filter(|name| !names.contains(name));
-        let gone: Vec<UpstreamName> = gone.cloned().collect();
+        let removed = self.entries.keys().filter(|name| !names.contains(name));
+        let removed: Vec<UpstreamName> = removed.cloned().collect();
         let listed = listed.iter().cloned().map(UpstreamChange::Upserted);
-        self.apply(listed.chain(gone.into_iter().map(UpstreamChange::Removed)))
+        self.apply(listed.chain(removed.into_iter().map(UpstreamChange::Removed)))
     }
 
-    /// Takes in what has changed. Returns whether the list is another one.
+    /// Applies changes. Returns whether the list has changed.
     pub(crate) fn apply(&mut self, changes: impl IntoIterator<Item = UpstreamChange>) -> bool {
-        let step = self.step + 1;
+        let update = self.update + 1;
         let mut has_changed = false;
         for change in changes {
             has_changed |= match change {
-                UpstreamChange::Upserted(listed) => self.put(listed, step),
-                UpstreamChange::Removed(name) => self.remove(name, step),
+                UpstreamChange::Upserted(listed) => self.upsert(listed, update),
+                UpstreamChange::Removed(name) => self.remove(name, update),
             };
         }
         if self.version != 0 && !has_changed {
             return false;
         }
-        self.step = step;
-        // 0 stands for none.
-        self.version = self.sum.max(1);
-        self.versions.push_back((self.version, step));
-        shorten(&mut self.versions, VERSIONS_MAX);
-        shorten(&mut self.gone, GONE_MAX);
-        let listed = self.known.values().map(|known| known.listed.clone());
+        self.update = update;
+        // Version 0 means that there is none.
+        self.version = self.hash_sum.max(1);
+        self.versions.push_back((self.version, update));
+        drop_oldest(&mut self.versions, VERSIONS_MAX);
+        drop_oldest(&mut self.removed, REMOVED_MAX);
+        let listed = self.entries.values().map(|entry| entry.listed.clone());
         self.listed = Arc::new(listed.collect());
         true
     }
 
-    /// What has changed since a version; none if that is not remembered.
-    pub(crate) fn since(&self, version: u64) -> Option<Vec<UpstreamChange>> {
-        let known = self.versions.iter().rev().find(|(v, _)| *v == version);
-        let (_, since) = *known?;
-        let forgot_some = self.gone.len() == GONE_MAX && self.gone[0].0 > since;
-        if forgot_some {
+    /// The changes since a version; none if that version is no longer kept.
+    pub(crate) fn changes_since(&self, version: u64) -> Option<Vec<UpstreamChange>> {
+        let position = self.versions.iter().rev().find(|(v, _)| *v == version);
+        let (_, since) = *position?;
+        let is_incomplete = self.removed.len() == REMOVED_MAX && self.removed[0].0 > since;
+        if is_incomplete {
             return None;
         }
-        let gone = self.gone.iter().filter(|(step, _)| *step > since);
-        let gone = gone.map(|(_, name)| UpstreamChange::Removed(name.clone()));
-        let changed = self.known.values().filter(|known| known.step > since);
-        let changed = changed.map(|known| UpstreamChange::Upserted(known.listed.clone()));
-        // One that has left and come back stands in both: it is listed in the end.
-        Some(gone.chain(changed).collect())
+        let removed = self.removed.iter().filter(|(update, _)| *update > since);
+        let removed = removed.map(|(_, name)| UpstreamChange::Removed(name.clone()));
+        let changed = self.entries.values().filter(|entry| entry.update > since);
+        let changed = changed.map(|entry| UpstreamChange::Upserted(entry.listed.clone()));
+        // An upstream that was removed and added again is in both: the later entry lists it.
+        Some(removed.chain(changed).collect())
     }
 
-    fn put(&mut self, listed: ListedUpstream, step: u64) -> bool {
+    fn upsert(&mut self, listed: ListedUpstream, update: u64) -> bool {
         let hash = hash_of(&listed);
-        let before = self.known.get(&listed.name);
+        let before = self.entries.get(&listed.name);
         if before.is_some_and(|before| before.listed == listed) {
             return false;
         }
         let hash_before = before.map_or(0, |before| before.hash);
-        self.sum = self.sum.wrapping_sub(hash_before).wrapping_add(hash);
+        self.hash_sum = self.hash_sum.wrapping_sub(hash_before).wrapping_add(hash);
         let name = listed.name.clone();
-        let known = Known { listed, hash, step };
-        self.known.insert(name, known);
+        let entry = Entry {
+            listed,
+            hash,
+            update,
+        };
+        self.entries.insert(name, entry);
         true
     }
 
-    fn remove(&mut self, name: UpstreamName, step: u64) -> bool {
-        let Some(before) = self.known.swap_remove(&name) else {
+    fn remove(&mut self, name: UpstreamName, update: u64) -> bool {
+        let Some(before) = self.entries.swap_remove(&name) else {
             return false;
         };
-        self.sum = self.sum.wrapping_sub(before.hash);
-        self.gone.push_back((step, name));
+        self.hash_sum = self.hash_sum.wrapping_sub(before.hash);
+        self.removed.push_back((update, name));
         true
     }
 }
@@ -142,8 +148,8 @@
     xxh3_64(text.as_bytes())
 }
 
-/// Forgets the first entries beyond `len_max`.
-fn shorten<T>(entries: &mut VecDeque<T>, len_max: usize) {
+/// Drops the oldest entries beyond `len_max`.
+fn drop_oldest<T>(entries: &mut VecDeque<T>, len_max: usize) {
     let surplus = entries.len().saturating_sub(len_max);
     entries.drain(..surplus);
 }
--- a/src/gateway/dependency.rs
+++ b/src/gateway/dependency.rs
@@ -1,4 +1,4 @@
-//! A dependency of this host: when it is asked again, and when its loss and its return are told.
+//! A dependency of this host: when to call it again, and the log events of its loss and recovery.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,29 +11,30 @@
 use crate::gateway::Event;
 use crate::gateway::Gateway;
 use crate::gateway::catalog_sharing::ReadError;
-use crate::gateway::catalog_sharing::Source;
+use crate::gateway::catalog_sharing::ReadSource;
 use crate::units::whole_millis;
 
-/// After a failed call, for each host that tries together with this one; shorter than the interval of
-/// answered ones, since what is known grows old.
-pub(super) const FAILED_INTERVAL: Duration = Duration::from_millis(250);
-/// The longest interval of a host that tries alone; keys are served for 4.5 s after the last answered call.
-const FAILED_INTERVAL_MAX: Duration = Duration::from_secs(1);
-/// Before this host asks the platform itself where other hosts had nothing fresh, for each host of the
-/// fleet: one of them may be about to read. With 80 hosts at most 0.4 s, while keys are served for
-/// three seconds more.
-const TURN_SPREAD: Duration = Duration::from_millis(5);
+/// Interval after a failed call, for each host that shares the retries with this one. It is shorter
+/// than the interval after successful calls, since the lists get older.
+pub(super) const RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// The longest retry interval of a host that retries alone; keys are served for 4.5 s after the
+/// last successful call.
+const RETRY_INTERVAL_MAX: Duration = Duration::from_secs(1);
+/// Time per host of the fleet over which hosts spread their calls to the platform when no other
+/// host had a fresh list: one of them may be about to read. With 80 hosts this is at most 0.4 s,
+/// while keys are served for three seconds more.
+const SPREAD_PER_HOST: Duration = Duration::from_millis(5);
 
-/// One dependency's state.
+/// The state of one dependency.
 pub(super) struct Dependency {
     gateway: Arc<Gateway>,
     name: &'static str,
     lost_at: Option<Instant>,
-    /// Failed calls since the last answered one.
+    /// Failed calls since the last successful one.
     failures: u32,
-    /// When the platform itself may be asked again; none while reads are answered.
+    /// When the platform itself may be called again; none while reads succeed.
     platform_due_at: Option<Instant>,
-    /// When a call to the platform failed last.
+    /// When a call to the platform last failed.
     failed_at: Option<Instant>,
 }
 
@@ -49,80 +50,85 @@
         }
     }
 
-    /// How long to wait before the next call to the platform, where answered ones are this far apart.
+    /// How long to wait before the next call to the platform. `answered` is the interval after a
+    /// successful call.
     ///
-    /// Failure it guards against: the platform turns all hosts of a fleet away for some seconds, and each
-    /// asks four times a second. All hosts of a failure domain that have nothing fresh ask as often
-    /// together as one would alone; the first that gets an answer tells the others.
+    /// If the platform rejects all hosts of a fleet for some seconds, independent hosts would each
+    /// call it four times a second. Instead, all hosts of a failure domain that have no fresh lists
+    /// together call as often as one would alone; the first one that gets a response reports it to
+    /// the others.
     pub(super) fn interval(&self, answered: Duration) -> Duration {
         let Some(doublings) = self.failures.checked_sub(1) else {
             return answered;
         };
-        let alone = FAILED_INTERVAL
+        let alone = RETRY_INTERVAL
             .saturating_mul(1 << doublings.min(8))
-            .min(FAILED_INTERVAL_MAX);
-        let together =
-            FAILED_INTERVAL.saturating_mul(self.gateway.reader_selector.trying(&self.gateway));
-        // Hosts that lost the platform together must not ask it together.
+            .min(RETRY_INTERVAL_MAX);
+        let together = RETRY_INTERVAL
+            .saturating_mul(self.gateway.reader_selector.retrying_hosts(&self.gateway));
+        // Hosts that lost the platform at the same time must not call it at the same time.
         if together <= alone {
             alone.mul_f64(rand::random_range(0.75..1.25))
         } else {
             together
                 .mul_f64(rand::random_range(0.0..2.0))
-                .max(FAILED_INTERVAL)
+                .max(RETRY_INTERVAL)
         }
     }
 
-    /// Waits until the next read, which is due at `due_at` if this one was answered, and says whom it asks.
-    pub(super) async fn next_read(&self, due_at: Instant, news: &Notify) -> Source {
+    /// Waits until the next read, which is due at `due_at` if the last one succeeded, and returns
+    /// its source.
+    pub(super) async fn next_read(&self, due_at: Instant, wakeup: &Notify) -> ReadSource {
         let Some(due_at) = self.platform_due_at else {
             tokio::select! {
                 () = sleep_until(due_at.into()) => {}
-                () = news.notified() => {}
+                () = wakeup.notified() => {}
             }
-            return Source::Any;
+            return ReadSource::Any;
         };
         tokio::select! {
-            () = sleep_until(due_at.into()) => Source::Platform,
-            () = news.notified() => self.source_after_news(),
+            () = sleep_until(due_at.into()) => ReadSource::Platform,
+            () = wakeup.notified() => self.source_after_wakeup(),
         }
     }
 
-    /// Either another read of this host was answered, or another host has something fresh.
-    fn source_after_news(&self) -> Source {
-        if self.gateway.reader_selector.reached_at() > self.failed_at {
-            Source::Platform
+    /// The source of a read that was woken early: either another read of this host has succeeded,
+    /// or another host has fresh lists.
+    fn source_after_wakeup(&self) -> ReadSource {
+        if self.gateway.reader_selector.platform_reached_at() > self.failed_at {
+            ReadSource::Platform
         } else {
-            Source::Others
+            ReadSource::Peers
         }
     }
 
-    /// Takes in what came of a read that was asked for at `asked_at`.
-    pub(super) fn on_read<T>(&mut self, asked_at: Instant, read: &Result<T, ReadError>) {
+    /// Records the result of a read that was requested at `requested_at`.
+    pub(super) fn on_read<T>(&mut self, requested_at: Instant, read: &Result<T, ReadError>) {
         match read {
-            Ok(_) => self.on_answered(asked_at),
-            Err(ReadError::Catalog(err)) => self.on_failed(asked_at, err),
-            Err(ReadError::OthersStale) => {
+            Ok(_) => self.on_success(requested_at),
+            Err(ReadError::Catalog(err)) => self.on_failure(requested_at, err),
+            Err(ReadError::PeersStale) => {
                 let now = self.gateway.clock.now();
                 let hosts = self.gateway.platform_view.hosts().len();
-                let spread = TURN_SPREAD.saturating_mul(u32::try_from(hosts).unwrap_or(u32::MAX));
+                let spread =
+                    SPREAD_PER_HOST.saturating_mul(u32::try_from(hosts).unwrap_or(u32::MAX));
                 let due_at = now + spread.mul_f64(rand::random());
                 self.platform_due_at.get_or_insert(due_at);
             }
         }
     }
 
-    /// Takes in what came of a call to the platform.
-    pub(super) fn on_call<T>(&mut self, asked_at: Instant, called: &Result<T, CatalogError>) {
+    /// Records the result of a call to the platform.
+    pub(super) fn on_call<T>(&mut self, requested_at: Instant, called: &Result<T, CatalogError>) {
         match called {
-            Ok(_) => self.on_answered(asked_at),
-            Err(err) => self.on_failed(asked_at, err),
+            Ok(_) => self.on_success(requested_at),
+            Err(err) => self.on_failure(requested_at, err),
         }
     }
 
-    fn on_answered(&mut self, asked_at: Instant) {
+    fn on_success(&mut self, requested_at: Instant) {
         let now = self.gateway.clock.now();
-        let took = now.saturating_duration_since(asked_at);
+        let took = now.saturating_duration_since(requested_at);
         self.gateway.meters.catalog_call(self.name, took);
         self.failures = 0;
         self.platform_due_at = None;
@@ -131,24 +137,24 @@
                 dependency: self.name.into(),
                 away_ms: whole_millis(now.saturating_duration_since(lost_at)),
             });
-            self.on_regained();
+            self.on_recovery();
         }
     }
 
-    /// Lets the other reads of this host try at once, and the other hosts know.
-    fn on_regained(&self) {
+    /// Wakes the other reads of this host, and broadcasts the recovery to the other hosts.
+    fn on_recovery(&self) {
         self.gateway.routes_news.notify_one();
         self.gateway.upstreams_news.notify_one();
         self.gateway.load_urgent.notify_one();
     }
 
-    fn on_failed(&mut self, asked_at: Instant, err: &CatalogError) {
+    fn on_failure(&mut self, requested_at: Instant, err: &CatalogError) {
         let now = self.gateway.clock.now();
-        let took = now.saturating_duration_since(asked_at);
+        let took = now.saturating_duration_since(requested_at);
         self.gateway.meters.catalog_call(self.name, took);
         self.failures += 1;
         self.failed_at = Some(now);
-        self.platform_due_at = Some(now + self.interval(FAILED_INTERVAL));
+        self.platform_due_at = Some(now + self.interval(RETRY_INTERVAL));
         if self.lost_at.is_none() {
             self.lost_at = Some(now);
             self.gateway.log.note(Event::DependencyLost {
--- a/src/gateway/engine_client.rs
+++ b/src/gateway/engine_client.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, as an interface.
+//! The interface through which a gateway sends orders and report requests to engines.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,9 +12,9 @@
 /// Why an engine did not carry out an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineClientError {
-    /// It can't: the memory is not free, or it knows no such order.
+    /// The engine refused the order: the memory is not free, or the engine does not know the order.
     Refused(String),
-    /// No answer came; it may have been carried out, or may still be.
+    /// No response arrived; the order may have been carried out, or may still be.
     NoAnswer(String),
 }
 
@@ -29,17 +29,17 @@
 
 impl std::error::Error for EngineClientError {}
 
-/// What an engine says of itself, some hundred ms late.
+/// An engine's report on itself, some hundred ms old.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineReport {
-    /// How much slower than its model it works.
+    /// How much slower the engine works than its model predicts.
     pub slowdown: Slowdown,
 }
 
-/// Orders about engines' memory, and questions to engines.
+/// Sends orders for engines' memory, and requests for reports.
 pub trait EngineClient: Send + Sync {
-    /// Sets memory aside under a name for `hold` from the order's arrival on, or renews it. The
-    /// memory is free at once or the order is refused.
+    /// Reserves memory under a name for `hold`, counted from the arrival of the order, or renews
+    /// the reservation. The memory is free immediately or the order is refused.
     fn reserve<'a>(
         &'a self,
         engine: SocketAddr,
@@ -48,10 +48,10 @@
         hold: Duration,
     ) -> BoxFuture<'a, Result<(), EngineClientError>>;
 
-    /// Asks an engine how it does.
+    /// Requests a report from an engine.
     fn report(&self, engine: SocketAddr) -> BoxFuture<'_, Result<EngineReport, EngineClientError>>;
 
-    /// Gives it back.
+    /// Releases the reservation with this name.
     fn release<'a>(
         &'a self,
         engine: SocketAddr,
--- a/src/gateway/engine_reports.rs
+++ b/src/gateway/engine_reports.rs
@@ -1,9 +1,9 @@
-//! Asks engines how they do.
+//! Polls engines for reports on their speed.
 //!
-//! Load it answers: a fifth of the engines works at a third of its speed for some seconds. They go on
-//! getting as much as the others, every answer there pauses for too long, and prompts that several engines
-//! read wait for the slowest of them. One host of each failure domain asks its engines and tells the
-//! others, so a choice reckons with what each engine can do.
+//! If a fifth of the engines works at a third of its speed for some seconds and goes on getting as
+//! much work as the others, every answer there pauses for too long, and prompts that several
+//! engines read wait for the slowest of them. So one host of each failure domain polls its engines
+//! and broadcasts the result, and placement takes the actual speed of each engine into account.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,43 +18,43 @@
 use crate::gateway::Gateway;
 use crate::gateway::ListedUpstream;
 
-/// Between two questions to an engine that has work. Its answer is up to 200 ms old, so all hosts reckon
-/// with a slow engine after a second and a half at most; asked twice as often, engines would cost more
-/// connections than requests do at night.
-const INTERVAL: Duration = Duration::from_millis(1_200);
-/// The shortest time between two questions of one host; each costs it a connection, a tenth of a
-/// millisecond. In domains of more engines than this allows each is asked less often.
-const SPACING_MIN: Duration = Duration::from_millis(5);
+/// Interval between two polls of an engine that has work. A report is up to 200 ms old, so all
+/// hosts know of a slow engine after a second and a half at most. Polling twice as often would cost
+/// engines more connections than requests do at night.
+const POLL_INTERVAL: Duration = Duration::from_millis(1_200);
+/// Shortest time between two polls of one host; each costs it a connection, a tenth of a
+/// millisecond. In domains with more engines than this allows, each engine is polled less often.
+const POLL_SPACING_MIN: Duration = Duration::from_millis(5);
 
-/// Asks the engines of this failure domain for as long as the process runs, while this host is the one
-/// that does.
+/// Polls the engines of this failure domain for as long as the process runs, while this host is the
+/// one that is to poll.
 pub(crate) async fn poll_engine_reports(gateway: Arc<Gateway>) {
     loop {
-        let begun_at = gateway.clock.now();
-        if is_asking_host(&gateway) {
+        let started_at = gateway.clock.now();
+        if is_polling_host(&gateway) {
             let engines = busy_engines(&gateway);
             let count = u32::try_from(engines.len()).unwrap_or(u32::MAX).max(1);
-            let spacing = (INTERVAL / count).max(SPACING_MIN);
+            let spacing = (POLL_INTERVAL / count).max(POLL_SPACING_MIN);
             for engine in engines {
-                tokio::spawn(ask(Arc::clone(&gateway), engine));
+                tokio::spawn(poll_engine(Arc::clone(&gateway), engine));
                 sleep(spacing).await;
             }
         }
-        sleep_until((begun_at + INTERVAL).into()).await;
+        sleep_until((started_at + POLL_INTERVAL).into()).await;
     }
 }
 
-/// Whether this host is the one of its domain that asks: the strongest of those that live.
-fn is_asking_host(gateway: &Gateway) -> bool {
+/// Whether this host is the one of its domain that polls: the strongest of those that are alive.
+fn is_polling_host(gateway: &Gateway) -> bool {
     let now = gateway.clock.now();
     let hosts = gateway.platform_view.hosts();
     let ledger = gateway.ledger();
     let own = &gateway.conf.host;
-    let lives = |listed: &&ListedHost| {
+    let is_alive = |listed: &&ListedHost| {
         listed.domain == gateway.conf.domain
             && (listed.host == *own || ledger.is_heard(&listed.host, now))
     };
-    strongest(hosts.iter().filter(lives)).is_some_and(|asking| asking.host == *own)
+    strongest(hosts.iter().filter(is_alive)).is_some_and(|polling| polling.host == *own)
 }
 
 /// The engines of this failure domain that have work, as far as this host knows.
@@ -66,22 +66,22 @@
         return Vec::new();
     };
     let services = routes.services.values();
-    let of_engines = services.filter(|service| service.engine.is_some());
-    let listed = of_engines.filter_map(|service| by_service.get(&service.name));
-    let near = |listed: &&ListedUpstream| listed.domain == gateway.conf.domain;
+    let engine_services = services.filter(|service| service.engine.is_some());
+    let listed = engine_services.filter_map(|service| by_service.get(&service.name));
+    let is_in_domain = |listed: &&ListedUpstream| listed.domain == gateway.conf.domain;
     let now = gateway.clock.now();
     let ledger = gateway.ledger();
     let is_busy = |listed: &&ListedUpstream| ledger.load(&listed.id, now).has_work();
-    let busy = listed.flatten().filter(near).filter(is_busy);
+    let busy = listed.flatten().filter(is_in_domain).filter(is_busy);
     busy.cloned().collect()
 }
 
-async fn ask(gateway: Arc<Gateway>, engine: ListedUpstream) {
+async fn poll_engine(gateway: Arc<Gateway>, engine: ListedUpstream) {
     let report = match gateway.orders.report(engine.addr).await {
         Ok(report) => report,
         Err(err) => {
-            // Whether it can be reached is found out where requests are sent.
-            debug!("reports: {}: {err}", engine.id);
+            // Whether the engine can be reached is found out by the sends of requests.
+            debug!("engine reports: no report of {}: {err}", engine.id);
             return;
         }
     };
--- a/src/gateway/engine_survey_record.rs
+++ b/src/gateway/engine_survey_record.rs
@@ -1,4 +1,4 @@
-//! What a choice of engines was made from, as the decision log tells it.
+//! The input of a choice of engines, as recorded in the decision log.
 
 use std::fmt;
 
@@ -9,45 +9,45 @@
 use crate::decide::engines::Survey;
 use crate::units::whole_millis;
 
-/// Engines of a service as one host saw them, counted by what they could do for one request.
+/// Engines of a service as one host knew them, counted by what they could do for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct EngineSurveyRecord {
-    /// Those that may get work.
+    /// Engines that may get work.
     pub engines: usize,
-    /// Those kept for short prompts.
+    /// Engines that are reserved for short prompts.
     pub short_side: usize,
-    /// Those with a place for one more answer.
+    /// Engines with a free slot for one more answer.
     pub with_place: usize,
-    /// Those that may be named as a helper of one more prompt.
+    /// Engines that may be a helper of one more prompt.
     #[serde(default)]
     pub can_help: usize,
-    /// Those with memory for one share of the prompt.
+    /// Engines with memory for one share of the prompt.
     pub with_memory: usize,
-    /// Those that can read a smallest part without stretching a pause too far.
+    /// Engines that can read a smallest part without stretching a pause too far.
     pub with_room: usize,
-    /// Those with room that have nothing left to read.
+    /// Engines with room that have nothing left to read.
     pub idle: usize,
-    /// The best group that could be formed; none if there is none.
+    /// The best group that could be formed; none if none could.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub best: Option<EngineGroupRecord>,
 }
 
-/// Engines that could read a prompt together.
+/// A group of engines that could read a prompt together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct EngineGroupRecord {
-    /// How many.
+    /// Number of engines of the group.
     pub engines: usize,
-    /// When the first event was expected, in ms from then.
+    /// Expected time until the first event, in ms.
     pub forecast_ms: u64,
     /// Engine time of one part, in ms.
     pub part_ms: u64,
-    /// What was left to read at the busiest of them, in ms.
+    /// Time to read the backlog of the busiest engine of the group, in ms.
     pub backlog_ms: u64,
-    /// Answers whose pauses would have been stretched too far.
+    /// Number of answers whose pauses would have been stretched too far.
     pub stretched: u32,
-    /// Whether another prompt would have come late by it.
+    /// Whether the group would have made another prompt late.
     pub makes_late: bool,
 }
 
--- a/src/gateway/freshness.rs
+++ b/src/gateway/freshness.rs
@@ -1,33 +1,36 @@
-//! How old this host's knowledge of the manifest may be.
+//! The lease on this host's knowledge of the manifest.
 //!
-//! A key that was taken back must not work anywhere after a while, on a host that can't reach the
-//! platform either. So each host holds a lease on its knowledge: it runs from the moment at which
-//! the last successful read of the manifest was asked for, and when it has run out requests with
-//! keys are refused as not run. It counts time that the machine spent suspended.
+//! A revoked key must stop working everywhere after a bounded time, also on a host that can't reach
+//! the platform. So each host holds a lease on its knowledge of the manifest. The lease runs from
+//! the moment at which the last successful read of the manifest was requested, and after it has
+//! expired requests with keys are refused as not run. The lease also counts time for which the
+//! machine was suspended.
 
 use std::time::Duration;
 
-/// The part of the lease that is used, for timers that fire late and for clocks that drift.
-const LEASE_PART: f64 = 0.9;
-/// Knowledge older than this is not enough to tell a caller that there is no such route or key: a
-/// newer manifest may have it. Three reads may fail in a row before this counts.
+/// The fraction of the lease that is used, to allow for timers that fire late and clocks that
+/// drift.
+const LEASE_FRACTION: f64 = 0.9;
+/// Largest age of the manifest with which a caller may be told that a route or key does not exist,
+/// since a newer manifest may contain it. Three consecutive reads may fail before this age is
+/// reached.
 const REJECT_AGE_MAX: Duration = Duration::from_millis(2_500);
 
-/// When the manifest in force was last proved to be the newest one.
+/// When the manifest in force was last confirmed to be the newest one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Freshness {
-    proved_at: Option<Duration>,
+    confirmed_at: Option<Duration>,
 }
 
 impl Freshness {
-    /// Takes in that a read asked for at `asked_at`, time since boot, was answered.
-    pub fn prove(&mut self, asked_at: Duration) {
-        self.proved_at = self.proved_at.max(Some(asked_at));
+    /// Records that a read requested at `requested_at`, time since boot, succeeded.
+    pub fn confirm(&mut self, requested_at: Duration) {
+        self.confirmed_at = self.confirmed_at.max(Some(requested_at));
     }
 
-    /// How old the knowledge is; none before the first read.
+    /// The age of the last confirmation; none before the first read.
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        Some(now.saturating_sub(self.proved_at?))
+        Some(now.saturating_sub(self.confirmed_at?))
     }
 
     /// Whether requests with keys may be sent.
@@ -35,7 +38,7 @@
         match (lease, self.age(now)) {
             (_, None) => false,
             (None, Some(_)) => true,
-            (Some(lease), Some(age)) => age < lease.mul_f64(LEASE_PART),
+            (Some(lease), Some(age)) => age < lease.mul_f64(LEASE_FRACTION),
         }
     }
 
--- a/src/gateway/leaving_upstreams.rs
+++ b/src/gateway/leaving_upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams that have said that they leave.
+//! Upstreams that have announced that they are leaving.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,25 +8,27 @@
 use crate::gateway::ListedUpstream;
 use crate::units::UpstreamId;
 
-/// How long it is remembered. Longer than a store that has come back from an older copy lists them as staying.
-const REMEMBERED_FOR: Duration = Duration::from_secs(60);
+/// How long an announcement is kept. Longer than a store that was restored from an older copy lists
+/// these upstreams as not leaving.
+const RETENTION: Duration = Duration::from_secs(60);
 
-/// UpstreamIncarnations of upstreams that have said that they leave, and when they were listed so last.
+/// Incarnations of upstreams that have announced that they are leaving, and when they were last
+/// listed so.
 ///
-/// Failure it guards against: the store comes back from a copy that was made before an upstream said so, and hosts
-/// send to it again.
+/// Without this record, hosts would send to an upstream again if the store is restored from a copy
+/// that was made before its announcement.
 #[derive(Debug, Default)]
-pub(crate) struct Departed(IndexMap<UpstreamId, Instant>);
+pub(crate) struct LeavingUpstreams(IndexMap<UpstreamId, Instant>);
 
-impl Departed {
-    /// Takes in a list. Returns it with those that leave marked that said so before.
+impl LeavingUpstreams {
+    /// Returns the list with all upstreams marked that have announced that they are leaving.
     pub(crate) fn mark(
         &mut self,
         mut listed: Vec<ListedUpstream>,
         now: Instant,
     ) -> Vec<ListedUpstream> {
         self.0
-            .retain(|_, at| now.saturating_duration_since(*at) < REMEMBERED_FOR);
+            .retain(|_, at| now.saturating_duration_since(*at) < RETENTION);
         for upstream in &mut listed {
             if upstream.is_leaving {
                 self.0.insert(upstream.id.clone(), now);
--- a/src/gateway/limit_states.rs
+++ b/src/gateway/limit_states.rs
@@ -1,4 +1,4 @@
-//! What the limits of upstreams mean for one choice.
+//! The rate limits of the upstreams as they apply to one choice.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,18 +13,18 @@
 use crate::units::UpstreamId;
 
 #[derive(Clone, Copy, Debug)]
-struct Limited {
+struct LimitedUpstream {
     view: RateLimitView,
-    /// Time until it may get one more request, by this host's choice; zero if it may now.
+    /// Time until this host admits one more request to the upstream; zero if it admits one now.
     opens_in: Duration,
 }
 
-/// The upstreams of one choice that have named a limit; mostly none.
+/// The upstreams of one choice that advertise a rate limit; usually none.
 #[derive(Debug, Default)]
-pub(crate) struct LimitStates(IndexMap<UpstreamId, Limited>);
+pub(crate) struct LimitStates(IndexMap<UpstreamId, LimitedUpstream>);
 
 impl LimitStates {
-    /// The limits of these upstreams now.
+    /// The limits of these upstreams at `now`.
     pub(crate) fn of(gateway: &Gateway, upstreams: &[&ListedUpstream], now: Instant) -> Self {
         if !gateway.rate_limits.is_any_limited(upstreams) {
             return Self::default();
@@ -35,7 +35,7 @@
         let limited = upstreams.iter().filter_map(|upstream| {
             let view = book.view(&upstream.id, now)?;
             let opens_in = view.opens_in();
-            Some((upstream.id.clone(), Limited { view, opens_in }))
+            Some((upstream.id.clone(), LimitedUpstream { view, opens_in }))
         });
         Self(limited.collect())
     }
@@ -60,8 +60,8 @@
         self.0.values().map(|limited| limited.opens_in).min()
     }
 
-    /// Whether this host sends one more request to the upstream that it has chosen. If not, the upstream counts as
-    /// exhausted for the rest of this choice.
+    /// Whether this host admits one more request to the upstream that it has chosen. If not, the
+    /// upstream counts as exhausted for the rest of this choice.
     pub(crate) fn admits(&mut self, upstream: &UpstreamId) -> bool {
         let Some(limited) = self.0.get_mut(upstream) else {
             return true;
@@ -73,13 +73,13 @@
         is_admitted
     }
 
-    /// What the log tells of an upstream's limit.
+    /// The record of an upstream's limit for the decision log.
     pub(crate) fn record(&self, upstream: &UpstreamId) -> Option<RateLimitRecord> {
         let limited = self.0.get(upstream)?;
         Some(RateLimitRecord::from(&limited.view))
     }
 
-    /// How long this host's part of all these limits takes to admit so many calls.
+    /// The time that this host's share of all these limits takes to admit this many calls.
     pub(crate) fn time_to_admit(&self, calls: u32) -> Duration {
         let per_s: f64 = self
             .0
--- a/src/gateway/limit_wait.rs
+++ b/src/gateway/limit_wait.rs
@@ -1,11 +1,12 @@
-//! A call that waits for an upstream's limit.
+//! A guard for a call that waits for the rate limits of a service's upstreams.
 
 use std::sync::Arc;
 
 use crate::gateway::Gateway;
 use crate::units::ServiceId;
 
-/// Counts a call among those that wait on this host for the limits of a service's upstreams.
+/// Counts a call among those that wait on this host for the rate limits of a service's upstreams,
+/// until it is dropped.
 pub(crate) struct LimitWait {
     gateway: Arc<Gateway>,
     service: ServiceId,
--- a/src/gateway/listeners.rs
+++ b/src/gateway/listeners.rs
@@ -11,31 +11,34 @@
 /// All sockets that a host listens on.
 #[derive(Debug)]
 pub struct Listeners {
-    /// For callers.
+    /// Requests of callers.
     pub callers: TcpListener,
-    /// For the balancer's question whether the host is ready.
+    /// Readiness checks of the load balancer.
     pub ready: TcpListener,
-    /// For metrics.
+    /// Scrapes of metrics.
     pub metrics: TcpListener,
-    /// For news of other hosts.
+    /// Broadcasts of other hosts.
     pub exchange: UdpSocket,
-    /// For other hosts that ask what this one has read; the same port as for news.
+    /// Requests of other hosts for the lists that this one has read; on the same port as
+    /// `exchange`.
     pub share: TcpListener,
 }
 
 impl Listeners {
-    /// Binds them all.
+    /// Binds all sockets.
     pub async fn bind(conf: &GatewayConf) -> Result<Self, GatewayError> {
-        let share = listen("reads of other hosts", conf.exchange_addr).await?;
+        let share = listen("requests of other hosts", conf.exchange_addr).await?;
         let exchange_addr = share.local_addr();
-        let exchange_addr = exchange_addr.map_err(|err| GatewayError::Bind("news", err))?;
+        let exchange_addr =
+            exchange_addr.map_err(|err| GatewayError::Bind("broadcasts of other hosts", err))?;
         let exchange = UdpSocket::bind(exchange_addr).await;
         Ok(Self {
             share,
             ready: listen("readiness", conf.ready_addr).await?,
             metrics: listen("metrics", conf.metrics_addr).await?,
             callers: listen("callers", conf.callers_addr).await?,
-            exchange: exchange.map_err(|err| GatewayError::Bind("news", err))?,
+            exchange: exchange
+                .map_err(|err| GatewayError::Bind("broadcasts of other hosts", err))?,
         })
     }
 }
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -1,4 +1,4 @@
-//! What a gateway tells the other hosts and hears from them.
+//! What a gateway broadcasts to the other hosts, and how it applies their broadcasts.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -41,8 +41,8 @@
 use crate::units::whole_millis;
 use crate::units::whole_millis_u32;
 
-/// Marks in one message, the latest. 64 are 4 KB.
-const POISONS_MAX: usize = 64;
+/// Largest number of poison marks in one message, the latest ones. 64 take 4 KB.
+const POISON_MARKS_MAX: usize = 64;
 
 impl NewsDesk for Gateway {
     fn host(&self) -> HostId {
@@ -56,11 +56,11 @@
     fn news(&self) -> HostNews {
         let now = self.clock.now();
         let ledger = self.ledger();
-        let loads = ledger.own(now).map(|(id, load)| load_news(id, &load));
+        let loads = ledger.own(now).map(|(id, load)| encode_load(id, &load));
         let loads = loads.collect();
         drop(ledger);
         let mut poisons = self.crashes_to_tell();
-        let surplus = poisons.len().saturating_sub(POISONS_MAX);
+        let surplus = poisons.len().saturating_sub(POISON_MARKS_MAX);
         let poisons = poisons.split_off(surplus);
         let (routes_version, upstreams_version) = self.catalog_cache.versions();
         let health = self.health();
@@ -68,13 +68,18 @@
         let cut_off = health.cut_off(now).map(ToString::to_string).collect();
         drop(health);
         HostNews {
-            proof_age_plus_one_ms: self.proof_age_plus_one_ms(),
-            slow: self.slowdowns.own(now).iter().map(slow_news).collect(),
+            proof_age_plus_one_ms: self.list_age_plus_one_ms(),
+            slow: self
+                .slowdowns
+                .own(now)
+                .iter()
+                .map(encode_slowdown)
+                .collect(),
             limits: self
                 .rate_limits
                 .book()
                 .reports(now)
-                .map(limit_news)
+                .map(encode_limit)
                 .collect(),
             unreachable,
             cut_off,
@@ -84,7 +89,7 @@
             incarnation: self.incarnation,
             sequence: self.news_sent.fetch_add(1, Ordering::Relaxed),
             loads,
-            poisons: poisons.iter().map(poison_news).collect(),
+            poisons: poisons.iter().map(encode_poison).collect(),
             ..HostNews::default()
         }
     }
@@ -92,7 +97,7 @@
     fn hear(&self, news: HostNews) {
         let now = self.clock.now();
         let Ok(host) = news.host.parse::<HostId>() else {
-            warn!("exchange: news without a host name");
+            warn!("exchange: a message without a valid host name");
             return;
         };
         if host == self.conf.host {
@@ -101,12 +106,12 @@
         if !self.platform_view.is_host(&host) {
             self.hosts_news.notify_one();
         }
-        for poison in news.poisons.iter().filter_map(read_poison) {
+        for poison in news.poisons.iter().filter_map(decode_poison) {
             self.poison().merge(&poison, now);
         }
-        self.hear_versions(&host, &news);
-        self.hear_proof(&host, &news, now);
-        self.hear_unreachable(&host, &news, now);
+        self.apply_versions(&host, &news);
+        self.apply_list_age(&host, &news, now);
+        self.apply_unreachable(&host, &news, now);
         let source = match news.voice() {
             Voice::Domain => LoadSource::Collector(host),
             Voice::Own | Voice::Relay => LoadSource::Host(host),
@@ -116,17 +121,19 @@
         } else {
             Extent::Whole
         };
-        let names = self.platform_view.upstream_names();
+        let by_hash = self.platform_view.upstreams_by_hash();
         let loads = news.loads.iter();
-        let loads = loads.filter_map(|load| Some((upstream_of(load, &names)?, read_load(load))));
+        let loads =
+            loads.filter_map(|load| Some((resolve_upstream(load, &by_hash)?, decode_load(load))));
         for slow in &news.slow {
-            if let Some(engine) = names.get(&UpstreamHash(slow.upstream_hash)) {
-                self.slowdowns.hear(engine, read_slowdown(slow), now);
+            if let Some(engine) = by_hash.get(&UpstreamHash(slow.upstream_hash)) {
+                self.slowdowns
+                    .on_peer_report(engine, decode_slowdown(slow), now);
             }
         }
         for limit in &news.limits {
-            if let Some(upstream) = names.get(&limit.upstream()) {
-                self.hear_limit(&source, upstream, &read_limit(limit), now);
+            if let Some(upstream) = by_hash.get(&limit.upstream()) {
+                self.hear_limit(&source, upstream, &decode_limit(limit), now);
             }
         }
         let mut ledger = self.ledger();
@@ -159,8 +166,9 @@
 }
 
 impl Gateway {
-    /// Takes in what a neighbour could not reach. A host of another failure domain has other ways.
-    fn hear_unreachable(&self, host: &HostId, news: &HostNews, now: Instant) {
+    /// Applies a peer's list of unreachable upstreams. Only peers of this failure domain count: a
+    /// host of another domain reaches upstreams by other network paths.
+    fn apply_unreachable(&self, host: &HostId, news: &HostNews, now: Instant) {
         if news.unreachable.is_empty() && news.cut_off.is_empty() {
             return;
         }
@@ -185,37 +193,39 @@
         self.health_changed.notify_one();
     }
 
-    fn proof_age_plus_one_ms(&self) -> u32 {
+    fn list_age_plus_one_ms(&self) -> u32 {
         let now = self.clock.since_boot();
         let age = self
             .catalog_cache
-            .proved_at()
+            .confirmed_at()
             .map(|at| now.saturating_sub(at));
         age.map_or(0, |age| whole_millis_u32(age).saturating_add(1))
     }
 
-    /// Takes in how old a host's lists are. Where this host's own are stale the tasks that read ask
-    /// that one at once.
-    fn hear_proof(&self, host: &HostId, news: &HostNews, now: Instant) {
+    /// Records the reported age of a host's lists. If this host's own lists are stale, the tasks
+    /// that read the platform are woken to read from that host.
+    fn apply_list_age(&self, host: &HostId, news: &HostNews, now: Instant) {
         let Some(age_ms) = news.proof_age_plus_one_ms.checked_sub(1) else {
             return;
         };
         let at = self.clock.since_boot();
         let age = Duration::from_millis(age_ms.into());
-        let proved_at = at.saturating_sub(age);
-        let can_be_asked = self.reader_selector.on_told(host, proved_at, age, now);
-        if can_be_asked && is_fresh(proved_at, at) && !self.catalog_cache.is_fresh(at) {
+        let confirmed_at = at.saturating_sub(age);
+        let can_be_asked = self
+            .reader_selector
+            .on_age_report(host, confirmed_at, age, now);
+        if can_be_asked && is_fresh(confirmed_at, at) && !self.catalog_cache.is_fresh(at) {
             self.routes_news.notify_one();
             self.upstreams_news.notify_one();
         }
     }
 
-    /// Wakes the tasks that read if the host that reads for this one has something new.
-    fn hear_versions(&self, host: &HostId, news: &HostNews) {
+    /// Wakes the tasks that read the platform if the host that reads for this one has a newer list.
+    fn apply_versions(&self, host: &HostId, news: &HostNews) {
         let (routes, upstreams) = self.catalog_cache.versions();
         let has_upstreams = news.upstreams_version != 0 && news.upstreams_version != upstreams;
-        let has_news = news.routes_version > routes || has_upstreams;
-        if !has_news || !self.reader_selector.is_asked(host) {
+        let is_newer = news.routes_version > routes || has_upstreams;
+        if !is_newer || !self.reader_selector.is_selected(host) {
             return;
         }
         if news.routes_version > routes {
@@ -227,7 +237,7 @@
     }
 }
 
-fn load_news(id: &UpstreamId, load: &HostLoad) -> LoadNews {
+fn encode_load(id: &UpstreamId, load: &HostLoad) -> LoadNews {
     LoadNews {
         upstream: id.to_string(),
         in_flight: load.in_flight,
@@ -242,15 +252,18 @@
     }
 }
 
-/// The upstream that is spoken of; none if this host has not heard of it yet, and then does not choose
-/// it either.
-fn upstream_of(news: &LoadNews, names: &IndexMap<UpstreamHash, UpstreamId>) -> Option<UpstreamId> {
-    // A name that is known need not be made anew.
-    let known = names.get(&news.hash());
+/// The upstream that a load belongs to; none if this host does not know it yet, in which case this
+/// host does not choose it either.
+fn resolve_upstream(
+    news: &LoadNews,
+    by_hash: &IndexMap<UpstreamHash, UpstreamId>,
+) -> Option<UpstreamId> {
+    // Cloning a known id is cheaper than parsing the name.
+    let known = by_hash.get(&news.hash());
     known.cloned().or_else(|| news.upstream.parse().ok())
 }
 
-fn read_load(news: &LoadNews) -> HostLoad {
+fn decode_load(news: &LoadNews) -> HostLoad {
     HostLoad {
         in_flight: news.in_flight,
         short_in_flight: news.short_in_flight,
@@ -267,18 +280,18 @@
 }
 
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn slow_news((engine, slowdown): &(UpstreamId, Slowdown)) -> SlowNews {
+fn encode_slowdown((engine, slowdown): &(UpstreamId, Slowdown)) -> SlowNews {
     SlowNews {
         upstream_hash: UpstreamHash::from(engine).0,
         slowdown_percent: (slowdown.factor() * 100.0) as u32,
     }
 }
 
-fn read_slowdown(news: &SlowNews) -> Slowdown {
+fn decode_slowdown(news: &SlowNews) -> Slowdown {
     Slowdown::new(f64::from(news.slowdown_percent) / 100.0)
 }
 
-fn limit_news((upstream, report): (&UpstreamId, LimitReport)) -> LimitNews {
+fn encode_limit((upstream, report): (&UpstreamId, LimitReport)) -> LimitNews {
     LimitNews {
         upstream_hash: UpstreamHash::from(upstream).0,
         limit_per_s: report.limit.map(|limit| limit.0),
@@ -288,7 +301,7 @@
     }
 }
 
-fn read_limit(news: &LimitNews) -> LimitReport {
+fn decode_limit(news: &LimitNews) -> LimitReport {
     LimitReport {
         limit: news.limit_per_s.map(RequestsPerSecond),
         age: Duration::from_millis(news.age_ms.into()),
@@ -303,7 +316,7 @@
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-fn poison_news(poison: &Poison) -> PoisonNews {
+fn encode_poison(poison: &Poison) -> PoisonNews {
     let (PoisonMark::Content(hash) | PoisonMark::Key(hash)) = poison.mark;
     PoisonNews {
         content: hash.0.to_be_bytes().to_vec(),
@@ -315,7 +328,7 @@
     }
 }
 
-fn read_poison(news: &PoisonNews) -> Option<Poison> {
+fn decode_poison(news: &PoisonNews) -> Option<Poison> {
     let number = |bytes: &Vec<u8>| Some(u128::from_be_bytes(bytes.as_slice().try_into().ok()?));
     let attempts = news.attempts.iter().filter_map(number).map(AttemptId);
     Some(Poison {
--- a/src/gateway/platform_view.rs
+++ b/src/gateway/platform_view.rs
@@ -1,5 +1,5 @@
-//! The blackboard of a gateway: what it takes to be true, written by the tasks that read the
-//! platform and read by every request. Each part stands under its own lock.
+//! The state of the platform as a gateway last read it, written by the tasks that read the platform
+//! and read by every request. Each part has its own lock.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -21,17 +21,17 @@
 use crate::units::ServiceId;
 use crate::units::UpstreamId;
 
-/// The upstreams that may be sent to, by service, each in order of id.
+/// The upstreams that may be sent to, by service, each list sorted by id.
 pub type UpstreamsByService = IndexMap<ServiceId, Vec<ListedUpstream>>;
 
-/// What a gateway believes.
+/// The state of the platform as a gateway last read it.
 #[derive(Debug, Default)]
 pub struct PlatformView {
     routes: RwLock<Option<Arc<RouteTable>>>,
     freshness: Mutex<Freshness>,
     upstreams: RwLock<Option<Arc<UpstreamsByService>>>,
-    /// The upstreams by the short names that hosts use among themselves.
-    upstream_names: RwLock<Arc<IndexMap<UpstreamHash, UpstreamId>>>,
+    /// The upstreams by the hashes that hosts use for them in their messages.
+    upstreams_by_hash: RwLock<Arc<IndexMap<UpstreamHash, UpstreamId>>>,
     hosts: RwLock<Arc<Vec<ListedHost>>>,
     host_names: RwLock<IndexSet<HostId>>,
 }
@@ -64,9 +64,9 @@
         *self.lock_freshness()
     }
 
-    /// Takes in that a read of the manifest, asked for at this time since boot, was answered.
-    pub fn prove_fresh(&self, asked_at: Duration) {
-        self.lock_freshness().prove(asked_at);
+    /// Records that a read of the manifest, requested at this time since boot, succeeded.
+    pub fn confirm_fresh(&self, requested_at: Duration) {
+        self.lock_freshness().confirm(requested_at);
     }
 
     /// The upstreams; none before the first read.
@@ -77,7 +77,8 @@
             .clone()
     }
 
-    /// Replaces the upstreams. Those that are leaving are left out. Returns how many are left.
+    /// Replaces the upstreams, omitting those that are leaving. Returns the number of the remaining
+    /// ones.
     pub fn set_upstreams(&self, listed: Vec<ListedUpstream>) -> usize {
         let mut by_service = UpstreamsByService::new();
         let staying = listed.into_iter().filter(|upstream| !upstream.is_leaving);
@@ -92,11 +93,11 @@
         }
         let count = by_service.values().map(Vec::len).sum();
         let ids = by_service.values().flatten().map(|upstream| &upstream.id);
-        let names = ids.map(|id| (UpstreamHash::from(id), id.clone())).collect();
+        let by_hash = ids.map(|id| (UpstreamHash::from(id), id.clone())).collect();
         *self
-            .upstream_names
+            .upstreams_by_hash
             .write()
-            .unwrap_or_else(PoisonError::into_inner) = Arc::new(names);
+            .unwrap_or_else(PoisonError::into_inner) = Arc::new(by_hash);
         let mut current = self
             .upstreams
             .write()
@@ -105,10 +106,10 @@
         count
     }
 
-    /// The upstreams that may be sent to, by their short names.
-    pub fn upstream_names(&self) -> Arc<IndexMap<UpstreamHash, UpstreamId>> {
-        let names = self.upstream_names.read();
-        Arc::clone(&names.unwrap_or_else(PoisonError::into_inner))
+    /// The upstreams that may be sent to, by their hashes.
+    pub fn upstreams_by_hash(&self) -> Arc<IndexMap<UpstreamHash, UpstreamId>> {
+        let by_hash = self.upstreams_by_hash.read();
+        Arc::clone(&by_hash.unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Whether an upstream is listed.
--- a/src/gateway/probe.rs
+++ b/src/gateway/probe.rs
@@ -1,4 +1,5 @@
-//! Tries connections to upstreams that could not be reached, so that no caller's request has to.
+//! Probes upstreams that could not be reached by connecting to them, so that no caller's request
+//! has to.
 
 use std::sync::Arc;
 
@@ -12,12 +13,13 @@
 use crate::gateway::send::CONNECT_TIMEOUT;
 use crate::units::UpstreamId;
 
-/// Tries what is due for as long as the process runs; sleeps while all can be reached.
+/// Probes upstreams when they are due for as long as the process runs; sleeps while all can be
+/// reached.
 pub(crate) async fn probe_unreachable(gateway: Arc<Gateway>) {
     loop {
         let due = gateway.health().take_due(gateway.clock.now());
-        for upstream in due.iter().filter_map(|id| listed(&gateway, id)) {
-            tokio::spawn(try_one(Arc::clone(&gateway), upstream));
+        for upstream in due.iter().filter_map(|id| find_listed(&gateway, id)) {
+            tokio::spawn(probe_upstream(Arc::clone(&gateway), upstream));
         }
         let next = gateway.health().next_due();
         let is_due = async {
@@ -33,7 +35,7 @@
     }
 }
 
-async fn try_one(gateway: Arc<Gateway>, upstream: ListedUpstream) {
+async fn probe_upstream(gateway: Arc<Gateway>, upstream: ListedUpstream) {
     let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(upstream.addr)).await;
     let now = gateway.clock.now();
     let mut health = gateway.health();
@@ -50,7 +52,7 @@
     gateway.health_changed.notify_one();
 }
 
-fn listed(gateway: &Gateway, id: &UpstreamId) -> Option<ListedUpstream> {
+fn find_listed(gateway: &Gateway, id: &UpstreamId) -> Option<ListedUpstream> {
     let by_service = gateway.platform_view.upstreams()?;
     let mut all = by_service.values().flatten();
     all.find(|upstream| upstream.id == *id).cloned()
--- a/src/gateway/rate_limit_record.rs
+++ b/src/gateway/rate_limit_record.rs
@@ -1,21 +1,21 @@
-//! An upstream's limit, as the decision log tells it.
+//! An upstream's rate limit as recorded in the decision log.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::decide::RateLimitView;
 
-/// The limit that an upstream has named, and how much of it is used, as one host saw it.
+/// An upstream's rate limit and its use as one host knew them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct RateLimitRecord {
-    /// The requests a second that it takes from all hosts together.
+    /// The requests a second that the upstream accepts from all hosts together.
     pub per_s: f64,
-    /// Requests that all hosts have sent there in the four seconds before.
+    /// Requests that all hosts have sent to the upstream in the four seconds before.
     pub sent_in_window: u32,
-    /// Hosts on the list.
+    /// Number of hosts on the list.
     pub hosts_listed: usize,
-    /// Those of them whose sends were known.
+    /// Number of hosts on the list whose sends were known.
     pub hosts_heard: usize,
 }
 
--- a/src/gateway/routes_update.rs
+++ b/src/gateway/routes_update.rs
@@ -1,17 +1,17 @@
-//! What came of putting a manifest in force.
+//! The result of putting a manifest in force.
 
 use crate::units::Generation;
 
-/// What came of putting a manifest in force.
+/// The result of putting a manifest in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoutesUpdate {
-    /// It is in force now.
+    /// The manifest is in force now.
     Applied,
-    /// It was in force already.
+    /// The manifest was already in force.
     Unchanged,
-    /// A newer one stays in force.
+    /// A newer manifest stays in force.
     Stale {
-        /// The number of that one.
+        /// The generation of the newer manifest.
         in_force: Generation,
     },
 }
--- a/src/gateway/slowdowns.rs
+++ b/src/gateway/slowdowns.rs
@@ -1,4 +1,4 @@
-//! Which engines work slower than their model says.
+//! The engines that work slower than their model predicts.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -11,22 +11,22 @@
 use crate::units::Slowdown;
 use crate::units::UpstreamId;
 
-/// How long a word of an engine's slowness counts: more than two of the intervals in which it is asked.
-const TOLD_FOR: Duration = Duration::from_millis(3_000);
-/// An engine that is slower by less than this counts as sound: its forecasts are off by more anyway.
-const SOUND_MAX: f64 = 1.15;
-/// A change by less than this factor is no news.
-const NEWS_FACTOR: f64 = 1.25;
+/// How long a report of an engine's slowdown counts: more than two poll intervals.
+const REPORT_VALIDITY: Duration = Duration::from_millis(3_000);
+/// Largest slowdown at which an engine counts as normal: its forecasts are off by more anyway.
+const NORMAL_FACTOR_MAX: f64 = 1.15;
+/// A change by less than this factor is not broadcast early.
+const CHANGE_FACTOR_MIN: f64 = 1.25;
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct KnownSlowdown {
     slowdown: Slowdown,
     at: Instant,
-    /// Whether this host asked the engine itself.
+    /// Whether this host polled the engine itself.
     is_own: bool,
 }
 
-impl Known {
+impl KnownSlowdown {
     fn new(slowdown: Slowdown, is_own: bool, at: Instant) -> Self {
         Self {
             slowdown,
@@ -35,60 +35,62 @@
         }
     }
 
-    fn is_told(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.at) < TOLD_FOR
+    fn is_valid(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.at) < REPORT_VALIDITY
     }
 }
 
-/// The engines that are slow, by this host's own questions and by other hosts' word.
+/// The engines that are slow according to this host's own polls and to other hosts' reports.
 #[derive(Debug, Default)]
-pub(crate) struct Slowdowns(Mutex<IndexMap<UpstreamId, Known>>);
+pub(crate) struct Slowdowns(Mutex<IndexMap<UpstreamId, KnownSlowdown>>);
 
 impl Slowdowns {
-    /// Takes in what an engine said to this host. Returns whether it is news.
+    /// Records an engine's report to this host. Returns whether it is to be broadcast early.
     pub(crate) fn on_report(&self, engine: &UpstreamId, slowdown: Slowdown, now: Instant) -> bool {
         let mut known = self.lock();
         let before = known.get(engine).map(|known| known.slowdown);
-        if slowdown.factor() <= SOUND_MAX {
+        if slowdown.factor() <= NORMAL_FACTOR_MAX {
             return known.swap_remove(engine).is_some();
         }
-        known.insert(engine.clone(), Known::new(slowdown, true, now));
+        known.insert(engine.clone(), KnownSlowdown::new(slowdown, true, now));
         before.is_none_or(|before| {
             let ratio = slowdown.factor() / before.factor();
-            ratio.max(1.0 / ratio) >= NEWS_FACTOR
+            ratio.max(1.0 / ratio) >= CHANGE_FACTOR_MIN
         })
     }
 
-    /// Takes in what another host said of an engine.
-    pub(crate) fn hear(&self, engine: &UpstreamId, slowdown: Slowdown, now: Instant) {
+    /// Records what another host reported of an engine.
+    pub(crate) fn on_peer_report(&self, engine: &UpstreamId, slowdown: Slowdown, now: Instant) {
         let mut known = self.lock();
         if known
             .get(engine)
-            .is_some_and(|known| known.is_own && known.is_told(now))
+            .is_some_and(|known| known.is_own && known.is_valid(now))
         {
             return;
         }
-        known.insert(engine.clone(), Known::new(slowdown, false, now));
+        known.insert(engine.clone(), KnownSlowdown::new(slowdown, false, now));
     }
 
-    /// The engines that are slow, mostly none. Taken once for a choice among thousands of engines.
+    /// The engines that are slow, usually none. Copied once for a choice among thousands of
+    /// engines.
     pub(crate) fn current(&self, now: Instant) -> IndexMap<UpstreamId, Slowdown> {
         let known = self.lock();
-        let told = known.iter().filter(|(_, known)| known.is_told(now));
-        told.map(|(id, known)| (id.clone(), known.slowdown))
+        let valid = known.iter().filter(|(_, known)| known.is_valid(now));
+        valid
+            .map(|(id, known)| (id.clone(), known.slowdown))
             .collect()
     }
 
-    /// The slow engines that this host has asked itself, to be told to the others.
+    /// The slow engines that this host has polled itself, for its broadcasts.
     pub(crate) fn own(&self, now: Instant) -> Vec<(UpstreamId, Slowdown)> {
         let mut known = self.lock();
-        known.retain(|_, known| known.is_told(now));
+        known.retain(|_, known| known.is_valid(now));
         let own = known.iter().filter(|(_, known)| known.is_own);
         own.map(|(id, known)| (id.clone(), known.slowdown))
             .collect()
     }
 
-    fn lock(&self) -> MutexGuard<'_, IndexMap<UpstreamId, Known>> {
+    fn lock(&self) -> MutexGuard<'_, IndexMap<UpstreamId, KnownSlowdown>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -1,8 +1,9 @@
-//! Keeps what a host believes in step with the platform.
+//! Tasks that keep a host's [`PlatformView`](crate::gateway::PlatformView) in sync with the
+//! platform.
 //!
-//! The lists are read again and again: the platform waits a while for a change and then answers, whether
-//! there was one or not. A long watch that hears nothing would prove nothing, since its connection may have
-//! gone silent, while each answered read renews the lease on the keys.
+//! Each list is read repeatedly: the platform waits a while for a change and then responds, whether
+//! there was one or not. A long watch that delivers nothing would not confirm anything, since its
+//! connection may be dead, while each response renews the lease on the keys.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,73 +19,75 @@
 use crate::gateway::Gateway;
 use crate::gateway::ListedUpstream;
 use crate::gateway::RoutesUpdate;
-use crate::gateway::broadcast_hosts::ToldHosts;
+use crate::gateway::broadcast_hosts::BroadcastHosts;
+use crate::gateway::catalog_sharing::CatalogReader;
 use crate::gateway::catalog_sharing::ReadError;
-use crate::gateway::catalog_sharing::Reader;
-use crate::gateway::catalog_sharing::Source;
+use crate::gateway::catalog_sharing::ReadSource;
 use crate::gateway::catalog_sharing::WATCH_WAIT;
 use crate::gateway::dependency::Dependency;
-use crate::gateway::dependency::FAILED_INTERVAL;
-use crate::gateway::leaving_upstreams::Departed;
+use crate::gateway::dependency::RETRY_INTERVAL;
+use crate::gateway::leaving_upstreams::LeavingUpstreams;
 use crate::routing::RouteTable;
 use crate::units::ObjectVersion;
 use crate::units::StoreEra;
 use crate::units::UpstreamId;
 
-/// Between the beginnings of two reads of the manifest or of the upstreams, if the platform or another
-/// host answers at once: as long as the platform waits for a change. A change has to be in force, and an
-/// upstream that leaves to be left alone, within 2 s: this leaves room for one failed read.
+/// Interval between the starts of two reads of the manifest or of the upstreams if the platform or
+/// another host responds without waiting; it equals the time for which the platform waits for a
+/// change. A change has to be in force, and an upstream that is leaving must get no more requests,
+/// within 2 s: this interval leaves time for one failed read.
 const READ_INTERVAL: Duration = WATCH_WAIT;
-/// Between two reads of the hosts, which change seldom; news of one that is missing is lost until
-/// then, or until it is heard.
+/// Interval between two reads of the hosts, which change rarely. Messages for a host that is
+/// missing from the list are lost until the next read, or until a message of that host arrives.
 const HOSTS_INTERVAL: Duration = Duration::from_millis(2_000);
-/// Between two reads for the sake of hosts that were heard and are not on the list.
-const STRANGERS_INTERVAL: Duration = Duration::from_millis(500);
+/// Shortest interval between two reads of the hosts that are due to messages of hosts that are not
+/// on the list.
+const UNLISTED_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Reads the manifest for as long as the process runs.
 pub(crate) async fn sync_routes(gateway: Arc<Gateway>, catalog: Arc<dyn Catalog>) {
-    let mut reader = Reader::new(Arc::clone(&gateway), Arc::clone(&catalog));
+    let mut reader = CatalogReader::new(Arc::clone(&gateway), Arc::clone(&catalog));
     let mut dependency = Dependency::new(&gateway, "manifest");
-    // A manifest that can't be decoded, or that is older than the one in force, is not in force, so reading it again
-    // renews no lease.
-    let mut is_understood = true;
-    let mut source = Source::Any;
+    // A manifest that can't be decoded, or that is older than the one in force, is not put in
+    // force, so reading it again renews no lease.
+    let mut is_in_force = true;
+    let mut source = ReadSource::Any;
     loop {
-        let asked_at = gateway.clock.now();
+        let requested_at = gateway.clock.now();
         let before = gateway.catalog_cache.routes_version();
         let read = reader.routes(source).await;
-        note_return(&gateway, before);
+        log_store_return(&gateway, before);
         let read = read.and_then(|read| {
             if let Some(text) = &read.changed {
-                is_understood = false;
-                is_understood = put_in_force(&gateway, catalog.decode_routes(text)?);
+                is_in_force = false;
+                is_in_force = apply_manifest(&gateway, catalog.decode_routes(text)?);
             }
             Ok(read)
         });
-        dependency.on_read(asked_at, &read);
-        let goes_on = read.as_ref().is_ok_and(|read| read.goes_on);
+        dependency.on_read(requested_at, &read);
+        let has_more = read.as_ref().is_ok_and(|read| read.has_more);
         if let Ok(read) = read
-            && is_understood
+            && is_in_force
         {
-            gateway.platform_view.prove_fresh(read.proved_at);
+            gateway.platform_view.confirm_fresh(read.confirmed_at);
         }
-        let due_at = next_at(asked_at, goes_on);
+        let due_at = next_read_at(requested_at, has_more);
         let news = &gateway.routes_news;
         source = dependency.next_read(due_at, news).await;
     }
 }
 
-/// When the next read is due after one that was answered.
-fn next_at(asked_at: Instant, goes_on: bool) -> Instant {
-    if goes_on {
-        asked_at
+/// When the next read is due after one that succeeded.
+fn next_read_at(requested_at: Instant, has_more: bool) -> Instant {
+    if has_more {
+        requested_at
     } else {
-        asked_at + READ_INTERVAL
+        requested_at + READ_INTERVAL
     }
 }
 
 /// Puts a manifest in force unless a newer one is. Returns whether it is in force now.
-fn put_in_force(gateway: &Gateway, routes: RouteTable) -> bool {
+fn apply_manifest(gateway: &Gateway, routes: RouteTable) -> bool {
     let generation = routes.generation;
     let event = Event::ManifestInForce {
         generation: generation.0,
@@ -108,9 +111,9 @@
     }
 }
 
-/// Logs that the store has come back from an older copy, if the manifest that is held is of another era than the one
-/// before.
-fn note_return(gateway: &Gateway, before: ObjectVersion) {
+/// Logs that the store was restored from an older copy if the cached manifest is of another era
+/// than the one before.
+fn log_store_return(gateway: &Gateway, before: ObjectVersion) {
     let held = gateway.catalog_cache.routes_version();
     if before == ObjectVersion::default() || before.era() == held.era() {
         return;
@@ -128,34 +131,33 @@
 
 /// Reads the upstreams for as long as the process runs.
 pub(crate) async fn sync_upstreams(gateway: Arc<Gateway>, catalog: Arc<dyn Catalog>) {
-    let mut reader = Reader::new(Arc::clone(&gateway), catalog);
+    let mut reader = CatalogReader::new(Arc::clone(&gateway), catalog);
     let mut known: IndexSet<UpstreamId> = IndexSet::new();
-    let mut departed = Departed::default();
+    let mut leaving = LeavingUpstreams::default();
     let mut dependency = Dependency::new(&gateway, "upstreams");
-    let mut source = Source::Any;
+    let mut source = ReadSource::Any;
     loop {
-        let asked_at = gateway.clock.now();
+        let requested_at = gateway.clock.now();
         let read = reader.upstreams(source).await;
-        dependency.on_read(asked_at, &read);
-        let goes_on = read.as_ref().is_ok_and(|read| read.goes_on);
+        dependency.on_read(requested_at, &read);
+        let has_more = read.as_ref().is_ok_and(|read| read.has_more);
         if read.is_ok_and(|read| read.changed.is_some())
             && let Some(listed) = gateway.catalog_cache.upstreams()
         {
-            let listed = departed.mark(listed.to_vec(), gateway.clock.now());
-            known = take_in_upstreams(&gateway, listed, &known);
+            let listed = leaving.mark(listed.to_vec(), gateway.clock.now());
+            known = apply_upstreams(&gateway, listed, &known);
         }
-        let due_at = next_at(asked_at, goes_on);
+        let due_at = next_read_at(requested_at, has_more);
         let news = &gateway.upstreams_news;
         source = dependency.next_read(due_at, news).await;
     }
 }
 
-/// Takes in a list of upstreams, of which those in `known` were not leaving before. Returns those that are
-/// not now.
-fn take_in_upstreams(
+/// Applies a list of upstreams. `before` and the result are the upstreams that are not leaving.
+fn apply_upstreams(
     gateway: &Gateway,
     listed: Vec<ListedUpstream>,
-    known: &IndexSet<UpstreamId>,
+    before: &IndexSet<UpstreamId>,
 ) -> IndexSet<UpstreamId> {
     gateway.load_changed.notify_one();
     let staying = listed.iter().filter(|upstream| !upstream.is_leaving);
@@ -170,11 +172,11 @@
     let now = gateway.clock.now();
     gateway.ledger().keep(|id| staying.contains(id), now);
     gateway.rate_limits.keep(|id| staying.contains(id));
-    note_changes(gateway, known, &staying, &restarted, usable);
+    log_upstream_changes(gateway, before, &staying, &restarted, usable);
     staying
 }
 
-fn note_changes(
+fn log_upstream_changes(
     gateway: &Gateway,
     before: &IndexSet<UpstreamId>,
     after: &IndexSet<UpstreamId>,
@@ -196,7 +198,7 @@
     }
 }
 
-/// Puts this host on the list and reads the others, for as long as the process runs.
+/// Registers this host and reads the others for as long as the process runs.
 pub(crate) async fn sync_hosts(
     gateway: Arc<Gateway>,
     catalog: Arc<dyn Catalog>,
@@ -209,58 +211,58 @@
         processors: Some(gateway.conf.processors),
     };
     let mut dependency = Dependency::new(&gateway, "hosts");
-    let mut reader = Reader::new(Arc::clone(&gateway), Arc::clone(&catalog));
-    let mut source = Source::Any;
-    let mut told = ToldHosts::new(own.clone());
-    let mut is_announced = false;
-    let mut announced_in = StoreEra::default();
+    let mut reader = CatalogReader::new(Arc::clone(&gateway), Arc::clone(&catalog));
+    let mut source = ReadSource::Any;
+    let mut broadcast_hosts = BroadcastHosts::new(own.clone());
+    let mut is_registered = false;
+    let mut registered_in = StoreEra::default();
     loop {
-        let asked_at = gateway.clock.now();
+        let requested_at = gateway.clock.now();
         let era = gateway.catalog_cache.routes_version().era();
-        // An entry that was written in an earlier era may be gone.
-        is_announced &= announced_in >= era;
-        if !is_announced {
-            let announced = catalog.register_host(own.clone()).await;
-            is_announced = announced.is_ok();
-            announced_in = era;
-            dependency.on_call(asked_at, &announced);
+        // An entry that was written in an earlier era may be lost.
+        is_registered &= registered_in >= era;
+        if !is_registered {
+            let registered = catalog.register_host(own.clone()).await;
+            is_registered = registered.is_ok();
+            registered_in = era;
+            dependency.on_call(requested_at, &registered);
         }
         let read = reader.hosts(source).await;
-        dependency.on_read(asked_at, &read);
+        dependency.on_read(requested_at, &read);
         source = match read {
-            Err(ReadError::OthersStale) => Source::Platform,
-            _ => Source::Any,
+            Err(ReadError::PeersStale) => ReadSource::Platform,
+            _ => ReadSource::Any,
         };
         if let Ok(Some(hosts)) = read {
-            told.set_listed(hosts, gateway.clock.now());
+            broadcast_hosts.set_listed(hosts, gateway.clock.now());
         }
-        let hosts = told.hosts(gateway.clock.now());
+        let hosts = broadcast_hosts.hosts(gateway.clock.now());
         if *gateway.platform_view.hosts() != hosts {
             gateway.platform_view.set_hosts(hosts);
         }
         gateway.ledger().forget_silent(gateway.clock.now());
-        let interval = hosts_interval(&gateway, is_announced, &dependency);
-        let soonest = interval.min(STRANGERS_INTERVAL);
+        let interval = hosts_interval(&gateway, is_registered, &dependency);
+        let soonest = interval.min(UNLISTED_INTERVAL);
         sleep(soonest).await;
         tokio::select! {
             () = sleep(interval - soonest) => {}
-            () = gateway.hosts_news.notified(), if is_announced => {}
+            () = gateway.hosts_news.notified(), if is_registered => {}
         }
     }
 }
 
 /// The time until the next read of the hosts.
-fn hosts_interval(gateway: &Gateway, is_announced: bool, dependency: &Dependency) -> Duration {
+fn hosts_interval(gateway: &Gateway, is_registered: bool, dependency: &Dependency) -> Duration {
     let now = gateway.clock.now();
-    if !is_announced {
-        // Until it is on the list nobody sends news here.
-        dependency.interval(FAILED_INTERVAL)
+    if !is_registered {
+        // Until this host is on the list, no host sends messages here.
+        dependency.interval(RETRY_INTERVAL)
     } else if gateway.ledger().peers_heard(now) == 0 {
-        // Where all hosts start together the first read shows few of them, and one that knows no other
-        // reads everything from the platform itself.
+        // If all hosts start together, the first read returns few of them, and a host that knows no
+        // other reads everything from the platform itself.
         dependency
-            .interval(STRANGERS_INTERVAL)
-            .max(STRANGERS_INTERVAL)
+            .interval(UNLISTED_INTERVAL)
+            .max(UNLISTED_INTERVAL)
     } else {
         dependency.interval(HOSTS_INTERVAL).max(HOSTS_INTERVAL)
     }
--- a/src/gateway/upstream_incarnations.rs
+++ b/src/gateway/upstream_incarnations.rs
@@ -1,4 +1,4 @@
-//! UpstreamIncarnations of upstreams that are over because the same upstream has started again.
+//! Incarnations of upstreams that have ended because the same upstream has started again.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -11,76 +11,77 @@
 use crate::units::UpstreamId;
 use crate::units::UpstreamName;
 
-/// Names and ended lives that are remembered, the latest. Far more than the upstreams of the largest
-/// deployment that restart within the longest call.
-const REMEMBERED_MAX: usize = 2_048;
+/// Number of names and losses incarnations that are kept, the latest. Far more than the upstreams of
+/// the largest deployment that restart within the longest call.
+const ENTRIES_MAX: usize = 2_048;
 
-/// Which life of each upstream is the latest, and which are over.
+/// The latest incarnation of each upstream, and those that have ended.
 ///
-/// Failure it guards against: an upstream behind a cut restarts. The connections of its former life
-/// are silent, and what was sent there waits for their timeouts although nobody will answer. A call
-/// that was sent after the restart, by the old entry, runs in the new life; so a call is lost only if
-/// the upstream could not be reached, or broke off, after the call was sent.
+/// When a partitioned upstream restarts, the connections of its former incarnation stay silent, and
+/// calls that were sent there would wait for their timeouts although no response will come. A call
+/// that was sent after the restart to the former entry runs in the new incarnation; so a call is
+/// lost only if the upstream could not be reached, or broke the connection, after the call was
+/// sent.
 #[derive(Debug)]
 pub(crate) struct UpstreamIncarnations {
     latest: Mutex<IndexMap<UpstreamName, UpstreamId>>,
-    /// Calls sent to a life before the instant are lost.
-    ended: watch::Sender<IndexMap<UpstreamId, Instant>>,
+    /// Calls that were sent to an incarnation before its instant are lost.
+    losses: watch::Sender<IndexMap<UpstreamId, Instant>>,
 }
 
 impl Default for UpstreamIncarnations {
     fn default() -> Self {
         Self {
             latest: Mutex::default(),
-            ended: watch::Sender::new(IndexMap::new()),
+            losses: watch::Sender::new(IndexMap::new()),
         }
     }
 }
 
 impl UpstreamIncarnations {
-    /// Takes in the list of upstreams. `lost_at` says when a life was last seen to be out of reach.
-    /// Returns the lives that are over.
+    /// Applies the list of upstreams. `lost_at` returns when an incarnation was last found to be
+    /// unreachable. Returns the incarnations that have ended.
     pub(crate) fn update(
         &self,
         listed: &[ListedUpstream],
         lost_at: impl Fn(&UpstreamId) -> Option<Instant>,
     ) -> Vec<UpstreamId> {
         let mut latest = self.latest.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut over = Vec::new();
+        let mut ended = Vec::new();
         for upstream in listed {
             let before = latest.insert(upstream.name.clone(), upstream.id.clone());
-            over.extend(before.filter(|before| *before != upstream.id));
+            ended.extend(before.filter(|before| *before != upstream.id));
         }
-        shorten(&mut latest);
+        drop_oldest(&mut latest);
         drop(latest);
-        let ended = over
+        let losses = ended
             .iter()
             .filter_map(|id| Some((id.clone(), lost_at(id)?)));
-        let ended: Vec<(UpstreamId, Instant)> = ended.collect();
-        if !ended.is_empty() {
-            self.ended.send_modify(|known| {
-                known.extend(ended);
-                shorten(known);
+        let losses: Vec<(UpstreamId, Instant)> = losses.collect();
+        if !losses.is_empty() {
+            self.losses.send_modify(|known| {
+                known.extend(losses);
+                drop_oldest(known);
             });
         }
-        over
+        ended
     }
 
-    /// Waits until a call that was sent to a life at `sent_at` is lost with it.
+    /// Waits until a call that was sent to an incarnation at `sent_at` is lost with it.
     pub(crate) async fn wait_until_lost(&self, upstream: &UpstreamId, sent_at: Instant) {
-        let mut ended = self.ended.subscribe();
-        let is_lost = |ended: &IndexMap<UpstreamId, Instant>| {
-            ended
+        let mut losses = self.losses.subscribe();
+        let is_lost = |losses: &IndexMap<UpstreamId, Instant>| {
+            losses
                 .get(upstream)
                 .is_some_and(|lost_at| sent_at < *lost_at)
         };
-        // Fails only when the sender is gone, which lives as long as the host.
-        let _ = ended.wait_for(is_lost).await;
+        // Fails only when the sender is dropped, which lives as long as the host.
+        let _ = losses.wait_for(is_lost).await;
     }
 }
 
-/// Forgets the first entries beyond [`REMEMBERED_MAX`].
-fn shorten<K: std::hash::Hash + Eq, V>(map: &mut IndexMap<K, V>) {
-    let surplus = map.len().saturating_sub(REMEMBERED_MAX);
+/// Drops the oldest entries beyond [`ENTRIES_MAX`].
+fn drop_oldest<K: std::hash::Hash + Eq, V>(map: &mut IndexMap<K, V>) {
+    let surplus = map.len().saturating_sub(ENTRIES_MAX);
     map.drain(..surplus);
 }
