--- a/src/gateway/call_dispatcher.rs
+++ b/src/gateway/call_dispatcher.rs
@@ -253,7 +253,7 @@
 
     fn is_poison(&self, now: Instant) -> bool {
         let poison = self.gateway.poison();
-        // Hashing a body takes a tenth of a millisecond, so it is done only if there are any marks.
+        // Hashing a body takes a tenth of a millisecond, so it is done only if there are any poison reports.
         !poison.is_empty() && poison.is_poison(&[self.call.poison_mark()], now)
     }
 
@@ -268,8 +268,8 @@
         if fault == UpstreamFault::Broken {
             let now = self.gateway.clock.now();
             let attempt = AttemptId(rand::random());
-            let mark = self.call.poison_mark();
-            let crashes = self.gateway.poison().on_crash(&[mark], attempt, now);
+            let fingerprint = self.call.poison_mark();
+            let crashes = self.gateway.poison().on_crash(&[fingerprint], attempt, now);
             if !crashes.is_empty() {
                 self.gateway.tell_crashes(crashes);
             }
--- a/src/gateway/catalog_sharing/reader.rs
+++ b/src/gateway/catalog_sharing/reader.rs
@@ -341,7 +341,7 @@
                 PeerResult::Stale if list == ListKind::Hosts => {}
                 PeerResult::Stale => self.mark_unavailable(&reader.host, Unavailable::Stale),
                 PeerResult::NoResponse => {
-                    self.mark_unavailable(&reader.host, Unavailable::NoResponse)
+                    self.mark_unavailable(&reader.host, Unavailable::NoResponse);
                 }
             }
         }
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -41,8 +41,8 @@
 use crate::units::whole_millis;
 use crate::units::whole_millis_u32;
 
-/// Largest number of poison marks in one message, the latest ones. 64 take 4 KB.
-const POISON_MARKS_MAX: usize = 64;
+/// Largest number of poison reports in one message, the latest ones. 64 take 4 KB.
+const POISON_REPORTS_MAX: usize = 64;
 
 impl NewsDesk for Gateway {
     fn host(&self) -> HostId {
@@ -56,11 +56,11 @@
     fn news(&self) -> HostNews {
         let now = self.clock.now();
         let ledger = self.ledger();
-        let loads = ledger.own(now).map(|(id, load)| encode_load(id, &load));
+        let loads = ledger.own(now).map(|(id, load)| load_entry(id, &load));
         let loads = loads.collect();
         drop(ledger);
         let mut poisons = self.crashes_to_tell();
-        let surplus = poisons.len().saturating_sub(POISON_MARKS_MAX);
+        let surplus = poisons.len().saturating_sub(POISON_REPORTS_MAX);
         let poisons = poisons.split_off(surplus);
         let (routes_version, upstreams_version) = self.catalog_cache.versions();
         let health = self.health();
@@ -69,17 +69,12 @@
         drop(health);
         HostNews {
             proof_age_plus_one_ms: self.list_age_plus_one_ms(),
-            slow: self
-                .slowdowns
-                .own(now)
-                .iter()
-                .map(encode_slowdown)
-                .collect(),
+            slow: self.slowdowns.own(now).iter().map(slowdown_entry).collect(),
             limits: self
                 .rate_limits
                 .book()
                 .reports(now)
-                .map(encode_limit)
+                .map(limit_entry)
                 .collect(),
             unreachable,
             cut_off,
@@ -89,14 +84,14 @@
             incarnation: self.incarnation,
             sequence: self.news_sent.fetch_add(1, Ordering::Relaxed),
             loads,
-            poisons: poisons.iter().map(encode_poison).collect(),
+            poisons: poisons.iter().map(poison_entry).collect(),
             ..HostNews::default()
         }
     }
 
-    fn hear(&self, news: HostNews) {
+    fn hear(&self, update: HostNews) {
         let now = self.clock.now();
-        let Ok(host) = news.host.parse::<HostId>() else {
+        let Ok(host) = update.host.parse::<HostId>() else {
             warn!("exchange: a message without a valid host name");
             return;
         };
@@ -106,38 +101,38 @@
         if !self.platform_view.is_host(&host) {
             self.hosts_news.notify_one();
         }
-        for poison in news.poisons.iter().filter_map(decode_poison) {
+        for poison in update.poisons.iter().filter_map(decode_poison) {
             self.poison().merge(&poison, now);
         }
-        self.apply_versions(&host, &news);
-        self.apply_list_age(&host, &news, now);
-        self.apply_unreachable(&host, &news, now);
-        let source = match news.voice() {
+        self.apply_versions(&host, &update);
+        self.apply_list_age(&host, &update, now);
+        self.apply_unreachable(&host, &update, now);
+        let source = match update.voice() {
             Voice::Domain => LoadSource::Collector(host),
             Voice::Own | Voice::Relay => LoadSource::Host(host),
         };
-        let extent = if news.is_partial {
+        let extent = if update.is_partial {
             Extent::Changes
         } else {
             Extent::Whole
         };
         let by_hash = self.platform_view.upstreams_by_hash();
-        let loads = news.loads.iter();
+        let loads = update.loads.iter();
         let loads =
             loads.filter_map(|load| Some((resolve_upstream(load, &by_hash)?, decode_load(load))));
-        for slow in &news.slow {
+        for slow in &update.slow {
             if let Some(engine) = by_hash.get(&UpstreamHash(slow.upstream_hash)) {
                 self.slowdowns
                     .on_peer_report(engine, decode_slowdown(slow), now);
             }
         }
-        for limit in &news.limits {
+        for limit in &update.limits {
             if let Some(upstream) = by_hash.get(&limit.upstream()) {
                 self.hear_limit(&source, upstream, &decode_limit(limit), now);
             }
         }
         let mut ledger = self.ledger();
-        ledger.hear_part(source, news.incarnation, extent, loads, now);
+        ledger.hear_part(source, update.incarnation, extent, loads, now);
     }
 
     fn hosts(&self) -> Arc<Vec<ListedHost>> {
@@ -168,8 +163,8 @@
 impl Gateway {
     /// Applies a peer's list of unreachable upstreams. Only peers of this failure domain count: a
     /// host of another domain reaches upstreams by other network paths.
-    fn apply_unreachable(&self, host: &HostId, news: &HostNews, now: Instant) {
-        if news.unreachable.is_empty() && news.cut_off.is_empty() {
+    fn apply_unreachable(&self, host: &HostId, update: &HostNews, now: Instant) {
+        if update.unreachable.is_empty() && update.cut_off.is_empty() {
             return;
         }
         let hosts = self.platform_view.hosts();
@@ -181,12 +176,12 @@
             return;
         };
         let mut health = self.health();
-        for domain in news.cut_off.iter().filter_map(|name| name.parse().ok()) {
+        for domain in update.cut_off.iter().filter_map(|name| name.parse().ok()) {
             health.hear_cut_off(&domain, now);
         }
-        for upstream in by_service.values().flatten() {
-            if news.unreachable.iter().any(|id| id == upstream.id.as_str()) {
-                health.hear_unreachable(&upstream.id, &upstream.domain, now);
+        for listed in by_service.values().flatten() {
+            if update.unreachable.iter().any(|id| id == listed.id.as_str()) {
+                health.hear_unreachable(&listed.id, &listed.domain, now);
             }
         }
         drop(health);
@@ -204,8 +199,8 @@
 
     /// Records the reported age of a host's lists. If this host's own lists are stale, the tasks
     /// that read the platform are woken to read from that host.
-    fn apply_list_age(&self, host: &HostId, news: &HostNews, now: Instant) {
-        let Some(age_ms) = news.proof_age_plus_one_ms.checked_sub(1) else {
+    fn apply_list_age(&self, host: &HostId, update: &HostNews, now: Instant) {
+        let Some(age_ms) = update.proof_age_plus_one_ms.checked_sub(1) else {
             return;
         };
         let at = self.clock.since_boot();
@@ -221,14 +216,14 @@
     }
 
     /// Wakes the tasks that read the platform if the host that reads for this one has a newer list.
-    fn apply_versions(&self, host: &HostId, news: &HostNews) {
+    fn apply_versions(&self, host: &HostId, update: &HostNews) {
         let (routes, upstreams) = self.catalog_cache.versions();
-        let has_upstreams = news.upstreams_version != 0 && news.upstreams_version != upstreams;
-        let is_newer = news.routes_version > routes || has_upstreams;
+        let has_upstreams = update.upstreams_version != 0 && update.upstreams_version != upstreams;
+        let is_newer = update.routes_version > routes || has_upstreams;
         if !is_newer || !self.reader_selector.is_selected(host) {
             return;
         }
-        if news.routes_version > routes {
+        if update.routes_version > routes {
             self.routes_news.notify_one();
         }
         if has_upstreams {
@@ -237,7 +232,7 @@
     }
 }
 
-fn encode_load(id: &UpstreamId, load: &HostLoad) -> LoadNews {
+fn load_entry(id: &UpstreamId, load: &HostLoad) -> LoadNews {
     LoadNews {
         upstream: id.to_string(),
         in_flight: load.in_flight,
@@ -255,43 +250,43 @@
 /// The upstream that a load belongs to; none if this host does not know it yet, in which case this
 /// host does not choose it either.
 fn resolve_upstream(
-    news: &LoadNews,
+    entry: &LoadNews,
     by_hash: &IndexMap<UpstreamHash, UpstreamId>,
 ) -> Option<UpstreamId> {
     // Cloning a known id is cheaper than parsing the name.
-    let known = by_hash.get(&news.hash());
-    known.cloned().or_else(|| news.upstream.parse().ok())
+    let known = by_hash.get(&entry.hash());
+    known.cloned().or_else(|| entry.upstream.parse().ok())
 }
 
-fn decode_load(news: &LoadNews) -> HostLoad {
+fn decode_load(entry: &LoadNews) -> HostLoad {
     HostLoad {
-        in_flight: news.in_flight,
-        short_in_flight: news.short_in_flight,
-        strictest_pause: (news.strictest_pause_ms > 0)
-            .then(|| Duration::from_millis(news.strictest_pause_ms.into())),
+        in_flight: entry.in_flight,
+        short_in_flight: entry.short_in_flight,
+        strictest_pause: (entry.strictest_pause_ms > 0)
+            .then(|| Duration::from_millis(entry.strictest_pause_ms.into())),
         read: ReadSent {
-            total: Duration::from_micros(news.read_total_us),
-            remaining: Duration::from_millis(news.read_remaining_ms.into()),
+            total: Duration::from_micros(entry.read_total_us),
+            remaining: Duration::from_millis(entry.read_remaining_ms.into()),
         },
-        held_tokens: Tokens(news.held_tokens),
-        helping: news.helping,
-        read_due: (news.read_due_ms > 0).then(|| Duration::from_millis(news.read_due_ms.into())),
+        held_tokens: Tokens(entry.held_tokens),
+        helping: entry.helping,
+        read_due: (entry.read_due_ms > 0).then(|| Duration::from_millis(entry.read_due_ms.into())),
     }
 }
 
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn encode_slowdown((engine, slowdown): &(UpstreamId, Slowdown)) -> SlowNews {
+fn slowdown_entry((engine, slowdown): &(UpstreamId, Slowdown)) -> SlowNews {
     SlowNews {
         upstream_hash: UpstreamHash::from(engine).0,
         slowdown_percent: (slowdown.factor() * 100.0) as u32,
     }
 }
 
-fn decode_slowdown(news: &SlowNews) -> Slowdown {
-    Slowdown::new(f64::from(news.slowdown_percent) / 100.0)
+fn decode_slowdown(entry: &SlowNews) -> Slowdown {
+    Slowdown::new(f64::from(entry.slowdown_percent) / 100.0)
 }
 
-fn encode_limit((upstream, report): (&UpstreamId, LimitReport)) -> LimitNews {
+fn limit_entry((upstream, report): (&UpstreamId, LimitReport)) -> LimitNews {
     LimitNews {
         upstream_hash: UpstreamHash::from(upstream).0,
         limit_per_s: report.limit.map(|limit| limit.0),
@@ -301,13 +296,13 @@
     }
 }
 
-fn decode_limit(news: &LimitNews) -> LimitReport {
+fn decode_limit(entry: &LimitNews) -> LimitReport {
     LimitReport {
-        limit: news.limit_per_s.map(RequestsPerSecond),
-        age: Duration::from_millis(news.age_ms.into()),
+        limit: entry.limit_per_s.map(RequestsPerSecond),
+        age: Duration::from_millis(entry.age_ms.into()),
         sent: SentLately {
-            in_window: news.sent_in_window,
-            in_burst_window: news.sent_in_burst_window,
+            in_window: entry.sent_in_window,
+            in_burst_window: entry.sent_in_burst_window,
         },
     }
 }
@@ -316,7 +311,7 @@
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-fn encode_poison(poison: &Poison) -> PoisonNews {
+fn poison_entry(poison: &Poison) -> PoisonNews {
     let (PoisonMark::Content(hash) | PoisonMark::Key(hash)) = poison.mark;
     PoisonNews {
         content: hash.0.to_be_bytes().to_vec(),
@@ -328,11 +323,11 @@
     }
 }
 
-fn decode_poison(news: &PoisonNews) -> Option<Poison> {
+fn decode_poison(entry: &PoisonNews) -> Option<Poison> {
     let number = |bytes: &Vec<u8>| Some(u128::from_be_bytes(bytes.as_slice().try_into().ok()?));
-    let attempts = news.attempts.iter().filter_map(number).map(AttemptId);
+    let attempts = entry.attempts.iter().filter_map(number).map(AttemptId);
     Some(Poison {
-        mark: PoisonMark::of_content(ContentHash(number(&news.content)?)),
+        mark: PoisonMark::of_content(ContentHash(number(&entry.content)?)),
         attempts: attempts.collect(),
     })
 }
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -40,7 +40,7 @@
 /// Interval between two reads of the hosts, which change rarely. Messages for a host that is
 /// missing from the list are lost until the next read, or until a message of that host arrives.
 const HOSTS_INTERVAL: Duration = Duration::from_millis(2_000);
-/// Shortest interval between two reads of the hosts that are due to messages of hosts that are not
+/// Shortest interval between two reads of the hosts that are triggered by messages of hosts that are not
 /// on the list.
 const UNLISTED_INTERVAL: Duration = Duration::from_millis(500);
 
@@ -72,8 +72,8 @@
             gateway.platform_view.confirm_fresh(read.confirmed_at);
         }
         let due_at = next_read_at(requested_at, has_more);
-        let news = &gateway.routes_news;
-        source = dependency.next_read(due_at, news).await;
+        let wakeup = &gateway.routes_news;
+        source = dependency.next_read(due_at, wakeup).await;
     }
 }
 
@@ -114,16 +114,16 @@
 /// Logs that the store was restored from an older copy if the cached manifest is of another era
 /// than the one before.
 fn log_store_return(gateway: &Gateway, before: ObjectVersion) {
-    let held = gateway.catalog_cache.routes_version();
-    if before == ObjectVersion::default() || before.era() == held.era() {
+    let current = gateway.catalog_cache.routes_version();
+    if before == ObjectVersion::default() || before.era() == current.era() {
         return;
     }
     gateway.meters.store_returned();
     gateway.log.note(Event::StoreReturned {
         former_era: before.era().0,
-        era: held.era().0,
+        era: current.era().0,
         former_revision: before.revision(),
-        revision: held.revision(),
+        revision: current.revision(),
     });
     gateway.upstreams_news.notify_one();
     gateway.hosts_news.notify_one();
@@ -148,8 +148,8 @@
             known = apply_upstreams(&gateway, listed, &known);
         }
         let due_at = next_read_at(requested_at, has_more);
-        let news = &gateway.upstreams_news;
-        source = dependency.next_read(due_at, news).await;
+        let wakeup = &gateway.upstreams_news;
+        source = dependency.next_read(due_at, wakeup).await;
     }
 }
 
--- a/src/gateway/upstream_incarnations.rs
+++ b/src/gateway/upstream_incarnations.rs
@@ -11,7 +11,7 @@
 use crate::units::UpstreamId;
 use crate::units::UpstreamName;
 
-/// Number of names and losses incarnations that are kept, the latest. Far more than the upstreams of
+/// Number of names and ended incarnations that are kept, the latest. Far more than the upstreams of
 /// the largest deployment that restart within the longest call.
 const ENTRIES_MAX: usize = 2_048;
 
