--- a/tests/gateway_hosts.rs
+++ b/tests/gateway_hosts.rs
@@ -1,5 +1,5 @@
-//! Hosts that work together: crashes and work that they tell each other, engines' memory, and reads of
-//! the platform through one of them.
+//! Tests of several hosts together: crash reports and load updates between them, reservations of
+//! engine memory, and reads of the platform through one of them.
 
 mod gateway_world;
 
@@ -34,8 +34,8 @@
     res.status().as_u16()
 }
 
-/// One request crashes each engine that runs it, and its caller sends it again and again, at any
-/// host. It takes down one engine after another with all that runs there.
+/// Guards against a request that crashes every engine that runs it. Its caller sends it again and
+/// again to any host, and it takes down one engine after another with all requests that run there.
 #[tokio::test]
 async fn a_request_that_crashes_upstreams_is_refused_on_all_hosts() {
     let catalog = FakeCatalog::new(table(1));
@@ -68,10 +68,10 @@
     assert_eq!(arrived(), before);
 }
 
-/// Two hosts choose an engine at the same time. Neither knows of the other's work, and both take the
-/// same one while another idles.
+/// Guards against two hosts that choose an engine at the same time without knowing each other's
+/// load and both take the same one while another is idle.
 #[tokio::test]
-async fn hosts_tell_each_other_of_their_work() {
+async fn hosts_exchange_their_load() {
     let catalog = FakeCatalog::new(table(1));
     let engines = [
         Upstream::start([Act::EventsThenHang(1)]).await,
@@ -98,43 +98,59 @@
     until(|| seen() == 0).await;
 }
 
-/// An engine turns slow and says so when it is asked. Each host finds it out by late answers of its own
-/// callers, if at all, and goes on filling it: it stands first among the engines.
+/// Guards against hosts that go on filling an engine that has become slow: the engine reports its
+/// slowdown when it is polled, while hosts would notice it only from late answers of their own
+/// callers. The slow engine sorts first.
 #[tokio::test]
-async fn hosts_leave_an_engine_alone_that_says_it_is_slow() {
+async fn hosts_avoid_an_engine_that_reports_a_slowdown() {
     let catalog = FakeCatalog::new(table(1));
     let slow = Upstream::start([Act::EventsThenHang(1)]).await;
     let sound = Upstream::start([Act::Events(1)]).await;
     catalog.list("a", "llm", slow.addr);
     catalog.list("b", "llm", sound.addr);
-    let asking = TestHost::start("a-first", &catalog).await;
-    let told = TestHost::start("b-second", &catalog).await;
-    until(|| told.gateway.ledger().peers_heard(told.gateway.clock.now()) == 1).await;
-    let calls = asking.callers;
+    let polling = TestHost::start("a-first", &catalog).await;
+    let informed = TestHost::start("b-second", &catalog).await;
+    until(|| {
+        informed
+            .gateway
+            .ledger()
+            .peers_heard(informed.gateway.clock.now())
+            == 1
+    })
+    .await;
+    let calls = polling.callers;
     let hanging = tokio::spawn(async move {
         let req = request("/model/1");
         let _ = one_shot::call(calls, req, 1 << 20, Duration::from_secs(20)).await;
     });
     until(|| slow.arrivals().len() == 1).await;
-    asking.orders.slow_down(slow.addr, Slowdown::new(8.0));
-    until(|| asking.log.text().contains("upstream_speed")).await;
+    polling.orders.slow_down(slow.addr, Slowdown::new(8.0));
+    until(|| polling.log.text().contains("upstream_speed")).await;
     while sound.arrivals().is_empty() {
         let req = request("/model/1");
-        let call = one_shot::call(told.callers, req, 1 << 20, Duration::from_millis(100));
+        let call = one_shot::call(informed.callers, req, 1 << 20, Duration::from_millis(100));
         let _ = call.await;
     }
     let before = slow.arrivals().len();
     for _ in 0..3 {
-        assert_eq!(status(&told.call(request("/model/1")).await), 200);
+        assert_eq!(status(&informed.call(request("/model/1")).await), 200);
     }
-    assert_eq!(slow.arrivals().len(), before, "sent to the slow engine");
-    assert_eq!(told.orders.reports(), 0, "one host of a domain asks");
+    assert_eq!(
+        slow.arrivals().len(),
+        before,
+        "requests were sent to the slow engine"
+    );
+    assert_eq!(
+        informed.orders.reports(),
+        0,
+        "only one host of a domain polls its engines"
+    );
     hanging.abort();
 }
 
-/// A host before two engines, `a` and `b`, to which a caller has sent a prompt that needs the memory
+/// A host with two engines, `a` and `b`, to which a caller has sent a prompt that needs the memory
 /// of both.
-async fn reserving() -> (TestHost, [Upstream; 2], JoinHandle<()>) {
+async fn host_with_reservations() -> (TestHost, [Upstream; 2], JoinHandle<()>) {
     let catalog = FakeCatalog::new(table(1));
     let hanging = || Upstream::start([Act::EventsThenHang(1)]);
     let engines = [hanging().await, hanging().await];
@@ -156,30 +172,31 @@
     req.headers_mut()
         .insert("test-prompt", "600000".parse().unwrap());
     let callers = host.callers;
-    let asking = tokio::spawn(async move {
+    let pending = tokio::spawn(async move {
         let limit = Duration::from_secs(60);
         let _ = one_shot::call(callers, req, 1 << 20, limit).await;
     });
     until(|| host.orders.reserved_tokens() > 0).await;
     until(|| engines.iter().any(|engine| !engine.arrivals().is_empty())).await;
-    (host, engines, asking)
+    (host, engines, pending)
 }
 
-/// Memory of an engine is lost for good. It was set aside for a prompt whose caller left, and nobody
-/// gave it back.
+/// Guards against engine memory that is lost for good: it was reserved for a prompt whose caller
+/// disconnected, and nobody released it.
 #[tokio::test]
-async fn memory_that_was_set_aside_is_given_back_when_the_caller_leaves() {
-    let (host, _, asking) = reserving().await;
-    asking.abort();
+async fn reserved_memory_is_released_when_the_caller_disconnects() {
+    let (host, _, pending) = host_with_reservations().await;
+    pending.abort();
     until(|| host.orders.reserved_tokens() == 0).await;
     assert!(host.orders.made() > 0);
 }
 
-/// Engines run out of memory that nobody uses. The engine that led a long prompt lost its power and
-/// its connection stayed open, so the host went on renewing what the other engines had set aside.
+/// Guards against engines that run out of memory that nobody uses: the engine that led a long
+/// prompt lost its power and its connection stayed open, so the host went on renewing the
+/// reservations at the other engines.
 #[tokio::test]
-async fn memory_is_not_renewed_while_the_leader_does_not_answer() {
-    let (host, [a, b], _asking) = reserving().await;
+async fn reservations_are_not_renewed_while_the_leader_does_not_respond() {
+    let (host, [a, b], _pending) = host_with_reservations().await;
     let (leader, other) = if a.arrivals().is_empty() {
         (b, a)
     } else {
@@ -187,108 +204,109 @@
     };
     until(|| host.orders.asked(other.addr) >= 2).await;
     host.orders.silence(leader.addr);
-    let (led, kept) = (
+    let (leader_orders, other_orders) = (
         host.orders.asked(leader.addr),
         host.orders.asked(other.addr),
     );
-    until(|| host.orders.asked(leader.addr) >= led + 3).await;
-    let renewed = host.orders.asked(other.addr) - kept;
+    until(|| host.orders.asked(leader.addr) >= leader_orders + 3).await;
+    let renewed = host.orders.asked(other.addr) - other_orders;
     assert!(
         renewed <= 1,
-        "renewed {renewed} times, at most the one under way"
+        "renewed {renewed} times, more than the one renewal under way"
     );
 }
 
-/// Two hosts, each with a way of its own to the platform; `a-first` stands in the domain `here` and
-/// reads for `b-second` if that does as well.
+/// Two hosts, each with its own link to the platform; `a-first` is in the domain `here` and reads
+/// for `b-second` if that is in the same domain.
 async fn reader_and_follower(
     second_domain: &str,
 ) -> (TestHost, Arc<FakeCatalog>, TestHost, Arc<FakeCatalog>) {
-    let first_way = FakeCatalog::new(table(1));
+    let first_link = FakeCatalog::new(table(1));
     let upstream = Upstream::start([Act::Answer(200, "ok")]).await;
-    first_way.list("a", "app", upstream.addr);
-    let second_way = first_way.another_way();
-    let first = TestHost::start("a-first", &first_way).await;
+    first_link.list("a", "app", upstream.addr);
+    let second_link = first_link.another_way();
+    let first = TestHost::start("a-first", &first_link).await;
     let mut conf = conf("b-second");
     conf.domain = second_domain.parse().unwrap();
     conf.key_lease = Some(Duration::from_millis(2_000));
-    let second = TestHost::start_with(conf, &second_way).await;
+    let second = TestHost::start_with(conf, &second_link).await;
     let is_heard = || {
         let now = second.gateway.clock.now();
         second.gateway.ledger().peers_heard(now) == 1
     };
     until(is_heard).await;
-    (first, first_way, second, second_way)
+    (first, first_link, second, second_link)
 }
 
-/// A host can't reach the platform, though its neighbours can. It turns every caller away after some
-/// seconds, although what it needs to know is one hop away.
+/// Guards against a host that turns every caller away because it can't reach the platform, although
+/// its peers can and have the lists that it needs.
 #[parameterized(
     of_its_domain = { "here" },
     of_another_domain = { "there" },
 )]
-fn a_host_that_is_cut_off_from_the_platform_lives_on_what_a_neighbour_reads(domain: &str) {
+fn a_host_partitioned_from_the_platform_reads_through_a_peer(domain: &str) {
     let runtime = tokio::runtime::Runtime::new().unwrap();
-    runtime.block_on(lives_on_what_a_neighbour_reads(domain));
+    runtime.block_on(reads_through_a_peer(domain));
 }
 
-async fn lives_on_what_a_neighbour_reads(domain: &str) {
-    let (_first, first_way, second, second_way) = reader_and_follower(domain).await;
-    second_way.set_away(true);
-    let reads = first_way.reads();
-    // Longer than its lease: the other host reads every 600 ms.
-    until(|| first_way.reads() >= reads + 6).await;
+async fn reads_through_a_peer(domain: &str) {
+    let (_first, first_link, second, second_link) = reader_and_follower(domain).await;
+    second_link.set_away(true);
+    let reads = first_link.reads();
+    // Longer than the lease of the second host: the first host reads every 600 ms.
+    until(|| first_link.reads() >= reads + 6).await;
     until(|| second.gateway.is_ready()).await;
     assert_eq!(status(&second.call(request("/safe/1")).await), 200);
-    first_way.publish(table(2));
+    first_link.publish(table(2));
     until(|| second.gateway.platform_view.routes().unwrap().generation.0 == 2).await;
-    first_way.set_away(true);
+    first_link.set_away(true);
     until(|| !second.gateway.is_ready()).await;
 }
 
 #[tokio::test]
-async fn one_host_reads_for_its_failure_domain_until_it_is_gone() {
-    let (first, first_way, _second, second_way) = reader_and_follower("here").await;
-    let before = (first_way.reads(), second_way.reads());
-    until(|| first_way.reads() >= before.0 + 8).await;
-    // A host that did not get to run in time may read for itself now and then.
-    let by_itself = second_way.reads() - before.1;
+async fn one_host_reads_for_its_failure_domain_until_it_stops() {
+    let (first, first_link, _second, second_link) = reader_and_follower("here").await;
+    let before = (first_link.reads(), second_link.reads());
+    until(|| first_link.reads() >= before.0 + 8).await;
+    // A host that was not scheduled in time may read for itself now and then.
+    let own_reads = second_link.reads() - before.1;
     assert!(
-        by_itself <= 3,
-        "{by_itself} reads of its own, 8 of the reader"
+        own_reads <= 3,
+        "{own_reads} reads by the second host, 8 by the reader"
     );
     first.serving.abort();
-    let alone = second_way.reads();
-    until(|| second_way.reads() >= alone + 3).await;
+    let reads_before = second_link.reads();
+    until(|| second_link.reads() >= reads_before + 3).await;
 }
 
-/// The platform turns all hosts of a large fleet away. Each goes on asking four times a second, thousands
-/// of calls that cost and do nothing, and the platform comes back into the whole of it.
+/// Guards against a platform that rejects all hosts of a large fleet and gets thousands of useless
+/// calls from them, four a second from each, also while it recovers.
 #[tokio::test]
-async fn a_platform_that_is_away_is_asked_more_and_more_seldom() {
-    let way = FakeCatalog::new(table(1));
-    let host = TestHost::start("host", &way).await;
-    way.set_away(true);
-    let before = way.reads();
+async fn calls_to_an_unreachable_platform_back_off() {
+    let link = FakeCatalog::new(table(1));
+    let host = TestHost::start("host", &link).await;
+    link.set_away(true);
+    let before = link.reads();
     tokio::time::sleep(Duration::from_secs(4)).await;
-    let asked = way.reads() - before;
-    assert!((1..=9).contains(&asked), "{asked} reads in four seconds");
-    way.set_away(false);
-    way.publish(table(2));
+    let calls = link.reads() - before;
+    assert!((1..=9).contains(&calls), "{calls} reads in four seconds");
+    link.set_away(false);
+    link.publish(table(2));
     until(|| host.gateway.platform_view.routes().unwrap().generation.0 == 2).await;
 }
 
-/// Hosts of one failure domain that all hear each other, each with a way of its own to the platform.
-async fn neighbours(count: usize) -> Vec<(TestHost, Arc<FakeCatalog>)> {
+/// Hosts of one failure domain that all get updates from each other, each with its own link to the
+/// platform.
+async fn peers_of_one_domain(count: usize) -> Vec<(TestHost, Arc<FakeCatalog>)> {
     let catalog = FakeCatalog::new(table(1));
     let upstream = Upstream::start([Act::Answer(200, "ok")]).await;
     catalog.list("a", "app", upstream.addr);
     let mut hosts = Vec::new();
     for number in 0..count {
-        let way = catalog.another_way();
+        let link = catalog.another_way();
         let mut conf = conf(&format!("host-{number}"));
         conf.key_lease = Some(Duration::from_secs(3));
-        hosts.push((TestHost::start_with(conf, &way).await, way));
+        hosts.push((TestHost::start_with(conf, &link).await, link));
     }
     for (host, _) in &hosts {
         let heard = || host.gateway.ledger().peers_heard(host.gateway.clock.now());
@@ -297,39 +315,40 @@
     hosts
 }
 
-/// The platform turns a whole failure domain away for some seconds. Each of its hosts tries by itself once
-/// a second and more, hundreds of calls in a large fleet that give nothing. Together they need not ask
-/// more often than a host that is alone: four times a second, a quarter more by the spread.
+/// Guards against a platform that rejects all hosts of a failure domain for some seconds and gets
+/// hundreds of calls from a large fleet, one a second and more from each host. Together the hosts
+/// need not call more often than a single one would: four times a second, plus a quarter for the
+/// jitter.
 #[tokio::test]
-async fn hosts_of_a_domain_try_a_platform_that_is_away_together() {
-    let hosts = neighbours(10).await;
-    for (_, way) in &hosts {
-        way.set_away(true);
+async fn hosts_of_a_domain_share_the_retries_of_an_unreachable_platform() {
+    let hosts = peers_of_one_domain(10).await;
+    for (_, link) in &hosts {
+        link.set_away(true);
     }
     for (host, _) in &hosts {
         until(|| !host.gateway.is_ready()).await;
     }
-    let reads = || hosts.iter().map(|(_, way)| way.reads()).sum::<usize>();
+    let reads = || hosts.iter().map(|(_, link)| link.reads()).sum::<usize>();
     let before = reads();
     tokio::time::sleep(Duration::from_secs(5)).await;
-    let asked = reads() - before;
-    assert!((1..=25).contains(&asked), "{asked} reads in five seconds");
+    let calls = reads() - before;
+    assert!((1..=25).contains(&calls), "{calls} reads in five seconds");
 }
 
-/// The platform is back, but turns most hosts away for a while longer. Callers of those are refused as
-/// long as each finds out by itself, although a neighbour has everything that they need to know.
+/// Guards against hosts that refuse callers until each has reached the recovered platform itself:
+/// while it still rejects most hosts, one host has everything that the others need.
 #[tokio::test]
 async fn the_first_host_that_reaches_the_platform_again_tells_the_others() {
-    let hosts = neighbours(5).await;
-    for (_, way) in &hosts {
-        way.set_away(true);
+    let hosts = peers_of_one_domain(5).await;
+    for (_, link) in &hosts {
+        link.set_away(true);
     }
     for (host, _) in &hosts {
         until(|| !host.gateway.is_ready()).await;
     }
-    let (_, first_way) = &hosts[3];
-    first_way.publish(table(2));
-    first_way.set_away(false);
+    let (_, first_link) = &hosts[3];
+    first_link.publish(table(2));
+    first_link.set_away(false);
     for (host, _) in &hosts {
         until(|| host.gateway.is_ready()).await;
         assert_eq!(host.gateway.platform_view.routes().unwrap().generation.0, 2);
@@ -337,10 +356,11 @@
     }
 }
 
-/// An engine falls silent in the middle of an answer, which is late by then. The only other one has a
-/// second to read first. The answer is turned away there as late, and its caller gets half of it.
+/// Guards against an answer that is cut in half: its engine stops responding in the middle, when
+/// the answer is already late, and the only other engine has a second of prefill to do first. That
+/// engine must not turn the answer away as late.
 #[tokio::test]
-async fn an_answer_that_broke_off_goes_on_at_a_busy_engine() {
+async fn a_broken_stream_resumes_at_a_busy_engine() {
     let catalog = FakeCatalog::new(table(1));
     let silent = Upstream::start([Act::EventsThenHang(2)]).await;
     let busy = Upstream::start([Act::Events(5)]).await;
--- a/tests/gateway_news.rs
+++ b/tests/gateway_news.rs
@@ -1,4 +1,5 @@
-//! What a gateway makes of news by way of collectors, and whom it asks when it starts.
+//! Tests of updates that reach a gateway through collectors, and of the hosts that it asks when it
+//! starts.
 
 mod gateway_world;
 
@@ -30,7 +31,7 @@
     }
 }
 
-fn domain_news(loads: Vec<LoadNews>, is_partial: bool) -> HostNews {
+fn domain_update(loads: Vec<LoadNews>, is_partial: bool) -> HostNews {
     HostNews {
         host: "far-collector".to_owned(),
         incarnation: 7,
@@ -41,10 +42,10 @@
     }
 }
 
-/// A collector tells the work of its whole domain, then changes of it, and names upstreams by their
-/// hashes, one of which this host has not read yet.
+/// A collector sends the load of its whole domain, then a delta, and identifies upstreams by their
+/// hashes, one of which this host does not know yet.
 #[tokio::test]
-async fn work_of_another_domain_is_heard_through_its_collector() {
+async fn load_of_another_domain_arrives_through_its_collector() {
     let catalog = FakeCatalog::new(table(1));
     let engine = Upstream::start([Act::Answer(200, "a")]).await;
     catalog.list("a", "llm", engine.addr);
@@ -52,21 +53,22 @@
     let host = TestHost::start("host", &catalog).await;
     let hash = |id: &str| UpstreamHash::of(id).0;
     let all = vec![load(hash("a"), 3), load(hash("b"), 2), load(hash("new"), 9)];
-    host.gateway.hear(domain_news(all, false));
+    host.gateway.hear(domain_update(all, false));
     host.gateway
-        .hear(domain_news(vec![load(hash("a"), 5)], true));
+        .hear(domain_update(vec![load(hash("a"), 5)], true));
     let in_flight = |id: &str| {
         let ledger = host.gateway.ledger();
         ledger.load(&id.parse().unwrap(), Instant::now()).in_flight
     };
     assert_eq!((in_flight("a"), in_flight("b")), (5, 2));
     host.gateway
-        .hear(domain_news(vec![load(hash("b"), 1)], false));
+        .hear(domain_update(vec![load(hash("b"), 1)], false));
     assert_eq!((in_flight("a"), in_flight("b")), (0, 1));
 }
 
-/// All hosts lose their power and start again. Each finds the others on the list, asks them before it
-/// reads for itself, and waits for those that are dead: 674 calls were turned away in place of 186.
+/// Guards against hosts that all restart after a power loss, find the others on the list, request
+/// lists from them before reading the platform themselves, and wait for those that are down: 674
+/// calls were turned away in place of 186.
 #[tokio::test]
 async fn a_starting_host_reads_before_it_asks_others() {
     let catalog = FakeCatalog::new(table(1));
@@ -90,5 +92,8 @@
     let _host = TestHost::start("host", &catalog).await;
     until(|| reads_when_asked.lock().unwrap().is_some()).await;
     let reads = reads_when_asked.lock().unwrap().unwrap();
-    assert!(reads >= 1, "asked before it had read");
+    assert!(
+        reads >= 1,
+        "another host was asked before the first read of the platform"
+    );
 }
--- a/tests/gateway_reads.rs
+++ b/tests/gateway_reads.rs
@@ -1,4 +1,4 @@
-//! How hosts read the platform's lists: by what has changed, and through each other.
+//! Tests of how hosts read the platform's lists: as deltas, and through each other.
 
 mod gateway_world;
 
@@ -17,12 +17,13 @@
     ids.map(|upstream| upstream.id.to_string()).collect()
 }
 
-/// Hosts `a-first`, which reads, and `b-second`, which asks it, each with its own way to the platform.
+/// The hosts `a-first`, which reads the platform, and `b-second`, which reads through it, each with
+/// its own link to the platform.
 async fn two_hosts(catalog: &FakeCatalog) -> [(TestHost, Arc<FakeCatalog>); 2] {
     let mut hosts = Vec::new();
     for name in ["a-first", "b-second"] {
-        let way = catalog.another_way();
-        hosts.push((TestHost::start_with(conf(name), &way).await, way));
+        let link = catalog.another_way();
+        hosts.push((TestHost::start_with(conf(name), &link).await, link));
     }
     let second = &hosts[1].0.gateway;
     until(|| second.ledger().peers_heard(second.clock.now()) == 1).await;
@@ -37,13 +38,14 @@
     catalog
 }
 
-/// Upstreams of a large deployment come and go several times a second. Each host reads all three thousand
-/// of them each time, has no time for its callers, and goes on sending to those that have left.
+/// Guards against hosts that read all upstreams of a large deployment, three thousand, on each of
+/// several changes a second. They would have no time for their callers, and go on sending to
+/// upstreams that have left.
 #[tokio::test]
-async fn hosts_read_what_has_changed_alone() {
+async fn hosts_read_only_changes() {
     let catalog = catalog_of(["a", "b", "c"]);
-    let [(first, first_way), (second, second_way)] = two_hosts(&catalog).await;
-    let before = (first_way.whole_reads(), second_way.whole_reads());
+    let [(first, first_link), (second, second_link)] = two_hosts(&catalog).await;
+    let before = (first_link.whole_reads(), second_link.whole_reads());
     catalog.leave("b");
     until(|| listed(&first) == ["a", "c"]).await;
     until(|| listed(&second) == ["a", "c"]).await;
@@ -54,60 +56,60 @@
     until(|| listed(&second) == [again.as_str(), "d"]).await;
     until(|| listed(&first) == [again.as_str(), "d"]).await;
     assert_eq!(
-        (first_way.whole_reads(), second_way.whole_reads()),
+        (first_link.whole_reads(), second_link.whole_reads()),
         before,
-        "all upstreams were read again"
+        "the full list of upstreams was read again"
     );
 }
 
-/// The platform forgets its history while upstreams leave. A host that goes on with changes alone never
-/// learns of it.
+/// Guards against a host that never learns of an upstream that left while the platform dropped its
+/// history, because the host goes on reading changes only.
 #[tokio::test]
-async fn a_host_reads_all_when_the_changes_are_forgotten() {
+async fn a_host_reads_the_full_list_when_the_history_has_expired() {
     let catalog = catalog_of(["a", "b", "c"]);
-    let way = catalog.another_way();
-    let host = TestHost::start("host", &way).await;
+    let link = catalog.another_way();
+    let host = TestHost::start("host", &link).await;
     until(|| listed(&host).len() == 3).await;
-    way.set_away(true);
+    link.set_away(true);
     catalog.leave("b");
     catalog.forget_changes();
-    way.set_away(false);
+    link.set_away(false);
     until(|| listed(&host) == ["a", "c"]).await;
     catalog.leave("a");
     until(|| listed(&host) == ["c"]).await;
 }
 
-/// The host that reads dies. The next one goes on from what it heard of the other, and must not take up
-/// changes again that are over: an upstream that has left would come back.
+/// The host that reads the platform dies. The next one continues from what it got from the first,
+/// and must not apply old changes again: an upstream that has left would come back.
 #[tokio::test]
-async fn another_host_goes_on_where_the_reading_one_died() {
+async fn another_host_takes_over_from_a_dead_reader() {
     let catalog = catalog_of(["a", "b", "c"]);
-    let [(first, _), (second, second_way)] = two_hosts(&catalog).await;
+    let [(first, _), (second, second_link)] = two_hosts(&catalog).await;
     catalog.leave("b");
     until(|| listed(&second) == ["a", "c"]).await;
     first.serving.abort();
-    let before = second_way.whole_reads();
-    until(|| second_way.whole_reads() > before).await;
+    let before = second_link.whole_reads();
+    until(|| second_link.whole_reads() > before).await;
     assert_eq!(listed(&second), ["a", "c"]);
     catalog.leave("c");
     until(|| listed(&second) == ["a"]).await;
 }
 
-/// All hosts of a large fleet read the list of hosts from the platform, the same list each.
+/// Guards against all hosts of a large fleet reading the same list of hosts from the platform.
 #[tokio::test]
-async fn hosts_are_read_through_the_host_that_reads() {
+async fn the_list_of_hosts_is_read_through_the_reader() {
     let catalog = catalog_of(["a", "b", "c"]);
-    let [(first, _), (second, second_way)] = two_hosts(&catalog).await;
+    let [(first, _), (second, second_link)] = two_hosts(&catalog).await;
     first.until_hosts(2).await;
-    second_way.set_away(true);
+    second_link.set_away(true);
     let _third = TestHost::start("c-third", &catalog.another_way()).await;
     second.until_hosts(3).await;
 }
 
-/// Hosts restart in turn. Each is off the list for a moment, is told nothing until all others have read that
-/// it is back, and sends its prompts to engines that they have filled meanwhile.
+/// Guards against a restarted host that gets no updates until all others have read that it is back
+/// on the list, and sends its prompts to engines that they have filled meanwhile.
 #[tokio::test]
-async fn a_host_that_has_just_left_the_list_is_told_on() {
+async fn a_host_that_has_just_left_the_list_still_gets_updates() {
     let catalog = catalog_of(["a", "b", "c"]);
     let [(first, _), (second, _)] = two_hosts(&catalog).await;
     let names = || {
--- a/tests/gateway_store_returns.rs
+++ b/tests/gateway_store_returns.rs
@@ -1,5 +1,5 @@
-//! The platform's store comes back from an older copy of itself: what was written since is gone, and revisions are
-//! given out again.
+//! Tests of a platform whose store is restored from an older copy: what was written since is lost,
+//! and revisions are reused.
 
 mod gateway_world;
 
@@ -15,7 +15,7 @@
 use gateway_world::upstream::Act;
 use gateway_world::upstream::Upstream;
 
-async fn answering() -> Upstream {
+async fn answering_upstream() -> Upstream {
     Upstream::start([Act::Answer(200, "a")]).await
 }
 
@@ -29,54 +29,56 @@
     hosts.iter().any(|listed| listed.host.as_str() == name)
 }
 
-async fn until_returned(host: &TestHost) {
+async fn wait_until_restored(host: &TestHost) {
     until(|| host.log.text().contains("store_returned")).await;
 }
 
-/// A manifest that is published after the return has a smaller revision than the one that was lost, and never comes
-/// into force, while each read renews the lease on the keys of the old one.
+/// Guards against a manifest that never comes into force: it is published after the restore and has
+/// a smaller revision than the lost one, while each read renews the lease on the keys of the old
+/// one.
 #[tokio::test]
 async fn a_manifest_of_a_later_era_is_newer_than_any_before() {
     let catalog = FakeCatalog::new(table(1));
     let host = TestHost::start("host", &catalog).await;
-    let copy = catalog.copy();
+    let snapshot = catalog.copy();
     for newer in 2..=6 {
         catalog.publish(table(newer));
     }
     until(|| generation(&host) == Generation(6)).await;
-    catalog.return_from(copy);
+    catalog.return_from(snapshot);
     catalog.publish(table(7));
     until(|| generation(&host) == Generation(7)).await;
-    until_returned(&host).await;
+    wait_until_restored(&host).await;
 }
 
-/// Another manifest with the revision that a host knows counts as the same.
+/// Guards against taking a different manifest that reuses a known revision for the known one.
 #[tokio::test]
-async fn a_revision_that_is_given_out_again_is_another_one() {
+async fn a_reused_revision_is_a_different_manifest() {
     let catalog = FakeCatalog::new(table(1));
     let host = TestHost::start("host", &catalog).await;
-    let copy = catalog.copy();
+    let snapshot = catalog.copy();
     catalog.publish(table(2));
     until(|| generation(&host) == Generation(2)).await;
-    catalog.return_from(copy);
+    catalog.return_from(snapshot);
     catalog.publish(table(3));
     until(|| generation(&host) == Generation(3)).await;
 }
 
-/// The copy holds an older manifest than the one in force: a host goes back to it and serves a key that was taken
-/// back, or takes the read for a proof and serves on by a manifest that the platform does not have.
+/// Guards against a host that, after a restore to an older manifest than the one in force, goes
+/// back to it and serves a revoked key, or takes the read for a confirmation and keeps serving with
+/// a manifest that the platform does not have.
 #[tokio::test]
 async fn an_older_manifest_is_not_put_in_force_and_renews_no_lease() {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = answering().await;
+    let upstream = answering_upstream().await;
     catalog.list("a", "app", upstream.addr);
     let mut conf = conf("host");
     conf.key_lease = Some(Duration::from_millis(2_000));
     let host = TestHost::start_with(conf, &catalog).await;
-    let copy = catalog.copy();
+    let snapshot = catalog.copy();
     catalog.publish(table(2));
     until(|| generation(&host) == Generation(2)).await;
-    catalog.return_from(copy);
+    catalog.return_from(snapshot);
     until(|| host.log.text().contains("manifest_older")).await;
     assert_eq!(generation(&host), Generation(2));
     until(|| !host.gateway.is_ready()).await;
@@ -87,29 +89,31 @@
     assert_eq!(host.call(request("/safe/1")).await.status(), 200);
 }
 
-/// Hosts that were listed after the copy was made are on nobody's list any more, and hear of nobody's work.
+/// Guards against hosts that were registered after the copy was made: they are on no host's list
+/// any more and get no updates.
 #[tokio::test]
-async fn a_host_whose_entry_is_gone_puts_itself_on_the_list_again() {
+async fn a_host_whose_entry_was_lost_registers_again() {
     let catalog = FakeCatalog::new(table(1));
-    let copy = catalog.copy();
+    let snapshot = catalog.copy();
     let (first, second) = (
         TestHost::start("first", &catalog).await,
         TestHost::start("second", &catalog).await,
     );
     first.until_hosts(2).await;
     second.until_hosts(2).await;
-    catalog.return_from(copy);
+    catalog.return_from(snapshot);
     assert!(!is_listed(&catalog, "first"));
     until(|| is_listed(&catalog, "first") && is_listed(&catalog, "second")).await;
     first.until_hosts(2).await;
     second.until_hosts(2).await;
 }
 
-/// The copy lists an upstream as staying that has said it leaves, and hosts send to it again.
+/// Guards against sending to an upstream that has announced that it is leaving, but is not leaving
+/// in the copy.
 #[tokio::test]
-async fn an_upstream_that_has_said_it_leaves_is_not_used_again() {
+async fn an_upstream_that_announced_leaving_is_not_used_after_a_restore() {
     let catalog = FakeCatalog::new(table(1));
-    let (leaving, staying) = (answering().await, answering().await);
+    let (leaving, staying) = (answering_upstream().await, answering_upstream().await);
     catalog.list("a", "app", leaving.addr);
     catalog.list("b", "app", staying.addr);
     let host = TestHost::start("host", &catalog).await;
@@ -118,11 +122,11 @@
         upstreams.map_or(0, |upstreams| upstreams.values().map(Vec::len).sum())
     };
     until(|| usable(&host) == 2).await;
-    let copy = catalog.copy();
+    let snapshot = catalog.copy();
     catalog.leave("a");
     until(|| usable(&host) == 1).await;
-    let joined = answering().await;
-    catalog.return_from(copy);
+    let joined = answering_upstream().await;
+    catalog.return_from(snapshot);
     catalog.list("c", "app", joined.addr);
     until(|| usable(&host) == 2).await;
     for _ in 0..8 {
@@ -131,12 +135,17 @@
     assert_eq!(leaving.arrivals().len(), 0);
 }
 
-/// What has changed among the upstreams between the copy and the revision of a watch is never seen: the store passes
-/// that revision again, and the watch goes on as if nothing had happened.
+/// Guards against changes of the upstreams between the copy and the revision of a watch that are
+/// never seen: the store passes that revision again, and the watch continues as if nothing had
+/// happened.
 #[tokio::test]
-async fn upstreams_are_read_whole_after_a_return() {
+async fn the_full_list_of_upstreams_is_read_after_a_restore() {
     let catalog = FakeCatalog::new(table(1));
-    let upstreams = [answering().await, answering().await, answering().await];
+    let upstreams = [
+        answering_upstream().await,
+        answering_upstream().await,
+        answering_upstream().await,
+    ];
     catalog.list("a", "app", upstreams[0].addr);
     let host = TestHost::start("host", &catalog).await;
     let names = |host: &TestHost| {
@@ -146,29 +155,29 @@
             .collect::<Vec<_>>()
     };
     until(|| names(&host) == ["a"]).await;
-    let copy = catalog.copy();
+    let snapshot = catalog.copy();
     catalog.list("b", "app", upstreams[1].addr);
     until(|| names(&host) == ["a", "b"]).await;
-    catalog.return_from(copy);
+    catalog.return_from(snapshot);
     catalog.list("c", "app", upstreams[2].addr);
     until(|| names(&host) == ["a", "c"]).await;
 }
 
-/// A host that reads through another one does not learn that the store has come back.
+/// Guards against a host that reads through another one and does not learn of the restore.
 #[tokio::test]
-async fn a_host_that_reads_through_another_learns_of_the_return() {
+async fn a_host_that_reads_through_another_learns_of_the_restore() {
     let catalog = FakeCatalog::new(table(1));
     let reading = TestHost::start("a-first", &catalog).await;
-    let way = catalog.another_way();
-    let other = TestHost::start("b-second", &way).await;
+    let link = catalog.another_way();
+    let other = TestHost::start("b-second", &link).await;
     reading.until_hosts(2).await;
     other.until_hosts(2).await;
-    let copy = catalog.copy();
+    let snapshot = catalog.copy();
     catalog.publish(table(2));
     until(|| generation(&other) == Generation(2)).await;
-    way.set_away(true);
-    catalog.return_from(copy);
+    link.set_away(true);
+    catalog.return_from(snapshot);
     catalog.publish(table(3));
     until(|| generation(&other) == Generation(3)).await;
-    until_returned(&other).await;
+    wait_until_restored(&other).await;
 }
--- a/tests/gateway_versions.rs
+++ b/tests/gateway_versions.rs
@@ -1,4 +1,4 @@
-//! Hosts of neighbouring versions that run side by side while they are replaced.
+//! Tests of hosts of adjacent versions that run side by side during a rolling upgrade.
 
 mod gateway_world;
 
@@ -29,17 +29,18 @@
 
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-struct Ask {
+struct ReadRequest {
     #[prost(int32, tag = "1")]
     list: i32,
     #[prost(uint64, tag = "2")]
     known_version: u64,
 }
 
-/// An entry as hosts wrote it that knew upstreams by their names alone.
+/// An upstream entry in the format of the previous version, which identifies upstreams by name
+/// alone.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-struct FormerEntry {
+struct PreviousUpstreamEntry {
     #[prost(string, tag = "1")]
     id: String,
     #[prost(string, tag = "2")]
@@ -54,60 +55,60 @@
 
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-struct Answer {
+struct ReadResponse {
     #[prost(uint64, tag = "1")]
     version: u64,
     #[prost(message, repeated, tag = "4")]
-    upstreams: Vec<FormerEntry>,
+    upstreams: Vec<PreviousUpstreamEntry>,
 }
 
-/// Answers as a host of the former version that has read one upstream.
+/// Responds like a host of the previous version that has read one upstream.
 async fn serve_reads(listener: TcpListener, upstream: SocketAddr) {
     while let Ok((stream, _)) = listener.accept().await {
         tokio::spawn(async move {
             let mut framed = Framed::new(stream, LengthDelimitedCodec::new());
             while let Some(Ok(frame)) = framed.next().await {
-                let ask = Ask::decode(frame).unwrap();
-                let answer = answer(&ask, upstream).encode_to_vec();
-                framed.send(Bytes::from(answer)).await.unwrap();
+                let request = ReadRequest::decode(frame).unwrap();
+                let response = respond(&request, upstream).encode_to_vec();
+                framed.send(Bytes::from(response)).await.unwrap();
             }
         });
     }
 }
 
-fn answer(ask: &Ask, upstream: SocketAddr) -> Answer {
-    if ask.list != UPSTREAMS {
-        return Answer {
-            version: ask.known_version,
+fn respond(request: &ReadRequest, upstream: SocketAddr) -> ReadResponse {
+    if request.list != UPSTREAMS {
+        return ReadResponse {
+            version: request.known_version,
             upstreams: Vec::new(),
         };
     }
-    let entry = FormerEntry {
+    let entry = PreviousUpstreamEntry {
         id: "b".to_owned(),
         service: "app".to_owned(),
         addr: upstream.to_string(),
         domain: "here".to_owned(),
         slots: 6,
     };
-    Answer {
+    ReadResponse {
         version: 7,
         upstreams: vec![entry],
     }
 }
 
-async fn tell_that_it_lives(gateway: Arc<Gateway>) {
+async fn keep_host_alive(gateway: Arc<Gateway>) {
     loop {
         let now = gateway.clock.now();
-        let host = "a-former".parse().unwrap();
+        let host = "a-previous".parse().unwrap();
         gateway.ledger().hear(host, 1, IndexMap::new(), now);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// Hosts are replaced one by one by a newer version. The newer ones that read through an older neighbour
-/// have no upstream left, since its entries lack a field that the older version does not know.
+/// Guards against hosts of the newer version that have no upstream left during a rolling upgrade,
+/// since they read through a peer of the previous version whose entries lack a field.
 #[tokio::test]
-async fn a_host_reads_through_a_neighbour_of_the_former_version() {
+async fn a_host_reads_through_a_peer_of_the_previous_version() {
     let catalog = FakeCatalog::new(table(1));
     let (own, read) = (
         Upstream::start([Act::Answer(200, "own")]).await,
@@ -116,15 +117,15 @@
     catalog.list("a", "app", own.addr);
     let host = TestHost::start("b-newer", &catalog).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let former = ListedHost {
-        host: "a-former".parse().unwrap(),
+    let previous = ListedHost {
+        host: "a-previous".parse().unwrap(),
         domain: "here".parse().unwrap(),
         exchange_addr: listener.local_addr().unwrap(),
         processors: None,
     };
     tokio::spawn(serve_reads(listener, read.addr));
-    tokio::spawn(tell_that_it_lives(Arc::clone(&host.gateway)));
-    catalog.register_host(former).await.unwrap();
+    tokio::spawn(keep_host_alive(Arc::clone(&host.gateway)));
+    catalog.register_host(previous).await.unwrap();
     until(|| host.gateway.platform_view.is_listed(&"b".parse().unwrap())).await;
     let res = host.call(request("/safe/1")).await;
     assert_eq!(res.body().as_ref(), b"read");
--- a/tests/histories.rs
+++ b/tests/histories.rs
@@ -1,7 +1,9 @@
-//! Generated histories of concurrent callers, hosts, upstreams and operators under faults.
+//! Property tests on generated histories of concurrent callers, hosts, upstreams and operators
+//! under faults.
 //!
-//! `PROPTEST_CASES=10000 cargo test --release --locked --test histories` runs as many as asked. The
-//! seed is fixed, so that every run has the same verdict; `HISTORIES_SEED` takes another one.
+//! `PROPTEST_CASES=10000 cargo test --release --locked --test histories` runs the given number of
+//! cases. The seed is fixed, so that every run has the same result; `HISTORIES_SEED` sets another
+//! one.
 
 mod fakes;
 mod worlds;
@@ -37,9 +39,9 @@
 proptest! {
     #![proptest_config(conf())]
 
-    /// A caller sends a licence grant again and again through several hosts, while the platform
-    /// loses answers, delays writes and goes away, hosts die and pause, and upstreams refuse and
-    /// crash. It runs at most once, "not run" is true, and nobody waits for ever.
+    /// A caller sends a licence grant repeatedly through several hosts, while the platform loses
+    /// responses, delays writes and becomes unreachable, hosts die and pause, and upstreams refuse
+    /// and crash. The request runs at most once, a "not run" is true, and nobody waits for ever.
     #[test]
     fn claimed_requests_run_at_most_once(steps in vec(claim_world::step(), 1..80)) {
         let mut world = ClaimWorld::new();
@@ -49,10 +51,10 @@
         world.check();
     }
 
-    /// Two callers read their answers over connections that cross, repeat, lose and cut pieces, and
-    /// that are resumed. Each gets its own answer, and knows whether it is whole.
+    /// Two callers read their answers over resumed connections that reorder, repeat, lose and split
+    /// pieces. Each caller gets its own answer, and knows whether it is complete.
     #[test]
-    fn answers_are_the_callers_own(arrivals in vec(answer_world::arrival(), 1..60)) {
+    fn callers_get_their_own_answers(arrivals in vec(answer_world::arrival(), 1..60)) {
         let mut world = AnswerWorld::new();
         for (attempt, arrival) in arrivals {
             world.arrive(attempt, arrival);
@@ -60,10 +62,10 @@
         world.check();
     }
 
-    /// Messages between hosts and their home are lost and late, hosts pause, die and start again,
-    /// connections break, engines crash and leave. No memory is lost or promised twice, no answer
-    /// that is being read is cut off, nothing new goes to an upstream that is leaving, and every
-    /// request ends.
+    /// Messages between hosts and their home are lost and delayed, hosts pause, die and restart,
+    /// connections break, and engines crash and leave. No memory is lost or granted twice, no
+    /// answer that is being read is interrupted, nothing new goes to an upstream that is leaving,
+    /// and every request ends.
     #[test]
     fn no_engine_loses_memory(steps in vec(grant_world::step(), 1..60)) {
         let mut world = GrantWorld::new();
@@ -73,8 +75,8 @@
         world.check();
     }
 
-    /// The same, and homes die and are two at once. For a moment memory may be promised twice, and
-    /// nothing else is different.
+    /// The same with homes that die and that overlap. For a moment memory may be granted twice; all
+    /// other guarantees hold.
     #[test]
     fn moving_homes_lose_nothing(steps in vec(grant_world::step_of_many_homes(), 1..60)) {
         let mut world = GrantWorld::new();
@@ -84,10 +86,10 @@
         world.check();
     }
 
-    /// Operators publish, hosts are replaced, watches lag and repeat old words, and messages are
-    /// lost and overtake each other. No process goes back to an earlier manifest or mixes two, and
-    /// the newest is in force everywhere within six seconds after one host has heard of it, or half
-    /// a minute when what it says is lost.
+    /// Operators publish, hosts are replaced, watches lag and repeat old events, and messages are
+    /// lost and reordered. No process goes back to an earlier manifest or mixes two, and the newest
+    /// is in force everywhere within six seconds after one host has received it, or half a minute
+    /// if the messages of that host are lost.
     #[test]
     fn manifests_move_forward_only(steps in vec(manifest_world::step(), 1..60)) {
         let mut world = ManifestWorld::new();
@@ -97,11 +99,11 @@
         world.check();
     }
 
-    /// A host is told to shut down while callers come and go and the platform takes claims or does
-    /// not. Nobody is turned away before the balancer knows, nobody is cut off but by a second
-    /// signal, and it ends.
+    /// A host is told to shut down while callers come and go and the platform accepts claims or
+    /// does not. No caller is turned away before the load balancer knows, none is interrupted
+    /// except by a second signal, and the shutdown ends.
     #[test]
-    fn shutdowns_cut_off_nobody(steps in vec(drain_world::step(), 1..40)) {
+    fn shutdowns_interrupt_no_request(steps in vec(drain_world::step(), 1..40)) {
         let mut world = DrainWorld::new();
         for step in steps {
             world.step(step);
