--- a/src/gateway/catalog_sharing/upstream_list.rs
+++ b/src/gateway/catalog_sharing/upstream_list.rs
@@ -18,12 +18,12 @@
 /// versions.
 const REMOVED_MAX: usize = 1_024;
 
-/// An upstream with the update that last changed its entry.
+/// An upstream with the number of the update that last changed its entry.
 #[derive(Clone, Debug)]
 struct Entry {
     listed: ListedUpstream,
     hash: u64,
-    update: u64,
+    update_number: u64,
 }
 
 /// A list of upstreams that can report its changes since an earlier version.
@@ -35,7 +35,7 @@
 pub(crate) struct UpstreamList {
     version: u64,
     /// Number of the last update that changed the list.
-    update: u64,
+    update_number: u64,
     entries: IndexMap<UpstreamName, Entry>,
     /// The sum of the hashes of all entries, from which the version is computed.
     hash_sum: u64,
@@ -68,21 +68,21 @@
 
     /// Applies changes. Returns whether the list has changed.
     pub(crate) fn apply(&mut self, changes: impl IntoIterator<Item = UpstreamChange>) -> bool {
-        let update = self.update + 1;
+        let update_number = self.update_number + 1;
         let mut has_changed = false;
         for change in changes {
             has_changed |= match change {
-                UpstreamChange::Upserted(listed) => self.upsert(listed, update),
-                UpstreamChange::Removed(name) => self.remove(name, update),
+                UpstreamChange::Upserted(listed) => self.upsert(listed, update_number),
+                UpstreamChange::Removed(name) => self.remove(name, update_number),
             };
         }
         if self.version != 0 && !has_changed {
             return false;
         }
-        self.update = update;
+        self.update_number = update_number;
         // Version 0 means that there is none.
         self.version = self.hash_sum.max(1);
-        self.versions.push_back((self.version, update));
+        self.versions.push_back((self.version, update_number));
         drop_oldest(&mut self.versions, VERSIONS_MAX);
         drop_oldest(&mut self.removed, REMOVED_MAX);
         let listed = self.entries.values().map(|entry| entry.listed.clone());
@@ -98,15 +98,21 @@
         if is_incomplete {
             return None;
         }
-        let removed = self.removed.iter().filter(|(update, _)| *update > since);
+        let removed = self
+            .removed
+            .iter()
+            .filter(|(update_number, _)| *update_number > since);
         let removed = removed.map(|(_, name)| UpstreamChange::Removed(name.clone()));
-        let changed = self.entries.values().filter(|entry| entry.update > since);
+        let changed = self
+            .entries
+            .values()
+            .filter(|entry| entry.update_number > since);
         let changed = changed.map(|entry| UpstreamChange::Upserted(entry.listed.clone()));
         // An upstream that was removed and added again is in both: the later entry lists it.
         Some(removed.chain(changed).collect())
     }
 
-    fn upsert(&mut self, listed: ListedUpstream, update: u64) -> bool {
+    fn upsert(&mut self, listed: ListedUpstream, update_number: u64) -> bool {
         let hash = hash_of(&listed);
         let before = self.entries.get(&listed.name);
         if before.is_some_and(|before| before.listed == listed) {
@@ -118,18 +124,18 @@
         let entry = Entry {
             listed,
             hash,
-            update,
+            update_number,
         };
         self.entries.insert(name, entry);
         true
     }
 
-    fn remove(&mut self, name: UpstreamName, update: u64) -> bool {
+    fn remove(&mut self, name: UpstreamName, update_number: u64) -> bool {
         let Some(before) = self.entries.swap_remove(&name) else {
             return false;
         };
         self.hash_sum = self.hash_sum.wrapping_sub(before.hash);
-        self.removed.push_back((update, name));
+        self.removed.push_back((update_number, name));
         true
     }
 }
--- a/src/gateway/engine_survey_record.rs
+++ b/src/gateway/engine_survey_record.rs
@@ -83,7 +83,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} engines, {} of them for short prompts, {} with a place, {} that may help, {} with memory, {} with room, {} idle",
+            "{} engines, {} of them for short prompts, {} with a free slot, {} that may help, {} with memory, {} with room, {} idle",
             self.engines,
             self.short_side,
             self.with_place,
@@ -94,7 +94,7 @@
         )?;
         match &self.best {
             Some(best) => write!(f, "; best group: {best}"),
-            None => write!(f, "; no group has the places and the memory"),
+            None => write!(f, "; no group has the slots and the memory"),
         }
     }
 }
--- a/tests/histories.rs
+++ b/tests/histories.rs
@@ -41,7 +41,7 @@
 
     /// A caller sends a licence grant repeatedly through several hosts, while the platform loses
     /// responses, delays writes and becomes unreachable, hosts die and pause, and upstreams refuse
-    /// and crash. The request runs at most once, a "not run" is true, and nobody waits for ever.
+    /// and crash. The request runs at most once, a "not run" is true, and no caller waits forever.
     #[test]
     fn claimed_requests_run_at_most_once(steps in vec(claim_world::step(), 1..80)) {
         let mut world = ClaimWorld::new();
