--- a/src/gateway/listeners.rs
+++ b/src/gateway/listeners.rs
@@ -29,16 +29,14 @@
     pub async fn bind(conf: &GatewayConf) -> Result<Self, GatewayError> {
         let share = listen("requests of other hosts", conf.exchange_addr).await?;
         let exchange_addr = share.local_addr();
-        let exchange_addr =
-            exchange_addr.map_err(|err| GatewayError::Bind("broadcasts of other hosts", err))?;
+        let exchange_addr = exchange_addr.map_err(|err| GatewayError::Bind("news", err))?;
         let exchange = UdpSocket::bind(exchange_addr).await;
         Ok(Self {
             share,
             ready: listen("readiness", conf.ready_addr).await?,
             metrics: listen("metrics", conf.metrics_addr).await?,
             callers: listen("callers", conf.callers_addr).await?,
-            exchange: exchange
-                .map_err(|err| GatewayError::Bind("broadcasts of other hosts", err))?,
+            exchange: exchange.map_err(|err| GatewayError::Bind("news", err))?,
         })
     }
 }
