--- a/examples/sweep/timing.rs
+++ b/examples/sweep/timing.rs
@@ -5,9 +5,9 @@
 
 use banyanarch::clock::Clock;
 use banyanarch::clock::ManualClock;
+use banyanarch::decide::AttemptOutcome;
 use banyanarch::decide::Decision;
 use banyanarch::decide::Done;
-use banyanarch::decide::Ended;
 use banyanarch::decide::UpstreamHealth;
 use banyanarch::decide::UpstreamSeen;
 use banyanarch::decide::Work;
@@ -47,7 +47,7 @@
         .collect();
     policy.set_upstreams(&seen, clock.now());
     let done = Done {
-        ended: Ended::Completed,
+        ended: AttemptOutcome::Completed,
         first_token: Some(Duration::from_millis(160)),
         total: Duration::from_secs(1),
         prompt_tokens: Tokens(1_000),
--- a/src/control/home/controller.rs
+++ b/src/control/home/controller.rs
@@ -18,9 +18,9 @@
 use crate::control::home::requests::Asked;
 use crate::control::home::requests::Requests;
 use crate::control::home::requests::Standing;
+use crate::decide::AttemptOutcome;
 use crate::decide::Decision;
 use crate::decide::Done;
-use crate::decide::Ended;
 use crate::decide::Grant;
 use crate::decide::LengthClass;
 use crate::decide::LiveGrant;
@@ -262,7 +262,7 @@
         if is_known {
             self.policy.finish(grant, done, now);
         }
-        if ended != Ended::Failed {
+        if ended != AttemptOutcome::Failed {
             self.ledger.end(grant, true, now);
             return;
         }
@@ -288,7 +288,7 @@
             Standing::Granted(granted) if !self.ledger.is_announced(granted.grant) => {
                 if self.ledger.end(granted.grant, false, now) {
                     self.policy
-                        .finish(granted.grant, ended_unseen(Ended::NotSent), now);
+                        .finish(granted.grant, ended_unseen(AttemptOutcome::NotSent), now);
                 }
             }
             Standing::Held(_) | Standing::Granted(_) | Standing::Refused { .. } => (),
@@ -326,7 +326,7 @@
                 Change::Drop(grant) => {
                     self.requests.forget_grant(grant);
                     self.policy
-                        .finish(grant, ended_unseen(Ended::Cancelled), now);
+                        .finish(grant, ended_unseen(AttemptOutcome::Cancelled), now);
                 }
             }
         }
@@ -434,7 +434,7 @@
         let Some(work) = self.works.swap_remove(&grant.request) else {
             // Withdrawn while the policy decided.
             self.policy
-                .finish(grant.id, ended_unseen(Ended::NotSent), now);
+                .finish(grant.id, ended_unseen(AttemptOutcome::NotSent), now);
             return;
         };
         let live = LiveGrant {
@@ -481,7 +481,7 @@
 }
 
 /// An end that no host told of, so nothing was measured.
-fn ended_unseen(ended: Ended) -> Done {
+fn ended_unseen(ended: AttemptOutcome) -> Done {
     Done {
         ended,
         first_token: None,
--- a/src/control/home/wire.rs
+++ b/src/control/home/wire.rs
@@ -10,8 +10,8 @@
 use crate::control::home::GrantAnswer;
 use crate::control::home::Granted;
 use crate::control::home::Verdict;
+use crate::decide::AttemptOutcome;
 use crate::decide::Done;
-use crate::decide::Ended;
 use crate::decide::LiveGrant;
 use crate::decide::RefuseReason;
 use crate::decide::Work;
@@ -227,23 +227,23 @@
     Ok((pool, grant, done))
 }
 
-fn ended_to(ended: Ended) -> u32 {
+fn ended_to(ended: AttemptOutcome) -> u32 {
     match ended {
-        Ended::Completed => 0,
-        Ended::Cancelled => 1,
-        Ended::NotSent => 2,
-        Ended::Refused => 3,
-        Ended::Failed => 4,
+        AttemptOutcome::Completed => 0,
+        AttemptOutcome::Cancelled => 1,
+        AttemptOutcome::NotSent => 2,
+        AttemptOutcome::Refused => 3,
+        AttemptOutcome::Failed => 4,
     }
 }
 
-fn ended_from(number: u32) -> Result<Ended, WireError> {
+fn ended_from(number: u32) -> Result<AttemptOutcome, WireError> {
     match number {
-        0 => Ok(Ended::Completed),
-        1 => Ok(Ended::Cancelled),
-        2 => Ok(Ended::NotSent),
-        3 => Ok(Ended::Refused),
-        4 => Ok(Ended::Failed),
+        0 => Ok(AttemptOutcome::Completed),
+        1 => Ok(AttemptOutcome::Cancelled),
+        2 => Ok(AttemptOutcome::NotSent),
+        3 => Ok(AttemptOutcome::Refused),
+        4 => Ok(AttemptOutcome::Failed),
         _ => Err(bad("ended")),
     }
 }
--- a/src/decide/ejection.rs
+++ b/src/decide/ejection.rs
@@ -9,7 +9,7 @@
 use rand::Rng;
 use rand::rngs::StdRng;
 
-use crate::decide::Ended;
+use crate::decide::AttemptOutcome;
 use crate::decide::UpstreamSeen;
 
 /// Failures in a row. One may be the request's fault and two a coincidence.
@@ -122,12 +122,12 @@
     }
 
     /// Takes in the end of an attempt.
-    pub fn on_end(&mut self, ended: Ended) -> EjectionStep {
+    pub fn on_end(&mut self, ended: AttemptOutcome) -> EjectionStep {
         match ended {
-            Ended::Completed => self.on_success(),
-            Ended::Cancelled => EjectionStep::Stay,
-            Ended::Failed | Ended::NotSent => self.on_failure(),
-            Ended::Refused => self.on_refusal(),
+            AttemptOutcome::Completed => self.on_success(),
+            AttemptOutcome::Cancelled => EjectionStep::Stay,
+            AttemptOutcome::Failed | AttemptOutcome::NotSent => self.on_failure(),
+            AttemptOutcome::Refused => self.on_refusal(),
         }
     }
 
--- a/src/decide/engine_fleet.rs
+++ b/src/decide/engine_fleet.rs
@@ -6,9 +6,9 @@
 use indexmap::IndexMap;
 use rand::rngs::StdRng;
 
+use crate::decide::AttemptOutcome;
 use crate::decide::Done;
 use crate::decide::EjectionStep;
-use crate::decide::Ended;
 use crate::decide::Hold;
 use crate::decide::LaneSplit;
 use crate::decide::LiveGrant;
@@ -213,7 +213,7 @@
         }
     }
 
-    fn judge(&mut self, id: &UpstreamId, ended: Ended, now: Instant, rng: &mut StdRng) {
+    fn judge(&mut self, id: &UpstreamId, ended: AttemptOutcome, now: Instant, rng: &mut StdRng) {
         self.update_median(now);
         let median = self.median();
         let Some(upstream) = self.upstreams.get_mut(id) else {
@@ -222,7 +222,7 @@
         let is_slow = upstream.is_slow(&median, self.tuning.slow_part);
         let was_out = upstream.ejection.is_out();
         let step = upstream.ejection.on_end(ended);
-        if ended == Ended::Completed {
+        if ended == AttemptOutcome::Completed {
             upstream.warm_up.on_success(now);
         }
         match step {
--- a/src/decide/estimator.rs
+++ b/src/decide/estimator.rs
@@ -8,8 +8,8 @@
 
 use indexmap::IndexMap;
 
+use crate::decide::AttemptOutcome;
 use crate::decide::Done;
-use crate::decide::Ended;
 use crate::decide::Work;
 use crate::units::CustomerId;
 use crate::units::Tokens;
@@ -80,7 +80,7 @@
             self.gap_samples = self.gap_samples.saturating_add(1);
             blend(&mut self.token_gap_seconds, gap, gain(self.gap_samples));
         }
-        if done.ended == Ended::Completed && work.output_tokens > Tokens::ZERO {
+        if done.ended == AttemptOutcome::Completed && work.output_tokens > Tokens::ZERO {
             let part = done.output_tokens.as_f64() / work.output_tokens.as_f64();
             self.output_samples = self.output_samples.saturating_add(1);
             let part = part.clamp(OUTPUT_PART_MIN, 1.0);
--- a/src/decide/policy.rs
+++ b/src/decide/policy.rs
@@ -132,7 +132,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Done {
     /// The end.
-    pub ended: Ended,
+    pub ended: AttemptOutcome,
     /// From dispatch to the first token, where one came.
     pub first_token: Option<Duration>,
     /// From dispatch to the end.
@@ -147,7 +147,7 @@
 
 /// The end of an attempt, as it matters to placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptOutcome {
     /// The whole answer came.
     Completed,
     /// The caller went away or the time ran out, and the engine confirmed the cancel.
--- a/src/decide/service_upstream.rs
+++ b/src/decide/service_upstream.rs
@@ -3,10 +3,10 @@
 use std::time::Instant;
 
 use crate::decide::Access;
+use crate::decide::AttemptOutcome;
 use crate::decide::ConcurrencyLimit;
 use crate::decide::Done;
 use crate::decide::Ejection;
-use crate::decide::Ended;
 use crate::decide::UpstreamSeen;
 use crate::decide::WarmUp;
 
@@ -73,14 +73,14 @@
     /// Takes in the end of a call.
     pub fn on_done(&mut self, done: &Done, now: Instant) {
         match done.ended {
-            Ended::Completed => {
+            AttemptOutcome::Completed => {
                 self.limit.observe(done.total, self.running, now);
                 self.warm_up.on_success(now);
                 let latency = done.total.as_secs_f64();
                 self.latency_seconds += LATENCY_GAIN * (latency - self.latency_seconds);
             }
-            Ended::Failed | Ended::Refused => self.limit.on_overload(),
-            Ended::Cancelled | Ended::NotSent => {}
+            AttemptOutcome::Failed | AttemptOutcome::Refused => self.limit.on_overload(),
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
         }
         self.running = self.running.saturating_sub(1);
     }
--- a/src/decide/shipped/services.rs
+++ b/src/decide/shipped/services.rs
@@ -7,11 +7,11 @@
 
 use crate::decide::Access;
 use crate::decide::Admission;
+use crate::decide::AttemptOutcome;
 use crate::decide::Decision;
 use crate::decide::Done;
 use crate::decide::DrainRate;
 use crate::decide::EjectionStep;
-use crate::decide::Ended;
 use crate::decide::FairQueue;
 use crate::decide::Forecast;
 use crate::decide::Intake;
@@ -194,7 +194,7 @@
         }
     }
 
-    fn judge(&mut self, id: &UpstreamId, ended: Ended, now: Instant) {
+    fn judge(&mut self, id: &UpstreamId, ended: AttemptOutcome, now: Instant) {
         let live = self.upstreams.values().filter(|u| u.is_live()).count();
         let is_other_out = |u: &&ServiceUpstream| u.ejection.is_out() && u.seen.id != *id;
         let out = self.upstreams.values().filter(is_other_out).count();
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -6,8 +6,8 @@
 use crate::control::outcome::AnswerCheck;
 use crate::control::outcome::AnswerFault;
 use crate::control::outcome::AnswerStep;
+use crate::decide::AttemptOutcome;
 use crate::decide::Done;
-use crate::decide::Ended;
 use crate::entry::Break;
 use crate::entry::HeldGrant;
 use crate::entry::Usage;
@@ -162,7 +162,7 @@
     }
 
     /// The report for the home.
-    pub fn done(&self, ended: Ended, now: Instant) -> Done {
+    pub fn done(&self, ended: AttemptOutcome, now: Instant) -> Done {
         Done {
             ended,
             first_token: self.first_token,
--- a/src/entry/driver/claiming.rs
+++ b/src/entry/driver/claiming.rs
@@ -4,7 +4,7 @@
 use crate::control::claims::ClaimKey;
 use crate::control::claims::ClaimState;
 use crate::control::claims::ClaimVerdict;
-use crate::decide::Ended;
+use crate::decide::AttemptOutcome;
 use crate::decide::RefuseReason;
 use crate::entry::FailReason;
 use crate::entry::LifeEvent;
@@ -30,12 +30,12 @@
             }
             ClaimVerdict::HeldBy(held) => self.claim_held(held),
             ClaimVerdict::DifferentContent => {
-                self.end_attempt(Ended::NotSent);
+                self.end_attempt(AttemptOutcome::NotSent);
                 "the Idempotency-Key was used for another request".clone_into(&mut self.message);
                 LifeEvent::ClaimFailed(FailReason::KeyReused)
             }
             ClaimVerdict::Unavailable { why, retry_after } => {
-                self.end_attempt(Ended::NotSent);
+                self.end_attempt(AttemptOutcome::NotSent);
                 self.retry_after = Some(retry_after);
                 self.message = format!("the claim could not be recorded: {why}");
                 LifeEvent::ClaimFailed(FailReason::Refused(RefuseReason::NoClaim))
@@ -49,7 +49,7 @@
             held.attempt, held.holder, held.state
         );
         self.note(StepKind::Claimed, held.upstream.as_str(), why);
-        self.end_attempt(Ended::NotSent);
+        self.end_attempt(AttemptOutcome::NotSent);
         self.followed = Some(held);
         LifeEvent::ClaimHeld
     }
--- a/src/entry/driver/dispatching.rs
+++ b/src/entry/driver/dispatching.rs
@@ -9,7 +9,7 @@
 
 use crate::control::claims::Claim;
 use crate::control::claims::ClaimState;
-use crate::decide::Ended;
+use crate::decide::AttemptOutcome;
 use crate::decide::RetryBudget;
 use crate::decide::engine_priority;
 use crate::entry::Attempt;
@@ -51,7 +51,7 @@
         let now = self.parts.clock.now();
         // Checked again right before the dispatch: the host may have been paused since the grant.
         if now >= self.job.work.deadline {
-            self.give_back(Ended::NotSent);
+            self.give_back(AttemptOutcome::NotSent);
             advance(life, LifeEvent::Broken(Break::DidNotRun));
             return LifeEvent::TimeUp;
         }
--- a/src/entry/driver/mod.rs
+++ b/src/entry/driver/mod.rs
@@ -19,7 +19,7 @@
 use crate::control::claims::Claim;
 use crate::control::claims::ClaimKey;
 use crate::control::claims::ClaimState;
-use crate::decide::Ended;
+use crate::decide::AttemptOutcome;
 use crate::decide::FailedAttempt;
 use crate::decide::PoisonMark;
 use crate::decide::RefuseReason;
@@ -107,7 +107,7 @@
                     return Some(verdict);
                 }
                 LifeStep::Abandon => {
-                    self.end_attempt(Ended::Cancelled);
+                    self.end_attempt(AttemptOutcome::Cancelled);
                     return None;
                 }
                 LifeStep::Nothing => {
@@ -232,13 +232,13 @@
             Break::DidNotRun => {
                 let is_refusal = matches!(err, UpstreamError::Refused { .. });
                 self.give_back(if is_refusal {
-                    Ended::Refused
+                    AttemptOutcome::Refused
                 } else {
-                    Ended::NotSent
+                    AttemptOutcome::NotSent
                 });
             }
             Break::Cut => {}
-            Break::Lost | Break::Garbled => self.end_attempt(Ended::Failed),
+            Break::Lost | Break::Garbled => self.end_attempt(AttemptOutcome::Failed),
         }
         self.last_error = Some(err);
         if broke != Break::DidNotRun && self.is_nearly_over() {
@@ -255,7 +255,7 @@
     }
 
     /// The attempt provably did not run: its grant and its claim are free again.
-    pub(super) fn give_back(&mut self, ended: Ended) {
+    pub(super) fn give_back(&mut self, ended: AttemptOutcome) {
         self.end_attempt(ended);
         if let Some((key, attempt)) = self.claimed.take() {
             self.parts.claims.give_back(key, attempt);
@@ -333,11 +333,14 @@
     }
 
     /// Ends the current attempt, if there is one, and remembers its upstreams as ones to avoid.
-    pub(super) fn end_attempt(&mut self, ended: Ended) {
+    pub(super) fn end_attempt(&mut self, ended: AttemptOutcome) {
         let Some(attempt) = self.attempt.take() else {
             return;
         };
-        if matches!(ended, Ended::Failed | Ended::Refused | Ended::NotSent) {
+        if matches!(
+            ended,
+            AttemptOutcome::Failed | AttemptOutcome::Refused | AttemptOutcome::NotSent
+        ) {
             self.job.work.avoid.extend(attempt.leader().cloned());
         }
         if self.followed.is_none() {
@@ -358,9 +361,9 @@
             format!("{} {}", verdict.outcome(), verdict.reason()),
         );
         let ended = match verdict {
-            Verdict::Completed => Ended::Completed,
-            Verdict::NotRun(_) => Ended::NotSent,
-            Verdict::MayHaveRun(_) => Ended::Cancelled,
+            Verdict::Completed => AttemptOutcome::Completed,
+            Verdict::NotRun(_) => AttemptOutcome::NotSent,
+            Verdict::MayHaveRun(_) => AttemptOutcome::Cancelled,
         };
         self.end_attempt(ended);
         if let Some((key, attempt)) = self.claimed.take() {
--- a/src/entry/settle.rs
+++ b/src/entry/settle.rs
@@ -7,7 +7,7 @@
 use log::debug;
 use tokio::time::sleep;
 
-use crate::decide::Ended;
+use crate::decide::AttemptOutcome;
 use crate::entry::Attempt;
 use crate::entry::EntryParts;
 use crate::entry::HeldGrant;
@@ -29,14 +29,14 @@
 pub(crate) fn settle(
     parts: &Arc<EntryParts>,
     attempt: &Attempt,
-    ended: Ended,
+    ended: AttemptOutcome,
     deadline: Instant,
     is_model: bool,
 ) {
     let held = attempt.held.clone();
     let done = attempt.done(ended, parts.clock.now());
     let is_gang = held.upstreams.len() > 1;
-    let may_hold = is_model && matches!(ended, Ended::Cancelled | Ended::Failed);
+    let may_hold = is_model && matches!(ended, AttemptOutcome::Cancelled | AttemptOutcome::Failed);
     if !may_hold && !is_gang {
         parts.granter.finish(&held, done);
         return;
--- a/tests/decide_fakes/bench.rs
+++ b/tests/decide_fakes/bench.rs
@@ -5,9 +5,9 @@
 
 use banyanarch::clock::Clock;
 use banyanarch::clock::ManualClock;
+use banyanarch::decide::AttemptOutcome;
 use banyanarch::decide::Decision;
 use banyanarch::decide::Done;
-use banyanarch::decide::Ended;
 use banyanarch::decide::FailedAttempt;
 use banyanarch::decide::Grant;
 use banyanarch::decide::Policy;
@@ -215,9 +215,9 @@
         self.flights.insert(attempt, flight);
         let has_room = |index: &usize| members == 1 || self.engines[*index].has_room(share);
         if engines.iter().any(|index| self.engines[*index].is_dead) {
-            self.end(attempt, Ended::NotSent);
+            self.end(attempt, AttemptOutcome::NotSent);
         } else if !engines.iter().all(has_room) {
-            self.end(attempt, Ended::Refused);
+            self.end(attempt, AttemptOutcome::Refused);
         } else {
             let output = self.outcomes[call].ask.output;
             for index in engines {
@@ -250,7 +250,7 @@
                         .get(&attempt)
                         .is_some_and(|flight| flight.prefills == 0)
                     {
-                        self.end(attempt, Ended::Completed);
+                        self.end(attempt, AttemptOutcome::Completed);
                     }
                 }
             }
@@ -263,11 +263,11 @@
             .map(|(id, _)| *id)
             .collect();
         for attempt in cut {
-            self.end(attempt, Ended::Cancelled);
+            self.end(attempt, AttemptOutcome::Cancelled);
         }
     }
 
-    fn end(&mut self, attempt: AttemptId, ended: Ended) {
+    fn end(&mut self, attempt: AttemptId, ended: AttemptOutcome) {
         let flight = self.flights.swap_remove(&attempt).unwrap();
         let left = self.engines[flight.engines[0]]
             .jobs
@@ -278,7 +278,7 @@
         }
         let now = self.clock.now() + STEP;
         let outcome = &mut self.outcomes[flight.call];
-        let is_completed = ended == Ended::Completed;
+        let is_completed = ended == AttemptOutcome::Completed;
         if is_completed {
             outcome.completed = Some(now - self.start - outcome.ask.at);
         }
@@ -294,19 +294,22 @@
             cached_tokens: Tokens(flight.cached),
             output_tokens: Tokens(outcome.ask.output - (left as u64).min(outcome.ask.output)),
         };
-        if matches!(ended, Ended::Failed | Ended::NotSent | Ended::Refused) {
+        if matches!(
+            ended,
+            AttemptOutcome::Failed | AttemptOutcome::NotSent | AttemptOutcome::Refused
+        ) {
             self.retry(&flight, ended, now);
         }
         self.timed(|policies, now| policies[flight.policy].finish(GrantId(attempt.0), done, now));
     }
 
-    fn retry(&mut self, flight: &Flight, ended: Ended, now: Instant) {
+    fn retry(&mut self, flight: &Flight, ended: AttemptOutcome, now: Instant) {
         let Some(budget) = &mut self.budget else {
             return;
         };
         let failed = FailedAttempt {
             attempts: self.outcomes[flight.call].attempts,
-            did_not_run: ended != Ended::Failed,
+            did_not_run: ended != AttemptOutcome::Failed,
             is_repeatable: true,
             answer_started: false,
             retry_after: None,
@@ -331,7 +334,7 @@
             let lost: Vec<AttemptId> = self.engines[index].jobs.keys().copied().collect();
             self.engines[index].is_dead = is_dead;
             for attempt in lost.into_iter().filter(|_| is_dead) {
-                self.end(attempt, Ended::Failed);
+                self.end(attempt, AttemptOutcome::Failed);
             }
         }
     }
--- a/tests/decide_policy.rs
+++ b/tests/decide_policy.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use banyanarch::decide::AttemptOutcome;
 use banyanarch::decide::Decision;
 use banyanarch::decide::Done;
-use banyanarch::decide::Ended;
 use banyanarch::decide::Grant;
 use banyanarch::decide::Policy;
 use banyanarch::decide::PolicyConfig;
@@ -92,10 +92,10 @@
         self.policy.poll(self.now)
     }
 
-    fn finish(&mut self, grant: &Grant, ended: Ended) {
+    fn finish(&mut self, grant: &Grant, ended: AttemptOutcome) {
         let done = Done {
             ended,
-            first_token: (ended == Ended::Completed).then_some(150 * MS),
+            first_token: (ended == AttemptOutcome::Completed).then_some(150 * MS),
             total: 500 * MS,
             prompt_tokens: Tokens(1_000),
             cached_tokens: Tokens::ZERO,
@@ -178,7 +178,7 @@
         refusals(&pool.offer(too_large))[0].0,
         RefuseReason::TooLarge
     );
-    pool.finish(&given[0], Ended::Cancelled);
+    pool.finish(&given[0], AttemptOutcome::Cancelled);
     assert!(pool.policy.live_grants().is_empty());
     assert_eq!(pool.policy.load(pool.now).free_tokens, Tokens(300_000));
 }
@@ -200,7 +200,7 @@
     assert_eq!(new.policy.live_grants().len(), 2);
     let work = new.work(30_000);
     assert!(grants(&new.offer(work)).is_empty());
-    new.finish(&first[0], Ended::Cancelled);
+    new.finish(&first[0], AttemptOutcome::Cancelled);
     assert!(
         grants(&new.wait(10 * MS)).is_empty(),
         "80,000 and 30,000 do not fit"
@@ -209,8 +209,8 @@
         id: grant.id,
         ..first[0].clone()
     };
-    new.finish(&second, Ended::Cancelled);
-    new.finish(&second, Ended::Cancelled);
+    new.finish(&second, AttemptOutcome::Cancelled);
+    new.finish(&second, AttemptOutcome::Cancelled);
     assert_eq!(grants(&new.wait(10 * MS)).len(), 1);
 }
 
@@ -315,7 +315,7 @@
         let given = grants(&pool.wait(20 * MS));
         given
             .iter()
-            .for_each(|grant| pool.finish(grant, Ended::Cancelled));
+            .for_each(|grant| pool.finish(grant, AttemptOutcome::Cancelled));
         order.extend(given.iter().map(|grant| owner[&grant.request]));
     }
     let count = |name| order.iter().filter(|o| **o == name).count();
@@ -368,7 +368,7 @@
     assert!((1..=2).contains(&on_new(&given)), "{}", on_new(&given));
     given
         .iter()
-        .for_each(|grant| pool.finish(grant, Ended::Cancelled));
+        .for_each(|grant| pool.finish(grant, AttemptOutcome::Cancelled));
     pool.wait(Duration::from_secs(31));
     let given = ask(&mut pool, 100);
     let later = on_new(&given);
@@ -396,7 +396,7 @@
         let ended: Vec<(Grant, Instant)> = ended;
         ended
             .iter()
-            .for_each(|(grant, _)| pool.finish(grant, Ended::Completed));
+            .for_each(|(grant, _)| pool.finish(grant, AttemptOutcome::Completed));
         pool.now += 60 * MS;
     }
     assert!(on_frozen.len() <= 40, "{} of 800", on_frozen.len());
@@ -450,7 +450,7 @@
                 latencies.push(total.as_secs_f64() * 1e3);
             }
             let done = Done {
-                ended: Ended::Completed,
+                ended: AttemptOutcome::Completed,
                 first_token: None,
                 total,
                 prompt_tokens: Tokens::ZERO,
--- a/tests/fakes/make.rs
+++ b/tests/fakes/make.rs
@@ -6,8 +6,8 @@
 use banyanarch::control::claims::Claim;
 use banyanarch::control::claims::ClaimKey;
 use banyanarch::control::claims::ClaimState;
+use banyanarch::decide::AttemptOutcome;
 use banyanarch::decide::Done;
-use banyanarch::decide::Ended;
 use banyanarch::decide::UpstreamHealth;
 use banyanarch::decide::UpstreamSeen;
 use banyanarch::decide::Work;
@@ -50,7 +50,7 @@
     }
 }
 
-pub(crate) fn done(ended: Ended) -> Done {
+pub(crate) fn done(ended: AttemptOutcome) -> Done {
     Done {
         ended,
         first_token: None,
--- a/tests/home.rs
+++ b/tests/home.rs
@@ -15,7 +15,7 @@
 use banyanarch::control::home::HomeEvent;
 use banyanarch::control::home::Verdict;
 use banyanarch::control::home::wire;
-use banyanarch::decide::Ended;
+use banyanarch::decide::AttemptOutcome;
 use banyanarch::decide::LiveGrant;
 use banyanarch::decide::RefuseReason;
 use banyanarch::decide::UpstreamHealth;
@@ -142,7 +142,7 @@
         })
     }
 
-    fn finish(&mut self, from: &HostId, grant: GrantId, ended: Ended) -> Vec<HomeAction> {
+    fn finish(&mut self, from: &HostId, grant: GrantId, ended: AttemptOutcome) -> Vec<HomeAction> {
         self.hear(HomeEvent::Finish {
             from: from.clone(),
             grant,
@@ -199,7 +199,7 @@
     assert_eq!(home.ask_granted(1, &a, 6_000), first);
     assert_eq!(home.ask(2, &a, 6_000), Verdict::Queued);
     assert_eq!(home.ask(2, &a, 6_000), Verdict::Queued);
-    let actions = home.finish(&a, first.grant, Ended::Completed);
+    let actions = home.finish(&a, first.grant, AttemptOutcome::Completed);
     let pushed = |action: &HomeAction| matches!(action, HomeAction::Push { answer, .. } if answer.request == RequestId(2));
     assert!(actions.iter().any(pushed));
     let second = home.ask_granted(2, &a, 6_000);
@@ -290,7 +290,7 @@
         Verdict::Queued,
         "{old} still holds 8,000"
     );
-    home.finish(&b, old, Ended::Completed);
+    home.finish(&b, old, AttemptOutcome::Completed);
     home.ask_granted(3, &a, 6_000);
 }
 
@@ -334,9 +334,9 @@
     let mut home = Home::serving();
     let a = host("entry-a");
     let grant = home.ask_granted(1, &a, 6_000).grant;
-    let actions = home.finish(&a, grant, Ended::Failed);
+    let actions = home.finish(&a, grant, AttemptOutcome::Failed);
     assert_eq!(cancels(&actions), [AttemptId(grant.0)]);
-    home.finish(&a, grant, Ended::NotSent);
+    home.finish(&a, grant, AttemptOutcome::NotSent);
     assert_eq!(home.ask(2, &a, 6_000), Verdict::Queued);
     home.confirm(grant);
     home.ask_granted(2, &a, 6_000);
@@ -352,7 +352,7 @@
     home.clock.advance(Duration::from_secs(2));
     let asked = home.hear(HomeEvent::Tick);
     home.clock.advance(Duration::from_millis(10));
-    home.finish(&a, grant, Ended::Completed);
+    home.finish(&a, grant, AttemptOutcome::Completed);
     home.list(&asked, &[running(grant, &a, 6_000)]);
     assert_eq!(home.home.ledger_len(), 0);
 }
--- a/tests/worlds/entry_host.rs
+++ b/tests/worlds/entry_host.rs
@@ -7,7 +7,7 @@
 use banyanarch::control::home::Granted;
 use banyanarch::control::home::HomeEvent;
 use banyanarch::control::home::Verdict;
-use banyanarch::decide::Ended;
+use banyanarch::decide::AttemptOutcome;
 use banyanarch::decide::LiveGrant;
 use banyanarch::decide::Work;
 use banyanarch::units::AttemptId;
@@ -148,7 +148,7 @@
             return;
         };
         if !matches!(request.state, State::Waiting) {
-            let event = finish(attempt, &self.name, Ended::NotSent);
+            let event = finish(attempt, &self.name, AttemptOutcome::NotSent);
             around.outbox.push(Message::ToHome { home, event });
             return;
         }
@@ -171,15 +171,15 @@
             let attempt = granted.attempt();
             let engine = &mut around.engines[&granted.upstreams[0]];
             let ended = if is_cut || !engine.held.contains_key(&attempt) {
-                Ended::Failed
+                AttemptOutcome::Failed
             } else if *ends_at <= around.tick {
-                Ended::Completed
+                AttemptOutcome::Completed
             } else if request.sent_at + LIMIT_TICKS <= around.tick {
-                Ended::Cancelled
+                AttemptOutcome::Cancelled
             } else {
                 continue;
             };
-            if ended != Ended::Failed {
+            if ended != AttemptOutcome::Failed {
                 engine.held.swap_remove(&attempt);
             }
             request.state = State::Ended;
--- a/tests/worlds/grant_world.rs
+++ b/tests/worlds/grant_world.rs
@@ -11,7 +11,7 @@
 use banyanarch::control::home::HomeController;
 use banyanarch::control::home::HomeEvent;
 use banyanarch::control::home::Verdict;
-use banyanarch::decide::Ended;
+use banyanarch::decide::AttemptOutcome;
 use banyanarch::decide::UpstreamHealth;
 use banyanarch::units::AttemptId;
 use banyanarch::units::HostId;
@@ -420,7 +420,7 @@
     }
 }
 
-pub(crate) fn finish(grant: AttemptId, from: &HostId, ended: Ended) -> HomeEvent {
+pub(crate) fn finish(grant: AttemptId, from: &HostId, ended: AttemptOutcome) -> HomeEvent {
     HomeEvent::Finish {
         from: from.clone(),
         grant: banyanarch::units::GrantId(grant.0),
