--- a/examples/sweep/timing.rs
+++ b/examples/sweep/timing.rs
@@ -6,8 +6,8 @@
 use banyanarch::clock::Clock;
 use banyanarch::clock::ManualClock;
 use banyanarch::decide::AttemptOutcome;
+use banyanarch::decide::AttemptSummary;
 use banyanarch::decide::Decision;
-use banyanarch::decide::Done;
 use banyanarch::decide::UpstreamHealth;
 use banyanarch::decide::UpstreamSeen;
 use banyanarch::decide::Work;
@@ -46,7 +46,7 @@
         })
         .collect();
     policy.set_upstreams(&seen, clock.now());
-    let done = Done {
+    let done = AttemptSummary {
         ended: AttemptOutcome::Completed,
         first_token: Some(Duration::from_millis(160)),
         total: Duration::from_secs(1),
--- a/src/control/home/controller.rs
+++ b/src/control/home/controller.rs
@@ -19,8 +19,8 @@
 use crate::control::home::requests::Requests;
 use crate::control::home::requests::Standing;
 use crate::decide::AttemptOutcome;
+use crate::decide::AttemptSummary;
 use crate::decide::Decision;
-use crate::decide::Done;
 use crate::decide::Grant;
 use crate::decide::LengthClass;
 use crate::decide::LiveGrant;
@@ -244,7 +244,7 @@
         self.apply(changes, now);
     }
 
-    fn finish(&mut self, from: &HostId, grant: GrantId, done: Done, now: Instant) {
+    fn finish(&mut self, from: &HostId, grant: GrantId, done: AttemptSummary, now: Instant) {
         if self
             .ledger
             .holder(grant)
@@ -481,8 +481,8 @@
 }
 
 /// An end that no host told of, so nothing was measured.
-fn ended_unseen(ended: AttemptOutcome) -> Done {
-    Done {
+fn ended_unseen(ended: AttemptOutcome) -> AttemptSummary {
+    AttemptSummary {
         ended,
         first_token: None,
         total: Duration::ZERO,
--- a/src/control/home/event.rs
+++ b/src/control/home/event.rs
@@ -1,6 +1,6 @@
 //! What a home hears.
 
-use crate::decide::Done;
+use crate::decide::AttemptSummary;
 use crate::decide::LiveGrant;
 use crate::decide::UpstreamSeen;
 use crate::decide::Work;
@@ -37,7 +37,7 @@
         /// The grant.
         grant: GrantId,
         /// How it ended.
-        done: Done,
+        done: AttemptSummary,
     },
     /// A request that waits is to be forgotten.
     Withdraw {
--- a/src/control/home/wire.rs
+++ b/src/control/home/wire.rs
@@ -11,7 +11,7 @@
 use crate::control::home::Granted;
 use crate::control::home::Verdict;
 use crate::decide::AttemptOutcome;
-use crate::decide::Done;
+use crate::decide::AttemptSummary;
 use crate::decide::LiveGrant;
 use crate::decide::RefuseReason;
 use crate::decide::Work;
@@ -195,7 +195,7 @@
 }
 
 /// The end of a grant as a message.
-pub fn finish_to(pool: &PoolId, grant: GrantId, done: &Done) -> message::Finish {
+pub fn finish_to(pool: &PoolId, grant: GrantId, done: &AttemptSummary) -> message::Finish {
     let report = message::DoneReport {
         ended: ended_to(done.ended),
         first_token_us: done.first_token.map(us),
@@ -212,11 +212,13 @@
 }
 
 /// The end of a grant out of a message.
-pub fn finish_from(finish: &message::Finish) -> Result<(PoolId, GrantId, Done), WireError> {
+pub fn finish_from(
+    finish: &message::Finish,
+) -> Result<(PoolId, GrantId, AttemptSummary), WireError> {
     let pool = finish.pool.parse().map_err(|_| bad("pool"))?;
     let grant = GrantId(id_from(&finish.grant, "grant")?);
     let report = finish.done.as_ref().ok_or_else(|| bad("done"))?;
-    let done = Done {
+    let done = AttemptSummary {
         ended: ended_from(report.ended)?,
         first_token: report.first_token_us.map(Duration::from_micros),
         total: Duration::from_micros(report.total_us),
--- a/src/decide/baseline/direct.rs
+++ b/src/decide/baseline/direct.rs
@@ -9,8 +9,8 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
+use crate::decide::AttemptSummary;
 use crate::decide::Decision;
-use crate::decide::Done;
 use crate::decide::Grant;
 use crate::decide::LiveGrant;
 use crate::decide::Policy;
@@ -145,7 +145,7 @@
         None
     }
 
-    fn finish(&mut self, grant: GrantId, _done: Done, _now: Instant) {
+    fn finish(&mut self, grant: GrantId, _done: AttemptSummary, _now: Instant) {
         let Some(grant) = self.grants.swap_remove(&grant) else {
             return;
         };
--- a/src/decide/engine_fleet.rs
+++ b/src/decide/engine_fleet.rs
@@ -7,7 +7,7 @@
 use rand::rngs::StdRng;
 
 use crate::decide::AttemptOutcome;
-use crate::decide::Done;
+use crate::decide::AttemptSummary;
 use crate::decide::EjectionStep;
 use crate::decide::Hold;
 use crate::decide::LaneSplit;
@@ -141,7 +141,7 @@
         &mut self,
         grant: &LiveGrant,
         hinted: Tokens,
-        done: &Done,
+        done: &AttemptSummary,
         now: Instant,
         rng: &mut StdRng,
     ) {
@@ -285,7 +285,7 @@
 }
 
 /// The prefill that the engine did for a grant, by its own word where it gave one.
-fn prefill_done(hold: &Hold, done: &Done) -> Tokens {
+fn prefill_done(hold: &Hold, done: &AttemptSummary) -> Tokens {
     if done.prompt_tokens == Tokens::ZERO {
         hold.prefill_tokens
     } else {
--- a/src/decide/estimator.rs
+++ b/src/decide/estimator.rs
@@ -9,7 +9,7 @@
 use indexmap::IndexMap;
 
 use crate::decide::AttemptOutcome;
-use crate::decide::Done;
+use crate::decide::AttemptSummary;
 use crate::decide::Work;
 use crate::units::CustomerId;
 use crate::units::Tokens;
@@ -68,7 +68,7 @@
     }
 
     /// Takes in a request that ended.
-    pub fn observe(&mut self, work: &Work, account: &CustomerId, done: &Done) {
+    pub fn observe(&mut self, work: &Work, account: &CustomerId, done: &AttemptSummary) {
         if done.prompt_tokens > Tokens::ZERO && work.prompt_tokens > Tokens::ZERO {
             let seen = done.prompt_tokens.as_f64() / work.prompt_tokens.as_f64();
             let ratio = self.prompt_ratios.entry(account.clone()).or_insert(1.0);
@@ -96,7 +96,7 @@
 }
 
 /// The time between two tokens of an answer, if it had enough of them.
-pub(crate) fn token_gap_seconds(done: &Done) -> Option<f64> {
+pub(crate) fn token_gap_seconds(done: &AttemptSummary) -> Option<f64> {
     let output = done.output_tokens.as_f64();
     let first_token = done.first_token?;
     let seconds = done.total.saturating_sub(first_token).as_secs_f64();
--- a/src/decide/policy.rs
+++ b/src/decide/policy.rs
@@ -38,7 +38,7 @@
     fn next_wake(&self) -> Option<Instant>;
 
     /// Takes in that a grant has ended.
-    fn finish(&mut self, grant: GrantId, done: Done, now: Instant);
+    fn finish(&mut self, grant: GrantId, done: AttemptSummary, now: Instant);
 
     /// Takes in a grant that an earlier home gave, as its entry host announces it.
     fn adopt(&mut self, grant: LiveGrant, now: Instant);
@@ -130,7 +130,7 @@
 
 /// How a granted attempt ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Done {
+pub struct AttemptSummary {
     /// The end.
     pub ended: AttemptOutcome,
     /// From dispatch to the first token, where one came.
--- a/src/decide/prefix.rs
+++ b/src/decide/prefix.rs
@@ -10,7 +10,7 @@
 
 use indexmap::IndexMap;
 
-use crate::decide::Done;
+use crate::decide::AttemptSummary;
 use crate::decide::Work;
 use crate::units::ContentHash;
 use crate::units::Tokens;
@@ -56,7 +56,7 @@
 
     /// Takes in what the engine found. A hint that did not come true is forgotten, and trust in the
     /// others goes down.
-    pub fn on_done(&mut self, work: &Work, hinted: Tokens, done: &Done) {
+    pub fn on_done(&mut self, work: &Work, hinted: Tokens, done: &AttemptSummary) {
         if hinted == Tokens::ZERO || done.first_token.is_none() {
             return;
         }
--- a/src/decide/service_upstream.rs
+++ b/src/decide/service_upstream.rs
@@ -4,8 +4,8 @@
 
 use crate::decide::Access;
 use crate::decide::AttemptOutcome;
+use crate::decide::AttemptSummary;
 use crate::decide::ConcurrencyLimit;
-use crate::decide::Done;
 use crate::decide::Ejection;
 use crate::decide::UpstreamSeen;
 use crate::decide::WarmUp;
@@ -71,7 +71,7 @@
     }
 
     /// Takes in the end of a call.
-    pub fn on_done(&mut self, done: &Done, now: Instant) {
+    pub fn on_done(&mut self, done: &AttemptSummary, now: Instant) {
         match done.ended {
             AttemptOutcome::Completed => {
                 self.limit.observe(done.total, self.running, now);
--- a/src/decide/shipped/engines.rs
+++ b/src/decide/shipped/engines.rs
@@ -6,8 +6,8 @@
 use indexmap::IndexMap;
 
 use crate::decide::Admission;
+use crate::decide::AttemptSummary;
 use crate::decide::Decision;
-use crate::decide::Done;
 use crate::decide::EngineFleet;
 use crate::decide::Estimator;
 use crate::decide::FairQueue;
@@ -433,7 +433,7 @@
         self.wake
     }
 
-    fn finish(&mut self, grant: GrantId, done: Done, now: Instant) {
+    fn finish(&mut self, grant: GrantId, done: AttemptSummary, now: Instant) {
         let Some(granted) = self.granted.swap_remove(&grant) else {
             return;
         };
--- a/src/decide/shipped/services.rs
+++ b/src/decide/shipped/services.rs
@@ -8,8 +8,8 @@
 use crate::decide::Access;
 use crate::decide::Admission;
 use crate::decide::AttemptOutcome;
+use crate::decide::AttemptSummary;
 use crate::decide::Decision;
-use crate::decide::Done;
 use crate::decide::DrainRate;
 use crate::decide::EjectionStep;
 use crate::decide::FairQueue;
@@ -265,7 +265,7 @@
         self.wake
     }
 
-    fn finish(&mut self, grant: GrantId, done: Done, now: Instant) {
+    fn finish(&mut self, grant: GrantId, done: AttemptSummary, now: Instant) {
         let Some(granted) = self.granted.swap_remove(&grant) else {
             return;
         };
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -7,7 +7,7 @@
 use crate::control::outcome::AnswerFault;
 use crate::control::outcome::AnswerStep;
 use crate::decide::AttemptOutcome;
-use crate::decide::Done;
+use crate::decide::AttemptSummary;
 use crate::entry::Break;
 use crate::entry::HeldGrant;
 use crate::entry::Usage;
@@ -162,8 +162,8 @@
     }
 
     /// The report for the home.
-    pub fn done(&self, ended: AttemptOutcome, now: Instant) -> Done {
-        Done {
+    pub fn done(&self, ended: AttemptOutcome, now: Instant) -> AttemptSummary {
+        AttemptSummary {
             ended,
             first_token: self.first_token,
             total: now.saturating_duration_since(self.started),
--- a/src/entry/granter.rs
+++ b/src/entry/granter.rs
@@ -5,7 +5,7 @@
 use futures_util::future::BoxFuture;
 
 use crate::control::claims::Claim;
-use crate::decide::Done;
+use crate::decide::AttemptSummary;
 use crate::decide::RefuseReason;
 use crate::decide::Work;
 use crate::units::AttemptId;
@@ -70,5 +70,5 @@
     fn ask(&self, target: TargetId, work: Work) -> BoxFuture<'_, GrantAnswer>;
 
     /// Gives a grant back.
-    fn finish(&self, held: &HeldGrant, done: Done);
+    fn finish(&self, held: &HeldGrant, done: AttemptSummary);
 }
--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -16,7 +16,7 @@
 use crate::control::home::HomeEvent;
 use crate::control::home::Verdict;
 use crate::control::home::wire;
-use crate::decide::Done;
+use crate::decide::AttemptSummary;
 use crate::decide::LiveGrant;
 use crate::decide::RefuseReason;
 use crate::decide::Work;
@@ -312,7 +312,7 @@
         }))
     }
 
-    fn tell_finish(&self, to: &HostId, pool: &PoolId, grant: GrantId, done: Done) {
+    fn tell_finish(&self, to: &HostId, pool: &PoolId, grant: GrantId, done: AttemptSummary) {
         if *to == self.host {
             let from = self.host.clone();
             self.desk
@@ -340,7 +340,7 @@
         async move { self.decide(&target, &work).await }.boxed()
     }
 
-    fn finish(&self, held: &HeldGrant, done: Done) {
+    fn finish(&self, held: &HeldGrant, done: AttemptSummary) {
         self.live.end(held.grant);
         if let Some(home) = self.candidates(&held.pool).first() {
             self.tell_finish(home, &held.pool, held.grant, done);
--- a/src/peer/message/grant.rs
+++ b/src/peer/message/grant.rs
@@ -114,7 +114,7 @@
     pub request: Vec<u8>,
 }
 
-/// [`crate::decide::Done`] on the wire.
+/// [`crate::decide::AttemptSummary`] on the wire.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct DoneReport {
--- a/tests/decide_fakes/bench.rs
+++ b/tests/decide_fakes/bench.rs
@@ -6,8 +6,8 @@
 use banyanarch::clock::Clock;
 use banyanarch::clock::ManualClock;
 use banyanarch::decide::AttemptOutcome;
+use banyanarch::decide::AttemptSummary;
 use banyanarch::decide::Decision;
-use banyanarch::decide::Done;
 use banyanarch::decide::FailedAttempt;
 use banyanarch::decide::Grant;
 use banyanarch::decide::Policy;
@@ -282,7 +282,7 @@
         if is_completed {
             outcome.completed = Some(now - self.start - outcome.ask.at);
         }
-        let done = Done {
+        let done = AttemptSummary {
             ended,
             first_token: flight.first_token,
             total: now - flight.since,
--- a/tests/decide_policy.rs
+++ b/tests/decide_policy.rs
@@ -6,8 +6,8 @@
 use std::time::Instant;
 
 use banyanarch::decide::AttemptOutcome;
+use banyanarch::decide::AttemptSummary;
 use banyanarch::decide::Decision;
-use banyanarch::decide::Done;
 use banyanarch::decide::Grant;
 use banyanarch::decide::Policy;
 use banyanarch::decide::PolicyConfig;
@@ -93,7 +93,7 @@
     }
 
     fn finish(&mut self, grant: &Grant, ended: AttemptOutcome) {
-        let done = Done {
+        let done = AttemptSummary {
             ended,
             first_token: (ended == AttemptOutcome::Completed).then_some(150 * MS),
             total: 500 * MS,
@@ -449,7 +449,7 @@
             if pool.now - start > Duration::from_secs(10) {
                 latencies.push(total.as_secs_f64() * 1e3);
             }
-            let done = Done {
+            let done = AttemptSummary {
                 ended: AttemptOutcome::Completed,
                 first_token: None,
                 total,
--- a/tests/fakes/first_fit.rs
+++ b/tests/fakes/first_fit.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use banyanarch::decide::AttemptSummary;
 use banyanarch::decide::Decision;
-use banyanarch::decide::Done;
 use banyanarch::decide::Grant;
 use banyanarch::decide::LiveGrant;
 use banyanarch::decide::Policy;
@@ -110,7 +110,7 @@
         self.queue.iter().map(|work| work.deadline).min()
     }
 
-    fn finish(&mut self, grant: GrantId, _done: Done, _now: Instant) {
+    fn finish(&mut self, grant: GrantId, _done: AttemptSummary, _now: Instant) {
         self.live.swap_remove(&grant);
     }
 
--- a/tests/fakes/make.rs
+++ b/tests/fakes/make.rs
@@ -7,7 +7,7 @@
 use banyanarch::control::claims::ClaimKey;
 use banyanarch::control::claims::ClaimState;
 use banyanarch::decide::AttemptOutcome;
-use banyanarch::decide::Done;
+use banyanarch::decide::AttemptSummary;
 use banyanarch::decide::UpstreamHealth;
 use banyanarch::decide::UpstreamSeen;
 use banyanarch::decide::Work;
@@ -50,8 +50,8 @@
     }
 }
 
-pub(crate) fn done(ended: AttemptOutcome) -> Done {
-    Done {
+pub(crate) fn done(ended: AttemptOutcome) -> AttemptSummary {
+    AttemptSummary {
         ended,
         first_token: None,
         total: Duration::from_millis(1),
