--- a/src/decide/gang.rs
+++ b/src/decide/gang.rs
@@ -11,7 +11,7 @@
 use indexmap::IndexMap;
 
 use crate::decide::PoolUpstream;
-use crate::decide::Waiting;
+use crate::decide::QueuedRequest;
 use crate::units::RequestId;
 use crate::units::Tokens;
 use crate::units::UpstreamId;
@@ -50,7 +50,7 @@
 
 /// The smallest gang that holds a request, of the engines that are empty soonest.
 pub fn plan_gang(
-    waiting: &Waiting,
+    waiting: &QueuedRequest,
     upstreams: &IndexMap<UpstreamId, PoolUpstream>,
     open_to_long: usize,
     now: Instant,
--- a/src/decide/intake.rs
+++ b/src/decide/intake.rs
@@ -14,8 +14,8 @@
 use crate::decide::Decision;
 use crate::decide::Grant;
 use crate::decide::PolicyConfig;
+use crate::decide::QueuedRequest;
 use crate::decide::RefuseReason;
-use crate::decide::Waiting;
 use crate::decide::retry_after;
 use crate::units::CustomerId;
 use crate::units::GrantId;
@@ -75,7 +75,7 @@
 
     pub(crate) fn grant(
         &mut self,
-        waiting: &Waiting,
+        waiting: &QueuedRequest,
         upstreams: Vec<UpstreamId>,
         why: &'static str,
         now: Instant,
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -145,7 +145,7 @@
 pub use speed::SpeedEstimate;
 pub use tuning::Tuning;
 pub use upstream_load::UpstreamLoad;
-pub use waiting::Waiting;
+pub use waiting::QueuedRequest;
 pub use warm_up::WarmUp;
 pub use work::LengthClass;
 pub use work::Work;
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -12,8 +12,8 @@
 use crate::decide::Access;
 use crate::decide::Lane;
 use crate::decide::PoolUpstream;
+use crate::decide::QueuedRequest;
 use crate::decide::Tuning;
-use crate::decide::Waiting;
 use crate::decide::engine_priority;
 use crate::decide::is_heavy;
 use crate::units::Tokens;
@@ -85,7 +85,7 @@
     }
 
     /// Where a request of this lane goes.
-    pub fn choose(&self, waiting: &Waiting, lane: Lane) -> Placement {
+    pub fn choose(&self, waiting: &QueuedRequest, lane: Lane) -> Placement {
         if let Some(placement) = self.probe(waiting, lane) {
             return placement;
         }
@@ -123,7 +123,7 @@
     /// What an upstream offers; none if it has no room or is not open to such work.
     fn offer(
         &self,
-        waiting: &Waiting,
+        waiting: &QueuedRequest,
         lane: Lane,
         index: usize,
         upstream: &PoolUpstream,
@@ -193,7 +193,7 @@
     }
 
     /// An upstream that was taken out and may be tried: it gets a short request that has time.
-    fn probe(&self, waiting: &Waiting, lane: Lane) -> Option<Placement> {
+    fn probe(&self, waiting: &QueuedRequest, lane: Lane) -> Option<Placement> {
         if lane == Lane::Long || waiting.is_suspect() {
             return None;
         }
@@ -216,7 +216,7 @@
     }
 
     /// Whether there is an upstream that has not failed the request.
-    fn can_avoid(&self, waiting: &Waiting) -> bool {
+    fn can_avoid(&self, waiting: &QueuedRequest) -> bool {
         let avoid = &waiting.work.avoid;
         let mut open = self.upstreams.values().filter(|u| u.is_open(self.now));
         !avoid.is_empty() && open.any(|upstream| !avoid.contains(&upstream.seen.id))
--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -10,7 +10,7 @@
 
 use indexmap::IndexMap;
 
-use crate::decide::Waiting;
+use crate::decide::QueuedRequest;
 use crate::decide::rank_queue::Place;
 use crate::decide::rank_queue::RankQueue;
 use crate::units::CustomerId;
@@ -39,7 +39,7 @@
     }
 
     /// Adds a request; one that is there already is left as it is.
-    pub fn push(&mut self, waiting: Waiting) {
+    pub fn push(&mut self, waiting: QueuedRequest) {
         let request = waiting.work.request;
         if self.places.contains_key(&request) {
             return;
@@ -53,7 +53,7 @@
     }
 
     /// Up to `limit` requests in the order in which they should go.
-    pub fn heads(&self, limit: usize) -> Vec<&Waiting> {
+    pub fn heads(&self, limit: usize) -> Vec<&QueuedRequest> {
         let mut heads = Vec::with_capacity(limit);
         let owed = self.owed_rank();
         if let Some(first) = owed.and_then(|rank| self.ranks.get(&rank)) {
@@ -71,13 +71,13 @@
     }
 
     /// A request that waits.
-    pub fn get(&self, request: &RequestId) -> Option<&Waiting> {
+    pub fn get(&self, request: &RequestId) -> Option<&QueuedRequest> {
         let (rank, place) = self.places.get(request)?;
         self.ranks.get(rank)?.get(place)
     }
 
     /// Takes a request out to be served, and charges its account.
-    pub fn take(&mut self, request: &RequestId) -> Option<Waiting> {
+    pub fn take(&mut self, request: &RequestId) -> Option<QueuedRequest> {
         let waiting = self.remove_from_rank(request, true)?;
         let rank = waiting.work.priority;
         if self.first_rank().is_some_and(|first| first < rank) {
@@ -91,12 +91,12 @@
     }
 
     /// Takes a request out that is not served.
-    pub fn remove(&mut self, request: &RequestId) -> Option<Waiting> {
+    pub fn remove(&mut self, request: &RequestId) -> Option<QueuedRequest> {
         self.remove_from_rank(request, false)
     }
 
     /// Takes out the requests whose time has run out.
-    pub fn take_expired(&mut self, now: Instant) -> Vec<Waiting> {
+    pub fn take_expired(&mut self, now: Instant) -> Vec<QueuedRequest> {
         let mut expired = Vec::new();
         while let Some((deadline, _, request)) = self.expiry.first().copied() {
             if deadline > now {
@@ -138,7 +138,7 @@
         self.places.is_empty()
     }
 
-    fn remove_from_rank(&mut self, request: &RequestId, is_served: bool) -> Option<Waiting> {
+    fn remove_from_rank(&mut self, request: &RequestId, is_served: bool) -> Option<QueuedRequest> {
         let (rank, place) = self.places.swap_remove(request)?;
         self.expiry.remove(&(place.1, place.2, *request));
         self.ranks.get_mut(&rank)?.remove(&place, is_served)
--- a/src/decide/rank_queue.rs
+++ b/src/decide/rank_queue.rs
@@ -10,7 +10,7 @@
 
 use indexmap::IndexMap;
 
-use crate::decide::Waiting;
+use crate::decide::QueuedRequest;
 use crate::units::CustomerId;
 
 /// Virtual time advances by this for one token of an account with weight 1, so that whole numbers
@@ -33,14 +33,14 @@
 
 #[derive(Debug)]
 struct Account {
-    by_deadline: BTreeMap<(Instant, u64), Waiting>,
+    by_deadline: BTreeMap<(Instant, u64), QueuedRequest>,
     virtual_start: u64,
     share: u32,
     cost: f64,
 }
 
 impl RankQueue {
-    pub(crate) fn push(&mut self, waiting: Waiting, seq: u64) -> Place {
+    pub(crate) fn push(&mut self, waiting: QueuedRequest, seq: u64) -> Place {
         let id = waiting.account.clone();
         let place = (id.clone(), waiting.work.deadline, seq);
         let virtual_now = self.virtual_now;
@@ -63,7 +63,7 @@
 
     /// Up to `limit` requests in the order in which they should go: one for each account by virtual
     /// time, then the next of each.
-    pub(crate) fn heads(&self, limit: usize) -> Vec<&Waiting> {
+    pub(crate) fn heads(&self, limit: usize) -> Vec<&QueuedRequest> {
         let mut heads = Vec::with_capacity(limit);
         let accounts = || {
             self.ready
@@ -81,13 +81,13 @@
         heads
     }
 
-    pub(crate) fn get(&self, place: &Place) -> Option<&Waiting> {
+    pub(crate) fn get(&self, place: &Place) -> Option<&QueuedRequest> {
         let account = self.accounts.get(&place.0)?;
         account.by_deadline.get(&(place.1, place.2))
     }
 
     /// Removes a request. `is_served` charges its account.
-    pub(crate) fn remove(&mut self, place: &Place, is_served: bool) -> Option<Waiting> {
+    pub(crate) fn remove(&mut self, place: &Place, is_served: bool) -> Option<QueuedRequest> {
         let account = self.accounts.get_mut(&place.0)?;
         let waiting = account.by_deadline.remove(&(place.1, place.2))?;
         self.ready.remove(&(account.virtual_start, place.0.clone()));
--- a/src/decide/shipped/engines.rs
+++ b/src/decide/shipped/engines.rs
@@ -21,9 +21,9 @@
 use crate::decide::Policy;
 use crate::decide::PolicyConfig;
 use crate::decide::PoolLoad;
+use crate::decide::QueuedRequest;
 use crate::decide::RefuseReason;
 use crate::decide::UpstreamSeen;
-use crate::decide::Waiting;
 use crate::decide::Work;
 use crate::decide::engine_priority;
 use crate::decide::gang_share;
@@ -95,14 +95,14 @@
         }
     }
 
-    fn lane_of(&self, waiting: &Waiting) -> Lane {
+    fn lane_of(&self, waiting: &QueuedRequest) -> Lane {
         self.fleet.tuning.lane(waiting.prompt_tokens)
     }
 
-    fn size_up(&self, work: Work, now: Instant) -> Waiting {
+    fn size_up(&self, work: Work, now: Instant) -> QueuedRequest {
         let (account, share) = self.intake.account(&work.customer);
         let prompt_tokens = self.estimator.prompt_tokens(&work, &account);
-        Waiting {
+        QueuedRequest {
             prompt_tokens,
             output_tokens: self.estimator.output_tokens(&work),
             account,
@@ -113,7 +113,11 @@
     }
 
     /// Whether to let a request in, and if not, why not and how long its lane takes to drain.
-    fn admit(&mut self, waiting: &Waiting, now: Instant) -> Result<(), (RefuseReason, Duration)> {
+    fn admit(
+        &mut self,
+        waiting: &QueuedRequest,
+        now: Instant,
+    ) -> Result<(), (RefuseReason, Duration)> {
         if waiting.work.deadline <= now {
             return Err((RefuseReason::Expired, Duration::ZERO));
         }
@@ -145,7 +149,7 @@
         }
     }
 
-    fn forecast(&self, waiting: &Waiting, lane: Lane, now: Instant) -> Forecast {
+    fn forecast(&self, waiting: &QueuedRequest, lane: Lane, now: Instant) -> Forecast {
         let cached = self.cached_tokens(&waiting.work, now);
         let prefill = (waiting.prompt_tokens.as_f64() - cached).max(0.0);
         let speed = self.fleet.median_speed() * self.gang_size(waiting) as f64;
@@ -187,13 +191,13 @@
         }
     }
 
-    fn gang_size(&self, waiting: &Waiting) -> usize {
+    fn gang_size(&self, waiting: &QueuedRequest) -> usize {
         let largest = self.fleet.largest_memory().0.max(1);
         let size = waiting.memory_tokens().0.div_ceil(largest);
         usize::try_from(size).unwrap_or(usize::MAX).max(1)
     }
 
-    fn refuse(&mut self, waiting: &Waiting, reason: RefuseReason, now: Instant) {
+    fn refuse(&mut self, waiting: &QueuedRequest, reason: RefuseReason, now: Instant) {
         let drain = self.drain_time(self.lane_of(waiting), now);
         self.intake.refuse(waiting.work.request, reason, drain);
     }
@@ -267,7 +271,7 @@
         Step::Went
     }
 
-    fn run_forecast(&self, waiting: &Waiting, first_token: Duration) -> Forecast {
+    fn run_forecast(&self, waiting: &QueuedRequest, first_token: Duration) -> Forecast {
         Forecast {
             wait: Duration::ZERO,
             prefill: first_token,
@@ -276,12 +280,12 @@
     }
 
     /// Whether a request that could go now would not end in time.
-    fn is_too_late(&self, waiting: &Waiting, forecast: Forecast, now: Instant) -> bool {
+    fn is_too_late(&self, waiting: &QueuedRequest, forecast: Forecast, now: Instant) -> bool {
         let remaining = waiting.work.deadline.saturating_duration_since(now);
         forecast.judge(remaining, self.granted.is_empty()) == Admission::TooLate
     }
 
-    fn grant(&mut self, waiting: &Waiting, chosen: Chosen, now: Instant) {
+    fn grant(&mut self, waiting: &QueuedRequest, chosen: Chosen, now: Instant) {
         let id = self
             .intake
             .grant(waiting, chosen.upstreams.clone(), chosen.why, now);
@@ -310,7 +314,7 @@
     fn enter(
         &mut self,
         grant: LiveGrant,
-        waiting: &Waiting,
+        waiting: &QueuedRequest,
         hinted_tokens: Tokens,
         (prefill, expected): (f64, Duration),
         now: Instant,
@@ -346,7 +350,7 @@
         }
     }
 
-    fn grant_gang(&mut self, waiting: &Waiting, members: Vec<UpstreamId>, now: Instant) {
+    fn grant_gang(&mut self, waiting: &QueuedRequest, members: Vec<UpstreamId>, now: Instant) {
         let prefill_tokens = waiting.prompt_tokens.as_f64() / members.len().max(1) as f64;
         let first_token = duration(prefill_tokens / self.fleet.median_speed());
         let forecast = self.run_forecast(waiting, first_token);
--- a/src/decide/shipped/gang_queue.rs
+++ b/src/decide/shipped/gang_queue.rs
@@ -5,8 +5,8 @@
 use crate::decide::EngineFleet;
 use crate::decide::FairQueue;
 use crate::decide::GangPlan;
+use crate::decide::QueuedRequest;
 use crate::decide::Reservation;
-use crate::decide::Waiting;
 use crate::decide::gang_has_room;
 use crate::decide::plan_gang;
 use crate::units::Tokens;
@@ -25,9 +25,9 @@
     /// Nothing for now.
     Nothing,
     /// Not all engines together hold this one.
-    TooLarge(Waiting),
+    TooLarge(QueuedRequest),
     /// All of these engines have room for it.
-    Grant(Waiting, Vec<UpstreamId>),
+    Grant(QueuedRequest, Vec<UpstreamId>),
 }
 
 impl GangQueue {
--- a/src/decide/shipped/lane_queue.rs
+++ b/src/decide/shipped/lane_queue.rs
@@ -5,7 +5,7 @@
 
 use crate::decide::DrainRate;
 use crate::decide::FairQueue;
-use crate::decide::Waiting;
+use crate::decide::QueuedRequest;
 use crate::decide::placement::duration;
 use crate::units::RequestId;
 
@@ -18,7 +18,7 @@
 
 impl LaneQueue {
     /// Takes a request out to be served.
-    pub(crate) fn take(&mut self, request: &RequestId, now: Instant) -> Option<Waiting> {
+    pub(crate) fn take(&mut self, request: &RequestId, now: Instant) -> Option<QueuedRequest> {
         let waiting = self.queue.take(request)?;
         self.drain.observe(waiting.cost(), true, now);
         Some(waiting)
@@ -35,7 +35,7 @@
     }
 
     /// How long a request like this one would wait.
-    pub(crate) fn wait(&self, waiting: &Waiting, nominal: f64, now: Instant) -> Duration {
+    pub(crate) fn wait(&self, waiting: &QueuedRequest, nominal: f64, now: Instant) -> Duration {
         let rank = waiting.work.priority;
         let ahead = self.queue.cost_ahead(rank, &waiting.account, waiting.share);
         duration(ahead / self.drain.per_second(nominal, now))
--- a/src/decide/shipped/lanes.rs
+++ b/src/decide/shipped/lanes.rs
@@ -4,7 +4,7 @@
 
 use crate::decide::FairQueue;
 use crate::decide::Lane;
-use crate::decide::Waiting;
+use crate::decide::QueuedRequest;
 use crate::decide::shipped::GangQueue;
 use crate::decide::shipped::LaneQueue;
 use crate::units::RequestId;
@@ -46,7 +46,7 @@
         self.gangs.queue.remove(request);
     }
 
-    pub(crate) fn take_expired(&mut self, now: Instant) -> Vec<Waiting> {
+    pub(crate) fn take_expired(&mut self, now: Instant) -> Vec<QueuedRequest> {
         let mut expired = self.short.queue.take_expired(now);
         expired.extend(self.long.queue.take_expired(now));
         expired.extend(self.gangs.queue.take_expired(now));
--- a/src/decide/shipped/services.rs
+++ b/src/decide/shipped/services.rs
@@ -19,11 +19,11 @@
 use crate::decide::Policy;
 use crate::decide::PolicyConfig;
 use crate::decide::PoolLoad;
+use crate::decide::QueuedRequest;
 use crate::decide::RefuseReason;
 use crate::decide::ServiceUpstream;
 use crate::decide::UpstreamHealth;
 use crate::decide::UpstreamSeen;
-use crate::decide::Waiting;
 use crate::decide::WarmUp;
 use crate::decide::Work;
 use crate::decide::placement::duration;
@@ -70,7 +70,11 @@
         }
     }
 
-    fn admit(&mut self, waiting: &Waiting, now: Instant) -> Result<(), (RefuseReason, Duration)> {
+    fn admit(
+        &mut self,
+        waiting: &QueuedRequest,
+        now: Instant,
+    ) -> Result<(), (RefuseReason, Duration)> {
         if waiting.work.deadline <= now {
             return Err((RefuseReason::Expired, Duration::ZERO));
         }
@@ -117,7 +121,7 @@
     }
 
     /// The upstream for a call; none if all are full.
-    fn choose(&self, waiting: &Waiting, now: Instant) -> Option<(UpstreamId, &'static str)> {
+    fn choose(&self, waiting: &QueuedRequest, now: Instant) -> Option<(UpstreamId, &'static str)> {
         let is_suspect = waiting.is_suspect();
         let mut probes = self.upstreams.values().filter(|_| !is_suspect);
         if let Some(probe) = probes.find(|u| u.access(now) == Access::Probe) {
@@ -156,7 +160,13 @@
         })
     }
 
-    fn grant(&mut self, waiting: &Waiting, upstream: UpstreamId, why: &'static str, now: Instant) {
+    fn grant(
+        &mut self,
+        waiting: &QueuedRequest,
+        upstream: UpstreamId,
+        why: &'static str,
+        now: Instant,
+    ) {
         let id = self.intake.grant(waiting, vec![upstream.clone()], why, now);
         let grant = LiveGrant {
             id,
@@ -166,7 +176,7 @@
         self.enter(grant, waiting, now);
     }
 
-    fn enter(&mut self, grant: LiveGrant, waiting: &Waiting, now: Instant) {
+    fn enter(&mut self, grant: LiveGrant, waiting: &QueuedRequest, now: Instant) {
         for id in &grant.upstreams {
             if let Some(upstream) = self.upstreams.get_mut(id) {
                 upstream.on_grant(now);
@@ -182,9 +192,9 @@
         );
     }
 
-    fn size_up(&self, work: Work, now: Instant) -> Waiting {
+    fn size_up(&self, work: Work, now: Instant) -> QueuedRequest {
         let (account, share) = self.intake.account(&work.customer);
-        Waiting {
+        QueuedRequest {
             work,
             account,
             share: share.share,
--- a/src/decide/waiting.rs
+++ b/src/decide/waiting.rs
@@ -8,7 +8,7 @@
 
 /// A request in a queue, with what the decisions have worked out for it.
 #[derive(Clone, Debug)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// The request.
     pub work: Work,
     /// The account that it is charged to: its customer, or the one that stands for all that are not
@@ -24,7 +24,7 @@
     pub since: Instant,
 }
 
-impl Waiting {
+impl QueuedRequest {
     /// What it costs its account: the tokens that an engine works on for it.
     pub fn cost(&self) -> f64 {
         (self.prompt_tokens + self.output_tokens).as_f64().max(1.0)
