--- a/examples/sweep/timing.rs
+++ b/examples/sweep/timing.rs
@@ -9,7 +9,7 @@
 use banyanarch::decide::AttemptSummary;
 use banyanarch::decide::Decision;
 use banyanarch::decide::UpstreamHealth;
-use banyanarch::decide::UpstreamSeen;
+use banyanarch::decide::UpstreamInfo;
 use banyanarch::decide::Work;
 use banyanarch::decide::policy_for;
 use banyanarch::manifest::Objective;
@@ -37,8 +37,8 @@
         &config(Objective::ShortSlowdown, 8_000.0),
         1,
     );
-    let seen: Vec<UpstreamSeen> = (0..30)
-        .map(|index| UpstreamSeen {
+    let seen: Vec<UpstreamInfo> = (0..30)
+        .map(|index| UpstreamInfo {
             id: format!("engine-{index:02}").parse().unwrap(),
             memory_tokens: Tokens(300_000),
             slots: 16,
--- a/src/control/home/controller.rs
+++ b/src/control/home/controller.rs
@@ -27,7 +27,7 @@
 use crate::decide::Policy;
 use crate::decide::PolicyConfig;
 use crate::decide::PoolLoad;
-use crate::decide::UpstreamSeen;
+use crate::decide::UpstreamInfo;
 use crate::decide::Work;
 use crate::units::GrantId;
 use crate::units::HostId;
@@ -310,7 +310,7 @@
         self.apply(changes, now);
     }
 
-    fn set_upstreams(&mut self, upstreams: &[UpstreamSeen], now: Instant) {
+    fn set_upstreams(&mut self, upstreams: &[UpstreamInfo], now: Instant) {
         let gone = self.engines.set(upstreams, now);
         self.policy.set_upstreams(upstreams, now);
         for gone in gone {
--- a/src/control/home/engines.rs
+++ b/src/control/home/engines.rs
@@ -6,7 +6,7 @@
 
 use crate::control::home::HomeConf;
 use crate::decide::UpstreamHealth;
-use crate::decide::UpstreamSeen;
+use crate::decide::UpstreamInfo;
 use crate::units::UpstreamId;
 
 #[derive(Clone, Debug)]
@@ -28,7 +28,7 @@
 
 impl Engines {
     /// Replaces the set and returns those that are gone.
-    pub(crate) fn set(&mut self, upstreams: &[UpstreamSeen], now: Instant) -> Vec<UpstreamId> {
+    pub(crate) fn set(&mut self, upstreams: &[UpstreamInfo], now: Instant) -> Vec<UpstreamId> {
         let mut old = self.engines.take().unwrap_or_default();
         let mut engines = IndexMap::new();
         for seen in upstreams {
--- a/src/control/home/event.rs
+++ b/src/control/home/event.rs
@@ -2,7 +2,7 @@
 
 use crate::decide::AttemptSummary;
 use crate::decide::LiveGrant;
-use crate::decide::UpstreamSeen;
+use crate::decide::UpstreamInfo;
 use crate::decide::Work;
 use crate::units::AttemptId;
 use crate::units::GrantId;
@@ -69,7 +69,7 @@
         attempt: AttemptId,
     },
     /// The upstreams of the pool, all of them.
-    Upstreams(Vec<UpstreamSeen>),
+    Upstreams(Vec<UpstreamInfo>),
     /// An engine's lagging report.
     Report {
         /// The engine.
--- a/src/decide/baseline/direct.rs
+++ b/src/decide/baseline/direct.rs
@@ -16,7 +16,7 @@
 use crate::decide::Policy;
 use crate::decide::PoolLoad;
 use crate::decide::RefuseReason;
-use crate::decide::UpstreamSeen;
+use crate::decide::UpstreamInfo;
 use crate::decide::Work;
 use crate::decide::baseline::Member;
 use crate::decide::baseline::Picker;
@@ -97,7 +97,7 @@
 }
 
 impl<P: Picker> Policy for Direct<P> {
-    fn set_upstreams(&mut self, upstreams: &[UpstreamSeen], _now: Instant) {
+    fn set_upstreams(&mut self, upstreams: &[UpstreamInfo], _now: Instant) {
         let mut old = mem::take(&mut self.members);
         for seen in upstreams {
             let mut member = old
--- a/src/decide/baseline/member.rs
+++ b/src/decide/baseline/member.rs
@@ -1,7 +1,7 @@
 //! An upstream as a baseline sees it.
 
 use crate::decide::UpstreamHealth;
-use crate::decide::UpstreamSeen;
+use crate::decide::UpstreamInfo;
 use crate::units::Tokens;
 use crate::upstream::LoadReport;
 
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub struct Member {
     /// As the platform's list shows it.
-    pub seen: UpstreamSeen,
+    pub seen: UpstreamInfo,
     /// Attempts that this host granted and that have not ended.
     pub in_flight: u32,
     /// Memory that they hold.
@@ -22,7 +22,7 @@
 
 impl Member {
     /// An upstream without work.
-    pub fn new(seen: UpstreamSeen) -> Self {
+    pub fn new(seen: UpstreamInfo) -> Self {
         Self {
             seen,
             in_flight: 0,
--- a/src/decide/ejection.rs
+++ b/src/decide/ejection.rs
@@ -10,7 +10,7 @@
 use rand::rngs::StdRng;
 
 use crate::decide::AttemptOutcome;
-use crate::decide::UpstreamSeen;
+use crate::decide::UpstreamInfo;
 
 /// Failures in a row. One may be the request's fault and two a coincidence.
 const FAILURES_MAX: u32 = 3;
@@ -70,7 +70,7 @@
 
 impl Ejection {
     /// What an upstream may get now; nothing when it is leaving.
-    pub fn access_of(&self, seen: &UpstreamSeen, now: Instant) -> Access {
+    pub fn access_of(&self, seen: &UpstreamInfo, now: Instant) -> Access {
         if seen.is_live() {
             self.access(now)
         } else {
--- a/src/decide/engine_fleet.rs
+++ b/src/decide/engine_fleet.rs
@@ -18,7 +18,7 @@
 use crate::decide::SplitInput;
 use crate::decide::Tuning;
 use crate::decide::UpstreamHealth;
-use crate::decide::UpstreamSeen;
+use crate::decide::UpstreamInfo;
 use crate::decide::WarmUp;
 use crate::decide::estimator::token_gap_seconds;
 use crate::units::Tokens;
@@ -61,8 +61,8 @@
     }
 
     /// Takes in the list. One that has vanished stays, closed, until its grants have ended.
-    pub(crate) fn set(&mut self, seen: &[UpstreamSeen], now: Instant) {
-        let is_new = |seen: &&UpstreamSeen| !self.upstreams.contains_key(&seen.id);
+    pub(crate) fn set(&mut self, seen: &[UpstreamInfo], now: Instant) {
+        let is_new = |seen: &&UpstreamInfo| !self.upstreams.contains_key(&seen.id);
         let new = seen.iter().filter(is_new).count();
         let is_cold =
             (new as f64) <= COLD_PART_MAX * seen.len() as f64 && !self.upstreams.is_empty();
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -119,7 +119,7 @@
 pub use policy::PoolLoad;
 pub use policy::RefuseReason;
 pub use policy::UpstreamHealth;
-pub use policy::UpstreamSeen;
+pub use policy::UpstreamInfo;
 pub use pool_upstream::PoolMedian;
 pub use pool_upstream::PoolUpstream;
 pub use prefill::Prefill;
--- a/src/decide/policy.rs
+++ b/src/decide/policy.rs
@@ -19,7 +19,7 @@
 /// [`Policy::poll`] then returns; the caller polls after every call and at [`Policy::next_wake`].
 pub trait Policy: Send {
     /// Replaces the set of upstreams. One that has vanished or is leaving gets no new grant.
-    fn set_upstreams(&mut self, upstreams: &[UpstreamSeen], now: Instant);
+    fn set_upstreams(&mut self, upstreams: &[UpstreamInfo], now: Instant);
 
     /// Takes in a new manifest; what waits and what runs stays. A policy that takes nothing from
     /// the manifest has nothing to do.
@@ -58,7 +58,7 @@
 
 /// An upstream as the platform's list and the manifest show it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct UpstreamSeen {
+pub struct UpstreamInfo {
     /// Its name.
     pub id: UpstreamId,
     /// Its memory for keys and values, in tokens; 0 for plain services.
@@ -69,7 +69,7 @@
     pub health: UpstreamHealth,
 }
 
-impl UpstreamSeen {
+impl UpstreamInfo {
     /// Whether it is not leaving.
     pub fn is_live(&self) -> bool {
         self.health == UpstreamHealth::Live
--- a/src/decide/pool_upstream.rs
+++ b/src/decide/pool_upstream.rs
@@ -7,8 +7,8 @@
 use crate::decide::Ejection;
 use crate::decide::PrefixHints;
 use crate::decide::SpeedEstimate;
+use crate::decide::UpstreamInfo;
 use crate::decide::UpstreamLedger;
-use crate::decide::UpstreamSeen;
 use crate::decide::WarmUp;
 
 /// A frozen engine shows as attempts of which none ends. This many times what one of them should take
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct PoolUpstream {
     /// As the platform's list shows it.
-    pub seen: UpstreamSeen,
+    pub seen: UpstreamInfo,
     /// What it has been given.
     pub ledger: UpstreamLedger,
     /// Whether it is taken out.
@@ -39,7 +39,7 @@
 
 impl PoolUpstream {
     /// An engine without work.
-    pub fn new(seen: UpstreamSeen, speed: SpeedEstimate, warm_up: WarmUp, now: Instant) -> Self {
+    pub fn new(seen: UpstreamInfo, speed: SpeedEstimate, warm_up: WarmUp, now: Instant) -> Self {
         Self {
             seen,
             ledger: UpstreamLedger::new(speed, now),
--- a/src/decide/service_upstream.rs
+++ b/src/decide/service_upstream.rs
@@ -7,7 +7,7 @@
 use crate::decide::AttemptSummary;
 use crate::decide::ConcurrencyLimit;
 use crate::decide::Ejection;
-use crate::decide::UpstreamSeen;
+use crate::decide::UpstreamInfo;
 use crate::decide::WarmUp;
 
 /// The weight of one call in the latency that placement compares.
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub struct ServiceUpstream {
     /// As the platform's list shows it.
-    pub seen: UpstreamSeen,
+    pub seen: UpstreamInfo,
     /// Calls that have not ended.
     pub running: u32,
     /// How many it gets at once.
@@ -31,7 +31,7 @@
 
 impl ServiceUpstream {
     /// An instance without calls.
-    pub fn new(seen: UpstreamSeen, warm_up: WarmUp) -> Self {
+    pub fn new(seen: UpstreamInfo, warm_up: WarmUp) -> Self {
         let limit = ConcurrencyLimit::new(seen.slots);
         Self {
             seen,
--- a/src/decide/shipped/engines.rs
+++ b/src/decide/shipped/engines.rs
@@ -23,7 +23,7 @@
 use crate::decide::PoolLoad;
 use crate::decide::QueuedRequest;
 use crate::decide::RefuseReason;
-use crate::decide::UpstreamSeen;
+use crate::decide::UpstreamInfo;
 use crate::decide::Work;
 use crate::decide::engine_priority;
 use crate::decide::gang_share;
@@ -390,7 +390,7 @@
 }
 
 impl Policy for EnginePolicy {
-    fn set_upstreams(&mut self, upstreams: &[UpstreamSeen], now: Instant) {
+    fn set_upstreams(&mut self, upstreams: &[UpstreamInfo], now: Instant) {
         self.lanes.gangs.unreserve(&mut self.fleet);
         self.fleet.set(upstreams, now);
     }
--- a/src/decide/shipped/services.rs
+++ b/src/decide/shipped/services.rs
@@ -23,7 +23,7 @@
 use crate::decide::RefuseReason;
 use crate::decide::ServiceUpstream;
 use crate::decide::UpstreamHealth;
-use crate::decide::UpstreamSeen;
+use crate::decide::UpstreamInfo;
 use crate::decide::WarmUp;
 use crate::decide::Work;
 use crate::decide::placement::duration;
@@ -223,7 +223,7 @@
 }
 
 impl Policy for ServicePolicy {
-    fn set_upstreams(&mut self, upstreams: &[UpstreamSeen], now: Instant) {
+    fn set_upstreams(&mut self, upstreams: &[UpstreamInfo], now: Instant) {
         let is_first = self.upstreams.is_empty();
         for upstream in self.upstreams.values_mut() {
             upstream.seen.health = UpstreamHealth::Leaving;
--- a/src/fleet/home_desk/mod.rs
+++ b/src/fleet/home_desk/mod.rs
@@ -27,7 +27,7 @@
 use crate::control::status::Events;
 use crate::decide::PoolKind;
 use crate::decide::PoolLoad;
-use crate::decide::UpstreamSeen;
+use crate::decide::UpstreamInfo;
 use crate::decide::policy_for;
 use crate::entry::UpstreamDirectory;
 use crate::fleet::GrantWaiters;
@@ -61,7 +61,7 @@
     asked_at: Mutex<Instant>,
     target: TargetId,
     is_service: bool,
-    made_of: Mutex<(Generation, Vec<UpstreamSeen>)>,
+    made_of: Mutex<(Generation, Vec<UpstreamInfo>)>,
 }
 
 /// The homes on this host.
--- a/src/fleet/home_desk/seen.rs
+++ b/src/fleet/home_desk/seen.rs
@@ -2,7 +2,7 @@
 
 use crate::decide::PolicyConfig;
 use crate::decide::PoolKind;
-use crate::decide::UpstreamSeen;
+use crate::decide::UpstreamInfo;
 use crate::fleet::home_desk::HomeDesk;
 use crate::units::PoolId;
 use crate::units::TargetId;
@@ -22,12 +22,12 @@
         &self,
         pool: &PoolId,
         target: &TargetId,
-    ) -> Option<Vec<UpstreamSeen>> {
+    ) -> Option<Vec<UpstreamInfo>> {
         let in_force = self.board.manifest()?;
         let (memory_tokens, slots) = size_of(&in_force.manifest, target)?;
         let seen = |id: UpstreamId| {
             let health = self.board.upstreams.get(&id)?.health;
-            Some(UpstreamSeen {
+            Some(UpstreamInfo {
                 id,
                 memory_tokens,
                 slots,
--- a/tests/decide_fakes/bench.rs
+++ b/tests/decide_fakes/bench.rs
@@ -14,7 +14,7 @@
 use banyanarch::decide::RetryBudget;
 use banyanarch::decide::RetryVerdict;
 use banyanarch::decide::UpstreamHealth;
-use banyanarch::decide::UpstreamSeen;
+use banyanarch::decide::UpstreamInfo;
 use banyanarch::decide::Work;
 use banyanarch::units::AttemptId;
 use banyanarch::units::ContentHash;
@@ -126,8 +126,8 @@
     }
 
     fn list_engines(&mut self) {
-        let seen: Vec<UpstreamSeen> = (0..self.engines.len())
-            .map(|index| UpstreamSeen {
+        let seen: Vec<UpstreamInfo> = (0..self.engines.len())
+            .map(|index| UpstreamInfo {
                 id: name(index),
                 memory_tokens: Tokens(self.engines[index].memory),
                 slots: self.engines[index].slots as u32,
--- a/tests/decide_policy.rs
+++ b/tests/decide_policy.rs
@@ -14,7 +14,7 @@
 use banyanarch::decide::PoolKind;
 use banyanarch::decide::RefuseReason;
 use banyanarch::decide::UpstreamHealth;
-use banyanarch::decide::UpstreamSeen;
+use banyanarch::decide::UpstreamInfo;
 use banyanarch::decide::Work;
 use banyanarch::decide::policy_for;
 use banyanarch::manifest::Objective;
@@ -57,13 +57,13 @@
 
     fn list(&mut self, upstreams: usize, health: impl Fn(usize) -> UpstreamHealth) {
         let slots = self.slots;
-        let seen = |index| UpstreamSeen {
+        let seen = |index| UpstreamInfo {
             id: id(index),
             memory_tokens: Tokens(100_000),
             slots,
             health: health(index),
         };
-        let seen: Vec<UpstreamSeen> = (0..upstreams).map(seen).collect();
+        let seen: Vec<UpstreamInfo> = (0..upstreams).map(seen).collect();
         self.policy.set_upstreams(&seen, self.now);
     }
 
@@ -414,7 +414,7 @@
         ..config(Objective::ShortSlowdown, 8_000.0)
     };
     let mut pool = Pool::new(policy_for(PolicyName::Shipped, &conf, 1), 0);
-    let seen = [0, 1].map(|index| UpstreamSeen {
+    let seen = [0, 1].map(|index| UpstreamInfo {
         id: id(index),
         memory_tokens: Tokens::ZERO,
         slots: 32,
--- a/tests/fakes/first_fit.rs
+++ b/tests/fakes/first_fit.rs
@@ -12,7 +12,7 @@
 use banyanarch::decide::PoolLoad;
 use banyanarch::decide::RefuseReason;
 use banyanarch::decide::UpstreamHealth;
-use banyanarch::decide::UpstreamSeen;
+use banyanarch::decide::UpstreamInfo;
 use banyanarch::decide::Work;
 use banyanarch::units::GrantId;
 use banyanarch::units::RequestId;
@@ -24,7 +24,7 @@
 
 #[derive(Default)]
 pub(crate) struct FirstFit {
-    upstreams: Vec<UpstreamSeen>,
+    upstreams: Vec<UpstreamInfo>,
     queue: VecDeque<Work>,
     live: IndexMap<GrantId, LiveGrant>,
     first_id: u128,
@@ -49,7 +49,7 @@
     }
 
     fn room_for(&self, work: &Work) -> Option<UpstreamId> {
-        let fits = |seen: &&UpstreamSeen| {
+        let fits = |seen: &&UpstreamInfo| {
             let wanted = self.held(&seen.id) + work.memory_tokens();
             seen.health == UpstreamHealth::Live && wanted <= seen.memory_tokens
         };
@@ -58,7 +58,7 @@
 }
 
 impl Policy for FirstFit {
-    fn set_upstreams(&mut self, upstreams: &[UpstreamSeen], _now: Instant) {
+    fn set_upstreams(&mut self, upstreams: &[UpstreamInfo], _now: Instant) {
         self.upstreams = upstreams.to_vec();
     }
 
--- a/tests/fakes/make.rs
+++ b/tests/fakes/make.rs
@@ -9,7 +9,7 @@
 use banyanarch::decide::AttemptOutcome;
 use banyanarch::decide::AttemptSummary;
 use banyanarch::decide::UpstreamHealth;
-use banyanarch::decide::UpstreamSeen;
+use banyanarch::decide::UpstreamInfo;
 use banyanarch::decide::Work;
 use banyanarch::units::AttemptId;
 use banyanarch::units::ContentHash;
@@ -41,8 +41,8 @@
     }
 }
 
-pub(crate) fn engine(name: &str, memory_tokens: u64, health: UpstreamHealth) -> UpstreamSeen {
-    UpstreamSeen {
+pub(crate) fn engine(name: &str, memory_tokens: u64, health: UpstreamHealth) -> UpstreamInfo {
+    UpstreamInfo {
         id: upstream(name),
         memory_tokens: Tokens(memory_tokens),
         slots: 64,
