--- a/src/decide/baseline/direct.rs
+++ b/src/decide/baseline/direct.rs
@@ -60,14 +60,14 @@
             return Err(RefuseReason::NoUpstream);
         }
         let wanted = gang_size(work.memory_tokens(), &open).ok_or(RefuseReason::TooLarge)?;
-        let fresh = |member: &&Member| !work.avoid.contains(&member.seen.id);
+        let fresh = |member: &&Member| !work.avoid.contains(&member.info.id);
         if open.iter().filter(|member| fresh(member)).count() >= wanted {
             open.retain(fresh);
         }
         let mut chosen = Vec::with_capacity(wanted);
         for _ in 0..wanted {
             let index = self.picker.pick(work, &open, now);
-            chosen.push(open.swap_remove(index).seen.id.clone());
+            chosen.push(open.swap_remove(index).info.id.clone());
         }
         chosen.sort();
         Ok(chosen)
@@ -103,7 +103,7 @@
             let mut member = old
                 .swap_remove(&seen.id)
                 .unwrap_or_else(|| Member::new(seen.clone()));
-            member.seen = seen.clone();
+            member.info = seen.clone();
             self.members.insert(seen.id.clone(), member);
         }
     }
@@ -179,7 +179,7 @@
 
     fn load(&self, _now: Instant) -> PoolLoad {
         let open = || self.members.values().filter(|member| member.is_open());
-        let free = |member: &Member| member.seen.memory_tokens.saturating_sub(member.held_tokens);
+        let free = |member: &Member| member.info.memory_tokens.saturating_sub(member.held_tokens);
         PoolLoad {
             waiting: 0,
             running: self.grants.len() as u64,
@@ -192,7 +192,7 @@
 
 /// How many of the open upstreams hold this much memory together; none if all do not.
 fn gang_size(memory: Tokens, open: &[&Member]) -> Option<usize> {
-    let least = open.iter().map(|member| member.seen.memory_tokens).min()?;
+    let least = open.iter().map(|member| member.info.memory_tokens).min()?;
     if least == Tokens::ZERO {
         return Some(1);
     }
--- a/src/decide/baseline/member.rs
+++ b/src/decide/baseline/member.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub struct Member {
     /// As the platform's list shows it.
-    pub seen: UpstreamInfo,
+    pub info: UpstreamInfo,
     /// Attempts that this host granted and that have not ended.
     pub in_flight: u32,
     /// Memory that they hold.
@@ -22,9 +22,9 @@
 
 impl Member {
     /// An upstream without work.
-    pub fn new(seen: UpstreamInfo) -> Self {
+    pub fn new(info: UpstreamInfo) -> Self {
         Self {
-            seen,
+            info,
             in_flight: 0,
             held_tokens: Tokens::ZERO,
             report: LoadReport::default(),
@@ -34,7 +34,7 @@
 
     /// Whether it may get new work.
     pub fn is_open(&self) -> bool {
-        self.seen.health == UpstreamHealth::Live
+        self.info.health == UpstreamHealth::Live
     }
 
     /// Prefill work by the last report and by what was sent since.
--- a/src/decide/engine_fleet.rs
+++ b/src/decide/engine_fleet.rs
@@ -68,7 +68,7 @@
             (new as f64) <= COLD_PART_MAX * seen.len() as f64 && !self.upstreams.is_empty();
         let speed = self.first_estimate();
         for upstream in self.upstreams.values_mut() {
-            upstream.seen.health = UpstreamHealth::Leaving;
+            upstream.info.health = UpstreamHealth::Leaving;
         }
         for seen in seen {
             let warm_up = if is_cold {
@@ -78,7 +78,7 @@
             };
             let new = || PoolUpstream::new(seen.clone(), speed, warm_up, now);
             let upstream = self.upstreams.entry(seen.id.clone()).or_insert_with(new);
-            upstream.seen = seen.clone();
+            upstream.info = seen.clone();
         }
         self.drop_gone();
         self.upstreams.sort_unstable_keys();
@@ -175,7 +175,7 @@
 
     /// The memory of the largest engine that is not leaving.
     pub(crate) fn largest_memory(&self) -> Tokens {
-        let memory = self.live().map(|upstream| upstream.seen.memory_tokens);
+        let memory = self.live().map(|upstream| upstream.info.memory_tokens);
         memory.max().unwrap_or_default()
     }
 
@@ -238,7 +238,7 @@
         let live = self.live().count();
         let out = self
             .live()
-            .filter(|u| u.ejection.is_out() && u.seen.id != *id)
+            .filter(|u| u.ejection.is_out() && u.info.id != *id)
             .count();
         if (out + 1) as f64 > live as f64 * self.tuning.out_part_max {
             return;
@@ -253,7 +253,7 @@
         let stalled: Vec<UpstreamId> = self
             .live()
             .filter(is_stalled)
-            .map(|u| u.seen.id.clone())
+            .map(|u| u.info.id.clone())
             .collect();
         for id in stalled {
             self.eject(&id, now, rng);
--- a/src/decide/gang.rs
+++ b/src/decide/gang.rs
@@ -68,7 +68,7 @@
     let mut by_wait: Vec<(Duration, &UpstreamId)> = open
         .iter()
         .enumerate()
-        .filter(|(_, upstream)| upstream.seen.memory_tokens >= share)
+        .filter(|(_, upstream)| upstream.info.memory_tokens >= share)
         .map(|(rank, upstream)| {
             let kept_free = rank >= open_to_long;
             let extra = if kept_free {
@@ -78,7 +78,7 @@
             };
             (
                 time_to_empty(upstream, share, now) + extra,
-                &upstream.seen.id,
+                &upstream.info.id,
             )
         })
         .collect();
@@ -106,7 +106,7 @@
     for member in &reservation.members {
         let upstream = upstreams.get(member).filter(|u| u.is_open(now))?;
         let held = upstream.ledger.held_tokens();
-        has_room &= held + reservation.share <= upstream.seen.memory_tokens;
+        has_room &= held + reservation.share <= upstream.info.memory_tokens;
     }
     Some(has_room)
 }
@@ -115,7 +115,7 @@
 fn smallest_gang(memory: Tokens, upstreams: &[&PoolUpstream]) -> Option<usize> {
     (1..=upstreams.len()).find(|size| {
         let share = gang_share(memory, *size);
-        let large_enough = |u: &&&PoolUpstream| u.seen.memory_tokens >= share;
+        let large_enough = |u: &&&PoolUpstream| u.info.memory_tokens >= share;
         upstreams.iter().filter(large_enough).count() >= *size
     })
 }
@@ -132,7 +132,7 @@
     let mut held = upstream.ledger.held_tokens();
     let mut wait = Duration::ZERO;
     for (end, tokens) in ends {
-        if held + share <= upstream.seen.memory_tokens {
+        if held + share <= upstream.info.memory_tokens {
             break;
         }
         held = held.saturating_sub(tokens);
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -98,7 +98,7 @@
                 continue;
             }
             rank += 1;
-            if avoids && waiting.work.avoid.contains(&upstream.seen.id) {
+            if avoids && waiting.work.avoid.contains(&upstream.info.id) {
                 continue;
             }
             let is_open_to_long = rank <= self.open_to_long;
@@ -141,7 +141,7 @@
             Lane::Short => Lane::Short,
             Lane::Long => self.tuning.lane(whole(prefill)),
         };
-        let fits = ledger.free_tokens(upstream.seen.memory_tokens) >= waiting.memory_tokens();
+        let fits = ledger.free_tokens(upstream.info.memory_tokens) >= waiting.memory_tokens();
         if !fits || !upstream.has_slot(self.now) || (waiting.is_suspect() && ledger.has_suspect()) {
             return None;
         }
@@ -198,7 +198,7 @@
             return None;
         }
         let may_probe = |upstream: &PoolUpstream| {
-            let memory = upstream.ledger.free_tokens(upstream.seen.memory_tokens);
+            let memory = upstream.ledger.free_tokens(upstream.info.memory_tokens);
             upstream.access(self.now) == Access::Probe && memory >= waiting.memory_tokens()
         };
         let index = self.upstreams.values().position(may_probe)?;
@@ -219,7 +219,7 @@
     fn can_avoid(&self, waiting: &QueuedRequest) -> bool {
         let avoid = &waiting.work.avoid;
         let mut open = self.upstreams.values().filter(|u| u.is_open(self.now));
-        !avoid.is_empty() && open.any(|upstream| !avoid.contains(&upstream.seen.id))
+        !avoid.is_empty() && open.any(|upstream| !avoid.contains(&upstream.info.id))
     }
 }
 
--- a/src/decide/pool_upstream.rs
+++ b/src/decide/pool_upstream.rs
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct PoolUpstream {
     /// As the platform's list shows it.
-    pub seen: UpstreamInfo,
+    pub info: UpstreamInfo,
     /// What it has been given.
     pub ledger: UpstreamLedger,
     /// Whether it is taken out.
@@ -39,9 +39,9 @@
 
 impl PoolUpstream {
     /// An engine without work.
-    pub fn new(seen: UpstreamInfo, speed: SpeedEstimate, warm_up: WarmUp, now: Instant) -> Self {
+    pub fn new(info: UpstreamInfo, speed: SpeedEstimate, warm_up: WarmUp, now: Instant) -> Self {
         Self {
-            seen,
+            info,
             ledger: UpstreamLedger::new(speed, now),
             ejection: Ejection::default(),
             warm_up,
@@ -53,12 +53,12 @@
 
     /// Whether it is not leaving.
     pub fn is_live(&self) -> bool {
-        self.seen.is_live()
+        self.info.is_live()
     }
 
     /// What it may get now.
     pub fn access(&self, now: Instant) -> Access {
-        self.ejection.access_of(&self.seen, now)
+        self.ejection.access_of(&self.info, now)
     }
 
     /// Whether it may get work as usual.
@@ -73,7 +73,7 @@
 
     /// Whether it has room for one attempt more.
     pub fn has_slot(&self, now: Instant) -> bool {
-        let slots = self.warm_up.slots(self.seen.slots, now);
+        let slots = self.warm_up.slots(self.info.slots, now);
         self.running() < usize::try_from(slots).unwrap_or(usize::MAX)
     }
 
--- a/src/decide/service_upstream.rs
+++ b/src/decide/service_upstream.rs
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub struct ServiceUpstream {
     /// As the platform's list shows it.
-    pub seen: UpstreamInfo,
+    pub info: UpstreamInfo,
     /// Calls that have not ended.
     pub running: u32,
     /// How many it gets at once.
@@ -31,10 +31,10 @@
 
 impl ServiceUpstream {
     /// An instance without calls.
-    pub fn new(seen: UpstreamInfo, warm_up: WarmUp) -> Self {
-        let limit = ConcurrencyLimit::new(seen.slots);
+    pub fn new(info: UpstreamInfo, warm_up: WarmUp) -> Self {
+        let limit = ConcurrencyLimit::new(info.slots);
         Self {
-            seen,
+            info,
             running: 0,
             limit,
             ejection: Ejection::default(),
@@ -45,17 +45,17 @@
 
     /// Whether it is not leaving.
     pub fn is_live(&self) -> bool {
-        self.seen.is_live()
+        self.info.is_live()
     }
 
     /// What it may get now.
     pub fn access(&self, now: Instant) -> Access {
-        self.ejection.access_of(&self.seen, now)
+        self.ejection.access_of(&self.info, now)
     }
 
     /// Whether it has room for one call more.
     pub fn has_room(&self, now: Instant) -> bool {
-        let warm = self.warm_up.slots(self.seen.slots, now);
+        let warm = self.warm_up.slots(self.info.slots, now);
         self.running < self.limit.get().min(warm)
     }
 
--- a/src/decide/shipped/engines.rs
+++ b/src/decide/shipped/engines.rs
@@ -473,7 +473,7 @@
 
     fn report(&mut self, upstream: &UpstreamId, report: &LoadReport, now: Instant) {
         if let Some(upstream) = self.fleet.upstreams.get_mut(upstream) {
-            let capacity = upstream.seen.memory_tokens;
+            let capacity = upstream.info.memory_tokens;
             upstream.ledger.correct(report, capacity, now);
         }
     }
@@ -488,7 +488,7 @@
         let free = self
             .fleet
             .open(now)
-            .map(|u| u.ledger.free_tokens(u.seen.memory_tokens));
+            .map(|u| u.ledger.free_tokens(u.info.memory_tokens));
         PoolLoad {
             waiting: self.lanes.len() as u64,
             running: self.granted.len() as u64,
--- a/src/decide/shipped/services.rs
+++ b/src/decide/shipped/services.rs
@@ -125,7 +125,7 @@
         let is_suspect = waiting.is_suspect();
         let mut probes = self.upstreams.values().filter(|_| !is_suspect);
         if let Some(probe) = probes.find(|u| u.access(now) == Access::Probe) {
-            return Some((probe.seen.id.clone(), "probe"));
+            return Some((probe.info.id.clone(), "probe"));
         }
         let avoid = &waiting.work.avoid;
         let open = || {
@@ -133,13 +133,13 @@
                 .values()
                 .filter(|u| u.access(now) == Access::Open)
         };
-        let can_avoid = open().any(|u| !avoid.contains(&u.seen.id));
-        let may_take = |u: &&ServiceUpstream| !can_avoid || !avoid.contains(&u.seen.id);
+        let can_avoid = open().any(|u| !avoid.contains(&u.info.id));
+        let may_take = |u: &&ServiceUpstream| !can_avoid || !avoid.contains(&u.info.id);
         open()
             .filter(may_take)
             .filter(|upstream| upstream.has_room(now))
             .min_by(|a, b| a.cost().total_cmp(&b.cost()))
-            .map(|upstream| (upstream.seen.id.clone(), "least cost"))
+            .map(|upstream| (upstream.info.id.clone(), "least cost"))
     }
 
     fn dispatch(&mut self, now: Instant) {
@@ -206,7 +206,7 @@
 
     fn judge(&mut self, id: &UpstreamId, ended: AttemptOutcome, now: Instant) {
         let live = self.upstreams.values().filter(|u| u.is_live()).count();
-        let is_other_out = |u: &&ServiceUpstream| u.ejection.is_out() && u.seen.id != *id;
+        let is_other_out = |u: &&ServiceUpstream| u.ejection.is_out() && u.info.id != *id;
         let out = self.upstreams.values().filter(is_other_out).count();
         let may_eject = (out + 1) as f64 <= live as f64 * OUT_PART_MAX;
         let Some(upstream) = self.upstreams.get_mut(id) else {
@@ -226,7 +226,7 @@
     fn set_upstreams(&mut self, upstreams: &[UpstreamInfo], now: Instant) {
         let is_first = self.upstreams.is_empty();
         for upstream in self.upstreams.values_mut() {
-            upstream.seen.health = UpstreamHealth::Leaving;
+            upstream.info.health = UpstreamHealth::Leaving;
         }
         for seen in upstreams {
             let warm_up = if is_first {
@@ -236,7 +236,7 @@
             };
             let new = || ServiceUpstream::new(seen.clone(), warm_up);
             let upstream = self.upstreams.entry(seen.id.clone()).or_insert_with(new);
-            upstream.seen = seen.clone();
+            upstream.info = seen.clone();
         }
         self.upstreams
             .retain(|_, upstream| upstream.is_live() || upstream.running > 0);
