--- a/src/decide/extent.rs
+++ b/src/decide/extent.rs
@@ -2,9 +2,9 @@
 
 /// Whether what is heard is all that its source has to say.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Extent {
+pub enum LoadUpdateKind {
     /// It is: upstreams that it does not name have no work of it.
-    Whole,
+    Snapshot,
     /// It names only what has changed.
-    Changes,
+    Delta,
 }
--- a/src/decide/load_ledger.rs
+++ b/src/decide/load_ledger.rs
@@ -9,10 +9,10 @@
 
 use indexmap::IndexMap;
 
-use crate::decide::Extent;
 use crate::decide::HostLoad;
 use crate::decide::LoadShare;
 use crate::decide::LoadSource;
+use crate::decide::LoadUpdateKind;
 use crate::decide::UpstreamLoad;
 use crate::decide::own_load::OwnLoad;
 use crate::decide::peer_loads::PeerLoad;
@@ -85,7 +85,7 @@
         self.hear_part(
             LoadSource::Host(host),
             incarnation,
-            Extent::Whole,
+            LoadUpdateKind::Snapshot,
             loads,
             now,
         );
@@ -96,7 +96,7 @@
         &mut self,
         source: LoadSource,
         incarnation: u64,
-        extent: Extent,
+        extent: LoadUpdateKind,
         loads: impl IntoIterator<Item = (UpstreamId, HostLoad)>,
         now: Instant,
     ) {
@@ -146,7 +146,7 @@
             };
             peer.by_upstream.insert(upstream, said);
         }
-        if extent == Extent::Whole {
+        if extent == LoadUpdateKind::Snapshot {
             end_unnamed(sums, peer);
         }
     }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -79,7 +79,7 @@
 pub use engine_model::EngineModel;
 pub use engine_priority::engine_priority;
 pub use estimator::Estimator;
-pub use extent::Extent;
+pub use extent::LoadUpdateKind;
 pub use gang::GangPlan;
 pub use gang::Reservation;
 pub use gang::gang_has_room;
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -9,10 +9,10 @@
 use log::warn;
 use tokio::sync::Notify;
 
-use crate::decide::Extent;
 use crate::decide::HostLoad;
 use crate::decide::LimitReport;
 use crate::decide::LoadSource;
+use crate::decide::LoadUpdateKind;
 use crate::decide::Poison;
 use crate::decide::PoisonMark;
 use crate::decide::ReadSent;
@@ -112,9 +112,9 @@
             Voice::Own | Voice::Relay => LoadSource::Host(host),
         };
         let extent = if news.is_partial {
-            Extent::Changes
+            LoadUpdateKind::Delta
         } else {
-            Extent::Whole
+            LoadUpdateKind::Snapshot
         };
         let names = self.beliefs.upstream_names();
         let loads = news.loads.iter();
--- a/tests/decide_ledger.rs
+++ b/tests/decide_ledger.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use banyanarch::decide::Extent;
 use banyanarch::decide::HostLoad;
 use banyanarch::decide::LoadLedger;
 use banyanarch::decide::LoadSource;
+use banyanarch::decide::LoadUpdateKind;
 use banyanarch::decide::ReadSent;
 use banyanarch::units::HostId;
 use banyanarch::units::Tokens;
@@ -37,7 +37,7 @@
         &mut self,
         host: usize,
         incarnation: u64,
-        extent: Extent,
+        extent: LoadUpdateKind,
         loads: &[(usize, HostLoad)],
         now: Instant,
     ) {
@@ -47,7 +47,7 @@
         };
         let known = self.peers.remove(&host).filter(is_known);
         let mut kept = known.map(|peer| peer.loads).unwrap_or_default();
-        if extent == Extent::Whole {
+        if extent == LoadUpdateKind::Snapshot {
             kept.clear();
         }
         kept.extend(
@@ -115,9 +115,9 @@
         let speaker = rng.random_range(0..hosts);
         let incarnation = u64::from(rng.random_range(0..20) == 0);
         let extent = if rng.random() {
-            Extent::Whole
+            LoadUpdateKind::Snapshot
         } else {
-            Extent::Changes
+            LoadUpdateKind::Delta
         };
         let named = rng.random_range(0..6);
         let mut drawn = || (rng.random_range(0..upstreams), drawn_load(&mut rng));
@@ -166,7 +166,13 @@
     };
     ledger.hear(host(1), 7, [(upstream(1), load)], now);
     let collector = LoadSource::Collector(host(1));
-    ledger.hear_part(collector, 7, Extent::Whole, [(upstream(1), load)], now);
+    ledger.hear_part(
+        collector,
+        7,
+        LoadUpdateKind::Snapshot,
+        [(upstream(1), load)],
+        now,
+    );
     assert_eq!(ledger.load(&upstream(1), now).in_flight, 4);
     assert!(ledger.is_heard(&host(1), now));
 }
--- a/tests/news_world/node.rs
+++ b/tests/news_world/node.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use banyanarch::decide::Extent;
 use banyanarch::decide::LoadLedger;
 use banyanarch::decide::LoadSource;
+use banyanarch::decide::LoadUpdateKind;
 use banyanarch::exchange::Fleet;
 use banyanarch::exchange::HostNews;
 use banyanarch::exchange::LimitNews;
@@ -122,9 +122,9 @@
                 self.sent_heard.insert(source.clone(), limit.sent_in_window);
             }
             let extent = if news.is_partial {
-                Extent::Changes
+                LoadUpdateKind::Delta
             } else {
-                Extent::Whole
+                LoadUpdateKind::Snapshot
             };
             let id = |load: &LoadNews| names[&load.hash()].clone();
             let loads = news.loads.iter();
