--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -105,7 +105,7 @@
 pub use load_source::LoadSource;
 pub use peak::Peak;
 pub use placement::Placement;
-pub use placement::Places;
+pub use placement::PlacementView;
 pub use poison::PoisonList;
 pub use poison_mark::Poison;
 pub use poison_mark::PoisonMark;
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -46,7 +46,7 @@
 
 /// A pool's upstreams, as placement sees them.
 #[derive(Debug)]
-pub struct Places<'a> {
+pub struct PlacementView<'a> {
     /// The upstreams.
     pub upstreams: &'a IndexMap<UpstreamId, PoolUpstream>,
     /// The thresholds.
@@ -70,7 +70,7 @@
     ready_seconds: f64,
 }
 
-impl Places<'_> {
+impl PlacementView<'_> {
     /// Whether any upstream may be ready for a request of this lane.
     pub fn has_room(&self, lane: Lane) -> bool {
         self.upstreams
--- a/src/decide/shipped/engines.rs
+++ b/src/decide/shipped/engines.rs
@@ -17,7 +17,7 @@
 use crate::decide::Lane;
 use crate::decide::LiveGrant;
 use crate::decide::Placement;
-use crate::decide::Places;
+use crate::decide::PlacementView;
 use crate::decide::Policy;
 use crate::decide::PolicyConfig;
 use crate::decide::PoolLoad;
@@ -223,8 +223,8 @@
         self.lanes.get_mut(lane).on_blocked(now);
     }
 
-    fn places(&self, now: Instant) -> Places<'_> {
-        Places {
+    fn places(&self, now: Instant) -> PlacementView<'_> {
+        PlacementView {
             upstreams: &self.fleet.upstreams,
             tuning: &self.fleet.tuning,
             open_to_long: self.fleet.split.open(),
