--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Placement {
     /// To this upstream.
-    Go {
+    Dispatch {
         /// Its index.
         index: usize,
         /// The expected time to the first token.
@@ -207,7 +207,7 @@
         let first_token = duration(seconds);
         let remaining = waiting.work.deadline.saturating_duration_since(self.now);
         let has_time = remaining >= first_token.saturating_mul(PROBE_TIME_FACTOR);
-        has_time.then_some(Placement::Go {
+        has_time.then_some(Placement::Dispatch {
             index,
             first_token,
             prefill_tokens: prefill,
@@ -230,7 +230,7 @@
         } else {
             "least prefill work"
         };
-        Placement::Go {
+        Placement::Dispatch {
             index: self.index,
             first_token: duration(self.seconds),
             prefill_tokens: self.prefill,
--- a/src/decide/shipped/engines.rs
+++ b/src/decide/shipped/engines.rs
@@ -237,7 +237,7 @@
         let Some(waiting) = self.lanes.get(lane).queue.get(request) else {
             return Step::Blocked;
         };
-        let Placement::Go {
+        let Placement::Dispatch {
             index,
             first_token,
             prefill_tokens,
