--- a/src/decide/engine_fleet.rs
+++ b/src/decide/engine_fleet.rs
@@ -9,11 +9,11 @@
 use crate::decide::AttemptOutcome;
 use crate::decide::AttemptSummary;
 use crate::decide::EjectionStep;
+use crate::decide::EngineUpstream;
 use crate::decide::Hold;
 use crate::decide::LaneSplit;
 use crate::decide::LiveGrant;
 use crate::decide::PoolMedian;
-use crate::decide::PoolUpstream;
 use crate::decide::SpeedEstimate;
 use crate::decide::SplitInput;
 use crate::decide::Tuning;
@@ -39,7 +39,7 @@
 /// The engines of one pool.
 #[derive(Debug)]
 pub(crate) struct EngineFleet {
-    pub(crate) upstreams: IndexMap<UpstreamId, PoolUpstream>,
+    pub(crate) upstreams: IndexMap<UpstreamId, EngineUpstream>,
     pub(crate) split: LaneSplit,
     pub(crate) tuning: Tuning,
     first_speed: TokensPerSecond,
@@ -76,7 +76,7 @@
             } else {
                 WarmUp::warm(now)
             };
-            let new = || PoolUpstream::new(seen.clone(), speed, warm_up, now);
+            let new = || EngineUpstream::new(seen.clone(), speed, warm_up, now);
             let upstream = self.upstreams.entry(seen.id.clone()).or_insert_with(new);
             upstream.info = seen.clone();
         }
@@ -111,13 +111,13 @@
         self.split.update(&input, &self.tuning, now);
     }
 
-    pub(crate) fn open(&self, now: Instant) -> impl Iterator<Item = &PoolUpstream> {
+    pub(crate) fn open(&self, now: Instant) -> impl Iterator<Item = &EngineUpstream> {
         self.upstreams
             .values()
             .filter(move |upstream| upstream.is_open(now))
     }
 
-    pub(crate) fn live(&self) -> impl Iterator<Item = &PoolUpstream> {
+    pub(crate) fn live(&self) -> impl Iterator<Item = &EngineUpstream> {
         self.upstreams
             .values()
             .filter(|upstream| upstream.is_live())
@@ -199,7 +199,7 @@
     /// Follows what has been seen. Engines of which nothing has been seen are expected to be like
     /// the others, not like their settings.
     fn update_median(&mut self, now: Instant) {
-        let is_seen = |upstream: &&PoolUpstream| upstream.ledger.speed.samples() > 0;
+        let is_seen = |upstream: &&EngineUpstream| upstream.ledger.speed.samples() > 0;
         self.median = PoolMedian::of(self.open(now).filter(is_seen));
         if self.median.speed <= 0.0 {
             self.median = PoolMedian::of(self.open(now));
@@ -249,7 +249,7 @@
     }
 
     fn eject_stalled(&mut self, now: Instant, rng: &mut StdRng) {
-        let is_stalled = |u: &&PoolUpstream| u.is_stalled(now) && !u.ejection.is_out();
+        let is_stalled = |u: &&EngineUpstream| u.is_stalled(now) && !u.ejection.is_out();
         let stalled: Vec<UpstreamId> = self
             .live()
             .filter(is_stalled)
--- a/src/decide/gang.rs
+++ b/src/decide/gang.rs
@@ -10,7 +10,7 @@
 
 use indexmap::IndexMap;
 
-use crate::decide::PoolUpstream;
+use crate::decide::EngineUpstream;
 use crate::decide::QueuedRequest;
 use crate::units::RequestId;
 use crate::units::Tokens;
@@ -51,13 +51,13 @@
 /// The smallest gang that holds a request, of the engines that are empty soonest.
 pub fn plan_gang(
     waiting: &QueuedRequest,
-    upstreams: &IndexMap<UpstreamId, PoolUpstream>,
+    upstreams: &IndexMap<UpstreamId, EngineUpstream>,
     open_to_long: usize,
     now: Instant,
 ) -> GangPlan {
     let memory = waiting.memory_tokens();
-    let live: Vec<&PoolUpstream> = upstreams.values().filter(|u| u.is_live()).collect();
-    let open: Vec<&PoolUpstream> = live.iter().copied().filter(|u| u.is_open(now)).collect();
+    let live: Vec<&EngineUpstream> = upstreams.values().filter(|u| u.is_live()).collect();
+    let open: Vec<&EngineUpstream> = live.iter().copied().filter(|u| u.is_open(now)).collect();
     if smallest_gang(memory, &live).is_none() {
         return GangPlan::TooLarge;
     }
@@ -99,7 +99,7 @@
 /// Whether all members of a reservation have room now; none if one of them may get no work.
 pub fn gang_has_room(
     reservation: &Reservation,
-    upstreams: &IndexMap<UpstreamId, PoolUpstream>,
+    upstreams: &IndexMap<UpstreamId, EngineUpstream>,
     now: Instant,
 ) -> Option<bool> {
     let mut has_room = true;
@@ -112,16 +112,16 @@
 }
 
 /// How many of these engines hold this much, the fewest possible.
-fn smallest_gang(memory: Tokens, upstreams: &[&PoolUpstream]) -> Option<usize> {
+fn smallest_gang(memory: Tokens, upstreams: &[&EngineUpstream]) -> Option<usize> {
     (1..=upstreams.len()).find(|size| {
         let share = gang_share(memory, *size);
-        let large_enough = |u: &&&PoolUpstream| u.info.memory_tokens >= share;
+        let large_enough = |u: &&&EngineUpstream| u.info.memory_tokens >= share;
         upstreams.iter().filter(large_enough).count() >= *size
     })
 }
 
 /// How long until enough of what an engine holds is expected to have ended.
-fn time_to_empty(upstream: &PoolUpstream, share: Tokens, now: Instant) -> Duration {
+fn time_to_empty(upstream: &EngineUpstream, share: Tokens, now: Instant) -> Duration {
     let mut ends: Vec<(Instant, Tokens)> = upstream
         .ledger
         .holds()
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -10,8 +10,8 @@
 use indexmap::IndexMap;
 
 use crate::decide::Access;
+use crate::decide::EngineUpstream;
 use crate::decide::Lane;
-use crate::decide::PoolUpstream;
 use crate::decide::QueuedRequest;
 use crate::decide::Tuning;
 use crate::decide::engine_priority;
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub struct PlacementView<'a> {
     /// The upstreams.
-    pub upstreams: &'a IndexMap<UpstreamId, PoolUpstream>,
+    pub upstreams: &'a IndexMap<UpstreamId, EngineUpstream>,
     /// The thresholds.
     pub tuning: &'a Tuning,
     /// How many of those that may get work are open to long prefill, from the front.
@@ -126,7 +126,7 @@
         waiting: &QueuedRequest,
         lane: Lane,
         index: usize,
-        upstream: &PoolUpstream,
+        upstream: &EngineUpstream,
         is_open_to_long: bool,
     ) -> Option<Offer> {
         let ledger = &upstream.ledger;
@@ -175,20 +175,20 @@
 
     /// Whether short work has had its part of an upstream on which long prefill goes on. Engines
     /// serve the short first, so without this bound long work would never end under load.
-    fn is_kept_for_long(&self, upstream: &PoolUpstream) -> bool {
+    fn is_kept_for_long(&self, upstream: &EngineUpstream) -> bool {
         let has_long = upstream.ledger.long_prefills().0 > 0;
         has_long && upstream.ledger.short_part(self.now) > self.tuning.short_on_long_max
     }
 
     /// Speeds near the median count as equal. Estimates of equal engines differ by chance, and the
     /// one that looks the fastest would draw all the work until it no longer does.
-    fn speed_of(&self, upstream: &PoolUpstream) -> f64 {
+    fn speed_of(&self, upstream: &EngineUpstream) -> f64 {
         let speed = upstream.ledger.speed.get();
         let is_near = (speed / self.median_speed).ln().abs() < self.tuning.equal_speed.ln();
         if is_near { self.median_speed } else { speed }
     }
 
-    fn takes_long(&self, upstream: &PoolUpstream) -> bool {
+    fn takes_long(&self, upstream: &EngineUpstream) -> bool {
         upstream.warm_up.takes_long(self.now) && !upstream.ledger.is_reserved()
     }
 
@@ -197,7 +197,7 @@
         if lane == Lane::Long || waiting.is_suspect() {
             return None;
         }
-        let may_probe = |upstream: &PoolUpstream| {
+        let may_probe = |upstream: &EngineUpstream| {
             let memory = upstream.ledger.free_tokens(upstream.info.memory_tokens);
             upstream.access(self.now) == Access::Probe && memory >= waiting.memory_tokens()
         };
@@ -240,7 +240,7 @@
 }
 
 /// Whether an upstream may get such prefill now, and when else.
-fn readiness(upstream: &PoolUpstream, tuning: &Tuning, lane: Lane, prefill: f64) -> (bool, f64) {
+fn readiness(upstream: &EngineUpstream, tuning: &Tuning, lane: Lane, prefill: f64) -> (bool, f64) {
     let ledger = &upstream.ledger;
     let speed = ledger.speed.get();
     match lane {
--- a/src/decide/pool_upstream.rs
+++ b/src/decide/pool_upstream.rs
@@ -22,7 +22,7 @@
 
 /// One engine of a pool.
 #[derive(Debug)]
-pub struct PoolUpstream {
+pub struct EngineUpstream {
     /// As the platform's list shows it.
     pub info: UpstreamInfo,
     /// What it has been given.
@@ -37,7 +37,7 @@
     progress_at: Instant,
 }
 
-impl PoolUpstream {
+impl EngineUpstream {
     /// An engine without work.
     pub fn new(info: UpstreamInfo, speed: SpeedEstimate, warm_up: WarmUp, now: Instant) -> Self {
         Self {
@@ -131,7 +131,7 @@
 
 impl PoolMedian {
     /// The medians of these upstreams.
-    pub fn of<'a>(upstreams: impl Iterator<Item = &'a PoolUpstream>) -> Self {
+    pub fn of<'a>(upstreams: impl Iterator<Item = &'a EngineUpstream>) -> Self {
         let (speeds, gaps): (Vec<f64>, Vec<Option<f64>>) = upstreams
             .map(|upstream| (upstream.ledger.speed.get(), upstream.token_gap_seconds))
             .unzip();
