--- a/src/decide/load_ledger.rs
+++ b/src/decide/load_ledger.rs
@@ -13,12 +13,12 @@
 use crate::decide::LoadShare;
 use crate::decide::LoadSource;
 use crate::decide::LoadUpdateKind;
+use crate::decide::PrefillQueue;
 use crate::decide::UpstreamLoad;
 use crate::decide::own_load::OwnLoad;
 use crate::decide::peer_loads::PeerLoad;
 use crate::decide::peer_loads::PeerLoads;
 use crate::decide::peer_sum::PeerSum;
-use crate::decide::read_queue::ReadQueue;
 use crate::units::HostId;
 use crate::units::Tokens;
 use crate::units::UpstreamId;
@@ -44,7 +44,7 @@
     sums: IndexMap<UpstreamId, PeerSum>,
     /// No peer falls silent before this.
     next_silent_at: Option<Instant>,
-    queue: ReadQueue,
+    queue: PrefillQueue,
     /// Engines that have refused to set memory aside: how much, and until when that is believed.
     refused: IndexMap<UpstreamId, (Tokens, Instant)>,
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -131,7 +131,7 @@
 pub use rate_limit::SentLately;
 pub use rate_limit_book::LimitReport;
 pub use rate_limit_book::RateLimitBook;
-pub(crate) use read_queue::ReadQueue;
+pub(crate) use read_queue::PrefillQueue;
 pub use read_queue::ReadSent;
 pub use recent_count::RecentCount;
 pub use retry::RetryBudget;
--- a/src/decide/read_queue.rs
+++ b/src/decide/read_queue.rs
@@ -29,11 +29,11 @@
 
 /// The expected ends of reading, by upstream.
 #[derive(Debug, Default)]
-pub(crate) struct ReadQueue {
+pub(crate) struct PrefillQueue {
     until: IndexMap<UpstreamId, Instant>,
 }
 
-impl ReadQueue {
+impl PrefillQueue {
     /// Takes in a prompt, or a part of one, that this host sends. Returns when it will have been
     /// read.
     pub(crate) fn on_sent(
