--- a/src/decide/load_ledger.rs
+++ b/src/decide/load_ledger.rs
@@ -119,7 +119,7 @@
         peer.messages += 1;
         for (upstream, load) in loads {
             let known = peer.by_upstream.get(&upstream);
-            queue.hear(
+            queue.on_peer_update(
                 &upstream,
                 known.and_then(|known| known.read_total),
                 load.read,
@@ -183,7 +183,7 @@
 
     /// Forgets upstreams that are off the list and have no work left.
     pub fn keep(&mut self, is_listed: impl Fn(&UpstreamId) -> bool, now: Instant) {
-        self.queue.forget_done(now);
+        self.queue.remove_drained(now);
         self.refused.retain(|_, (_, until)| *until > now);
         self.own.retain(|id, own| own.is_told(now) || is_listed(id));
         self.sums
--- a/src/decide/read_queue.rs
+++ b/src/decide/read_queue.rs
@@ -75,7 +75,7 @@
     }
 
     /// Forgets upstreams with nothing left to read.
-    pub(crate) fn forget_done(&mut self, now: Instant) {
+    pub(crate) fn remove_drained(&mut self, now: Instant) {
         self.until.retain(|_, until| *until > now);
     }
 }
