--- a/src/decide/read_queue.rs
+++ b/src/decide/read_queue.rs
@@ -49,7 +49,7 @@
 
     /// Takes in what another host says that it has sent; `known` is what it said before, none if it
     /// was not heard for a while or was started anew.
-    pub(crate) fn hear(
+    pub(crate) fn on_peer_update(
         &mut self,
         upstream: &UpstreamId,
         known: Option<Duration>,
