--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -12,7 +12,7 @@
 use banyanarch::decide::HostLoad;
 use banyanarch::decide::LimitState;
 use banyanarch::decide::LoadLedger;
-use banyanarch::decide::ReadSent;
+use banyanarch::decide::PrefillSent;
 use banyanarch::decide::engines::EngineAsk;
 use banyanarch::decide::engines::EngineView;
 use banyanarch::decide::engines::choose_engines;
@@ -94,7 +94,7 @@
         helping: 0,
         strictest_pause: Some(Duration::from_millis(250)),
         held_tokens: Tokens(6_700),
-        read: ReadSent::default(),
+        read: PrefillSent::default(),
         read_due: None,
     }
 }
--- a/src/decide/host_load.rs
+++ b/src/decide/host_load.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::decide::ReadSent;
+use crate::decide::PrefillSent;
 use crate::units::Tokens;
 
 /// Work of one host at one upstream, as it is told to the others.
@@ -19,7 +19,7 @@
     /// Memory that these requests take, in tokens.
     pub held_tokens: Tokens,
     /// What was sent there to be read in.
-    pub read: ReadSent,
+    pub read: PrefillSent,
     /// Time until the first of the prompts being read there has to have its first event to be on time.
     pub read_due: Option<Duration>,
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -132,7 +132,7 @@
 pub use rate_limit_book::LimitReport;
 pub use rate_limit_book::RateLimitBook;
 pub(crate) use read_queue::PrefillQueue;
-pub use read_queue::ReadSent;
+pub use read_queue::PrefillSent;
 pub use recent_count::RecentCount;
 pub use retry::RetryBudget;
 pub use retry_after::retry_after;
--- a/src/decide/own_load.rs
+++ b/src/decide/own_load.rs
@@ -8,7 +8,7 @@
 use crate::decide::HelpsUntil;
 use crate::decide::HostLoad;
 use crate::decide::LoadShare;
-use crate::decide::ReadSent;
+use crate::decide::PrefillSent;
 use crate::units::Tokens;
 
 /// How long a host goes on telling what it has sent to an upstream to be read in, when it has nothing
@@ -111,7 +111,7 @@
             helping: self.helping,
             strictest_pause: self.pauses.keys().min().copied(),
             held_tokens: self.held_tokens,
-            read: ReadSent {
+            read: PrefillSent {
                 total: self.read_total,
                 remaining: self.read_until.saturating_duration_since(now),
             },
--- a/src/decide/read_queue.rs
+++ b/src/decide/read_queue.rs
@@ -20,7 +20,7 @@
 
 /// What one host has sent to one upstream to be read in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ReadSent {
+pub struct PrefillSent {
     /// Reading time of all that it has sent there since its start.
     pub total: Duration,
     /// Time until the last of it is read in, as far as that host knows.
@@ -53,7 +53,7 @@
         &mut self,
         upstream: &UpstreamId,
         known: Option<Duration>,
-        said: ReadSent,
+        said: PrefillSent,
         now: Instant,
     ) {
         let until = self.until.entry(upstream.clone()).or_insert(now);
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -15,7 +15,7 @@
 use crate::decide::LoadUpdateKind;
 use crate::decide::Poison;
 use crate::decide::PoisonMark;
-use crate::decide::ReadSent;
+use crate::decide::PrefillSent;
 use crate::decide::SentLately;
 use crate::exchange::HostNews;
 use crate::exchange::LimitNews;
@@ -253,7 +253,7 @@
         short_in_flight: news.short_in_flight,
         strictest_pause: (news.strictest_pause_ms > 0)
             .then(|| Duration::from_millis(news.strictest_pause_ms.into())),
-        read: ReadSent {
+        read: PrefillSent {
             total: Duration::from_micros(news.read_total_us),
             remaining: Duration::from_millis(news.read_remaining_ms.into()),
         },
--- a/tests/decide_gateway.rs
+++ b/tests/decide_gateway.rs
@@ -9,7 +9,7 @@
 use banyanarch::decide::InstanceView;
 use banyanarch::decide::LoadLedger;
 use banyanarch::decide::LoadShare;
-use banyanarch::decide::ReadSent;
+use banyanarch::decide::PrefillSent;
 use banyanarch::decide::RetryBound;
 use banyanarch::decide::RetryWindow;
 use banyanarch::decide::UpstreamFault;
@@ -212,8 +212,8 @@
     assert!(window.try_retry(&BOUND, 7, now + ms(10_001)));
 }
 
-fn sent(total_ms: u64, remaining_ms: u64) -> ReadSent {
-    ReadSent {
+fn sent(total_ms: u64, remaining_ms: u64) -> PrefillSent {
+    PrefillSent {
         total: ms(total_ms),
         remaining: ms(remaining_ms),
     }
--- a/tests/decide_ledger.rs
+++ b/tests/decide_ledger.rs
@@ -8,7 +8,7 @@
 use banyanarch::decide::LoadLedger;
 use banyanarch::decide::LoadSource;
 use banyanarch::decide::LoadUpdateKind;
-use banyanarch::decide::ReadSent;
+use banyanarch::decide::PrefillSent;
 use banyanarch::units::HostId;
 use banyanarch::units::Tokens;
 use banyanarch::units::UpstreamId;
@@ -90,7 +90,7 @@
         strictest_pause: (pause > 0).then(|| Duration::from_millis(200 * pause)),
         helping: rng.random_range(0..4),
         held_tokens: Tokens(rng.random_range(0..100_000)),
-        read: ReadSent::default(),
+        read: PrefillSent::default(),
         read_due: (due > 1_500).then(|| Duration::from_millis(due)),
     }
 }
--- a/tests/gateway_hosts.rs
+++ b/tests/gateway_hosts.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use banyanarch::decide::HostLoad;
-use banyanarch::decide::ReadSent;
+use banyanarch::decide::PrefillSent;
 use banyanarch::http::one_shot;
 use banyanarch::routing::CallKind;
 use banyanarch::routing::RouteTable;
@@ -357,7 +357,7 @@
     catalog.list("b", "llm", busy.addr);
     let engine: UpstreamId = "b".parse().unwrap();
     let load = HostLoad {
-        read: ReadSent {
+        read: PrefillSent {
             total: Duration::from_millis(2_900),
             remaining: Duration::from_millis(2_900),
         },
