--- a/src/decide/engines/view.rs
+++ b/src/decide/engines/view.rs
@@ -69,7 +69,7 @@
 
     /// Time until it has read in what waits there.
     pub fn backlog(&self) -> Duration {
-        self.slowdown.stretch(self.load.read_backlog)
+        self.slowdown.stretch(self.load.prefill_backlog)
     }
 
     /// Whether a part fits beside the answers that are being written there.
--- a/src/decide/load_ledger.rs
+++ b/src/decide/load_ledger.rs
@@ -202,7 +202,7 @@
     /// The work of all hosts at one upstream.
     pub fn load(&self, upstream: &UpstreamId, now: Instant) -> UpstreamLoad {
         let mut load = self.load_of_peers(upstream, now);
-        load.read_backlog = self.queue.backlog(upstream, now);
+        load.prefill_backlog = self.queue.backlog(upstream, now);
         load.refused_tokens = self.refused_tokens(upstream, now);
         if let Some(own) = self.own.get(upstream) {
             load.add(&own.seen_at(now));
--- a/src/decide/peer_sum.rs
+++ b/src/decide/peer_sum.rs
@@ -70,7 +70,7 @@
             short_in_flight: self.short_in_flight,
             helping: self.helping,
             strictest_pause: self.pauses.iter().map(|(pause, _)| *pause).min(),
-            read_backlog: Duration::ZERO,
+            prefill_backlog: Duration::ZERO,
             held_tokens: self.held_tokens,
             refused_tokens: None,
             read_due: due.map(|due| due.saturating_duration_since(now)),
--- a/src/decide/upstream_load.rs
+++ b/src/decide/upstream_load.rs
@@ -17,7 +17,7 @@
     /// The shortest pause that the caller of one of them accepts between two events.
     pub strictest_pause: Option<Duration>,
     /// Time until it has read in what was sent there.
-    pub read_backlog: Duration,
+    pub prefill_backlog: Duration,
     /// Memory that these requests take, in tokens.
     pub held_tokens: Tokens,
     /// Memory that the engine has refused to set aside a moment ago, in tokens.
@@ -32,7 +32,7 @@
         self.in_flight > 0
             || self.helping > 0
             || self.held_tokens > Tokens::ZERO
-            || !self.read_backlog.is_zero()
+            || !self.prefill_backlog.is_zero()
     }
 
     /// Adds the work of one host.
--- a/tests/decide_engines.rs
+++ b/tests/decide_engines.rs
@@ -52,7 +52,7 @@
 /// All engines have this much to read; the first of it is due in `due`.
 fn set_reading(engines: &mut [EngineView], backlog: Duration, due: Option<Duration>) {
     for engine in engines {
-        engine.load.read_backlog = backlog;
+        engine.load.prefill_backlog = backlog;
         engine.load.read_due = due;
     }
 }
@@ -166,7 +166,7 @@
     for engine in &mut engines[..6] {
         write_short(engine, 16);
     }
-    engines[6].load.read_backlog = ms(200);
+    engines[6].load.prefill_backlog = ms(200);
     let plan = plan(choose_engines(&model(), &engines, &ask(5_000)));
     assert_eq!(index(&plan.leader), 7);
 }
@@ -302,7 +302,7 @@
         write_short(engine, 8);
     }
     for engine in &mut engines[7..] {
-        engine.load.read_backlog = ms(2_000);
+        engine.load.prefill_backlog = ms(2_000);
     }
     let medium = EngineAsk {
         objective_left: ms(1_500),
@@ -365,7 +365,7 @@
         let led = index(&plan.leader);
         engines[led].load.in_flight += 1;
         engines[led].load.strictest_pause = Some(ms(800));
-        engines[led].load.read_backlog += plan.part_time;
+        engines[led].load.prefill_backlog += plan.part_time;
         for reserve in &plan.reserves {
             engines[index(&reserve.engine)].load.held_tokens += reserve.tokens;
         }
@@ -424,7 +424,7 @@
     let mut engines = engines(23);
     for (index, engine) in engines.iter_mut().enumerate() {
         write_short(engine, 6);
-        engine.load.read_backlog = Duration::from_micros(100 * index as u64);
+        engine.load.prefill_backlog = Duration::from_micros(100 * index as u64);
     }
     let chosen = (0..60_u32).map(|host| {
         let ask = EngineAsk {
--- a/tests/decide_engines_near.rs
+++ b/tests/decide_engines_near.rs
@@ -92,7 +92,7 @@
 fn a_busy_domain_sends_its_short_prompts_farther() {
     let mut engines = engines();
     for engine in engines.iter_mut().filter(|engine| engine.is_near) {
-        engine.load.read_backlog = ms(150);
+        engine.load.prefill_backlog = ms(150);
     }
     for draw in 0..50 {
         let plan = sent(choose_engines(&model(), &engines, &ask(5_000, draw)));
@@ -106,7 +106,7 @@
 fn few_of_the_long_prompts_that_wait_go_farther_at_once() {
     let mut engines = engines();
     for engine in engines.iter_mut().filter(|engine| engine.is_near) {
-        engine.load.read_backlog = ms(1_500);
+        engine.load.prefill_backlog = ms(1_500);
     }
     let choices = (0..1_200).map(|draw| choose_engines(&model(), &engines, &ask(300_000, draw)));
     let plans: Vec<EnginePlan> = choices.filter_map(sent).collect();
--- a/tests/decide_gateway.rs
+++ b/tests/decide_gateway.rs
@@ -249,8 +249,8 @@
         let loads = IndexMap::from([(engine.clone(), load)]);
         ledger.hear(host.parse().unwrap(), 1, loads, now);
     }
-    assert_eq!(ledger.load(&engine, now).read_backlog, ms(1_200));
-    assert_eq!(ledger.load(&engine, now + ms(400)).read_backlog, ms(800));
+    assert_eq!(ledger.load(&engine, now).prefill_backlog, ms(1_200));
+    assert_eq!(ledger.load(&engine, now + ms(400)).prefill_backlog, ms(800));
 }
 
 /// News come twice, or one is lost, or the host that sends them is started anew and counts from zero:
@@ -266,26 +266,26 @@
     };
     // Of the first news it is not known how much of the total is still waiting.
     hear(&mut ledger, &engine, 1, said(90_000, 100), now);
-    assert_eq!(ledger.load(&engine, now).read_backlog, ms(100));
+    assert_eq!(ledger.load(&engine, now).prefill_backlog, ms(100));
     hear(&mut ledger, &engine, 1, said(90_000, 100), now);
     assert_eq!(
-        ledger.load(&engine, now).read_backlog,
+        ledger.load(&engine, now).prefill_backlog,
         ms(100),
         "told twice"
     );
     // Two prompts were sent, and only the second message arrives.
     hear(&mut ledger, &engine, 1, said(90_500, 600), now);
     assert_eq!(
-        ledger.load(&engine, now).read_backlog,
+        ledger.load(&engine, now).prefill_backlog,
         ms(600),
         "one was lost"
     );
     // What the sender takes for read is no longer waiting, also where its news was late.
     let later = now + ms(700);
     hear(&mut ledger, &engine, 1, said(90_800, 50), later);
-    assert_eq!(ledger.load(&engine, later).read_backlog, ms(50));
+    assert_eq!(ledger.load(&engine, later).prefill_backlog, ms(50));
     hear(&mut ledger, &engine, 2, said(30, 30), later + ms(100));
-    let anew = ledger.load(&engine, later + ms(100)).read_backlog;
+    let anew = ledger.load(&engine, later + ms(100)).prefill_backlog;
     assert_eq!(anew, ms(30), "it was started anew");
 }
 
@@ -308,13 +308,16 @@
     let load = ledger.load(&engine, now);
     assert_eq!((load.in_flight, load.short_in_flight), (4, 2));
     // The own part begins with the engine's next pass.
-    assert_eq!(load.read_backlog, ms(125));
+    assert_eq!(load.prefill_backlog, ms(125));
     assert_eq!(load.strictest_pause, Some(ms(200)));
     assert_eq!(load.held_tokens, Tokens(5_100));
-    assert_eq!(ledger.load(&engine, now + ms(60)).read_backlog, ms(65));
+    assert_eq!(ledger.load(&engine, now + ms(60)).prefill_backlog, ms(65));
     ledger.end(&engine, &share(true));
     let after = ledger.load(&engine, now + ms(200));
-    assert_eq!((after.in_flight, after.read_backlog), (3, Duration::ZERO));
+    assert_eq!(
+        (after.in_flight, after.prefill_backlog),
+        (3, Duration::ZERO)
+    );
 }
 
 /// A host dies with twenty answers on an engine. Its connections broke and the engine dropped the
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -62,7 +62,7 @@
     let load = host.gateway.ledger().load(&id, Instant::now());
     assert_eq!(load.in_flight, 0);
     assert_eq!(load.held_tokens, Tokens::ZERO);
-    assert_eq!(load.read_backlog, Duration::ZERO);
+    assert_eq!(load.prefill_backlog, Duration::ZERO);
     let health = host.gateway.health();
     assert!(health.is_usable(&id, &domain, Instant::now()));
 }
