--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -95,7 +95,7 @@
         strictest_pause: Some(Duration::from_millis(250)),
         held_tokens: Tokens(6_700),
         read: PrefillSent::default(),
-        read_due: None,
+        prefill_due: None,
     }
 }
 
--- a/src/decide/engines/plan.rs
+++ b/src/decide/engines/plan.rs
@@ -60,7 +60,7 @@
             read_time: self.part_time,
             held_tokens: held(&self.leader).unwrap_or_else(|| ask.needed()),
             helps: None,
-            read_due: (ask.class(model) != PromptClass::Short).then(|| now + ask.objective_left),
+            prefill_due: (ask.class(model) != PromptClass::Short).then(|| now + ask.objective_left),
         };
         let helpers = self.helpers.iter().map(|id| {
             let share = LoadShare {
--- a/src/decide/engines/view.rs
+++ b/src/decide/engines/view.rs
@@ -103,7 +103,7 @@
     /// Whether a prompt that is being read here would come late by a part that is read before it.
     pub fn makes_late(&self, model: &EngineModel, part_time: Duration) -> bool {
         let ready = self.backlog() + self.slowdown.stretch(part_time) + self.pass_time(model);
-        self.load.read_due.is_some_and(|due| ready > due)
+        self.load.prefill_due.is_some_and(|due| ready > due)
     }
 
     /// When the first event of a request is expected that comes now and is read in `part_time`.
--- a/src/decide/host_load.rs
+++ b/src/decide/host_load.rs
@@ -21,5 +21,5 @@
     /// What was sent there to be read in.
     pub read: PrefillSent,
     /// Time until the first of the prompts being read there has to have its first event to be on time.
-    pub read_due: Option<Duration>,
+    pub prefill_due: Option<Duration>,
 }
--- a/src/decide/load_share.rs
+++ b/src/decide/load_share.rs
@@ -31,5 +31,5 @@
     pub helps: Option<HelpsUntil>,
     /// When its first event has to be there to be on time; none if nothing there is put behind others
     /// for its sake.
-    pub read_due: Option<Instant>,
+    pub prefill_due: Option<Instant>,
 }
--- a/src/decide/own_load.rs
+++ b/src/decide/own_load.rs
@@ -60,14 +60,14 @@
             self.read_total += share.read_time;
             self.read_until = read_until;
             self.sent_at = now;
-            self.dues.extend(share.read_due);
+            self.dues.extend(share.prefill_due);
         }
         self.held_tokens += share.held_tokens;
     }
 
     /// Takes in that its prompt has been read, and takes out of the share what has ended with it.
     pub(crate) fn read_done(&mut self, share: &mut LoadShare) {
-        self.forget_due(share.read_due.take());
+        self.forget_due(share.prefill_due.take());
         if share.helps == Some(HelpsUntil::Read) {
             share.helps = None;
             self.helping = self.helping.saturating_sub(1);
@@ -83,7 +83,7 @@
 
     /// Takes in that it has ended.
     pub(crate) fn end(&mut self, share: &LoadShare) {
-        self.forget_due(share.read_due);
+        self.forget_due(share.prefill_due);
         self.helping = self
             .helping
             .saturating_sub(u32::from(share.helps.is_some()));
@@ -115,7 +115,7 @@
                 total: self.read_total,
                 remaining: self.read_until.saturating_duration_since(now),
             },
-            read_due: self.next_due(now),
+            prefill_due: self.next_due(now),
         }
     }
 
--- a/src/decide/peer_sum.rs
+++ b/src/decide/peer_sum.rs
@@ -73,11 +73,11 @@
             prefill_backlog: Duration::ZERO,
             held_tokens: self.held_tokens,
             refused_tokens: None,
-            read_due: due.map(|due| due.saturating_duration_since(now)),
+            prefill_due: due.map(|due| due.saturating_duration_since(now)),
         }
     }
 }
 
 fn due_at(load: &HostLoad, heard_at: Instant) -> Option<Instant> {
-    load.read_due.map(|due| heard_at + due)
+    load.prefill_due.map(|due| heard_at + due)
 }
--- a/src/decide/upstream_load.rs
+++ b/src/decide/upstream_load.rs
@@ -23,7 +23,7 @@
     /// Memory that the engine has refused to set aside a moment ago, in tokens.
     pub refused_tokens: Option<Tokens>,
     /// Time until the first of the prompts being read there has to have its first event to be on time.
-    pub read_due: Option<Duration>,
+    pub prefill_due: Option<Duration>,
 }
 
 impl UpstreamLoad {
@@ -43,7 +43,7 @@
         let pauses = [self.strictest_pause, other.strictest_pause];
         self.strictest_pause = pauses.into_iter().flatten().min();
         self.held_tokens += other.held_tokens;
-        let dues = [self.read_due, other.read_due];
-        self.read_due = dues.into_iter().flatten().min();
+        let dues = [self.prefill_due, other.prefill_due];
+        self.prefill_due = dues.into_iter().flatten().min();
     }
 }
--- a/src/exchange/load_at.rs
+++ b/src/exchange/load_at.rs
@@ -21,7 +21,7 @@
     helping: u32,
     read_total_us: u64,
     read_until: Instant,
-    read_due: Option<Instant>,
+    prefill_due: Option<Instant>,
 }
 
 impl LoadAt {
@@ -36,7 +36,7 @@
             helping: news.helping,
             read_total_us: news.read_total_us,
             read_until: after(news.read_remaining_ms),
-            read_due: (news.read_due_ms > 0).then(|| after(news.read_due_ms)),
+            prefill_due: (news.read_due_ms > 0).then(|| after(news.read_due_ms)),
         }
     }
 
@@ -54,7 +54,7 @@
             held_tokens: self.held_tokens,
             helping: self.helping,
             // What is overdue stays so until its host says otherwise; 0 would say that nothing is due.
-            read_due_ms: self.read_due.map_or(0, |at| until(at).max(1)),
+            read_due_ms: self.prefill_due.map_or(0, |at| until(at).max(1)),
         }
     }
 
@@ -77,8 +77,8 @@
         self.read_until = self.read_until.max(other.read_until);
         let pauses = [self.strictest_pause_ms, other.strictest_pause_ms];
         self.strictest_pause_ms = pauses.into_iter().flatten().min();
-        let dues = [self.read_due, other.read_due];
-        self.read_due = dues.into_iter().flatten().min();
+        let dues = [self.prefill_due, other.prefill_due];
+        self.prefill_due = dues.into_iter().flatten().min();
     }
 
     /// Whether it has to be told again, where `self` was told last. What only passes with time is known.
@@ -93,7 +93,7 @@
                 load.read_total_us,
             )
         };
-        counts(self) != counts(told) || !is_same_due(self.read_due, told.read_due)
+        counts(self) != counts(told) || !is_same_due(self.prefill_due, told.prefill_due)
     }
 }
 
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -234,7 +234,7 @@
         strictest_pause_ms: load.strictest_pause.map_or(0, whole_millis_u32),
         held_tokens: load.held_tokens.0,
         helping: load.helping,
-        read_due_ms: load.read_due.map_or(0, whole_millis_u32),
+        read_due_ms: load.prefill_due.map_or(0, whole_millis_u32),
         ..LoadNews::default()
     }
 }
@@ -259,7 +259,7 @@
         },
         held_tokens: Tokens(news.held_tokens),
         helping: news.helping,
-        read_due: (news.read_due_ms > 0).then(|| Duration::from_millis(news.read_due_ms.into())),
+        prefill_due: (news.read_due_ms > 0).then(|| Duration::from_millis(news.read_due_ms.into())),
     }
 }
 
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -244,7 +244,7 @@
         read_time: Duration::ZERO,
         held_tokens: Tokens::ZERO,
         helps: None,
-        read_due: None,
+        prefill_due: None,
     };
     Choice::Send(Box::new(Placement {
         upstream: upstream.clone(),
--- a/tests/decide_engines.rs
+++ b/tests/decide_engines.rs
@@ -53,7 +53,7 @@
 fn set_reading(engines: &mut [EngineView], backlog: Duration, due: Option<Duration>) {
     for engine in engines {
         engine.load.prefill_backlog = backlog;
-        engine.load.read_due = due;
+        engine.load.prefill_due = due;
     }
 }
 
--- a/tests/decide_gateway.rs
+++ b/tests/decide_gateway.rs
@@ -40,7 +40,7 @@
         read_time: ms(100),
         held_tokens: Tokens(5_000),
         helps: None,
-        read_due: None,
+        prefill_due: None,
     }
 }
 
@@ -302,7 +302,7 @@
         strictest_pause: Some(ms(200)),
         held_tokens: Tokens(100),
         read: sent(50, 50),
-        read_due: None,
+        prefill_due: None,
     };
     hear(&mut ledger, &engine, 1, peer, now);
     let load = ledger.load(&engine, now);
@@ -345,26 +345,30 @@
     let mut ledger = LoadLedger::default();
     let engine = upstream("e");
     let due_in = |due| LoadShare {
-        read_due: Some(now + ms(due)),
+        prefill_due: Some(now + ms(due)),
         ..share(false)
     };
-    let read_due = |ledger: &LoadLedger, at| ledger.load(&engine, now + ms(at)).read_due;
+    let prefill_due = |ledger: &LoadLedger, at| ledger.load(&engine, now + ms(at)).prefill_due;
     ledger.start(&engine, &due_in(900), now);
     ledger.start(&engine, &due_in(700), now);
-    assert_eq!(read_due(&ledger, 100), Some(ms(600)));
+    assert_eq!(prefill_due(&ledger, 100), Some(ms(600)));
     let peer = HostLoad {
-        read_due: Some(ms(400)),
+        prefill_due: Some(ms(400)),
         ..HostLoad::default()
     };
     hear(&mut ledger, &engine, 1, peer, now);
-    assert_eq!(read_due(&ledger, 100), Some(ms(300)), "the news grow old");
+    assert_eq!(
+        prefill_due(&ledger, 100),
+        Some(ms(300)),
+        "the news grow old"
+    );
     let nothing = HostLoad::default();
     hear(&mut ledger, &engine, 1, nothing, now + ms(100));
     ledger.read_done(&engine, &mut due_in(700));
-    assert_eq!(read_due(&ledger, 100), Some(ms(800)));
-    assert_eq!(read_due(&ledger, 900), None, "it is late already");
+    assert_eq!(prefill_due(&ledger, 100), Some(ms(800)));
+    assert_eq!(prefill_due(&ledger, 900), None, "it is late already");
     ledger.end(&engine, &due_in(900));
-    assert_eq!(read_due(&ledger, 100), None);
+    assert_eq!(prefill_due(&ledger, 100), None);
 }
 
 /// Engines turn prompts away that hosts send: they help as many others as they have slots, and hosts
--- a/tests/decide_ledger.rs
+++ b/tests/decide_ledger.rs
@@ -91,7 +91,7 @@
         helping: rng.random_range(0..4),
         held_tokens: Tokens(rng.random_range(0..100_000)),
         read: PrefillSent::default(),
-        read_due: (due > 1_500).then(|| Duration::from_millis(due)),
+        prefill_due: (due > 1_500).then(|| Duration::from_millis(due)),
     }
 }
 
@@ -139,7 +139,7 @@
             .filter_map(|(load, _)| load.strictest_pause)
             .min();
         let due = heard.iter().filter_map(|(load, at)| {
-            let due = load.read_due?;
+            let due = load.prefill_due?;
             Some((*at + due).saturating_duration_since(asked_at))
         });
         assert_eq!(sum.in_flight, in_flight);
@@ -147,7 +147,7 @@
         assert_eq!(sum.helping, helping);
         assert_eq!(sum.held_tokens, Tokens(held));
         assert_eq!(sum.strictest_pause, pause);
-        assert_eq!(sum.read_due, due.min());
+        assert_eq!(sum.prefill_due, due.min());
         if rng.random_range(0..10) == 0 {
             ledger.forget_silent(now);
             ledger.keep(|id| id != &upstream(0), now);
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -40,7 +40,7 @@
         read_time: Duration::from_secs(5),
         held_tokens: Tokens(9_000),
         helps: None,
-        read_due: None,
+        prefill_due: None,
     };
     let now = Instant::now();
     host.gateway.ledger().start(&former, &share, now);
