--- a/examples/sweep/main.rs
+++ b/examples/sweep/main.rs
@@ -96,9 +96,9 @@
             ..base()
         }
     });
-    sweep("admit_part, percent", &[60, 80, 90, 100, 120], |at| {
+    sweep("admit_fraction, percent", &[60, 80, 90, 100, 120], |at| {
         Tuning {
-            admit_part: at as f64 / 100.0,
+            admit_fraction: at as f64 / 100.0,
             ..base()
         }
     });
--- a/src/decide/shipped/engines.rs
+++ b/src/decide/shipped/engines.rs
@@ -139,7 +139,7 @@
             return Err((RefuseReason::CustomerLimit, drain));
         }
         let remaining = waiting.work.deadline.saturating_duration_since(now);
-        let remaining = remaining.mul_f64(self.fleet.tuning.admit_part);
+        let remaining = remaining.mul_f64(self.fleet.tuning.admit_fraction);
         match self
             .forecast(waiting, lane, now)
             .judge(remaining, self.granted.is_empty())
--- a/src/decide/tuning.rs
+++ b/src/decide/tuning.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
     /// The part of the time that remains which a request's forecast may fill for it to be let in.
-    pub admit_part: f64,
+    pub admit_fraction: f64,
     /// Prompts up to this length share the short lane.
     pub short_tokens_max: Tokens,
     /// Short prefill that an upstream may have left when it gets more. It covers the round trip of
@@ -43,7 +43,7 @@
     /// The thresholds for what a deployment weighs more heavily.
     pub fn of(objective: Objective) -> Self {
         let base = Self {
-            admit_part: 0.8,
+            admit_fraction: 0.8,
             short_tokens_max: Tokens(4_000),
             headroom: Duration::from_millis(30),
             equal_speed: 1.4,
