--- a/examples/sweep/main.rs
+++ b/examples/sweep/main.rs
@@ -86,9 +86,11 @@
         short_busy: at as f64 / 100.0,
         ..base()
     });
-    sweep("long_sure_part, percent", &[0, 10, 25, 50], |at| Tuning {
-        long_sure_part: at as f64 / 100.0,
-        ..base()
+    sweep("long_fraction_min, percent", &[0, 10, 25, 50], |at| {
+        Tuning {
+            long_fraction_min: at as f64 / 100.0,
+            ..base()
+        }
     });
     sweep("short_on_long_max, percent", &[0, 10, 25, 50, 100], |at| {
         Tuning {
--- a/src/decide/tuning.rs
+++ b/src/decide/tuning.rs
@@ -28,7 +28,7 @@
     /// How busy short work leaves the others at most, before long work gets no more of them.
     pub short_busy: f64,
     /// The part of the upstreams that long work gets whatever the short load is.
-    pub long_sure_part: f64,
+    pub long_fraction_min: f64,
     /// The part of its time that short work may take of an upstream while long prefill goes on there.
     pub short_on_long_max: f64,
     /// Long work that has waited this long asks for one upstream more.
@@ -51,7 +51,7 @@
             long_prefills_max: 2,
             long_busy: 0.7,
             short_busy: 0.45,
-            long_sure_part: 0.25,
+            long_fraction_min: 0.25,
             short_on_long_max: 0.25,
             long_wait: Duration::from_secs(1),
             slow_part: 0.4,
