--- a/examples/sweep/main.rs
+++ b/examples/sweep/main.rs
@@ -108,9 +108,11 @@
         wait_gain: at as f64 / 100.0,
         ..base()
     });
-    sweep("slow_part, percent", &[0, 20, 40, 60, 80], |at| Tuning {
-        slow_part: at as f64 / 100.0,
-        ..base()
+    sweep("slow_fraction, percent", &[0, 20, 40, 60, 80], |at| {
+        Tuning {
+            slow_fraction: at as f64 / 100.0,
+            ..base()
+        }
     });
     sweep("out_part_max, percent", &[0, 25, 50, 100], |at| Tuning {
         out_part_max: at as f64 / 100.0,
--- a/src/decide/engine_fleet.rs
+++ b/src/decide/engine_fleet.rs
@@ -219,7 +219,7 @@
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        let is_slow = upstream.is_slow(&median, self.tuning.slow_part);
+        let is_slow = upstream.is_slow(&median, self.tuning.slow_fraction);
         let was_out = upstream.ejection.is_out();
         let step = upstream.ejection.on_end(ended);
         if ended == AttemptOutcome::Completed {
--- a/src/decide/pool_upstream.rs
+++ b/src/decide/pool_upstream.rs
@@ -106,16 +106,16 @@
         })
     }
 
-    /// Whether its prefill is below `slow_part` of the median of its pool, or its time between tokens
+    /// Whether its prefill is below `slow_fraction` of the median of its pool, or its time between tokens
     /// above the inverse. Batches of unlike lengths spread both by a factor of two.
-    pub fn is_slow(&self, median: &PoolMedian, slow_part: f64) -> bool {
+    pub fn is_slow(&self, median: &PoolMedian, slow_fraction: f64) -> bool {
         if self.ledger.speed.samples() < SLOW_SAMPLES_MIN {
             return false;
         }
-        let is_slow_prefill = self.ledger.speed.get() < median.speed * slow_part;
+        let is_slow_prefill = self.ledger.speed.get() < median.speed * slow_fraction;
         let gap = self.token_gap_seconds.unwrap_or(0.0);
         let is_slow_output =
-            median.token_gap_seconds > 0.0 && gap * slow_part > median.token_gap_seconds;
+            median.token_gap_seconds > 0.0 && gap * slow_fraction > median.token_gap_seconds;
         is_slow_prefill || is_slow_output
     }
 }
--- a/src/decide/tuning.rs
+++ b/src/decide/tuning.rs
@@ -34,7 +34,7 @@
     /// Long work that has waited this long asks for one upstream more.
     pub long_wait: Duration,
     /// Below this part of the pool's median speed an upstream is slow and taken out.
-    pub slow_part: f64,
+    pub slow_fraction: f64,
     /// The part of a pool that may be out at the same time.
     pub out_part_max: f64,
 }
@@ -54,7 +54,7 @@
             long_fraction_min: 0.25,
             short_on_long_max: 0.25,
             long_wait: Duration::from_secs(1),
-            slow_part: 0.4,
+            slow_fraction: 0.4,
             out_part_max: 0.5,
         };
         match objective {
