--- a/examples/sweep/main.rs
+++ b/examples/sweep/main.rs
@@ -114,9 +114,11 @@
             ..base()
         }
     });
-    sweep("out_part_max, percent", &[0, 25, 50, 100], |at| Tuning {
-        out_part_max: at as f64 / 100.0,
-        ..base()
+    sweep("ejected_fraction_max, percent", &[0, 25, 50, 100], |at| {
+        Tuning {
+            ejected_fraction_max: at as f64 / 100.0,
+            ..base()
+        }
     });
 }
 
--- a/src/decide/engine_fleet.rs
+++ b/src/decide/engine_fleet.rs
@@ -240,7 +240,7 @@
             .live()
             .filter(|u| u.ejection.is_out() && u.info.id != *id)
             .count();
-        if (out + 1) as f64 > live as f64 * self.tuning.out_part_max {
+        if (out + 1) as f64 > live as f64 * self.tuning.ejected_fraction_max {
             return;
         }
         if let Some(upstream) = self.upstreams.get_mut(id) {
--- a/src/decide/tuning.rs
+++ b/src/decide/tuning.rs
@@ -36,7 +36,7 @@
     /// Below this part of the pool's median speed an upstream is slow and taken out.
     pub slow_fraction: f64,
     /// The part of a pool that may be out at the same time.
-    pub out_part_max: f64,
+    pub ejected_fraction_max: f64,
 }
 
 impl Tuning {
@@ -55,7 +55,7 @@
             short_on_long_max: 0.25,
             long_wait: Duration::from_secs(1),
             slow_fraction: 0.4,
-            out_part_max: 0.5,
+            ejected_fraction_max: 0.5,
         };
         match objective {
             Objective::ShortSlowdown => base,
