--- a/examples/sweep/main.rs
+++ b/examples/sweep/main.rs
@@ -78,9 +78,11 @@
         long_prefills_max: usize::try_from(at).unwrap_or(usize::MAX),
         ..base()
     });
-    sweep("long_busy, percent", &[50, 70, 85, 100], |at| Tuning {
-        long_busy: at as f64 / 100.0,
-        ..base()
+    sweep("long_utilization_max, percent", &[50, 70, 85, 100], |at| {
+        Tuning {
+            long_utilization_max: at as f64 / 100.0,
+            ..base()
+        }
     });
     sweep("short_busy, percent", &[30, 45, 60, 80, 100], |at| Tuning {
         short_busy: at as f64 / 100.0,
--- a/src/decide/lane_split.rs
+++ b/src/decide/lane_split.rs
@@ -69,7 +69,7 @@
     /// Follows the load.
     pub fn update(&mut self, input: &SplitInput, tuning: &Tuning, now: Instant) {
         let most = self.most(input, tuning, now);
-        let by_load = self.long.get(now) / input.speed / tuning.long_busy;
+        let by_load = self.long.get(now) / input.speed / tuning.long_utilization_max;
         let since = |at| now.saturating_duration_since(at);
         let since_change = self.changed_at.map_or(Duration::MAX, since);
         let is_waiting = input
--- a/src/decide/tuning.rs
+++ b/src/decide/tuning.rs
@@ -24,7 +24,7 @@
     /// Long prefills that one upstream carries at once, a heavy one among them at most.
     pub long_prefills_max: usize,
     /// How busy upstreams that are open to long prefill may be.
-    pub long_busy: f64,
+    pub long_utilization_max: f64,
     /// How busy short work leaves the others at most, before long work gets no more of them.
     pub short_busy: f64,
     /// The part of the upstreams that long work gets whatever the short load is.
@@ -49,7 +49,7 @@
             equal_speed: 1.4,
             wait_gain: 0.5,
             long_prefills_max: 2,
-            long_busy: 0.7,
+            long_utilization_max: 0.7,
             short_busy: 0.45,
             long_fraction_min: 0.25,
             short_on_long_max: 0.25,
@@ -60,7 +60,7 @@
         match objective {
             Objective::ShortSlowdown => base,
             Objective::FirstToken => Self {
-                long_busy: 0.5,
+                long_utilization_max: 0.5,
                 short_busy: 0.6,
                 long_wait: Duration::from_millis(500),
                 ..base
--- a/tests/decide_split.rs
+++ b/tests/decide_split.rs
@@ -36,7 +36,7 @@
         *settled.iter().min().unwrap(),
         *settled.iter().max().unwrap(),
     );
-    let wanted = 60_000.0 / 8_000.0 / tuning.long_busy;
+    let wanted = 60_000.0 / 8_000.0 / tuning.long_utilization_max;
     assert!(
         (most as f64 - wanted).abs() < 1.5,
         "{wanted} wanted: {seen:?}"
