--- a/examples/sweep/main.rs
+++ b/examples/sweep/main.rs
@@ -84,10 +84,14 @@
             ..base()
         }
     });
-    sweep("short_busy, percent", &[30, 45, 60, 80, 100], |at| Tuning {
-        short_busy: at as f64 / 100.0,
-        ..base()
-    });
+    sweep(
+        "short_utilization_max, percent",
+        &[30, 45, 60, 80, 100],
+        |at| Tuning {
+            short_utilization_max: at as f64 / 100.0,
+            ..base()
+        },
+    );
     sweep("long_fraction_min, percent", &[0, 10, 25, 50], |at| {
         Tuning {
             long_fraction_min: at as f64 / 100.0,
--- a/src/decide/lane_split.rs
+++ b/src/decide/lane_split.rs
@@ -93,7 +93,7 @@
     /// The most that long work may have: what short work leaves, or its sure part.
     fn most(&self, input: &SplitInput, tuning: &Tuning, now: Instant) -> usize {
         let upstreams = input.upstreams;
-        let short = ceil(self.short.get(now) / input.speed / tuning.short_busy).max(1);
+        let short = ceil(self.short.get(now) / input.speed / tuning.short_utilization_max).max(1);
         let sure = ceil(upstreams as f64 * tuning.long_fraction_min).max(1);
         let left = upstreams.saturating_sub(short);
         left.max(sure).clamp(1, upstreams.saturating_sub(1).max(1))
--- a/src/decide/tuning.rs
+++ b/src/decide/tuning.rs
@@ -26,7 +26,7 @@
     /// How busy upstreams that are open to long prefill may be.
     pub long_utilization_max: f64,
     /// How busy short work leaves the others at most, before long work gets no more of them.
-    pub short_busy: f64,
+    pub short_utilization_max: f64,
     /// The part of the upstreams that long work gets whatever the short load is.
     pub long_fraction_min: f64,
     /// The part of its time that short work may take of an upstream while long prefill goes on there.
@@ -50,7 +50,7 @@
             wait_gain: 0.5,
             long_prefills_max: 2,
             long_utilization_max: 0.7,
-            short_busy: 0.45,
+            short_utilization_max: 0.45,
             long_fraction_min: 0.25,
             short_on_long_max: 0.25,
             long_wait: Duration::from_secs(1),
@@ -61,7 +61,7 @@
             Objective::ShortSlowdown => base,
             Objective::FirstToken => Self {
                 long_utilization_max: 0.5,
-                short_busy: 0.6,
+                short_utilization_max: 0.6,
                 long_wait: Duration::from_millis(500),
                 ..base
             },
