--- a/examples/sweep/main.rs
+++ b/examples/sweep/main.rs
@@ -110,8 +110,8 @@
             ..base()
         }
     });
-    sweep("wait_gain, percent", &[0, 50, 80, 100], |at| Tuning {
-        wait_gain: at as f64 / 100.0,
+    sweep("wait_ratio_max, percent", &[0, 50, 80, 100], |at| Tuning {
+        wait_ratio_max: at as f64 / 100.0,
         ..base()
     });
     sweep("slow_fraction, percent", &[0, 20, 40, 60, 80], |at| {
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -115,7 +115,7 @@
             }
         }
         match best {
-            Some(best) if soonest >= best.seconds * self.tuning.wait_gain => best.placement(),
+            Some(best) if soonest >= best.seconds * self.tuning.wait_ratio_max => best.placement(),
             _ => Placement::Wait,
         }
     }
--- a/src/decide/tuning.rs
+++ b/src/decide/tuning.rs
@@ -20,7 +20,7 @@
     /// equal engines differ by chance, and the one that looks the fastest would draw all the work.
     pub equal_speed: f64,
     /// Waiting for a better upstream must save at least the rest of this part of the time.
-    pub wait_gain: f64,
+    pub wait_ratio_max: f64,
     /// Long prefills that one upstream carries at once, a heavy one among them at most.
     pub long_prefills_max: usize,
     /// How busy upstreams that are open to long prefill may be.
@@ -47,7 +47,7 @@
             short_tokens_max: Tokens(4_000),
             headroom: Duration::from_millis(30),
             equal_speed: 1.4,
-            wait_gain: 0.5,
+            wait_ratio_max: 0.5,
             long_prefills_max: 2,
             long_utilization_max: 0.7,
             short_utilization_max: 0.45,
