--- a/examples/sweep/main.rs
+++ b/examples/sweep/main.rs
@@ -60,12 +60,14 @@
         headroom: ms(at),
         ..base()
     });
-    sweep("equal_speed, percent", &[100, 120, 140, 200, 400], |at| {
-        Tuning {
-            equal_speed: at as f64 / 100.0,
+    sweep(
+        "equal_speed_ratio, percent",
+        &[100, 120, 140, 200, 400],
+        |at| Tuning {
+            equal_speed_ratio: at as f64 / 100.0,
             ..base()
-        }
-    });
+        },
+    );
     sweep(
         "short_tokens_max",
         &[1_000, 2_000, 4_000, 8_000, 16_000],
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -184,7 +184,7 @@
     /// one that looks the fastest would draw all the work until it no longer does.
     fn speed_of(&self, upstream: &EngineUpstream) -> f64 {
         let speed = upstream.ledger.speed.get();
-        let is_near = (speed / self.median_speed).ln().abs() < self.tuning.equal_speed.ln();
+        let is_near = (speed / self.median_speed).ln().abs() < self.tuning.equal_speed_ratio.ln();
         if is_near { self.median_speed } else { speed }
     }
 
--- a/src/decide/tuning.rs
+++ b/src/decide/tuning.rs
@@ -18,7 +18,7 @@
     pub headroom: Duration,
     /// Speeds that differ from the median by less than this factor count as equal. Estimates of
     /// equal engines differ by chance, and the one that looks the fastest would draw all the work.
-    pub equal_speed: f64,
+    pub equal_speed_ratio: f64,
     /// Waiting for a better upstream must save at least the rest of this part of the time.
     pub wait_ratio_max: f64,
     /// Long prefills that one upstream carries at once, a heavy one among them at most.
@@ -46,7 +46,7 @@
             admit_fraction: 0.8,
             short_tokens_max: Tokens(4_000),
             headroom: Duration::from_millis(30),
-            equal_speed: 1.4,
+            equal_speed_ratio: 1.4,
             wait_ratio_max: 0.5,
             long_prefills_max: 2,
             long_utilization_max: 0.7,
