--- a/examples/sweep/main.rs
+++ b/examples/sweep/main.rs
@@ -100,12 +100,14 @@
             ..base()
         }
     });
-    sweep("short_on_long_max, percent", &[0, 10, 25, 50, 100], |at| {
-        Tuning {
-            short_on_long_max: at as f64 / 100.0,
+    sweep(
+        "short_fraction_beside_long_max, percent",
+        &[0, 10, 25, 50, 100],
+        |at| Tuning {
+            short_fraction_beside_long_max: at as f64 / 100.0,
             ..base()
-        }
-    });
+        },
+    );
     sweep("admit_fraction, percent", &[60, 80, 90, 100, 120], |at| {
         Tuning {
             admit_fraction: at as f64 / 100.0,
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -177,7 +177,8 @@
     /// serve the short first, so without this bound long work would never end under load.
     fn is_kept_for_long(&self, upstream: &EngineUpstream) -> bool {
         let has_long = upstream.ledger.long_prefills().0 > 0;
-        has_long && upstream.ledger.short_part(self.now) > self.tuning.short_on_long_max
+        has_long
+            && upstream.ledger.short_part(self.now) > self.tuning.short_fraction_beside_long_max
     }
 
     /// Speeds near the median count as equal. Estimates of equal engines differ by chance, and the
--- a/src/decide/tuning.rs
+++ b/src/decide/tuning.rs
@@ -30,7 +30,7 @@
     /// The part of the upstreams that long work gets whatever the short load is.
     pub long_fraction_min: f64,
     /// The part of its time that short work may take of an upstream while long prefill goes on there.
-    pub short_on_long_max: f64,
+    pub short_fraction_beside_long_max: f64,
     /// Long work that has waited this long asks for one upstream more.
     pub long_wait: Duration,
     /// Below this part of the pool's median speed an upstream is slow and taken out.
@@ -52,7 +52,7 @@
             long_utilization_max: 0.7,
             short_utilization_max: 0.45,
             long_fraction_min: 0.25,
-            short_on_long_max: 0.25,
+            short_fraction_beside_long_max: 0.25,
             long_wait: Duration::from_secs(1),
             slow_fraction: 0.4,
             ejected_fraction_max: 0.5,
