--- a/src/decide/lane_split.rs
+++ b/src/decide/lane_split.rs
@@ -74,7 +74,7 @@
         let since_change = self.changed_at.map_or(Duration::MAX, since);
         let is_waiting = input
             .long_waited
-            .is_some_and(|waited| waited > tuning.long_wait);
+            .is_some_and(|waited| waited > tuning.long_wait_threshold);
         let is_short = ceil(by_load) > self.open || is_waiting;
         if self.open > most {
             self.set(most, now);
--- a/src/decide/tuning.rs
+++ b/src/decide/tuning.rs
@@ -32,7 +32,7 @@
     /// The part of its time that short work may take of an upstream while long prefill goes on there.
     pub short_fraction_beside_long_max: f64,
     /// Long work that has waited this long asks for one upstream more.
-    pub long_wait: Duration,
+    pub long_wait_threshold: Duration,
     /// Below this part of the pool's median speed an upstream is slow and taken out.
     pub slow_fraction: f64,
     /// The part of a pool that may be out at the same time.
@@ -53,7 +53,7 @@
             short_utilization_max: 0.45,
             long_fraction_min: 0.25,
             short_fraction_beside_long_max: 0.25,
-            long_wait: Duration::from_secs(1),
+            long_wait_threshold: Duration::from_secs(1),
             slow_fraction: 0.4,
             ejected_fraction_max: 0.5,
         };
@@ -62,7 +62,7 @@
             Objective::FirstToken => Self {
                 long_utilization_max: 0.5,
                 short_utilization_max: 0.6,
-                long_wait: Duration::from_millis(500),
+                long_wait_threshold: Duration::from_millis(500),
                 ..base
             },
         }
