--- a/src/decide/config.rs
+++ b/src/decide/config.rs
@@ -64,11 +64,11 @@
 
 impl PolicyConfig {
     /// The configuration for a pool of `target`'s upstreams; none if the manifest does not know the
-    /// target. `pool_part` is the pool's share of all upstreams of the target, from 0 to 1:
+    /// target. `pool_fraction` is the pool's share of all upstreams of the target, from 0 to 1:
     /// customers' rates hold for the whole fleet and are scaled by it.
-    pub fn for_pool(manifest: &Manifest, target: &TargetId, pool_part: f64) -> Option<Self> {
+    pub fn for_pool(manifest: &Manifest, target: &TargetId, pool_fraction: f64) -> Option<Self> {
         let kind = pool_kind(manifest, target)?;
-        let share = |spec: &CustomerSpec| CustomerShare::of(spec, pool_part);
+        let share = |spec: &CustomerSpec| CustomerShare::of(spec, pool_fraction);
         let customers: IndexMap<_, _> = manifest
             .customers
             .iter()
@@ -97,11 +97,11 @@
 }
 
 impl CustomerShare {
-    fn of(spec: &CustomerSpec, pool_part: f64) -> Self {
+    fn of(spec: &CustomerSpec, pool_fraction: f64) -> Self {
         Self {
             share: spec.share.max(1),
-            rate: RequestsPerSecond(spec.rate.0 * pool_part),
-            burst_requests: (f64::from(spec.burst_requests) * pool_part).max(1.0),
+            rate: RequestsPerSecond(spec.rate.0 * pool_fraction),
+            burst_requests: (f64::from(spec.burst_requests) * pool_fraction).max(1.0),
         }
     }
 
--- a/src/fleet/home_desk/seen.rs
+++ b/src/fleet/home_desk/seen.rs
@@ -14,8 +14,8 @@
         let in_force = self.board.manifest()?;
         let of_pool = self.map.upstreams_of(pool).len();
         let of_target = self.board.upstreams.count(|view| view.target == *target);
-        let pool_part = of_pool as f64 / of_target.max(1) as f64;
-        PolicyConfig::for_pool(&in_force.manifest, target, pool_part)
+        let pool_fraction = of_pool as f64 / of_target.max(1) as f64;
+        PolicyConfig::for_pool(&in_force.manifest, target, pool_fraction)
     }
 
     pub(super) fn upstreams_seen(
