--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -35,7 +35,7 @@
 
     /// Whether it ends within what remains. A pool without work always takes a request in: if the
     /// forecast is wrong, only a run can correct it.
-    pub fn judge(&self, remaining: Duration, is_idle: bool) -> Admission {
+    pub fn admission(&self, remaining: Duration, is_idle: bool) -> Admission {
         if is_idle || self.total() <= remaining {
             Admission::Admit
         } else {
--- a/src/decide/shipped/engines.rs
+++ b/src/decide/shipped/engines.rs
@@ -142,7 +142,7 @@
         let remaining = remaining.mul_f64(self.fleet.tuning.admit_fraction);
         match self
             .forecast(waiting, lane, now)
-            .judge(remaining, self.granted.is_empty())
+            .admission(remaining, self.granted.is_empty())
         {
             Admission::Admit => Ok(()),
             Admission::TooLate => Err((RefuseReason::Deadline, drain)),
@@ -282,7 +282,7 @@
     /// Whether a request that could go now would not end in time.
     fn is_too_late(&self, waiting: &QueuedRequest, forecast: Forecast, now: Instant) -> bool {
         let remaining = waiting.work.deadline.saturating_duration_since(now);
-        forecast.judge(remaining, self.granted.is_empty()) == Admission::TooLate
+        forecast.admission(remaining, self.granted.is_empty()) == Admission::TooLate
     }
 
     fn grant(&mut self, waiting: &QueuedRequest, chosen: Chosen, now: Instant) {
--- a/src/decide/shipped/services.rs
+++ b/src/decide/shipped/services.rs
@@ -98,7 +98,7 @@
             output: self.latency(),
         };
         let remaining = waiting.work.deadline.saturating_duration_since(now);
-        match forecast.judge(remaining, self.granted.is_empty()) {
+        match forecast.admission(remaining, self.granted.is_empty()) {
             Admission::Admit => Ok(()),
             Admission::TooLate => Err((RefuseReason::Deadline, drain)),
         }
