--- a/src/decide/engine_fleet.rs
+++ b/src/decide/engine_fleet.rs
@@ -129,7 +129,7 @@
             if let Some(upstream) = self.upstreams.get_mut(id) {
                 upstream.on_grant(now);
                 upstream.ledger.advance(now);
-                let read_at = now + upstream.ledger.time_for(prefill, hold.rank);
+                let read_at = now + upstream.ledger.first_token_time(prefill, hold.rank);
                 upstream.prefix.on_grant(&grant.work, read_at);
                 upstream.ledger.hold(grant.id, hold.clone(), prefill);
             }
@@ -159,7 +159,7 @@
             upstream.on_progress(token_gap_seconds(done), now);
             upstream.prefix.on_done(&grant.work, hinted, done);
             if let (Some(hold), Some(first_token)) = (hold, done.first_token) {
-                let ahead = upstream.ledger.ahead_of(&hold);
+                let ahead = upstream.ledger.prefill_ahead_of(&hold);
                 let own = prefill_done(&hold, done);
                 let speed = &mut upstream.ledger.speed;
                 if is_telling(&hold, speed) {
--- a/src/decide/ledger.rs
+++ b/src/decide/ledger.rs
@@ -160,7 +160,7 @@
 
     /// The prefill of others that engines do before this hold's is done: what they had, and what
     /// came later with a higher rank.
-    pub fn ahead_of(&self, hold: &Hold) -> f64 {
+    pub fn prefill_ahead_of(&self, hold: &Hold) -> f64 {
         let higher = self.granted_above(hold.rank) - hold.higher_mark;
         hold.ahead_before + higher.max(0.0)
     }
@@ -245,7 +245,7 @@
     }
 
     /// How long a new prefill takes here, from now to the first token.
-    pub fn time_for(&self, prefill: f64, rank: Priority) -> Duration {
+    pub fn first_token_time(&self, prefill: f64, rank: Priority) -> Duration {
         let seconds = self.work_until(prefill, rank) / self.speed.get();
         duration(seconds)
             .saturating_add(self.speed.overhead())
@@ -262,7 +262,7 @@
     /// The report is compared with the most that the ledger showed lately, since it may be of any
     /// moment in that time. What it shows beyond that counts only when two in a row show it. What it
     /// lacks counts only against grants older than the lag, which it must have seen.
-    pub fn correct(&mut self, report: &LoadReport, capacity: Tokens, now: Instant) {
+    pub fn apply_report(&mut self, report: &LoadReport, capacity: Tokens, now: Instant) {
         self.advance(now);
         self.note_peak(now);
         if !self.is_plausible(report, capacity, now) {
--- a/src/decide/shipped/engines.rs
+++ b/src/decide/shipped/engines.rs
@@ -474,7 +474,7 @@
     fn report(&mut self, upstream: &UpstreamId, report: &LoadReport, now: Instant) {
         if let Some(upstream) = self.fleet.upstreams.get_mut(upstream) {
             let capacity = upstream.info.memory_tokens;
-            upstream.ledger.correct(report, capacity, now);
+            upstream.ledger.apply_report(report, capacity, now);
         }
     }
 
