--- a/src/decide/engine_fleet.rs
+++ b/src/decide/engine_fleet.rs
@@ -165,7 +165,7 @@
                 if is_telling(&hold, speed) {
                     speed.observe(own, ahead, first_token);
                 } else {
-                    speed.observe_least(own, first_token);
+                    speed.observe_lower_bound(own, first_token);
                 }
             }
             self.judge(id, done.ended, now, rng);
@@ -209,7 +209,10 @@
             if upstream.ledger.speed.samples() == 0 && self.median.speed > 0.0 {
                 upstream.ledger.speed = like_others;
             }
-            upstream.ledger.speed.bound(self.median.speed * FASTER_MAX);
+            upstream
+                .ledger
+                .speed
+                .limit_to(self.median.speed * FASTER_MAX);
         }
     }
 
--- a/src/decide/speed.rs
+++ b/src/decide/speed.rs
@@ -73,7 +73,7 @@
 
     /// Takes in a first token that tells only how fast the engine is at least, since it read the
     /// prompt itself in that time, whatever came before.
-    pub fn observe_least(&mut self, own: Tokens, took: Duration) {
+    pub fn observe_lower_bound(&mut self, own: Tokens, took: Duration) {
         let seconds = took.as_secs_f64();
         if own < SAMPLE_TOKENS_MIN || seconds <= 0.0 {
             return;
@@ -84,7 +84,7 @@
     }
 
     /// Lowers it to a bound.
-    pub fn bound(&mut self, most: f64) {
+    pub fn limit_to(&mut self, most: f64) {
         self.tokens_per_second = self.tokens_per_second.min(most.max(SPEED_MIN));
     }
 
