--- a/src/decide/lane_split.rs
+++ b/src/decide/lane_split.rs
@@ -62,7 +62,7 @@
     }
 
     /// The number of open upstreams.
-    pub fn open(&self) -> usize {
+    pub fn open_to_long(&self) -> usize {
         self.open
     }
 
--- a/src/decide/shipped/engines.rs
+++ b/src/decide/shipped/engines.rs
@@ -184,7 +184,7 @@
     /// The cost a second that leaves a lane's queue while nothing better is known.
     fn nominal_drain(&self, lane: Lane, now: Instant) -> f64 {
         let all = self.fleet.speed(now).max(1.0);
-        let long = self.fleet.split.open() as f64 * self.fleet.median_speed();
+        let long = self.fleet.split.open_to_long() as f64 * self.fleet.median_speed();
         match lane {
             Lane::Short => (all - long / 2.0).max(all / 4.0),
             Lane::Long => long,
@@ -227,7 +227,7 @@
         PlacementView {
             upstreams: &self.fleet.upstreams,
             tuning: &self.fleet.tuning,
-            open_to_long: self.fleet.split.open(),
+            open_to_long: self.fleet.split.open_to_long(),
             median_speed: self.fleet.median_speed(),
             now,
         }
--- a/src/decide/shipped/gang_queue.rs
+++ b/src/decide/shipped/gang_queue.rs
@@ -45,7 +45,7 @@
         if !is_reserved || self.has_lost_member(fleet, now) {
             let head = head.clone();
             self.unreserve(fleet);
-            match plan_gang(&head, &fleet.upstreams, fleet.split.open(), now) {
+            match plan_gang(&head, &fleet.upstreams, fleet.split.open_to_long(), now) {
                 GangPlan::Wait => return GangStep::Nothing,
                 GangPlan::TooLarge => {
                     let removed = self.queue.remove(&request);
--- a/tests/decide_split.rs
+++ b/tests/decide_split.rs
@@ -27,7 +27,7 @@
             long_waited: None,
         };
         split.update(&input, &tuning, now);
-        seen.push(split.open());
+        seen.push(split.open_to_long());
     }
     // Three memories of the rate after the start.
     let settled = &seen[60..];
