--- a/src/decide/ledger.rs
+++ b/src/decide/ledger.rs
@@ -16,7 +16,7 @@
 use crate::decide::SpeedEstimate;
 use crate::decide::WorkRate;
 use crate::decide::is_heavy;
-use crate::decide::placement::duration;
+use crate::decide::placement::duration_from_secs;
 use crate::units::GrantId;
 use crate::units::Priority;
 use crate::units::Tokens;
@@ -169,7 +169,7 @@
     pub fn free_tokens(&self, capacity: Tokens) -> Tokens {
         let cap = capacity.as_f64() * UNKNOWN_MEMORY_PART;
         let unknown = self.unknown_tokens.as_f64().min(cap);
-        let taken = self.held_tokens + self.reserved_tokens + whole(unknown);
+        let taken = self.held_tokens + self.reserved_tokens + tokens_from_f64(unknown);
         capacity.saturating_sub(taken)
     }
 
@@ -247,7 +247,7 @@
     /// How long a new prefill takes here, from now to the first token.
     pub fn first_token_time(&self, prefill: f64, rank: Priority) -> Duration {
         let seconds = self.work_until(prefill, rank) / self.speed.get();
-        duration(seconds)
+        duration_from_secs(seconds)
             .saturating_add(self.speed.overhead())
             .min(TIME_MAX)
     }
@@ -333,6 +333,6 @@
     reason = "a float saturates when it becomes a whole number"
 )]
 #[allow(clippy::cast_sign_loss, reason = "never negative")]
-fn whole(tokens: f64) -> Tokens {
+fn tokens_from_f64(tokens: f64) -> Tokens {
     Tokens(tokens as u64)
 }
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -139,7 +139,7 @@
         let speed = self.speed_of(upstream);
         let lane_here = match lane {
             Lane::Short => Lane::Short,
-            Lane::Long => self.tuning.lane(whole(prefill)),
+            Lane::Long => self.tuning.lane(tokens_from_f64(prefill)),
         };
         let fits = ledger.free_tokens(upstream.info.memory_tokens) >= waiting.memory_tokens();
         if !fits || !upstream.has_slot(self.now) || (waiting.is_suspect() && ledger.has_suspect()) {
@@ -205,7 +205,7 @@
         let index = self.upstreams.values().position(may_probe)?;
         let prefill = waiting.prompt_tokens.as_f64();
         let seconds = prefill / self.upstreams[index].ledger.speed.get();
-        let first_token = duration(seconds);
+        let first_token = duration_from_secs(seconds);
         let remaining = waiting.work.deadline.saturating_duration_since(self.now);
         let has_time = remaining >= first_token.saturating_mul(PROBE_TIME_FACTOR);
         has_time.then_some(Placement::Dispatch {
@@ -233,7 +233,7 @@
         };
         Placement::Dispatch {
             index: self.index,
-            first_token: duration(self.seconds),
+            first_token: duration_from_secs(self.seconds),
             prefill_tokens: self.prefill,
             why,
         }
@@ -252,15 +252,15 @@
         }
         Lane::Long => {
             let (long, heavy) = ledger.long_prefills();
-            let is_ready =
-                long < tuning.long_prefills_max && !(heavy > 0 && is_heavy(whole(prefill)));
+            let is_ready = long < tuning.long_prefills_max
+                && !(heavy > 0 && is_heavy(tokens_from_f64(prefill)));
             (is_ready, ledger.backlog() / speed)
         }
     }
 }
 
 /// Seconds as a duration.
-pub(crate) fn duration(seconds: f64) -> Duration {
+pub(crate) fn duration_from_secs(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
 }
 
@@ -269,6 +269,6 @@
     reason = "a float saturates when it becomes a whole number"
 )]
 #[allow(clippy::cast_sign_loss, reason = "never negative")]
-pub(crate) fn whole(tokens: f64) -> Tokens {
+pub(crate) fn tokens_from_f64(tokens: f64) -> Tokens {
     Tokens(tokens.max(0.0) as u64)
 }
--- a/src/decide/shipped/engines.rs
+++ b/src/decide/shipped/engines.rs
@@ -27,8 +27,8 @@
 use crate::decide::Work;
 use crate::decide::engine_priority;
 use crate::decide::gang_share;
-use crate::decide::placement::duration;
-use crate::decide::placement::whole;
+use crate::decide::placement::duration_from_secs;
+use crate::decide::placement::tokens_from_f64;
 use crate::decide::shipped::GangStep;
 use crate::decide::shipped::Granted;
 use crate::decide::shipped::Lanes;
@@ -158,7 +158,7 @@
                 .lanes
                 .get(lane)
                 .wait(waiting, self.nominal_drain(lane, now), now),
-            prefill: duration(prefill / speed),
+            prefill: duration_from_secs(prefill / speed),
             output: self.estimator.output_time(waiting.output_tokens),
         }
     }
@@ -321,9 +321,9 @@
     ) {
         let hold = Hold {
             memory_tokens: gang_share(waiting.memory_tokens(), grant.upstreams.len()),
-            prefill_tokens: whole(prefill),
+            prefill_tokens: tokens_from_f64(prefill),
             rank: engine_priority(&waiting.work),
-            lane: self.fleet.tuning.lane(whole(prefill)),
+            lane: self.fleet.tuning.lane(tokens_from_f64(prefill)),
             is_suspect: waiting.is_suspect(),
             has_waited: now.saturating_duration_since(waiting.since) > self.fleet.tuning.headroom,
             since: now,
@@ -352,7 +352,7 @@
 
     fn grant_gang(&mut self, waiting: &QueuedRequest, members: Vec<UpstreamId>, now: Instant) {
         let prefill_tokens = waiting.prompt_tokens.as_f64() / members.len().max(1) as f64;
-        let first_token = duration(prefill_tokens / self.fleet.median_speed());
+        let first_token = duration_from_secs(prefill_tokens / self.fleet.median_speed());
         let forecast = self.run_forecast(waiting, first_token);
         if self.is_too_late(waiting, forecast, now) {
             self.refuse(waiting, RefuseReason::Deadline, now);
@@ -381,7 +381,7 @@
         let is_short_waiting = !self.lanes.short.queue.is_empty();
         let engines = self.fleet.open(now).filter(|_| is_short_waiting);
         let ready = engines
-            .map(|u| duration(u.ledger.lane_backlog(Lane::Short) / u.ledger.speed.get()))
+            .map(|u| duration_from_secs(u.ledger.lane_backlog(Lane::Short) / u.ledger.speed.get()))
             .min();
         let ready_at = now + ready.unwrap_or(WAKE_MAX).clamp(WAKE_MIN, WAKE_MAX);
         let expiry = self.lanes.queues().filter_map(FairQueue::next_expiry).min();
@@ -459,7 +459,7 @@
             Lane::Short => 0.0,
             Lane::Long => waiting.prompt_tokens.as_f64() / grant.upstreams.len().max(1) as f64,
         };
-        let first_token = duration(prefill / self.fleet.median_speed());
+        let first_token = duration_from_secs(prefill / self.fleet.median_speed());
         let expected = self.run_forecast(&waiting, first_token).total();
         self.enter(grant, &waiting, Tokens::ZERO, (prefill, expected), now);
     }
--- a/src/decide/shipped/lane_queue.rs
+++ b/src/decide/shipped/lane_queue.rs
@@ -6,7 +6,7 @@
 use crate::decide::DrainRate;
 use crate::decide::FairQueue;
 use crate::decide::QueuedRequest;
-use crate::decide::placement::duration;
+use crate::decide::placement::duration_from_secs;
 use crate::units::RequestId;
 
 /// Requests of one lane that wait.
@@ -31,13 +31,13 @@
 
     /// How long the whole queue takes to drain, at `nominal` cost a second if nothing is known.
     pub(crate) fn drain_time(&self, nominal: f64, now: Instant) -> Duration {
-        duration(self.queue.cost() / self.drain.per_second(nominal, now))
+        duration_from_secs(self.queue.cost() / self.drain.per_second(nominal, now))
     }
 
     /// How long a request like this one would wait.
     pub(crate) fn wait(&self, waiting: &QueuedRequest, nominal: f64, now: Instant) -> Duration {
         let rank = waiting.work.priority;
         let ahead = self.queue.cost_ahead(rank, &waiting.account, waiting.share);
-        duration(ahead / self.drain.per_second(nominal, now))
+        duration_from_secs(ahead / self.drain.per_second(nominal, now))
     }
 }
--- a/src/decide/shipped/services.rs
+++ b/src/decide/shipped/services.rs
@@ -26,7 +26,7 @@
 use crate::decide::UpstreamInfo;
 use crate::decide::WarmUp;
 use crate::decide::Work;
-use crate::decide::placement::duration;
+use crate::decide::placement::duration_from_secs;
 use crate::decide::shipped::Granted;
 use crate::units::GrantId;
 use crate::units::RequestId;
@@ -117,7 +117,7 @@
         let calls: u32 = self.upstreams.values().map(|u| u.limit.get()).sum();
         let latency = self.latency().as_secs_f64().max(0.001);
         let nominal = f64::from(calls.max(1)) / latency;
-        duration(cost / self.drain.per_second(nominal, now))
+        duration_from_secs(cost / self.drain.per_second(nominal, now))
     }
 
     /// The upstream for a call; none if all are full.
