--- a/src/decide/intake.rs
+++ b/src/decide/intake.rs
@@ -53,7 +53,7 @@
     }
 
     /// Takes a request out of the account's rate. Returns whether it was within it.
-    pub(crate) fn take_rate(
+    pub(crate) fn charge_rate(
         &mut self,
         account: &CustomerId,
         share: &CustomerShare,
@@ -91,7 +91,7 @@
         id
     }
 
-    pub(crate) fn take_due(&mut self) -> Vec<Decision> {
+    pub(crate) fn take_decisions(&mut self) -> Vec<Decision> {
         mem::take(&mut self.due)
     }
 }
--- a/src/decide/shipped/engines.rs
+++ b/src/decide/shipped/engines.rs
@@ -130,7 +130,7 @@
             return Err((RefuseReason::QueueFull, drain));
         }
         let (account, share) = self.intake.account(&waiting.work.customer);
-        let is_within = self.intake.take_rate(&account, &share, now);
+        let is_within = self.intake.charge_rate(&account, &share, now);
         let loaded = match lane {
             Lane::Short => SHORT_LOADED,
             Lane::Long => LONG_LOADED,
@@ -430,7 +430,7 @@
         self.dispatch_lane(Lane::Short, now);
         self.dispatch_lane(Lane::Long, now);
         self.plan_wake(now);
-        self.intake.take_due()
+        self.intake.take_decisions()
     }
 
     fn next_wake(&self) -> Option<Instant> {
--- a/src/decide/shipped/services.rs
+++ b/src/decide/shipped/services.rs
@@ -86,7 +86,7 @@
             return Err((RefuseReason::QueueFull, drain));
         }
         let (account, share) = self.intake.account(&waiting.work.customer);
-        let is_within = self.intake.take_rate(&account, &share, now);
+        let is_within = self.intake.charge_rate(&account, &share, now);
         if !is_within && drain > LOADED {
             return Err((RefuseReason::CustomerLimit, drain));
         }
@@ -268,7 +268,7 @@
         let wake_at = now + WAKE;
         let expiry = self.queue.next_expiry();
         self.wake = expiry.map(|expiry| expiry.min(wake_at));
-        self.intake.take_due()
+        self.intake.take_decisions()
     }
 
     fn next_wake(&self) -> Option<Instant> {
