--- a/src/control/home/controller.rs
+++ b/src/control/home/controller.rs
@@ -150,9 +150,11 @@
                 self.apply(changes, now);
             }
             HomeEvent::Upstreams(upstreams) => self.set_upstreams(&upstreams, now),
-            HomeEvent::Report { upstream, report } => self.policy.report(&upstream, &report, now),
+            HomeEvent::Report { upstream, report } => {
+                self.policy.on_load_report(&upstream, &report, now)
+            }
             HomeEvent::CacheEvents { upstream, events } => {
-                self.policy.cache_events(&upstream, &events, now);
+                self.policy.on_cache_events(&upstream, &events, now);
             }
             HomeEvent::HandOver => return self.hand_over(now),
             HomeEvent::Tick => self.tick(now),
--- a/src/decide/baseline/direct.rs
+++ b/src/decide/baseline/direct.rs
@@ -168,14 +168,14 @@
         self.grants.values().cloned().collect()
     }
 
-    fn report(&mut self, upstream: &UpstreamId, report: &LoadReport, _now: Instant) {
+    fn on_load_report(&mut self, upstream: &UpstreamId, report: &LoadReport, _now: Instant) {
         if let Some(member) = self.members.get_mut(upstream) {
             member.report = report.clone();
             member.sent_tokens = Tokens::ZERO;
         }
     }
 
-    fn cache_events(&mut self, _upstream: &UpstreamId, _events: &[CacheEvent], _now: Instant) {}
+    fn on_cache_events(&mut self, _upstream: &UpstreamId, _events: &[CacheEvent], _now: Instant) {}
 
     fn load(&self, _now: Instant) -> PoolLoad {
         let open = || self.members.values().filter(|member| member.is_open());
--- a/src/decide/policy.rs
+++ b/src/decide/policy.rs
@@ -47,10 +47,10 @@
     fn live_grants(&self) -> Vec<LiveGrant>;
 
     /// Takes in an engine's lagging report.
-    fn report(&mut self, upstream: &UpstreamId, report: &LoadReport, now: Instant);
+    fn on_load_report(&mut self, upstream: &UpstreamId, report: &LoadReport, now: Instant);
 
     /// Takes in cache events, which are late and have gaps.
-    fn cache_events(&mut self, upstream: &UpstreamId, events: &[CacheEvent], now: Instant);
+    fn on_cache_events(&mut self, upstream: &UpstreamId, events: &[CacheEvent], now: Instant);
 
     /// A summary for entry hosts that choose between pools, and for status.
     fn load(&self, now: Instant) -> PoolLoad;
--- a/src/decide/shipped/engines.rs
+++ b/src/decide/shipped/engines.rs
@@ -471,14 +471,14 @@
             .collect()
     }
 
-    fn report(&mut self, upstream: &UpstreamId, report: &LoadReport, now: Instant) {
+    fn on_load_report(&mut self, upstream: &UpstreamId, report: &LoadReport, now: Instant) {
         if let Some(upstream) = self.fleet.upstreams.get_mut(upstream) {
             let capacity = upstream.info.memory_tokens;
             upstream.ledger.apply_report(report, capacity, now);
         }
     }
 
-    fn cache_events(&mut self, upstream: &UpstreamId, events: &[CacheEvent], now: Instant) {
+    fn on_cache_events(&mut self, upstream: &UpstreamId, events: &[CacheEvent], now: Instant) {
         if let Some(upstream) = self.fleet.upstreams.get_mut(upstream) {
             upstream.prefix.on_events(events, now);
         }
--- a/src/decide/shipped/services.rs
+++ b/src/decide/shipped/services.rs
@@ -304,9 +304,9 @@
             .collect()
     }
 
-    fn report(&mut self, _upstream: &UpstreamId, _report: &LoadReport, _now: Instant) {}
+    fn on_load_report(&mut self, _upstream: &UpstreamId, _report: &LoadReport, _now: Instant) {}
 
-    fn cache_events(&mut self, _upstream: &UpstreamId, _events: &[CacheEvent], _now: Instant) {}
+    fn on_cache_events(&mut self, _upstream: &UpstreamId, _events: &[CacheEvent], _now: Instant) {}
 
     fn load(&self, now: Instant) -> PoolLoad {
         let open = self
--- a/tests/decide_fakes/bench.rs
+++ b/tests/decide_fakes/bench.rs
@@ -343,7 +343,7 @@
         for (index, report) in reports.iter().enumerate() {
             let report = (self.report_as)(report);
             for policy in &mut self.policies {
-                policy.report(&name(index), &report, self.clock.now());
+                policy.on_load_report(&name(index), &report, self.clock.now());
             }
         }
     }
--- a/tests/fakes/first_fit.rs
+++ b/tests/fakes/first_fit.rs
@@ -122,9 +122,9 @@
         self.live.values().cloned().collect()
     }
 
-    fn report(&mut self, _upstream: &UpstreamId, _report: &LoadReport, _now: Instant) {}
+    fn on_load_report(&mut self, _upstream: &UpstreamId, _report: &LoadReport, _now: Instant) {}
 
-    fn cache_events(&mut self, _upstream: &UpstreamId, _events: &[CacheEvent], _now: Instant) {}
+    fn on_cache_events(&mut self, _upstream: &UpstreamId, _events: &[CacheEvent], _now: Instant) {}
 
     fn load(&self, _now: Instant) -> PoolLoad {
         PoolLoad::default()
