--- a/examples/sweep/scenario.rs
+++ b/examples/sweep/scenario.rs
@@ -14,10 +14,10 @@
 use banyanarch::upstream::LoadReport;
 
 use crate::decide_fakes::Ask;
-use crate::decide_fakes::Bench;
 use crate::decide_fakes::Engine;
 use crate::decide_fakes::Load;
 use crate::decide_fakes::Outcomes;
+use crate::decide_fakes::Simulation;
 use crate::decide_fakes::config;
 
 const ENGINES: usize = 20;
@@ -66,11 +66,11 @@
         }
     }
 
-    fn bench(&self, hosts: u64) -> Bench {
+    fn bench(&self, hosts: u64) -> Simulation {
         let policies = (0..hosts).map(|seed| policy_for(self.policy, &self.conf(), seed));
         let policies: Vec<Box<dyn Policy>> = policies.collect();
         let engines = (0..ENGINES).map(|_| Engine::new(300_000, SPEED)).collect();
-        Bench::new(engines, policies)
+        Simulation::new(engines, policies)
     }
 
     fn play(&self, load: Load) -> Outcomes {
@@ -323,7 +323,7 @@
             ..config(setup.objective, SPEED * factor)
         };
         let engines = (0..ENGINES).map(|_| Engine::new(300_000, SPEED)).collect();
-        let bench = Bench::new(engines, vec![policy_for(setup.policy, &conf, 1)]);
+        let bench = Simulation::new(engines, vec![policy_for(setup.policy, &conf, 1)]);
         let all = bench.play(with_long(shorts(7, 24.0))).0;
         let short = all.class(LengthClass::Short);
         format!(
--- a/tests/decide_fakes/bench.rs
+++ b/tests/decide_fakes/bench.rs
@@ -34,7 +34,7 @@
 const STEP: Duration = Duration::from_millis(5);
 const REPORT_EVERY: Duration = Duration::from_secs(1);
 
-pub struct Bench {
+pub struct Simulation {
     clock: ManualClock,
     policies: Vec<Box<dyn Policy>>,
     pub engines: Vec<Engine>,
@@ -61,7 +61,7 @@
     cached: u64,
 }
 
-impl Bench {
+impl Simulation {
     pub fn new(engines: Vec<Engine>, policies: Vec<Box<dyn Policy>>) -> Self {
         let clock = ManualClock::new();
         let start = clock.now();
--- a/tests/decide_fakes/mod.rs
+++ b/tests/decide_fakes/mod.rs
@@ -9,7 +9,7 @@
 mod load;
 mod outcome;
 
-pub use bench::Bench;
+pub use bench::Simulation;
 pub use engine::Engine;
 pub use load::Ask;
 pub use load::Load;
--- a/tests/decide_load.rs
+++ b/tests/decide_load.rs
@@ -16,21 +16,21 @@
 use yare::parameterized;
 
 use decide_fakes::Ask;
-use decide_fakes::Bench;
 use decide_fakes::Engine;
 use decide_fakes::Load;
 use decide_fakes::Outcomes;
+use decide_fakes::Simulation;
 use decide_fakes::config;
 
 const SPEED: f64 = 8_000.0;
 
 /// Ten engines, which read about 60 prompts of 1,000 tokens a second.
-fn bench(name: PolicyName, hosts: u64) -> Bench {
+fn bench(name: PolicyName, hosts: u64) -> Simulation {
     let conf = config(Objective::ShortSlowdown, SPEED);
     let policies: Vec<Box<dyn Policy>> = (0..hosts)
         .map(|seed| policy_for(name, &conf, seed))
         .collect();
-    Bench::new(
+    Simulation::new(
         (0..10).map(|_| Engine::new(300_000, SPEED)).collect(),
         policies,
     )
@@ -296,7 +296,7 @@
     let p95 = |factor| {
         let conf = config(Objective::ShortSlowdown, SPEED * factor);
         let engines = (0..10).map(|_| Engine::new(300_000, SPEED)).collect();
-        let bench = Bench::new(engines, vec![policy_for(PolicyName::Shipped, &conf, 1)]);
+        let bench = Simulation::new(engines, vec![policy_for(PolicyName::Shipped, &conf, 1)]);
         bench.play(mixed(10)).0.class(LengthClass::Short).ttft(0.95)
     };
     let (right, wrong) = (p95(1.0), p95(factor));
@@ -311,7 +311,7 @@
         let short = Load::new(11).stream(30.0, (0.0, 60.0), &Ask::short());
         short.stream(0.3, (0.0, 60.0), &Ask::long(60_000))
     };
-    let p95 = |bench: Bench| bench.play(load()).0.class(LengthClass::Short).ttft(0.95);
+    let p95 = |bench: Simulation| bench.play(load()).0.class(LengthClass::Short).ttft(0.95);
     let home = p95(bench(PolicyName::Shipped, 1));
     let alone = p95(bench(PolicyName::Alone, 7));
     assert!(home * 3.0 < alone, "home {home}, alone {alone}");
