--- a/examples/sweep/scenario.rs
+++ b/examples/sweep/scenario.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    fn bench(&self, hosts: u64) -> Simulation {
+    fn simulation(&self, hosts: u64) -> Simulation {
         let policies = (0..hosts).map(|seed| policy_for(self.policy, &self.conf(), seed));
         let policies: Vec<Box<dyn Policy>> = policies.collect();
         let engines = (0..ENGINES).map(|_| Engine::new(300_000, SPEED)).collect();
@@ -74,7 +74,7 @@
     }
 
     fn play(&self, load: Load) -> Outcomes {
-        self.bench(1).play(load).0
+        self.simulation(1).play(load).0
     }
 }
 
@@ -96,9 +96,9 @@
 
 fn mixed(setup: &Setup, change: fn(&mut Engine)) -> String {
     let play = |load| {
-        let mut bench = setup.bench(1);
-        bench.engines.iter_mut().for_each(change);
-        bench.play(load).0
+        let mut simulation = setup.simulation(1);
+        simulation.engines.iter_mut().for_each(change);
+        simulation.play(load).0
     };
     let alone = play(shorts(7, 24.0));
     let all = play(with_long(shorts(7, 24.0)));
@@ -203,9 +203,9 @@
 
 /// One engine is five times slower.
 pub(crate) fn slow_upstream(setup: &Setup) -> String {
-    let mut bench = setup.bench(1);
-    bench.engines[5].pace = 0.2;
-    let all = bench.play(shorts(11, 60.0)).0;
+    let mut simulation = setup.simulation(1);
+    simulation.engines[5].pace = 0.2;
+    let all = simulation.play(shorts(11, 60.0)).0;
     let slow = all.only(|o| o.engines.first() == Some(&5)).0.len();
     format!(
         "p50 {:.3} p95 {:.3} p99 {:.3} s, done {:.3}, on the slow one {:.3} of all",
@@ -273,10 +273,10 @@
         limit: Duration::from_secs(10),
         ..Ask::short()
     };
-    let mut bench = setup.bench(1);
-    bench.retry_with(|now| RetryBudget::new(1, now));
-    bench.outage = Some((0..10, 20.0, 25.0));
-    let all = bench.play(Load::new(19).stream(80.0, MINUTE, &ask)).0;
+    let mut simulation = setup.simulation(1);
+    simulation.retry_with(|now| RetryBudget::new(1, now));
+    simulation.outage = Some((0..10, 20.0, 25.0));
+    let all = simulation.play(Load::new(19).stream(80.0, MINUTE, &ask)).0;
     let attempts: u32 = all.0.iter().map(|o| o.attempts).sum();
     let after = all.only(|o| o.ask.at >= Duration::from_secs(30));
     format!(
@@ -302,9 +302,9 @@
         }),
     ];
     let figures = changes.map(|(name, change)| {
-        let mut bench = setup.bench(1);
-        bench.report_as = change;
-        let all = bench.play(with_long(shorts(7, 24.0))).0;
+        let mut simulation = setup.simulation(1);
+        simulation.report_as = change;
+        let all = simulation.play(with_long(shorts(7, 24.0))).0;
         let short = all.class(LengthClass::Short);
         format!(
             "{name}: short p95 {:.3} s done {:.3}",
@@ -323,8 +323,8 @@
             ..config(setup.objective, SPEED * factor)
         };
         let engines = (0..ENGINES).map(|_| Engine::new(300_000, SPEED)).collect();
-        let bench = Simulation::new(engines, vec![policy_for(setup.policy, &conf, 1)]);
-        let all = bench.play(with_long(shorts(7, 24.0))).0;
+        let simulation = Simulation::new(engines, vec![policy_for(setup.policy, &conf, 1)]);
+        let all = simulation.play(with_long(shorts(7, 24.0))).0;
         let short = all.class(LengthClass::Short);
         format!(
             "x{factor}: short p95 {:.3} s done {:.3}",
@@ -338,7 +338,7 @@
 /// Seven hosts that decide each by itself, against one home.
 fn seven_hosts(setup: &Setup) -> String {
     let figures = [1, 7].map(|hosts| {
-        let all = setup.bench(hosts).play(with_long(shorts(7, 60.0))).0;
+        let all = setup.simulation(hosts).play(with_long(shorts(7, 60.0))).0;
         format!(
             "{hosts} deciding: {}, done {:.3}",
             by_class(&all),
--- a/tests/decide_load.rs
+++ b/tests/decide_load.rs
@@ -25,7 +25,7 @@
 const SPEED: f64 = 8_000.0;
 
 /// Ten engines, which read about 60 prompts of 1,000 tokens a second.
-fn bench(name: PolicyName, hosts: u64) -> Simulation {
+fn simulation(name: PolicyName, hosts: u64) -> Simulation {
     let conf = config(Objective::ShortSlowdown, SPEED);
     let policies: Vec<Box<dyn Policy>> = (0..hosts)
         .map(|seed| policy_for(name, &conf, seed))
@@ -37,7 +37,7 @@
 }
 
 fn play(name: PolicyName, load: Load) -> Outcomes {
-    bench(name, 1).play(load).0
+    simulation(name, 1).play(load).0
 }
 
 fn within(seconds: u64) -> Ask {
@@ -63,12 +63,12 @@
 #[parameterized(by_rank = { true }, all_alike = { false })]
 fn short_prompts_hardly_notice_long_ones(honours_rank: bool) {
     let play = |name, load| {
-        let mut bench = bench(name, 1);
-        bench
+        let mut simulation = simulation(name, 1);
+        simulation
             .engines
             .iter_mut()
             .for_each(|engine| engine.honours_rank = honours_rank);
-        bench.play(load).0.class(LengthClass::Short)
+        simulation.play(load).0.class(LengthClass::Short)
     };
     let alone = play(
         PolicyName::Shipped,
@@ -193,9 +193,9 @@
 #[test]
 fn a_slow_upstream_is_left_alone() {
     let with_slow = |name, pace| {
-        let mut bench = bench(name, 1);
-        bench.engines[3].pace = pace;
-        bench
+        let mut simulation = simulation(name, 1);
+        simulation.engines[3].pace = pace;
+        simulation
             .play(Load::new(6).stream(25.0, (0.0, 60.0), &Ask::short()))
             .0
     };
@@ -239,10 +239,10 @@
 #[test]
 fn an_outage_costs_few_callers_and_few_retries() {
     let outage = |name| {
-        let mut bench = bench(name, 1);
-        bench.retry_with(|now| RetryBudget::new(1, now));
-        bench.outage = Some((0..5, 10.0, 15.0));
-        bench
+        let mut simulation = simulation(name, 1);
+        simulation.retry_with(|now| RetryBudget::new(1, now));
+        simulation.outage = Some((0..5, 10.0, 15.0));
+        simulation
             .play(Load::new(8).stream(20.0, (0.0, 40.0), &within(10)))
             .0
     };
@@ -270,13 +270,17 @@
     bound: f64,
 ) {
     let p95 = |change: fn(&LoadReport) -> LoadReport| {
-        let mut bench = bench(PolicyName::Shipped, 1);
-        bench.report_as = change;
-        bench
+        let mut simulation = simulation(PolicyName::Shipped, 1);
+        simulation.report_as = change;
+        simulation
             .engines
             .iter_mut()
             .for_each(|engine| engine.honours_rank = honours_rank);
-        bench.play(mixed(9)).0.class(LengthClass::Short).ttft(0.95)
+        simulation
+            .play(mixed(9))
+            .0
+            .class(LengthClass::Short)
+            .ttft(0.95)
     };
     let (right, wrong) = (p95(Clone::clone), p95(report_as));
     assert!(wrong < bound * right, "right {right}, wrong {wrong}");
@@ -296,8 +300,12 @@
     let p95 = |factor| {
         let conf = config(Objective::ShortSlowdown, SPEED * factor);
         let engines = (0..10).map(|_| Engine::new(300_000, SPEED)).collect();
-        let bench = Simulation::new(engines, vec![policy_for(PolicyName::Shipped, &conf, 1)]);
-        bench.play(mixed(10)).0.class(LengthClass::Short).ttft(0.95)
+        let simulation = Simulation::new(engines, vec![policy_for(PolicyName::Shipped, &conf, 1)]);
+        simulation
+            .play(mixed(10))
+            .0
+            .class(LengthClass::Short)
+            .ttft(0.95)
     };
     let (right, wrong) = (p95(1.0), p95(factor));
     assert!(wrong < 1.15 * right, "right {right}, wrong {wrong}");
@@ -311,9 +319,15 @@
         let short = Load::new(11).stream(30.0, (0.0, 60.0), &Ask::short());
         short.stream(0.3, (0.0, 60.0), &Ask::long(60_000))
     };
-    let p95 = |bench: Simulation| bench.play(load()).0.class(LengthClass::Short).ttft(0.95);
-    let home = p95(bench(PolicyName::Shipped, 1));
-    let alone = p95(bench(PolicyName::Alone, 7));
+    let p95 = |simulation: Simulation| {
+        simulation
+            .play(load())
+            .0
+            .class(LengthClass::Short)
+            .ttft(0.95)
+    };
+    let home = p95(simulation(PolicyName::Shipped, 1));
+    let alone = p95(simulation(PolicyName::Alone, 7));
     assert!(home * 3.0 < alone, "home {home}, alone {alone}");
 }
 
@@ -336,12 +350,12 @@
     let load = Load::new(12)
         .stream(1.5, (0.0, 240.0), &audit)
         .stream(0.04, (20.0, 100.0), &huge);
-    let mut bench = bench(PolicyName::Shipped, 1);
-    bench
+    let mut simulation = simulation(PolicyName::Shipped, 1);
+    simulation
         .engines
         .iter_mut()
         .for_each(|engine| engine.memory = 130_000);
-    let huge = bench.play(load).0.only(|o| o.ask.prompt > 130_000);
+    let huge = simulation.play(load).0.only(|o| o.ask.prompt > 130_000);
     assert!(
         huge.part() > 0.99,
         "huge done {} of {}",
