--- a/examples/sweep/scenario.rs
+++ b/examples/sweep/scenario.rs
@@ -13,10 +13,10 @@
 use banyanarch::settings::PolicyName;
 use banyanarch::upstream::LoadReport;
 
-use crate::decide_fakes::Ask;
 use crate::decide_fakes::Engine;
 use crate::decide_fakes::Load;
 use crate::decide_fakes::Outcomes;
+use crate::decide_fakes::RequestSpec;
 use crate::decide_fakes::Simulation;
 use crate::decide_fakes::config;
 
@@ -79,14 +79,14 @@
 }
 
 fn shorts(seed: u64, rate: f64) -> Load {
-    Load::new(seed).stream(rate, (0.0, 120.0), &Ask::short())
+    Load::new(seed).stream(rate, (0.0, 120.0), &RequestSpec::short())
 }
 
 /// Long prompts that take about half of the engines' time.
 fn with_long(load: Load) -> Load {
-    let long = |prompt| Ask {
+    let long = |prompt| RequestSpec {
         customer: "studio",
-        ..Ask::long(prompt)
+        ..RequestSpec::long(prompt)
     };
     let two_minutes = (0.0, 120.0);
     load.stream(0.6, two_minutes, &long(60_000))
@@ -133,15 +133,15 @@
 
 /// Ten times the load for five seconds.
 fn burst(setup: &Setup) -> String {
-    let ask = Ask {
+    let request = RequestSpec {
         limit: Duration::from_secs(8),
-        ..Ask::short()
+        ..RequestSpec::short()
     };
     let load = Load::new(3)
-        .stream(30.0, MINUTE, &ask)
-        .stream(270.0, (20.0, 25.0), &ask);
+        .stream(30.0, MINUTE, &request)
+        .stream(270.0, (20.0, 25.0), &request);
     let all = setup.play(load);
-    let after = all.only(|o| o.ask.at >= Duration::from_secs(35));
+    let after = all.only(|o| o.request.at >= Duration::from_secs(35));
     format!(
         "done {:.3}, refused {:.3}, p95 {:.2} s; from 10 s after the burst on: p95 {:.3} s",
         all.part(),
@@ -153,21 +153,21 @@
 
 /// Two of six customers send 90 percent of twice the capacity.
 fn two_customers(setup: &Setup) -> String {
-    let ask = |customer| Ask {
+    let request = |customer| RequestSpec {
         customer,
         limit: Duration::from_secs(10),
-        ..Ask::short()
+        ..RequestSpec::short()
     };
     let mut load = Load::new(5);
     for large in ["studio", "agency"] {
-        load = load.stream(108.0, MINUTE, &ask(large));
+        load = load.stream(108.0, MINUTE, &request(large));
     }
     for small in ["desk", "karaoke", "branch", "app"] {
-        load = load.stream(6.0, MINUTE, &ask(small));
+        load = load.stream(6.0, MINUTE, &request(small));
     }
     let all = setup.play(load);
-    let small = all.only(|o| !["studio", "agency"].contains(&o.ask.customer));
-    let large = all.only(|o| ["studio", "agency"].contains(&o.ask.customer));
+    let small = all.only(|o| !["studio", "agency"].contains(&o.request.customer));
+    let large = all.only(|o| ["studio", "agency"].contains(&o.request.customer));
     format!(
         "small done {:.3} p95 {:.2} s, large done {:.3} p95 {:.2} s, goodput {:.0} tok/s",
         small.part(),
@@ -180,14 +180,14 @@
 
 /// Half of all prompts begin with the same 3,000 tokens, the others with one of a hundred prefixes.
 fn hot_prefix(setup: &Setup) -> String {
-    let ask = |prefix: u128| Ask {
+    let request = |prefix: u128| RequestSpec {
         prompt: 3_400,
         prefix: Some((prefix, 3_000)),
-        ..Ask::short()
+        ..RequestSpec::short()
     };
-    let mut load = Load::new(9).stream(35.0, MINUTE, &ask(1_000));
+    let mut load = Load::new(9).stream(35.0, MINUTE, &request(1_000));
     for prefix in 0..100 {
-        load = load.stream(0.35, MINUTE, &ask(prefix));
+        load = load.stream(0.35, MINUTE, &request(prefix));
     }
     let all = setup.play(load);
     let on = |index: usize| all.only(|o| o.engines.first() == Some(&index)).0.len();
@@ -219,11 +219,11 @@
 
 /// Twice the capacity for a minute, against just the capacity.
 pub(crate) fn saturation(setup: &Setup) -> String {
-    let ask = Ask {
+    let request = RequestSpec {
         limit: Duration::from_secs(6),
-        ..Ask::short()
+        ..RequestSpec::short()
     };
-    let play = |rate| setup.play(Load::new(13).stream(rate, MINUTE, &ask));
+    let play = |rate| setup.play(Load::new(13).stream(rate, MINUTE, &request));
     let (once, twice) = (play(110.0), play(240.0));
     format!(
         "goodput at twice {:.3} of that at capacity, done {:.3}, refused {:.3}, p95 {:.2} s",
@@ -236,20 +236,20 @@
 
 /// Twice the capacity in short and long prompts together; what counts is asked in the middle.
 pub(crate) fn mixed_saturation(setup: &Setup) -> String {
-    let short = Ask {
+    let short = RequestSpec {
         limit: Duration::from_secs(10),
-        ..Ask::short()
+        ..RequestSpec::short()
     };
-    let long = Ask {
+    let long = RequestSpec {
         customer: "studio",
         limit: Duration::from_secs(60),
-        ..Ask::long(60_000)
+        ..RequestSpec::long(60_000)
     };
     let play = |part: f64| {
         let all_along = (0.0, 150.0);
         let load = Load::new(17).stream(55.0 * part, all_along, &short);
         let all = setup.play(load.stream(0.9 * part, all_along, &long));
-        all.only(|o| (30..90).contains(&o.ask.at.as_secs()))
+        all.only(|o| (30..90).contains(&o.request.at.as_secs()))
     };
     let (once, twice) = (play(1.0), play(2.0));
     let (short, long) = (
@@ -269,16 +269,18 @@
 
 /// Half of the engines are gone for five seconds, and hosts retry.
 fn outage(setup: &Setup) -> String {
-    let ask = Ask {
+    let request = RequestSpec {
         limit: Duration::from_secs(10),
-        ..Ask::short()
+        ..RequestSpec::short()
     };
     let mut simulation = setup.simulation(1);
     simulation.retry_with(|now| RetryBudget::new(1, now));
     simulation.outage = Some((0..10, 20.0, 25.0));
-    let all = simulation.play(Load::new(19).stream(80.0, MINUTE, &ask)).0;
+    let all = simulation
+        .play(Load::new(19).stream(80.0, MINUTE, &request))
+        .0;
     let attempts: u32 = all.0.iter().map(|o| o.attempts).sum();
-    let after = all.only(|o| o.ask.at >= Duration::from_secs(30));
+    let after = all.only(|o| o.request.at >= Duration::from_secs(30));
     format!(
         "done {:.3}, attempts a request {:.3}; from 5 s after it on: done {:.3}, p95 {:.3} s",
         all.part(),
--- a/tests/decide_fakes/bench.rs
+++ b/tests/decide_fakes/bench.rs
@@ -82,19 +82,22 @@
 
     /// Plays the load to its end and returns what callers got, in the order of their requests.
     pub fn play(mut self, load: Load) -> (Outcomes, Self) {
-        let mut asks = load.asks;
-        asks.sort_by_key(|ask| ask.at);
-        let last = asks
+        let mut requests = load.requests;
+        requests.sort_by_key(|request| request.at);
+        let last = requests
             .iter()
-            .map(|ask| ask.at + ask.limit)
+            .map(|request| request.at + request.limit)
             .max()
             .unwrap_or_default();
-        self.outcomes = asks.iter().map(Outcome::of).collect();
+        self.outcomes = requests.iter().map(Outcome::of).collect();
         self.list_engines();
         let mut reports: Vec<LoadReport> = self.engines.iter().map(Engine::report).collect();
         let (mut next, mut elapsed) = (0, Duration::ZERO);
-        while elapsed <= last && (next < asks.len() || !self.is_at_rest()) {
-            while asks.get(next).is_some_and(|ask| ask.at <= elapsed) {
+        while elapsed <= last && (next < requests.len() || !self.is_at_rest()) {
+            while requests
+                .get(next)
+                .is_some_and(|request| request.at <= elapsed)
+            {
                 self.offer(next, Vec::new());
                 next += 1;
             }
@@ -141,21 +144,21 @@
 
     fn offer(&mut self, call: usize, avoid: Vec<UpstreamId>) {
         let outcome = &mut self.outcomes[call];
-        let ask = &outcome.ask;
+        let request = &outcome.request;
         outcome.attempts += 1;
-        let prefixes = ask
+        let prefixes = request
             .prefix
             .map(|(name, tokens)| (ContentHash(name), Tokens(tokens)));
         let policy = call % self.policies.len();
         let work = Work {
             request: RequestId(call as u128 | (u128::from(outcome.attempts) << 64)),
             host: format!("host-{policy}").parse().unwrap(),
-            customer: ask.customer.parse().unwrap(),
-            priority: banyanarch::units::Priority(ask.rank),
-            prompt_tokens: Tokens(ask.prompt),
-            output_tokens: Tokens(ask.output_max),
+            customer: request.customer.parse().unwrap(),
+            priority: banyanarch::units::Priority(request.rank),
+            prompt_tokens: Tokens(request.prompt),
+            output_tokens: Tokens(request.output_max),
             prefixes: prefixes.into_iter().collect(),
-            deadline: self.start + ask.at + ask.limit,
+            deadline: self.start + request.at + request.limit,
             avoid,
         };
         self.timed(|policies, now| policies[policy].offer(work, now));
@@ -219,7 +222,7 @@
         } else if !engines.iter().all(has_room) {
             self.end(attempt, AttemptOutcome::Refused);
         } else {
-            let output = self.outcomes[call].ask.output;
+            let output = self.outcomes[call].request.output;
             for index in engines {
                 self.engines[index].start(attempt, &work, output, members);
                 self.flights[&attempt].cached = self.engines[index].jobs[&attempt].cached;
@@ -241,7 +244,7 @@
                     if flight.prefills == 0 {
                         flight.first_token = Some(now - flight.since);
                         let outcome = &mut self.outcomes[flight.call];
-                        outcome.first_token = Some(now - self.start - outcome.ask.at);
+                        outcome.first_token = Some(now - self.start - outcome.request.at);
                     }
                 }
                 Event::End(attempt) => {
@@ -280,7 +283,7 @@
         let outcome = &mut self.outcomes[flight.call];
         let is_completed = ended == AttemptOutcome::Completed;
         if is_completed {
-            outcome.completed = Some(now - self.start - outcome.ask.at);
+            outcome.completed = Some(now - self.start - outcome.request.at);
         }
         let done = AttemptSummary {
             ended,
@@ -292,7 +295,9 @@
                 Tokens::ZERO
             },
             cached_tokens: Tokens(flight.cached),
-            output_tokens: Tokens(outcome.ask.output - (left as u64).min(outcome.ask.output)),
+            output_tokens: Tokens(
+                outcome.request.output - (left as u64).min(outcome.request.output),
+            ),
         };
         if matches!(
             ended,
@@ -361,9 +366,9 @@
 }
 
 impl Outcome {
-    fn of(ask: &super::Ask) -> Self {
+    fn of(request: &super::RequestSpec) -> Self {
         Self {
-            ask: ask.clone(),
+            request: request.clone(),
             first_token: None,
             completed: None,
             refused: None,
--- a/tests/decide_fakes/load.rs
+++ b/tests/decide_fakes/load.rs
@@ -1,4 +1,4 @@
-//! What callers ask, drawn from a seed.
+//! What callers request, drawn from a seed.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 
 /// One request of a caller.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct RequestSpec {
     pub at: Duration,
     pub customer: &'static str,
     pub rank: u8,
@@ -29,7 +29,7 @@
     pub prefix: Option<(u128, u64)>,
 }
 
-impl Ask {
+impl RequestSpec {
     pub fn short() -> Self {
         Self {
             at: Duration::ZERO,
@@ -53,21 +53,21 @@
 }
 
 pub struct Load {
-    pub asks: Vec<Ask>,
+    pub requests: Vec<RequestSpec>,
     rng: StdRng,
 }
 
 impl Load {
     pub fn new(seed: u64) -> Self {
         Self {
-            asks: Vec::new(),
+            requests: Vec::new(),
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// Adds a Poisson stream of requests like `ask`, from and to these seconds. Prompts and answers
+    /// Adds a Poisson stream of requests like `request`, from and to these seconds. Prompts and answers
     /// vary from a half to one and a half of the given length.
-    pub fn stream(mut self, rate: f64, seconds: (f64, f64), ask: &Ask) -> Self {
+    pub fn stream(mut self, rate: f64, seconds: (f64, f64), request: &RequestSpec) -> Self {
         let mut at = seconds.0;
         loop {
             at += -self.rng.random_range(f64::MIN_POSITIVE..1.0_f64).ln() / rate;
@@ -75,12 +75,12 @@
                 return self;
             }
             let mut vary = |middle: u64| self.rng.random_range(middle / 2..=middle * 3 / 2);
-            let (prompt, output) = (vary(ask.prompt), vary(ask.output));
-            self.asks.push(Ask {
+            let (prompt, output) = (vary(request.prompt), vary(request.output));
+            self.requests.push(RequestSpec {
                 at: Duration::from_secs_f64(at),
-                prompt: prompt.max(ask.prefix.map_or(1, |(_, tokens)| tokens + 100)),
-                output: output.clamp(1, ask.output_max),
-                ..ask.clone()
+                prompt: prompt.max(request.prefix.map_or(1, |(_, tokens)| tokens + 100)),
+                output: output.clamp(1, request.output_max),
+                ..request.clone()
             });
         }
     }
--- a/tests/decide_fakes/outcome.rs
+++ b/tests/decide_fakes/outcome.rs
@@ -6,11 +6,11 @@
 use banyanarch::decide::RefuseReason;
 use banyanarch::units::Tokens;
 
-use super::Ask;
+use super::RequestSpec;
 
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    pub ask: Ask,
+    pub request: RequestSpec,
     /// From the request to its first token.
     pub first_token: Option<Duration>,
     /// From the request to its end within its time limit.
@@ -34,11 +34,11 @@
     }
 
     pub fn class(&self, class: LengthClass) -> Self {
-        self.only(|outcome| LengthClass::of(Tokens(outcome.ask.prompt)) == class)
+        self.only(|outcome| LengthClass::of(Tokens(outcome.request.prompt)) == class)
     }
 
     pub fn customer(&self, name: &str) -> Self {
-        self.only(|outcome| outcome.ask.customer == name)
+        self.only(|outcome| outcome.request.customer == name)
     }
 
     /// Time to first token in seconds at a quantile, over those that got one.
@@ -79,7 +79,7 @@
     pub fn goodput(&self) -> f64 {
         let completed = self.0.iter().filter(|outcome| outcome.completed.is_some());
         completed
-            .map(|o| (o.ask.prompt + o.ask.output) as f64)
+            .map(|o| (o.request.prompt + o.request.output) as f64)
             .sum()
     }
 }
--- a/tests/decide_load.rs
+++ b/tests/decide_load.rs
@@ -15,10 +15,10 @@
 use banyanarch::upstream::LoadReport;
 use yare::parameterized;
 
-use decide_fakes::Ask;
 use decide_fakes::Engine;
 use decide_fakes::Load;
 use decide_fakes::Outcomes;
+use decide_fakes::RequestSpec;
 use decide_fakes::Simulation;
 use decide_fakes::config;
 
@@ -40,24 +40,24 @@
     simulation(name, 1).play(load).0
 }
 
-fn within(seconds: u64) -> Ask {
-    Ask {
+fn within(seconds: u64) -> RequestSpec {
+    RequestSpec {
         limit: Duration::from_secs(seconds),
-        ..Ask::short()
+        ..RequestSpec::short()
     }
 }
 
 fn mixed(seed: u64) -> Load {
-    let long = Ask {
+    let long = RequestSpec {
         customer: "studio",
-        ..Ask::long(60_000)
+        ..RequestSpec::long(60_000)
     };
     Load::new(seed)
-        .stream(12.0, (0.0, 60.0), &Ask::short())
+        .stream(12.0, (0.0, 60.0), &RequestSpec::short())
         .stream(0.5, (0.0, 60.0), &long)
 }
 
-/// A caller on the line asks for a clause while studios send audits that take half of the engines.
+/// A caller on the line requests for a clause while studios send audits that take half of the engines.
 /// Audits go to any engine that looks free, and the clause is read between their chunks or beside
 /// them, so that it comes late. Engines kept free of long prefill answer it as if there were none.
 #[parameterized(by_rank = { true }, all_alike = { false })]
@@ -72,7 +72,7 @@
     };
     let alone = play(
         PolicyName::Shipped,
-        Load::new(1).stream(12.0, (0.0, 60.0), &Ask::short()),
+        Load::new(1).stream(12.0, (0.0, 60.0), &RequestSpec::short()),
     );
     let slowdown = |name| play(name, mixed(1)).ttft(0.95) / alone.ttft(0.95);
     let (shipped, least) = (
@@ -90,10 +90,10 @@
 /// first, so without a part of its own the audit would run out of time, also where it was let in.
 #[test]
 fn long_work_has_its_part_under_load() {
-    let long = Ask {
+    let long = RequestSpec {
         customer: "studio",
         limit: Duration::from_secs(60),
-        ..Ask::long(60_000)
+        ..RequestSpec::long(60_000)
     };
     let load = || {
         let short = Load::new(2).stream(70.0, (0.0, 80.0), &within(8));
@@ -114,7 +114,7 @@
     };
     let all = play(PolicyName::Shipped, load());
     let let_in = all.only(|o| o.refused.is_none());
-    let after = all.only(|o| o.ask.at > Duration::from_secs(25));
+    let after = all.only(|o| o.request.at > Duration::from_secs(25));
     assert!(let_in.part() > 0.97, "let in and done {}", let_in.part());
     assert!(after.ttft(0.95) < 0.4, "after {}", after.ttft(0.95));
     let least = play(PolicyName::LeastInFlight, load());
@@ -126,7 +126,7 @@
 /// as long as the large ones.
 #[test]
 fn small_customers_do_not_wait_for_large_ones() {
-    let ask = |customer| Ask {
+    let request = |customer| RequestSpec {
         customer,
         ..within(10)
     };
@@ -140,11 +140,11 @@
             ("branch", 3.0),
             ("app", 3.0),
         ] {
-            load = load.stream(rate, (0.0, 40.0), &ask(customer));
+            load = load.stream(rate, (0.0, 40.0), &request(customer));
         }
         load
     };
-    let is_large = |o: &decide_fakes::Outcome| ["studio", "agency"].contains(&o.ask.customer);
+    let is_large = |o: &decide_fakes::Outcome| ["studio", "agency"].contains(&o.request.customer);
     let all = play(PolicyName::Shipped, load());
     let (small, large) = (all.only(|o| !is_large(o)), all.only(is_large));
     assert!(small.part() > 0.99, "small done {}", small.part());
@@ -164,15 +164,15 @@
 /// than with any spread that ignores the cache, and no engine gets more than twice its part.
 #[test]
 fn a_hot_prefix_is_read_seldom_and_melts_no_engine() {
-    let ask = |prefix| Ask {
+    let request = |prefix| RequestSpec {
         prompt: 3_400,
         prefix: Some((prefix, 3_000)),
-        ..Ask::short()
+        ..RequestSpec::short()
     };
     let load = || {
-        let hot = Load::new(5).stream(16.0, (0.0, 40.0), &ask(1_000));
+        let hot = Load::new(5).stream(16.0, (0.0, 40.0), &request(1_000));
         (0..40).fold(hot, |load, prefix| {
-            load.stream(0.4, (0.0, 40.0), &ask(prefix))
+            load.stream(0.4, (0.0, 40.0), &request(prefix))
         })
     };
     let all = play(PolicyName::Shipped, load());
@@ -196,7 +196,7 @@
         let mut simulation = simulation(name, 1);
         simulation.engines[3].pace = pace;
         simulation
-            .play(Load::new(6).stream(25.0, (0.0, 60.0), &Ask::short()))
+            .play(Load::new(6).stream(25.0, (0.0, 60.0), &RequestSpec::short()))
             .0
     };
     let (well, slow) = (
@@ -210,7 +210,7 @@
     assert!(
         slow.0
             .iter()
-            .any(|o| o.engines == [3] && o.ask.at > Duration::from_secs(20))
+            .any(|o| o.engines == [3] && o.request.at > Duration::from_secs(20))
     );
 }
 
@@ -251,7 +251,7 @@
     assert!(shipped.part() > 0.98, "shipped {}", shipped.part());
     assert!(shipped.part() > robin.part());
     assert!(retries(&shipped) <= 60, "{} retries", retries(&shipped));
-    let after = shipped.only(|o| o.ask.at > Duration::from_secs(30));
+    let after = shipped.only(|o| o.request.at > Duration::from_secs(30));
     assert!(after.ttft(0.95) < 0.4, "after {}", after.ttft(0.95));
 }
 
@@ -316,8 +316,8 @@
 #[test]
 fn one_home_beats_seven_hosts_alone() {
     let load = || {
-        let short = Load::new(11).stream(30.0, (0.0, 60.0), &Ask::short());
-        short.stream(0.3, (0.0, 60.0), &Ask::long(60_000))
+        let short = Load::new(11).stream(30.0, (0.0, 60.0), &RequestSpec::short());
+        short.stream(0.3, (0.0, 60.0), &RequestSpec::long(60_000))
     };
     let p95 = |simulation: Simulation| {
         simulation
@@ -336,16 +336,16 @@
 /// it, and two such catalogues never hold a part each.
 #[test]
 fn a_huge_prompt_does_not_starve() {
-    let audit = Ask {
+    let audit = RequestSpec {
         customer: "studio",
         output: 600,
         output_max: 1_000,
-        ..Ask::long(60_000)
+        ..RequestSpec::long(60_000)
     };
-    let huge = Ask {
+    let huge = RequestSpec {
         output: 200,
         output_max: 300,
-        ..Ask::long(750_000)
+        ..RequestSpec::long(750_000)
     };
     let load = Load::new(12)
         .stream(1.5, (0.0, 240.0), &audit)
@@ -355,7 +355,7 @@
         .engines
         .iter_mut()
         .for_each(|engine| engine.memory = 130_000);
-    let huge = simulation.play(load).0.only(|o| o.ask.prompt > 130_000);
+    let huge = simulation.play(load).0.only(|o| o.request.prompt > 130_000);
     assert!(
         huge.part() > 0.99,
         "huge done {} of {}",
@@ -367,7 +367,7 @@
         assert!(
             wait < 200.0,
             "{} tokens waited {wait} s",
-            outcome.ask.prompt
+            outcome.request.prompt
         );
         assert!(outcome.engines.is_sorted());
     }
@@ -377,10 +377,10 @@
 /// kept free of them.
 #[test]
 fn long_work_never_takes_all_engines() {
-    let short = || Load::new(13).stream(12.0, (0.0, 60.0), &Ask::short());
-    let long = Ask {
+    let short = || Load::new(13).stream(12.0, (0.0, 60.0), &RequestSpec::short());
+    let long = RequestSpec {
         customer: "studio",
-        ..Ask::long(60_000)
+        ..RequestSpec::long(60_000)
     };
     let p95 = |name, load| play(name, load).class(LengthClass::Short).ttft(0.95);
     let flooded = || short().stream(2.0, (0.0, 60.0), &long);
