--- a/examples/sweep/scenario.rs
+++ b/examples/sweep/scenario.rs
@@ -14,10 +14,10 @@
 use banyanarch::upstream::LoadReport;
 
 use crate::decide_fakes::Engine;
-use crate::decide_fakes::Load;
 use crate::decide_fakes::Outcomes;
 use crate::decide_fakes::RequestSpec;
 use crate::decide_fakes::Simulation;
+use crate::decide_fakes::Workload;
 use crate::decide_fakes::config;
 
 const ENGINES: usize = 20;
@@ -73,17 +73,17 @@
         Simulation::new(engines, policies)
     }
 
-    fn play(&self, load: Load) -> Outcomes {
+    fn play(&self, load: Workload) -> Outcomes {
         self.simulation(1).play(load).0
     }
 }
 
-fn shorts(seed: u64, rate: f64) -> Load {
-    Load::new(seed).stream(rate, (0.0, 120.0), &RequestSpec::short())
+fn shorts(seed: u64, rate: f64) -> Workload {
+    Workload::new(seed).stream(rate, (0.0, 120.0), &RequestSpec::short())
 }
 
 /// Long prompts that take about half of the engines' time.
-fn with_long(load: Load) -> Load {
+fn with_long(load: Workload) -> Workload {
     let long = |prompt| RequestSpec {
         customer: "studio",
         ..RequestSpec::long(prompt)
@@ -137,9 +137,10 @@
         limit: Duration::from_secs(8),
         ..RequestSpec::short()
     };
-    let load = Load::new(3)
-        .stream(30.0, MINUTE, &request)
-        .stream(270.0, (20.0, 25.0), &request);
+    let load =
+        Workload::new(3)
+            .stream(30.0, MINUTE, &request)
+            .stream(270.0, (20.0, 25.0), &request);
     let all = setup.play(load);
     let after = all.only(|o| o.request.at >= Duration::from_secs(35));
     format!(
@@ -158,7 +159,7 @@
         limit: Duration::from_secs(10),
         ..RequestSpec::short()
     };
-    let mut load = Load::new(5);
+    let mut load = Workload::new(5);
     for large in ["studio", "agency"] {
         load = load.stream(108.0, MINUTE, &request(large));
     }
@@ -185,7 +186,7 @@
         prefix: Some((prefix, 3_000)),
         ..RequestSpec::short()
     };
-    let mut load = Load::new(9).stream(35.0, MINUTE, &request(1_000));
+    let mut load = Workload::new(9).stream(35.0, MINUTE, &request(1_000));
     for prefix in 0..100 {
         load = load.stream(0.35, MINUTE, &request(prefix));
     }
@@ -223,7 +224,7 @@
         limit: Duration::from_secs(6),
         ..RequestSpec::short()
     };
-    let play = |rate| setup.play(Load::new(13).stream(rate, MINUTE, &request));
+    let play = |rate| setup.play(Workload::new(13).stream(rate, MINUTE, &request));
     let (once, twice) = (play(110.0), play(240.0));
     format!(
         "goodput at twice {:.3} of that at capacity, done {:.3}, refused {:.3}, p95 {:.2} s",
@@ -247,7 +248,7 @@
     };
     let play = |part: f64| {
         let all_along = (0.0, 150.0);
-        let load = Load::new(17).stream(55.0 * part, all_along, &short);
+        let load = Workload::new(17).stream(55.0 * part, all_along, &short);
         let all = setup.play(load.stream(0.9 * part, all_along, &long));
         all.only(|o| (30..90).contains(&o.request.at.as_secs()))
     };
@@ -277,7 +278,7 @@
     simulation.retry_with(|now| RetryBudget::new(1, now));
     simulation.outage = Some((0..10, 20.0, 25.0));
     let all = simulation
-        .play(Load::new(19).stream(80.0, MINUTE, &request))
+        .play(Workload::new(19).stream(80.0, MINUTE, &request))
         .0;
     let attempts: u32 = all.0.iter().map(|o| o.attempts).sum();
     let after = all.only(|o| o.request.at >= Duration::from_secs(30));
--- a/tests/decide_fakes/bench.rs
+++ b/tests/decide_fakes/bench.rs
@@ -26,9 +26,9 @@
 use indexmap::IndexMap;
 
 use super::Engine;
-use super::Load;
 use super::Outcome;
 use super::Outcomes;
+use super::Workload;
 use super::engine::Event;
 
 const STEP: Duration = Duration::from_millis(5);
@@ -81,7 +81,7 @@
     }
 
     /// Plays the load to its end and returns what callers got, in the order of their requests.
-    pub fn play(mut self, load: Load) -> (Outcomes, Self) {
+    pub fn play(mut self, load: Workload) -> (Outcomes, Self) {
         let mut requests = load.requests;
         requests.sort_by_key(|request| request.at);
         let last = requests
--- a/tests/decide_fakes/load.rs
+++ b/tests/decide_fakes/load.rs
@@ -52,12 +52,12 @@
     }
 }
 
-pub struct Load {
+pub struct Workload {
     pub requests: Vec<RequestSpec>,
     rng: StdRng,
 }
 
-impl Load {
+impl Workload {
     pub fn new(seed: u64) -> Self {
         Self {
             requests: Vec::new(),
--- a/tests/decide_fakes/mod.rs
+++ b/tests/decide_fakes/mod.rs
@@ -11,8 +11,8 @@
 
 pub use bench::Simulation;
 pub use engine::Engine;
-pub use load::Load;
 pub use load::RequestSpec;
+pub use load::Workload;
 pub use load::config;
 pub use outcome::Outcome;
 pub use outcome::Outcomes;
--- a/tests/decide_load.rs
+++ b/tests/decide_load.rs
@@ -16,10 +16,10 @@
 use yare::parameterized;
 
 use decide_fakes::Engine;
-use decide_fakes::Load;
 use decide_fakes::Outcomes;
 use decide_fakes::RequestSpec;
 use decide_fakes::Simulation;
+use decide_fakes::Workload;
 use decide_fakes::config;
 
 const SPEED: f64 = 8_000.0;
@@ -36,7 +36,7 @@
     )
 }
 
-fn play(name: PolicyName, load: Load) -> Outcomes {
+fn play(name: PolicyName, load: Workload) -> Outcomes {
     simulation(name, 1).play(load).0
 }
 
@@ -47,12 +47,12 @@
     }
 }
 
-fn mixed(seed: u64) -> Load {
+fn mixed(seed: u64) -> Workload {
     let long = RequestSpec {
         customer: "studio",
         ..RequestSpec::long(60_000)
     };
-    Load::new(seed)
+    Workload::new(seed)
         .stream(12.0, (0.0, 60.0), &RequestSpec::short())
         .stream(0.5, (0.0, 60.0), &long)
 }
@@ -72,7 +72,7 @@
     };
     let alone = play(
         PolicyName::Shipped,
-        Load::new(1).stream(12.0, (0.0, 60.0), &RequestSpec::short()),
+        Workload::new(1).stream(12.0, (0.0, 60.0), &RequestSpec::short()),
     );
     let slowdown = |name| play(name, mixed(1)).ttft(0.95) / alone.ttft(0.95);
     let (shipped, least) = (
@@ -96,7 +96,7 @@
         ..RequestSpec::long(60_000)
     };
     let load = || {
-        let short = Load::new(2).stream(70.0, (0.0, 80.0), &within(8));
+        let short = Workload::new(2).stream(70.0, (0.0, 80.0), &within(8));
         short.stream(0.1, (10.0, 20.0), &long)
     };
     let done = |name| play(name, load()).class(LengthClass::Long).part();
@@ -109,7 +109,7 @@
 #[test]
 fn a_burst_is_over_soon() {
     let load = || {
-        let usual = Load::new(3).stream(15.0, (0.0, 40.0), &within(8));
+        let usual = Workload::new(3).stream(15.0, (0.0, 40.0), &within(8));
         usual.stream(135.0, (10.0, 15.0), &within(8))
     };
     let all = play(PolicyName::Shipped, load());
@@ -131,7 +131,7 @@
         ..within(10)
     };
     let load = || {
-        let mut load = Load::new(4);
+        let mut load = Workload::new(4);
         for (customer, rate) in [
             ("studio", 54.0),
             ("agency", 54.0),
@@ -170,7 +170,7 @@
         ..RequestSpec::short()
     };
     let load = || {
-        let hot = Load::new(5).stream(16.0, (0.0, 40.0), &request(1_000));
+        let hot = Workload::new(5).stream(16.0, (0.0, 40.0), &request(1_000));
         (0..40).fold(hot, |load, prefix| {
             load.stream(0.4, (0.0, 40.0), &request(prefix))
         })
@@ -196,7 +196,7 @@
         let mut simulation = simulation(name, 1);
         simulation.engines[3].pace = pace;
         simulation
-            .play(Load::new(6).stream(25.0, (0.0, 60.0), &RequestSpec::short()))
+            .play(Workload::new(6).stream(25.0, (0.0, 60.0), &RequestSpec::short()))
             .0
     };
     let (well, slow) = (
@@ -219,7 +219,7 @@
 #[test]
 fn saturation_keeps_the_goodput() {
     let goodput = |name, rate| {
-        let all = play(name, Load::new(7).stream(rate, (0.0, 60.0), &within(6)));
+        let all = play(name, Workload::new(7).stream(rate, (0.0, 60.0), &within(6)));
         let expired = all.only(|o| o.refused == Some(RefuseReason::Expired));
         (all.goodput(), expired.0.len())
     };
@@ -243,7 +243,7 @@
         simulation.retry_with(|now| RetryBudget::new(1, now));
         simulation.outage = Some((0..5, 10.0, 15.0));
         simulation
-            .play(Load::new(8).stream(20.0, (0.0, 40.0), &within(10)))
+            .play(Workload::new(8).stream(20.0, (0.0, 40.0), &within(10)))
             .0
     };
     let (shipped, robin) = (outage(PolicyName::Shipped), outage(PolicyName::RoundRobin));
@@ -316,7 +316,7 @@
 #[test]
 fn one_home_beats_seven_hosts_alone() {
     let load = || {
-        let short = Load::new(11).stream(30.0, (0.0, 60.0), &RequestSpec::short());
+        let short = Workload::new(11).stream(30.0, (0.0, 60.0), &RequestSpec::short());
         short.stream(0.3, (0.0, 60.0), &RequestSpec::long(60_000))
     };
     let p95 = |simulation: Simulation| {
@@ -347,9 +347,10 @@
         output_max: 300,
         ..RequestSpec::long(750_000)
     };
-    let load = Load::new(12)
-        .stream(1.5, (0.0, 240.0), &audit)
-        .stream(0.04, (20.0, 100.0), &huge);
+    let load =
+        Workload::new(12)
+            .stream(1.5, (0.0, 240.0), &audit)
+            .stream(0.04, (20.0, 100.0), &huge);
     let mut simulation = simulation(PolicyName::Shipped, 1);
     simulation
         .engines
@@ -377,7 +378,7 @@
 /// kept free of them.
 #[test]
 fn long_work_never_takes_all_engines() {
-    let short = || Load::new(13).stream(12.0, (0.0, 60.0), &RequestSpec::short());
+    let short = || Workload::new(13).stream(12.0, (0.0, 60.0), &RequestSpec::short());
     let long = RequestSpec {
         customer: "studio",
         ..RequestSpec::long(60_000)
