--- a/examples/sweep/scenario.rs
+++ b/examples/sweep/scenario.rs
@@ -73,8 +73,8 @@
         Simulation::new(engines, policies)
     }
 
-    fn play(&self, load: Workload) -> Outcomes {
-        self.simulation(1).play(load).0
+    fn run(&self, load: Workload) -> Outcomes {
+        self.simulation(1).run(load).0
     }
 }
 
@@ -98,7 +98,7 @@
     let play = |load| {
         let mut simulation = setup.simulation(1);
         simulation.engines.iter_mut().for_each(change);
-        simulation.play(load).0
+        simulation.run(load).0
     };
     let alone = play(shorts(7, 24.0));
     let all = play(with_long(shorts(7, 24.0)));
@@ -141,7 +141,7 @@
         Workload::new(3)
             .stream(30.0, MINUTE, &request)
             .stream(270.0, (20.0, 25.0), &request);
-    let all = setup.play(load);
+    let all = setup.run(load);
     let after = all.only(|o| o.request.at >= Duration::from_secs(35));
     format!(
         "done {:.3}, refused {:.3}, p95 {:.2} s; from 10 s after the burst on: p95 {:.3} s",
@@ -166,7 +166,7 @@
     for small in ["desk", "karaoke", "branch", "app"] {
         load = load.stream(6.0, MINUTE, &request(small));
     }
-    let all = setup.play(load);
+    let all = setup.run(load);
     let small = all.only(|o| !["studio", "agency"].contains(&o.request.customer));
     let large = all.only(|o| ["studio", "agency"].contains(&o.request.customer));
     format!(
@@ -190,7 +190,7 @@
     for prefix in 0..100 {
         load = load.stream(0.35, MINUTE, &request(prefix));
     }
-    let all = setup.play(load);
+    let all = setup.run(load);
     let on = |index: usize| all.only(|o| o.engines.first() == Some(&index)).0.len();
     let most = (0..ENGINES).map(on).max().unwrap_or(0);
     format!(
@@ -206,7 +206,7 @@
 pub(crate) fn slow_upstream(setup: &Setup) -> String {
     let mut simulation = setup.simulation(1);
     simulation.engines[5].pace = 0.2;
-    let all = simulation.play(shorts(11, 60.0)).0;
+    let all = simulation.run(shorts(11, 60.0)).0;
     let slow = all.only(|o| o.engines.first() == Some(&5)).0.len();
     format!(
         "p50 {:.3} p95 {:.3} p99 {:.3} s, done {:.3}, on the slow one {:.3} of all",
@@ -224,7 +224,7 @@
         limit: Duration::from_secs(6),
         ..RequestSpec::short()
     };
-    let play = |rate| setup.play(Workload::new(13).stream(rate, MINUTE, &request));
+    let play = |rate| setup.run(Workload::new(13).stream(rate, MINUTE, &request));
     let (once, twice) = (play(110.0), play(240.0));
     format!(
         "goodput at twice {:.3} of that at capacity, done {:.3}, refused {:.3}, p95 {:.2} s",
@@ -249,7 +249,7 @@
     let play = |part: f64| {
         let all_along = (0.0, 150.0);
         let load = Workload::new(17).stream(55.0 * part, all_along, &short);
-        let all = setup.play(load.stream(0.9 * part, all_along, &long));
+        let all = setup.run(load.stream(0.9 * part, all_along, &long));
         all.only(|o| (30..90).contains(&o.request.at.as_secs()))
     };
     let (once, twice) = (play(1.0), play(2.0));
@@ -278,7 +278,7 @@
     simulation.retry_with(|now| RetryBudget::new(1, now));
     simulation.outage = Some((0..10, 20.0, 25.0));
     let all = simulation
-        .play(Workload::new(19).stream(80.0, MINUTE, &request))
+        .run(Workload::new(19).stream(80.0, MINUTE, &request))
         .0;
     let attempts: u32 = all.0.iter().map(|o| o.attempts).sum();
     let after = all.only(|o| o.request.at >= Duration::from_secs(30));
@@ -307,7 +307,7 @@
     let figures = changes.map(|(name, change)| {
         let mut simulation = setup.simulation(1);
         simulation.report_as = change;
-        let all = simulation.play(with_long(shorts(7, 24.0))).0;
+        let all = simulation.run(with_long(shorts(7, 24.0))).0;
         let short = all.class(LengthClass::Short);
         format!(
             "{name}: short p95 {:.3} s done {:.3}",
@@ -327,7 +327,7 @@
         };
         let engines = (0..ENGINES).map(|_| Engine::new(300_000, SPEED)).collect();
         let simulation = Simulation::new(engines, vec![policy_for(setup.policy, &conf, 1)]);
-        let all = simulation.play(with_long(shorts(7, 24.0))).0;
+        let all = simulation.run(with_long(shorts(7, 24.0))).0;
         let short = all.class(LengthClass::Short);
         format!(
             "x{factor}: short p95 {:.3} s done {:.3}",
@@ -341,7 +341,7 @@
 /// Seven hosts that decide each by itself, against one home.
 fn seven_hosts(setup: &Setup) -> String {
     let figures = [1, 7].map(|hosts| {
-        let all = setup.simulation(hosts).play(with_long(shorts(7, 60.0))).0;
+        let all = setup.simulation(hosts).run(with_long(shorts(7, 60.0))).0;
         format!(
             "{hosts} deciding: {}, done {:.3}",
             by_class(&all),
--- a/tests/decide_fakes/bench.rs
+++ b/tests/decide_fakes/bench.rs
@@ -81,7 +81,7 @@
     }
 
     /// Plays the load to its end and returns what callers got, in the order of their requests.
-    pub fn play(mut self, load: Workload) -> (Outcomes, Self) {
+    pub fn run(mut self, load: Workload) -> (Outcomes, Self) {
         let mut requests = load.requests;
         requests.sort_by_key(|request| request.at);
         let last = requests
--- a/tests/decide_load.rs
+++ b/tests/decide_load.rs
@@ -37,7 +37,7 @@
 }
 
 fn play(name: PolicyName, load: Workload) -> Outcomes {
-    simulation(name, 1).play(load).0
+    simulation(name, 1).run(load).0
 }
 
 fn within(seconds: u64) -> RequestSpec {
@@ -68,7 +68,7 @@
             .engines
             .iter_mut()
             .for_each(|engine| engine.honours_rank = honours_rank);
-        simulation.play(load).0.class(LengthClass::Short)
+        simulation.run(load).0.class(LengthClass::Short)
     };
     let alone = play(
         PolicyName::Shipped,
@@ -196,7 +196,7 @@
         let mut simulation = simulation(name, 1);
         simulation.engines[3].pace = pace;
         simulation
-            .play(Workload::new(6).stream(25.0, (0.0, 60.0), &RequestSpec::short()))
+            .run(Workload::new(6).stream(25.0, (0.0, 60.0), &RequestSpec::short()))
             .0
     };
     let (well, slow) = (
@@ -243,7 +243,7 @@
         simulation.retry_with(|now| RetryBudget::new(1, now));
         simulation.outage = Some((0..5, 10.0, 15.0));
         simulation
-            .play(Workload::new(8).stream(20.0, (0.0, 40.0), &within(10)))
+            .run(Workload::new(8).stream(20.0, (0.0, 40.0), &within(10)))
             .0
     };
     let (shipped, robin) = (outage(PolicyName::Shipped), outage(PolicyName::RoundRobin));
@@ -277,7 +277,7 @@
             .iter_mut()
             .for_each(|engine| engine.honours_rank = honours_rank);
         simulation
-            .play(mixed(9))
+            .run(mixed(9))
             .0
             .class(LengthClass::Short)
             .ttft(0.95)
@@ -302,7 +302,7 @@
         let engines = (0..10).map(|_| Engine::new(300_000, SPEED)).collect();
         let simulation = Simulation::new(engines, vec![policy_for(PolicyName::Shipped, &conf, 1)]);
         simulation
-            .play(mixed(10))
+            .run(mixed(10))
             .0
             .class(LengthClass::Short)
             .ttft(0.95)
@@ -321,7 +321,7 @@
     };
     let p95 = |simulation: Simulation| {
         simulation
-            .play(load())
+            .run(load())
             .0
             .class(LengthClass::Short)
             .ttft(0.95)
@@ -356,7 +356,7 @@
         .engines
         .iter_mut()
         .for_each(|engine| engine.memory = 130_000);
-    let huge = simulation.play(load).0.only(|o| o.request.prompt > 130_000);
+    let huge = simulation.run(load).0.only(|o| o.request.prompt > 130_000);
     assert!(
         huge.part() > 0.99,
         "huge done {} of {}",
