--- a/examples/sweep/scenario.rs
+++ b/examples/sweep/scenario.rs
@@ -110,7 +110,7 @@
         short.ttft(0.99) / alone.ttft(0.99),
         by_class(&all),
         all.ttft(0.95),
-        all.part(),
+        all.completed_fraction(),
     )
 }
 
@@ -145,7 +145,7 @@
     let after = all.only(|o| o.request.at >= Duration::from_secs(35));
     format!(
         "done {:.3}, refused {:.3}, p95 {:.2} s; from 10 s after the burst on: p95 {:.3} s",
-        all.part(),
+        all.completed_fraction(),
         all.refused() as f64 / all.0.len() as f64,
         all.ttft(0.95),
         after.ttft(0.95),
@@ -171,9 +171,9 @@
     let large = all.only(|o| ["studio", "agency"].contains(&o.request.customer));
     format!(
         "small done {:.3} p95 {:.2} s, large done {:.3} p95 {:.2} s, goodput {:.0} tok/s",
-        small.part(),
+        small.completed_fraction(),
         small.ttft(0.95),
-        large.part(),
+        large.completed_fraction(),
         large.ttft(0.95),
         all.goodput() / 60.0,
     )
@@ -197,7 +197,7 @@
         "p50 {:.3} s p95 {:.3} s, done {:.3}, fullest engine {:.3} of all",
         all.ttft(0.5),
         all.ttft(0.95),
-        all.part(),
+        all.completed_fraction(),
         most as f64 / all.0.len() as f64,
     )
 }
@@ -213,7 +213,7 @@
         all.ttft(0.5),
         all.ttft(0.95),
         all.ttft(0.99),
-        all.part(),
+        all.completed_fraction(),
         slow as f64 / all.0.len() as f64,
     )
 }
@@ -229,7 +229,7 @@
     format!(
         "goodput at twice {:.3} of that at capacity, done {:.3}, refused {:.3}, p95 {:.2} s",
         twice.goodput() / once.goodput(),
-        twice.part(),
+        twice.completed_fraction(),
         twice.refused() as f64 / twice.0.len() as f64,
         twice.ttft(0.95),
     )
@@ -261,9 +261,9 @@
         "goodput at twice {:.3}, {:.0} tok/s, short done {:.3} p95 {:.2} s, long done {:.3} p95 {:.2} s",
         twice.goodput() / once.goodput(),
         twice.goodput() / 60.0,
-        short.part(),
+        short.completed_fraction(),
         short.ttft(0.95),
-        long.part(),
+        long.completed_fraction(),
         long.ttft(0.95),
     )
 }
@@ -284,9 +284,9 @@
     let after = all.only(|o| o.request.at >= Duration::from_secs(30));
     format!(
         "done {:.3}, attempts a request {:.3}; from 5 s after it on: done {:.3}, p95 {:.3} s",
-        all.part(),
+        all.completed_fraction(),
         f64::from(attempts) / all.0.len() as f64,
-        after.part(),
+        after.completed_fraction(),
         after.ttft(0.95),
     )
 }
@@ -312,7 +312,7 @@
         format!(
             "{name}: short p95 {:.3} s done {:.3}",
             short.ttft(0.95),
-            all.part()
+            all.completed_fraction()
         )
     });
     figures.join(", ")
@@ -332,7 +332,7 @@
         format!(
             "x{factor}: short p95 {:.3} s done {:.3}",
             short.ttft(0.95),
-            all.part()
+            all.completed_fraction()
         )
     });
     figures.join(", ")
@@ -345,7 +345,7 @@
         format!(
             "{hosts} deciding: {}, done {:.3}",
             by_class(&all),
-            all.part()
+            all.completed_fraction()
         )
     });
     figures.join("; ")
--- a/tests/decide_fakes/outcome.rs
+++ b/tests/decide_fakes/outcome.rs
@@ -71,7 +71,7 @@
     }
 
     /// The part completed in time.
-    pub fn part(&self) -> f64 {
+    pub fn completed_fraction(&self) -> f64 {
         self.completed() as f64 / self.0.len().max(1) as f64
     }
 
--- a/tests/decide_load.rs
+++ b/tests/decide_load.rs
@@ -99,7 +99,11 @@
         let short = Workload::new(2).stream(70.0, (0.0, 80.0), &within(8));
         short.stream(0.1, (10.0, 20.0), &long)
     };
-    let done = |name| play(name, load()).class(LengthClass::Long).part();
+    let done = |name| {
+        play(name, load())
+            .class(LengthClass::Long)
+            .completed_fraction()
+    };
     assert!(done(PolicyName::LeastInFlight) < 0.5);
     assert!(done(PolicyName::Shipped) > 0.9);
 }
@@ -115,7 +119,11 @@
     let all = play(PolicyName::Shipped, load());
     let let_in = all.only(|o| o.refused.is_none());
     let after = all.only(|o| o.request.at > Duration::from_secs(25));
-    assert!(let_in.part() > 0.97, "let in and done {}", let_in.part());
+    assert!(
+        let_in.completed_fraction() > 0.97,
+        "let in and done {}",
+        let_in.completed_fraction()
+    );
     assert!(after.ttft(0.95) < 0.4, "after {}", after.ttft(0.95));
     let least = play(PolicyName::LeastInFlight, load());
     assert!(all.completed() > least.completed());
@@ -147,7 +155,11 @@
     let is_large = |o: &decide_fakes::Outcome| ["studio", "agency"].contains(&o.request.customer);
     let all = play(PolicyName::Shipped, load());
     let (small, large) = (all.only(|o| !is_large(o)), all.only(is_large));
-    assert!(small.part() > 0.99, "small done {}", small.part());
+    assert!(
+        small.completed_fraction() > 0.99,
+        "small done {}",
+        small.completed_fraction()
+    );
     assert!(small.ttft(0.95) * 5.0 < large.ttft(0.95));
     let (studio, agency) = (
         all.customer("studio").completed(),
@@ -248,8 +260,12 @@
     };
     let (shipped, robin) = (outage(PolicyName::Shipped), outage(PolicyName::RoundRobin));
     let retries = |all: &Outcomes| all.0.iter().map(|o| o.attempts - 1).sum::<u32>();
-    assert!(shipped.part() > 0.98, "shipped {}", shipped.part());
-    assert!(shipped.part() > robin.part());
+    assert!(
+        shipped.completed_fraction() > 0.98,
+        "shipped {}",
+        shipped.completed_fraction()
+    );
+    assert!(shipped.completed_fraction() > robin.completed_fraction());
     assert!(retries(&shipped) <= 60, "{} retries", retries(&shipped));
     let after = shipped.only(|o| o.request.at > Duration::from_secs(30));
     assert!(after.ttft(0.95) < 0.4, "after {}", after.ttft(0.95));
@@ -358,7 +374,7 @@
         .for_each(|engine| engine.memory = 130_000);
     let huge = simulation.run(load).0.only(|o| o.request.prompt > 130_000);
     assert!(
-        huge.part() > 0.99,
+        huge.completed_fraction() > 0.99,
         "huge done {} of {}",
         huge.completed(),
         huge.0.len()
