--- a/examples/sweep/scenario.rs
+++ b/examples/sweep/scenario.rs
@@ -128,7 +128,7 @@
 }
 
 fn short_among_long_no_ranks(setup: &Setup) -> String {
-    mixed(setup, |engine| engine.honours_rank = false)
+    mixed(setup, |engine| engine.honours_priority = false)
 }
 
 /// Ten times the load for five seconds.
--- a/tests/decide_fakes/engine.rs
+++ b/tests/decide_fakes/engine.rs
@@ -24,7 +24,7 @@
     /// How fast it works, 1 as it should.
     pub pace: f64,
     /// Whether prefill of a lower rank waits for that of a higher one.
-    pub honours_rank: bool,
+    pub honours_priority: bool,
     pub is_dead: bool,
     pub jobs: IndexMap<AttemptId, Job>,
     cache: IndexMap<ContentHash, u64>,
@@ -55,7 +55,7 @@
             slots: 32,
             speed,
             pace: 1.0,
-            honours_rank: true,
+            honours_priority: true,
             is_dead: false,
             jobs: IndexMap::new(),
             cache: IndexMap::new(),
@@ -117,14 +117,14 @@
         let mut prefills: Vec<_> = running()
             .filter(|(_, job)| job.prefill_left > 0.0)
             .collect();
-        if self.honours_rank {
+        if self.honours_priority {
             prefills.sort_by_key(|(_, job)| job.rank);
         }
         let mut budget = CHUNK_TOKENS;
         let count = prefills.len() as f64;
         let mut chunks = Vec::new();
         for (attempt, job) in &prefills {
-            let most = if self.honours_rank {
+            let most = if self.honours_priority {
                 budget
             } else {
                 CHUNK_TOKENS / count
--- a/tests/decide_load.rs
+++ b/tests/decide_load.rs
@@ -61,13 +61,13 @@
 /// Audits go to any engine that looks free, and the clause is read between their chunks or beside
 /// them, so that it comes late. Engines kept free of long prefill answer it as if there were none.
 #[parameterized(by_rank = { true }, all_alike = { false })]
-fn short_prompts_hardly_notice_long_ones(honours_rank: bool) {
+fn short_prompts_hardly_notice_long_ones(honours_priority: bool) {
     let play = |name, load| {
         let mut simulation = simulation(name, 1);
         simulation
             .engines
             .iter_mut()
-            .for_each(|engine| engine.honours_rank = honours_rank);
+            .for_each(|engine| engine.honours_priority = honours_priority);
         simulation.run(load).0.class(LengthClass::Short)
     };
     let alone = play(
@@ -282,7 +282,7 @@
 )]
 fn wrong_reports_do_little_harm(
     report_as: fn(&LoadReport) -> LoadReport,
-    honours_rank: bool,
+    honours_priority: bool,
     bound: f64,
 ) {
     let p95 = |change: fn(&LoadReport) -> LoadReport| {
@@ -291,7 +291,7 @@
         simulation
             .engines
             .iter_mut()
-            .for_each(|engine| engine.honours_rank = honours_rank);
+            .for_each(|engine| engine.honours_priority = honours_priority);
         simulation
             .run(mixed(9))
             .0
