--- a/examples/sweep/scenario.rs
+++ b/examples/sweep/scenario.rs
@@ -275,7 +275,7 @@
         ..RequestSpec::short()
     };
     let mut simulation = setup.simulation(1);
-    simulation.retry_with(|now| RetryBudget::new(1, now));
+    simulation.enable_retries(|now| RetryBudget::new(1, now));
     simulation.outage = Some((0..10, 20.0, 25.0));
     let all = simulation
         .run(Workload::new(19).stream(80.0, MINUTE, &request))
@@ -306,7 +306,7 @@
     ];
     let figures = changes.map(|(name, change)| {
         let mut simulation = setup.simulation(1);
-        simulation.report_as = change;
+        simulation.alter_report = change;
         let all = simulation.run(with_long(shorts(7, 24.0))).0;
         let short = all.class(LengthClass::Short);
         format!(
--- a/tests/decide_fakes/bench.rs
+++ b/tests/decide_fakes/bench.rs
@@ -45,7 +45,7 @@
     /// Engines that are down, with from and to in seconds.
     pub outage: Option<(std::ops::Range<usize>, f64, f64)>,
     /// Changes a report before it is delivered.
-    pub report_as: fn(&LoadReport) -> LoadReport,
+    pub alter_report: fn(&LoadReport) -> LoadReport,
     pub decided_in: Duration,
     start: Instant,
 }
@@ -74,7 +74,7 @@
             again: Vec::new(),
             budget: None,
             outage: None,
-            report_as: Clone::clone,
+            alter_report: Clone::clone,
             decided_in: Duration::ZERO,
             start,
         }
@@ -116,7 +116,7 @@
     }
 
     /// Lets hosts retry within a budget.
-    pub fn retry_with(&mut self, budget: impl FnOnce(Instant) -> RetryBudget) {
+    pub fn enable_retries(&mut self, budget: impl FnOnce(Instant) -> RetryBudget) {
         self.budget = Some(budget(self.start));
     }
 
@@ -346,7 +346,7 @@
 
     fn deliver(&mut self, reports: &[LoadReport]) {
         for (index, report) in reports.iter().enumerate() {
-            let report = (self.report_as)(report);
+            let report = (self.alter_report)(report);
             for policy in &mut self.policies {
                 policy.on_load_report(&name(index), &report, self.clock.now());
             }
--- a/tests/decide_load.rs
+++ b/tests/decide_load.rs
@@ -252,7 +252,7 @@
 fn an_outage_costs_few_callers_and_few_retries() {
     let outage = |name| {
         let mut simulation = simulation(name, 1);
-        simulation.retry_with(|now| RetryBudget::new(1, now));
+        simulation.enable_retries(|now| RetryBudget::new(1, now));
         simulation.outage = Some((0..5, 10.0, 15.0));
         simulation
             .run(Workload::new(8).stream(20.0, (0.0, 40.0), &within(10)))
@@ -281,13 +281,13 @@
     tenfold_no_ranks = { times_ten, false, 1.3 },
 )]
 fn wrong_reports_do_little_harm(
-    report_as: fn(&LoadReport) -> LoadReport,
+    alter_report: fn(&LoadReport) -> LoadReport,
     honours_priority: bool,
     bound: f64,
 ) {
     let p95 = |change: fn(&LoadReport) -> LoadReport| {
         let mut simulation = simulation(PolicyName::Shipped, 1);
-        simulation.report_as = change;
+        simulation.alter_report = change;
         simulation
             .engines
             .iter_mut()
@@ -298,7 +298,7 @@
             .class(LengthClass::Short)
             .ttft(0.95)
     };
-    let (right, wrong) = (p95(Clone::clone), p95(report_as));
+    let (right, wrong) = (p95(Clone::clone), p95(alter_report));
     assert!(wrong < bound * right, "right {right}, wrong {wrong}");
 }
 
