--- a/examples/sweep/scenario.rs
+++ b/examples/sweep/scenario.rs
@@ -134,7 +134,7 @@
 /// Ten times the load for five seconds.
 fn burst(setup: &Setup) -> String {
     let request = RequestSpec {
-        limit: Duration::from_secs(8),
+        timeout: Duration::from_secs(8),
         ..RequestSpec::short()
     };
     let load =
@@ -156,7 +156,7 @@
 fn two_customers(setup: &Setup) -> String {
     let request = |customer| RequestSpec {
         customer,
-        limit: Duration::from_secs(10),
+        timeout: Duration::from_secs(10),
         ..RequestSpec::short()
     };
     let mut load = Workload::new(5);
@@ -221,7 +221,7 @@
 /// Twice the capacity for a minute, against just the capacity.
 pub(crate) fn saturation(setup: &Setup) -> String {
     let request = RequestSpec {
-        limit: Duration::from_secs(6),
+        timeout: Duration::from_secs(6),
         ..RequestSpec::short()
     };
     let play = |rate| setup.run(Workload::new(13).stream(rate, MINUTE, &request));
@@ -238,12 +238,12 @@
 /// Twice the capacity in short and long prompts together; what counts is asked in the middle.
 pub(crate) fn mixed_saturation(setup: &Setup) -> String {
     let short = RequestSpec {
-        limit: Duration::from_secs(10),
+        timeout: Duration::from_secs(10),
         ..RequestSpec::short()
     };
     let long = RequestSpec {
         customer: "studio",
-        limit: Duration::from_secs(60),
+        timeout: Duration::from_secs(60),
         ..RequestSpec::long(60_000)
     };
     let play = |part: f64| {
@@ -271,7 +271,7 @@
 /// Half of the engines are gone for five seconds, and hosts retry.
 fn outage(setup: &Setup) -> String {
     let request = RequestSpec {
-        limit: Duration::from_secs(10),
+        timeout: Duration::from_secs(10),
         ..RequestSpec::short()
     };
     let mut simulation = setup.simulation(1);
--- a/tests/decide_fakes/bench.rs
+++ b/tests/decide_fakes/bench.rs
@@ -86,7 +86,7 @@
         requests.sort_by_key(|request| request.at);
         let last = requests
             .iter()
-            .map(|request| request.at + request.limit)
+            .map(|request| request.at + request.timeout)
             .max()
             .unwrap_or_default();
         self.outcomes = requests.iter().map(Outcome::of).collect();
@@ -158,7 +158,7 @@
             prompt_tokens: Tokens(request.prompt),
             output_tokens: Tokens(request.output_max),
             prefixes: prefixes.into_iter().collect(),
-            deadline: self.start + request.at + request.limit,
+            deadline: self.start + request.at + request.timeout,
             avoid,
         };
         self.timed(|policies, now| policies[policy].offer(work, now));
--- a/tests/decide_fakes/load.rs
+++ b/tests/decide_fakes/load.rs
@@ -24,7 +24,7 @@
     pub prompt: u64,
     pub output_max: u64,
     pub output: u64,
-    pub limit: Duration,
+    pub timeout: Duration,
     /// Names a prefix and its length.
     pub prefix: Option<(u128, u64)>,
 }
@@ -38,7 +38,7 @@
             prompt: 1_000,
             output_max: 64,
             output: 32,
-            limit: Duration::from_secs(20),
+            timeout: Duration::from_secs(20),
             prefix: None,
         }
     }
@@ -46,7 +46,7 @@
     pub fn long(prompt: u64) -> Self {
         Self {
             prompt,
-            limit: Duration::from_secs(600),
+            timeout: Duration::from_secs(600),
             ..Self::short()
         }
     }
--- a/tests/decide_load.rs
+++ b/tests/decide_load.rs
@@ -42,7 +42,7 @@
 
 fn within(seconds: u64) -> RequestSpec {
     RequestSpec {
-        limit: Duration::from_secs(seconds),
+        timeout: Duration::from_secs(seconds),
         ..RequestSpec::short()
     }
 }
@@ -92,7 +92,7 @@
 fn long_work_has_its_part_under_load() {
     let long = RequestSpec {
         customer: "studio",
-        limit: Duration::from_secs(60),
+        timeout: Duration::from_secs(60),
         ..RequestSpec::long(60_000)
     };
     let load = || {
