--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -1,40 +1,40 @@
-//! Whether a request can still end in time.
+//! Admission: whether a request can still be finished before its deadline.
 //!
-//! Load it answers: saturation. Without it each request waits, is worked on, and ends after its
-//! caller has gone: engines are busy and nobody gets an answer.
+//! Admission protects a saturated pool. Without it every request is queued and processed but ends
+//! after its caller has given up: engines are busy and no caller gets an answer.
 
 use std::time::Duration;
 
-/// What a request is expected to take from now on.
+/// The time that a request is expected to take from now on, by phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Forecast {
-    /// In the queue.
+    /// Time in the queue.
     pub wait: Duration,
-    /// Until the first token.
+    /// Time from dispatch to the first token.
     pub prefill: Duration,
-    /// From the first token to the last.
+    /// Time from the first token to the last.
     pub output: Duration,
 }
 
-/// Whether to let a request in.
+/// Whether a request is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It should end in time.
+    /// The request is expected to end before its deadline.
     Admit,
-    /// It can't, and is told so at once.
+    /// The request cannot end before its deadline and is refused at once.
     TooLate,
 }
 
 impl Forecast {
-    /// All of it.
+    /// The sum of all phases.
     pub fn total(&self) -> Duration {
         self.wait
             .saturating_add(self.prefill)
             .saturating_add(self.output)
     }
 
-    /// Whether it ends within what remains. A pool without work always takes a request in: if the
-    /// forecast is wrong, only a run can correct it.
+    /// Admits a request if the forecast fits into the `remaining` time. An idle pool admits every
+    /// request, because only a run can correct a wrong forecast.
     pub fn admission(&self, remaining: Duration, is_idle: bool) -> Admission {
         if is_idle || self.total() <= remaining {
             Admission::Admit
--- a/src/decide/baseline/member.rs
+++ b/src/decide/baseline/baseline_upstream.rs
@@ -1,27 +1,27 @@
-//! An upstream as a baseline sees it.
+//! The state of an upstream in a baseline policy.
 
 use crate::decide::UpstreamHealth;
 use crate::decide::UpstreamInfo;
 use crate::units::Tokens;
 use crate::upstream::LoadReport;
 
-/// An upstream with what this host sent to it and what it reported last.
+/// An upstream with the work that this host sent to it and its last load report.
 #[derive(Clone, Debug)]
-pub struct Member {
-    /// As the platform's list shows it.
+pub struct BaselineUpstream {
+    /// The upstream's description from the platform and the manifest.
     pub info: UpstreamInfo,
-    /// Attempts that this host granted and that have not ended.
+    /// The number of attempts that this host granted and that have not ended.
     pub in_flight: u32,
-    /// Memory that they hold.
+    /// The memory that these attempts hold.
     pub held_tokens: Tokens,
-    /// The last report.
+    /// The last load report.
     pub report: LoadReport,
-    /// Prompt tokens that this host has sent since that report.
+    /// The prompt tokens that this host has sent since that report.
     pub sent_tokens: Tokens,
 }
 
-impl Member {
-    /// An upstream without work.
+impl BaselineUpstream {
+    /// Creates an upstream without work.
     pub fn new(info: UpstreamInfo) -> Self {
         Self {
             info,
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Whether it may get new work.
+    /// Whether the upstream may get new work.
     pub fn is_open(&self) -> bool {
         self.info.health == UpstreamHealth::Live
     }
 
-    /// Prefill work by the last report and by what was sent since.
+    /// The prefill backlog: the backlog of the last report plus the prompt tokens sent since.
     pub fn backlog_tokens(&self) -> Tokens {
         self.report.prefill_backlog_tokens + self.sent_tokens
     }
--- a/src/decide/baseline/direct.rs
+++ b/src/decide/baseline/immediate_policy.rs
@@ -1,4 +1,4 @@
-//! A policy that dispatches each request at once.
+//! A baseline policy that dispatches each request immediately.
 
 use std::mem;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use crate::decide::RefuseReason;
 use crate::decide::UpstreamInfo;
 use crate::decide::Work;
-use crate::decide::baseline::Member;
+use crate::decide::baseline::BaselineUpstream;
 use crate::decide::baseline::Picker;
 use crate::decide::gang_share;
 use crate::units::GrantId;
@@ -28,41 +28,43 @@
 use crate::upstream::CacheEvent;
 use crate::upstream::LoadReport;
 
-/// When a caller that found no upstream should come back at the earliest.
+/// The least time after which a refused caller should retry.
 const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
 
-/// Dispatches each request at once to the upstream that its [`Picker`] chooses; a prompt larger than
-/// one engine goes to as many as it needs.
-pub struct Direct<P> {
+/// A policy that dispatches each request immediately to the upstream chosen by its [`Picker`].
+///
+/// A prompt that exceeds the memory of one engine is dispatched to as many engines as it needs.
+pub struct ImmediatePolicy<P> {
     picker: P,
-    members: IndexMap<UpstreamId, Member>,
+    upstreams: IndexMap<UpstreamId, BaselineUpstream>,
     grants: IndexMap<GrantId, LiveGrant>,
-    due: Vec<Decision>,
+    pending: Vec<Decision>,
     rng: StdRng,
 }
 
-impl<P: Picker> Direct<P> {
-    /// A policy without upstreams.
+impl<P: Picker> ImmediatePolicy<P> {
+    /// Creates a policy without upstreams.
     pub fn new(picker: P, seed: u64) -> Self {
         Self {
             picker,
-            members: IndexMap::new(),
+            upstreams: IndexMap::new(),
             grants: IndexMap::new(),
-            due: Vec::new(),
+            pending: Vec::new(),
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// As many upstreams as the work needs; those that failed it before come last.
+    /// Chooses as many upstreams as the work needs. Upstreams on which it failed before come last.
     fn choose(&mut self, work: &Work, now: Instant) -> Result<Vec<UpstreamId>, RefuseReason> {
-        let mut open: Vec<&Member> = self.members.values().filter(|m| m.is_open()).collect();
+        let mut open: Vec<&BaselineUpstream> =
+            self.upstreams.values().filter(|m| m.is_open()).collect();
         if open.is_empty() {
             return Err(RefuseReason::NoUpstream);
         }
         let wanted = gang_size(work.memory_tokens(), &open).ok_or(RefuseReason::TooLarge)?;
-        let fresh = |member: &&Member| !work.avoid.contains(&member.info.id);
-        if open.iter().filter(|member| fresh(member)).count() >= wanted {
-            open.retain(fresh);
+        let is_untried = |upstream: &&BaselineUpstream| !work.avoid.contains(&upstream.info.id);
+        if open.iter().filter(|upstream| is_untried(upstream)).count() >= wanted {
+            open.retain(is_untried);
         }
         let mut chosen = Vec::with_capacity(wanted);
         for _ in 0..wanted {
@@ -77,10 +79,10 @@
         let share = gang_share(grant.work.memory_tokens(), grant.upstreams.len());
         let prompt = gang_share(grant.work.prompt_tokens, grant.upstreams.len());
         for id in &grant.upstreams {
-            if let Some(member) = self.members.get_mut(id) {
-                member.in_flight += 1;
-                member.held_tokens += share;
-                member.sent_tokens += prompt;
+            if let Some(upstream) = self.upstreams.get_mut(id) {
+                upstream.in_flight += 1;
+                upstream.held_tokens += share;
+                upstream.sent_tokens += prompt;
             }
         }
         self.grants.insert(grant.id, grant);
@@ -88,7 +90,7 @@
 
     fn refuse(&mut self, request: RequestId, reason: RefuseReason) {
         let jitter = self.rng.random_range(1.0..2.0);
-        self.due.push(Decision::Refuse {
+        self.pending.push(Decision::Refuse {
             request,
             reason,
             retry_after: RETRY_AFTER_MIN.mul_f64(jitter),
@@ -96,15 +98,15 @@
     }
 }
 
-impl<P: Picker> Policy for Direct<P> {
+impl<P: Picker> Policy for ImmediatePolicy<P> {
     fn set_upstreams(&mut self, upstreams: &[UpstreamInfo], _now: Instant) {
-        let mut old = mem::take(&mut self.members);
+        let mut old = mem::take(&mut self.upstreams);
         for seen in upstreams {
-            let mut member = old
+            let mut upstream = old
                 .swap_remove(&seen.id)
-                .unwrap_or_else(|| Member::new(seen.clone()));
-            member.info = seen.clone();
-            self.members.insert(seen.id.clone(), member);
+                .unwrap_or_else(|| BaselineUpstream::new(seen.clone()));
+            upstream.info = seen.clone();
+            self.upstreams.insert(seen.id.clone(), upstream);
         }
     }
 
@@ -121,7 +123,7 @@
             }
         };
         let id = GrantId(self.rng.random());
-        self.due.push(Decision::Dispatch(Grant {
+        self.pending.push(Decision::Dispatch(Grant {
             id,
             request: work.request,
             upstreams: upstreams.clone(),
@@ -138,7 +140,7 @@
     fn withdraw(&mut self, _request: RequestId, _now: Instant) {}
 
     fn poll(&mut self, _now: Instant) -> Vec<Decision> {
-        mem::take(&mut self.due)
+        mem::take(&mut self.pending)
     }
 
     fn next_wake(&self) -> Option<Instant> {
@@ -151,9 +153,9 @@
         };
         let share = gang_share(grant.work.memory_tokens(), grant.upstreams.len());
         for id in &grant.upstreams {
-            if let Some(member) = self.members.get_mut(id) {
-                member.in_flight = member.in_flight.saturating_sub(1);
-                member.held_tokens = member.held_tokens.saturating_sub(share);
+            if let Some(upstream) = self.upstreams.get_mut(id) {
+                upstream.in_flight = upstream.in_flight.saturating_sub(1);
+                upstream.held_tokens = upstream.held_tokens.saturating_sub(share);
             }
         }
     }
@@ -169,17 +171,26 @@
     }
 
     fn on_load_report(&mut self, upstream: &UpstreamId, report: &LoadReport, _now: Instant) {
-        if let Some(member) = self.members.get_mut(upstream) {
-            member.report = report.clone();
-            member.sent_tokens = Tokens::ZERO;
+        if let Some(upstream) = self.upstreams.get_mut(upstream) {
+            upstream.report = report.clone();
+            upstream.sent_tokens = Tokens::ZERO;
         }
     }
 
     fn on_cache_events(&mut self, _upstream: &UpstreamId, _events: &[CacheEvent], _now: Instant) {}
 
     fn load(&self, _now: Instant) -> PoolLoad {
-        let open = || self.members.values().filter(|member| member.is_open());
-        let free = |member: &Member| member.info.memory_tokens.saturating_sub(member.held_tokens);
+        let open = || {
+            self.upstreams
+                .values()
+                .filter(|upstream| upstream.is_open())
+        };
+        let free = |upstream: &BaselineUpstream| {
+            upstream
+                .info
+                .memory_tokens
+                .saturating_sub(upstream.held_tokens)
+        };
         PoolLoad {
             waiting: 0,
             running: self.grants.len() as u64,
@@ -190,9 +201,12 @@
     }
 }
 
-/// How many of the open upstreams hold this much memory together; none if all do not.
-fn gang_size(memory: Tokens, open: &[&Member]) -> Option<usize> {
-    let least = open.iter().map(|member| member.info.memory_tokens).min()?;
+/// The number of open upstreams that together have `memory`; `None` if all together have less.
+fn gang_size(memory: Tokens, open: &[&BaselineUpstream]) -> Option<usize> {
+    let least = open
+        .iter()
+        .map(|upstream| upstream.info.memory_tokens)
+        .min()?;
     if least == Tokens::ZERO {
         return Some(1);
     }
--- a/src/decide/concurrency.rs
+++ b/src/decide/concurrency.rs
@@ -1,26 +1,28 @@
-//! How many calls one instance of a plain service gets at once, by the latency that is seen.
+//! An adaptive limit on the concurrent calls to one instance of a plain service.
 //!
-//! Load it answers: a service that slows down under load. Without a limit its calls pile up inside
-//! it, all of them become slow, and callers give up on work that is still being done.
+//! The limit follows the observed latency and protects a service that slows down under load.
+//! Without a limit, calls pile up inside the service, all of them become slow, and callers give up
+//! on work that is still being done.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Calls in one sample.
+/// The number of calls that make up one latency sample.
 const SAMPLE_CALLS: u32 = 16;
-/// Latency may grow by this factor over its floor before the limit goes down: queueing of one call
-/// behind another is still useful work.
-const TOLERANCE: f64 = 1.5;
-/// The limit is never cut by more than this at once.
-const CUT_MIN: f64 = 0.7;
-/// The floor rises by this a second, so that a service that has become slower for good is not held
-/// to what it once did. It is far slower than the limit, which thus finds the floor again first.
-const FLOOR_RISE: f64 = 1.01;
-/// Where the limit begins: low, since the latency that is seen first is taken for the floor. It
-/// doubles within some dozens of calls.
-const FIRST_LIMIT: f64 = 2.0;
+/// The limit is lowered when the mean latency exceeds the latency floor by more than this factor.
+/// Some queueing of one call behind another is still useful work.
+const LATENCY_TOLERANCE: f64 = 1.5;
+/// One adjustment multiplies the limit by no less than this.
+const DECREASE_FACTOR_MIN: f64 = 0.7;
+/// The latency floor grows by this factor each second, so that a service that has become slower for
+/// good is not measured against its former latency. The limit adapts much faster than the floor
+/// grows, so the true floor is found again first.
+const FLOOR_GROWTH_PER_SECOND: f64 = 1.01;
+/// The limit of a new instance. It starts low because the first latency that is observed becomes
+/// the floor, and it doubles within some dozens of calls.
+const INITIAL_LIMIT: f64 = 2.0;
 
-/// The limit of one instance.
+/// The limit on concurrent calls to one instance.
 #[derive(Debug)]
 pub struct ConcurrencyLimit {
     limit: f64,
@@ -33,11 +35,11 @@
 }
 
 impl ConcurrencyLimit {
-    /// A limit that is never above `bound`.
+    /// Creates a limit that never exceeds `bound`.
     pub fn new(bound: u32) -> Self {
         let bound = f64::from(bound.max(1));
         Self {
-            limit: FIRST_LIMIT.min(bound),
+            limit: INITIAL_LIMIT.min(bound),
             bound,
             floor_seconds: None,
             floor_at: None,
@@ -47,20 +49,20 @@
         }
     }
 
-    /// Calls at once.
+    /// The number of calls that may run concurrently.
     #[allow(clippy::cast_possible_truncation, reason = "at most the bound")]
     #[allow(clippy::cast_sign_loss, reason = "at least 1")]
     pub fn get(&self) -> u32 {
         self.limit as u32
     }
 
-    /// The latency that is to be expected, if any was seen.
+    /// The expected latency of one call, if any call was observed.
     pub fn latency(&self) -> Option<Duration> {
         self.floor_seconds
-            .map(|floor| Duration::from_secs_f64(floor * TOLERANCE))
+            .map(|floor| Duration::from_secs_f64(floor * LATENCY_TOLERANCE))
     }
 
-    /// Takes in a call that ended, and how many were running with it.
+    /// Records the duration of a completed call and how many calls were running at its end.
     pub fn observe(&mut self, took: Duration, running: u32, now: Instant) {
         self.sum_seconds += took.as_secs_f64();
         self.calls += 1;
@@ -70,21 +72,22 @@
         }
     }
 
-    /// Lowers the limit after a failure or a refusal for load.
+    /// Lowers the limit after a call failed or was refused for overload.
     pub fn on_overload(&mut self) {
-        self.limit = (self.limit * CUT_MIN).max(1.0);
+        self.limit = (self.limit * DECREASE_FACTOR_MIN).max(1.0);
     }
 
+    /// Adjusts the limit and the latency floor by the sample that is now complete.
     fn adapt(&mut self, now: Instant) {
         let mean = (self.sum_seconds / f64::from(self.calls)).max(1.0e-6);
         let since = |at| now.saturating_duration_since(at).as_secs_f64();
-        let rise = FLOOR_RISE.powf(self.floor_at.map_or(0.0, since));
+        let growth = FLOOR_GROWTH_PER_SECOND.powf(self.floor_at.map_or(0.0, since));
         self.floor_at = Some(now);
-        let risen = self.floor_seconds.map_or(mean, |floor| floor * rise);
-        let floor = risen.min(mean);
-        let ratio = floor * TOLERANCE / mean;
+        let grown = self.floor_seconds.map_or(mean, |floor| floor * growth);
+        let floor = grown.min(mean);
+        let ratio = floor * LATENCY_TOLERANCE / mean;
         if ratio < 1.0 {
-            self.limit *= ratio.max(CUT_MIN);
+            self.limit *= ratio.max(DECREASE_FACTOR_MIN);
         } else if self.was_full {
             self.limit += self.limit.sqrt();
         }
--- a/src/decide/config.rs
+++ b/src/decide/config.rs
@@ -1,4 +1,4 @@
-//! What a policy takes from the manifest.
+//! The configuration that a policy takes from the manifest.
 
 use indexmap::IndexMap;
 
@@ -14,58 +14,58 @@
 use crate::units::Tokens;
 use crate::units::TokensPerSecond;
 
-/// The customer that stands for all that the manifest does not list.
+/// The name of the manifest entry that applies to all customers that are not listed.
 const DEFAULT_CUSTOMER: &str = "default";
 
-/// The manifest as far as it concerns one pool.
+/// The part of the manifest that concerns one pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PolicyConfig {
-    /// What the deployment weighs more heavily.
+    /// What the deployment optimizes for.
     pub objective: Objective,
-    /// Thresholds, which follow from that.
+    /// The thresholds that follow from the objective.
     pub tuning: Tuning,
-    /// What the pool's upstreams are.
+    /// The kind of the pool's upstreams.
     pub kind: PoolKind,
-    /// Customers by name.
+    /// The shares of the listed customers, by name.
     pub customers: IndexMap<CustomerId, CustomerShare>,
-    /// What holds for a customer that is not listed.
+    /// The share of a customer that is not listed.
     pub default_customer: CustomerShare,
-    /// The account of all customers that are not listed.
+    /// The account that all customers share that are not listed.
     pub default_account: CustomerId,
 }
 
-/// What the upstreams of a pool are.
+/// The kind of a pool's upstreams.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PoolKind {
     /// Model engines.
     Model {
-        /// The prefill speed of one engine, as a first estimate.
+        /// The first estimate of the prefill speed of one engine.
         prefill_speed: TokensPerSecond,
-        /// The longest prompt with its answer.
+        /// The longest context, prompt and answer together.
         context_tokens_max: Tokens,
     },
     /// Instances of a plain service.
     Service {
-        /// How many calls one instance gets at once at most.
+        /// The most concurrent calls to one instance.
         concurrency_max: u32,
     },
 }
 
-/// A customer's share of one pool.
+/// A customer's weight and rate limit in one pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CustomerShare {
-    /// Its weight against other customers of the same priority.
+    /// The customer's weight against other customers of the same priority.
     pub share: u32,
-    /// This pool's part of its rate.
+    /// This pool's fraction of the customer's request rate.
     pub rate: RequestsPerSecond,
-    /// This pool's part of its burst, at least one request.
+    /// This pool's fraction of the customer's burst, at least one request.
     pub burst_requests: f64,
 }
 
 impl PolicyConfig {
-    /// The configuration for a pool of `target`'s upstreams; none if the manifest does not know the
-    /// target. `pool_fraction` is the pool's share of all upstreams of the target, from 0 to 1:
-    /// customers' rates hold for the whole fleet and are scaled by it.
+    /// The configuration for a pool of `target`'s upstreams, or `None` if the manifest does not
+    /// list the target. `pool_fraction` is the pool's fraction of all upstreams of the target, from
+    /// 0 to 1. The manifest gives customers' rates for the whole fleet, so they are scaled by it.
     pub fn for_pool(manifest: &Manifest, target: &TargetId, pool_fraction: f64) -> Option<Self> {
         let kind = pool_kind(manifest, target)?;
         let share = |spec: &CustomerSpec| CustomerShare::of(spec, pool_fraction);
@@ -89,7 +89,7 @@
         })
     }
 
-    /// A customer's share.
+    /// The share of `customer`, or the default share if the customer is not listed.
     pub fn customer(&self, customer: &CustomerId) -> CustomerShare {
         let listed = self.customers.get(customer).copied();
         listed.unwrap_or(self.default_customer)
@@ -105,8 +105,8 @@
         }
     }
 
-    /// A customer that no line of the manifest covers: the least share and no rate of its own, so
-    /// that it is served while there is room.
+    /// The share of a customer that no entry of the manifest covers: the lowest weight and no rate
+    /// of its own, so that the customer is served only while there is spare capacity.
     fn unlisted() -> Self {
         Self {
             share: 1,
@@ -130,7 +130,7 @@
     })
 }
 
-/// Whether `target` is the model itself or `MODEL:ADAPTER`.
+/// Whether `target` is the model of `spec` or one of its adapters, written `MODEL:ADAPTER`.
 fn serves(spec: &ModelSpec, target: &TargetId) -> bool {
     let Some(rest) = target.as_str().strip_prefix(spec.name.as_str()) else {
         return false;
--- a/src/decide/drain_rate.rs
+++ b/src/decide/drain_rate.rs
@@ -1,26 +1,26 @@
-//! How fast a queue drains, as seen while it was never empty.
+//! The drain rate of a queue, measured while the queue is not empty.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// One sample covers at least this long: several dispatches even at a handful of requests a second.
-const WINDOW: Duration = Duration::from_millis(500);
-/// The weight of a new sample: a few seconds of memory.
-const GAIN: f64 = 0.2;
-/// A rate that was seen longer ago says nothing of now.
-const STALE: Duration = Duration::from_secs(10);
+/// The least time that one sample covers: several dispatches even at a few requests a second.
+const SAMPLE_WINDOW: Duration = Duration::from_millis(500);
+/// The weight of a new sample in the moving average, which averages over a few seconds.
+const SAMPLE_WEIGHT: f64 = 0.2;
+/// A rate that is older than this no longer describes the queue.
+const STALE_AFTER: Duration = Duration::from_secs(10);
 
-/// A queue's drain rate in cost units a second.
+/// The drain rate of a queue in cost units a second.
 #[derive(Debug, Default)]
 pub struct DrainRate {
     window_start: Option<Instant>,
     served: f64,
     rate: Option<f64>,
-    seen_at: Option<Instant>,
+    observed_at: Option<Instant>,
 }
 
 impl DrainRate {
-    /// Takes in what was served just now, and whether requests still wait.
+    /// Records the cost that was served just now and whether requests are still waiting.
     pub fn observe(&mut self, served: f64, is_waiting: bool, now: Instant) {
         if !is_waiting {
             self.window_start = None;
@@ -33,25 +33,26 @@
         };
         self.served += served;
         let elapsed = now.saturating_duration_since(start);
-        if elapsed < WINDOW {
+        if elapsed < SAMPLE_WINDOW {
             return;
         }
         let sample = self.served / elapsed.as_secs_f64();
         let old = self.rate.filter(|_| !self.is_stale(now));
-        self.rate = Some(old.map_or(sample, |old| old + GAIN * (sample - old)));
-        self.seen_at = Some(now);
+        self.rate = Some(old.map_or(sample, |old| old + SAMPLE_WEIGHT * (sample - old)));
+        self.observed_at = Some(now);
         self.window_start = Some(now);
         self.served = 0.0;
     }
 
-    /// The rate, or `nominal` if none was seen lately.
+    /// The measured rate, or `nominal` if there is no recent measurement.
     pub fn per_second(&self, nominal: f64, now: Instant) -> f64 {
-        let seen = self.rate.filter(|rate| *rate > 0.0 && !self.is_stale(now));
-        seen.unwrap_or(nominal)
+        let recent = self.rate.filter(|rate| *rate > 0.0 && !self.is_stale(now));
+        recent.unwrap_or(nominal)
     }
 
     fn is_stale(&self, now: Instant) -> bool {
-        let age = |seen_at| now.saturating_duration_since(seen_at);
-        self.seen_at.is_none_or(|seen_at| age(seen_at) > STALE)
+        let age = |observed_at| now.saturating_duration_since(observed_at);
+        self.observed_at
+            .is_none_or(|observed_at| age(observed_at) > STALE_AFTER)
     }
 }
--- a/src/decide/pool_upstream.rs
+++ b/src/decide/engine_upstream.rs
@@ -1,4 +1,4 @@
-//! An engine as its home sees it: the ledger, and how well it works.
+//! The state of one engine at its home: its ledger, its health and its speed.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,34 +11,34 @@
 use crate::decide::UpstreamLedger;
 use crate::decide::WarmUp;
 
-/// A frozen engine shows as attempts of which none ends. This many times what one of them should take
-/// is allowed, and this much beside, before the engine counts as failed.
+/// A frozen engine is detected by attempts of which none ends. An attempt may take its expected
+/// time this many times, and this much time in addition, before the engine counts as failed.
 const STALL_FACTOR: u32 = 3;
 const STALL_MIN: Duration = Duration::from_secs(2);
-/// The weight of one sample of the time between tokens.
-const GAP_GAIN: f64 = 0.1;
-/// Samples before an upstream can be called slow.
+/// The weight of one sample in the moving average of the time between tokens.
+const GAP_SAMPLE_WEIGHT: f64 = 0.1;
+/// The least number of prefill speed samples before an upstream can count as slow.
 const SLOW_SAMPLES_MIN: u32 = 4;
 
 /// One engine of a pool.
 #[derive(Debug)]
 pub struct EngineUpstream {
-    /// As the platform's list shows it.
+    /// The engine's description from the platform and the manifest.
     pub info: UpstreamInfo,
-    /// What it has been given.
+    /// The grants of the engine with their memory and prefill.
     pub ledger: UpstreamLedger,
-    /// Whether it is taken out.
+    /// Whether the engine is ejected from the pool.
     pub ejection: Ejection,
-    /// How warm it is.
+    /// The state of the engine's warm-up.
     pub warm_up: WarmUp,
-    /// What its cache probably holds.
+    /// The prefixes that the engine's cache probably holds.
     pub prefix: PrefixHints,
     token_gap_seconds: Option<f64>,
-    progress_at: Instant,
+    last_progress_at: Instant,
 }
 
 impl EngineUpstream {
-    /// An engine without work.
+    /// Creates an engine without work.
     pub fn new(info: UpstreamInfo, speed: SpeedEstimate, warm_up: WarmUp, now: Instant) -> Self {
         Self {
             info,
@@ -47,57 +47,57 @@
             warm_up,
             prefix: PrefixHints::new(),
             token_gap_seconds: None,
-            progress_at: now,
+            last_progress_at: now,
         }
     }
 
-    /// Whether it is not leaving.
+    /// Whether the engine is not leaving.
     pub fn is_live(&self) -> bool {
         self.info.is_live()
     }
 
-    /// What it may get now.
+    /// Which work the engine may get now.
     pub fn access(&self, now: Instant) -> Access {
         self.ejection.access_of(&self.info, now)
     }
 
-    /// Whether it may get work as usual.
+    /// Whether the engine may get any work.
     pub fn is_open(&self, now: Instant) -> bool {
         self.access(now) == Access::Open
     }
 
-    /// Attempts that have not ended.
+    /// The number of attempts that have not ended.
     pub fn running(&self) -> usize {
         self.ledger.holds().len()
     }
 
-    /// Whether it has room for one attempt more.
+    /// Whether the engine has a free slot for another attempt.
     pub fn has_slot(&self, now: Instant) -> bool {
         let slots = self.warm_up.slots(self.info.slots, now);
         self.running() < usize::try_from(slots).unwrap_or(usize::MAX)
     }
 
-    /// Takes in that it was given work: a stall counts from the first of a batch.
+    /// Records a grant. The first grant of an idle engine restarts the stall timer.
     pub fn on_grant(&mut self, now: Instant) {
         if self.running() == 0 {
-            self.progress_at = now;
+            self.last_progress_at = now;
         }
         self.ejection.on_grant(now);
     }
 
-    /// Takes in that an attempt ended.
+    /// Records the end of an attempt, with its mean time between tokens if there is one.
     pub fn on_progress(&mut self, token_gap_seconds: Option<f64>, now: Instant) {
-        self.progress_at = now;
+        self.last_progress_at = now;
         if let Some(sample) = token_gap_seconds {
             let gap = self.token_gap_seconds.get_or_insert(sample);
-            *gap += GAP_GAIN * (sample - *gap);
+            *gap += GAP_SAMPLE_WEIGHT * (sample - *gap);
         }
     }
 
-    /// Whether it has work that is long overdue, and nothing has ended meanwhile.
+    /// Whether an attempt is long overdue and no attempt has ended in the meantime.
     pub fn is_stalled(&self, now: Instant) -> bool {
         self.ledger.holds().values().any(|hold| {
-            let since = hold.since.max(self.progress_at);
+            let since = hold.since.max(self.last_progress_at);
             let allowed = hold
                 .expected
                 .saturating_mul(STALL_FACTOR)
@@ -106,8 +106,9 @@
         })
     }
 
-    /// Whether its prefill is below `slow_fraction` of the median of its pool, or its time between tokens
-    /// above the inverse. Batches of unlike lengths spread both by a factor of two.
+    /// Whether the engine's prefill speed is below `slow_fraction` of the pool's median, or its
+    /// time between tokens above the median divided by `slow_fraction`. Batches of different
+    /// lengths spread both by a factor of two.
     pub fn is_slow(&self, median: &PoolMedian, slow_fraction: f64) -> bool {
         if self.ledger.speed.samples() < SLOW_SAMPLES_MIN {
             return false;
@@ -120,17 +121,17 @@
     }
 }
 
-/// Medians over a pool's upstreams.
+/// Medians over the engines of a pool.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PoolMedian {
-    /// The prefill speed, in tokens a second.
+    /// The median prefill speed, in tokens a second.
     pub speed: f64,
-    /// The time between two tokens; 0 if none was seen.
+    /// The median time between two tokens in seconds; 0 if there is no sample.
     pub token_gap_seconds: f64,
 }
 
 impl PoolMedian {
-    /// The medians of these upstreams.
+    /// The medians over these engines.
     pub fn of<'a>(upstreams: impl Iterator<Item = &'a EngineUpstream>) -> Self {
         let (speeds, gaps): (Vec<f64>, Vec<Option<f64>>) = upstreams
             .map(|upstream| (upstream.ledger.speed.get(), upstream.token_gap_seconds))
--- a/src/decide/gang.rs
+++ b/src/decide/gang.rs
@@ -1,9 +1,9 @@
 //! Gangs: several engines that hold one prompt together.
 //!
-//! Load it answers: a prompt of more than one engine's memory on engines that are never empty. If it
-//! waits for enough of them to be empty at the same moment it waits for ever; if two such prompts
-//! each hold a part of what they need, both do. So one gang at a time has its engines reserved:
-//! they get no new long work until all of them have room, and the grant is for all or none.
+//! A prompt that exceeds the memory of one engine needs several engines at the same moment. On busy
+//! engines it would wait forever for enough of them to be free by chance, and two such prompts that
+//! each held some of their engines would deadlock. Engines are therefore reserved for one gang at a
+//! time: they get no new long work until all of them have room, and the grant covers all or none.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,39 +16,41 @@
 use crate::units::Tokens;
 use crate::units::UpstreamId;
 
-/// How much sooner an engine that is kept free of long prefill must be empty to be preferred.
-const KEPT_FREE_COST: Duration = Duration::from_secs(2);
+/// Engines that are not open to long prefill are ranked as if they had room this much later.
+const SHORT_ONLY_PENALTY: Duration = Duration::from_secs(2);
 
-/// The memory that each member of a gang holds: an even share, rounded up. Home, entry host and
-/// adopted grants all work it out the same way.
+/// The memory that each member of a gang holds: an even share of the total, rounded up. The home,
+/// the entry host and adopted grants all compute the share by this function.
 pub fn gang_share(memory: Tokens, members: usize) -> Tokens {
     let members = u64::try_from(members).unwrap_or(u64::MAX).max(1);
     Tokens(memory.0.div_ceil(members))
 }
 
-/// Engines that are being emptied for one request.
+/// Engines that are reserved for one request until they have room for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reservation {
-    /// The request.
+    /// The request that the engines are reserved for.
     pub request: RequestId,
-    /// Its engines, in the fixed order in which hosts ask them: by name.
+    /// The reserved engines, sorted by name, so that all hosts ask them in the same order.
     pub members: Vec<UpstreamId>,
-    /// What each of them is to hold.
+    /// The memory that each member is to hold.
     pub share: Tokens,
 }
 
-/// Whether there is a gang for a request.
+/// The result of planning a gang for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GangPlan {
-    /// These engines.
+    /// The engines to reserve.
     Reserve(Reservation),
-    /// Not all engines together hold it.
+    /// All engines together have too little memory for the request.
     TooLarge,
-    /// Engines that could hold it are out for now.
+    /// The engines have enough memory together, but too few of them may get work now.
     Wait,
 }
 
-/// The smallest gang that holds a request, of the engines that are empty soonest.
+/// Plans the smallest gang that can hold a request, from the engines that have room soonest.
+///
+/// The first `open_to_long` engines that may get work are open to long prefill.
 pub fn plan_gang(
     waiting: &QueuedRequest,
     upstreams: &IndexMap<UpstreamId, EngineUpstream>,
@@ -65,25 +67,25 @@
         return GangPlan::Wait;
     };
     let share = gang_share(memory, size);
-    let mut by_wait: Vec<(Duration, &UpstreamId)> = open
+    let mut candidates: Vec<(Duration, &UpstreamId)> = open
         .iter()
         .enumerate()
         .filter(|(_, upstream)| upstream.info.memory_tokens >= share)
-        .map(|(rank, upstream)| {
-            let kept_free = rank >= open_to_long;
-            let extra = if kept_free {
-                KEPT_FREE_COST
+        .map(|(index, upstream)| {
+            let is_short_only = index >= open_to_long;
+            let penalty = if is_short_only {
+                SHORT_ONLY_PENALTY
             } else {
                 Duration::ZERO
             };
             (
-                time_to_empty(upstream, share, now) + extra,
+                time_until_room(upstream, share, now) + penalty,
                 &upstream.info.id,
             )
         })
         .collect();
-    by_wait.sort();
-    let mut members: Vec<UpstreamId> = by_wait
+    candidates.sort();
+    let mut members: Vec<UpstreamId> = candidates
         .into_iter()
         .take(size)
         .map(|(_, id)| id.clone())
@@ -96,7 +98,7 @@
     })
 }
 
-/// Whether all members of a reservation have room now; none if one of them may get no work.
+/// Whether all members of a reservation have room now; `None` if one of them may get no work.
 pub fn gang_has_room(
     reservation: &Reservation,
     upstreams: &IndexMap<UpstreamId, EngineUpstream>,
@@ -111,7 +113,7 @@
     Some(has_room)
 }
 
-/// How many of these engines hold this much, the fewest possible.
+/// The least number of these engines that can hold `memory` in even shares.
 fn smallest_gang(memory: Tokens, upstreams: &[&EngineUpstream]) -> Option<usize> {
     (1..=upstreams.len()).find(|size| {
         let share = gang_share(memory, *size);
@@ -120,8 +122,8 @@
     })
 }
 
-/// How long until enough of what an engine holds is expected to have ended.
-fn time_to_empty(upstream: &EngineUpstream, share: Tokens, now: Instant) -> Duration {
+/// The time until enough of an engine's grants are expected to have ended to make room for `share`.
+fn time_until_room(upstream: &EngineUpstream, share: Tokens, now: Instant) -> Duration {
     let mut ends: Vec<(Instant, Tokens)> = upstream
         .ledger
         .holds()
--- a/src/decide/instance_choice.rs
+++ b/src/decide/instance_choice.rs
@@ -1,50 +1,50 @@
-//! Which instance of a plain service gets a call.
+//! The choice of the instance of a plain service that gets a call.
 //!
-//! Load it answers: one instance is slow or fails while the others idle. The least busy one gets the
-//! call; instances of the caller's own failure domain come first while they are not busier, since
-//! bytes between domains cost.
+//! The least busy instance gets the call, so that a slow or failing instance does not hold up calls
+//! while others are idle. Instances in the host's own failure domain are preferred while they are
+//! not busier, because traffic between domains is costly.
 
 use crate::units::UpstreamId;
 
-/// How many calls an instance of the own failure domain may have more than one elsewhere and still
-/// be preferred. A call takes 60 ms, a way between domains 1 ms: one call more costs more than it
-/// saves only when the instance is full.
-const OWN_DOMAIN_BONUS: u32 = 2;
-/// As if it were this much busier: an instance that fails many calls comes after every sound one
-/// that has a free place.
+/// An instance in another failure domain is ranked as if it had this many calls more. A call takes
+/// 60 ms and one way between domains 1 ms, so an additional call on a near instance costs more than
+/// it saves only when that instance is full.
+const REMOTE_DOMAIN_PENALTY: u32 = 2;
+/// A failing instance is ranked as if it had this many calls more, so that it comes after every
+/// healthy instance with free capacity.
 const FAILING_PENALTY: u32 = 1_000;
 
-/// An instance that may get the call.
+/// An instance that may get the call, as the choice sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InstanceView {
-    /// Its id.
+    /// The id of the instance.
     pub id: UpstreamId,
-    /// Calls of all hosts that are there.
+    /// The calls of all hosts in flight at the instance.
     pub in_flight: u32,
-    /// Whether it stands in this host's failure domain.
+    /// Whether the instance is in this host's failure domain.
     pub is_near: bool,
-    /// Whether it fails many of its calls.
+    /// Whether the instance fails many of its calls.
     pub is_failing: bool,
 }
 
-/// The instance to send to; none if there is none. Equals are told apart by `draw`, so that hosts
-/// do not all choose the first.
+/// The instance to send the call to, or `None` if `instances` is empty. The random number `draw`
+/// breaks ties, so that hosts do not all choose the first instance.
 pub fn choose_instance(instances: &[InstanceView], draw: u32) -> Option<&UpstreamId> {
-    let rank = |instance: &InstanceView| {
-        let near_bonus = if instance.is_near {
+    let busyness = |instance: &InstanceView| {
+        let domain_penalty = if instance.is_near {
             0
         } else {
-            OWN_DOMAIN_BONUS
+            REMOTE_DOMAIN_PENALTY
         };
-        let penalty = if instance.is_failing {
+        let failing_penalty = if instance.is_failing {
             FAILING_PENALTY
         } else {
             0
         };
-        instance.in_flight + near_bonus + penalty
+        instance.in_flight + domain_penalty + failing_penalty
     };
-    let best = instances.iter().map(rank).min()?;
-    let equals: Vec<&InstanceView> = instances.iter().filter(|i| rank(i) == best).collect();
+    let best = instances.iter().map(busyness).min()?;
+    let equals: Vec<&InstanceView> = instances.iter().filter(|i| busyness(i) == best).collect();
     let index = usize::try_from(draw).unwrap_or(0) % equals.len();
     Some(&equals[index].id)
 }
--- a/src/decide/intake.rs
+++ b/src/decide/intake.rs
@@ -1,4 +1,4 @@
-//! What all shipped policies do with requests at the door: accounts, rates, refusals.
+//! The intake of requests, common to all shipped policies: accounts, rates and pending decisions.
 
 use std::mem;
 use std::time::Duration;
@@ -22,13 +22,13 @@
 use crate::units::RequestId;
 use crate::units::UpstreamId;
 
-/// Accounts, rates and decisions that are due.
+/// The rate limits of accounts and the decisions that have not been returned yet.
 #[derive(Debug)]
 pub(crate) struct Intake {
     pub(crate) conf: PolicyConfig,
     pub(crate) rng: StdRng,
     buckets: IndexMap<CustomerId, CustomerBucket>,
-    due: Vec<Decision>,
+    pending: Vec<Decision>,
 }
 
 impl Intake {
@@ -37,12 +37,13 @@
             conf,
             rng: StdRng::seed_from_u64(seed),
             buckets: IndexMap::new(),
-            due: Vec::new(),
+            pending: Vec::new(),
         }
     }
 
-    /// The account that a customer's requests are charged to. All that are not listed share one, so
-    /// that made-up names neither get shares of their own nor fill the memory.
+    /// The account that a customer's requests are charged to, and its share. All customers that are
+    /// not listed use one account, so that made-up names get no shares of their own and use no
+    /// memory.
     pub(crate) fn account(&self, customer: &CustomerId) -> (CustomerId, CustomerShare) {
         let share = self.conf.customer(customer);
         if self.conf.customers.contains_key(customer) {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Takes a request out of the account's rate. Returns whether it was within it.
+    /// Charges one request to the account's rate and returns whether it was within the rate.
     pub(crate) fn charge_rate(
         &mut self,
         account: &CustomerId,
@@ -64,15 +65,17 @@
         bucket.take(share, now)
     }
 
+    /// Adds a refusal. `drain` is the time that the queue takes to drain.
     pub(crate) fn refuse(&mut self, request: RequestId, reason: RefuseReason, drain: Duration) {
         let retry_after = retry_after(drain, &mut self.rng);
-        self.due.push(Decision::Refuse {
+        self.pending.push(Decision::Refuse {
             request,
             reason,
             retry_after,
         });
     }
 
+    /// Adds a grant for a queued request and returns its id.
     pub(crate) fn grant(
         &mut self,
         waiting: &QueuedRequest,
@@ -81,7 +84,7 @@
         now: Instant,
     ) -> GrantId {
         let id = GrantId(self.rng.random());
-        self.due.push(Decision::Dispatch(Grant {
+        self.pending.push(Decision::Dispatch(Grant {
             id,
             request: waiting.work.request,
             upstreams,
@@ -91,7 +94,8 @@
         id
     }
 
+    /// Removes and returns the pending decisions.
     pub(crate) fn take_decisions(&mut self) -> Vec<Decision> {
-        mem::take(&mut self.due)
+        mem::take(&mut self.pending)
     }
 }
--- a/src/decide/lane_split.rs
+++ b/src/decide/lane_split.rs
@@ -1,9 +1,9 @@
-//! How many upstreams are open to long prefill; the others are kept free of it.
+//! The number of upstreams that are open to long prefill. The others serve short prefill only.
 //!
-//! Load it answers: long prompts among short ones. A long prefill slows every short prompt on the
-//! same engine, so if long work may go anywhere a handful of long prompts slows nearly all short
-//! ones. If too few upstreams are open to it, long work misses its time limits instead; if the
-//! number follows each change at once it swings, and both kinds meet on the same engines.
+//! A long prefill slows every short prompt on the same engine, so a few long prompts would slow
+//! nearly all short ones if long work could go anywhere. With too few open upstreams long work
+//! misses its deadlines instead. If the number followed each change of load at once it would
+//! oscillate, and both kinds of work would meet on the same engines.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,23 +11,24 @@
 use crate::decide::Tuning;
 use crate::decide::WorkRate;
 
-/// The memory of the rates of long and short work: longer than a burst, shorter than an operator's
-/// patience.
-const RATE_MEMORY: Duration = Duration::from_secs(20);
-/// Steps up and down. Down is slower: an upstream that is taken from long work still carries it.
-const RAISE_EVERY: Duration = Duration::from_secs(1);
-const LOWER_EVERY: Duration = Duration::from_secs(5);
-/// The number goes down only when it is too large by more than this.
+/// The time constant of the rates of long and short work: longer than a burst, short enough for an
+/// operator to see the effect of a change.
+const RATE_TIME_CONSTANT: Duration = Duration::from_secs(20);
+/// The least time from one change to the next step up or down. Down is slower because an upstream
+/// that is closed to long work still has long work to finish.
+const RAISE_INTERVAL: Duration = Duration::from_secs(1);
+const LOWER_INTERVAL: Duration = Duration::from_secs(5);
+/// The number is lowered only when it exceeds the required number by more than this.
 const LOWER_MARGIN: f64 = 0.75;
 
-/// What the split is worked out from.
+/// The state of the pool that the split is computed from.
 #[derive(Clone, Copy, Debug)]
 pub struct SplitInput {
-    /// Upstreams that may get work.
+    /// The number of upstreams that may get work.
     pub upstreams: usize,
-    /// Their prefill speed, on average.
+    /// The mean prefill speed of these upstreams, in tokens a second.
     pub speed: f64,
-    /// How long the first long request in the queue has waited.
+    /// How long the first long request in the queue has been waiting.
     pub long_waited: Option<Duration>,
 }
 
@@ -36,70 +37,74 @@
 pub struct LaneSplit {
     open: usize,
     changed_at: Option<Instant>,
-    long: WorkRate,
-    short: WorkRate,
+    long_rate: WorkRate,
+    short_rate: WorkRate,
 }
 
 impl LaneSplit {
-    /// One upstream is open.
+    /// Creates a split with one upstream open to long prefill.
     pub fn new() -> Self {
         Self {
             open: 1,
             changed_at: None,
-            long: WorkRate::new(RATE_MEMORY),
-            short: WorkRate::new(RATE_MEMORY),
+            long_rate: WorkRate::new(RATE_TIME_CONSTANT),
+            short_rate: WorkRate::new(RATE_TIME_CONSTANT),
         }
     }
 
-    /// Takes in prefill that was let in.
+    /// Records the prefill tokens of an admitted request.
     pub fn on_admitted(&mut self, tokens: f64, is_long: bool, now: Instant) {
         let rate = if is_long {
-            &mut self.long
+            &mut self.long_rate
         } else {
-            &mut self.short
+            &mut self.short_rate
         };
         rate.add(tokens, now);
     }
 
-    /// The number of open upstreams.
+    /// The number of upstreams that are open to long prefill.
     pub fn open_to_long(&self) -> usize {
         self.open
     }
 
-    /// Follows the load.
+    /// Adjusts the number of open upstreams to the load.
     pub fn update(&mut self, input: &SplitInput, tuning: &Tuning, now: Instant) {
-        let most = self.most(input, tuning, now);
-        let by_load = self.long.get(now) / input.speed / tuning.long_utilization_max;
+        let open_max = self.open_max(input, tuning, now);
+        let required = self.long_rate.get(now) / input.speed / tuning.long_utilization_max;
         let since = |at| now.saturating_duration_since(at);
         let since_change = self.changed_at.map_or(Duration::MAX, since);
-        let is_waiting = input
+        let is_long_waiting = input
             .long_waited
             .is_some_and(|waited| waited > tuning.long_wait_threshold);
-        let is_short = ceil(by_load) > self.open || is_waiting;
-        if self.open > most {
-            self.set(most, now);
-        } else if is_short && self.open < most && since_change >= RAISE_EVERY {
+        let is_too_few = ceil(required) > self.open || is_long_waiting;
+        if self.open > open_max {
+            self.set_open(open_max, now);
+        } else if is_too_few && self.open < open_max && since_change >= RAISE_INTERVAL {
             let step = (input.upstreams / 4).max(1);
-            let wanted = ceil(by_load).max(self.open + 1);
-            self.set(wanted.min(self.open + step).min(most), now);
-        } else if !is_waiting
-            && by_load + LOWER_MARGIN < (self.open - 1) as f64
-            && since_change >= LOWER_EVERY
+            let wanted = ceil(required).max(self.open + 1);
+            self.set_open(wanted.min(self.open + step).min(open_max), now);
+        } else if !is_long_waiting
+            && required + LOWER_MARGIN < (self.open - 1) as f64
+            && since_change >= LOWER_INTERVAL
         {
-            self.set(self.open - 1, now);
+            self.set_open(self.open - 1, now);
         }
     }
 
-    /// The most that long work may have: what short work leaves, or its sure part.
-    fn most(&self, input: &SplitInput, tuning: &Tuning, now: Instant) -> usize {
+    /// The most upstreams that may be open to long work: those that short work does not need, but
+    /// at least the guaranteed fraction.
+    fn open_max(&self, input: &SplitInput, tuning: &Tuning, now: Instant) -> usize {
         let upstreams = input.upstreams;
-        let short = ceil(self.short.get(now) / input.speed / tuning.short_utilization_max).max(1);
-        let sure = ceil(upstreams as f64 * tuning.long_fraction_min).max(1);
-        let left = upstreams.saturating_sub(short);
-        left.max(sure).clamp(1, upstreams.saturating_sub(1).max(1))
+        let short_required =
+            ceil(self.short_rate.get(now) / input.speed / tuning.short_utilization_max).max(1);
+        let guaranteed = ceil(upstreams as f64 * tuning.long_fraction_min).max(1);
+        let available = upstreams.saturating_sub(short_required);
+        available
+            .max(guaranteed)
+            .clamp(1, upstreams.saturating_sub(1).max(1))
     }
 
-    fn set(&mut self, open: usize, now: Instant) {
+    fn set_open(&mut self, open: usize, now: Instant) {
         self.open = open;
         self.changed_at = Some(now);
     }
@@ -113,7 +118,7 @@
 
 #[allow(
     clippy::cast_possible_truncation,
-    reason = "a float saturates when it becomes a whole number"
+    reason = "the cast from a float saturates"
 )]
 #[allow(clippy::cast_sign_loss, reason = "never negative")]
 fn ceil(number: f64) -> usize {
--- a/src/decide/ledger.rs
+++ b/src/decide/ledger.rs
@@ -1,8 +1,8 @@
-//! The ledger of one upstream: memory that is promised, and prefill that is not done yet.
+//! The ledger of one upstream: granted memory and prefill that is not done yet.
 //!
-//! Load it answers: hosts that pick at the same moment, and reports that lag. The home adds up what
-//! it granted itself, so it knows before any report does; reports only correct it. Without it, all
-//! pick the upstream that was idle a second ago, and a prompt is sent where its memory is not.
+//! Load reports lag, so decisions based on them alone would all pick the upstream that was idle a
+//! second ago and would send prompts to engines without memory for them. The home adds up what it
+//! has granted itself, which is known before any report shows it. Reports only correct the ledger.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,8 +11,8 @@
 
 use crate::decide::Hold;
 use crate::decide::Lane;
-use crate::decide::Peak;
 use crate::decide::Prefill;
+use crate::decide::RecentPeak;
 use crate::decide::SpeedEstimate;
 use crate::decide::WorkRate;
 use crate::decide::is_heavy;
@@ -22,83 +22,84 @@
 use crate::units::Tokens;
 use crate::upstream::LoadReport;
 
-/// Reports are taken to be this old.
+/// The assumed age of a load report.
 const REPORT_LAG: Duration = Duration::from_secs(1);
-/// What a report shows beyond the ledger is believed up to this much prefill, and for half of the
-/// memory, so that a wrong report cannot shut an upstream out.
-const UNKNOWN_PREFILL_MAX: Duration = Duration::from_secs(3);
-const UNKNOWN_MEMORY_PART: f64 = 0.5;
-
-/// The memory of how much short prefill an engine gets: some dozens of short prompts.
-const SHORT_MEMORY: Duration = Duration::from_secs(5);
-/// A long prefill may take this part longer than reckoned. Until then short prompts count it as still
-/// going on: to meet it costs them more than to avoid an idle engine.
-const TAIL_PART: f64 = 0.1;
-/// Longer is as good as never.
+/// Load that a report shows beyond the ledger counts up to this much prefill and this fraction of
+/// the memory, so that a wrong report cannot exclude an upstream.
+const UNEXPLAINED_PREFILL_MAX: Duration = Duration::from_secs(3);
+const UNEXPLAINED_MEMORY_FRACTION_MAX: f64 = 0.5;
+
+/// The time constant of the rate of short prefill, which covers some dozens of short prompts.
+const SHORT_RATE_TIME_CONSTANT: Duration = Duration::from_secs(5);
+/// A long prefill may take longer than estimated by this fraction. Short prompts count the prefill
+/// as still running for that time, because meeting it costs them more than avoiding an idle engine.
+const TAIL_FRACTION: f64 = 0.1;
+/// The longest estimate of a time to the first token. A longer time counts as never.
 const TIME_MAX: Duration = Duration::from_secs(86_400);
 
-/// What one upstream has been given and has not ended.
+/// The grants of one upstream that have not ended, with their memory and prefill.
 #[derive(Debug)]
 pub struct UpstreamLedger {
-    /// How fast it reads prompts.
+    /// The estimate of the upstream's prefill speed.
     pub speed: SpeedEstimate,
     holds: IndexMap<GrantId, Hold>,
-    /// In the order in which engines work: by rank, then by arrival.
+    /// The prefills that are not done, in the order in which engines process them: by priority,
+    /// then by arrival.
     prefills: Vec<Prefill>,
     short_rate: WorkRate,
-    /// Until when a long prefill that should have ended may still go on.
+    /// The time until which a long prefill that should have ended may still be running.
     tail_until: Option<Instant>,
     held_tokens: Tokens,
-    /// Memory kept for a gang that waits.
+    /// Memory that is reserved for a waiting gang.
     reserved_tokens: Tokens,
-    unknown_tokens: Tokens,
-    unknown_prefill: f64,
-    excess_before: Option<(f64, Tokens)>,
-    peak: Peak,
-    /// All prefill ever granted here, by rank.
+    unexplained_tokens: Tokens,
+    unexplained_prefill: f64,
+    previous_excess: Option<(f64, Tokens)>,
+    peak: RecentPeak,
+    /// The running total of granted prefill in tokens, by priority.
     granted_prefill: IndexMap<Priority, f64>,
     suspects: usize,
-    advanced_at: Instant,
+    advanced_to: Instant,
 }
 
 impl UpstreamLedger {
-    /// A ledger without entries.
+    /// Creates an empty ledger.
     pub fn new(speed: SpeedEstimate, now: Instant) -> Self {
         Self {
             speed,
             holds: IndexMap::new(),
             prefills: Vec::new(),
-            short_rate: WorkRate::new(SHORT_MEMORY),
+            short_rate: WorkRate::new(SHORT_RATE_TIME_CONSTANT),
             tail_until: None,
             held_tokens: Tokens::ZERO,
             reserved_tokens: Tokens::ZERO,
-            unknown_tokens: Tokens::ZERO,
-            unknown_prefill: 0.0,
-            excess_before: None,
-            peak: Peak::new(now),
+            unexplained_tokens: Tokens::ZERO,
+            unexplained_prefill: 0.0,
+            previous_excess: None,
+            peak: RecentPeak::new(now),
             granted_prefill: IndexMap::new(),
             suspects: 0,
-            advanced_at: now,
+            advanced_to: now,
         }
     }
 
-    /// Lets prefill go on until `now`.
+    /// Advances the estimated progress of prefill to `now`.
     pub fn advance(&mut self, now: Instant) {
-        let elapsed = now.saturating_duration_since(self.advanced_at);
+        let elapsed = now.saturating_duration_since(self.advanced_to);
         if elapsed.is_zero() {
             return;
         }
-        self.advanced_at = self.advanced_at.max(now);
+        self.advanced_to = self.advanced_to.max(now);
         let mut budget = elapsed.as_secs_f64() * self.speed.get();
-        let unknown = self.unknown_prefill.min(budget);
-        self.unknown_prefill -= unknown;
-        budget -= unknown;
+        let unexplained = self.unexplained_prefill.min(budget);
+        self.unexplained_prefill -= unexplained;
+        budget -= unexplained;
         let mut done = 0;
         for prefill in &mut self.prefills {
-            let step = prefill.left.min(budget);
-            prefill.left -= step;
+            let step = prefill.tokens_left.min(budget);
+            prefill.tokens_left -= step;
             budget -= step;
-            if prefill.left > 0.0 {
+            if prefill.tokens_left > 0.0 {
                 break;
             }
             done += 1;
@@ -106,29 +107,34 @@
         let ended = self.prefills.drain(..done);
         for long in ended.filter(|prefill| prefill.lane == Lane::Long) {
             let since = self.holds.get(&long.grant).map_or(now, |hold| hold.since);
-            let took = now.saturating_duration_since(since);
-            self.tail_until = Some(now + took.mul_f64(TAIL_PART));
+            let duration = now.saturating_duration_since(since);
+            self.tail_until = Some(now + duration.mul_f64(TAIL_FRACTION));
         }
     }
 
-    /// Enters a grant with its prefill.
+    /// Adds a grant with its `prefill` tokens.
     pub fn hold(&mut self, grant: GrantId, mut hold: Hold, prefill: f64) {
         self.release(&grant);
-        let ahead = |p: &&Prefill| p.rank <= hold.rank;
-        let ahead_before: f64 = self.prefills.iter().filter(ahead).map(|p| p.left).sum();
-        hold.ahead_before = ahead_before + self.unknown_prefill;
-        hold.higher_mark = self.granted_above(hold.rank);
+        let ahead = |p: &&Prefill| p.priority <= hold.rank;
+        let ahead_before: f64 = self
+            .prefills
+            .iter()
+            .filter(ahead)
+            .map(|p| p.tokens_left)
+            .sum();
+        hold.ahead_before = ahead_before + self.unexplained_prefill;
+        hold.higher_mark = self.granted_with_higher_priority(hold.rank);
         *self.granted_prefill.entry(hold.rank).or_default() += prefill;
         if prefill > 0.0 {
-            let place = self.prefills.partition_point(|p| p.rank <= hold.rank);
+            let position = self.prefills.partition_point(|p| p.priority <= hold.rank);
             let prefill = Prefill {
                 grant,
-                rank: hold.rank,
+                priority: hold.rank,
                 lane: hold.lane,
                 is_heavy: is_heavy(hold.prefill_tokens),
-                left: prefill + self.start_tokens(),
+                tokens_left: prefill + self.start_overhead_tokens(),
             };
-            self.prefills.insert(place, prefill);
+            self.prefills.insert(position, prefill);
         }
         if hold.lane == Lane::Short {
             self.short_rate.add(prefill, hold.since);
@@ -137,11 +143,11 @@
         self.suspects += usize::from(hold.is_suspect);
         let now = hold.since;
         self.holds.insert(grant, hold);
-        self.note_peak(now);
+        self.record_peak(now);
     }
 
-    /// What beginning costs an engine that does no prefill, in tokens that it could have read.
-    fn start_tokens(&self) -> f64 {
+    /// The overhead of starting prefill on an engine that does none, in tokens of prefill work.
+    fn start_overhead_tokens(&self) -> f64 {
         if self.prefills.is_empty() {
             self.speed.overhead().as_secs_f64() * self.speed.get()
         } else {
@@ -149,7 +155,7 @@
         }
     }
 
-    /// Ends a grant. Its prefill, if any was left, is over.
+    /// Removes a grant together with the rest of its prefill.
     pub fn release(&mut self, grant: &GrantId) -> Option<Hold> {
         let hold = self.holds.swap_remove(grant)?;
         self.prefills.retain(|prefill| prefill.grant != *grant);
@@ -158,63 +164,63 @@
         Some(hold)
     }
 
-    /// The prefill of others that engines do before this hold's is done: what they had, and what
-    /// came later with a higher rank.
+    /// The prefill of other grants, in tokens, that the engine does before the prefill of `hold` is
+    /// done: what was there before it and what came later with a higher priority.
     pub fn prefill_ahead_of(&self, hold: &Hold) -> f64 {
-        let higher = self.granted_above(hold.rank) - hold.higher_mark;
+        let higher = self.granted_with_higher_priority(hold.rank) - hold.higher_mark;
         hold.ahead_before + higher.max(0.0)
     }
 
-    /// Memory that is promised to nobody.
+    /// Memory that is neither held by a grant nor reserved.
     pub fn free_tokens(&self, capacity: Tokens) -> Tokens {
-        let cap = capacity.as_f64() * UNKNOWN_MEMORY_PART;
-        let unknown = self.unknown_tokens.as_f64().min(cap);
-        let taken = self.held_tokens + self.reserved_tokens + tokens_from_f64(unknown);
+        let limit = capacity.as_f64() * UNEXPLAINED_MEMORY_FRACTION_MAX;
+        let unexplained = self.unexplained_tokens.as_f64().min(limit);
+        let taken = self.held_tokens + self.reserved_tokens + tokens_from_f64(unexplained);
         capacity.saturating_sub(taken)
     }
 
-    /// Memory that is held now, without what is kept for a gang.
+    /// Memory that grants hold now, without the memory that is reserved for a gang.
     pub fn held_tokens(&self) -> Tokens {
         self.held_tokens
     }
 
-    /// Keeps memory for a gang that waits; zero gives it back.
+    /// Reserves memory for a waiting gang. Zero releases the reservation.
     pub fn reserve(&mut self, tokens: Tokens) {
         self.reserved_tokens = tokens;
     }
 
-    /// Whether memory is kept for a gang that waits.
+    /// Whether memory is reserved for a waiting gang.
     pub fn is_reserved(&self) -> bool {
         self.reserved_tokens > Tokens::ZERO
     }
 
-    /// Whether it runs a request that another upstream failed before.
+    /// Whether the upstream runs a request that failed on another upstream before.
     pub fn has_suspect(&self) -> bool {
         self.suspects > 0
     }
 
     /// Prefill that is not done yet, in tokens.
     pub fn backlog(&self) -> f64 {
-        self.known_backlog() + self.unknown_prefill
+        self.known_backlog() + self.unexplained_prefill
     }
 
-    /// The part of its time that short prefill has taken lately.
-    pub fn short_part(&self, now: Instant) -> f64 {
+    /// The fraction of the upstream's time that short prefill has recently taken.
+    pub fn short_prefill_fraction(&self, now: Instant) -> f64 {
         (self.short_rate.get(now) / self.speed.get()).min(1.0)
     }
 
-    /// Prefill that reports show and no grant explains.
-    pub fn unknown_prefill(&self) -> f64 {
-        self.unknown_prefill
+    /// Prefill in tokens that reports show and no grant explains.
+    pub fn unexplained_prefill(&self) -> f64 {
+        self.unexplained_prefill
     }
 
     /// Prefill of one lane that is not done yet, in tokens.
     pub fn lane_backlog(&self, lane: Lane) -> f64 {
         let of_lane = self.prefills.iter().filter(|prefill| prefill.lane == lane);
-        of_lane.map(|prefill| prefill.left).sum()
+        of_lane.map(|prefill| prefill.tokens_left).sum()
     }
 
-    /// How many long prefills go on, and how many of them are heavy.
+    /// The number of long prefills that are not done, and how many of them are heavy.
     pub fn long_prefills(&self) -> (usize, usize) {
         let long = self
             .prefills
@@ -226,63 +232,65 @@
         )
     }
 
-    /// The work done here until a new prefill ends, its own included: all that goes before it, and
-    /// of what goes after it as much again, since engines finish a chunk that they have begun.
-    pub fn work_until(&self, prefill: f64, rank: Priority) -> f64 {
-        let beside = |other: &Prefill| {
-            if other.rank <= rank {
-                other.left
+    /// The prefill tokens that the engine processes until a new prefill is done, its own included:
+    /// all prefill of the same or a higher priority, and of each prefill of a lower priority at
+    /// most as much as the new one has, because engines finish a chunk that they have begun.
+    pub fn work_until_done(&self, prefill: f64, priority: Priority) -> f64 {
+        let competing = |other: &Prefill| {
+            if other.priority <= priority {
+                other.tokens_left
             } else {
-                other.left.min(prefill)
+                other.tokens_left.min(prefill)
             }
         };
-        let others: f64 = self.prefills.iter().map(beside).sum();
-        let is_tail = self
+        let others: f64 = self.prefills.iter().map(competing).sum();
+        let has_tail = self
             .tail_until
-            .is_some_and(|until| self.advanced_at < until);
-        let tail = if is_tail { prefill } else { 0.0 };
-        prefill + others + tail + self.unknown_prefill.min(prefill)
+            .is_some_and(|until| self.advanced_to < until);
+        let tail = if has_tail { prefill } else { 0.0 };
+        prefill + others + tail + self.unexplained_prefill.min(prefill)
     }
 
-    /// How long a new prefill takes here, from now to the first token.
-    pub fn first_token_time(&self, prefill: f64, rank: Priority) -> Duration {
-        let seconds = self.work_until(prefill, rank) / self.speed.get();
+    /// The time from now to the first token of a new prefill on this upstream.
+    pub fn first_token_time(&self, prefill: f64, priority: Priority) -> Duration {
+        let seconds = self.work_until_done(prefill, priority) / self.speed.get();
         duration_from_secs(seconds)
             .saturating_add(self.speed.overhead())
             .min(TIME_MAX)
     }
 
-    /// The holds.
+    /// The grants that have not ended, with what each holds.
     pub fn holds(&self) -> &IndexMap<GrantId, Hold> {
         &self.holds
     }
 
     /// Corrects the ledger by a lagging report.
     ///
-    /// The report is compared with the most that the ledger showed lately, since it may be of any
-    /// moment in that time. What it shows beyond that counts only when two in a row show it. What it
-    /// lacks counts only against grants older than the lag, which it must have seen.
+    /// The report is compared with the recent peak of the ledger, because it may describe any
+    /// moment in that time. Load beyond the peak counts only if two consecutive reports show it.
+    /// Load that is missing from the report reduces only grants older than the lag, which the
+    /// report must include.
     pub fn apply_report(&mut self, report: &LoadReport, capacity: Tokens, now: Instant) {
         self.advance(now);
-        self.note_peak(now);
+        self.record_peak(now);
         if !self.is_plausible(report, capacity, now) {
-            self.excess_before = None;
+            self.previous_excess = None;
             return;
         }
         let reported = report.prefill_backlog_tokens.as_f64();
-        let (prefill_peak, memory_peak) = self.peak.most();
+        let (prefill_peak, memory_peak) = self.peak.get();
         let excess = (reported - prefill_peak).max(0.0);
         let memory_excess = report.used_tokens.saturating_sub(memory_peak);
-        let before = self.excess_before.replace((excess, memory_excess));
-        let (excess_before, memory_before) = before.unwrap_or_default();
-        let cap = UNKNOWN_PREFILL_MAX.as_secs_f64() * self.speed.get();
-        self.unknown_prefill = excess.min(excess_before).min(cap);
-        self.unknown_tokens = memory_excess.min(memory_before);
+        let before = self.previous_excess.replace((excess, memory_excess));
+        let (previous_excess, previous_memory_excess) = before.unwrap_or_default();
+        let limit = UNEXPLAINED_PREFILL_MAX.as_secs_f64() * self.speed.get();
+        self.unexplained_prefill = excess.min(previous_excess).min(limit);
+        self.unexplained_tokens = memory_excess.min(previous_memory_excess);
         self.scale_down(reported, now);
     }
 
-    /// A report that holds more than the engine has, or shows nothing of attempts that run for long,
-    /// is wrong and not only late.
+    /// Whether a report can be right. A report of more memory than the engine has, or of too few of
+    /// the attempts that have been running for long, is wrong and not only late.
     fn is_plausible(&self, report: &LoadReport, capacity: Tokens, now: Instant) -> bool {
         let is_old = |hold: &&Hold| now.saturating_duration_since(hold.since) > REPORT_LAG * 2;
         let old = self.holds.values().filter(is_old).count() as u64;
@@ -290,11 +298,12 @@
         report.used_tokens <= capacity && shows_old
     }
 
-    fn note_peak(&mut self, now: Instant) {
+    fn record_peak(&mut self, now: Instant) {
         let backlog = self.known_backlog();
-        self.peak.note(backlog, self.held_tokens, now);
+        self.peak.record(backlog, self.held_tokens, now);
     }
 
+    /// Scales the prefill of old grants down to the reported prefill.
     fn scale_down(&mut self, reported: f64, now: Instant) {
         let holds = &self.holds;
         let is_old = |prefill: &Prefill| {
@@ -305,32 +314,35 @@
             .prefills
             .iter()
             .filter(|p| is_old(p))
-            .map(|p| p.left)
+            .map(|p| p.tokens_left)
             .sum();
         if old <= reported {
             return;
         }
         for prefill in self.prefills.iter_mut().filter(|prefill| is_old(prefill)) {
-            prefill.left *= reported / old;
+            prefill.tokens_left *= reported / old;
         }
     }
 
     fn known_backlog(&self) -> f64 {
-        self.prefills.iter().map(|prefill| prefill.left).sum()
+        self.prefills
+            .iter()
+            .map(|prefill| prefill.tokens_left)
+            .sum()
     }
 
-    fn granted_above(&self, rank: Priority) -> f64 {
+    fn granted_with_higher_priority(&self, priority: Priority) -> f64 {
         let above = self
             .granted_prefill
             .iter()
-            .filter(|(other, _)| **other < rank);
+            .filter(|(other, _)| **other < priority);
         above.map(|(_, granted)| granted).sum()
     }
 }
 
 #[allow(
     clippy::cast_possible_truncation,
-    reason = "a float saturates when it becomes a whole number"
+    reason = "the cast from a float saturates"
 )]
 #[allow(clippy::cast_sign_loss, reason = "never negative")]
 fn tokens_from_f64(tokens: f64) -> Tokens {
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,9 +1,9 @@
-//! The decisions under load, without I/O: what is let in, what waits, where work goes.
+//! Scheduling decisions without I/O: admission, queueing and placement of requests.
 //!
-//! The home host of a pool runs one [`Policy`]: it sees every request for that pool's upstreams and
-//! keeps the ledger of their memory and prefill work. Time is passed in. Each decision has a module
-//! of its own; [`shipped`] puts them together, [`baseline`] holds what it is measured against.
-//! docs/DECISIONS.md gives the measured figures.
+//! The home host of a pool runs one [`Policy`], which sees every request for the pool's upstreams
+//! and keeps the ledger of their memory and prefill work. The current time is passed in. Each
+//! decision has its own module. [`shipped`] combines them, and [`baseline`] holds the policies that
+//! the shipped one is compared with. docs/DECISIONS.md gives the measured figures.
 
 mod admission;
 pub mod baseline;
@@ -15,9 +15,9 @@
 mod engine_fleet;
 mod engine_model;
 mod engine_priority;
+mod engine_upstream;
 pub mod engines;
 pub(crate) mod estimator;
-mod extent;
 mod gang;
 mod health_book;
 mod hold;
@@ -32,8 +32,8 @@
 mod load_ledger;
 mod load_share;
 mod load_source;
+mod load_update_kind;
 mod own_load;
-mod peak;
 mod peer_loads;
 mod peer_sum;
 pub(crate) mod placement;
@@ -41,15 +41,16 @@
 mod poison_mark;
 mod policies;
 mod policy;
-mod pool_upstream;
 mod prefill;
+mod prefill_queue;
 mod prefix;
+mod priority_level;
 mod queue;
-mod rank_queue;
+mod queued_request;
 mod rate_limit;
 mod rate_limit_book;
-mod read_queue;
 mod recent_count;
+mod recent_peak;
 mod retry;
 mod retry_after;
 mod retry_verdict;
@@ -59,7 +60,6 @@
 mod speed;
 mod tuning;
 mod upstream_load;
-mod waiting;
 mod warm_up;
 mod work;
 mod work_rate;
@@ -78,8 +78,9 @@
 pub(crate) use engine_fleet::EngineFleet;
 pub use engine_model::EngineModel;
 pub use engine_priority::engine_priority;
+pub use engine_upstream::EngineUpstream;
+pub use engine_upstream::PoolMedian;
 pub use estimator::Estimator;
-pub use extent::LoadUpdateKind;
 pub use gang::GangPlan;
 pub use gang::Reservation;
 pub use gang::gang_has_room;
@@ -103,7 +104,7 @@
 pub use load_share::HelpsUntil;
 pub use load_share::LoadShare;
 pub use load_source::LoadSource;
-pub use peak::Peak;
+pub use load_update_kind::LoadUpdateKind;
 pub use placement::Placement;
 pub use placement::PlacementView;
 pub use poison::PoisonList;
@@ -120,20 +121,20 @@
 pub use policy::RefuseReason;
 pub use policy::UpstreamHealth;
 pub use policy::UpstreamInfo;
-pub use pool_upstream::EngineUpstream;
-pub use pool_upstream::PoolMedian;
 pub use prefill::Prefill;
+pub(crate) use prefill_queue::PrefillQueue;
+pub use prefill_queue::PrefillSent;
 pub use prefix::PrefixHints;
 pub use queue::FairQueue;
+pub use queued_request::QueuedRequest;
 pub use rate_limit::LIMIT_BURST_WINDOW;
 pub use rate_limit::LIMIT_WINDOW;
 pub use rate_limit::RateLimitView;
 pub use rate_limit::SentLately;
 pub use rate_limit_book::LimitReport;
 pub use rate_limit_book::RateLimitBook;
-pub(crate) use read_queue::PrefillQueue;
-pub use read_queue::PrefillSent;
 pub use recent_count::RecentCount;
+pub use recent_peak::RecentPeak;
 pub use retry::RetryBudget;
 pub use retry_after::retry_after;
 pub use retry_verdict::FailedAttempt;
@@ -145,7 +146,6 @@
 pub use speed::SpeedEstimate;
 pub use tuning::Tuning;
 pub use upstream_load::UpstreamLoad;
-pub use waiting::QueuedRequest;
 pub use warm_up::WarmUp;
 pub use work::LengthClass;
 pub use work::Work;
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -1,8 +1,8 @@
-//! Which upstream a request goes to, or whether it had better wait.
+//! Placement: the upstream that a request is sent to, or the decision to keep it in the queue.
 //!
-//! Load it answers: upstreams of unlike load, speed and cache. The cost compared is the time to the
-//! first token: the prefill that the prompt's cached prefix leaves, beside what prefills there.
-//! Without it requests are spread by number, and a clause lookup shares an engine with a catalogue.
+//! Upstreams differ in load, speed and cache. Placement compares the expected time to the first
+//! token, which counts the prompt's uncached prefill and the prefill that competes with it. With
+//! requests spread by number alone, a short lookup could share an engine with a huge prompt.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,59 +19,63 @@
 use crate::units::Tokens;
 use crate::units::UpstreamId;
 
-/// An attempt that runs makes each step a little longer. It also spreads equals.
-const RUNNING_COST: f64 = 0.002;
-/// Forecasts of long prefill do not count on less than the rest of this part.
-const SHORT_PART_MAX: f64 = 0.5;
-/// A probe may cost its caller a retry, so there must be time for many such requests.
+/// The cost of each running attempt, which makes every step a little longer. The cost also spreads
+/// requests over otherwise equal upstreams.
+const RUNNING_COST_SECONDS: f64 = 0.002;
+/// The largest fraction of an upstream's time that forecasts of long prefill assume for short
+/// prefill.
+const SHORT_FRACTION_MAX: f64 = 0.5;
+/// A probe may cost its caller a retry, so the remaining time must be this many times the expected
+/// time to the first token.
 const PROBE_TIME_FACTOR: u32 = 10;
 
-/// Where a request goes.
+/// The result of placing a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Placement {
-    /// To this upstream.
+    /// The request is sent to an upstream.
     Dispatch {
-        /// Its index.
+        /// The index of the upstream in the pool.
         index: usize,
         /// The expected time to the first token.
         first_token: Duration,
-        /// The prefill expected there.
+        /// The expected prefill at the upstream, in tokens.
         prefill_tokens: f64,
-        /// Why, in a few words.
+        /// The reason in a few words.
         why: &'static str,
     },
-    /// Nowhere yet.
+    /// The request stays in the queue.
     Wait,
 }
 
-/// A pool's upstreams, as placement sees them.
+/// The state of a pool that placement decides on.
 #[derive(Debug)]
 pub struct PlacementView<'a> {
-    /// The upstreams.
+    /// The upstreams of the pool.
     pub upstreams: &'a IndexMap<UpstreamId, EngineUpstream>,
     /// The thresholds.
     pub tuning: &'a Tuning,
-    /// How many of those that may get work are open to long prefill, from the front.
+    /// How many of the upstreams that may get work are open to long prefill, counted from the
+    /// first.
     pub open_to_long: usize,
-    /// The median prefill speed of those that may get work.
+    /// The median prefill speed of the upstreams that may get work, in tokens a second.
     pub median_speed: f64,
-    /// Now.
+    /// The current time.
     pub now: Instant,
 }
 
-/// What one upstream offers a request.
-struct Offer {
+/// An upstream that a request could be sent to, with the expected cost.
+struct Candidate {
     index: usize,
     seconds: f64,
     prefill: f64,
     is_cached: bool,
     is_ready: bool,
-    /// How long until it is ready.
+    /// Seconds until the upstream is ready for the request.
     ready_seconds: f64,
 }
 
 impl PlacementView<'_> {
-    /// Whether any upstream may be ready for a request of this lane.
+    /// Whether any upstream may be ready for a request of `lane`.
     pub fn has_room(&self, lane: Lane) -> bool {
         self.upstreams
             .values()
@@ -84,51 +88,55 @@
             })
     }
 
-    /// Where a request of this lane goes.
+    /// Places a request of `lane`.
     pub fn choose(&self, waiting: &QueuedRequest, lane: Lane) -> Placement {
         if let Some(placement) = self.probe(waiting, lane) {
             return placement;
         }
         let avoids = self.can_avoid(waiting);
-        let mut best: Option<Offer> = None;
-        let mut soonest = f64::INFINITY;
-        let mut rank = 0;
+        let mut best: Option<Candidate> = None;
+        let mut soonest_ready = f64::INFINITY;
+        let mut position = 0;
         for (index, upstream) in self.upstreams.values().enumerate() {
             if !upstream.is_open(self.now) {
                 continue;
             }
-            rank += 1;
+            position += 1;
             if avoids && waiting.work.avoid.contains(&upstream.info.id) {
                 continue;
             }
-            let is_open_to_long = rank <= self.open_to_long;
-            let Some(offer) = self.offer(waiting, lane, index, upstream, is_open_to_long) else {
+            let is_open_to_long = position <= self.open_to_long;
+            let Some(candidate) = self.candidate(waiting, lane, index, upstream, is_open_to_long)
+            else {
                 continue;
             };
-            if !offer.is_ready {
-                soonest = soonest.min(offer.ready_seconds + offer.seconds);
+            if !candidate.is_ready {
+                soonest_ready = soonest_ready.min(candidate.ready_seconds + candidate.seconds);
             } else if best
                 .as_ref()
-                .is_none_or(|best| offer.seconds < best.seconds)
+                .is_none_or(|best| candidate.seconds < best.seconds)
             {
-                best = Some(offer);
+                best = Some(candidate);
             }
         }
         match best {
-            Some(best) if soonest >= best.seconds * self.tuning.wait_ratio_max => best.placement(),
+            Some(best) if soonest_ready >= best.seconds * self.tuning.wait_ratio_max => {
+                best.placement()
+            }
             _ => Placement::Wait,
         }
     }
 
-    /// What an upstream offers; none if it has no room or is not open to such work.
-    fn offer(
+    /// The upstream as a candidate for the request; `None` if the upstream has no room or is not
+    /// open to such work.
+    fn candidate(
         &self,
         waiting: &QueuedRequest,
         lane: Lane,
         index: usize,
         upstream: &EngineUpstream,
         is_open_to_long: bool,
-    ) -> Option<Offer> {
+    ) -> Option<Candidate> {
         let ledger = &upstream.ledger;
         let prompt = waiting.prompt_tokens.as_f64();
         let cached = upstream
@@ -136,8 +144,8 @@
             .cached_tokens(&waiting.work, self.now)
             .min(prompt);
         let prefill = prompt - cached;
-        let speed = self.speed_of(upstream);
-        let lane_here = match lane {
+        let speed = self.comparable_speed(upstream);
+        let prefill_lane = match lane {
             Lane::Short => Lane::Short,
             Lane::Long => self.tuning.lane(tokens_from_f64(prefill)),
         };
@@ -145,27 +153,30 @@
         if !fits || !upstream.has_slot(self.now) || (waiting.is_suspect() && ledger.has_suspect()) {
             return None;
         }
-        if lane_here == Lane::Long && !(is_open_to_long && self.takes_long(upstream)) {
+        if prefill_lane == Lane::Long && !(is_open_to_long && self.takes_long(upstream)) {
             return None;
         }
-        if lane_here == Lane::Short && self.is_kept_for_long(upstream) {
+        if prefill_lane == Lane::Short && self.has_used_short_fraction(upstream) {
             return None;
         }
-        let (is_ready, ready_seconds) = readiness(upstream, self.tuning, lane_here, prefill);
-        // Until it is ready the upstream works off what it has.
-        let beside = if is_ready {
-            ledger.work_until(prefill, engine_priority(&waiting.work))
+        let (is_ready, ready_seconds) = readiness(upstream, self.tuning, prefill_lane, prefill);
+        // An upstream that is not ready finishes its current work before the request starts.
+        let work = if is_ready {
+            ledger.work_until_done(prefill, engine_priority(&waiting.work))
         } else {
             prefill
         };
-        // Short work that keeps coming takes its part of the time that a long prefill takes.
-        let short_part = match lane_here {
+        // Short work that keeps arriving takes its fraction of the time during a long prefill.
+        let short_fraction = match prefill_lane {
             Lane::Short => 0.0,
-            Lane::Long => ledger.short_part(self.now).min(SHORT_PART_MAX),
+            Lane::Long => ledger
+                .short_prefill_fraction(self.now)
+                .min(SHORT_FRACTION_MAX),
         };
-        Some(Offer {
+        Some(Candidate {
             index,
-            seconds: beside / speed / (1.0 - short_part) + RUNNING_COST * upstream.running() as f64,
+            seconds: work / speed / (1.0 - short_fraction)
+                + RUNNING_COST_SECONDS * upstream.running() as f64,
             prefill,
             is_cached: cached > 0.0,
             is_ready,
@@ -173,27 +184,29 @@
         })
     }
 
-    /// Whether short work has had its part of an upstream on which long prefill goes on. Engines
-    /// serve the short first, so without this bound long work would never end under load.
-    fn is_kept_for_long(&self, upstream: &EngineUpstream) -> bool {
+    /// Whether short work has used up its fraction of an upstream that runs a long prefill. Engines
+    /// serve short prefill first, so without this bound long work would never end under load.
+    fn has_used_short_fraction(&self, upstream: &EngineUpstream) -> bool {
         let has_long = upstream.ledger.long_prefills().0 > 0;
         has_long
-            && upstream.ledger.short_part(self.now) > self.tuning.short_fraction_beside_long_max
+            && upstream.ledger.short_prefill_fraction(self.now)
+                > self.tuning.short_fraction_beside_long_max
     }
 
-    /// Speeds near the median count as equal. Estimates of equal engines differ by chance, and the
-    /// one that looks the fastest would draw all the work until it no longer does.
-    fn speed_of(&self, upstream: &EngineUpstream) -> f64 {
+    /// The upstream's speed for comparisons. Speeds near the median count as equal, because
+    /// estimates of equal engines differ by chance and the engine that looks fastest would get all
+    /// the work.
+    fn comparable_speed(&self, upstream: &EngineUpstream) -> f64 {
         let speed = upstream.ledger.speed.get();
-        let is_near = (speed / self.median_speed).ln().abs() < self.tuning.equal_speed_ratio.ln();
-        if is_near { self.median_speed } else { speed }
+        let is_equal = (speed / self.median_speed).ln().abs() < self.tuning.equal_speed_ratio.ln();
+        if is_equal { self.median_speed } else { speed }
     }
 
     fn takes_long(&self, upstream: &EngineUpstream) -> bool {
         upstream.warm_up.takes_long(self.now) && !upstream.ledger.is_reserved()
     }
 
-    /// An upstream that was taken out and may be tried: it gets a short request that has time.
+    /// Sends a short request with enough time left to an ejected upstream that may be probed.
     fn probe(&self, waiting: &QueuedRequest, lane: Lane) -> Option<Placement> {
         if lane == Lane::Long || waiting.is_suspect() {
             return None;
@@ -216,7 +229,7 @@
         })
     }
 
-    /// Whether there is an upstream that has not failed the request.
+    /// Whether the request has failed before and there is an upstream that has not failed it.
     fn can_avoid(&self, waiting: &QueuedRequest) -> bool {
         let avoid = &waiting.work.avoid;
         let mut open = self.upstreams.values().filter(|u| u.is_open(self.now));
@@ -224,7 +237,7 @@
     }
 }
 
-impl Offer {
+impl Candidate {
     fn placement(&self) -> Placement {
         let why = if self.is_cached {
             "cached prefix"
@@ -240,15 +253,15 @@
     }
 }
 
-/// Whether an upstream may get such prefill now, and when else.
+/// Whether an upstream may get a prefill of this lane now, and otherwise in how many seconds.
 fn readiness(upstream: &EngineUpstream, tuning: &Tuning, lane: Lane, prefill: f64) -> (bool, f64) {
     let ledger = &upstream.ledger;
     let speed = ledger.speed.get();
     match lane {
         Lane::Short => {
-            let backlog = ledger.lane_backlog(Lane::Short) + ledger.unknown_prefill();
-            let over = backlog / speed - tuning.headroom.as_secs_f64();
-            (over <= 0.0, over.max(0.0))
+            let backlog = ledger.lane_backlog(Lane::Short) + ledger.unexplained_prefill();
+            let excess = backlog / speed - tuning.headroom.as_secs_f64();
+            (excess <= 0.0, excess.max(0.0))
         }
         Lane::Long => {
             let (long, heavy) = ledger.long_prefills();
@@ -259,16 +272,17 @@
     }
 }
 
-/// Seconds as a duration.
+/// Converts seconds to a duration. A value out of range becomes the longest duration.
 pub(crate) fn duration_from_secs(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
 }
 
 #[allow(
     clippy::cast_possible_truncation,
-    reason = "a float saturates when it becomes a whole number"
+    reason = "the cast from a float saturates"
 )]
 #[allow(clippy::cast_sign_loss, reason = "never negative")]
+/// Converts a fractional number of tokens to whole tokens, rounded down. A negative one becomes 0.
 pub(crate) fn tokens_from_f64(tokens: f64) -> Tokens {
     Tokens(tokens.max(0.0) as u64)
 }
--- a/src/decide/policy.rs
+++ b/src/decide/policy.rs
@@ -1,4 +1,6 @@
-//! The decisions of one home as an interface, so that a baseline can stand in.
+//! The interface of a policy, which makes the decisions of one home.
+//!
+//! The interface allows a baseline to replace the shipped policy.
 
 use std::fmt;
 use std::time::Duration;
@@ -13,64 +15,65 @@
 use crate::upstream::CacheEvent;
 use crate::upstream::LoadReport;
 
-/// The decisions for one pool of upstreams.
+/// A policy makes the decisions for one pool of upstreams.
 ///
-/// All calls are quick and do no I/O. `offer` and `finish` may make other requests ready, which
-/// [`Policy::poll`] then returns; the caller polls after every call and at [`Policy::next_wake`].
+/// No call blocks or does I/O. `offer` and `finish` may make other requests ready, whose decisions
+/// [`Policy::poll`] then returns. The caller polls after every call and at [`Policy::next_wake`].
 pub trait Policy: Send {
-    /// Replaces the set of upstreams. One that has vanished or is leaving gets no new grant.
+    /// Replaces the set of upstreams. An upstream that is gone or leaving gets no new grant.
     fn set_upstreams(&mut self, upstreams: &[UpstreamInfo], now: Instant);
 
-    /// Takes in a new manifest; what waits and what runs stays. A policy that takes nothing from
-    /// the manifest has nothing to do.
+    /// Applies a new configuration. Queued and running requests are kept. The default does nothing,
+    /// for policies that take nothing from the manifest.
     fn set_config(&mut self, _conf: &PolicyConfig, _now: Instant) {}
 
-    /// Takes in a request. The decision comes from `poll`, at once or later.
+    /// Submits a request. `poll` returns the decision, at once or later.
     fn offer(&mut self, work: Work, now: Instant);
 
-    /// Forgets a request that still waits, since its caller or its host is gone.
+    /// Removes a queued request whose caller or host is gone.
     fn withdraw(&mut self, request: RequestId, now: Instant);
 
-    /// The decisions that are due now.
+    /// Returns the decisions that are due now.
     fn poll(&mut self, now: Instant) -> Vec<Decision>;
 
-    /// When `poll` has something to do even if nothing else is called.
+    /// The next time at which `poll` has to be called even without any other call.
     fn next_wake(&self) -> Option<Instant>;
 
-    /// Takes in that a grant has ended.
+    /// Records the end of a grant.
     fn finish(&mut self, grant: GrantId, done: AttemptSummary, now: Instant);
 
-    /// Takes in a grant that an earlier home gave, as its entry host announces it.
+    /// Adopts a grant of an earlier home, announced by the grant's entry host.
     fn adopt(&mut self, grant: LiveGrant, now: Instant);
 
-    /// The grants that have not ended, for reconciling with hosts and engines.
+    /// The grants that have not ended, for reconciliation with hosts and engines.
     fn live_grants(&self) -> Vec<LiveGrant>;
 
-    /// Takes in an engine's lagging report.
+    /// Applies an engine's load report, which lags.
     fn on_load_report(&mut self, upstream: &UpstreamId, report: &LoadReport, now: Instant);
 
-    /// Takes in cache events, which are late and have gaps.
+    /// Applies an engine's cache events, which are late and have gaps.
     fn on_cache_events(&mut self, upstream: &UpstreamId, events: &[CacheEvent], now: Instant);
 
-    /// A summary for entry hosts that choose between pools, and for status.
+    /// The load of the pool, for entry hosts that choose between pools and for status pages.
     fn load(&self, now: Instant) -> PoolLoad;
 }
 
-/// An upstream as the platform's list and the manifest show it.
+/// An upstream as listed by the platform and described by the manifest.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamInfo {
-    /// Its name.
+    /// The upstream's id.
     pub id: UpstreamId,
-    /// Its memory for keys and values, in tokens; 0 for plain services.
+    /// The memory for keys and values, in tokens; 0 for plain services.
     pub memory_tokens: Tokens,
-    /// How many attempts it works on at once; a bound for plain services and batches.
+    /// The number of attempts that the upstream runs concurrently; an upper bound for plain
+    /// services and batches.
     pub slots: u32,
-    /// Whether it may get new work.
+    /// Whether the upstream may get new work.
     pub health: UpstreamHealth,
 }
 
 impl UpstreamInfo {
-    /// Whether it is not leaving.
+    /// Whether the upstream is not leaving.
     pub fn is_live(&self) -> bool {
         self.health == UpstreamHealth::Live
     }
@@ -79,24 +82,24 @@
 /// Whether an upstream may get new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamHealth {
-    /// It may.
+    /// The upstream may get new work.
     Live,
-    /// It is leaving: running work goes on, new work goes elsewhere.
+    /// The upstream is leaving: running work continues, new work goes to other upstreams.
     Leaving,
 }
 
-/// What a policy wants done.
+/// A policy's decision on one request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// The request may be dispatched.
     Dispatch(Grant),
-    /// The request is turned away, not run.
+    /// The request is refused and has not run.
     Refuse {
-        /// The request.
+        /// The refused request.
         request: RequestId,
-        /// Why.
+        /// The reason for the refusal.
         reason: RefuseReason,
-        /// When the caller should come back, jittered.
+        /// The time after which the caller should retry, with jitter.
         retry_after: Duration,
     },
 }
@@ -104,89 +107,89 @@
 /// Permission to dispatch one request once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Grant {
-    /// The grant. Its number is the id of the attempt that uses it up, so that a ledger can be
-    /// compared with what engines list.
+    /// The id of the grant. The same number identifies the attempt that uses the grant, so that a
+    /// ledger can be compared with the attempts that engines list.
     pub id: GrantId,
-    /// For which request.
+    /// The request that may be dispatched.
     pub request: RequestId,
-    /// The engines: one, or a gang that holds the prompt together, the leader first.
+    /// The upstreams to dispatch to: one, or a gang that holds the prompt together, leader first.
     pub upstreams: Vec<UpstreamId>,
-    /// How long it waited in the queue.
+    /// The time that the request waited in the queue.
     pub waited: Duration,
-    /// Why these upstreams, in a few words for `explain`.
+    /// The reason for the choice of upstreams, in a few words for `explain`.
     pub why: &'static str,
 }
 
-/// A grant that has not ended, with what it holds.
+/// A grant that has not ended, with the work that it covers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LiveGrant {
-    /// The grant.
+    /// The id of the grant.
     pub id: GrantId,
-    /// The work it was given for.
+    /// The work that was granted.
     pub work: Work,
-    /// The engines that hold memory for it.
+    /// The upstreams that hold memory for the work.
     pub upstreams: Vec<UpstreamId>,
 }
 
-/// How a granted attempt ended.
+/// The outcome of a granted attempt with its times and token counts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptSummary {
-    /// The end.
+    /// How the attempt ended.
     pub ended: AttemptOutcome,
-    /// From dispatch to the first token, where one came.
+    /// The time from dispatch to the first token, if there was one.
     pub first_token: Option<Duration>,
-    /// From dispatch to the end.
+    /// The time from dispatch to the end.
     pub total: Duration,
-    /// The prompt's length as the engine counted it; 0 if it did not say.
+    /// The prompt length counted by the engine; 0 if the engine did not report it.
     pub prompt_tokens: Tokens,
-    /// Prompt tokens that the engine found in its cache.
+    /// The prompt tokens that the engine found in its cache.
     pub cached_tokens: Tokens,
-    /// Tokens of the answer.
+    /// The tokens of the answer.
     pub output_tokens: Tokens,
 }
 
-/// The end of an attempt, as it matters to placement.
+/// How an attempt ended, as far as scheduling is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The whole answer came.
+    /// The whole answer was received.
     Completed,
-    /// The caller went away or the time ran out, and the engine confirmed the cancel.
+    /// The caller disconnected or the deadline passed, and the engine confirmed the cancellation.
     Cancelled,
-    /// It never left for the upstream.
+    /// The attempt was never sent to the upstream.
     NotSent,
-    /// The upstream refused it.
+    /// The upstream refused the attempt.
     Refused,
-    /// The upstream failed, died or answered wrongly.
+    /// The upstream failed, died or sent an invalid answer.
     Failed,
 }
 
-/// Why a request was turned away.
+/// The reason why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefuseReason {
-    /// The customer is over its rate or share.
+    /// The customer exceeds its rate or share.
     CustomerLimit,
-    /// It can't finish within its time limit.
+    /// The request cannot end before its deadline.
     Deadline,
-    /// No set of upstreams is large enough for it.
+    /// No set of upstreams has enough memory for the request.
     TooLarge,
-    /// There is no upstream that may get work.
+    /// No upstream may get work.
     NoUpstream,
-    /// Its time ran out while it waited.
+    /// The deadline passed while the request was queued.
     Expired,
     /// The queue is full.
     QueueFull,
-    /// It crashed upstreams before.
+    /// The request crashed upstreams before.
     Poison,
-    /// The upstreams of the service are failing and the retry budget is spent.
+    /// The upstreams of the service are failing and the retry budget is exhausted.
     RetryBudget,
-    /// The platform can't be reached, which a request that is not repeatable needs.
+    /// The platform is unreachable, and a request that is not repeatable needs a claim from it.
     NoClaim,
-    /// All upstreams of the service have named a limit, and it is used up.
+    /// All upstreams of the service have announced a rate limit, and it is exhausted.
     RateLimited,
 }
 
 impl RefuseReason {
-    /// The reason as one word for headers, metrics and logs.
+    /// The name of the reason in headers, metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::CustomerLimit => "customer_limit",
@@ -202,7 +205,7 @@
         }
     }
 
-    /// The reason with this name.
+    /// The reason with this name, if there is one.
     pub fn from_name(name: &str) -> Option<Self> {
         let all = [
             Self::CustomerLimit,
@@ -226,17 +229,17 @@
     }
 }
 
-/// A pool's load in a few numbers.
+/// A summary of a pool's load.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolLoad {
-    /// Requests that wait.
+    /// The number of queued requests.
     pub waiting: u64,
-    /// Requests that were granted and have not ended.
+    /// The number of granted requests that have not ended.
     pub running: u64,
-    /// How long a short request that came now would wait, roughly.
+    /// A rough estimate of the queue wait of a short request that arrives now.
     pub short_wait: Duration,
-    /// Memory that is not promised to anyone, over all upstreams.
+    /// The memory that is not promised to any request, over all upstreams that may get work.
     pub free_tokens: Tokens,
-    /// Upstreams that may get work.
+    /// The number of upstreams that may get work.
     pub upstreams: u32,
 }
--- a/src/decide/prefill.rs
+++ b/src/decide/prefill.rs
@@ -1,4 +1,4 @@
-//! A prefill that is not done yet, by the ledger's reckoning.
+//! A prefill that is not done yet, as the ledger estimates it.
 
 use crate::decide::Lane;
 use crate::units::GrantId;
@@ -7,14 +7,14 @@
 /// A prefill that is not done yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Prefill {
-    /// The grant.
+    /// The grant that the prefill belongs to.
     pub grant: GrantId,
-    /// The rank that the engine was given.
-    pub rank: Priority,
-    /// Its lane.
+    /// The priority that was passed to the engine.
+    pub priority: Priority,
+    /// The lane of the prefill.
     pub lane: Lane,
-    /// Whether it was heavy when it began.
+    /// Whether the prefill was heavy when it began.
     pub is_heavy: bool,
-    /// Tokens that are left.
-    pub left: f64,
+    /// The estimated number of tokens that are left to process.
+    pub tokens_left: f64,
 }
--- a/src/decide/rank_queue.rs
+++ b/src/decide/priority_level.rs
@@ -1,8 +1,8 @@
-//! Requests of one priority: weighted fair shares between customers, the earliest deadline first
-//! inside a share.
+//! The queued requests of one priority: weighted fair queueing between customers, and the earliest
+//! deadline first within one customer.
 //!
-//! Load it answers: a few customers send most of it. With one queue for all, the wait of a customer
-//! that sends little is set by those that send much.
+//! With one common queue, the few customers that send most of the load would determine the wait of
+//! customers that send little.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,24 +13,25 @@
 use crate::decide::QueuedRequest;
 use crate::units::CustomerId;
 
-/// Virtual time advances by this for one token of an account with weight 1, so that whole numbers
-/// keep order.
+/// The advance of virtual time for one token of an account with weight 1. The factor keeps the
+/// order when virtual time is rounded to whole numbers.
 const VIRTUAL_PER_TOKEN: f64 = 1_000.0;
 
-/// Where a request stands: its account, its deadline, and a number that tells equals apart.
-pub(crate) type Place = (CustomerId, Instant, u64);
+/// The key of a queued request: its account, its deadline, and a sequence number that breaks ties.
+pub(crate) type QueueKey = (CustomerId, Instant, u64);
 
-/// Start-time fair queueing over accounts.
+/// The requests of one priority, in start-time fair queueing over accounts.
 #[derive(Debug, Default)]
-pub(crate) struct RankQueue {
+pub(crate) struct PriorityLevel {
     accounts: IndexMap<CustomerId, Account>,
-    /// Accounts that have requests, by virtual start time.
+    /// The accounts that have queued requests, by virtual start time.
     ready: BTreeSet<(u64, CustomerId)>,
     virtual_now: u64,
     cost: f64,
     shares: u64,
 }
 
+/// The queued requests of one account.
 #[derive(Debug)]
 struct Account {
     by_deadline: BTreeMap<(Instant, u64), QueuedRequest>,
@@ -39,10 +40,11 @@
     cost: f64,
 }
 
-impl RankQueue {
-    pub(crate) fn push(&mut self, waiting: QueuedRequest, seq: u64) -> Place {
+impl PriorityLevel {
+    /// Adds a request and returns its key.
+    pub(crate) fn push(&mut self, waiting: QueuedRequest, seq: u64) -> QueueKey {
         let id = waiting.account.clone();
-        let place = (id.clone(), waiting.work.deadline, seq);
+        let key = (id.clone(), waiting.work.deadline, seq);
         let virtual_now = self.virtual_now;
         let account = self.accounts.entry(id.clone()).or_insert_with(|| Account {
             by_deadline: BTreeMap::new(),
@@ -57,12 +59,12 @@
         }
         self.cost += waiting.cost();
         account.cost += waiting.cost();
-        account.by_deadline.insert((place.1, seq), waiting);
-        place
+        account.by_deadline.insert((key.1, seq), waiting);
+        key
     }
 
-    /// Up to `limit` requests in the order in which they should go: one for each account by virtual
-    /// time, then the next of each.
+    /// Up to `limit` requests in the order in which they should be dispatched: the first of each
+    /// account by virtual time, then the second of each, and so on.
     pub(crate) fn heads(&self, limit: usize) -> Vec<&QueuedRequest> {
         let mut heads = Vec::with_capacity(limit);
         let accounts = || {
@@ -81,16 +83,16 @@
         heads
     }
 
-    pub(crate) fn get(&self, place: &Place) -> Option<&QueuedRequest> {
-        let account = self.accounts.get(&place.0)?;
-        account.by_deadline.get(&(place.1, place.2))
+    pub(crate) fn get(&self, key: &QueueKey) -> Option<&QueuedRequest> {
+        let account = self.accounts.get(&key.0)?;
+        account.by_deadline.get(&(key.1, key.2))
     }
 
-    /// Removes a request. `is_served` charges its account.
-    pub(crate) fn remove(&mut self, place: &Place, is_served: bool) -> Option<QueuedRequest> {
-        let account = self.accounts.get_mut(&place.0)?;
-        let waiting = account.by_deadline.remove(&(place.1, place.2))?;
-        self.ready.remove(&(account.virtual_start, place.0.clone()));
+    /// Removes a request, and charges its account if the request is served.
+    pub(crate) fn remove(&mut self, key: &QueueKey, is_served: bool) -> Option<QueuedRequest> {
+        let account = self.accounts.get_mut(&key.0)?;
+        let waiting = account.by_deadline.remove(&(key.1, key.2))?;
+        self.ready.remove(&(account.virtual_start, key.0.clone()));
         account.cost -= waiting.cost();
         self.cost -= waiting.cost();
         if is_served {
@@ -100,7 +102,7 @@
         if account.by_deadline.is_empty() {
             self.shares -= u64::from(account.share);
         } else {
-            self.ready.insert((account.virtual_start, place.0.clone()));
+            self.ready.insert((account.virtual_start, key.0.clone()));
         }
         if self.ready.is_empty() {
             self.cost = 0.0;
@@ -113,8 +115,8 @@
         self.cost
     }
 
-    /// The cost that is served before a new request of this account is: all that waits, or less when
-    /// the account's fair share comes round sooner.
+    /// The cost that is served before a new request of this account: all queued cost, or less if
+    /// the account's fair share is reached sooner.
     pub(crate) fn cost_ahead(&self, id: &CustomerId, share: u32) -> f64 {
         let account = self.accounts.get(id);
         let own = account.map_or(0.0, |account| account.cost);
@@ -125,8 +127,8 @@
         } else {
             self.shares + share
         };
-        let by_share = own * shares as f64 / share as f64;
-        by_share.min(self.cost).max(0.0)
+        let cost_by_share = own * shares as f64 / share as f64;
+        cost_by_share.min(self.cost).max(0.0)
     }
 
     pub(crate) fn is_empty(&self) -> bool {
--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -1,8 +1,8 @@
-//! Requests that wait for one lane: by priority, by customer, by deadline, and out at once when
-//! their time has run out.
+//! The queue of one lane, ordered by priority, then by customer share, then by deadline.
 //!
-//! Load it answers: more work than engines, for any length of time. Without it work waits inside the
-//! engines, in the order of arrival, and is finished after its caller has gone.
+//! Requests leave the queue as soon as their deadline has passed. The queue holds the work that
+//! exceeds the capacity of the engines. Without it requests would wait inside the engines in the
+//! order of arrival and would be finished after their callers have gone.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,154 +11,156 @@
 use indexmap::IndexMap;
 
 use crate::decide::QueuedRequest;
-use crate::decide::rank_queue::Place;
-use crate::decide::rank_queue::RankQueue;
+use crate::decide::priority_level::PriorityLevel;
+use crate::decide::priority_level::QueueKey;
 use crate::units::CustomerId;
 use crate::units::Priority;
 use crate::units::RequestId;
 
-/// The part of what is served that lower priorities get when higher ones would take all: enough that
-/// an audit of low rank still ends, little enough that the first rank does not notice.
-const LOWER_PART: f64 = 0.1;
+/// The fraction of the served cost that lower priorities get when higher ones would take all of it:
+/// enough for a long request of low priority to end, too little for the first priority to notice.
+const LOWER_PRIORITY_FRACTION: f64 = 0.1;
 
-/// A queue over priorities.
+/// A queue of requests of all priorities, fair between customers.
 #[derive(Debug, Default)]
 pub struct FairQueue {
-    ranks: BTreeMap<Priority, RankQueue>,
-    places: IndexMap<RequestId, (Priority, Place)>,
+    levels: BTreeMap<Priority, PriorityLevel>,
+    keys: IndexMap<RequestId, (Priority, QueueKey)>,
     expiry: BTreeSet<(Instant, u64, RequestId)>,
     next_seq: u64,
-    /// Cost that lower priorities are owed.
-    owed: f64,
+    /// The cost that lower priorities may use before the first priority is served again.
+    lower_credit: f64,
 }
 
 impl FairQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a request; one that is there already is left as it is.
+    /// Adds a request. A request that is already queued stays unchanged.
     pub fn push(&mut self, waiting: QueuedRequest) {
         let request = waiting.work.request;
-        if self.places.contains_key(&request) {
+        if self.keys.contains_key(&request) {
             return;
         }
         let seq = self.next_seq;
         self.next_seq += 1;
-        let rank = waiting.work.priority;
+        let priority = waiting.work.priority;
         self.expiry.insert((waiting.work.deadline, seq, request));
-        let place = self.ranks.entry(rank).or_default().push(waiting, seq);
-        self.places.insert(request, (rank, place));
+        let key = self.levels.entry(priority).or_default().push(waiting, seq);
+        self.keys.insert(request, (priority, key));
     }
 
-    /// Up to `limit` requests in the order in which they should go.
+    /// Up to `limit` requests in the order in which they should be dispatched.
     pub fn heads(&self, limit: usize) -> Vec<&QueuedRequest> {
         let mut heads = Vec::with_capacity(limit);
-        let owed = self.owed_rank();
-        if let Some(first) = owed.and_then(|rank| self.ranks.get(&rank)) {
+        let credited = self.credited_priority();
+        if let Some(first) = credited.and_then(|priority| self.levels.get(&priority)) {
             heads.extend(first.heads(1));
         }
-        for (rank, queue) in &self.ranks {
-            let left = limit.saturating_sub(heads.len());
-            if left == 0 {
+        for (priority, level) in &self.levels {
+            let remaining = limit.saturating_sub(heads.len());
+            if remaining == 0 {
                 break;
             }
-            let skipped = usize::from(owed == Some(*rank));
-            heads.extend(queue.heads(left + skipped).into_iter().skip(skipped));
+            let skip = usize::from(credited == Some(*priority));
+            heads.extend(level.heads(remaining + skip).into_iter().skip(skip));
         }
         heads
     }
 
-    /// A request that waits.
+    /// A queued request.
     pub fn get(&self, request: &RequestId) -> Option<&QueuedRequest> {
-        let (rank, place) = self.places.get(request)?;
-        self.ranks.get(rank)?.get(place)
+        let (priority, key) = self.keys.get(request)?;
+        self.levels.get(priority)?.get(key)
     }
 
-    /// Takes a request out to be served, and charges its account.
+    /// Removes a request to be served, and charges its account.
     pub fn take(&mut self, request: &RequestId) -> Option<QueuedRequest> {
-        let waiting = self.remove_from_rank(request, true)?;
-        let rank = waiting.work.priority;
-        if self.first_rank().is_some_and(|first| first < rank) {
-            self.owed = (self.owed - waiting.cost()).max(0.0);
-        } else if self.lower_rank(rank).is_some() {
-            self.owed += waiting.cost() * LOWER_PART;
+        let waiting = self.remove_from_level(request, true)?;
+        let priority = waiting.work.priority;
+        if self.first_priority().is_some_and(|first| first < priority) {
+            self.lower_credit = (self.lower_credit - waiting.cost()).max(0.0);
+        } else if self.next_lower_priority(priority).is_some() {
+            self.lower_credit += waiting.cost() * LOWER_PRIORITY_FRACTION;
         } else {
-            self.owed = 0.0;
+            self.lower_credit = 0.0;
         }
         Some(waiting)
     }
 
-    /// Takes a request out that is not served.
+    /// Removes a request that is not served.
     pub fn remove(&mut self, request: &RequestId) -> Option<QueuedRequest> {
-        self.remove_from_rank(request, false)
+        self.remove_from_level(request, false)
     }
 
-    /// Takes out the requests whose time has run out.
+    /// Removes and returns the requests whose deadline has passed.
     pub fn take_expired(&mut self, now: Instant) -> Vec<QueuedRequest> {
         let mut expired = Vec::new();
         while let Some((deadline, _, request)) = self.expiry.first().copied() {
             if deadline > now {
                 break;
             }
-            expired.extend(self.remove_from_rank(&request, false));
+            expired.extend(self.remove_from_level(&request, false));
         }
         expired
     }
 
-    /// When the next request's time runs out.
+    /// The earliest deadline of all queued requests.
     pub fn next_expiry(&self) -> Option<Instant> {
         self.expiry.first().map(|(deadline, _, _)| *deadline)
     }
 
-    /// The cost that is served before a new request of this rank and account.
-    pub fn cost_ahead(&self, rank: Priority, account: &CustomerId, share: u32) -> f64 {
-        let above: f64 = self
-            .ranks
-            .range(..rank)
-            .map(|(_, queue)| queue.cost())
+    /// The cost that is served before a new request of this priority and account.
+    pub fn cost_ahead(&self, priority: Priority, account: &CustomerId, share: u32) -> f64 {
+        let higher: f64 = self
+            .levels
+            .range(..priority)
+            .map(|(_, level)| level.cost())
             .sum();
-        let beside = self.ranks.get(&rank);
-        above + beside.map_or(0.0, |queue| queue.cost_ahead(account, share))
+        let level = self.levels.get(&priority);
+        higher + level.map_or(0.0, |level| level.cost_ahead(account, share))
     }
 
-    /// The cost of all requests.
+    /// The cost of all queued requests.
     pub fn cost(&self) -> f64 {
-        self.ranks.values().map(RankQueue::cost).sum()
+        self.levels.values().map(PriorityLevel::cost).sum()
     }
 
-    /// How many requests wait.
+    /// The number of queued requests.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.keys.len()
     }
 
-    /// Whether none waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.keys.is_empty()
     }
 
-    fn remove_from_rank(&mut self, request: &RequestId, is_served: bool) -> Option<QueuedRequest> {
-        let (rank, place) = self.places.swap_remove(request)?;
-        self.expiry.remove(&(place.1, place.2, *request));
-        self.ranks.get_mut(&rank)?.remove(&place, is_served)
+    fn remove_from_level(&mut self, request: &RequestId, is_served: bool) -> Option<QueuedRequest> {
+        let (priority, key) = self.keys.swap_remove(request)?;
+        self.expiry.remove(&(key.1, key.2, *request));
+        self.levels.get_mut(&priority)?.remove(&key, is_served)
     }
 
-    fn first_rank(&self) -> Option<Priority> {
-        let waiting = self.ranks.iter().find(|(_, queue)| !queue.is_empty());
-        waiting.map(|(rank, _)| *rank)
+    fn first_priority(&self) -> Option<Priority> {
+        let non_empty = self.levels.iter().find(|(_, level)| !level.is_empty());
+        non_empty.map(|(priority, _)| *priority)
     }
 
-    fn lower_rank(&self, than: Priority) -> Option<Priority> {
-        let mut lower = self.ranks.range(Priority(than.0.saturating_add(1))..);
-        let waiting = lower.find(|(_, queue)| !queue.is_empty());
-        waiting.map(|(rank, _)| *rank).filter(|rank| *rank > than)
+    fn next_lower_priority(&self, than: Priority) -> Option<Priority> {
+        let mut lower = self.levels.range(Priority(than.0.saturating_add(1))..);
+        let non_empty = lower.find(|(_, level)| !level.is_empty());
+        non_empty
+            .map(|(priority, _)| *priority)
+            .filter(|priority| *priority > than)
     }
 
-    /// The lower rank that is served next because enough is owed to it.
-    fn owed_rank(&self) -> Option<Priority> {
-        let lower = self.lower_rank(self.first_rank()?)?;
-        let head = self.ranks.get(&lower)?.heads(1);
-        (head.first()?.cost() <= self.owed).then_some(lower)
+    /// The lower priority that is served next because the credit covers its first request.
+    fn credited_priority(&self) -> Option<Priority> {
+        let lower = self.next_lower_priority(self.first_priority()?)?;
+        let head = self.levels.get(&lower)?.heads(1);
+        (head.first()?.cost() <= self.lower_credit).then_some(lower)
     }
 }
--- a/src/decide/recent_count.rs
+++ b/src/decide/recent_count.rs
@@ -1,61 +1,62 @@
-//! How much of something happened lately.
+//! A count of recent events over a sliding window.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// What is counted together; counts are exact but for this at the far end of their time.
-const BUCKET: Duration = Duration::from_millis(250);
-/// The buckets of the longest time, with the one that is being filled.
-const BUCKETS: usize = 21;
+/// The length of one bucket, which is the error of a count at the far end of its window.
+const BUCKET_LENGTH: Duration = Duration::from_millis(250);
+/// The number of buckets: those of the longest window and the one that is being filled.
+const BUCKET_COUNT: usize = 21;
 
-/// Counts of the last seconds, in buckets.
+/// The number of events in each of the last buckets of time.
 #[derive(Clone, Copy, Debug)]
 pub struct RecentCount {
-    began_at: Instant,
-    buckets: [u32; BUCKETS],
-    /// The bucket that was filled last, counted from the beginning.
-    last: u64,
+    started_at: Instant,
+    buckets: [u32; BUCKET_COUNT],
+    /// The number of the bucket that was filled last, counted from the start.
+    last_bucket: u64,
 }
 
 impl RecentCount {
-    /// Nothing yet.
+    /// Creates a counter without events.
     pub fn new(now: Instant) -> Self {
         Self {
-            began_at: now,
-            buckets: [0; BUCKETS],
-            last: 0,
+            started_at: now,
+            buckets: [0; BUCKET_COUNT],
+            last_bucket: 0,
         }
     }
 
-    /// Counts one.
+    /// Counts one event.
     pub fn add(&mut self, now: Instant) {
-        let bucket = self.bucket_at(now).max(self.last);
-        let outdated = (self.last + 1..=bucket).take(BUCKETS);
+        let bucket = self.bucket_at(now).max(self.last_bucket);
+        let outdated = (self.last_bucket + 1..=bucket).take(BUCKET_COUNT);
         for bucket in outdated {
-            self.buckets[place(bucket)] = 0;
+            self.buckets[slot(bucket)] = 0;
         }
-        self.last = bucket;
-        let count = &mut self.buckets[place(bucket)];
+        self.last_bucket = bucket;
+        let count = &mut self.buckets[slot(bucket)];
         *count = count.saturating_add(1);
     }
 
-    /// How many in this time up to now; at most as long as the buckets last.
-    pub fn within(&self, time: Duration, now: Instant) -> u32 {
+    /// The number of events in the `window` up to now, which cannot exceed the time that the
+    /// buckets cover.
+    pub fn within(&self, window: Duration, now: Instant) -> u32 {
         let current = self.bucket_at(now);
-        let buckets = u64::try_from(time.as_millis().div_ceil(BUCKET.as_millis()));
+        let buckets = u64::try_from(window.as_millis().div_ceil(BUCKET_LENGTH.as_millis()));
         let first = current.saturating_sub(buckets.unwrap_or(u64::MAX));
-        let oldest = self.last.saturating_sub(BUCKETS as u64 - 1);
-        let counted = first.max(oldest)..=current.min(self.last);
-        let counts = counted.map(|bucket| self.buckets[place(bucket)]);
+        let oldest = self.last_bucket.saturating_sub(BUCKET_COUNT as u64 - 1);
+        let counted = first.max(oldest)..=current.min(self.last_bucket);
+        let counts = counted.map(|bucket| self.buckets[slot(bucket)]);
         counts.fold(0, u32::saturating_add)
     }
 
     fn bucket_at(&self, now: Instant) -> u64 {
-        let passed = now.saturating_duration_since(self.began_at);
-        u64::try_from(passed.as_millis() / BUCKET.as_millis()).unwrap_or(u64::MAX)
+        let elapsed = now.saturating_duration_since(self.started_at);
+        u64::try_from(elapsed.as_millis() / BUCKET_LENGTH.as_millis()).unwrap_or(u64::MAX)
     }
 }
 
-fn place(bucket: u64) -> usize {
-    usize::try_from(bucket % BUCKETS as u64).unwrap_or(0)
+fn slot(bucket: u64) -> usize {
+    usize::try_from(bucket % BUCKET_COUNT as u64).unwrap_or(0)
 }
--- a/src/decide/service_upstream.rs
+++ b/src/decide/service_upstream.rs
@@ -1,4 +1,4 @@
-//! An instance of a plain service as its home sees it.
+//! The state of one instance of a plain service at its home.
 
 use std::time::Instant;
 
@@ -10,27 +10,27 @@
 use crate::decide::UpstreamInfo;
 use crate::decide::WarmUp;
 
-/// The weight of one call in the latency that placement compares.
-const LATENCY_GAIN: f64 = 0.2;
+/// The weight of one call in the moving average of the latency that placement compares.
+const LATENCY_SAMPLE_WEIGHT: f64 = 0.2;
 
 /// One instance of a plain service.
 #[derive(Debug)]
 pub struct ServiceUpstream {
-    /// As the platform's list shows it.
+    /// The instance's description from the platform and the manifest.
     pub info: UpstreamInfo,
-    /// Calls that have not ended.
+    /// The number of calls that have not ended.
     pub running: u32,
-    /// How many it gets at once.
+    /// The limit on concurrent calls.
     pub limit: ConcurrencyLimit,
-    /// Whether it is taken out.
+    /// Whether the instance is ejected from the pool.
     pub ejection: Ejection,
-    /// How warm it is.
+    /// The state of the instance's warm-up.
     pub warm_up: WarmUp,
     latency_seconds: f64,
 }
 
 impl ServiceUpstream {
-    /// An instance without calls.
+    /// Creates an instance without calls.
     pub fn new(info: UpstreamInfo, warm_up: WarmUp) -> Self {
         let limit = ConcurrencyLimit::new(info.slots);
         Self {
@@ -43,41 +43,41 @@
         }
     }
 
-    /// Whether it is not leaving.
+    /// Whether the instance is not leaving.
     pub fn is_live(&self) -> bool {
         self.info.is_live()
     }
 
-    /// What it may get now.
+    /// Which work the instance may get now.
     pub fn access(&self, now: Instant) -> Access {
         self.ejection.access_of(&self.info, now)
     }
 
-    /// Whether it has room for one call more.
+    /// Whether the instance has room for another call.
     pub fn has_room(&self, now: Instant) -> bool {
         let warm = self.warm_up.slots(self.info.slots, now);
         self.running < self.limit.get().min(warm)
     }
 
-    /// What one call more costs: its latency, times the calls it would run with.
+    /// The cost of another call: the mean latency times the number of calls that would be running.
     pub fn cost(&self) -> f64 {
         (self.latency_seconds + 1.0e-6) * f64::from(self.running + 1)
     }
 
-    /// Takes in a grant.
+    /// Records a grant.
     pub fn on_grant(&mut self, now: Instant) {
         self.running += 1;
         self.ejection.on_grant(now);
     }
 
-    /// Takes in the end of a call.
+    /// Records the end of a call.
     pub fn on_done(&mut self, done: &AttemptSummary, now: Instant) {
         match done.ended {
             AttemptOutcome::Completed => {
                 self.limit.observe(done.total, self.running, now);
                 self.warm_up.on_success(now);
                 let latency = done.total.as_secs_f64();
-                self.latency_seconds += LATENCY_GAIN * (latency - self.latency_seconds);
+                self.latency_seconds += LATENCY_SAMPLE_WEIGHT * (latency - self.latency_seconds);
             }
             AttemptOutcome::Failed | AttemptOutcome::Refused => self.limit.on_overload(),
             AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
--- a/src/decide/speed.rs
+++ b/src/decide/speed.rs
@@ -1,48 +1,48 @@
-//! The prefill speed of one upstream, as seen.
+//! An estimate of the prefill speed of one upstream from observed first tokens.
 //!
-//! Load it answers: an upstream that is five times slower than its settings say, or a setting that
-//! is wrong for all. Without it the ledger believes prefill done that still runs, or leaves engines
-//! idle that are done.
+//! An upstream may be five times slower than its settings say, or the setting may be wrong for all
+//! upstreams. Without a measured speed the ledger would count prefill as done that is still
+//! running, or leave engines idle whose prefill is done.
 
 use std::time::Duration;
 
 use crate::units::Tokens;
 use crate::units::TokensPerSecond;
 
-/// Shorter prefills measure the overhead only.
+/// The least prompt length of a sample. Shorter prefills measure only the overhead.
 const SAMPLE_TOKENS_MIN: Tokens = Tokens(256);
-/// What came before is only reckoned, so it must be little beside the prompt itself: a wrong
-/// reckoning would confirm itself.
-const AHEAD_PART_MAX: f64 = 0.25;
-/// The weight of one sample: ten corrections close two thirds of a gap.
-const GAIN: f64 = 0.1;
-/// What older samples count for after each new one.
-const KEPT: f64 = 0.95;
-/// The overhead before it is known.
-const OVERHEAD_FIRST: f64 = 0.005;
-/// No overhead is more: engines make many steps a second.
-const OVERHEAD_MAX: f64 = 0.5;
-/// How much prefills must differ in length, as a squared ratio, before overhead and speed can be
-/// told apart.
+/// The largest ratio of the prefill ahead of a prompt to the prompt itself in a sample. The prefill
+/// ahead is itself an estimate, and a wrong estimate would confirm itself.
+const AHEAD_FRACTION_MAX: f64 = 0.25;
+/// The least weight of one sample: ten samples close two thirds of a gap.
+const SAMPLE_WEIGHT_MIN: f64 = 0.1;
+/// The factor by which each new sample reduces the weight of the older ones.
+const SAMPLE_DECAY: f64 = 0.95;
+/// The overhead in seconds that is assumed before it has been measured.
+const OVERHEAD_INITIAL_SECONDS: f64 = 0.005;
+/// The largest plausible overhead in seconds: engines make many steps a second.
+const OVERHEAD_MAX_SECONDS: f64 = 0.5;
+/// The least variation of prefill lengths, as a squared ratio, at which overhead and speed
+/// can be separated.
 const SPREAD_MIN: f64 = 0.05;
-/// No engine is outside of these, whatever a clock or a report says.
+/// Bounds of the speed in tokens a second, against wrong clocks and reports.
 const SPEED_MIN: f64 = 1.0;
 const SPEED_MAX: f64 = 10_000_000.0;
 
-/// An estimate of tokens a second, by a line through what first tokens took: an overhead (the step
-/// that was under way, the round trip), and a time for each token read. With the overhead taken for
-/// prefill, engines would look slower than they are and be left idle under load.
+/// An estimate of the prefill speed, by a line fitted to the times to first token: an overhead (the
+/// step under way and the round trip) plus a time for each prompt token. If the overhead counted as
+/// prefill, engines would look slower than they are and would be left idle under load.
 #[derive(Clone, Copy, Debug)]
 pub struct SpeedEstimate {
     tokens_per_second: f64,
-    overhead: f64,
+    overhead_seconds: f64,
     samples: u32,
-    line: Line,
+    line: LineFit,
 }
 
-/// Weighted sums of a least-squares line; x is work in tokens, y is seconds.
+/// The weighted sums of a least-squares line fit, where x is work in tokens and y is seconds.
 #[derive(Clone, Copy, Debug, Default)]
-struct Line {
+struct LineFit {
     weight: f64,
     x: f64,
     y: f64,
@@ -51,99 +51,101 @@
 }
 
 impl SpeedEstimate {
-    /// Begins with what the settings say.
+    /// Creates an estimate that starts from the configured speed.
     pub fn new(speed: TokensPerSecond) -> Self {
         Self {
             tokens_per_second: speed.0.clamp(SPEED_MIN, SPEED_MAX),
-            overhead: OVERHEAD_FIRST,
+            overhead_seconds: OVERHEAD_INITIAL_SECONDS,
             samples: 0,
-            line: Line::default(),
+            line: LineFit::default(),
         }
     }
 
-    /// Tokens a second.
+    /// The estimated speed in tokens a second.
     pub fn get(&self) -> f64 {
         self.tokens_per_second
     }
 
-    /// What a first token takes beside the prefill.
+    /// The part of the time to first token that does not depend on the prompt length.
     pub fn overhead(&self) -> Duration {
-        Duration::from_secs_f64(self.overhead)
+        Duration::from_secs_f64(self.overhead_seconds)
     }
 
-    /// Takes in a first token that tells only how fast the engine is at least, since it read the
-    /// prompt itself in that time, whatever came before.
-    pub fn observe_lower_bound(&mut self, own: Tokens, took: Duration) {
-        let seconds = took.as_secs_f64();
-        if own < SAMPLE_TOKENS_MIN || seconds <= 0.0 {
+    /// Records a first token that gives only a lower bound of the speed: the engine processed at
+    /// least the prompt itself in that time, whatever was ahead of it.
+    pub fn observe_lower_bound(&mut self, prompt: Tokens, elapsed: Duration) {
+        let seconds = elapsed.as_secs_f64();
+        if prompt < SAMPLE_TOKENS_MIN || seconds <= 0.0 {
             return;
         }
-        let least = own.as_f64() / (seconds - self.overhead).max(seconds * 0.8);
-        let target = least.max(self.tokens_per_second);
-        self.approach(target, GAIN);
+        let lower_bound = prompt.as_f64() / (seconds - self.overhead_seconds).max(seconds * 0.8);
+        let target = lower_bound.max(self.tokens_per_second);
+        self.move_towards(target, SAMPLE_WEIGHT_MIN);
     }
 
-    /// Lowers it to a bound.
-    pub fn limit_to(&mut self, most: f64) {
-        self.tokens_per_second = self.tokens_per_second.min(most.max(SPEED_MIN));
+    /// Lowers the speed to `limit` if it is higher.
+    pub fn limit_to(&mut self, limit: f64) {
+        self.tokens_per_second = self.tokens_per_second.min(limit.max(SPEED_MIN));
     }
 
-    /// How many samples it rests on.
+    /// The number of samples in the estimate.
     pub fn samples(&self) -> u32 {
         self.samples
     }
 
-    /// Takes in a first token: the prompt itself (`own`), what the engine read before it (`ahead`),
-    /// and how long it took.
-    pub fn observe(&mut self, own: Tokens, ahead: f64, took: Duration) {
-        let seconds = took.as_secs_f64();
-        let work = own.as_f64() + ahead;
-        let is_mostly_own = own.as_f64() * AHEAD_PART_MAX >= ahead;
-        if own < SAMPLE_TOKENS_MIN || !is_mostly_own || seconds <= 0.0 {
+    /// Records a first token: the uncached prompt tokens (`prompt`), the tokens that the engine
+    /// processed before them (`ahead`), and the time from dispatch to the first token (`elapsed`).
+    pub fn observe(&mut self, prompt: Tokens, ahead: f64, elapsed: Duration) {
+        let seconds = elapsed.as_secs_f64();
+        let work = prompt.as_f64() + ahead;
+        let is_mostly_prompt = prompt.as_f64() * AHEAD_FRACTION_MAX >= ahead;
+        if prompt < SAMPLE_TOKENS_MIN || !is_mostly_prompt || seconds <= 0.0 {
             return;
         }
         self.samples = self.samples.saturating_add(1);
         self.line.add(work, seconds);
         let slope = if let Some((overhead, slope)) = self.line.fit() {
-            self.overhead = overhead;
+            self.overhead_seconds = overhead;
             slope
         } else {
-            (seconds - self.overhead).max(seconds * 0.1) / work
+            (seconds - self.overhead_seconds).max(seconds * 0.1) / work
         };
-        // It has read the prompt itself in that time, whatever came before.
-        let least = own.as_f64() / seconds;
-        let target = (1.0 / slope).max(least);
-        // The first samples count for more, so that a wrong setting is left behind at once.
-        let gain = GAIN.max(1.0 / f64::from(self.samples));
-        self.approach(target, gain);
+        // The engine processed at least the prompt itself in that time, whatever was ahead of it.
+        let lower_bound = prompt.as_f64() / seconds;
+        let target = (1.0 / slope).max(lower_bound);
+        // The first samples count for more, so that a wrong setting is corrected quickly.
+        let weight = SAMPLE_WEIGHT_MIN.max(1.0 / f64::from(self.samples));
+        self.move_towards(target, weight);
     }
 
-    /// Averages ratios, not differences: too high and too low settings are alike.
-    fn approach(&mut self, target: f64, gain: f64) {
-        let step = (target / self.tokens_per_second).powf(gain);
+    /// Moves the estimate towards `target` by averaging ratios rather than differences, so that
+    /// settings that are too high and too low are corrected alike.
+    fn move_towards(&mut self, target: f64, weight: f64) {
+        let step = (target / self.tokens_per_second).powf(weight);
         self.tokens_per_second = (self.tokens_per_second * step).clamp(SPEED_MIN, SPEED_MAX);
     }
 }
 
-impl Line {
-    /// Adds a point. Long prefills tell more of the speed, short ones of the overhead.
+impl LineFit {
+    /// Adds a point, weighted by the inverse of its time. Long prefills determine the speed, short
+    /// ones the overhead.
     fn add(&mut self, x: f64, y: f64) {
         let weight = 1.0 / y;
-        self.weight = self.weight * KEPT + weight;
-        self.x = self.x * KEPT + weight * x;
-        self.y = self.y * KEPT + weight * y;
-        self.xx = self.xx * KEPT + weight * x * x;
-        self.xy = self.xy * KEPT + weight * x * y;
+        self.weight = self.weight * SAMPLE_DECAY + weight;
+        self.x = self.x * SAMPLE_DECAY + weight * x;
+        self.y = self.y * SAMPLE_DECAY + weight * y;
+        self.xx = self.xx * SAMPLE_DECAY + weight * x * x;
+        self.xy = self.xy * SAMPLE_DECAY + weight * x * y;
     }
 
-    /// The overhead and the time for a token, if the points differ enough to tell.
+    /// The overhead and the time for one token in seconds, if the points differ enough.
     fn fit(&self) -> Option<(f64, f64)> {
         let spread = self.weight * self.xx - self.x * self.x;
         if spread < SPREAD_MIN * self.x * self.x {
             return None;
         }
         let slope = (self.weight * self.xy - self.x * self.y) / spread;
-        let overhead = ((self.y - slope * self.x) / self.weight).clamp(0.0, OVERHEAD_MAX);
+        let overhead = ((self.y - slope * self.x) / self.weight).clamp(0.0, OVERHEAD_MAX_SECONDS);
         let slope = (self.y - overhead * self.weight) / self.x;
         (slope > 0.0).then_some((overhead, slope))
     }
--- a/src/decide/tuning.rs
+++ b/src/decide/tuning.rs
@@ -1,4 +1,6 @@
-//! Thresholds that the sweep varies. docs/DECISIONS.md gives the figures behind each.
+//! The thresholds of the shipped policy for engines.
+//!
+//! The sweep example varies each of them, and docs/DECISIONS.md gives the resulting figures.
 
 use std::time::Duration;
 
@@ -6,41 +8,44 @@
 use crate::manifest::Objective;
 use crate::units::Tokens;
 
-/// Thresholds of the shipped policy for engines.
+/// The thresholds of the shipped policy for engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
-    /// The part of the time that remains which a request's forecast may fill for it to be let in.
+    /// The fraction of the remaining time that the forecast of an admitted request may take.
     pub admit_fraction: f64,
-    /// Prompts up to this length share the short lane.
+    /// Prompts up to this length use the short lane.
     pub short_tokens_max: Tokens,
-    /// Short prefill that an upstream may have left when it gets more. It covers the round trip of
-    /// the next grant; all else stays in the home's queue, where order can still be decided.
+    /// The short prefill that an upstream may have left when it gets more. It covers the round trip
+    /// of the next grant. All other work stays in the home's queue, where its order can still
+    /// change.
     pub headroom: Duration,
     /// Speeds that differ from the median by less than this factor count as equal. Estimates of
-    /// equal engines differ by chance, and the one that looks the fastest would draw all the work.
+    /// equal engines differ by chance, and the one that looks fastest would get all the work.
     pub equal_speed_ratio: f64,
-    /// Waiting for a better upstream must save at least the rest of this part of the time.
+    /// A request waits for a better upstream only if that reduces the expected time to less than
+    /// this fraction.
     pub wait_ratio_max: f64,
-    /// Long prefills that one upstream carries at once, a heavy one among them at most.
+    /// The most concurrent long prefills of one upstream, of which at most one may be heavy.
     pub long_prefills_max: usize,
-    /// How busy upstreams that are open to long prefill may be.
+    /// The target utilization of upstreams that are open to long prefill.
     pub long_utilization_max: f64,
-    /// How busy short work leaves the others at most, before long work gets no more of them.
+    /// The utilization by short work of the other upstreams above which none of them is opened to
+    /// long work.
     pub short_utilization_max: f64,
-    /// The part of the upstreams that long work gets whatever the short load is.
+    /// The fraction of the upstreams that are open to long work regardless of the short load.
     pub long_fraction_min: f64,
-    /// The part of its time that short work may take of an upstream while long prefill goes on there.
+    /// The fraction of an upstream's time that short work may take during a long prefill there.
     pub short_fraction_beside_long_max: f64,
-    /// Long work that has waited this long asks for one upstream more.
+    /// One more upstream is opened to long work that has waited longer than this.
     pub long_wait_threshold: Duration,
-    /// Below this part of the pool's median speed an upstream is slow and taken out.
+    /// An upstream below this fraction of the pool's median speed is slow and is ejected.
     pub slow_fraction: f64,
-    /// The part of a pool that may be out at the same time.
+    /// The largest fraction of a pool that may be ejected at the same time.
     pub ejected_fraction_max: f64,
 }
 
 impl Tuning {
-    /// The thresholds for what a deployment weighs more heavily.
+    /// The thresholds for a deployment's objective.
     pub fn of(objective: Objective) -> Self {
         let base = Self {
             admit_fraction: 0.8,
--- a/src/decide/upstream_load.rs
+++ b/src/decide/upstream_load.rs
@@ -1,33 +1,33 @@
-//! Work of all hosts at one upstream.
+//! The work of all hosts at one upstream.
 
 use std::time::Duration;
 
 use crate::decide::HostLoad;
 use crate::units::Tokens;
 
-/// Work of all hosts at one upstream.
+/// The work of all hosts at one upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UpstreamLoad {
-    /// Requests that were sent there and have not ended.
+    /// The number of requests that were sent to the upstream and have not ended.
     pub in_flight: u32,
-    /// Those of them whose prompt is short.
+    /// The number of these requests that have a short prompt.
     pub short_in_flight: u32,
-    /// Prompts of other engines that it helps to read or keeps a part of.
+    /// The number of other engines' prompts that the engine helps to process or holds a part of.
     pub helping: u32,
-    /// The shortest pause that the caller of one of them accepts between two events.
+    /// The shortest pause between two events that any caller of these requests accepts.
     pub strictest_pause: Option<Duration>,
-    /// Time until it has read in what was sent there.
+    /// The time until the upstream has processed all prefill that was sent to it.
     pub prefill_backlog: Duration,
-    /// Memory that these requests take, in tokens.
+    /// The memory that these requests take, in tokens.
     pub held_tokens: Tokens,
-    /// Memory that the engine has refused to set aside a moment ago, in tokens.
+    /// The memory in tokens that the engine has recently refused to reserve.
     pub refused_tokens: Option<Tokens>,
-    /// Time until the first of the prompts being read there has to have its first event to be on time.
+    /// The time until the first event is due of the most urgent prompt in prefill at the upstream.
     pub prefill_due: Option<Duration>,
 }
 
 impl UpstreamLoad {
-    /// Whether there is any.
+    /// Whether any host has work at the upstream.
     pub fn has_work(&self) -> bool {
         self.in_flight > 0
             || self.helping > 0
@@ -40,10 +40,10 @@
         self.in_flight += other.in_flight;
         self.short_in_flight += other.short_in_flight;
         self.helping += other.helping;
-        let pauses = [self.strictest_pause, other.strictest_pause];
-        self.strictest_pause = pauses.into_iter().flatten().min();
+        let pause_limits = [self.strictest_pause, other.strictest_pause];
+        self.strictest_pause = pause_limits.into_iter().flatten().min();
         self.held_tokens += other.held_tokens;
-        let dues = [self.prefill_due, other.prefill_due];
-        self.prefill_due = dues.into_iter().flatten().min();
+        let due_times = [self.prefill_due, other.prefill_due];
+        self.prefill_due = due_times.into_iter().flatten().min();
     }
 }
--- a/src/decide/work.rs
+++ b/src/decide/work.rs
@@ -1,4 +1,4 @@
-//! A request as the decisions see it.
+//! The properties of a request that decisions depend on.
 
 use std::fmt;
 use std::time::Instant;
@@ -11,51 +11,51 @@
 use crate::units::Tokens;
 use crate::units::UpstreamId;
 
-/// What a policy needs to know of a request.
+/// The properties of a request that a policy needs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Work {
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
     /// The host that holds the caller's connection.
     pub host: HostId,
-    /// Who it is for.
+    /// The customer that sent the request.
     pub customer: CustomerId,
-    /// Its rank; 0 first.
+    /// The priority; 0 is served first.
     pub priority: Priority,
-    /// The prompt's length, estimated from its bytes.
+    /// The prompt length, estimated from its bytes.
     pub prompt_tokens: Tokens,
-    /// The longest answer it may get.
+    /// The largest allowed answer length.
     pub output_tokens: Tokens,
-    /// Hashes of the prompt's prefix, the shortest first, each with its length.
+    /// The hashes of the prompt's prefixes, each with its length, the shortest first.
     pub prefixes: Vec<(ContentHash, Tokens)>,
-    /// When it must have ended.
+    /// The deadline of the request.
     pub deadline: Instant,
-    /// Upstreams that already failed it, to be tried last.
+    /// The upstreams on which the request already failed, which are tried last.
     pub avoid: Vec<UpstreamId>,
 }
 
 impl Work {
-    /// The engine memory it needs at most.
+    /// The most engine memory that the request needs.
     pub fn memory_tokens(&self) -> Tokens {
         self.prompt_tokens + self.output_tokens
     }
 
-    /// Its length class.
+    /// The length class of the prompt.
     pub fn class(&self) -> LengthClass {
         LengthClass::of(self.prompt_tokens)
     }
 }
 
-/// Requests by length of prompt, for metrics and reports.
+/// A class of requests by prompt length, for metrics and reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LengthClass {
-    /// Up to 4,000 tokens.
+    /// Prompts of up to 4,000 tokens.
     Short,
-    /// Up to 32,000 tokens.
+    /// Prompts of up to 32,000 tokens.
     Medium,
-    /// Up to 100,000 tokens.
+    /// Prompts of up to 100,000 tokens.
     Long,
-    /// Above 100,000 tokens.
+    /// Prompts above 100,000 tokens.
     Huge,
 }
 
@@ -63,7 +63,7 @@
     /// All classes, the shortest first.
     pub const ALL: [Self; 4] = [Self::Short, Self::Medium, Self::Long, Self::Huge];
 
-    /// The class of a prompt.
+    /// The class of a prompt of this length.
     pub fn of(prompt: Tokens) -> Self {
         match prompt.0 {
             0..=4_000 => Self::Short,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The class's name in metrics and reports.
+    /// The name of the class in metrics and reports.
     pub fn name(self) -> &'static str {
         match self {
             Self::Short => "short",
--- a/src/decide/work_rate.rs
+++ b/src/decide/work_rate.rs
@@ -1,36 +1,36 @@
-//! An exponentially weighted rate of work.
+//! An exponentially decaying rate of work.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Work a second, of which older work counts for less.
+/// A rate of work a second, in which older work counts for less.
 #[derive(Debug)]
 pub struct WorkRate {
-    memory: Duration,
+    time_constant: Duration,
     per_second: f64,
-    at: Option<Instant>,
+    updated_at: Option<Instant>,
 }
 
 impl WorkRate {
-    /// Nothing yet; work of `memory` ago counts for a third.
-    pub fn new(memory: Duration) -> Self {
+    /// Creates a rate of zero. Work that is `time_constant` old counts for about a third.
+    pub fn new(time_constant: Duration) -> Self {
         Self {
-            memory,
+            time_constant,
             per_second: 0.0,
-            at: None,
+            updated_at: None,
         }
     }
 
-    /// Adds work that came now.
+    /// Adds work that arrives now.
     pub fn add(&mut self, amount: f64, now: Instant) {
-        self.per_second = self.get(now) + amount / self.memory.as_secs_f64();
-        self.at = Some(now);
+        self.per_second = self.get(now) + amount / self.time_constant.as_secs_f64();
+        self.updated_at = Some(now);
     }
 
-    /// Work a second.
+    /// The current rate of work a second.
     pub fn get(&self, now: Instant) -> f64 {
         let since = |at| now.saturating_duration_since(at).as_secs_f64();
-        let elapsed = self.at.map_or(0.0, since);
-        self.per_second * (-elapsed / self.memory.as_secs_f64()).exp()
+        let elapsed = self.updated_at.map_or(0.0, since);
+        self.per_second * (-elapsed / self.time_constant.as_secs_f64()).exp()
     }
 }
