--- a/tests/decide_fakes/engine.rs
+++ b/tests/decide_fakes/engine.rs
@@ -1,4 +1,4 @@
-//! One fake engine: continuous batching in small steps of time.
+//! A fake engine with continuous batching in small steps of time.
 
 use std::time::Duration;
 
@@ -11,24 +11,27 @@
 use banyanarch::upstream::LoadReport;
 use indexmap::IndexMap;
 
-/// Tokens that the prefix cache holds.
+/// The capacity of the prefix cache in tokens.
 const CACHE_TOKENS: u64 = 400_000;
+/// The most prompt tokens that one step processes.
 const CHUNK_TOKENS: f64 = 512.0;
-const STEP_BASE: f64 = 0.015;
-const STEP_PER_ANSWER: f64 = 0.000_2;
+/// The time of a step without prompt tokens and answers.
+const STEP_BASE_SECONDS: f64 = 0.015;
+/// The time that each answer adds to a step.
+const STEP_PER_ANSWER_SECONDS: f64 = 0.000_2;
 
 pub struct Engine {
     pub memory: u64,
     pub slots: usize,
     pub speed: f64,
-    /// How fast it works, 1 as it should.
+    /// The ratio of the engine's actual to its nominal speed.
     pub pace: f64,
-    /// Whether prefill of a lower rank waits for that of a higher one.
+    /// Whether prefill of a lower priority waits for prefill of a higher one.
     pub honours_priority: bool,
     pub is_dead: bool,
     pub jobs: IndexMap<AttemptId, Job>,
     cache: IndexMap<ContentHash, u64>,
-    time: f64,
+    time_left: f64,
     plan: Option<(f64, Vec<(AttemptId, f64)>)>,
 }
 
@@ -42,7 +45,7 @@
     prefixes: Vec<(ContentHash, Tokens)>,
 }
 
-/// What became of a job in one step.
+/// An event of a job in one step.
 pub enum Event {
     FirstToken(AttemptId),
     End(AttemptId),
@@ -59,7 +62,7 @@
             is_dead: false,
             jobs: IndexMap::new(),
             cache: IndexMap::new(),
-            time: 0.0,
+            time_left: 0.0,
             plan: None,
         }
     }
@@ -69,14 +72,14 @@
         held + memory <= self.memory
     }
 
-    /// Starts an attempt of which this engine is one of `members`; `output` is what it will answer.
+    /// Queues an attempt that runs on `members` engines and generates `output` tokens.
     pub fn start(&mut self, attempt: AttemptId, work: &Work, output: u64, members: u64) {
-        let hit = work
+        let cached_prefix = work
             .prefixes
             .iter()
             .rev()
             .find(|(hash, _)| self.cache.contains_key(hash));
-        let cached = hit.map_or(0, |(_, tokens)| tokens.0);
+        let cached = cached_prefix.map_or(0, |(_, tokens)| tokens.0);
         let job = Job {
             rank: engine_priority(work),
             memory: work.memory_tokens().0.div_ceil(members),
@@ -89,29 +92,30 @@
         self.jobs.insert(attempt, job);
     }
 
-    /// Lets time pass: as many steps as fit, each of which reads a chunk in and makes a token for
-    /// each attempt that answers.
+    /// Advances the engine by `dt`, in as many steps as fit. Each step processes one chunk of
+    /// prompt tokens and generates one token for each attempt that is past its prefill.
     pub fn step(&mut self, dt: Duration, events: &mut Vec<Event>) {
-        self.time += dt.as_secs_f64() * self.pace;
+        self.time_left += dt.as_secs_f64() * self.pace;
         loop {
             if self.plan.is_none() {
-                self.take_in();
+                self.start_queued();
                 self.plan = self.plan();
             }
-            let Some((takes, _)) = &self.plan else {
-                self.time = 0.0;
+            let Some((step_seconds, _)) = &self.plan else {
+                self.time_left = 0.0;
                 return;
             };
-            if *takes > self.time {
+            if *step_seconds > self.time_left {
                 return;
             }
-            self.time -= takes;
+            self.time_left -= step_seconds;
             let (_, chunks) = self.plan.take().unwrap();
             self.apply(&chunks, events);
         }
     }
 
-    /// The time of the next step, and what each attempt reads in.
+    /// The time of the next step in seconds, and the prompt tokens that the step processes of each
+    /// attempt.
     fn plan(&self) -> Option<(f64, Vec<(AttemptId, f64)>)> {
         let running = || self.jobs.iter().filter(|(_, job)| job.is_running);
         let mut prefills: Vec<_> = running()
@@ -124,19 +128,20 @@
         let count = prefills.len() as f64;
         let mut chunks = Vec::new();
         for (attempt, job) in &prefills {
-            let most = if self.honours_priority {
+            let chunk_max = if self.honours_priority {
                 budget
             } else {
                 CHUNK_TOKENS / count
             };
-            let chunk = job.prefill_left.min(most);
+            let chunk = job.prefill_left.min(chunk_max);
             budget -= chunk;
             chunks.push((**attempt, chunk));
         }
         let answers = running().count() - prefills.len();
-        let takes =
-            STEP_BASE + STEP_PER_ANSWER * answers as f64 + (CHUNK_TOKENS - budget) / self.speed;
-        (running().count() > 0).then_some((takes, chunks))
+        let step_seconds = STEP_BASE_SECONDS
+            + STEP_PER_ANSWER_SECONDS * answers as f64
+            + (CHUNK_TOKENS - budget) / self.speed;
+        (running().count() > 0).then_some((step_seconds, chunks))
     }
 
     fn apply(&mut self, chunks: &[(AttemptId, f64)], events: &mut Vec<Event>) {
@@ -178,8 +183,8 @@
         }
     }
 
-    /// Lets jobs in that fit, in order of rank and arrival.
-    fn take_in(&mut self) {
+    /// Starts queued jobs while there are slots and memory, in the order of priority and arrival.
+    fn start_queued(&mut self) {
         let running = || self.jobs.values().filter(|job| job.is_running);
         let mut slots = self.slots.saturating_sub(running().count());
         let mut free = self.memory - running().map(|job| job.memory).sum::<u64>();
--- a/tests/decide_fakes/mod.rs
+++ b/tests/decide_fakes/mod.rs
@@ -1,18 +1,18 @@
-//! A few fake engines and a clock moved by hand, to play a load against a policy.
+//! Fake engines and a manual clock, to run a workload against a policy.
 #![allow(unused_imports, reason = "each test uses a part")]
 #![allow(dead_code, reason = "each test uses a part")]
 #![allow(unreachable_pub, reason = "shared by tests and an example")]
-#![allow(clippy::cast_possible_truncation, reason = "small numbers")]
+#![allow(clippy::cast_possible_truncation, reason = "the numbers are small")]
 
-mod bench;
 mod engine;
-mod load;
 mod outcome;
+mod simulation;
+mod workload;
 
-pub use bench::Simulation;
 pub use engine::Engine;
-pub use load::RequestSpec;
-pub use load::Workload;
-pub use load::config;
 pub use outcome::Outcome;
 pub use outcome::Outcomes;
+pub use simulation::Simulation;
+pub use workload::RequestSpec;
+pub use workload::Workload;
+pub use workload::config;
--- a/tests/decide_fakes/outcome.rs
+++ b/tests/decide_fakes/outcome.rs
@@ -1,4 +1,4 @@
-//! What callers got.
+//! The outcomes of a simulation.
 
 use std::time::Duration;
 
@@ -8,18 +8,20 @@
 
 use super::RequestSpec;
 
+/// The outcome of one request.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     pub request: RequestSpec,
-    /// From the request to its first token.
+    /// The time from the request to its first token.
     pub first_token: Option<Duration>,
-    /// From the request to its end within its time limit.
+    /// The time from the request to its end, if the request completed before its deadline.
     pub completed: Option<Duration>,
     pub refused: Option<RefuseReason>,
     pub engines: Vec<usize>,
     pub attempts: u32,
 }
 
+/// The outcomes of several requests.
 pub struct Outcomes(pub Vec<Outcome>);
 
 impl Outcomes {
@@ -41,7 +43,7 @@
         self.only(|outcome| outcome.request.customer == name)
     }
 
-    /// Time to first token in seconds at a quantile, over those that got one.
+    /// The given quantile of the time to first token in seconds, over requests that got one.
     pub fn ttft(&self, quantile: f64) -> f64 {
         let mut all: Vec<f64> = self
             .0
@@ -70,12 +72,12 @@
             .count()
     }
 
-    /// The part completed in time.
+    /// The fraction of requests that completed before their deadline.
     pub fn completed_fraction(&self) -> f64 {
         self.completed() as f64 / self.0.len().max(1) as f64
     }
 
-    /// Tokens of prompts and answers completed in time.
+    /// The prompt and answer tokens of requests that completed before their deadline.
     pub fn goodput(&self) -> f64 {
         let completed = self.0.iter().filter(|outcome| outcome.completed.is_some());
         completed
--- a/tests/decide_fakes/bench.rs
+++ b/tests/decide_fakes/simulation.rs
@@ -1,4 +1,4 @@
-//! Plays a load against one policy, or several that share the engines.
+//! A simulation of a workload against one policy, or against several that share the engines.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -31,32 +31,37 @@
 use super::Workload;
 use super::engine::Event;
 
+/// The time step of the simulation.
 const STEP: Duration = Duration::from_millis(5);
+/// The interval of load reports, and the age of a report at its delivery.
 const REPORT_EVERY: Duration = Duration::from_secs(1);
 
+/// Engines and policies under a manual clock.
 pub struct Simulation {
     clock: ManualClock,
     policies: Vec<Box<dyn Policy>>,
     pub engines: Vec<Engine>,
-    flights: IndexMap<AttemptId, Flight>,
+    running_attempts: IndexMap<AttemptId, RunningAttempt>,
     outcomes: Vec<Outcome>,
-    again: Vec<(Instant, usize, Vec<UpstreamId>)>,
+    retries: Vec<(Instant, usize, Vec<UpstreamId>)>,
     budget: Option<RetryBudget>,
-    /// Engines that are down, with from and to in seconds.
+    /// The engines that fail, with the start and the end of the outage in seconds.
     pub outage: Option<(std::ops::Range<usize>, f64, f64)>,
-    /// Changes a report before it is delivered.
+    /// Alters each load report before it is delivered.
     pub alter_report: fn(&LoadReport) -> LoadReport,
-    pub decided_in: Duration,
+    /// The real time that the policies have taken for their decisions.
+    pub decision_time: Duration,
     start: Instant,
 }
 
-struct Flight {
+/// An attempt that has not ended.
+struct RunningAttempt {
     call: usize,
     policy: usize,
     engines: Vec<usize>,
     work: Work,
     since: Instant,
-    prefills: usize,
+    prefills_left: usize,
     first_token: Option<Duration>,
     cached: u64,
 }
@@ -69,18 +74,18 @@
             clock,
             policies,
             engines,
-            flights: IndexMap::new(),
+            running_attempts: IndexMap::new(),
             outcomes: Vec::new(),
-            again: Vec::new(),
+            retries: Vec::new(),
             budget: None,
             outage: None,
             alter_report: Clone::clone,
-            decided_in: Duration::ZERO,
+            decision_time: Duration::ZERO,
             start,
         }
     }
 
-    /// Plays the load to its end and returns what callers got, in the order of their requests.
+    /// Runs the workload to its end and returns the outcomes in the order of the requests.
     pub fn run(mut self, load: Workload) -> (Outcomes, Self) {
         let mut requests = load.requests;
         requests.sort_by_key(|request| request.at);
@@ -90,10 +95,10 @@
             .max()
             .unwrap_or_default();
         self.outcomes = requests.iter().map(Outcome::of).collect();
-        self.list_engines();
+        self.register_engines();
         let mut reports: Vec<LoadReport> = self.engines.iter().map(Engine::report).collect();
         let (mut next, mut elapsed) = (0, Duration::ZERO);
-        while elapsed <= last && (next < requests.len() || !self.is_at_rest()) {
+        while elapsed <= last && (next < requests.len() || !self.is_idle()) {
             while requests
                 .get(next)
                 .is_some_and(|request| request.at <= elapsed)
@@ -101,12 +106,12 @@
                 self.offer(next, Vec::new());
                 next += 1;
             }
-            self.offer_again();
+            self.offer_retries();
             self.poll();
-            self.set_outage(elapsed.as_secs_f64());
+            self.apply_outage(elapsed.as_secs_f64());
             self.step();
             if elapsed.as_millis() % REPORT_EVERY.as_millis() == 0 {
-                self.deliver(&reports);
+                self.deliver_reports(&reports);
                 reports = self.engines.iter().map(Engine::report).collect();
             }
             self.clock.advance(STEP);
@@ -115,21 +120,21 @@
         (Outcomes(std::mem::take(&mut self.outcomes)), self)
     }
 
-    /// Lets hosts retry within a budget.
+    /// Lets hosts retry failed attempts within a budget.
     pub fn enable_retries(&mut self, budget: impl FnOnce(Instant) -> RetryBudget) {
         self.budget = Some(budget(self.start));
     }
 
-    fn is_at_rest(&self) -> bool {
+    fn is_idle(&self) -> bool {
         let now = self.clock.now();
         let is_waiting = |policy: &dyn Policy| policy.load(now).waiting > 0;
-        self.flights.is_empty()
-            && self.again.is_empty()
+        self.running_attempts.is_empty()
+            && self.retries.is_empty()
             && !self.policies.iter().any(|policy| is_waiting(&**policy))
     }
 
-    fn list_engines(&mut self) {
-        let seen: Vec<UpstreamInfo> = (0..self.engines.len())
+    fn register_engines(&mut self) {
+        let listed: Vec<UpstreamInfo> = (0..self.engines.len())
             .map(|index| UpstreamInfo {
                 id: name(index),
                 memory_tokens: Tokens(self.engines[index].memory),
@@ -138,7 +143,7 @@
             })
             .collect();
         for policy in &mut self.policies {
-            policy.set_upstreams(&seen, self.clock.now());
+            policy.set_upstreams(&listed, self.clock.now());
         }
     }
 
@@ -154,7 +159,7 @@
             request: RequestId(call as u128 | (u128::from(outcome.attempts) << 64)),
             host: format!("host-{policy}").parse().unwrap(),
             customer: request.customer.parse().unwrap(),
-            priority: banyanarch::units::Priority(request.rank),
+            priority: banyanarch::units::Priority(request.priority),
             prompt_tokens: Tokens(request.prompt),
             output_tokens: Tokens(request.output_max),
             prefixes: prefixes.into_iter().collect(),
@@ -164,12 +169,12 @@
         self.timed(|policies, now| policies[policy].offer(work, now));
     }
 
-    fn offer_again(&mut self) {
+    fn offer_retries(&mut self) {
         let now = self.clock.now();
-        let (due, later) = std::mem::take(&mut self.again)
+        let (due, later) = std::mem::take(&mut self.retries)
             .into_iter()
             .partition(|a| a.0 <= now);
-        self.again = later;
+        self.retries = later;
         let due: Vec<(Instant, usize, Vec<UpstreamId>)> = due;
         for (_, call, avoid) in due {
             self.offer(call, avoid);
@@ -204,18 +209,18 @@
         let attempt = AttemptId(grant.id.0);
         let members = engines.len() as u64;
         let share = work.memory_tokens().0.div_ceil(members);
-        let flight = Flight {
+        let running = RunningAttempt {
             call,
             policy,
             engines: engines.clone(),
             work: work.clone(),
             since: self.clock.now(),
-            prefills: engines.len(),
+            prefills_left: engines.len(),
             first_token: None,
             cached: 0,
         };
         self.outcomes[call].engines = engines.clone();
-        self.flights.insert(attempt, flight);
+        self.running_attempts.insert(attempt, running);
         let has_room = |index: &usize| members == 1 || self.engines[*index].has_room(share);
         if engines.iter().any(|index| self.engines[*index].is_dead) {
             self.end(attempt, AttemptOutcome::NotSent);
@@ -225,7 +230,7 @@
             let output = self.outcomes[call].request.output;
             for index in engines {
                 self.engines[index].start(attempt, &work, output, members);
-                self.flights[&attempt].cached = self.engines[index].jobs[&attempt].cached;
+                self.running_attempts[&attempt].cached = self.engines[index].jobs[&attempt].cached;
             }
         }
     }
@@ -239,98 +244,98 @@
         for event in events {
             match event {
                 Event::FirstToken(attempt) => {
-                    let flight = &mut self.flights[&attempt];
-                    flight.prefills -= 1;
-                    if flight.prefills == 0 {
-                        flight.first_token = Some(now - flight.since);
-                        let outcome = &mut self.outcomes[flight.call];
+                    let running = &mut self.running_attempts[&attempt];
+                    running.prefills_left -= 1;
+                    if running.prefills_left == 0 {
+                        running.first_token = Some(now - running.since);
+                        let outcome = &mut self.outcomes[running.call];
                         outcome.first_token = Some(now - self.start - outcome.request.at);
                     }
                 }
                 Event::End(attempt) => {
                     if self
-                        .flights
+                        .running_attempts
                         .get(&attempt)
-                        .is_some_and(|flight| flight.prefills == 0)
+                        .is_some_and(|running| running.prefills_left == 0)
                     {
                         self.end(attempt, AttemptOutcome::Completed);
                     }
                 }
             }
         }
-        let late = |flight: &Flight| flight.work.deadline <= now;
-        let cut: Vec<AttemptId> = self
-            .flights
+        let is_overdue = |running: &RunningAttempt| running.work.deadline <= now;
+        let overdue: Vec<AttemptId> = self
+            .running_attempts
             .iter()
-            .filter(|(_, f)| late(f))
+            .filter(|(_, running)| is_overdue(running))
             .map(|(id, _)| *id)
             .collect();
-        for attempt in cut {
+        for attempt in overdue {
             self.end(attempt, AttemptOutcome::Cancelled);
         }
     }
 
     fn end(&mut self, attempt: AttemptId, ended: AttemptOutcome) {
-        let flight = self.flights.swap_remove(&attempt).unwrap();
-        let left = self.engines[flight.engines[0]]
+        let running = self.running_attempts.swap_remove(&attempt).unwrap();
+        let output_left = self.engines[running.engines[0]]
             .jobs
             .get(&attempt)
             .map_or(0.0, |job| job.output_left);
-        for index in &flight.engines {
+        for index in &running.engines {
             self.engines[*index].jobs.shift_remove(&attempt);
         }
         let now = self.clock.now() + STEP;
-        let outcome = &mut self.outcomes[flight.call];
+        let outcome = &mut self.outcomes[running.call];
         let is_completed = ended == AttemptOutcome::Completed;
         if is_completed {
             outcome.completed = Some(now - self.start - outcome.request.at);
         }
         let done = AttemptSummary {
             ended,
-            first_token: flight.first_token,
-            total: now - flight.since,
+            first_token: running.first_token,
+            total: now - running.since,
             prompt_tokens: if is_completed {
-                flight.work.prompt_tokens
+                running.work.prompt_tokens
             } else {
                 Tokens::ZERO
             },
-            cached_tokens: Tokens(flight.cached),
+            cached_tokens: Tokens(running.cached),
             output_tokens: Tokens(
-                outcome.request.output - (left as u64).min(outcome.request.output),
+                outcome.request.output - (output_left as u64).min(outcome.request.output),
             ),
         };
         if matches!(
             ended,
             AttemptOutcome::Failed | AttemptOutcome::NotSent | AttemptOutcome::Refused
         ) {
-            self.retry(&flight, ended, now);
+            self.retry(&running, ended, now);
         }
-        self.timed(|policies, now| policies[flight.policy].finish(GrantId(attempt.0), done, now));
+        self.timed(|policies, now| policies[running.policy].finish(GrantId(attempt.0), done, now));
     }
 
-    fn retry(&mut self, flight: &Flight, ended: AttemptOutcome, now: Instant) {
+    fn retry(&mut self, running: &RunningAttempt, ended: AttemptOutcome, now: Instant) {
         let Some(budget) = &mut self.budget else {
             return;
         };
         let failed = FailedAttempt {
-            attempts: self.outcomes[flight.call].attempts,
+            attempts: self.outcomes[running.call].attempts,
             did_not_run: ended != AttemptOutcome::Failed,
             is_repeatable: true,
             answer_started: false,
             retry_after: None,
-            deadline: flight.work.deadline,
+            deadline: running.work.deadline,
         };
         if failed.attempts == 1 {
             budget.on_first_attempt();
         }
         if let RetryVerdict::Again { after } = budget.judge(&failed, now) {
-            let mut avoid = flight.work.avoid.clone();
-            avoid.extend(flight.engines.iter().map(|index| name(*index)));
-            self.again.push((now + after, flight.call, avoid));
+            let mut avoid = running.work.avoid.clone();
+            avoid.extend(running.engines.iter().map(|index| name(*index)));
+            self.retries.push((now + after, running.call, avoid));
         }
     }
 
-    fn set_outage(&mut self, seconds: f64) {
+    fn apply_outage(&mut self, seconds: f64) {
         let Some((engines, from, to)) = self.outage.clone() else {
             return;
         };
@@ -344,7 +349,7 @@
         }
     }
 
-    fn deliver(&mut self, reports: &[LoadReport]) {
+    fn deliver_reports(&mut self, reports: &[LoadReport]) {
         for (index, report) in reports.iter().enumerate() {
             let report = (self.alter_report)(report);
             for policy in &mut self.policies {
@@ -354,9 +359,9 @@
     }
 
     fn timed<R>(&mut self, call: impl FnOnce(&mut [Box<dyn Policy>], Instant) -> R) -> R {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let result = call(&mut self.policies, self.clock.now());
-        self.decided_in += began.elapsed();
+        self.decision_time += started_at.elapsed();
         result
     }
 }
--- a/tests/decide_fakes/load.rs
+++ b/tests/decide_fakes/workload.rs
@@ -1,4 +1,4 @@
-//! What callers request, drawn from a seed.
+//! The requests of callers, generated from a seed.
 
 use std::time::Duration;
 
@@ -15,17 +15,17 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// One request of a caller.
+/// One request of a caller, sent at the time `at`.
 #[derive(Clone, Debug)]
 pub struct RequestSpec {
     pub at: Duration,
     pub customer: &'static str,
-    pub rank: u8,
+    pub priority: u8,
     pub prompt: u64,
     pub output_max: u64,
     pub output: u64,
     pub timeout: Duration,
-    /// Names a prefix and its length.
+    /// The hash and the length of the prompt's shared prefix.
     pub prefix: Option<(u128, u64)>,
 }
 
@@ -34,7 +34,7 @@
         Self {
             at: Duration::ZERO,
             customer: "desk",
-            rank: 0,
+            priority: 0,
             prompt: 1_000,
             output_max: 64,
             output: 32,
@@ -52,6 +52,7 @@
     }
 }
 
+/// The requests of a simulation, in any order.
 pub struct Workload {
     pub requests: Vec<RequestSpec>,
     rng: StdRng,
@@ -65,8 +66,8 @@
         }
     }
 
-    /// Adds a Poisson stream of requests like `request`, from and to these seconds. Prompts and answers
-    /// vary from a half to one and a half of the given length.
+    /// Adds a Poisson stream of requests like `request` between two times in `seconds`, at `rate`
+    /// requests a second. Prompt and answer lengths vary from 0.5 to 1.5 times the given length.
     pub fn stream(mut self, rate: f64, seconds: (f64, f64), request: &RequestSpec) -> Self {
         let mut at = seconds.0;
         loop {
@@ -86,6 +87,7 @@
     }
 }
 
+/// A configuration for model engines in which no customer reaches its rate.
 pub fn config(objective: Objective, speed: f64) -> PolicyConfig {
     let share = CustomerShare {
         share: 1,
--- a/tests/decide_gateway.rs
+++ b/tests/decide_gateway.rs
@@ -1,4 +1,4 @@
-//! The smaller decisions of the gateway: whom to leave alone, who may retry, which instance.
+//! Tests of the gateway's smaller decisions: unreachable upstreams, retries, and instances.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -44,50 +44,53 @@
     }
 }
 
-/// Callers of a dead engine lose part of a second each. It died without a word, stays on the list for
-/// three heartbeats, and every request tries it first since it looks idle; and after each pause again.
+/// An engine dies without notice and stays listed for three heartbeats. It looks idle, so every
+/// request tries it first and its caller loses part of a second, and again after each pause.
 #[test]
-fn an_upstream_that_does_not_connect_gets_no_request_until_a_connection_comes_about() {
+fn an_upstream_that_does_not_connect_gets_no_request_until_a_connection_succeeds() {
     let (mut health, now) = (HealthBook::default(), Instant::now());
     let (dead, here) = (upstream("dead"), domain("here"));
     health.on_fault(&dead, &here, UpstreamFault::ConnectRefused, now);
     assert!(!health.is_usable(&dead, &here, now + ms(100)));
     assert!(health.take_due(now + ms(499)).is_empty());
     assert_eq!(health.next_due(), Some(now + ms(500)));
-    let tried = now + ms(501);
-    assert_eq!(health.take_due(tried), std::slice::from_ref(&dead));
-    assert!(health.take_due(tried).is_empty(), "one at a time");
-    assert!(!health.is_usable(&dead, &here, tried));
-    health.on_fault(&dead, &here, UpstreamFault::ConnectRefused, tried);
+    let retried_at = now + ms(501);
+    assert_eq!(health.take_due(retried_at), std::slice::from_ref(&dead));
     assert!(
-        health.take_due(tried + ms(999)).is_empty(),
-        "longer each time"
+        health.take_due(retried_at).is_empty(),
+        "one probe at a time"
+    );
+    assert!(!health.is_usable(&dead, &here, retried_at));
+    health.on_fault(&dead, &here, UpstreamFault::ConnectRefused, retried_at);
+    assert!(
+        health.take_due(retried_at + ms(999)).is_empty(),
+        "the pause grows each time"
     );
     assert_eq!(
-        health.take_due(tried + ms(1_001)),
+        health.take_due(retried_at + ms(1_001)),
         std::slice::from_ref(&dead)
     );
-    health.on_connected(&dead, tried + ms(1_010));
-    assert!(health.is_usable(&dead, &here, tried + ms(1_010)));
+    health.on_connected(&dead, retried_at + ms(1_010));
+    assert!(health.is_usable(&dead, &here, retried_at + ms(1_010)));
     assert_eq!(
         health.next_due(),
         None,
-        "nothing wakes a host that reaches all"
+        "no probe is due while all upstreams are reachable"
     );
 }
 
-/// A failure domain is cut off. Each request tries one engine there after the other, a part of a second
-/// each, until its time is up, although the engines of the own domain are idle; and whenever the
-/// pause is over, all requests of the moment try it again.
+/// A failure domain is unreachable. Each request tries its engines one after the other, a part of a
+/// second each, until its deadline, although the engines of the own domain are idle. After each
+/// pause all requests of the moment try the domain again.
 #[test]
-fn a_domain_that_is_cut_off_is_left_alone_until_it_is_reached() {
+fn an_unreachable_domain_gets_no_request_until_it_is_reached() {
     let (mut health, now) = (HealthBook::default(), Instant::now());
     let there = domain("there");
     let untried = upstream("c");
     health.on_fault(&upstream("a"), &there, UpstreamFault::ConnectTimeout, now);
     assert!(
         health.is_usable(&untried, &there, now),
-        "one alone may have died"
+        "a single engine may have died"
     );
     health.on_fault(&upstream("b"), &there, UpstreamFault::ConnectTimeout, now);
     assert!(!health.is_usable(&untried, &there, now + ms(500)));
@@ -95,61 +98,69 @@
     let later = now + ms(700);
     assert!(!health.is_usable(&untried, &there, later));
     let first = health.take_due(later);
-    assert_eq!(first.len(), 1, "one stands for all of them");
+    assert_eq!(
+        first.len(),
+        1,
+        "one upstream is probed for the whole domain"
+    );
     health.on_fault(&first[0], &there, UpstreamFault::ConnectTimeout, later);
     let second = health.take_due(later + ms(700));
-    assert!(second != first, "the one that was tried may itself be dead");
+    assert!(
+        second != first,
+        "the upstream probed before may itself be dead"
+    );
     health.on_answer(&upstream("a"), &there, later);
     assert!(health.is_usable(&untried, &there, later));
 }
 
-/// Sixty hosts find out one after the other that an engine is dead and a domain cut off, each at the
-/// cost of some callers.
+/// Sixty hosts find out one after the other that an engine is dead and a domain unreachable, each
+/// at the cost of some callers.
 #[test]
-fn what_a_neighbour_could_not_reach_is_left_alone_too() {
+fn upstreams_that_a_peer_cannot_reach_are_avoided() {
     let now = Instant::now();
-    let (mut finder, mut neighbour) = (HealthBook::default(), HealthBook::default());
+    let (mut observer, mut peer) = (HealthBook::default(), HealthBook::default());
     let (there, dead) = (domain("there"), upstream("a"));
     for id in ["a", "b"] {
-        finder.on_fault(&upstream(id), &there, UpstreamFault::ConnectTimeout, now);
+        observer.on_fault(&upstream(id), &there, UpstreamFault::ConnectTimeout, now);
     }
-    let told: Vec<UpstreamId> = finder.unreachable(now).cloned().collect();
-    assert_eq!(told, [dead.clone(), upstream("b")]);
-    assert!(finder.cut_off(now).eq([&there]));
-    neighbour.hear_unreachable(&dead, &there, now);
-    assert!(!neighbour.is_usable(&dead, &there, now));
-    assert!(neighbour.is_usable(&upstream("c"), &there, now));
-    neighbour.hear_cut_off(&there, now);
-    assert!(!neighbour.is_usable(&upstream("c"), &there, now));
-    // What was only heard is not told on, or it would go round for ever.
-    assert_eq!(neighbour.unreachable(now).count(), 0);
-    assert_eq!(neighbour.cut_off(now).count(), 0);
+    let reported: Vec<UpstreamId> = observer.unreachable(now).cloned().collect();
+    assert_eq!(reported, [dead.clone(), upstream("b")]);
+    assert!(observer.cut_off(now).eq([&there]));
+    peer.hear_unreachable(&dead, &there, now);
+    assert!(!peer.is_usable(&dead, &there, now));
+    assert!(peer.is_usable(&upstream("c"), &there, now));
+    peer.hear_cut_off(&there, now);
+    assert!(!peer.is_usable(&upstream("c"), &there, now));
+    // Reports of peers are not passed on, or they would circulate forever.
+    assert_eq!(peer.unreachable(now).count(), 0);
+    assert_eq!(peer.cut_off(now).count(), 0);
 }
 
-/// A host behind a broken link takes a sound engine for dead, and all of its domain believe it.
+/// A host behind a broken link takes a healthy engine for dead, and all hosts of its domain believe
+/// the report.
 #[test]
-fn what_answers_here_is_used_whatever_a_neighbour_says() {
+fn an_upstream_that_answers_here_is_used_whatever_a_peer_reports() {
     let (mut health, now) = (HealthBook::default(), Instant::now());
-    let (sound, there) = (upstream("sound"), domain("there"));
-    health.on_answer(&sound, &there, now);
-    health.hear_unreachable(&sound, &there, now + ms(200));
+    let (healthy, there) = (upstream("healthy"), domain("there"));
+    health.on_answer(&healthy, &there, now);
+    health.hear_unreachable(&healthy, &there, now + ms(200));
     health.hear_cut_off(&there, now + ms(200));
-    assert!(health.is_usable(&sound, &there, now + ms(200)));
+    assert!(health.is_usable(&healthy, &there, now + ms(200)));
 }
 
-/// A service fails every call that comes near it, its health answers are good, and it looks the
-/// least busy because failing is quick.
+/// A service instance fails every call although its health checks succeed, and looks the least busy
+/// because failing is quick.
 #[test]
 fn an_instance_that_fails_many_calls_comes_last() {
     let (mut health, now) = (HealthBook::default(), Instant::now());
-    let (grey, here) = (upstream("grey"), domain("here"));
+    let (failing, here) = (upstream("failing"), domain("here"));
     for _ in 0..5 {
-        health.on_fault(&grey, &here, UpstreamFault::Failed, now);
+        health.on_fault(&failing, &here, UpstreamFault::Failed, now);
     }
-    assert!(health.is_failing(&grey));
+    assert!(health.is_failing(&failing));
     assert!(
-        health.is_usable(&grey, &here, now),
-        "where it is all there is"
+        health.is_usable(&failing, &here, now),
+        "usable if there is no other instance"
     );
     let view = |id: &UpstreamId, in_flight| InstanceView {
         id: id.clone(),
@@ -157,9 +168,9 @@
         is_near: true,
         is_failing: health.is_failing(id),
     };
-    let sound = upstream("sound");
-    let views = [view(&grey, 0), view(&sound, 5)];
-    assert_eq!(choose_instance(&views, 1), Some(&sound));
+    let healthy = upstream("healthy");
+    let views = [view(&failing, 0), view(&healthy, 5)];
+    assert_eq!(choose_instance(&views, 1), Some(&healthy));
 }
 
 #[test]
@@ -183,8 +194,9 @@
     window: Duration::from_secs(10),
 };
 
-/// All upstreams of a service fail and seven hosts send again at once, cut off from each other, each
-/// with the whole allowance: the service gets seven times the load it was promised.
+/// All upstreams of a service fail, and seven hosts that cannot reach each other retry at once. If
+/// each of them used the whole allowance, the service would get seven times the retries that the
+/// bound allows.
 #[test]
 fn the_retries_of_all_hosts_together_stay_within_the_bound() {
     let now = Instant::now();
@@ -200,11 +212,11 @@
         })
         .sum();
     assert!(retries <= 100 + 70, "{retries} retries for 350 requests");
-    assert!(retries >= 90, "the budget is there to be used: {retries}");
+    assert!(retries >= 90, "the budget has to be usable: {retries}");
 }
 
 #[test]
-fn a_retry_is_given_back_when_its_window_has_passed() {
+fn a_retry_is_available_again_when_its_window_has_passed() {
     let now = Instant::now();
     let mut window = RetryWindow::default();
     while window.try_retry(&BOUND, 7, now) {}
@@ -219,23 +231,23 @@
     }
 }
 
-/// The peer says this of its work at an engine.
+/// Applies a snapshot of the peer's work at an engine.
 fn hear(
     ledger: &mut LoadLedger,
     engine: &UpstreamId,
     incarnation: u64,
-    said: HostLoad,
+    update: HostLoad,
     now: Instant,
 ) {
-    let loads = IndexMap::from([(engine.clone(), said)]);
+    let loads = IndexMap::from([(engine.clone(), update)]);
     ledger.hear("peer".parse().unwrap(), incarnation, loads, now);
 }
 
-/// Three hosts send a long prompt each to the same engine, which reads them one after the other for
-/// 1.2 s. Each host counts its own part down by itself, so after 400 ms all believe that the engine
-/// is idle, and send it more.
+/// Three hosts send a long prompt each to the same engine, which processes them one after the other
+/// for 1.2 s. If each host counted down its own part alone, all would take the engine for idle
+/// after 400 ms and send it more.
 #[test]
-fn what_several_hosts_sent_to_an_engine_is_read_one_after_the_other() {
+fn prefill_from_several_hosts_is_processed_one_after_the_other() {
     let now = Instant::now();
     let mut ledger = LoadLedger::default();
     let engine = upstream("e");
@@ -253,40 +265,40 @@
     assert_eq!(ledger.load(&engine, now + ms(400)).prefill_backlog, ms(800));
 }
 
-/// News come twice, or one is lost, or the host that sends them is started anew and counts from zero:
-/// an engine is taken for busy that idles, or the other way round.
+/// A message is repeated, a message is lost, or the sending host restarts and counts from zero. In
+/// none of these cases may an idle engine count as busy, or a busy one as idle.
 #[test]
-fn what_was_sent_counts_once_whatever_becomes_of_the_news() {
+fn sent_prefill_counts_once_if_messages_are_repeated_or_lost() {
     let now = Instant::now();
     let mut ledger = LoadLedger::default();
     let engine = upstream("e");
-    let said = |total_ms, remaining_ms| HostLoad {
+    let update = |total_ms, remaining_ms| HostLoad {
         read: sent(total_ms, remaining_ms),
         ..HostLoad::default()
     };
-    // Of the first news it is not known how much of the total is still waiting.
-    hear(&mut ledger, &engine, 1, said(90_000, 100), now);
+    // The first message does not tell how much of the total is still pending.
+    hear(&mut ledger, &engine, 1, update(90_000, 100), now);
     assert_eq!(ledger.load(&engine, now).prefill_backlog, ms(100));
-    hear(&mut ledger, &engine, 1, said(90_000, 100), now);
+    hear(&mut ledger, &engine, 1, update(90_000, 100), now);
     assert_eq!(
         ledger.load(&engine, now).prefill_backlog,
         ms(100),
-        "told twice"
+        "the message was repeated"
     );
     // Two prompts were sent, and only the second message arrives.
-    hear(&mut ledger, &engine, 1, said(90_500, 600), now);
+    hear(&mut ledger, &engine, 1, update(90_500, 600), now);
     assert_eq!(
         ledger.load(&engine, now).prefill_backlog,
         ms(600),
-        "one was lost"
+        "one message was lost"
     );
-    // What the sender takes for read is no longer waiting, also where its news was late.
+    // Prefill that the sender counts as done is no longer pending, even if its message was late.
     let later = now + ms(700);
-    hear(&mut ledger, &engine, 1, said(90_800, 50), later);
+    hear(&mut ledger, &engine, 1, update(90_800, 50), later);
     assert_eq!(ledger.load(&engine, later).prefill_backlog, ms(50));
-    hear(&mut ledger, &engine, 2, said(30, 30), later + ms(100));
+    hear(&mut ledger, &engine, 2, update(30, 30), later + ms(100));
     let anew = ledger.load(&engine, later + ms(100)).prefill_backlog;
-    assert_eq!(anew, ms(30), "it was started anew");
+    assert_eq!(anew, ms(30), "the host has restarted");
 }
 
 #[test]
@@ -307,7 +319,7 @@
     hear(&mut ledger, &engine, 1, peer, now);
     let load = ledger.load(&engine, now);
     assert_eq!((load.in_flight, load.short_in_flight), (4, 2));
-    // The own part begins with the engine's next pass.
+    // The own prefill starts with the engine's next step.
     assert_eq!(load.prefill_backlog, ms(125));
     assert_eq!(load.strictest_pause, Some(ms(200)));
     assert_eq!(load.held_tokens, Tokens(5_100));
@@ -320,10 +332,10 @@
     );
 }
 
-/// A host dies with twenty answers on an engine. Its connections broke and the engine dropped the
-/// work, but the others go on counting it, and the engine idles.
+/// A host dies with twenty answers on an engine. The engine drops the work when the connections
+/// break, but if other hosts kept counting it the engine would idle.
 #[test]
-fn the_work_of_a_host_that_has_fallen_silent_is_forgotten() {
+fn the_work_of_a_silent_host_is_removed() {
     let now = Instant::now();
     let mut ledger = LoadLedger::default();
     let engine = upstream("e");
@@ -337,10 +349,10 @@
     assert_eq!(ledger.peers_heard(now + ms(1_000)), 0);
 }
 
-/// An archive is made late by the next one, which another host sends: it does not know that somebody
-/// waits for what is being read there.
+/// A long prompt is made late by the next one from another host, if that host does not know that a
+/// caller waits for the prompt in prefill.
 #[test]
-fn hosts_know_when_what_is_being_read_has_to_be_done() {
+fn hosts_know_when_prefill_in_progress_is_due() {
     let now = Instant::now();
     let mut ledger = LoadLedger::default();
     let engine = upstream("e");
@@ -360,19 +372,19 @@
     assert_eq!(
         prefill_due(&ledger, 100),
         Some(ms(300)),
-        "the news grow old"
+        "the reported time counts down"
     );
     let nothing = HostLoad::default();
     hear(&mut ledger, &engine, 1, nothing, now + ms(100));
     ledger.read_done(&engine, &mut due_in(700));
     assert_eq!(prefill_due(&ledger, 100), Some(ms(800)));
-    assert_eq!(prefill_due(&ledger, 900), None, "it is late already");
+    assert_eq!(prefill_due(&ledger, 900), None, "the due time has passed");
     ledger.end(&engine, &due_in(900));
     assert_eq!(prefill_due(&ledger, 100), None);
 }
 
-/// Engines turn prompts away that hosts send: they help as many others as they have slots, and hosts
-/// know only of the answers that are written there.
+/// Engines refuse prompts that hosts send, because they help as many other engines as they have
+/// slots, and hosts know only of the answers that are generated there.
 #[parameterized(
     reads_a_part = { HelpsUntil::Read, 0 },
     keeps_a_part = { HelpsUntil::Ended, 1 },
@@ -400,8 +412,9 @@
     assert_eq!(ledger.load(&engine, now).helping, 2);
 }
 
-/// Hundreds of orders to set memory aside are refused after many hosts have lost power at once: what they had set
-/// aside is on nobody's books until it lapses, and each prompt is offered to the same engines again.
+/// Many hosts lose power at once. The memory that they had reserved is in no ledger until the
+/// reservations expire, so each prompt is offered to the same engines again, and hundreds of
+/// reservations are refused.
 #[test]
 fn an_engine_that_has_refused_memory_is_not_asked_for_as_much_at_once() {
     let now = Instant::now();
--- a/tests/decide_ledger.rs
+++ b/tests/decide_ledger.rs
@@ -1,4 +1,4 @@
-//! The sums of the load ledger against a plain reckoning of all that was heard.
+//! Tests of the load ledger's sums against a plain recomputation from all reports.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,40 +17,41 @@
 use rand::rngs::StdRng;
 use yare::parameterized;
 
-/// What a peer is remembered for after its last message.
-const KEPT_FOR: Duration = Duration::from_secs(1);
+/// The time after its last message at which a silent peer no longer counts.
+const PEER_LIFETIME: Duration = Duration::from_secs(1);
 
-/// One host as the plain reckoning remembers it.
+/// The state of one peer in the reference.
 struct Peer {
     incarnation: u64,
     heard_at: Instant,
     loads: BTreeMap<usize, (HostLoad, Instant)>,
 }
 
+/// A reference that recomputes each sum from the stored reports.
 #[derive(Default)]
-struct Reckoning {
+struct Reference {
     peers: BTreeMap<usize, Peer>,
 }
 
-impl Reckoning {
+impl Reference {
     fn hear(
         &mut self,
         host: usize,
         incarnation: u64,
-        extent: LoadUpdateKind,
+        kind: LoadUpdateKind,
         loads: &[(usize, HostLoad)],
         now: Instant,
     ) {
         let is_known = |peer: &Peer| {
             peer.incarnation == incarnation
-                && now.saturating_duration_since(peer.heard_at) < KEPT_FOR
+                && now.saturating_duration_since(peer.heard_at) < PEER_LIFETIME
         };
         let known = self.peers.remove(&host).filter(is_known);
-        let mut kept = known.map(|peer| peer.loads).unwrap_or_default();
-        if extent == LoadUpdateKind::Snapshot {
-            kept.clear();
+        let mut merged = known.map(|peer| peer.loads).unwrap_or_default();
+        if kind == LoadUpdateKind::Snapshot {
+            merged.clear();
         }
-        kept.extend(
+        merged.extend(
             loads
                 .iter()
                 .map(|(upstream, load)| (*upstream, (*load, now))),
@@ -58,13 +59,13 @@
         let peer = Peer {
             incarnation,
             heard_at: now,
-            loads: kept,
+            loads: merged,
         };
         self.peers.insert(host, peer);
     }
 
     fn heard(&self, upstream: usize, now: Instant) -> Vec<(HostLoad, Instant)> {
-        let is_heard = |peer: &&Peer| now.saturating_duration_since(peer.heard_at) < KEPT_FOR;
+        let is_heard = |peer: &&Peer| now.saturating_duration_since(peer.heard_at) < PEER_LIFETIME;
         let heard = self.peers.values().filter(is_heard);
         heard
             .filter_map(|peer| peer.loads.get(&upstream).copied())
@@ -80,7 +81,7 @@
     format!("engine-{index}").parse().unwrap()
 }
 
-fn drawn_load(rng: &mut StdRng) -> HostLoad {
+fn random_load(rng: &mut StdRng) -> HostLoad {
     let in_flight = rng.random_range(0..5);
     let pause = rng.random_range(0..4);
     let due = rng.random_range(0..3_000);
@@ -95,41 +96,41 @@
     }
 }
 
-/// Hosts speak, fall silent, start anew, name upstreams and leave them out again. A sum that is kept
-/// up to date by differences drifts from what they said, and hosts avoid an engine that is free, or
-/// fill one that is full.
+/// Hosts report, fall silent, restart, and add and drop upstreams. Sums that are updated by
+/// differences must not drift from the reports, or hosts avoid an engine that is free, or overload
+/// one that is full.
 #[parameterized(
     few = { 7, 23, 1 },
     seventy = { 69, 60, 2 },
     large = { 194, 195, 3 },
 )]
-fn the_sums_are_what_was_heard(hosts: usize, upstreams: usize, seed: u64) {
+fn the_sums_match_what_was_reported(hosts: usize, upstreams: usize, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut now = Instant::now();
     let mut ledger = LoadLedger::default();
-    let mut reckoning = Reckoning::default();
+    let mut reference = Reference::default();
     for step in 0..3_000 {
-        // Now and then all are silent for long.
+        // From time to time all hosts are silent for long.
         let pause_ms = if step % 500 == 499 { 1_500 } else { 20 };
         now += Duration::from_millis(rng.random_range(0..pause_ms));
-        let speaker = rng.random_range(0..hosts);
+        let reporter = rng.random_range(0..hosts);
         let incarnation = u64::from(rng.random_range(0..20) == 0);
-        let extent = if rng.random() {
+        let kind = if rng.random() {
             LoadUpdateKind::Snapshot
         } else {
             LoadUpdateKind::Delta
         };
-        let named = rng.random_range(0..6);
-        let mut drawn = || (rng.random_range(0..upstreams), drawn_load(&mut rng));
-        let loads: Vec<(usize, HostLoad)> = (0..named).map(|_| drawn()).collect();
-        let said = loads.iter().map(|(index, load)| (upstream(*index), *load));
-        let source = LoadSource::Host(host(speaker));
-        ledger.hear_part(source, incarnation, extent, said, now);
-        reckoning.hear(speaker, incarnation, extent, &loads, now);
-        let asked = rng.random_range(0..upstreams);
-        let asked_at = now + Duration::from_millis(rng.random_range(0..1_200));
-        let heard = reckoning.heard(asked, asked_at);
-        let sum = ledger.load(&upstream(asked), asked_at);
+        let entries = rng.random_range(0..6);
+        let mut random_entry = || (rng.random_range(0..upstreams), random_load(&mut rng));
+        let loads: Vec<(usize, HostLoad)> = (0..entries).map(|_| random_entry()).collect();
+        let update = loads.iter().map(|(index, load)| (upstream(*index), *load));
+        let source = LoadSource::Host(host(reporter));
+        ledger.hear_part(source, incarnation, kind, update, now);
+        reference.hear(reporter, incarnation, kind, &loads, now);
+        let queried = rng.random_range(0..upstreams);
+        let queried_at = now + Duration::from_millis(rng.random_range(0..1_200));
+        let heard = reference.heard(queried, queried_at);
+        let sum = ledger.load(&upstream(queried), queried_at);
         let in_flight: u32 = heard.iter().map(|(load, _)| load.in_flight).sum();
         let short: u32 = heard.iter().map(|(load, _)| load.short_in_flight).sum();
         let helping: u32 = heard.iter().map(|(load, _)| load.helping).sum();
@@ -140,7 +141,7 @@
             .min();
         let due = heard.iter().filter_map(|(load, at)| {
             let due = load.prefill_due?;
-            Some((*at + due).saturating_duration_since(asked_at))
+            Some((*at + due).saturating_duration_since(queried_at))
         });
         assert_eq!(sum.in_flight, in_flight);
         assert_eq!(sum.short_in_flight, short);
@@ -155,9 +156,9 @@
     }
 }
 
-/// A collector and the host that it runs on speak of different work under one name.
+/// A collector and the host that it runs on report different work under one host id.
 #[test]
-fn a_collector_does_not_replace_what_its_host_said() {
+fn a_collector_does_not_replace_what_its_host_reported() {
     let now = Instant::now();
     let mut ledger = LoadLedger::default();
     let load = HostLoad {
--- a/tests/decide_load.rs
+++ b/tests/decide_load.rs
@@ -1,4 +1,4 @@
-//! What callers get from the shipped policy under load, on fake engines and fixed seeds.
+//! Tests of the shipped policy under load, on fake engines with fixed seeds.
 
 mod decide_fakes;
 
@@ -24,7 +24,7 @@
 
 const SPEED: f64 = 8_000.0;
 
-/// Ten engines, which read about 60 prompts of 1,000 tokens a second.
+/// Ten engines, which together process about 60 prompts of 1,000 tokens a second.
 fn simulation(name: PolicyName, hosts: u64) -> Simulation {
     let conf = config(Objective::ShortSlowdown, SPEED);
     let policies: Vec<Box<dyn Policy>> = (0..hosts)
@@ -36,7 +36,7 @@
     )
 }
 
-fn play(name: PolicyName, load: Workload) -> Outcomes {
+fn run(name: PolicyName, load: Workload) -> Outcomes {
     simulation(name, 1).run(load).0
 }
 
@@ -57,12 +57,13 @@
         .stream(0.5, (0.0, 60.0), &long)
 }
 
-/// A caller on the line requests for a clause while studios send audits that take half of the engines.
-/// Audits go to any engine that looks free, and the clause is read between their chunks or beside
-/// them, so that it comes late. Engines kept free of long prefill answer it as if there were none.
+/// A caller sends a short prompt while others send long prompts that take half of the engines'
+/// time. If long prompts go to any engine that looks free, short prompts are processed between or
+/// beside their chunks and are late. Engines kept free of long prefill answer short prompts as if
+/// there were no long ones.
 #[parameterized(by_rank = { true }, all_alike = { false })]
-fn short_prompts_hardly_notice_long_ones(honours_priority: bool) {
-    let play = |name, load| {
+fn long_prompts_hardly_slow_short_ones(honours_priority: bool) {
+    let run = |name, load| {
         let mut simulation = simulation(name, 1);
         simulation
             .engines
@@ -70,11 +71,11 @@
             .for_each(|engine| engine.honours_priority = honours_priority);
         simulation.run(load).0.class(LengthClass::Short)
     };
-    let alone = play(
+    let alone = run(
         PolicyName::Shipped,
         Workload::new(1).stream(12.0, (0.0, 60.0), &RequestSpec::short()),
     );
-    let slowdown = |name| play(name, mixed(1)).ttft(0.95) / alone.ttft(0.95);
+    let slowdown = |name| run(name, mixed(1)).ttft(0.95) / alone.ttft(0.95);
     let (shipped, least) = (
         slowdown(PolicyName::Shipped),
         slowdown(PolicyName::LeastInFlight),
@@ -86,10 +87,11 @@
     );
 }
 
-/// Clause lookups alone fill the engines twice over, and an audit waits. Engines serve the short
-/// first, so without a part of its own the audit would run out of time, also where it was let in.
+/// Short prompts alone are twice the capacity of the engines, and a long prompt waits. Engines
+/// serve short prompts first, so without a guaranteed fraction an admitted long prompt would miss
+/// its deadline.
 #[test]
-fn long_work_has_its_part_under_load() {
+fn long_work_gets_its_fraction_under_load() {
     let long = RequestSpec {
         customer: "studio",
         timeout: Duration::from_secs(60),
@@ -99,39 +101,39 @@
         let short = Workload::new(2).stream(70.0, (0.0, 80.0), &within(8));
         short.stream(0.1, (10.0, 20.0), &long)
     };
-    let done = |name| {
-        play(name, load())
+    let completed = |name| {
+        run(name, load())
             .class(LengthClass::Long)
             .completed_fraction()
     };
-    assert!(done(PolicyName::LeastInFlight) < 0.5);
-    assert!(done(PolicyName::Shipped) > 0.9);
+    assert!(completed(PolicyName::LeastInFlight) < 0.5);
+    assert!(completed(PolicyName::Shipped) > 0.9);
 }
 
-/// Ten times the load for five seconds. What can't end in time is told so at once; what is let in
-/// ends, and ten seconds later nobody notices any more.
+/// The load rises tenfold for five seconds. Requests that cannot end in time are refused at once,
+/// admitted requests end in time, and ten seconds later the latency is back to normal.
 #[test]
-fn a_burst_is_over_soon() {
+fn a_burst_is_absorbed_within_ten_seconds() {
     let load = || {
         let usual = Workload::new(3).stream(15.0, (0.0, 40.0), &within(8));
         usual.stream(135.0, (10.0, 15.0), &within(8))
     };
-    let all = play(PolicyName::Shipped, load());
-    let let_in = all.only(|o| o.refused.is_none());
+    let all = run(PolicyName::Shipped, load());
+    let admitted = all.only(|o| o.refused.is_none());
     let after = all.only(|o| o.request.at > Duration::from_secs(25));
     assert!(
-        let_in.completed_fraction() > 0.97,
-        "let in and done {}",
-        let_in.completed_fraction()
+        admitted.completed_fraction() > 0.97,
+        "admitted and completed {}",
+        admitted.completed_fraction()
     );
     assert!(after.ttft(0.95) < 0.4, "after {}", after.ttft(0.95));
-    let least = play(PolicyName::LeastInFlight, load());
+    let least = run(PolicyName::LeastInFlight, load());
     assert!(all.completed() > least.completed());
 }
 
-/// Two of six customers send nine tenths of twice what the engines can do. The four others send
-/// less than their share, so all of theirs is done, and soon; with one queue for all they would wait
-/// as long as the large ones.
+/// Two of six customers send nine tenths of a load of twice the capacity. The four others send less
+/// than their share, so all of their requests have to be completed soon. With one common queue they
+/// would wait as long as the large customers.
 #[test]
 fn small_customers_do_not_wait_for_large_ones() {
     let request = |customer| RequestSpec {
@@ -153,11 +155,11 @@
         load
     };
     let is_large = |o: &decide_fakes::Outcome| ["studio", "agency"].contains(&o.request.customer);
-    let all = play(PolicyName::Shipped, load());
+    let all = run(PolicyName::Shipped, load());
     let (small, large) = (all.only(|o| !is_large(o)), all.only(is_large));
     assert!(
         small.completed_fraction() > 0.99,
-        "small done {}",
+        "small completed {}",
         small.completed_fraction()
     );
     assert!(small.ttft(0.95) * 5.0 < large.ttft(0.95));
@@ -171,11 +173,12 @@
     );
 }
 
-/// Half of all prompts begin with the same 3,000 tokens. Sent where they are cached they cost a
-/// tenth; if all went there, that engine would melt. Callers get first tokens several times sooner
-/// than with any spread that ignores the cache, and no engine gets more than twice its part.
+/// Half of all prompts share a prefix of 3,000 tokens. On an engine that has the prefix in its
+/// cache they cost a tenth, but that engine would be overloaded if all of them went there. The time
+/// to first token has to be several times shorter than with a policy that ignores the cache, and no
+/// engine may get more than twice its part.
 #[test]
-fn a_hot_prefix_is_read_seldom_and_melts_no_engine() {
+fn a_hot_prefix_is_cached_and_overloads_no_engine() {
     let request = |prefix| RequestSpec {
         prompt: 3_400,
         prefix: Some((prefix, 3_000)),
@@ -187,8 +190,8 @@
             load.stream(0.4, (0.0, 40.0), &request(prefix))
         })
     };
-    let all = play(PolicyName::Shipped, load());
-    let least = play(PolicyName::LeastInFlight, load());
+    let all = run(PolicyName::Shipped, load());
+    let least = run(PolicyName::LeastInFlight, load());
     assert!(
         all.ttft(0.5) * 2.0 < least.ttft(0.5),
         "{} {}",
@@ -200,10 +203,10 @@
     assert!(most * 5 < all.0.len(), "{most} of {}", all.0.len());
 }
 
-/// One engine works five times slower than the others from the start. It always looks as if it had
-/// fewer requests in flight, and the callers sent there wait five times as long.
+/// One engine is five times slower than the others from the start. By requests in flight it always
+/// looks less busy, and callers sent there wait five times as long.
 #[test]
-fn a_slow_upstream_is_left_alone() {
+fn a_slow_upstream_gets_little_work() {
     let with_slow = |name, pace| {
         let mut simulation = simulation(name, 1);
         simulation.engines[3].pace = pace;
@@ -211,14 +214,14 @@
             .run(Workload::new(6).stream(25.0, (0.0, 60.0), &RequestSpec::short()))
             .0
     };
-    let (well, slow) = (
+    let (normal, slow) = (
         with_slow(PolicyName::Shipped, 1.0),
         with_slow(PolicyName::Shipped, 0.2),
     );
     let least = with_slow(PolicyName::LeastInFlight, 0.2);
-    assert!(slow.ttft(0.98) < 1.1 * well.ttft(0.98));
-    assert!(least.ttft(0.98) > 1.5 * well.ttft(0.98));
-    // It is tried again now and then.
+    assert!(slow.ttft(0.98) < 1.1 * normal.ttft(0.98));
+    assert!(least.ttft(0.98) > 1.5 * normal.ttft(0.98));
+    // The slow engine is probed again from time to time.
     assert!(
         slow.0
             .iter()
@@ -226,12 +229,12 @@
     );
 }
 
-/// Twice the capacity for a minute. Without admission each request waits, is worked on, and is cut
-/// at its limit: the engines are busy and nobody gets an answer.
+/// The load is twice the capacity for a minute. Without admission every request is queued,
+/// processed and cancelled at its deadline: the engines are busy and no caller gets an answer.
 #[test]
 fn saturation_keeps_the_goodput() {
     let goodput = |name, rate| {
-        let all = play(name, Workload::new(7).stream(rate, (0.0, 60.0), &within(6)));
+        let all = run(name, Workload::new(7).stream(rate, (0.0, 60.0), &within(6)));
         let expired = all.only(|o| o.refused == Some(RefuseReason::Expired));
         (all.goodput(), expired.0.len())
     };
@@ -240,14 +243,14 @@
     assert!(at_twice > 0.9 * at_capacity, "{at_twice} of {at_capacity}");
     assert!(
         expired < 330,
-        "{expired} of 6,600 were let in and ran out of time in the queue"
+        "{expired} of 6,600 were admitted and expired in the queue"
     );
     assert!(goodput(PolicyName::LeastInFlight, 110.0).0 < 0.5 * at_capacity);
 }
 
-/// Half of the engines are gone for five seconds, and hosts send again what failed. Upstreams that
-/// fail are taken out after a few requests, so most callers never meet one, and the others' second
-/// attempt goes elsewhere.
+/// Half of the engines fail for five seconds, and hosts retry failed requests. Failing upstreams
+/// are ejected after a few requests, so most callers never reach one, and the second attempt of the
+/// others goes elsewhere.
 #[test]
 fn an_outage_costs_few_callers_and_few_retries() {
     let outage = |name| {
@@ -271,9 +274,9 @@
     assert!(after.ttft(0.95) < 0.4, "after {}", after.ttft(0.95));
 }
 
-/// Load reports say nothing, or ten times too much. A policy that trusts them sends all work to the
-/// engine that claims to be idle; the home's own ledger makes them a correction only. Engines that
-/// do not put short prompts first show more of it.
+/// Load reports are empty, or ten times too high. A policy that trusts reports sends all work to
+/// the engine that claims to be idle. The home's ledger takes them only as a correction. The effect
+/// is larger on engines that do not serve short prompts first.
 #[parameterized(
     nothing = { |_| LoadReport::default(), true, 1.15 },
     nothing_no_ranks = { |_| LoadReport::default(), false, 1.15 },
@@ -310,7 +313,8 @@
     }
 }
 
-/// The manifest's prefill speed is five times too low or too high. First tokens tell the true one.
+/// The manifest's prefill speed is five times too low or too high. The true speed has to be learned
+/// from the times to first token.
 #[parameterized(too_low = { 0.2 }, too_high = { 5.0 })]
 fn a_wrong_speed_in_the_manifest_is_corrected(factor: f64) {
     let p95 = |factor| {
@@ -327,10 +331,10 @@
     assert!(wrong < 1.15 * right, "right {right}, wrong {wrong}");
 }
 
-/// Seven hosts decide at the same moment. Each from lagging reports alone, they pick the same idle
-/// engine; one home that keeps the ledger spreads them.
+/// Seven hosts decide at the same moment. From lagging reports alone all of them pick the same idle
+/// engine. One home with a ledger spreads the requests.
 #[test]
-fn one_home_beats_seven_hosts_alone() {
+fn one_home_schedules_better_than_seven_hosts_alone() {
     let load = || {
         let short = Workload::new(11).stream(30.0, (0.0, 60.0), &RequestSpec::short());
         short.stream(0.3, (0.0, 60.0), &RequestSpec::long(60_000))
@@ -347,9 +351,10 @@
     assert!(home * 3.0 < alone, "home {home}, alone {alone}");
 }
 
-/// A catalogue needs most of ten engines at once, and audits keep all of them filled. If it waited
-/// for enough of them to be empty by chance it would wait for ever; reserved ones are emptied for
-/// it, and two such catalogues never hold a part each.
+/// A huge prompt needs most of ten engines at once, and long prompts keep all of them full. If the
+/// huge prompt waited for enough free engines by chance it would wait forever. Engines are reserved
+/// for one huge prompt at a time, so two of them never hold some engines each and wait for the
+/// rest.
 #[test]
 fn a_huge_prompt_does_not_starve() {
     let audit = RequestSpec {
@@ -375,7 +380,7 @@
     let huge = simulation.run(load).0.only(|o| o.request.prompt > 130_000);
     assert!(
         huge.completed_fraction() > 0.99,
-        "huge done {} of {}",
+        "huge completed {} of {}",
         huge.completed(),
         huge.0.len()
     );
@@ -390,8 +395,8 @@
     }
 }
 
-/// Studios send more audits than all engines together can read. Lookups still find engines that are
-/// kept free of them.
+/// Customers send more long prompts than all engines together can process. Short prompts still have
+/// to find engines that are kept free of long prefill.
 #[test]
 fn long_work_never_takes_all_engines() {
     let short = || Workload::new(13).stream(12.0, (0.0, 60.0), &RequestSpec::short());
@@ -399,7 +404,7 @@
         customer: "studio",
         ..RequestSpec::long(60_000)
     };
-    let p95 = |name, load| play(name, load).class(LengthClass::Short).ttft(0.95);
+    let p95 = |name, load| run(name, load).class(LengthClass::Short).ttft(0.95);
     let flooded = || short().stream(2.0, (0.0, 60.0), &long);
     let (alone, shipped) = (
         p95(PolicyName::Shipped, short()),
--- a/tests/decide_policy.rs
+++ b/tests/decide_policy.rs
@@ -1,4 +1,4 @@
-//! Single decisions of the policies, with time moved by hand.
+//! Tests of single decisions of the policies, under a manual clock.
 
 mod decide_fakes;
 
@@ -31,6 +31,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 
+/// A policy for one pool, with its own clock.
 struct Pool {
     policy: Box<dyn Policy>,
     now: Instant,
@@ -152,8 +153,12 @@
     pool.list(3, is_leaving);
     for _ in 0..20 {
         let work = pool.work(1_000);
-        let given = grants(&pool.offer(work));
-        assert!(given.iter().all(|grant| !grant.upstreams.contains(&id(1))));
+        let granted = grants(&pool.offer(work));
+        assert!(
+            granted
+                .iter()
+                .all(|grant| !grant.upstreams.contains(&id(1)))
+        );
         pool.wait(200 * MS);
     }
     pool.list(0, is_leaving);
@@ -171,22 +176,23 @@
     let conf = config(Objective::ShortSlowdown, 8_000.0);
     let mut pool = Pool::new(policy_for(name, &conf, 1), 3);
     let work = pool.work(250_000);
-    let given = grants(&pool.offer(work));
-    assert_eq!(given[0].upstreams, [id(0), id(1), id(2)]);
+    let granted = grants(&pool.offer(work));
+    assert_eq!(granted[0].upstreams, [id(0), id(1), id(2)]);
     let too_large = pool.work(350_000);
     assert_eq!(
         refusals(&pool.offer(too_large))[0].0,
         RefuseReason::TooLarge
     );
-    pool.finish(&given[0], AttemptOutcome::Cancelled);
+    pool.finish(&granted[0], AttemptOutcome::Cancelled);
     assert!(pool.policy.live_grants().is_empty());
     assert_eq!(pool.policy.load(pool.now).free_tokens, Tokens(300_000));
 }
 
-/// A home dies and the next one is told of grants that together hold more than an engine has. It
-/// must give nothing more there until enough of them ended, and count each only once.
+/// A home fails, and the next one adopts grants that together hold more memory than an engine has.
+/// It must grant nothing more there until enough of them have ended, and must count each grant only
+/// once.
 #[test]
-fn adopted_grants_count_also_when_they_overcommit() {
+fn adopted_grants_count_even_if_they_overcommit() {
     let mut old = Pool::shipped(1);
     let work = old.work(80_000);
     let first = grants(&old.offer(work));
@@ -214,37 +220,39 @@
     assert_eq!(grants(&new.wait(10 * MS)).len(), 1);
 }
 
-/// A request whose time runs out in the queue is told so at that moment, and one that cannot end in
-/// its time is told at once; each with a Retry-After of its own, so that they come back apart.
+/// A request that expires in the queue is refused at that moment, and a request that cannot end
+/// before its deadline is refused at once. Each gets its own retry time, so that the retries are
+/// spread.
 #[test]
-fn hopeless_requests_are_told_at_once() {
+fn requests_that_cannot_end_in_time_are_refused_at_once() {
     let mut pool = Pool::shipped(1);
     for _ in 0..5 {
         let work = pool.work(90_000);
         pool.offer(work);
     }
-    let mut told = Vec::new();
+    let mut refused = Vec::new();
     for _ in 0..2 {
         let work = Work {
             deadline: pool.now + 5 * MS,
             ..pool.work(1_000)
         };
-        told.extend(refusals(&pool.offer(work)));
+        refused.extend(refusals(&pool.offer(work)));
     }
     assert!(
-        told.iter()
+        refused
+            .iter()
             .all(|(reason, _)| *reason == RefuseReason::Deadline),
-        "{told:?}"
+        "{refused:?}"
     );
-    assert_ne!(told[0].1, told[1].1);
+    assert_ne!(refused[0].1, refused[1].1);
     let expiry = pool.now + Duration::from_secs(60);
     while pool.policy.load(pool.now).waiting > 0 {
         let wake = pool.policy.next_wake().unwrap();
         pool.now = wake.max(pool.now + MS);
         assert!(pool.now <= expiry + MS);
-        told.extend(refusals(&pool.policy.poll(pool.now)));
+        refused.extend(refusals(&pool.policy.poll(pool.now)));
     }
-    assert!(told.len() > 2);
+    assert!(refused.len() > 2);
 }
 
 #[test]
@@ -263,7 +271,8 @@
     assert!(pool.wait(Duration::from_secs(100)).is_empty());
 }
 
-/// A customer above its rate is served while there is room, and turned away once others wait.
+/// A customer above its rate is served while there is spare capacity, and refused once other
+/// requests wait.
 #[test]
 fn rates_bind_only_under_load() {
     let mut conf = config(Objective::ShortSlowdown, 8_000.0);
@@ -276,7 +285,7 @@
         reasons.extend(refusals(&pool.offer(work)));
         pool.wait(200 * MS);
     }
-    assert!(reasons.is_empty(), "there is room: {reasons:?}");
+    assert!(reasons.is_empty(), "there is spare capacity: {reasons:?}");
     for _ in 0..30 {
         let work = Work {
             customer: "studio".parse().unwrap(),
@@ -291,8 +300,8 @@
     );
 }
 
-/// Weights three to one, and a lower priority that still gets a tenth: the order in which a queue
-/// empties shows all of it.
+/// Customers with weights of three to one, and a lower priority that still gets a tenth: the order
+/// in which the queue empties has to follow both.
 #[test]
 fn the_queue_empties_by_share_and_priority() {
     let mut conf = config(Objective::ShortSlowdown, 8_000.0);
@@ -312,11 +321,11 @@
     }
     let mut order = Vec::new();
     while order.len() < 40 {
-        let given = grants(&pool.wait(20 * MS));
-        given
+        let granted = grants(&pool.wait(20 * MS));
+        granted
             .iter()
             .for_each(|grant| pool.finish(grant, AttemptOutcome::Cancelled));
-        order.extend(given.iter().map(|grant| owner[&grant.request]));
+        order.extend(granted.iter().map(|grant| owner[&grant.request]));
     }
     let count = |name| order.iter().filter(|o| **o == name).count();
     let counts = ["studio", "agency", "app"].map(count);
@@ -325,8 +334,8 @@
     assert!((2..=5).contains(&counts[2]), "{counts:?}");
 }
 
-/// A request that crashed one engine may crash the next. Two such requests never share an engine, so
-/// that the second crash tells which of them it was.
+/// A request that crashed one engine may crash the next. Two such requests must never share an
+/// engine, so that a second crash shows which of them caused it.
 #[test]
 fn suspects_do_not_share_an_upstream() {
     let mut pool = Pool::shipped(3);
@@ -347,38 +356,38 @@
     assert!(upstreams.contains(&id(1)) && upstreams.contains(&id(2)));
 }
 
-/// An engine joins beside loaded ones. It looks the emptiest, and without steps all that waits would
-/// go to an engine that has not yet answered once.
+/// A new engine joins loaded ones and looks the least busy. Without a warm-up all queued requests
+/// would go to an engine that has not answered a single one.
 #[test]
-fn a_new_upstream_is_warmed_in_steps() {
+fn a_new_upstream_is_warmed_up_in_steps() {
     let mut pool = Pool::shipped(4);
     pool.slots = 16;
     pool.list(5, |_| UpstreamHealth::Live);
-    let on_new = |given: &[Grant]| given.iter().filter(|g| g.upstreams[0] == id(4)).count();
-    let ask = |pool: &mut Pool, times: u32| {
-        let mut given = Vec::new();
+    let on_new = |granted: &[Grant]| granted.iter().filter(|g| g.upstreams[0] == id(4)).count();
+    let offer_many = |pool: &mut Pool, times: u32| {
+        let mut granted = Vec::new();
         for _ in 0..times {
             let work = pool.work(100);
-            given.extend(grants(&pool.offer(work)));
+            granted.extend(grants(&pool.offer(work)));
             pool.now += MS;
         }
-        given
+        granted
     };
-    let given = ask(&mut pool, 100);
-    assert!((1..=2).contains(&on_new(&given)), "{}", on_new(&given));
-    given
+    let granted = offer_many(&mut pool, 100);
+    assert!((1..=2).contains(&on_new(&granted)), "{}", on_new(&granted));
+    granted
         .iter()
         .for_each(|grant| pool.finish(grant, AttemptOutcome::Cancelled));
     pool.wait(Duration::from_secs(31));
-    let given = ask(&mut pool, 100);
-    let later = on_new(&given);
+    let granted = offer_many(&mut pool, 100);
+    let later = on_new(&granted);
     assert!(later > 4, "{later}");
 }
 
-/// An engine freezes under load: its attempts neither end nor fail. It looks ready just because its
-/// prefill should be done by now, and draws requests until all of its 64 slots hold one.
+/// An engine freezes under load: its attempts neither end nor fail. It looks ready because its
+/// prefill should be done by now, and gets requests until all of its 64 slots are taken.
 #[test]
-fn a_frozen_upstream_is_taken_out() {
+fn a_frozen_upstream_is_ejected() {
     let mut pool = Pool::shipped(3);
     let mut running: Vec<(Grant, Instant)> = Vec::new();
     let mut on_frozen = Vec::new();
@@ -403,10 +412,10 @@
 }
 
 /// A plain service slows down in proportion once more than four calls run in one instance. With all
-/// slots filled each call takes eight times as long and nothing more is done. A quarter more calls
-/// come than it can do.
+/// slots in use each call takes eight times as long and the throughput is no higher. The load is a
+/// quarter above the capacity.
 #[test]
-fn a_service_is_kept_at_its_knee() {
+fn a_service_is_kept_at_its_best_concurrency() {
     let conf = PolicyConfig {
         kind: PoolKind::Service {
             concurrency_max: 32,
@@ -430,8 +439,8 @@
             ..pool.work(1)
         };
         pool.policy.offer(work, pool.now);
-        let given = grants(&pool.wait(MS));
-        running.extend(given.into_iter().map(|grant| (grant, pool.now, 10.0)));
+        let granted = grants(&pool.wait(MS));
+        running.extend(granted.into_iter().map(|grant| (grant, pool.now, 10.0)));
         for index in 0..2 {
             let here = |grant: &Grant| grant.upstreams[0] == id(index);
             let count = running.iter().filter(|(grant, _, _)| here(grant)).count();
--- a/tests/decide_split.rs
+++ b/tests/decide_split.rs
@@ -1,4 +1,4 @@
-//! How many upstreams are open to long prefill.
+//! Tests of the number of upstreams that are open to long prefill.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,14 +8,14 @@
 use banyanarch::decide::Tuning;
 use banyanarch::manifest::Objective;
 
-/// Long load goes up and down every second. The number of upstreams open to it must follow the
-/// load, not the second.
+/// The long load arrives in every other second. The number of upstreams open to long prefill has to
+/// follow the mean load and not each second, or both kinds of work meet on the same engines.
 #[test]
-fn the_split_does_not_swing() {
+fn the_split_does_not_oscillate() {
     let mut split = LaneSplit::new();
     let tuning = Tuning::of(Objective::ShortSlowdown);
     let start = Instant::now();
-    let mut seen = Vec::new();
+    let mut open = Vec::new();
     for second in 0..120_u64 {
         let now = start + Duration::from_secs(second);
         if second % 2 == 0 {
@@ -27,20 +27,20 @@
             long_waited: None,
         };
         split.update(&input, &tuning, now);
-        seen.push(split.open_to_long());
+        open.push(split.open_to_long());
     }
-    // Three memories of the rate after the start.
-    let settled = &seen[60..];
+    // After three time constants of the rate.
+    let settled = &open[60..];
     let changes = settled.windows(2).filter(|pair| pair[0] != pair[1]).count();
     let (least, most) = (
         *settled.iter().min().unwrap(),
         *settled.iter().max().unwrap(),
     );
-    let wanted = 60_000.0 / 8_000.0 / tuning.long_utilization_max;
+    let required = 60_000.0 / 8_000.0 / tuning.long_utilization_max;
     assert!(
-        (most as f64 - wanted).abs() < 1.5,
-        "{wanted} wanted: {seen:?}"
+        (most as f64 - required).abs() < 1.5,
+        "{required} required: {open:?}"
     );
-    assert!(most - least <= 1, "{seen:?}");
-    assert!(changes <= 4, "{changes} changes: {seen:?}");
+    assert!(most - least <= 1, "{open:?}");
+    assert!(changes <= 4, "{changes} changes: {open:?}");
 }
