--- a/src/control/home/controller.rs
+++ b/src/control/home/controller.rs
@@ -151,7 +151,7 @@
             }
             HomeEvent::Upstreams(upstreams) => self.set_upstreams(&upstreams, now),
             HomeEvent::Report { upstream, report } => {
-                self.policy.on_load_report(&upstream, &report, now)
+                self.policy.on_load_report(&upstream, &report, now);
             }
             HomeEvent::CacheEvents { upstream, events } => {
                 self.policy.on_cache_events(&upstream, &events, now);
