--- a/src/decide/baseline/immediate_policy.rs
+++ b/src/decide/baseline/immediate_policy.rs
@@ -101,12 +101,12 @@
 impl<P: Picker> Policy for ImmediatePolicy<P> {
     fn set_upstreams(&mut self, upstreams: &[UpstreamInfo], _now: Instant) {
         let mut old = mem::take(&mut self.upstreams);
-        for seen in upstreams {
+        for info in upstreams {
             let mut upstream = old
-                .swap_remove(&seen.id)
-                .unwrap_or_else(|| BaselineUpstream::new(seen.clone()));
-            upstream.info = seen.clone();
-            self.upstreams.insert(seen.id.clone(), upstream);
+                .swap_remove(&info.id)
+                .unwrap_or_else(|| BaselineUpstream::new(info.clone()));
+            upstream.info = info.clone();
+            self.upstreams.insert(info.id.clone(), upstream);
         }
     }
 
--- a/src/decide/prefix.rs
+++ b/src/decide/prefix.rs
@@ -1,11 +1,11 @@
 //! Hints about the prompt prefixes in each upstream's cache.
 //!
-//! Many prompts share a prefix, and processing a prefix again costs as much as processing the same
-//! number of other prompt tokens. Cache events are late and have gaps, so they give hints only: a
-//! hint lowers the cost that placement compares, weighted by how often the upstream's recent hints
-//! were right. A prefix that half of all calls share does not overload one upstream, because the
-//! load there raises the cost until processing the prefix once on another upstream is cheaper. From
-//! then on both have it in their caches.
+//! Many prompts share a prefix, and processing the prefix again costs as much as the rest of the
+//! prompt. Cache events are late and have gaps, so they give hints only: a hint lowers the cost
+//! that placement compares, weighted by how often the upstream's recent hints were right. A prefix
+//! that half of all calls share does not overload one upstream, because the load there raises the
+//! cost until processing the prefix once on another upstream is cheaper. From then on both have it
+//! in their caches.
 
 use std::time::Instant;
 
--- a/tests/decide_fakes/engine.rs
+++ b/tests/decide_fakes/engine.rs
@@ -36,7 +36,7 @@
 }
 
 pub struct Job {
-    rank: Priority,
+    priority: Priority,
     memory: u64,
     is_running: bool,
     pub prefill_left: f64,
@@ -81,7 +81,7 @@
             .find(|(hash, _)| self.cache.contains_key(hash));
         let cached = cached_prefix.map_or(0, |(_, tokens)| tokens.0);
         let job = Job {
-            rank: engine_priority(work),
+            priority: engine_priority(work),
             memory: work.memory_tokens().0.div_ceil(members),
             is_running: false,
             prefill_left: (work.prompt_tokens.0 - cached) as f64 / members as f64,
@@ -122,7 +122,7 @@
             .filter(|(_, job)| job.prefill_left > 0.0)
             .collect();
         if self.honours_priority {
-            prefills.sort_by_key(|(_, job)| job.rank);
+            prefills.sort_by_key(|(_, job)| job.priority);
         }
         let mut budget = CHUNK_TOKENS;
         let count = prefills.len() as f64;
@@ -189,7 +189,7 @@
         let mut slots = self.slots.saturating_sub(running().count());
         let mut free = self.memory - running().map(|job| job.memory).sum::<u64>();
         let mut queued: Vec<&mut Job> = self.jobs.values_mut().filter(|j| !j.is_running).collect();
-        queued.sort_by_key(|job| job.rank);
+        queued.sort_by_key(|job| job.priority);
         for job in queued {
             if slots == 0 || job.memory > free {
                 break;
--- a/tests/decide_fakes/simulation.rs
+++ b/tests/decide_fakes/simulation.rs
@@ -56,7 +56,7 @@
 
 /// An attempt that has not ended.
 struct RunningAttempt {
-    call: usize,
+    request_index: usize,
     policy: usize,
     engines: Vec<usize>,
     work: Work,
@@ -147,16 +147,16 @@
         }
     }
 
-    fn offer(&mut self, call: usize, avoid: Vec<UpstreamId>) {
-        let outcome = &mut self.outcomes[call];
+    fn offer(&mut self, request_index: usize, avoid: Vec<UpstreamId>) {
+        let outcome = &mut self.outcomes[request_index];
         let request = &outcome.request;
         outcome.attempts += 1;
         let prefixes = request
             .prefix
             .map(|(name, tokens)| (ContentHash(name), Tokens(tokens)));
-        let policy = call % self.policies.len();
+        let policy = request_index % self.policies.len();
         let work = Work {
-            request: RequestId(call as u128 | (u128::from(outcome.attempts) << 64)),
+            request: RequestId(request_index as u128 | (u128::from(outcome.attempts) << 64)),
             host: format!("host-{policy}").parse().unwrap(),
             customer: request.customer.parse().unwrap(),
             priority: banyanarch::units::Priority(request.priority),
@@ -176,8 +176,8 @@
             .partition(|a| a.0 <= now);
         self.retries = later;
         let due: Vec<(Instant, usize, Vec<UpstreamId>)> = due;
-        for (_, call, avoid) in due {
-            self.offer(call, avoid);
+        for (_, request_index, avoid) in due {
+            self.offer(request_index, avoid);
         }
     }
 
@@ -197,7 +197,7 @@
     }
 
     fn dispatch(&mut self, policy: usize, grant: &Grant) {
-        let call = grant.request.0 as u32 as usize;
+        let request_index = grant.request.0 as u32 as usize;
         let index = |id: &UpstreamId| id.as_str()[7..].parse().unwrap();
         let engines: Vec<usize> = grant.upstreams.iter().map(index).collect();
         let live = self.policies[policy].live_grants();
@@ -210,7 +210,7 @@
         let members = engines.len() as u64;
         let share = work.memory_tokens().0.div_ceil(members);
         let running = RunningAttempt {
-            call,
+            request_index,
             policy,
             engines: engines.clone(),
             work: work.clone(),
@@ -219,7 +219,7 @@
             first_token: None,
             cached: 0,
         };
-        self.outcomes[call].engines = engines.clone();
+        self.outcomes[request_index].engines = engines.clone();
         self.running_attempts.insert(attempt, running);
         let has_room = |index: &usize| members == 1 || self.engines[*index].has_room(share);
         if engines.iter().any(|index| self.engines[*index].is_dead) {
@@ -227,7 +227,7 @@
         } else if !engines.iter().all(has_room) {
             self.end(attempt, AttemptOutcome::Refused);
         } else {
-            let output = self.outcomes[call].request.output;
+            let output = self.outcomes[request_index].request.output;
             for index in engines {
                 self.engines[index].start(attempt, &work, output, members);
                 self.running_attempts[&attempt].cached = self.engines[index].jobs[&attempt].cached;
@@ -248,7 +248,7 @@
                     running.prefills_left -= 1;
                     if running.prefills_left == 0 {
                         running.first_token = Some(now - running.since);
-                        let outcome = &mut self.outcomes[running.call];
+                        let outcome = &mut self.outcomes[running.request_index];
                         outcome.first_token = Some(now - self.start - outcome.request.at);
                     }
                 }
@@ -285,7 +285,7 @@
             self.engines[*index].jobs.shift_remove(&attempt);
         }
         let now = self.clock.now() + STEP;
-        let outcome = &mut self.outcomes[running.call];
+        let outcome = &mut self.outcomes[running.request_index];
         let is_completed = ended == AttemptOutcome::Completed;
         if is_completed {
             outcome.completed = Some(now - self.start - outcome.request.at);
@@ -318,7 +318,7 @@
             return;
         };
         let failed = FailedAttempt {
-            attempts: self.outcomes[running.call].attempts,
+            attempts: self.outcomes[running.request_index].attempts,
             did_not_run: ended != AttemptOutcome::Failed,
             is_repeatable: true,
             answer_started: false,
@@ -331,7 +331,8 @@
         if let RetryVerdict::Again { after } = budget.judge(&failed, now) {
             let mut avoid = running.work.avoid.clone();
             avoid.extend(running.engines.iter().map(|index| name(*index)));
-            self.retries.push((now + after, running.call, avoid));
+            self.retries
+                .push((now + after, running.request_index, avoid));
         }
     }
 
--- a/tests/decide_gateway.rs
+++ b/tests/decide_gateway.rs
@@ -232,7 +232,7 @@
 }
 
 /// Applies a snapshot of the peer's work at an engine.
-fn hear(
+fn record_peer_loads(
     ledger: &mut LoadLedger,
     engine: &UpstreamId,
     incarnation: u64,
@@ -277,16 +277,16 @@
         ..HostLoad::default()
     };
     // The first message does not tell how much of the total is still pending.
-    hear(&mut ledger, &engine, 1, update(90_000, 100), now);
+    record_peer_loads(&mut ledger, &engine, 1, update(90_000, 100), now);
     assert_eq!(ledger.load(&engine, now).prefill_backlog, ms(100));
-    hear(&mut ledger, &engine, 1, update(90_000, 100), now);
+    record_peer_loads(&mut ledger, &engine, 1, update(90_000, 100), now);
     assert_eq!(
         ledger.load(&engine, now).prefill_backlog,
         ms(100),
         "the message was repeated"
     );
     // Two prompts were sent, and only the second message arrives.
-    hear(&mut ledger, &engine, 1, update(90_500, 600), now);
+    record_peer_loads(&mut ledger, &engine, 1, update(90_500, 600), now);
     assert_eq!(
         ledger.load(&engine, now).prefill_backlog,
         ms(600),
@@ -294,9 +294,9 @@
     );
     // Prefill that the sender counts as done is no longer pending, even if its message was late.
     let later = now + ms(700);
-    hear(&mut ledger, &engine, 1, update(90_800, 50), later);
+    record_peer_loads(&mut ledger, &engine, 1, update(90_800, 50), later);
     assert_eq!(ledger.load(&engine, later).prefill_backlog, ms(50));
-    hear(&mut ledger, &engine, 2, update(30, 30), later + ms(100));
+    record_peer_loads(&mut ledger, &engine, 2, update(30, 30), later + ms(100));
     let anew = ledger.load(&engine, later + ms(100)).prefill_backlog;
     assert_eq!(anew, ms(30), "the host has restarted");
 }
@@ -316,7 +316,7 @@
         read: sent(50, 50),
         prefill_due: None,
     };
-    hear(&mut ledger, &engine, 1, peer, now);
+    record_peer_loads(&mut ledger, &engine, 1, peer, now);
     let load = ledger.load(&engine, now);
     assert_eq!((load.in_flight, load.short_in_flight), (4, 2));
     // The own prefill starts with the engine's next step.
@@ -343,7 +343,7 @@
         in_flight: 20,
         ..HostLoad::default()
     };
-    hear(&mut ledger, &engine, 1, peer, now);
+    record_peer_loads(&mut ledger, &engine, 1, peer, now);
     assert_eq!(ledger.load(&engine, now + ms(900)).in_flight, 20);
     assert_eq!(ledger.load(&engine, now + ms(1_000)).in_flight, 0);
     assert_eq!(ledger.peers_heard(now + ms(1_000)), 0);
@@ -368,14 +368,14 @@
         prefill_due: Some(ms(400)),
         ..HostLoad::default()
     };
-    hear(&mut ledger, &engine, 1, peer, now);
+    record_peer_loads(&mut ledger, &engine, 1, peer, now);
     assert_eq!(
         prefill_due(&ledger, 100),
         Some(ms(300)),
         "the reported time counts down"
     );
     let nothing = HostLoad::default();
-    hear(&mut ledger, &engine, 1, nothing, now + ms(100));
+    record_peer_loads(&mut ledger, &engine, 1, nothing, now + ms(100));
     ledger.read_done(&engine, &mut due_in(700));
     assert_eq!(prefill_due(&ledger, 100), Some(ms(800)));
     assert_eq!(prefill_due(&ledger, 900), None, "the due time has passed");
@@ -403,7 +403,7 @@
         helping: 2,
         ..HostLoad::default()
     };
-    hear(&mut ledger, &engine, 1, peer, now);
+    record_peer_loads(&mut ledger, &engine, 1, peer, now);
     assert_eq!(ledger.load(&engine, now).helping, 3);
     ledger.read_done(&engine, &mut share);
     ledger.read_done(&engine, &mut share);
--- a/tests/decide_ledger.rs
+++ b/tests/decide_ledger.rs
@@ -23,7 +23,7 @@
 /// The state of one peer in the reference.
 struct Peer {
     incarnation: u64,
-    heard_at: Instant,
+    updated_at: Instant,
     loads: BTreeMap<usize, (HostLoad, Instant)>,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl Reference {
-    fn hear(
+    fn record(
         &mut self,
         host: usize,
         incarnation: u64,
@@ -44,7 +44,7 @@
     ) {
         let is_known = |peer: &Peer| {
             peer.incarnation == incarnation
-                && now.saturating_duration_since(peer.heard_at) < PEER_LIFETIME
+                && now.saturating_duration_since(peer.updated_at) < PEER_LIFETIME
         };
         let known = self.peers.remove(&host).filter(is_known);
         let mut merged = known.map(|peer| peer.loads).unwrap_or_default();
@@ -58,17 +58,16 @@
         );
         let peer = Peer {
             incarnation,
-            heard_at: now,
+            updated_at: now,
             loads: merged,
         };
         self.peers.insert(host, peer);
     }
 
-    fn heard(&self, upstream: usize, now: Instant) -> Vec<(HostLoad, Instant)> {
-        let is_heard = |peer: &&Peer| now.saturating_duration_since(peer.heard_at) < PEER_LIFETIME;
-        let heard = self.peers.values().filter(is_heard);
-        heard
-            .filter_map(|peer| peer.loads.get(&upstream).copied())
+    fn live_loads(&self, upstream: usize, now: Instant) -> Vec<(HostLoad, Instant)> {
+        let is_live = |peer: &&Peer| now.saturating_duration_since(peer.updated_at) < PEER_LIFETIME;
+        let live = self.peers.values().filter(is_live);
+        live.filter_map(|peer| peer.loads.get(&upstream).copied())
             .collect()
     }
 }
@@ -126,20 +125,20 @@
         let update = loads.iter().map(|(index, load)| (upstream(*index), *load));
         let source = LoadSource::Host(host(reporter));
         ledger.hear_part(source, incarnation, kind, update, now);
-        reference.hear(reporter, incarnation, kind, &loads, now);
+        reference.record(reporter, incarnation, kind, &loads, now);
         let queried = rng.random_range(0..upstreams);
         let queried_at = now + Duration::from_millis(rng.random_range(0..1_200));
-        let heard = reference.heard(queried, queried_at);
+        let live = reference.live_loads(queried, queried_at);
         let sum = ledger.load(&upstream(queried), queried_at);
-        let in_flight: u32 = heard.iter().map(|(load, _)| load.in_flight).sum();
-        let short: u32 = heard.iter().map(|(load, _)| load.short_in_flight).sum();
-        let helping: u32 = heard.iter().map(|(load, _)| load.helping).sum();
-        let held: u64 = heard.iter().map(|(load, _)| load.held_tokens.0).sum();
-        let pause = heard
+        let in_flight: u32 = live.iter().map(|(load, _)| load.in_flight).sum();
+        let short: u32 = live.iter().map(|(load, _)| load.short_in_flight).sum();
+        let helping: u32 = live.iter().map(|(load, _)| load.helping).sum();
+        let held: u64 = live.iter().map(|(load, _)| load.held_tokens.0).sum();
+        let pause = live
             .iter()
             .filter_map(|(load, _)| load.strictest_pause)
             .min();
-        let due = heard.iter().filter_map(|(load, at)| {
+        let due = live.iter().filter_map(|(load, at)| {
             let due = load.prefill_due?;
             Some((*at + due).saturating_duration_since(queried_at))
         });
--- a/tests/decide_policy.rs
+++ b/tests/decide_policy.rs
@@ -58,14 +58,14 @@
 
     fn list(&mut self, upstreams: usize, health: impl Fn(usize) -> UpstreamHealth) {
         let slots = self.slots;
-        let seen = |index| UpstreamInfo {
+        let listed = |index| UpstreamInfo {
             id: id(index),
             memory_tokens: Tokens(100_000),
             slots,
             health: health(index),
         };
-        let seen: Vec<UpstreamInfo> = (0..upstreams).map(seen).collect();
-        self.policy.set_upstreams(&seen, self.now);
+        let listed: Vec<UpstreamInfo> = (0..upstreams).map(listed).collect();
+        self.policy.set_upstreams(&listed, self.now);
     }
 
     fn work(&mut self, prompt: u64) -> Work {
@@ -339,16 +339,16 @@
 #[test]
 fn suspects_do_not_share_an_upstream() {
     let mut pool = Pool::shipped(3);
-    let mut seen = Vec::new();
+    let mut granted = Vec::new();
     for _ in 0..3 {
         let work = Work {
             avoid: vec![id(0)],
             ..pool.work(500)
         };
-        seen.extend(grants(&pool.offer(work)));
+        granted.extend(grants(&pool.offer(work)));
         pool.wait(500 * MS);
     }
-    let upstreams: Vec<_> = seen
+    let upstreams: Vec<_> = granted
         .iter()
         .map(|grant| grant.upstreams[0].clone())
         .collect();
@@ -423,13 +423,13 @@
         ..config(Objective::ShortSlowdown, 8_000.0)
     };
     let mut pool = Pool::new(policy_for(PolicyName::Shipped, &conf, 1), 0);
-    let seen = [0, 1].map(|index| UpstreamInfo {
+    let listed = [0, 1].map(|index| UpstreamInfo {
         id: id(index),
         memory_tokens: Tokens::ZERO,
         slots: 32,
         health: UpstreamHealth::Live,
     });
-    pool.policy.set_upstreams(&seen, pool.now);
+    pool.policy.set_upstreams(&listed, pool.now);
     let mut running: Vec<(Grant, Instant, f64)> = Vec::new();
     let mut latencies = Vec::new();
     let start = pool.now;
