--- a/examples/sweep/timing.rs
+++ b/examples/sweep/timing.rs
@@ -5,11 +5,11 @@
 
 use banyanarch::clock::Clock;
 use banyanarch::clock::ManualClock;
+use banyanarch::decide::AttemptOutcome;
+use banyanarch::decide::AttemptSummary;
 use banyanarch::decide::Decision;
-use banyanarch::decide::Done;
-use banyanarch::decide::Ended;
 use banyanarch::decide::UpstreamHealth;
-use banyanarch::decide::UpstreamSeen;
+use banyanarch::decide::UpstreamInfo;
 use banyanarch::decide::Work;
 use banyanarch::decide::policy_for;
 use banyanarch::manifest::Objective;
@@ -37,8 +37,8 @@
         &config(Objective::ShortSlowdown, 8_000.0),
         1,
     );
-    let seen: Vec<UpstreamSeen> = (0..30)
-        .map(|index| UpstreamSeen {
+    let seen: Vec<UpstreamInfo> = (0..30)
+        .map(|index| UpstreamInfo {
             id: format!("engine-{index:02}").parse().unwrap(),
             memory_tokens: Tokens(300_000),
             slots: 16,
@@ -46,8 +46,8 @@
         })
         .collect();
     policy.set_upstreams(&seen, clock.now());
-    let done = Done {
-        ended: Ended::Completed,
+    let done = AttemptSummary {
+        ended: AttemptOutcome::Completed,
         first_token: Some(Duration::from_millis(160)),
         total: Duration::from_secs(1),
         prompt_tokens: Tokens(1_000),
--- a/src/board/mod.rs
+++ b/src/cluster_view/mod.rs
@@ -1,12 +1,13 @@
-//! The blackboard: what controllers read and write in place of calling each other.
+//! The shared state of one host, which its controllers read and write instead of calling each
+//! other.
 
 mod host_view;
-mod shards;
+mod sharded_map;
 mod upstream_view;
 
 pub use host_view::HostState;
 pub use host_view::HostView;
-pub use shards::Shards;
+pub use sharded_map::ShardedMap;
 pub use upstream_view::UpstreamView;
 
 use std::sync::Arc;
@@ -17,22 +18,22 @@
 use crate::units::HostId;
 use crate::units::UpstreamId;
 
-/// The state that the parts of one host share.
+/// The hosts, upstreams and manifest of the system as seen by this host.
 #[derive(Debug)]
-pub struct Board {
-    /// Hosts of the system, by name.
-    pub hosts: Shards<HostId, HostView>,
-    /// Upstreams, by name.
-    pub upstreams: Shards<UpstreamId, UpstreamView>,
+pub struct ClusterView {
+    /// The hosts of the system, by name.
+    pub hosts: ShardedMap<HostId, HostView>,
+    /// The upstreams, by id.
+    pub upstreams: ShardedMap<UpstreamId, UpstreamView>,
     manifest: RwLock<Option<Arc<InForce>>>,
 }
 
-impl Board {
-    /// An empty board.
+impl ClusterView {
+    /// Creates an empty view.
     pub fn new() -> Self {
         Self {
-            hosts: Shards::new(),
-            upstreams: Shards::new(),
+            hosts: ShardedMap::new(),
+            upstreams: ShardedMap::new(),
             manifest: RwLock::new(None),
         }
     }
@@ -45,8 +46,8 @@
             .clone()
     }
 
-    /// Puts a manifest in force unless the one in force is as new or newer. Returns whether it is
-    /// in force now because of this call.
+    /// Puts a manifest in force unless the current one is as new or newer. Returns whether this
+    /// call has put it in force.
     pub fn advance_manifest(&self, next: InForce) -> bool {
         let mut manifest = self
             .manifest
@@ -62,7 +63,7 @@
     }
 }
 
-impl Default for Board {
+impl Default for ClusterView {
     fn default() -> Self {
         Self::new()
     }
--- a/src/control/home/wire.rs
+++ b/src/control/home/wire.rs
@@ -10,8 +10,8 @@
 use crate::control::home::GrantAnswer;
 use crate::control::home::Granted;
 use crate::control::home::Verdict;
-use crate::decide::Done;
-use crate::decide::Ended;
+use crate::decide::AttemptOutcome;
+use crate::decide::AttemptSummary;
 use crate::decide::LiveGrant;
 use crate::decide::RefuseReason;
 use crate::decide::Work;
@@ -195,7 +195,7 @@
 }
 
 /// The end of a grant as a message.
-pub fn finish_to(pool: &PoolId, grant: GrantId, done: &Done) -> message::Finish {
+pub fn finish_to(pool: &PoolId, grant: GrantId, done: &AttemptSummary) -> message::Finish {
     let report = message::DoneReport {
         ended: ended_to(done.ended),
         first_token_us: done.first_token.map(us),
@@ -212,11 +212,13 @@
 }
 
 /// The end of a grant out of a message.
-pub fn finish_from(finish: &message::Finish) -> Result<(PoolId, GrantId, Done), WireError> {
+pub fn finish_from(
+    finish: &message::Finish,
+) -> Result<(PoolId, GrantId, AttemptSummary), WireError> {
     let pool = finish.pool.parse().map_err(|_| bad("pool"))?;
     let grant = GrantId(id_from(&finish.grant, "grant")?);
     let report = finish.done.as_ref().ok_or_else(|| bad("done"))?;
-    let done = Done {
+    let done = AttemptSummary {
         ended: ended_from(report.ended)?,
         first_token: report.first_token_us.map(Duration::from_micros),
         total: Duration::from_micros(report.total_us),
@@ -227,23 +229,23 @@
     Ok((pool, grant, done))
 }
 
-fn ended_to(ended: Ended) -> u32 {
+fn ended_to(ended: AttemptOutcome) -> u32 {
     match ended {
-        Ended::Completed => 0,
-        Ended::Cancelled => 1,
-        Ended::NotSent => 2,
-        Ended::Refused => 3,
-        Ended::Failed => 4,
+        AttemptOutcome::Completed => 0,
+        AttemptOutcome::Cancelled => 1,
+        AttemptOutcome::NotSent => 2,
+        AttemptOutcome::Refused => 3,
+        AttemptOutcome::Failed => 4,
     }
 }
 
-fn ended_from(number: u32) -> Result<Ended, WireError> {
+fn ended_from(number: u32) -> Result<AttemptOutcome, WireError> {
     match number {
-        0 => Ok(Ended::Completed),
-        1 => Ok(Ended::Cancelled),
-        2 => Ok(Ended::NotSent),
-        3 => Ok(Ended::Refused),
-        4 => Ok(Ended::Failed),
+        0 => Ok(AttemptOutcome::Completed),
+        1 => Ok(AttemptOutcome::Cancelled),
+        2 => Ok(AttemptOutcome::NotSent),
+        3 => Ok(AttemptOutcome::Refused),
+        4 => Ok(AttemptOutcome::Failed),
         _ => Err(bad("ended")),
     }
 }
--- a/src/daemon/news.rs
+++ b/src/daemon/news.rs
@@ -24,7 +24,7 @@
 
 impl News {
     fn is_neighbour(&self, host: &HostId) -> bool {
-        let view = self.parts.board.hosts.get(host);
+        let view = self.parts.cluster_view.hosts.get(host);
         view.is_some_and(|view| view.domain == self.domain)
     }
 }
@@ -53,7 +53,7 @@
                     {
                         info!(
                             "poison: another host saw {:?} crash an upstream",
-                            poison.mark
+                            poison.fingerprint
                         );
                     }
                 }
--- a/src/entry/granter.rs
+++ b/src/entry/granter.rs
@@ -5,7 +5,7 @@
 use futures_util::future::BoxFuture;
 
 use crate::control::claims::Claim;
-use crate::decide::Done;
+use crate::decide::AttemptSummary;
 use crate::decide::RefuseReason;
 use crate::decide::Work;
 use crate::units::AttemptId;
@@ -35,7 +35,7 @@
     /// Stands in for the grant of an earlier sending whose answer is read; it is never given back.
     pub fn followed(claim: &Claim, work: &Work) -> Self {
         Self {
-            pool: PoolId::of_followed(),
+            pool: PoolId::placeholder(),
             grant: GrantId(claim.attempt.0),
             upstreams: vec![claim.upstream.clone()],
             waited: Duration::ZERO,
@@ -70,5 +70,5 @@
     fn ask(&self, target: TargetId, work: Work) -> BoxFuture<'_, GrantAnswer>;
 
     /// Gives a grant back.
-    fn finish(&self, held: &HeldGrant, done: Done);
+    fn finish(&self, held: &HeldGrant, done: AttemptSummary);
 }
--- a/src/exchange/codec.rs
+++ b/src/exchange/codec.rs
@@ -1,4 +1,4 @@
-//! One message a datagram.
+//! The codec of the exchange: one message per datagram.
 
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -7,31 +7,31 @@
 use tokio_util::codec::Encoder;
 
 use crate::exchange::ExchangeError;
-use crate::exchange::HostNews;
+use crate::exchange::HostUpdate;
 
-/// The largest payload of a datagram over IPv4.
+/// The largest UDP payload over IPv4, in bytes.
 const DATAGRAM_LEN_MAX: usize = 65_507;
 
-/// Reads and writes messages as whole datagrams.
+/// Encodes and decodes messages as whole datagrams.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct NewsCodec;
+pub struct UpdateCodec;
 
-impl Decoder for NewsCodec {
-    type Item = HostNews;
+impl Decoder for UpdateCodec {
+    type Item = HostUpdate;
     type Error = ExchangeError;
 
-    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<HostNews>, ExchangeError> {
+    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<HostUpdate>, ExchangeError> {
         if src.is_empty() {
             return Ok(None);
         }
-        // All of the datagram is taken, also when it can't be read: what is left over would be
-        // read as the beginning of the next one.
-        Ok(Some(HostNews::decode(src.split())?))
+        // Consumes the whole datagram even if it cannot be decoded. Leftover bytes would be read as
+        // the beginning of the next datagram.
+        Ok(Some(HostUpdate::decode(src.split())?))
     }
 }
 
-/// Writes a message that is encoded already.
-impl Encoder<Bytes> for NewsCodec {
+/// Writes a message that has already been encoded.
+impl Encoder<Bytes> for UpdateCodec {
     type Error = ExchangeError;
 
     fn encode(&mut self, message: Bytes, dst: &mut BytesMut) -> Result<(), ExchangeError> {
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -1,48 +1,48 @@
-//! What hosts tell each other all the time: their work at upstreams and requests that crash
-//! upstreams.
+//! The continuous exchange of load between hosts: their requests at upstreams, rate limits, and
+//! requests that crash upstreams.
 //!
-//! Each host sends its whole state in one datagram, to every other host in a small fleet and to the
-//! collector of its failure domain in a larger one ([`Fleet`]). Collectors pass changes on, and all of
-//! it every few seconds, so a lost datagram costs a little time and there is nothing to ask for again.
-//! Nothing that must hold rests on it.
+//! Each host sends its complete state in one datagram, to every other host in a small fleet, and to
+//! the hosts of its failure domain in a larger one ([`ExchangeState`]). Collectors relay deltas,
+//! and complete snapshots every few seconds, so a lost datagram causes only a short delay and needs
+//! no retransmission. No guarantee of the system depends on the exchange.
 
+mod active_collectors;
+mod aggregate;
 mod codec;
-mod collectors;
+mod collector_messages;
+mod collector_tracker;
 mod error;
-mod fleet;
-mod gathered;
-mod limits_heard;
-mod limits_told;
+mod exchange_state;
 mod listed_host;
-mod load_at;
+mod load_state;
 mod message;
-mod news_route;
-mod outgoing;
-mod pace;
-mod speaker;
-mod speakers;
+mod message_scope;
+mod outgoing_update;
+mod received_limits;
+mod send_pacer;
+mod sent_limits;
+mod source_state;
 mod task;
-mod turn;
+mod update_route;
 mod upstream_hash;
-mod voice;
 
-pub use codec::NewsCodec;
+pub use codec::UpdateCodec;
 pub use error::ExchangeError;
-pub use fleet::Fleet;
-pub use fleet::is_large_fleet;
+pub use exchange_state::ExchangeState;
+pub use exchange_state::is_large_fleet;
 pub use listed_host::ListedHost;
-pub use listed_host::strongest;
-pub use message::HostNews;
-pub use message::LimitNews;
-pub use message::LoadNews;
-pub use message::PoisonNews;
-pub use message::SlowNews;
-pub use news_route::NewsRoute;
-pub use outgoing::Outgoing;
-pub use pace::Need;
-pub use pace::Pace;
-pub use pace::news_interval;
+pub use listed_host::strongest_host;
+pub use message::HostUpdate;
+pub use message::LimitEntry;
+pub use message::LoadEntry;
+pub use message::PoisonEntry;
+pub use message::SlowdownEntry;
+pub use message_scope::MessageScope;
+pub use outgoing_update::OutgoingUpdate;
+pub use send_pacer::SendPacer;
+pub use send_pacer::SendReason;
+pub use send_pacer::update_interval;
 pub use task::Exchange;
-pub use task::NewsDesk;
+pub use task::ExchangeHandler;
+pub use update_route::UpdateRoute;
 pub use upstream_hash::UpstreamHash;
-pub use voice::Voice;
--- /dev/null
+++ b/src/exchange/source_state.rs
@@ -0,0 +1,164 @@
+//! What a collector has received from one source, a host or another collector, and what it has
+//! forwarded of it.
+
+use std::time::Duration;
+use std::time::Instant;
+
+use indexmap::IndexMap;
+
+use crate::exchange::HostUpdate;
+use crate::exchange::LimitEntry;
+use crate::exchange::LoadEntry;
+use crate::exchange::PoisonEntry;
+use crate::exchange::UpstreamHash;
+use crate::exchange::load_state::LoadState;
+use crate::exchange::received_limits::ReceivedLimits;
+
+/// The interval of full updates, with deltas in between. A lost message leaves wrong state for at
+/// most this long. Half the interval would double the bytes between hosts of a fleet of 195 at its
+/// usual load.
+const FULL_UPDATE_INTERVAL: Duration = Duration::from_secs(2);
+/// The interval at which a request that crashed upstreams is forwarded while its hosts report it.
+/// They report it for four times as long, so one message may be lost.
+const POISON_REPEAT_INTERVAL: Duration = Duration::from_millis(250);
+
+/// The load at upstreams, by the hash of the upstream's id.
+pub(crate) type LoadsByUpstream = IndexMap<UpstreamHash, LoadState>;
+
+/// The state of one source: what was received from it and what was forwarded.
+#[derive(Clone, Debug)]
+pub(crate) struct SourceState {
+    /// The last update of the source, without its load.
+    header: HostUpdate,
+    loads: LoadsByUpstream,
+    heard_at: Instant,
+    /// Whether the source has sent an update since the last one was forwarded.
+    has_update: bool,
+    sent_loads: LoadsByUpstream,
+    full_sent_at: Option<Instant>,
+    sent_poisons: Vec<(Instant, PoisonEntry)>,
+    limits: ReceivedLimits,
+}
+
+impl SourceState {
+    /// Creates the state of a source that has sent nothing yet.
+    pub(crate) fn new(now: Instant) -> Self {
+        Self {
+            header: HostUpdate::default(),
+            loads: LoadsByUpstream::new(),
+            heard_at: now,
+            has_update: false,
+            sent_loads: LoadsByUpstream::new(),
+            full_sent_at: None,
+            sent_poisons: Vec::new(),
+            limits: ReceivedLimits::default(),
+        }
+    }
+
+    /// When the last update of the source was received.
+    pub(crate) fn heard_at(&self) -> Instant {
+        self.heard_at
+    }
+
+    /// The load of the source.
+    pub(crate) fn loads(&self) -> &LoadsByUpstream {
+        &self.loads
+    }
+
+    /// The rate limits that the source has reported, with their age at `now`.
+    pub(crate) fn limits(&self, now: Instant) -> impl Iterator<Item = LimitEntry> {
+        self.limits.current(now)
+    }
+
+    /// Records an update of the source.
+    pub(crate) fn on_update(&mut self, mut update: HostUpdate, now: Instant) {
+        let loads = std::mem::take(&mut update.loads);
+        self.limits.record(std::mem::take(&mut update.limits), now);
+        if update.incarnation != self.header.incarnation {
+            self.resend_all();
+            self.loads.clear();
+        }
+        if !update.is_partial {
+            self.loads.clear();
+        }
+        for load in &loads {
+            self.loads
+                .insert(load.hash(), LoadState::from_entry(load, now));
+        }
+        // Requests that have not been forwarded yet are kept.
+        let mut poisons = std::mem::take(&mut self.header.poisons);
+        poisons.retain(|poison| !update.poisons.contains(poison));
+        update.poisons.extend(poisons);
+        self.header = update;
+        self.heard_at = now;
+        self.has_update = true;
+    }
+
+    /// Replaces the whole state. Only the changes of its load are forwarded.
+    pub(crate) fn replace(&mut self, header: HostUpdate, loads: LoadsByUpstream, now: Instant) {
+        self.header = header;
+        self.loads = loads;
+        self.heard_at = now;
+        self.has_update = true;
+    }
+
+    /// Makes the next update complete, for recipients that have received nothing yet.
+    pub(crate) fn resend_all(&mut self) {
+        self.sent_loads.clear();
+        self.limits.mark_all_pending();
+        self.full_sent_at = None;
+        self.has_update = true;
+    }
+
+    /// Returns the update to forward now; none if the source has sent nothing since the last one.
+    pub(crate) fn next_update(&mut self, now: Instant) -> Option<HostUpdate> {
+        if !std::mem::take(&mut self.has_update) {
+            return None;
+        }
+        let is_due = |at: Instant| now.saturating_duration_since(at) >= FULL_UPDATE_INTERVAL;
+        let is_full = self.full_sent_at.is_none_or(is_due);
+        let mut update = HostUpdate {
+            poisons: self.take_poisons(now),
+            limits: self.limits.take_pending(now),
+            is_partial: !is_full,
+            ..self.header.clone()
+        };
+        update.loads = if is_full {
+            self.full_sent_at = Some(now);
+            let all = self.loads.iter();
+            all.map(|(upstream, load)| load.entry_at(*upstream, now))
+                .collect()
+        } else {
+            self.changed_loads(now)
+        };
+        self.sent_loads.clone_from(&self.loads);
+        Some(update)
+    }
+
+    /// Takes the requests that crashed upstreams, except those that have just been forwarded.
+    pub(crate) fn take_poisons(&mut self, now: Instant) -> Vec<PoisonEntry> {
+        self.sent_poisons
+            .retain(|(at, _)| now.saturating_duration_since(*at) < POISON_REPEAT_INTERVAL);
+        let mut poisons = std::mem::take(&mut self.header.poisons);
+        poisons.retain(|poison| !self.sent_poisons.iter().any(|(_, sent)| sent == poison));
+        let sent = poisons.iter().map(|poison| (now, poison.clone()));
+        self.sent_poisons.extend(sent);
+        poisons
+    }
+
+    fn changed_loads(&self, now: Instant) -> Vec<LoadEntry> {
+        let is_changed = |upstream: &UpstreamHash, load: &LoadState| {
+            let sent = self.sent_loads.get(upstream);
+            sent.is_none_or(|sent| load.differs_from(sent))
+        };
+        let changed = self.loads.iter().filter(|(id, load)| is_changed(id, load));
+        let changed = changed.map(|(upstream, load)| load.entry_at(*upstream, now));
+        let has_ended = |upstream: &UpstreamHash| !self.loads.contains_key(upstream);
+        let ended = self
+            .sent_loads
+            .iter()
+            .filter(|(upstream, _)| has_ended(upstream));
+        let ended = ended.map(|(upstream, load)| load.ended_entry(*upstream));
+        changed.chain(ended).collect()
+    }
+}
--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -1,4 +1,4 @@
-//! Sends and receives.
+//! The task that sends and receives the messages of the exchange.
 
 use std::sync::Arc;
 
@@ -14,75 +14,79 @@
 use tokio::time::sleep_until;
 use tokio_util::udp::UdpFramed;
 
-use crate::exchange::Fleet;
-use crate::exchange::HostNews;
+use crate::exchange::ExchangeState;
+use crate::exchange::HostUpdate;
 use crate::exchange::ListedHost;
-use crate::exchange::Need;
-use crate::exchange::NewsCodec;
-use crate::exchange::NewsRoute;
-use crate::exchange::Outgoing;
+use crate::exchange::OutgoingUpdate;
+use crate::exchange::SendReason;
+use crate::exchange::UpdateCodec;
+use crate::exchange::UpdateRoute;
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
-/// What is told and heard.
-pub trait NewsDesk: Send + Sync {
-    /// This host.
+/// The interface between the exchange and the host that takes part in it.
+pub trait ExchangeHandler: Send + Sync {
+    /// The name of this host.
     fn host(&self) -> HostId;
 
-    /// Its failure domain.
+    /// The failure domain of this host.
     fn domain(&self) -> FailureDomainId;
 
-    /// What to tell the other hosts now.
-    fn news(&self) -> HostNews;
+    /// The update to send to other hosts now.
+    fn local_update(&self) -> HostUpdate;
 
-    /// Takes in what another host tells.
-    fn hear(&self, news: HostNews);
+    /// Applies an update of another host.
+    fn on_update(&self, update: HostUpdate);
 
-    /// All hosts, this one included.
+    /// All hosts, including this one.
     fn hosts(&self) -> Arc<Vec<ListedHost>>;
 
-    /// Takes in by which way news come from now on.
-    fn on_route(&self, route: NewsRoute);
+    /// Reports that updates arrive on another route from now on.
+    fn on_update_route(&self, route: UpdateRoute);
 
-    /// Notified at each change of what [`NewsDesk::news`] would say.
-    fn changed(&self) -> &Notify;
+    /// Notified at each change of the result of [`ExchangeHandler::local_update`].
+    fn change_notify(&self) -> &Notify;
 
-    /// Notified at a change that can't wait for this host's turn.
-    fn urgent(&self) -> &Notify;
+    /// Notified at a change that must be sent before the regular interval ends.
+    fn urgent_change_notify(&self) -> &Notify;
 }
 
-/// The task that exchanges news over one socket.
+/// The task that exchanges updates over one socket.
 pub struct Exchange {
-    desk: Arc<dyn NewsDesk>,
-    framed: UdpFramed<NewsCodec>,
-    fleet: Fleet,
-    route: NewsRoute,
+    handler: Arc<dyn ExchangeHandler>,
+    framed: UdpFramed<UpdateCodec>,
+    state: ExchangeState,
+    route: UpdateRoute,
 }
 
 impl Exchange {
-    /// Exchanges news over a socket.
-    pub fn new(socket: UdpSocket, desk: Arc<dyn NewsDesk>) -> Self {
-        let fleet = Fleet::new(desk.host(), desk.domain(), now());
+    /// Creates the task for a socket.
+    pub fn new(socket: UdpSocket, handler: Arc<dyn ExchangeHandler>) -> Self {
+        let state = ExchangeState::new(handler.host(), handler.domain(), now());
         Self {
-            desk,
-            framed: UdpFramed::new(socket, NewsCodec),
-            fleet,
-            route: NewsRoute::default(),
+            handler,
+            framed: UdpFramed::new(socket, UpdateCodec),
+            state,
+            route: UpdateRoute::default(),
         }
     }
 
-    /// Exchanges news for as long as the process runs.
+    /// Runs until the socket is closed.
     pub async fn run(mut self) {
-        let desk = Arc::clone(&self.desk);
+        let handler = Arc::clone(&self.handler);
         loop {
-            self.fleet.set_hosts(&desk.hosts(), now());
-            let due_at = Instant::from_std(self.fleet.due_at());
+            self.state.set_hosts(&handler.hosts(), now());
+            let due_at = Instant::from_std(self.state.due_at());
             tokio::select! {
-                () = sleep_until(due_at) => self.speak().await,
-                () = desk.changed().notified() => self.fleet.on_need(Need::Change),
-                () = desk.urgent().notified() => self.fleet.on_need(Need::UrgentChange),
-                heard = self.framed.next() => match heard {
-                    Some(Ok((news, _))) => self.hear(news).await,
+                () = sleep_until(due_at) => self.send_due().await,
+                () = handler.change_notify().notified() => {
+                    self.state.request_send(SendReason::Change);
+                }
+                () = handler.urgent_change_notify().notified() => {
+                    self.state.request_send(SendReason::UrgentChange);
+                }
+                received = self.framed.next() => match received {
+                    Some(Ok((update, _))) => self.receive(update).await,
                     Some(Err(err)) => warn!("exchange: {err}"),
                     None => return,
                 },
@@ -90,35 +94,35 @@
         }
     }
 
-    async fn speak(&mut self) {
-        let desk = Arc::clone(&self.desk);
-        let messages = self.fleet.speak(|| desk.news(), now());
+    async fn send_due(&mut self) {
+        let handler = Arc::clone(&self.handler);
+        let messages = self.state.due_messages(|| handler.local_update(), now());
         for outgoing in messages {
             self.send(outgoing).await;
         }
-        let route = self.fleet.route(now());
+        let route = self.state.current_route(now());
         if route != self.route {
             self.route = route.clone();
-            self.desk.on_route(route);
+            self.handler.on_update_route(route);
         }
     }
 
-    async fn hear(&mut self, news: HostNews) {
-        let (heard, on) = self.fleet.hear(news, now());
-        for news in heard {
-            self.desk.hear(news);
+    async fn receive(&mut self, update: HostUpdate) {
+        let (accepted, forwarded) = self.state.on_message(update, now());
+        for update in accepted {
+            self.handler.on_update(update);
         }
-        if let Some(outgoing) = on {
+        if let Some(outgoing) = forwarded {
             self.send(outgoing).await;
         }
     }
 
-    async fn send(&mut self, outgoing: Outgoing) {
-        // Encoded once for all receivers.
-        let message = Bytes::from(outgoing.news.encode_to_vec());
-        for to in outgoing.to {
-            if let Err(err) = self.framed.send((message.clone(), to)).await {
-                debug!("exchange: {to}: {err}");
+    async fn send(&mut self, outgoing: OutgoingUpdate) {
+        // Encoded once for all recipients.
+        let message = Bytes::from(outgoing.update.encode_to_vec());
+        for recipient in outgoing.recipients {
+            if let Err(err) = self.framed.send((message.clone(), recipient)).await {
+                debug!("exchange: {recipient}: {err}");
             }
         }
     }
--- a/src/fleet/home_table.rs
+++ b/src/fleet/home_table.rs
@@ -1,4 +1,4 @@
-//! Pools and their homes, worked out from the board and the membership.
+//! Pools and their homes, worked out from the cluster view and the membership.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -7,8 +7,8 @@
 
 use indexmap::IndexMap;
 
-use crate::board::Board;
-use crate::board::UpstreamView;
+use crate::cluster_view::ClusterView;
+use crate::cluster_view::UpstreamView;
 use crate::control::homes::HomeTable;
 use crate::control::homes::Member;
 use crate::control::homes::pools_of;
@@ -37,7 +37,7 @@
 
 /// Pools and their homes as this host sees them.
 pub struct FleetHomes {
-    board: Arc<Board>,
+    cluster_view: Arc<ClusterView>,
     membership: Arc<MembershipDesk>,
     host: HostId,
     domain: FailureDomainId,
@@ -48,13 +48,13 @@
 impl FleetHomes {
     /// Empty tables, for `host` of `domain`.
     pub fn new(
-        board: Arc<Board>,
+        cluster_view: Arc<ClusterView>,
         membership: Arc<MembershipDesk>,
         host: HostId,
         domain: FailureDomainId,
     ) -> Self {
         Self {
-            board,
+            cluster_view,
             membership,
             host,
             domain,
@@ -76,10 +76,13 @@
         *self.tables.write().unwrap_or_else(PoisonError::into_inner) = tables;
     }
 
-    /// Whether the board has changed since the last look. Comparing all hosts and upstreams ten times
+    /// Whether the cluster view has changed since the last look. Comparing all hosts and upstreams ten times
     /// a second would take a part of a core that grows with the fleet.
     fn has_changed(&self) -> bool {
-        let changes = (self.board.hosts.changes(), self.board.upstreams.changes());
+        let changes = (
+            self.cluster_view.hosts.change_count(),
+            self.cluster_view.upstreams.change_count(),
+        );
         let mut seen = self
             .seen_changes
             .lock()
@@ -106,7 +109,7 @@
 
     fn inputs(&self) -> Inputs {
         let mut inputs = Inputs::default();
-        let mut views = self.board.upstreams.snapshot();
+        let mut views = self.cluster_view.upstreams.snapshot();
         views.sort_by(|a, b| a.0.cmp(&b.0));
         for (id, UpstreamView { domain, target, .. }) in views {
             inputs.members.entry(domain.clone()).or_default();
--- a/src/fleet/manifest_desk.rs
+++ b/src/fleet/manifest_desk.rs
@@ -10,9 +10,9 @@
 
 use tokio::sync::Notify;
 
-use crate::board::Board;
-use crate::board::HostState;
 use crate::clock::Clock;
+use crate::cluster_view::ClusterView;
+use crate::cluster_view::HostState;
 use crate::control::manifests::Knowledge;
 use crate::control::manifests::ManifestAction;
 use crate::control::manifests::Manifests;
@@ -24,10 +24,10 @@
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
-/// Runs the spreading of manifests on this host and puts them in force on the board.
+/// Runs the spreading of manifests on this host and puts them in force in the cluster view.
 pub struct ManifestDesk {
     clock: Arc<dyn Clock>,
-    board: Arc<Board>,
+    cluster_view: Arc<ClusterView>,
     events: Arc<Events>,
     peers: Arc<dyn Peers>,
     metrics: Arc<Metrics>,
@@ -43,7 +43,7 @@
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The blackboard.
-    pub board: Arc<Board>,
+    pub cluster_view: Arc<ClusterView>,
     /// What this host did lately.
     pub events: Arc<Events>,
     /// Other hosts.
@@ -61,7 +61,7 @@
     pub fn new(parts: ManifestDeskParts, manifests: Manifests) -> Self {
         Self {
             clock: parts.clock,
-            board: parts.board,
+            cluster_view: parts.cluster_view,
             events: parts.events,
             peers: parts.peers,
             metrics: parts.metrics,
@@ -105,7 +105,7 @@
 
     /// Takes in the hosts, if any has changed since the last look.
     fn hear_hosts(&self, now: Instant) -> Vec<ManifestAction> {
-        let changes = self.board.hosts.changes();
+        let changes = self.cluster_view.hosts.change_count();
         if self.seen_hosts.swap(changes, Ordering::Relaxed) == changes {
             return Vec::new();
         }
@@ -119,19 +119,19 @@
 
     fn others(&self) -> (Vec<HostId>, Vec<HostId>) {
         let views = self
-            .board
+            .cluster_view
             .hosts
             .snapshot()
             .into_iter()
             .map(|(_, view)| view);
         let others = views.filter(|view| view.id != self.host && view.state != HostState::Dead);
         let (near, far): (Vec<_>, Vec<_>) = others.partition(|view| view.domain == self.domain);
-        let ids = |views: Vec<crate::board::HostView>| views.into_iter().map(|view| view.id);
+        let ids = |views: Vec<crate::cluster_view::HostView>| views.into_iter().map(|view| view.id);
         (ids(near).collect(), ids(far).collect())
     }
 
     fn generations(&self) -> Vec<(HostId, crate::units::Generation)> {
-        let views = self.board.hosts.snapshot().into_iter();
+        let views = self.cluster_view.hosts.snapshot().into_iter();
         views
             .map(|(id, view)| (id, view.generation))
             .filter(|(id, _)| *id != self.host)
@@ -153,7 +153,7 @@
                     let what = format!("put generation {} in force", in_force.generation);
                     self.events.record("manifests", &what, "it is newer");
                     self.metrics.set_customers(&in_force.manifest);
-                    self.board.advance_manifest(in_force);
+                    self.cluster_view.advance_manifest(in_force);
                 }
             }
         }
--- a/src/gateway/courier.rs
+++ b/src/gateway/call_dispatcher.rs
@@ -1,4 +1,4 @@
-//! Brings one call to upstreams until one answers or nothing more may be done.
+//! Sends one call to upstreams until one answers or no further send is allowed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,71 +7,72 @@
 use crate::decide::RefuseReason;
 use crate::decide::UpstreamFault;
 use crate::gateway::Call;
-use crate::gateway::Event;
+use crate::gateway::CallRefusal;
+use crate::gateway::DecisionEvent;
 use crate::gateway::Gateway;
-use crate::gateway::Listed;
-use crate::gateway::Refusal;
+use crate::gateway::ListedUpstream;
 use crate::gateway::limit_wait::LimitWait;
-use crate::gateway::placement::Choice;
 use crate::gateway::placement::NO_UPSTREAM_RETRY_AFTER;
-use crate::gateway::placement::Placement;
-use crate::gateway::placement::Sends;
-use crate::gateway::placement::choose;
-use crate::gateway::placement::survey;
-use crate::gateway::reservation::Part;
-use crate::gateway::reservation::Reservation;
-use crate::gateway::send::Answered;
-use crate::gateway::send::SendEnd;
-use crate::gateway::send::Sending;
+use crate::gateway::placement::PlacementDecision;
+use crate::gateway::placement::SendHistory;
+use crate::gateway::placement::SendPlan;
+use crate::gateway::placement::decide_placement;
+use crate::gateway::placement::survey_candidates;
+use crate::gateway::reservation::EngineReservation;
+use crate::gateway::reservation::ReservationGuard;
+use crate::gateway::send::PendingSend;
+use crate::gateway::send::SendOutcome;
+use crate::gateway::send::UpstreamResponse;
 use crate::units::AttemptId;
 use crate::units::UpstreamId;
 use crate::units::whole_millis;
 
-/// Sends of one call that did not run, beside those that may have. Each costs a way there and back.
-const UNRUN_SENDS_MAX: u32 = 5;
-/// After memory was refused; several intervals of hosts' news.
-const RESERVE_PAUSE: Duration = Duration::from_millis(40);
-/// A prompt that waits for this long is logged with the engines that it waits for.
+/// Largest number of sends of one call that were not run, in addition to those that may have run.
+/// Each costs a round trip.
+const NOT_RUN_SENDS_MAX: u32 = 5;
+/// Delay after an engine refused a reservation; several intervals of the broadcasts between hosts.
+const RESERVE_RETRY_DELAY: Duration = Duration::from_millis(40);
+/// A prompt that has waited for this long is logged with the engines that it waits for.
 const LONG_WAIT: Duration = Duration::from_secs(1);
-/// When a caller may come again with a request that crashes upstreams: not while its other sends
-/// are still remembered by anybody.
+/// Time after which a caller may retry a request that crashes upstreams: until then some hosts may
+/// still remember its other sends.
 const POISON_RETRY_AFTER: Duration = Duration::from_secs(10);
 
-/// What came of bringing a call to upstreams.
-pub(crate) enum Delivery {
-    /// An upstream answered; maybe with a failure, which goes to the caller as it is.
-    Answered(Box<Answered>),
-    /// Nobody did.
-    Refused(Refusal),
+/// The result of dispatching a call.
+pub(crate) enum DispatchOutcome {
+    /// An upstream answered, possibly with a failure, which the caller gets unchanged.
+    Answered(Box<UpstreamResponse>),
+    /// No upstream answered.
+    Refused(CallRefusal),
 }
 
-/// A call on its way, with what was tried.
-pub(crate) struct Courier {
+/// Dispatches a call and keeps track of its sends.
+pub(crate) struct CallDispatcher {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) call: Arc<Call>,
     tried: Vec<UpstreamId>,
-    /// Sends that reached an upstream.
+    /// Number of sends that reached an upstream; reset when the next retry is already paid for.
     arrivals: u32,
-    /// Sends that did not run.
-    unrun: u32,
-    /// Sends that may have run.
+    /// Number of sends that were certainly not run.
+    not_run: u32,
+    /// Number of sends that may have run.
     runs: u32,
-    /// How often upstreams were chosen.
+    /// Number of choices of upstreams.
     choices: u32,
-    /// Whether its waiting was logged.
+    /// Whether the waiting of the call was logged.
     is_wait_logged: bool,
-    /// Counts it among those that wait for an upstream's limit.
+    /// Counts the call among those that wait for the rate limit of an upstream.
     limit_wait: Option<LimitWait>,
 }
 
-impl Courier {
+impl CallDispatcher {
     pub(crate) fn new(gateway: Arc<Gateway>, call: Arc<Call>) -> Self {
         Self {
             gateway,
             call,
             tried: Vec::new(),
             arrivals: 0,
-            unrun: 0,
+            not_run: 0,
             runs: 0,
             choices: 0,
             is_wait_logged: false,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Whether one more send may run.
+    /// Whether the call may be run once more.
     pub(crate) fn may_run_again(&self) -> bool {
         self.runs == 0 || (self.call.route.kind.is_repeatable() && self.runs < self.runs_max())
     }
@@ -88,42 +89,43 @@
         self.call.route.runs_max.max(1)
     }
 
-    /// Sends the call until an upstream answers. `last_event` is the event after which a stream is
-    /// to go on.
-    pub(crate) async fn deliver(&mut self, last_event: Option<&str>) -> Delivery {
+    /// Sends the call until an upstream answers. A resumed stream continues after `last_event`.
+    pub(crate) async fn dispatch(&mut self, last_event: Option<&str>) -> DispatchOutcome {
         loop {
             let now = self.gateway.clock.now();
             if self.call.time_left(now).is_zero() {
-                return Delivery::Refused(self.time_up());
+                return DispatchOutcome::Refused(self.timeout_refusal());
             }
             if !self.gateway.may_send(&self.call) {
-                return Delivery::Refused(self.refuse(Refusal::StaleKnowledge));
+                return DispatchOutcome::Refused(self.refuse(CallRefusal::StaleKnowledge));
             }
             if self.is_poison(now) {
-                return Delivery::Refused(self.refuse(Refusal::Overload {
+                return DispatchOutcome::Refused(self.refuse(CallRefusal::Overload {
                     reason: RefuseReason::Poison,
                     retry_after: POISON_RETRY_AFTER,
                 }));
             }
             self.choices += 1;
-            let placement = match choose(&self.gateway, &self.call, &self.sends(), now) {
-                Choice::Send(placement) => placement,
-                Choice::Wait(wait) => {
+            let placement = match decide_placement(&self.gateway, &self.call, &self.sends(), now) {
+                PlacementDecision::Send(placement) => placement,
+                PlacementDecision::Wait(wait) => {
                     self.log_long_wait(now);
-                    self.sleep_about(wait, now).await;
+                    self.sleep_with_jitter(wait, now).await;
                     continue;
                 }
-                Choice::WaitForLimit(wait) => {
+                PlacementDecision::WaitForLimit(wait) => {
                     let new = || LimitWait::new(&self.gateway, &self.call.service);
                     self.limit_wait.get_or_insert_with(new);
-                    self.sleep_about(wait, now).await;
+                    self.sleep_with_jitter(wait, now).await;
                     continue;
                 }
-                Choice::Refuse(refusal) => return Delivery::Refused(self.refuse(refusal)),
+                PlacementDecision::Refuse(refusal) => {
+                    return DispatchOutcome::Refused(self.refuse(refusal));
+                }
             };
             self.limit_wait = None;
             if self.arrivals > 0 && !self.gateway.try_retry(&self.call.service) {
-                return Delivery::Refused(self.refuse(Refusal::Overload {
+                return DispatchOutcome::Refused(self.refuse(CallRefusal::Overload {
                     reason: RefuseReason::RetryBudget,
                     retry_after: NO_UPSTREAM_RETRY_AFTER,
                 }));
@@ -132,38 +134,38 @@
                 continue;
             };
             let sent = self.send_once(*placement, reservation, last_event).await;
-            if let Some(delivery) = sent {
-                return delivery;
+            if let Some(outcome) = sent {
+                return outcome;
             }
         }
     }
 
-    /// Spread, so that requests that wait on several hosts for the same upstreams do not all choose them in the
-    /// same moment.
-    async fn sleep_about(&self, wait: Duration, now: Instant) {
+    /// Sleeps with jitter, so that requests that wait on several hosts for the same upstreams do
+    /// not all choose them at the same moment.
+    async fn sleep_with_jitter(&self, wait: Duration, now: Instant) {
         let wait = wait.mul_f64(rand::random_range(0.5..1.5));
         tokio::time::sleep(wait.min(self.call.time_left(now))).await;
     }
 
-    /// Sends once and says what is final; nothing if it is to be sent again.
+    /// Sends the call once. Returns the final outcome, or none if the call is to be sent again.
     async fn send_once(
         &mut self,
-        placement: Placement,
-        reservation: Option<Reservation>,
+        placement: SendPlan,
+        reservation: Option<ReservationGuard>,
         last_event: Option<&str>,
-    ) -> Option<Delivery> {
+    ) -> Option<DispatchOutcome> {
         let upstream = placement.upstream.clone();
         self.tried.push(upstream.id.clone());
         let is_last = self.runs + 1 >= self.runs_max();
-        self.log_sent(&placement, self.gateway.clock.now());
-        let sending = Sending {
+        self.log_send(&placement, self.gateway.clock.now());
+        let sending = PendingSend {
             gateway: &self.gateway,
             call: &self.call,
             last_event,
             is_last,
         };
         match sending.send(placement, reservation).await {
-            SendEnd::Answered(answered) => {
+            SendOutcome::Answered(answered) => {
                 self.arrivals += 1;
                 self.runs += 1;
                 let failed = answered.head.status.is_server_error();
@@ -172,20 +174,20 @@
                 } else {
                     let now = self.gateway.clock.now();
                     let mut health = self.gateway.health();
-                    health.on_answer(&upstream.id, &upstream.domain, now);
+                    health.on_response(&upstream.id, &upstream.domain, now);
                 }
-                let again = failed
+                let is_retried = failed
                     && self.may_run_again()
-                    && self.has_time_for_more()
+                    && self.has_time_for_retry()
                     && self.gateway.try_retry(&self.call.service);
-                if again {
-                    // Paid for here, so the next send is not to be paid again.
+                if is_retried {
+                    // The retry is paid for here, so the next send must not pay for it again.
                     self.arrivals = 0;
                     return None;
                 }
-                Some(Delivery::Answered(answered))
+                Some(DispatchOutcome::Answered(answered))
             }
-            SendEnd::NotRun {
+            SendOutcome::NotRun {
                 fault,
                 arrived,
                 at_fault,
@@ -194,136 +196,147 @@
                 if let Some(addr) = at_fault {
                     self.on_helper_fault(addr);
                 }
-                self.unrun += 1;
+                self.not_run += 1;
                 self.arrivals += u32::from(arrived);
                 self.on_fault(&upstream, fault, &why);
-                if self.unrun > UNRUN_SENDS_MAX {
-                    let refusal = Refusal::Overload {
+                if self.not_run > NOT_RUN_SENDS_MAX {
+                    let refusal = CallRefusal::Overload {
                         reason: RefuseReason::NoUpstream,
                         retry_after: NO_UPSTREAM_RETRY_AFTER,
                     };
-                    return Some(Delivery::Refused(self.refuse(refusal)));
+                    return Some(DispatchOutcome::Refused(self.refuse(refusal)));
                 }
                 None
             }
-            SendEnd::Lost { fault, why } => {
+            SendOutcome::Lost { fault, why } => {
                 self.arrivals += 1;
                 self.runs += 1;
-                self.on_lost(&upstream, fault, &why);
+                self.on_connection_lost(&upstream, fault, &why);
                 if self.may_run_again() {
                     return None;
                 }
                 let now = self.gateway.clock.now();
-                Some(Delivery::Refused(if self.call.time_left(now).is_zero() {
-                    Refusal::TimeUp
-                } else {
-                    Refusal::Unknown
-                }))
+                Some(DispatchOutcome::Refused(
+                    if self.call.time_left(now).is_zero() {
+                        CallRefusal::DeadlineExceeded
+                    } else {
+                        CallRefusal::OutcomeUnknown
+                    },
+                ))
             }
         }
     }
 
-    /// Sets aside the memory that a placement asks for. Without it nothing is sent, and the engines that refused
-    /// are not asked for as much again at once.
-    async fn reserve(&self, placement: &Placement) -> Option<Option<Reservation>> {
+    /// Reserves the memory that a placement needs. Without the reservation nothing is sent, and the
+    /// engines that refused are not asked for as much again immediately.
+    async fn reserve(&self, placement: &SendPlan) -> Option<Option<ReservationGuard>> {
         if placement.reserves.is_empty() {
             return Some(None);
         }
         let request = &self.call.head.request;
         let parts = placement.reserves.clone();
-        match Reservation::make(&self.gateway, request, parts).await {
+        match ReservationGuard::acquire(&self.gateway, request, parts).await {
             Ok(reservation) => Some(Some(reservation)),
             Err(refused) => {
-                self.on_memory_refused(&refused);
-                tokio::time::sleep(RESERVE_PAUSE).await;
+                self.on_reservation_refused(&refused);
+                tokio::time::sleep(RESERVE_RETRY_DELAY).await;
                 None
             }
         }
     }
 
-    fn on_memory_refused(&self, refused: &[Part]) {
+    fn on_reservation_refused(&self, refused: &[EngineReservation]) {
         let now = self.gateway.clock.now();
         let mut ledger = self.gateway.ledger();
         for part in refused {
-            ledger.memory_refused(&part.id, part.tokens, now);
+            ledger.record_memory_refusal(&part.id, part.tokens, now);
         }
     }
 
     fn is_poison(&self, now: Instant) -> bool {
         let poison = self.gateway.poison();
-        // The hash of a body costs a tenth of a millisecond, so it is made only if there is a list.
-        !poison.is_empty() && poison.is_poison(&[self.call.poison_mark()], now)
+        // Hashing a body takes a tenth of a millisecond, so it is done only if there are any poison reports.
+        !poison.is_empty() && poison.is_poison(&[self.call.fingerprint()], now)
     }
 
-    /// Takes in that the connection to an upstream broke while the call may have been running.
-    pub(crate) fn on_lost(&self, upstream: &Listed, fault: UpstreamFault, why: &str) {
+    /// Records that the connection to an upstream broke while the call may have been running.
+    pub(crate) fn on_connection_lost(
+        &self,
+        upstream: &ListedUpstream,
+        fault: UpstreamFault,
+        why: &str,
+    ) {
         self.on_fault(upstream, fault, why);
         if fault == UpstreamFault::Broken {
             let now = self.gateway.clock.now();
             let attempt = AttemptId(rand::random());
-            let mark = self.call.poison_mark();
-            let news = self.gateway.poison().on_crash(&[mark], attempt, now);
-            if !news.is_empty() {
-                self.gateway.tell_crashes(news);
+            let fingerprint = self.call.fingerprint();
+            let crashes = self.gateway.poison().on_crash(&[fingerprint], attempt, now);
+            if !crashes.is_empty() {
+                self.gateway.broadcast_crashes(crashes);
             }
         }
     }
 
-    /// Takes in that the call was served: it does not crash upstreams.
+    /// Records that the call was served, so it does not crash upstreams.
     pub(crate) fn on_served(&self) {
         let mut poison = self.gateway.poison();
         if !poison.is_empty() {
-            poison.acquit(self.call.poison_mark());
+            poison.remove(self.call.fingerprint());
         }
     }
 
-    fn on_fault(&self, upstream: &Listed, fault: UpstreamFault, why: &str) {
+    fn on_fault(&self, upstream: &ListedUpstream, fault: UpstreamFault, why: &str) {
         let now = self.gateway.clock.now();
         self.gateway
             .health()
             .on_fault(&upstream.id, &upstream.domain, fault, now);
         if fault.is_unreachable() {
             self.gateway.health_changed.notify_one();
-            self.gateway.load_urgent.notify_one();
+            self.gateway.broadcast_now.notify_one();
         }
-        self.gateway.meters.fault(fault.name());
-        self.gateway.log.note(Event::UpstreamFault {
+        self.gateway.metrics.fault(fault.name());
+        self.gateway.log.record(DecisionEvent::UpstreamFault {
             request: self.call.head.request.clone(),
             upstream: upstream.id.to_string(),
             fault: format!("{}: {why}", fault.name()),
-            elapsed_ms: whole_millis(now.saturating_duration_since(self.call.arrived)),
+            elapsed_ms: whole_millis(now.saturating_duration_since(self.call.arrived_at)),
         });
     }
 
-    /// An engine turned a prompt away because of another one that was to read a part.
+    /// Records a fault of the helper because of which another engine turned a prompt away.
     fn on_helper_fault(&self, addr: std::net::SocketAddr) {
-        let Some(by_service) = self.gateway.beliefs.upstreams() else {
+        let Some(by_service) = self.gateway.platform_view.upstreams() else {
             return;
         };
         let listed = by_service.get(&self.call.service);
         let helper = listed.and_then(|listed| listed.iter().find(|u| u.addr == addr));
         if let Some(helper) = helper {
-            self.on_fault(helper, UpstreamFault::TurnedAway, "named as at fault");
+            self.on_fault(
+                helper,
+                UpstreamFault::RequestRefused,
+                "named as the cause by another engine",
+            );
         }
     }
 
-    /// What to tell the caller: a promise that the call has not run only while that is certain.
-    fn refuse(&self, refusal: Refusal) -> Refusal {
-        if let Refusal::Overload {
+    /// The refusal for the caller. It says that the call has not run only if that is certain.
+    fn refuse(&self, refusal: CallRefusal) -> CallRefusal {
+        if let CallRefusal::Overload {
             reason,
             retry_after,
         } = &refusal
         {
-            self.log_refused(*reason, *retry_after);
+            self.log_refusal(*reason, *retry_after);
         }
         if self.runs > 0 {
-            return Refusal::Unknown;
+            return CallRefusal::OutcomeUnknown;
         }
         refusal
     }
 
-    fn sends(&self) -> Sends<'_> {
-        Sends {
+    fn sends(&self) -> SendHistory<'_> {
+        SendHistory {
             tried: &self.tried,
             has_run: self.runs > 0,
             waits_for_limit: self.limit_wait.is_some(),
@@ -332,15 +345,16 @@
 
     /// Logs once what a prompt that has waited for [`LONG_WAIT`] waits for.
     fn log_long_wait(&mut self, now: Instant) {
-        let waited = now.saturating_duration_since(self.call.arrived);
+        let waited = now.saturating_duration_since(self.call.arrived_at);
         if self.is_wait_logged || waited < LONG_WAIT {
             return;
         }
         self.is_wait_logged = true;
-        let Some((near, all)) = survey(&self.gateway, &self.call, &self.sends(), now) else {
+        let Some((near, all)) = survey_candidates(&self.gateway, &self.call, &self.sends(), now)
+        else {
             return;
         };
-        self.gateway.log.note(Event::Waiting {
+        self.gateway.log.record(DecisionEvent::Waiting {
             request: self.call.head.request.clone(),
             prompt_tokens: self.call.head.prompt.0,
             elapsed_ms: whole_millis(waited),
@@ -352,17 +366,17 @@
         });
     }
 
-    fn log_refused(&self, reason: RefuseReason, retry_after: Duration) {
+    fn log_refusal(&self, reason: RefuseReason, retry_after: Duration) {
         let gateway = &self.gateway;
         let now = gateway.clock.now();
-        let by_service = gateway.beliefs.upstreams();
+        let by_service = gateway.platform_view.upstreams();
         let listed = by_service.and_then(|all| all.get(&self.call.service).map(Vec::len));
-        let (near, all) = survey(gateway, &self.call, &self.sends(), now).unzip();
-        gateway.log.note(Event::Refused {
+        let (near, all) = survey_candidates(gateway, &self.call, &self.sends(), now).unzip();
+        gateway.log.record(DecisionEvent::Refused {
             request: self.call.head.request.clone(),
             reason: reason.name().into(),
             prompt_tokens: self.call.head.prompt.0,
-            elapsed_ms: whole_millis(now.saturating_duration_since(self.call.arrived)),
+            elapsed_ms: whole_millis(now.saturating_duration_since(self.call.arrived_at)),
             objective_left_ms: whole_millis(self.call.objective_left(now)),
             time_left_ms: whole_millis(self.call.time_left(now)),
             choices: self.choices,
@@ -370,34 +384,34 @@
             all: all.map(Box::new),
             retry_after_ms: whole_millis(retry_after),
             upstreams: listed.unwrap_or(0),
-            hosts_heard: gateway.ledger().peers_heard(now),
+            hosts_heard: gateway.ledger().live_peer_count(now),
             manifest_age_ms: gateway.manifest_age().map_or(0, whole_millis),
         });
     }
 
-    fn time_up(&self) -> Refusal {
+    fn timeout_refusal(&self) -> CallRefusal {
         if self.runs > 0 {
-            Refusal::TimeUp
+            CallRefusal::DeadlineExceeded
         } else {
-            Refusal::TimeUpNotRun
+            CallRefusal::DeadlineExceededNotRun
         }
     }
 
-    fn has_time_for_more(&self) -> bool {
+    fn has_time_for_retry(&self) -> bool {
         let left = self.call.time_left(self.gateway.clock.now());
         left > self.call.route.objective / 2
     }
 
-    fn log_sent(&self, placement: &Placement, now: Instant) {
-        self.gateway.meters.sent(self.arrivals > 0);
-        self.gateway.log.note(Event::Sent {
+    fn log_send(&self, placement: &SendPlan, now: Instant) {
+        self.gateway.metrics.sent(self.arrivals > 0);
+        self.gateway.log.record(DecisionEvent::Sent {
             request: self.call.head.request.clone(),
             upstream: placement.upstream.id.to_string(),
             helpers: placement.helper_ids().map(ToString::to_string).collect(),
             reserves: placement.reserves.len(),
-            earlier_sends: self.runs + self.unrun,
+            earlier_sends: self.runs + self.not_run,
             forecast_ms: whole_millis(placement.forecast),
-            elapsed_ms: whole_millis(now.saturating_duration_since(self.call.arrived)),
+            elapsed_ms: whole_millis(now.saturating_duration_since(self.call.arrived_at)),
             prompt_tokens: self.call.head.prompt.0,
             manifest_age_ms: self.gateway.manifest_age().map_or(0, whole_millis),
             limit: placement.limit,
--- /dev/null
+++ b/src/gateway/catalog_sharing/client.rs
@@ -0,0 +1,95 @@
+//! A client that requests lists from other hosts over a connection that it keeps open.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use bytes::Bytes;
+use bytes::BytesMut;
+use futures_util::SinkExt;
+use futures_util::StreamExt;
+use log::debug;
+use log::warn;
+use prost::Message as _;
+use tokio::net::TcpStream;
+use tokio::time::timeout;
+use tokio_util::codec::Framed;
+
+use crate::gateway::catalog_sharing::message::MESSAGE_SIZE_MAX;
+use crate::gateway::catalog_sharing::message::PeerConnection;
+use crate::gateway::catalog_sharing::message::ReadRequest;
+use crate::gateway::catalog_sharing::message::ReadResponse;
+use crate::peer::framing;
+
+/// Timeout of each frame of a response. A request inside a failure domain takes 1 to 2 ms, and
+/// about 10 ms to a busy host.
+const FRAME_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// Largest number of frames of one response: eight times those of a manifest of 1 MB. A host that
+/// announces more is broken, and reading its response would never end.
+const FRAMES_MAX: u32 = 512;
+
+/// A client with a connection to one host at a time.
+#[derive(Default)]
+pub(super) struct ReadClient {
+    connection: Option<(SocketAddr, PeerConnection)>,
+}
+
+impl ReadClient {
+    /// Sends a request to a host; none if it does not respond.
+    pub(super) async fn request(
+        &mut self,
+        addr: SocketAddr,
+        request: &ReadRequest,
+    ) -> Option<ReadResponse> {
+        let response = self.try_request(addr, request).await;
+        if response.is_none() {
+            debug!("catalog sharing: {addr} does not respond");
+            self.connection = None;
+        }
+        response
+    }
+
+    async fn try_request(
+        &mut self,
+        addr: SocketAddr,
+        request: &ReadRequest,
+    ) -> Option<ReadResponse> {
+        if self
+            .connection
+            .as_ref()
+            .is_none_or(|(connected, _)| *connected != addr)
+        {
+            let connected = timeout(FRAME_TIMEOUT, TcpStream::connect(addr)).await;
+            let stream = connected.ok()?.ok()?;
+            stream.set_nodelay(true).ok()?;
+            self.connection = Some((addr, Framed::new(stream, framing(MESSAGE_SIZE_MAX))));
+        }
+        let (_, connection) = self.connection.as_mut()?;
+        let sent = timeout(
+            FRAME_TIMEOUT,
+            connection.send(Bytes::from(request.encode_to_vec())),
+        )
+        .await;
+        sent.ok()?.ok()?;
+        let first = ReadResponse::decode(next_frame(connection).await?).ok()?;
+        if first.frame_count == 0 {
+            return Some(first);
+        }
+        if first.frame_count > FRAMES_MAX {
+            warn!(
+                "catalog sharing: {addr} announces a response of {} frames, more than {FRAMES_MAX}",
+                first.frame_count
+            );
+            return None;
+        }
+        let mut buffer = BytesMut::new();
+        for _ in 0..first.frame_count {
+            buffer.extend_from_slice(&next_frame(connection).await?);
+        }
+        ReadResponse::decode(buffer).ok()
+    }
+}
+
+async fn next_frame(connection: &mut PeerConnection) -> Option<BytesMut> {
+    timeout(FRAME_TIMEOUT, connection.next()).await.ok()??.ok()
+}
--- /dev/null
+++ b/src/gateway/catalog_sharing/mod.rs
@@ -0,0 +1,25 @@
+//! Sharing of the platform's lists between hosts: one host of a failure domain reads the platform
+//! for the others.
+//!
+//! Every call to the platform has a cost, the platform's rate limits grow more slowly than the
+//! fleet, and all hosts, 60 for example, would read the same lists. So one host of a domain reads
+//! the platform and the others request its lists. A host that gets no fresh response reads the
+//! platform itself, so a reader that has died, hangs or is partitioned costs one failed request.
+
+mod catalog_cache;
+mod client;
+mod cursor;
+mod message;
+mod reader;
+mod reader_selector;
+mod server;
+mod upstream_list;
+
+pub(crate) use catalog_cache::CatalogCache;
+pub(crate) use catalog_cache::is_fresh;
+pub(crate) use cursor::WATCH_WAIT;
+pub(crate) use reader::CatalogReader;
+pub(crate) use reader::ReadError;
+pub(crate) use reader::ReadSource;
+pub(crate) use reader_selector::ReaderSelector;
+pub(crate) use server::serve_reads;
--- /dev/null
+++ b/src/gateway/catalog_sharing/reader_selector.rs
@@ -0,0 +1,189 @@
+//! Selection of the host that reads the platform for this one.
+//!
+//! Each host reports the age of its lists to its peers. When the platform is down or rejects all
+//! hosts of a failure domain for some seconds, hosts that retry independently make a thousand
+//! failing calls, and each detects the recovery only with its own next retry. Here the hosts of a
+//! domain share their retries, and all others immediately ask the first host that gets a response.
+
+use std::sync::Mutex;
+use std::sync::MutexGuard;
+use std::sync::PoisonError;
+use std::time::Duration;
+use std::time::Instant;
+
+use indexmap::IndexMap;
+
+use crate::exchange::ListedHost;
+use crate::gateway::Gateway;
+use crate::units::HostId;
+
+/// How long a host that did not respond, or had no fresh list, is skipped. Longer than a read, so
+/// that the hosts of a domain do not ask a partitioned host again and again.
+const UNAVAILABLE_FOR: Duration = Duration::from_secs(3);
+/// How long a host that has just started may ask all hosts on the list: until they know of it and
+/// it receives their messages. If all hosts start at the same time, without this period each would
+/// read the platform itself, about seven calls each.
+const STARTUP_PERIOD: Duration = Duration::from_secs(3);
+/// A host that reports older lists than this is not asked. A host that reads without failures has
+/// lists of up to 1.2 s, and its report may be half a second old.
+const REPORTED_AGE_MAX: Duration = Duration::from_secs(2);
+
+/// Why a host is not asked.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Unavailable {
+    /// The host did not respond.
+    NoResponse,
+    /// The host had no fresh list.
+    Stale,
+}
+
+#[derive(Debug, Default)]
+struct SelectorState {
+    /// Hosts that are not asked, and since when.
+    unavailable: IndexMap<HostId, (Unavailable, Instant)>,
+    /// The host that was selected last; none while this host reads the platform itself.
+    selected: Option<HostId>,
+    /// The time since boot at which the lists of each host were current, as reported by that host.
+    reported: IndexMap<HostId, Duration>,
+    /// When this host itself last reached the platform.
+    platform_reached_at: Option<Instant>,
+}
+
+impl SelectorState {
+    fn is_available(&self, host: &HostId, now: Instant) -> bool {
+        let unavailable = self.unavailable.get(host);
+        unavailable.is_none_or(|(_, since)| !is_unavailable(*since, now))
+    }
+
+    /// Whether the lists of a host are fresh according to its report; none if it has not reported.
+    /// `at` is since boot.
+    fn is_fresh(&self, host: &HostId, at: Duration) -> Option<bool> {
+        let confirmed_at = self.reported.get(host)?;
+        Some(at.saturating_sub(*confirmed_at) <= REPORTED_AGE_MAX)
+    }
+}
+
+/// The hosts that can read the platform for this one.
+#[derive(Debug, Default)]
+pub(crate) struct ReaderSelector(Mutex<SelectorState>);
+
+impl ReaderSelector {
+    /// Marks a host, which may be this one, as not to be asked for [`UNAVAILABLE_FOR`].
+    pub(crate) fn mark_unavailable(&self, host: &HostId, why: Unavailable, now: Instant) {
+        let mut state = self.lock();
+        state
+            .unavailable
+            .retain(|_, (_, since)| is_unavailable(*since, now));
+        state.unavailable.insert(host.clone(), (why, now));
+    }
+
+    /// Records that this host itself reached the platform.
+    pub(crate) fn on_platform_reached(&self, own: &HostId, now: Instant) {
+        let mut state = self.lock();
+        state.platform_reached_at = Some(now);
+        state.unavailable.swap_remove(own);
+    }
+
+    /// When this host itself last reached the platform.
+    pub(crate) fn platform_reached_at(&self) -> Option<Instant> {
+        self.lock().platform_reached_at
+    }
+
+    /// Records the time since boot at which a host's lists were current according to its report.
+    /// Returns whether that host can be asked. A host that had no fresh list can be asked as soon
+    /// as it has one.
+    pub(crate) fn on_age_report(
+        &self,
+        host: &HostId,
+        confirmed_at: Duration,
+        age: Duration,
+        now: Instant,
+    ) -> bool {
+        let mut state = self.lock();
+        if let Some((Unavailable::Stale, since)) = state.unavailable.get(host)
+            && now.saturating_duration_since(*since) > age
+        {
+            state.unavailable.swap_remove(host);
+        }
+        match state.reported.get_mut(host) {
+            Some(known) => *known = confirmed_at,
+            None => {
+                state.reported.insert(host.clone(), confirmed_at);
+            }
+        }
+        state.is_available(host, now)
+    }
+
+    /// Number of hosts of this failure domain, this one included, that are alive and have no fresh
+    /// lists: those that share the retries of calls to the platform.
+    pub(crate) fn retrying_hosts(&self, gateway: &Gateway) -> u32 {
+        let now = gateway.clock.now();
+        let at = gateway.clock.since_boot();
+        let hosts = gateway.platform_view.hosts();
+        let state = self.lock();
+        let ledger = gateway.ledger();
+        let is_retrying = |listed: &&ListedHost| {
+            listed.domain == gateway.conf.domain
+                && ledger.is_host_live(&listed.host, now)
+                && state.is_fresh(&listed.host, at) == Some(false)
+        };
+        let others = hosts.iter().filter(is_retrying).count();
+        u32::try_from(others).unwrap_or(u32::MAX).saturating_add(1)
+    }
+
+    /// Whether a host is the one that was selected last.
+    ///
+    /// Every message of every other host makes this check. Selecting among 300 hosts each time took
+    /// a quarter of the processor time of a fleet of that size.
+    pub(crate) fn is_selected(&self, host: &HostId) -> bool {
+        self.lock().selected.as_ref() == Some(host)
+    }
+
+    /// Selects the host that reads the platform for this failure domain; none if that is this host.
+    /// Among the hosts that were heard recently and have fresh lists, the collector of peer
+    /// messages is preferred, then the first by name. `includes_unheard` says whether hosts that
+    /// were not heard yet are also candidates right after the start.
+    pub(crate) fn choose(&self, gateway: &Gateway, includes_unheard: bool) -> Option<ListedHost> {
+        let now = gateway.clock.now();
+        let hosts = gateway.platform_view.hosts();
+        let collector = gateway.update_route().collector;
+        let conf = &gateway.conf;
+        let mut state = self.lock();
+        let at = gateway.clock.since_boot();
+        let ledger = gateway.ledger();
+        let has_just_started = now.saturating_duration_since(gateway.started_at) < STARTUP_PERIOD;
+        let is_candidate = |listed: &&ListedHost| {
+            let is_own = listed.host == conf.host;
+            let is_alive =
+                (includes_unheard && has_just_started) || ledger.is_host_live(&listed.host, now);
+            let is_stale = state.is_fresh(&listed.host, at) == Some(false);
+            (is_own || (is_alive && !is_stale)) && state.is_available(&listed.host, now)
+        };
+        let lacks_fresh_lists = !gateway.catalog_cache.is_fresh(at);
+        // A domain in which no host has fresh lists asks a host of another domain, and a host that
+        // has no fresh lists itself prefers hosts that have reported fresh ones.
+        let rank = |listed: &&ListedHost| {
+            let is_other_domain = listed.domain != conf.domain;
+            let has_not_reported = lacks_fresh_lists && !state.reported.contains_key(&listed.host);
+            let is_collector = collector.as_ref() == Some(&listed.host);
+            (
+                is_other_domain,
+                has_not_reported,
+                !is_collector,
+                listed.host.clone(),
+            )
+        };
+        let first = hosts.iter().filter(is_candidate).min_by_key(rank);
+        let other = first.filter(|first| first.host != conf.host).cloned();
+        state.selected = other.as_ref().map(|other| other.host.clone());
+        other
+    }
+
+    fn lock(&self) -> MutexGuard<'_, SelectorState> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+fn is_unavailable(since: Instant, now: Instant) -> bool {
+    now.saturating_duration_since(since) < UNAVAILABLE_FOR
+}
--- /dev/null
+++ b/src/gateway/decision_event.rs
@@ -0,0 +1,278 @@
+//! The entries of the decision log.
+
+use std::borrow::Cow;
+
+use serde::Deserialize;
+use serde::Serialize;
+
+use crate::gateway::EngineSurveyRecord;
+use crate::gateway::RateLimitRecord;
+
+/// A decision about a request, or a change in the state of the host. Each event is written as one
+/// line of JSON.
+#[derive(Clone, Debug, PartialEq)]
+#[derive(Deserialize, Serialize)]
+#[serde(tag = "event", rename_all = "snake_case")]
+pub enum DecisionEvent {
+    /// The host has started.
+    Started {
+        /// The failure domain of the host.
+        domain: String,
+        /// The address for callers.
+        callers_addr: String,
+    },
+    /// The host was asked to stop.
+    Stopping {
+        /// The number of requests in flight.
+        in_flight: u64,
+    },
+    /// The host has stopped.
+    Stopped {
+        /// The number of requests that were cut off.
+        cut: u64,
+    },
+    /// The settings file was read again.
+    Reloaded {
+        /// The result.
+        outcome: String,
+    },
+    /// A manifest has come into force.
+    ManifestInForce {
+        /// The generation of the manifest.
+        generation: u64,
+        /// The number of routes.
+        routes: usize,
+        /// The number of keys.
+        keys: usize,
+    },
+    /// The list of upstreams has changed.
+    UpstreamsChanged {
+        /// The number of upstreams that may receive requests.
+        usable: usize,
+        /// The upstreams that are new on the list.
+        joined: Vec<String>,
+        /// The upstreams that were removed from the list or are leaving.
+        left: Vec<String>,
+        /// The former upstreams that have restarted under the same name.
+        #[serde(default, skip_serializing_if = "Vec::is_empty")]
+        restarted: Vec<String>,
+    },
+    /// Updates of other hosts arrive by a different route.
+    #[serde(rename = "news_route")]
+    UpdateRouteChanged {
+        /// The host that forwards updates of other failure domains; none if all hosts send to each
+        /// other directly, or if this host is the collector.
+        collector: Option<String>,
+        /// The maximum age of updates of this failure domain when none is lost, in ms.
+        near_age_ms: u64,
+        /// The maximum age of updates of other failure domains when none is lost, in ms.
+        far_age_ms: u64,
+    },
+    /// The store of the platform was restored from an older copy. Later writes are lost, and its
+    /// revisions go back. This host reads its cached state again and registers itself again.
+    StoreReturned {
+        /// The era of the store before.
+        former_era: u16,
+        /// The era of the store now.
+        era: u16,
+        /// The revision of the cached manifest.
+        former_revision: u64,
+        /// The revision of the manifest that was read.
+        revision: u64,
+    },
+    /// The platform has an older manifest than the one in force, which stays in force. Reading the
+    /// older manifest does not renew the lease on keys.
+    ManifestOlder {
+        /// The generation of the manifest in force.
+        in_force: u64,
+        /// The generation of the manifest that was read.
+        generation: u64,
+    },
+    /// A dependency is unreachable.
+    DependencyLost {
+        /// The name of the dependency.
+        dependency: Cow<'static, str>,
+        /// The error.
+        error: String,
+    },
+    /// A dependency is reachable again.
+    DependencyRegained {
+        /// The name of the dependency.
+        dependency: Cow<'static, str>,
+        /// How long the dependency was unreachable, in ms.
+        away_ms: u64,
+    },
+    /// An engine has reported to this host that it has become slow or has recovered.
+    UpstreamSpeed {
+        /// The id of the engine.
+        upstream: String,
+        /// The ratio of the time that the engine takes to the time in its model.
+        slowdown: f64,
+    },
+    /// An upstream advertises a different limit than before.
+    UpstreamLimit {
+        /// The id of the upstream.
+        upstream: String,
+        /// The requests per second that the upstream accepts from all hosts together; none if it has
+        /// no limit.
+        limit_per_s: Option<f64>,
+        /// The host or collector that reported the limit; none if a response to this host did.
+        told_by: Option<String>,
+        /// The time since the upstream advertised the limit, in ms.
+        age_ms: u64,
+    },
+    /// An upstream advertises a limit that is not a rate. The known limit stays. Logged at most once
+    /// in ten seconds per upstream.
+    LimitMalformed {
+        /// The id of the upstream.
+        upstream: String,
+        /// The malformed value.
+        value: String,
+    },
+    /// An upstream failed a request or was unreachable.
+    UpstreamFault {
+        /// The id of the request.
+        request: String,
+        /// The id of the upstream.
+        upstream: String,
+        /// The fault and its cause.
+        fault: String,
+        /// The time since the request arrived, in ms.
+        elapsed_ms: u64,
+    },
+    /// An engine refused to reserve memory for a prompt that several engines share.
+    ReservationRefused {
+        /// The id of the request.
+        request: String,
+        /// The error returned by the engine.
+        error: String,
+    },
+    /// A request was sent to an upstream.
+    Sent {
+        /// The id of the request.
+        request: String,
+        /// The id of the upstream.
+        upstream: String,
+        /// The engines that prefill parts of the prompt beside the leader.
+        #[serde(default, skip_serializing_if = "Vec::is_empty")]
+        helpers: Vec<String>,
+        /// The number of engines with memory reserved for the prompt.
+        reserves: usize,
+        /// The number of earlier sends of the request.
+        earlier_sends: u32,
+        /// The forecast time until the first event, in ms; 0 for plain services.
+        forecast_ms: u64,
+        /// The time since the request arrived, in ms.
+        elapsed_ms: u64,
+        /// The length of the prompt in tokens.
+        prompt_tokens: u64,
+        /// The age of the manifest, in ms.
+        manifest_age_ms: u64,
+        /// The limit that the upstream advertises and the requests it has received; none if it
+        /// advertises no limit.
+        #[serde(default, skip_serializing_if = "Option::is_none")]
+        limit: Option<RateLimitRecord>,
+    },
+    /// A prompt for several engines has waited for one second. Logged once per request.
+    Waiting {
+        /// The id of the request.
+        request: String,
+        /// The length of the prompt in tokens.
+        prompt_tokens: u64,
+        /// The time since the request arrived, in ms.
+        elapsed_ms: u64,
+        /// The time left until the response is late, in ms.
+        objective_left_ms: u64,
+        /// The time left until the deadline, in ms.
+        time_left_ms: u64,
+        /// The number of placement decisions so far.
+        choices: u32,
+        /// The engines in the failure domain of this host.
+        near: Box<EngineSurveyRecord>,
+        /// All engines of the service.
+        all: Box<EngineSurveyRecord>,
+    },
+    /// This host refused a request, with the state that the decision was based on.
+    Refused {
+        /// The id of the request.
+        request: String,
+        /// The name of the reason.
+        reason: Cow<'static, str>,
+        /// The length of the prompt in tokens; 0 for plain services.
+        prompt_tokens: u64,
+        /// The time since the request arrived, in ms.
+        elapsed_ms: u64,
+        /// The time left until the response would be late, in ms.
+        objective_left_ms: u64,
+        /// The time left until the deadline, in ms.
+        #[serde(default)]
+        time_left_ms: u64,
+        /// The number of placement decisions.
+        #[serde(default)]
+        choices: u32,
+        /// For a prompt that several engines can share, the engines in the failure domain of this
+        /// host.
+        #[serde(default, skip_serializing_if = "Option::is_none")]
+        near: Option<Box<EngineSurveyRecord>>,
+        /// For a prompt that several engines can share, all engines of the service.
+        #[serde(default, skip_serializing_if = "Option::is_none")]
+        all: Option<Box<EngineSurveyRecord>>,
+        /// The time after which the caller was asked to retry, in ms.
+        retry_after_ms: u64,
+        /// The number of listed upstreams of the service.
+        upstreams: usize,
+        /// The number of other hosts, or collectors on behalf of their hosts, whose load was known.
+        hosts_heard: usize,
+        /// The age of the manifest, in ms.
+        manifest_age_ms: u64,
+    },
+    /// A request has ended.
+    Ended {
+        /// The id of the request.
+        request: String,
+        /// The route of the request; empty if there is none.
+        route: String,
+        /// The customer of the request; empty if there is none.
+        customer: String,
+        /// The kind of the request.
+        kind: Cow<'static, str>,
+        /// The name of the outcome.
+        outcome: String,
+        /// The status returned to the caller.
+        status: u16,
+        /// The time since the request arrived, in ms.
+        elapsed_ms: u64,
+        /// The time from the arrival to the first event of the response, in ms; none if there was no
+        /// event.
+        first_event_ms: Option<u64>,
+        /// The longest pause between two events of the response, in ms.
+        longest_pause_ms: u64,
+        /// The generation of the manifest by which the request was admitted.
+        generation: u64,
+    },
+}
+
+impl DecisionEvent {
+    /// The id of the request that the event is about, if any.
+    pub fn request(&self) -> Option<&str> {
+        match self {
+            Self::UpstreamFault { request, .. }
+            | Self::ReservationRefused { request, .. }
+            | Self::Sent { request, .. }
+            | Self::Waiting { request, .. }
+            | Self::Refused { request, .. }
+            | Self::Ended { request, .. } => Some(request),
+            _ => None,
+        }
+    }
+
+    /// Whether the event may use the capacity of the log that is reserved for failures: events of
+    /// failures and of the host itself may, events of successful requests may not.
+    pub fn has_priority(&self) -> bool {
+        match self {
+            Self::Sent { .. } | Self::Waiting { .. } => false,
+            Self::Ended { status, .. } => *status >= 400,
+            _ => true,
+        }
+    }
+}
--- a/src/gateway/handler.rs
+++ b/src/gateway/handler.rs
@@ -1,4 +1,4 @@
-//! One request from its head to its answer.
+//! The handling of one request from its head to its response.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -22,147 +22,159 @@
 use tokio::time::timeout_at;
 
 use crate::decide::UpstreamFault;
-use crate::gateway::AnswerBody;
 use crate::gateway::Call;
-use crate::gateway::CallHead;
-use crate::gateway::DrainPhase;
+use crate::gateway::CallRefusal;
 use crate::gateway::Gateway;
-use crate::gateway::Refusal;
-use crate::gateway::courier::Courier;
-use crate::gateway::courier::Delivery;
-use crate::gateway::relay::Relay;
-use crate::gateway::send::Answered;
-use crate::gateway::tracker::Tracker;
+use crate::gateway::RequestHead;
+use crate::gateway::ResponseBody;
+use crate::gateway::ShutdownPhase;
+use crate::gateway::call_dispatcher::CallDispatcher;
+use crate::gateway::call_dispatcher::DispatchOutcome;
+use crate::gateway::request_tracker::RequestTracker;
+use crate::gateway::send::UpstreamResponse;
+use crate::gateway::stream_relay::StreamRelay;
 use crate::http::remove_connection_headers;
 use crate::routing::RouteTable;
 
-/// The largest answer that is read whole before it goes to the caller, which allows another
-/// upstream to be asked when it breaks off.
-const WHOLE_ANSWER_MAX: usize = 8 << 20;
+/// The maximum size of a response that is buffered before it is sent to the caller. Buffering
+/// allows another upstream to be tried when the response breaks off.
+const BUFFERED_RESPONSE_MAX: usize = 8 << 20;
 
-/// Answers one request.
-pub(crate) async fn handle(gateway: Arc<Gateway>, req: Request<Incoming>) -> Response<AnswerBody> {
-    let arrived = gateway.clock.now();
-    let mut tracker = Tracker::new(&gateway, arrived);
+/// Handles one request.
+pub(crate) async fn handle(
+    gateway: Arc<Gateway>,
+    req: Request<Incoming>,
+) -> Response<ResponseBody> {
+    let arrived_at = gateway.clock.now();
+    let mut tracker = RequestTracker::new(&gateway, arrived_at);
     let (head, body) = req.into_parts();
-    let mut res = match admit(&gateway, head, body, arrived, &mut tracker).await {
+    let mut res = match admit(&gateway, head, body, arrived_at, &mut tracker).await {
         Ok(call) => {
             tracker.on_admitted(&call);
             gateway.count_request(&call.service);
             serve(&gateway, call, tracker).await
         }
-        Err((request, refusal)) => own_answer(&gateway, &request, &refusal, tracker),
+        Err((request, refusal)) => local_response(&gateway, &request, &refusal, tracker),
     };
-    if gateway.phase() != DrainPhase::Serving {
+    if gateway.phase() != ShutdownPhase::Serving {
         res.headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
     }
     res
 }
 
-/// Reads a request and decides whether it may be sent at all.
+/// Reads a request and decides whether it may be sent to upstreams at all. Returns the request id
+/// with a refusal.
 async fn admit(
     gateway: &Gateway,
     head: request::Parts,
     body: Incoming,
-    arrived: Instant,
-    tracker: &mut Tracker,
-) -> Result<Call, (String, Refusal)> {
-    let said = gateway.dialect.read_call(&head.headers);
-    let said = said.map_err(|bad| {
-        let problem = format!("{}: {}", bad.header, bad.problem);
-        (String::new(), Refusal::BadHead(problem))
+    arrived_at: Instant,
+    tracker: &mut RequestTracker,
+) -> Result<Call, (String, CallRefusal)> {
+    let request_head = gateway.header_codec.read_request_head(&head.headers);
+    let request_head = request_head.map_err(|invalid| {
+        let problem = format!("{}: {}", invalid.header, invalid.problem);
+        (String::new(), CallRefusal::InvalidHead(problem))
     })?;
-    tracker.on_head(&said.request);
-    let request = said.request.clone();
+    tracker.on_head(&request_head.request);
+    let request = request_head.request.clone();
     let refused = |refusal| (request.clone(), refusal);
-    if gateway.phase() >= DrainPhase::Finishing {
-        return Err(refused(Refusal::Stopping));
+    if gateway.phase() >= ShutdownPhase::Refusing {
+        return Err(refused(CallRefusal::Stopping));
     }
-    let routes = gateway.beliefs.routes();
-    let routes = routes.ok_or_else(|| refused(Refusal::NoManifest))?;
-    let mut call = route_call(gateway, &routes, head, said, arrived).map_err(refused)?;
+    let routes = gateway.platform_view.routes();
+    let routes = routes.ok_or_else(|| refused(CallRefusal::NoManifest))?;
+    let mut call = route_call(gateway, &routes, head, request_head, arrived_at).map_err(refused)?;
     let body_max = routes.limits.body_bytes;
     let body = Limited::new(body, body_max).collect();
-    let body = timeout_at(call.ends_at.into(), body).await;
-    let body = body.map_err(|_| refused(Refusal::BodyLate))?;
+    let body = timeout_at(call.deadline.into(), body).await;
+    let body = body.map_err(|_| refused(CallRefusal::BodyLate))?;
     let body = body.map_err(|err| {
         refused(if err.is::<LengthLimitError>() {
-            Refusal::BodyTooLarge
+            CallRefusal::BodyTooLarge
         } else {
-            Refusal::BodyLate
+            CallRefusal::BodyLate
         })
     })?;
     call.body = body.to_bytes();
     Ok(call)
 }
 
-/// Finds a request's route and customer.
+/// Finds the route and the customer of a request.
 fn route_call(
     gateway: &Gateway,
     routes: &RouteTable,
     head: request::Parts,
-    said: CallHead,
-    arrived: Instant,
-) -> Result<Call, Refusal> {
+    request_head: RequestHead,
+    arrived_at: Instant,
+) -> Result<Call, CallRefusal> {
     let now = gateway.clock.since_boot();
-    let freshness = gateway.beliefs.freshness();
-    // A host that can't reach the platform may lack a new route or key: it does not say that there
-    // is none, which a caller takes as final.
+    let freshness = gateway.platform_view.freshness();
+    // A host that cannot reach the platform may lack a new route or key. It therefore does not
+    // reject the request, which callers would treat as final.
     let reject = |refusal| {
         if freshness.may_reject(now) {
             refusal
         } else {
-            Refusal::StaleKnowledge
+            CallRefusal::StaleKnowledge
         }
     };
     let host = head.headers.get(HOST).and_then(|host| host.to_str().ok());
     let authority = head.uri.authority().map(Authority::as_str);
     let host = authority.or(host).unwrap_or_default();
     let route = routes.route(host, head.uri.path());
-    let route = route.ok_or_else(|| reject(Refusal::NoRoute))?;
+    let route = route.ok_or_else(|| reject(CallRefusal::NoRoute))?;
     let customer = if routes.keys.is_required() && !route.is_public {
         if !freshness.holds_lease(gateway.conf.key_lease, now) {
-            return Err(Refusal::StaleKnowledge);
+            return Err(CallRefusal::StaleKnowledge);
         }
-        let key = said.key.as_deref().unwrap_or_default();
+        let key = request_head.key.as_deref().unwrap_or_default();
         let customer = routes.keys.customer(key);
-        Some(customer.ok_or_else(|| reject(Refusal::UnknownKey))?.clone())
+        Some(
+            customer
+                .ok_or_else(|| reject(CallRefusal::UnknownKey))?
+                .clone(),
+        )
     } else {
         None
     };
-    let service = route.target(rand::random()).ok_or(Refusal::NoRoute)?;
-    let limit = said
+    let service = route.target(rand::random()).ok_or(CallRefusal::NoRoute)?;
+    let timeout = request_head
         .deadline
         .map_or(route.timeout, |deadline| deadline.min(route.timeout));
     Ok(Call {
         service: service.clone(),
         route: Arc::clone(route),
         customer,
-        arrived,
-        ends_at: arrived + limit,
+        arrived_at,
+        deadline: arrived_at + timeout,
         method: head.method,
         uri: head.uri,
         headers: head.headers,
         body: Bytes::new(),
-        head: said,
+        head: request_head,
     })
 }
 
-async fn serve(gateway: &Arc<Gateway>, call: Call, mut tracker: Tracker) -> Response<AnswerBody> {
+async fn serve(
+    gateway: &Arc<Gateway>,
+    call: Call,
+    mut tracker: RequestTracker,
+) -> Response<ResponseBody> {
     let call = Arc::new(call);
-    let mut courier = Courier::new(Arc::clone(gateway), Arc::clone(&call));
+    let mut dispatcher = CallDispatcher::new(Arc::clone(gateway), Arc::clone(&call));
     loop {
-        let answered = match courier.deliver(None).await {
-            Delivery::Answered(answered) => answered,
-            Delivery::Refused(refusal) => {
-                return own_answer(gateway, &call.head.request, &refusal, tracker);
+        let response = match dispatcher.dispatch(None).await {
+            DispatchOutcome::Answered(response) => response,
+            DispatchOutcome::Refused(refusal) => {
+                return local_response(gateway, &call.head.request, &refusal, tracker);
             }
         };
-        if call.route.kind.is_stream() && answered.head.status.is_success() {
-            return stream_answer(courier, answered, tracker);
+        if call.route.kind.is_stream() && response.head.status.is_success() {
+            return stream_response(dispatcher, response, tracker);
         }
-        match whole_answer(&courier, *answered).await {
+        match full_response(&dispatcher, *response).await {
             Ok(res) => {
                 tracker.on_first_event(gateway.clock.now());
                 let outcome = if res.status().is_success() {
@@ -174,79 +186,81 @@
                 return res;
             }
             Err(Some(refusal)) => {
-                return own_answer(gateway, &call.head.request, &refusal, tracker);
+                return local_response(gateway, &call.head.request, &refusal, tracker);
             }
-            // The answer broke off and the call may run once more.
+            // The response broke off, and the call may be sent again.
             Err(None) => {}
         }
     }
 }
 
-fn stream_answer(
-    courier: Courier,
-    mut answered: Box<Answered>,
-    tracker: Tracker,
-) -> Response<AnswerBody> {
-    let mut headers = std::mem::take(&mut answered.head.headers);
+fn stream_response(
+    dispatcher: CallDispatcher,
+    mut response: Box<UpstreamResponse>,
+    tracker: RequestTracker,
+) -> Response<ResponseBody> {
+    let mut headers = std::mem::take(&mut response.head.headers);
     remove_connection_headers(&mut headers);
     headers.remove(PROXY_AUTHENTICATE);
-    // An engine that goes on with the stream may write it in another length.
+    // An engine that resumes the stream may produce a different length.
     headers.remove(CONTENT_LENGTH);
-    let status = answered.head.status;
-    let relay = Relay::new(courier, answered, tracker);
-    let pieces = stream::unfold(relay, |mut relay| async move {
-        let piece = relay.next().await?;
-        Some((piece, relay))
+    let status = response.head.status;
+    let relay = StreamRelay::new(dispatcher, response, tracker);
+    let chunks = stream::unfold(relay, |mut relay| async move {
+        let chunk = relay.next().await?;
+        Some((chunk, relay))
     });
-    let mut res = Response::new(AnswerBody::Pieces(pieces.boxed()));
+    let mut res = Response::new(ResponseBody::Stream(chunks.boxed()));
     *res.status_mut() = status;
     *res.headers_mut() = headers;
     res
 }
 
-/// Reads an answer to its end. Without one, says what to tell the caller, or nothing if the call may
-/// be sent once more.
-async fn whole_answer(
-    courier: &Courier,
-    answered: Answered,
-) -> Result<Response<AnswerBody>, Option<Refusal>> {
-    let Answered {
+/// Reads a response to its end. On failure returns the refusal for the caller, or none if the call
+/// may be sent again.
+async fn full_response(
+    dispatcher: &CallDispatcher,
+    response: UpstreamResponse,
+) -> Result<Response<ResponseBody>, Option<CallRefusal>> {
+    let UpstreamResponse {
         head,
         body,
         upstream,
         ..
-    } = answered;
-    let read = Limited::new(body, WHOLE_ANSWER_MAX).collect();
-    let why = match timeout_at(courier.call.ends_at.into(), read).await {
-        Err(_) => return Err(Some(Refusal::TimeUp)),
+    } = response;
+    let read = Limited::new(body, BUFFERED_RESPONSE_MAX).collect();
+    let why = match timeout_at(dispatcher.call.deadline.into(), read).await {
+        Err(_) => return Err(Some(CallRefusal::DeadlineExceeded)),
         Ok(Ok(body)) => {
-            courier.on_served();
+            dispatcher.on_served();
             let mut headers = head.headers;
             remove_connection_headers(&mut headers);
             headers.remove(PROXY_AUTHENTICATE);
-            let mut res = Response::new(AnswerBody::whole(body.to_bytes()));
+            let mut res = Response::new(ResponseBody::full(body.to_bytes()));
             *res.status_mut() = head.status;
             *res.headers_mut() = headers;
             return Ok(res);
         }
         Ok(Err(err)) => err.to_string(),
     };
-    courier.on_lost(&upstream, UpstreamFault::Broken, &why);
-    if courier.may_run_again() {
+    dispatcher.on_connection_lost(&upstream, UpstreamFault::Broken, &why);
+    if dispatcher.may_run_again() {
         Err(None)
     } else {
-        Err(Some(Refusal::Unknown))
+        Err(Some(CallRefusal::OutcomeUnknown))
     }
 }
 
-fn own_answer(
+fn local_response(
     gateway: &Gateway,
     request: &str,
-    refusal: &Refusal,
-    mut tracker: Tracker,
-) -> Response<AnswerBody> {
+    refusal: &CallRefusal,
+    mut tracker: RequestTracker,
+) -> Response<ResponseBody> {
     let mut res = refusal.response();
-    gateway.dialect.mark_own(request, res.headers_mut());
+    gateway
+        .header_codec
+        .mark_local_response(request, res.headers_mut());
     tracker.finish(refusal.name(), res.status().as_u16());
     res
 }
--- /dev/null
+++ b/src/gateway/header_codec.rs
@@ -0,0 +1,102 @@
+//! The interface to the headers of callers and upstreams. The adapter of a platform knows the names
+//! of the headers; here their values are typed.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use hyper::HeaderMap;
+use hyper::StatusCode;
+
+use crate::gateway::AdvertisedLimit;
+use crate::units::CustomerId;
+use crate::units::Tokens;
+use crate::units::UpstreamName;
+
+/// What a caller's request head contains besides method, path and host.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct RequestHead {
+    /// The caller's id of this attempt; empty if none was given.
+    pub request: String,
+    /// How long the caller will wait.
+    pub deadline: Option<Duration>,
+    /// The secret key of the customer.
+    pub key: Option<String>,
+    /// The length of the prompt.
+    pub prompt: Tokens,
+    /// The maximum length of the response.
+    pub output: Tokens,
+    /// The id of the last event of an earlier response that the caller has received.
+    pub last_event: Option<String>,
+}
+
+/// What the head of a call forwarded to an upstream contains besides the caller's headers.
+#[derive(Clone, Debug)]
+pub struct ForwardHead<'a> {
+    /// The intended upstream. A different upstream at its address must refuse the call.
+    pub upstream: &'a UpstreamName,
+    /// The time left until the caller's deadline.
+    pub time_left: Duration,
+    /// The customer of the request; none on public routes.
+    pub customer: Option<&'a CustomerId>,
+    /// The engines that prefill parts of the prompt.
+    pub helpers: &'a [HelperAddr],
+    /// The id of the last event that the caller has received, if the stream is to be resumed after
+    /// it.
+    pub last_event: Option<&'a str>,
+}
+
+/// An engine that prefills a part of a prompt.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct HelperAddr {
+    /// The address of the engine.
+    pub addr: SocketAddr,
+    /// The name of the memory reservation that holds the part. Without one the leader holds the
+    /// part.
+    pub reservation: Option<String>,
+}
+
+/// What an upstream's response head contains.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct ResponseHead {
+    /// Whether the response carries the upstream's signature. A response without it must not be
+    /// forwarded as a success.
+    pub is_signed: bool,
+    /// Whether the response states that the request did not run and will not run.
+    pub did_not_run: bool,
+    /// Whether the response belongs to the request that was sent.
+    pub is_for_request: bool,
+    /// The upstream that the refusal is about, if this is not the one the call was sent to.
+    pub at_fault: Option<SocketAddr>,
+    /// The limit on requests per second that the upstream advertises.
+    pub limit: AdvertisedLimit,
+}
+
+/// A header of a caller that cannot be parsed.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct InvalidHeader {
+    /// The name of the header.
+    pub header: &'static str,
+    /// What is wrong with the value.
+    pub problem: String,
+}
+
+/// Parses and writes the headers of one platform.
+pub trait HeaderCodec: Send + Sync {
+    /// Parses a caller's request head.
+    fn read_request_head(&self, headers: &HeaderMap) -> Result<RequestHead, InvalidHeader>;
+
+    /// Builds the headers for an upstream: the caller's headers, without those that belong to one
+    /// connection or that only this system may set.
+    fn send_headers(&self, caller: &HeaderMap, head: &ForwardHead<'_>) -> HeaderMap;
+
+    /// Parses an upstream's response head. `request` is the id that was sent.
+    fn read_response_head(
+        &self,
+        request: &str,
+        status: StatusCode,
+        headers: &HeaderMap,
+    ) -> ResponseHead;
+
+    /// Adds the caller's request id to a response that this host generated itself.
+    fn mark_local_response(&self, request: &str, headers: &mut HeaderMap);
+}
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -1,85 +1,94 @@
-//! Where a call goes next, by what this host believes now.
+//! Chooses the upstreams for the next send of a call, based on the current state of this host.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::decide::EngineModel;
 use crate::decide::InstanceView;
-use crate::decide::LoadShare;
 use crate::decide::RefuseReason;
+use crate::decide::RequestLoad;
 use crate::decide::choose_instance;
-use crate::decide::engines::EngineAsk;
 use crate::decide::engines::EngineChoice;
 use crate::decide::engines::EnginePlan;
+use crate::decide::engines::EngineRequest;
 use crate::decide::engines::EngineView;
 use crate::decide::engines::PromptClass;
 use crate::decide::engines::choose_engines;
-use crate::decide::engines::survey_engines;
+use crate::decide::engines::count_engines;
 use crate::gateway::Call;
-use crate::gateway::EnginesSeen;
+use crate::gateway::CallRefusal;
+use crate::gateway::EngineSurveyRecord;
 use crate::gateway::Gateway;
 use crate::gateway::HelperAddr;
-use crate::gateway::LimitSeen;
-use crate::gateway::Listed;
-use crate::gateway::Refusal;
+use crate::gateway::ListedUpstream;
+use crate::gateway::RateLimitRecord;
 use crate::gateway::limit_states::LimitStates;
-use crate::gateway::reservation::Part;
+use crate::gateway::reservation::EngineReservation;
 use crate::routing::RouteTable;
 use crate::units::Tokens;
 use crate::units::UpstreamId;
 
-/// When to come back where no upstream is left to send to; lists are read more often than this.
+/// The time after which a caller should retry when no upstream is left to try. The upstream list is
+/// read more often than this.
 pub(crate) const NO_UPSTREAM_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The longest time after which a caller is asked to come back to upstreams that have named a limit: it may have
-/// ended by then.
+/// The longest time after which a caller should retry at upstreams that advertise a limit, since
+/// the limit may have been lifted by then.
 const LIMIT_RETRY_AFTER_MAX: Duration = Duration::from_secs(4);
 
-/// Where a send goes.
-pub(crate) struct Placement {
-    pub(crate) upstream: Listed,
-    /// Engines that read a part and keep nothing.
+/// The upstreams of one send.
+pub(crate) struct SendPlan {
+    pub(crate) upstream: ListedUpstream,
+    /// Engines that prefill a part of the prompt and hold nothing of it.
     pub(crate) helpers: Vec<HelperAddr>,
-    /// Memory that engines set aside before the send, the first engine's own first.
-    pub(crate) reserves: Vec<Part>,
-    /// What the send adds to whose load.
-    pub(crate) shares: Vec<(UpstreamId, LoadShare)>,
+    /// Memory to reserve on engines before the send. The leader's own reservation is first.
+    pub(crate) reserves: Vec<EngineReservation>,
+    /// The load that the send adds to each upstream, the leader first.
+    pub(crate) shares: Vec<(UpstreamId, RequestLoad)>,
     pub(crate) forecast: Duration,
-    /// The limit that the upstream has named; none if it has named none.
-    pub(crate) limit: Option<LimitSeen>,
+    /// The limit that the upstream advertises, if any.
+    pub(crate) limit: Option<RateLimitRecord>,
 }
 
-impl Placement {
-    /// The engines that read parts beside the one that writes the answer.
+impl SendPlan {
+    /// The engines that prefill parts of the prompt beside the leader, which generates the
+    /// response.
     pub(crate) fn helper_ids(&self) -> impl Iterator<Item = &UpstreamId> {
         self.shares.iter().skip(1).map(|(id, _)| id)
     }
 }
 
 /// What to do with a call now.
-pub(crate) enum Choice {
-    Send(Box<Placement>),
+pub(crate) enum PlacementDecision {
+    Send(Box<SendPlan>),
     Wait(Duration),
-    /// Wait for an upstream's limit to allow one more request.
+    /// Wait until the limit of an upstream allows one more request.
     WaitForLimit(Duration),
-    Refuse(Refusal),
+    Refuse(CallRefusal),
 }
 
-/// What has become of a call so far.
-pub(crate) struct Sends<'a> {
-    /// The upstreams that it was sent to.
+/// The previous sends of a call.
+pub(crate) struct SendHistory<'a> {
+    /// The upstreams that the call was sent to.
     pub(crate) tried: &'a [UpstreamId],
-    /// Whether one of them may have run it.
+    /// Whether one of these upstreams may have run the call.
     pub(crate) has_run: bool,
-    /// Whether it waits for an upstream's limit already.
+    /// Whether the call is already waiting for the limit of an upstream.
     pub(crate) waits_for_limit: bool,
 }
 
 /// Chooses among the upstreams of a call's service.
-pub(crate) fn choose(gateway: &Gateway, call: &Call, sends: &Sends<'_>, now: Instant) -> Choice {
-    let (Some(routes), Some(by_service)) = (gateway.beliefs.routes(), gateway.beliefs.upstreams())
-    else {
-        return Choice::Refuse(Refusal::NoManifest);
+pub(crate) fn decide_placement(
+    gateway: &Gateway,
+    call: &Call,
+    sends: &SendHistory<'_>,
+    now: Instant,
+) -> PlacementDecision {
+    let (Some(routes), Some(by_service)) = (
+        gateway.platform_view.routes(),
+        gateway.platform_view.upstreams(),
+    ) else {
+        return PlacementDecision::Refuse(CallRefusal::NoManifest);
     };
     let listed = by_service.get(&call.service);
     let usable = usable(gateway, listed.map_or(&[], Vec::as_slice), sends.tried, now);
@@ -92,62 +101,62 @@
         let chosen = match model {
             Some(model) => {
                 let ask = engine_ask(gateway, &routes, call, sends, now);
-                let views = views(gateway, &usable, &limits, now);
-                among_engines(call, model, &usable, &views, &ask, now)
+                let views = engine_views(gateway, &usable, &limits, now);
+                decide_among_engines(call, model, &usable, &views, &ask, now)
             }
-            None => among_instances(gateway, &usable, &limits, now),
+            None => decide_among_instances(gateway, &usable, &limits, now),
         };
-        let Choice::Send(mut placement) = chosen else {
+        let PlacementDecision::Send(mut plan) = chosen else {
             return chosen;
         };
-        if limits.admits(&placement.upstream.id) {
-            placement.limit = limits.seen(&placement.upstream.id);
-            return Choice::Send(placement);
+        if limits.admits(&plan.upstream.id) {
+            plan.limit = limits.record(&plan.upstream.id);
+            return PlacementDecision::Send(plan);
         }
     }
 }
 
-/// All upstreams have got what they take: a call that can still be on time waits, if those that wait before it
-/// leave it the time.
+/// Handles a call while the limits of all upstreams are used up. The call waits if it can still be
+/// on time after the calls that are waiting already.
 fn wait_for_limit(
     gateway: &Gateway,
     call: &Call,
-    sends: &Sends<'_>,
+    sends: &SendHistory<'_>,
     opens_in: Duration,
     limits: &LimitStates,
     now: Instant,
-) -> Choice {
+) -> PlacementDecision {
     let patience = if sends.has_run {
         call.time_left(now)
     } else {
         call.objective_left(now).min(call.time_left(now))
     };
-    let turn_in = if sends.waits_for_limit {
+    let wait = if sends.waits_for_limit {
         opens_in
     } else {
-        let before = gateway.rate_limits.waiting(&call.service);
-        opens_in.max(limits.time_for(before))
+        let waiting = gateway.rate_limits.waiting(&call.service);
+        opens_in.max(limits.time_to_admit(waiting))
     };
-    if turn_in <= patience {
-        return Choice::WaitForLimit(opens_in);
+    if wait <= patience {
+        return PlacementDecision::WaitForLimit(opens_in);
     }
-    Choice::Refuse(Refusal::Overload {
+    PlacementDecision::Refuse(CallRefusal::Overload {
         reason: RefuseReason::RateLimited,
-        retry_after: turn_in.min(LIMIT_RETRY_AFTER_MAX),
+        retry_after: wait.min(LIMIT_RETRY_AFTER_MAX),
     })
 }
 
-/// The engines that [`choose`] has for a prompt of several: those of this host's failure domain, and all.
-/// None for other calls.
-pub(crate) fn survey(
+/// The candidates of [`decide_placement`] for a prompt that several engines can share: the engines
+/// in the failure domain of this host, and all engines. None for other calls.
+pub(crate) fn survey_candidates(
     gateway: &Gateway,
     call: &Call,
-    sends: &Sends<'_>,
+    sends: &SendHistory<'_>,
     now: Instant,
-) -> Option<(EnginesSeen, EnginesSeen)> {
-    let routes = gateway.beliefs.routes()?;
+) -> Option<(EngineSurveyRecord, EngineSurveyRecord)> {
+    let routes = gateway.platform_view.routes()?;
     let model = engine_model(&routes, call)?;
-    let by_service = gateway.beliefs.upstreams()?;
+    let by_service = gateway.platform_view.upstreams()?;
     let listed = by_service.get(&call.service)?;
     let ask = engine_ask(gateway, &routes, call, sends, now);
     if ask.class(model) == PromptClass::Short {
@@ -155,12 +164,12 @@
     }
     let usable = usable(gateway, listed, sends.tried, now);
     let limits = LimitStates::of(gateway, &usable, now);
-    let views = views(gateway, &usable, &limits, now);
-    let (near, all) = survey_engines(model, &views, &ask);
+    let views = engine_views(gateway, &usable, &limits, now);
+    let (near, all) = count_engines(model, &views, &ask);
     Some((near.into(), all.into()))
 }
 
-/// The engines of a call's service; none if it is no stream, or its service has none.
+/// The engine model of the service; none if the call is no stream or the service has no engines.
 fn engine_model<'a>(routes: &'a RouteTable, call: &Call) -> Option<&'a EngineModel> {
     let service = routes.services.get(&call.service)?;
     let model = service.engine.as_ref()?;
@@ -171,54 +180,54 @@
     gateway: &Gateway,
     routes: &RouteTable,
     call: &Call,
-    sends: &Sends<'_>,
+    sends: &SendHistory<'_>,
     now: Instant,
-) -> EngineAsk {
-    let news = gateway.news_route();
-    // The caller of a stream that broke off stays for its next event, however late it is.
-    let least = if sends.has_run {
+) -> EngineRequest {
+    let route = gateway.update_route();
+    // The caller of an interrupted stream waits for the next event, however late.
+    let patience_min = if sends.has_run {
         call.patience()
     } else {
         Duration::ZERO
     };
-    EngineAsk {
+    EngineRequest {
         prompt: call.head.prompt,
         output: call.head.output,
-        objective_left: call.objective_left(now).max(least),
-        patience_left: call.patience_left(now).max(least),
+        objective_left: call.objective_left(now).max(patience_min),
+        patience_left: call.patience_left(now).max(patience_min),
         time_left: call.time_left(now),
         strictest_pause: routes.strictest_pause(&call.service),
-        news_age: news.near_age,
-        far_news_age: news.far_age,
-        is_far: false,
-        draw: rand::random(),
+        local_load_age_max: route.local_age_max,
+        remote_load_age_max: route.remote_age_max,
+        spans_domains: false,
+        shuffle_seed: rand::random(),
     }
 }
 
-/// The upstreams that may get a call: not those that failed it or that are failing, unless there are
-/// no others.
+/// The upstreams that may receive a call: the untried ones that are healthy, or all untried ones if
+/// none is healthy.
 fn usable<'a>(
     gateway: &Gateway,
-    listed: &'a [Listed],
+    listed: &'a [ListedUpstream],
     tried: &[UpstreamId],
     now: Instant,
-) -> Vec<&'a Listed> {
-    let untried: Vec<&Listed> = listed.iter().filter(|u| !tried.contains(&u.id)).collect();
+) -> Vec<&'a ListedUpstream> {
+    let untried: Vec<&ListedUpstream> = listed.iter().filter(|u| !tried.contains(&u.id)).collect();
     let health = gateway.health();
-    let sound: Vec<&Listed> = untried
+    let healthy: Vec<&ListedUpstream> = untried
         .iter()
         .copied()
         .filter(|upstream| health.is_usable(&upstream.id, &upstream.domain, now))
         .collect();
-    if sound.is_empty() { untried } else { sound }
+    if healthy.is_empty() { untried } else { healthy }
 }
 
-fn among_instances(
+fn decide_among_instances(
     gateway: &Gateway,
-    usable: &[&Listed],
+    usable: &[&ListedUpstream],
     limits: &LimitStates,
     now: Instant,
-) -> Choice {
+) -> PlacementDecision {
     let health = gateway.health();
     let ledger = gateway.ledger();
     let open = usable
@@ -237,16 +246,16 @@
     let Some(upstream) = chosen.and_then(|id| find(usable, id)) else {
         return no_upstream();
     };
-    let share = LoadShare {
-        takes_place: true,
+    let share = RequestLoad {
+        takes_slot: true,
         is_short: false,
         pause: None,
-        read_time: Duration::ZERO,
+        prefill_time: Duration::ZERO,
         held_tokens: Tokens::ZERO,
-        helps: None,
-        read_due: None,
+        helper_release: None,
+        prefill_due: None,
     };
-    Choice::Send(Box::new(Placement {
+    PlacementDecision::Send(Box::new(SendPlan {
         upstream: upstream.clone(),
         helpers: Vec::new(),
         reserves: Vec::new(),
@@ -256,37 +265,37 @@
     }))
 }
 
-fn among_engines(
+fn decide_among_engines(
     call: &Call,
     model: &EngineModel,
-    usable: &[&Listed],
+    usable: &[&ListedUpstream],
     views: &[EngineView],
-    ask: &EngineAsk,
+    ask: &EngineRequest,
     now: Instant,
-) -> Choice {
+) -> PlacementDecision {
     match choose_engines(model, views, ask) {
-        EngineChoice::Send(plan) => place(call, model, ask, &plan, usable, now),
-        EngineChoice::Wait(wait) => Choice::Wait(wait),
+        EngineChoice::Send(plan) => engine_send_plan(call, model, ask, &plan, usable, now),
+        EngineChoice::Wait(wait) => PlacementDecision::Wait(wait),
         EngineChoice::Refuse {
             reason,
             retry_after,
-        } => Choice::Refuse(Refusal::Overload {
+        } => PlacementDecision::Refuse(CallRefusal::Overload {
             reason,
             retry_after,
         }),
     }
 }
 
-/// The engines as this host sees them now.
-fn views(
+/// The current state of the engines as this host knows it.
+fn engine_views(
     gateway: &Gateway,
-    usable: &[&Listed],
+    usable: &[&ListedUpstream],
     limits: &LimitStates,
     now: Instant,
 ) -> Vec<EngineView> {
-    let slowdowns = gateway.slowdowns.known(now);
+    let slowdowns = gateway.slowdowns.current(now);
     let mut ledger = gateway.ledger();
-    ledger.forget_silent(now);
+    ledger.expire_peers(now);
     let views = usable.iter().map(|upstream| EngineView {
         id: upstream.id.clone(),
         load: ledger.load(&upstream.id, now),
@@ -297,50 +306,50 @@
     views.collect()
 }
 
-fn place(
+fn engine_send_plan(
     call: &Call,
     model: &EngineModel,
-    ask: &EngineAsk,
+    ask: &EngineRequest,
     plan: &EnginePlan,
-    usable: &[&Listed],
+    usable: &[&ListedUpstream],
     now: Instant,
-) -> Choice {
+) -> PlacementDecision {
     let Some(upstream) = find(usable, &plan.leader) else {
         return no_upstream();
     };
     let mut helpers = Vec::new();
     let mut reserves = Vec::new();
-    if let Some(reserve) = plan.reserve(&plan.leader) {
-        reserves.push(Part::new(upstream, reserve.tokens));
+    if let Some(reserve) = plan.reservation(&plan.leader) {
+        reserves.push(EngineReservation::new(upstream, reserve.tokens));
     }
     for id in &plan.helpers {
         let Some(helper) = find(usable, id) else {
             continue;
         };
-        match plan.reserve(id) {
-            Some(reserve) => reserves.push(Part::new(helper, reserve.tokens)),
+        match plan.reservation(id) {
+            Some(reserve) => reserves.push(EngineReservation::new(helper, reserve.tokens)),
             None => helpers.push(HelperAddr {
                 addr: helper.addr,
                 reservation: None,
             }),
         }
     }
-    Choice::Send(Box::new(Placement {
+    PlacementDecision::Send(Box::new(SendPlan {
         upstream: upstream.clone(),
         helpers,
         reserves,
-        shares: plan.shares(model, ask, call.route.pause_objective, now),
+        shares: plan.request_loads(model, ask, call.route.pause_objective, now),
         forecast: plan.forecast,
         limit: None,
     }))
 }
 
-fn find<'a>(usable: &[&'a Listed], id: &UpstreamId) -> Option<&'a Listed> {
+fn find<'a>(usable: &[&'a ListedUpstream], id: &UpstreamId) -> Option<&'a ListedUpstream> {
     usable.iter().find(|upstream| upstream.id == *id).copied()
 }
 
-fn no_upstream() -> Choice {
-    Choice::Refuse(Refusal::Overload {
+fn no_upstream() -> PlacementDecision {
+    PlacementDecision::Refuse(CallRefusal::Overload {
         reason: RefuseReason::NoUpstream,
         retry_after: NO_UPSTREAM_RETRY_AFTER,
     })
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -1,4 +1,4 @@
-//! The limits that upstreams name, as this host knows them.
+//! The rate limits that upstreams advertise, as this host knows them.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -9,15 +9,15 @@
 use indexmap::IndexMap;
 use indexmap::IndexSet;
 
-use crate::decide::HostsHeard;
+use crate::decide::HostCoverage;
 use crate::decide::LimitReport;
 use crate::decide::LoadSource;
-use crate::decide::RateLimitBook;
+use crate::decide::RateLimitTracker;
 use crate::exchange::ListedHost;
-use crate::gateway::Event;
+use crate::gateway::AdvertisedLimit;
+use crate::gateway::DecisionEvent;
 use crate::gateway::Gateway;
-use crate::gateway::LimitSaid;
-use crate::gateway::Listed;
+use crate::gateway::ListedUpstream;
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 use crate::units::RequestsPerSecond;
@@ -25,37 +25,37 @@
 use crate::units::UpstreamId;
 use crate::units::whole_millis;
 
-/// Between two log lines on malformed limits of one upstream.
+/// The time between two log lines about malformed limits of one upstream.
 const MALFORMED_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What a message of another host takes beside the interval at which hosts send.
-const NEWS_WAY: Duration = Duration::from_millis(10);
+/// The transit time of a broadcast, in addition to the interval between broadcasts.
+const BROADCAST_LATENCY: Duration = Duration::from_millis(10);
 
-/// The limits that upstreams name.
+/// The rate limits that upstreams advertise, and the calls that wait for them.
 #[derive(Debug)]
 pub(crate) struct RateLimits {
-    book: Mutex<RateLimitBook>,
-    /// When a malformed limit was logged last.
+    book: Mutex<RateLimitTracker>,
+    /// When a malformed limit of an upstream was last logged.
     malformed_logged_at: Mutex<IndexMap<UpstreamId, Instant>>,
-    /// Calls of each service that wait for a limit to allow one more.
+    /// The number of calls of each service that wait for a limit to allow one more request.
     waiting: Mutex<IndexMap<ServiceId, u32>>,
 }
 
 impl RateLimits {
-    /// No limits, on a host that starts now.
+    /// The state of a host that starts at `now` and knows no limits.
     pub(crate) fn new(now: Instant) -> Self {
         Self {
-            book: Mutex::new(RateLimitBook::new(now)),
+            book: Mutex::new(RateLimitTracker::new(now)),
             malformed_logged_at: Mutex::default(),
             waiting: Mutex::default(),
         }
     }
 
-    pub(crate) fn book(&self) -> MutexGuard<'_, RateLimitBook> {
+    pub(crate) fn book(&self) -> MutexGuard<'_, RateLimitTracker> {
         self.book.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in that this host sends a request to these upstreams.
+    /// Records that this host sends a request to these upstreams.
     pub(crate) fn on_sent<'a>(
         &self,
         upstreams: impl Iterator<Item = &'a UpstreamId>,
@@ -67,13 +67,13 @@
         }
     }
 
-    /// Whether one of these upstreams has a limit.
-    pub(crate) fn is_any_limited(&self, upstreams: &[&Listed]) -> bool {
+    /// Whether any of these upstreams has a limit.
+    pub(crate) fn has_any_limit(&self, upstreams: &[&ListedUpstream]) -> bool {
         let book = self.book();
         upstreams.iter().any(|u| book.limit(&u.id).is_some())
     }
 
-    /// Calls of a service that wait on this host for a limit.
+    /// The number of calls of a service that wait on this host for a limit.
     pub(crate) fn waiting(&self, service: &ServiceId) -> u32 {
         self.lock_waiting().get(service).copied().unwrap_or(0)
     }
@@ -92,15 +92,15 @@
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Forgets upstreams that are off the list.
-    pub(crate) fn keep(&self, is_listed: impl Fn(&UpstreamId) -> bool) {
-        self.book().keep(&is_listed);
+    /// Drops the state of upstreams that are off the list.
+    pub(crate) fn retain(&self, is_listed: impl Fn(&UpstreamId) -> bool) {
+        self.book().retain(&is_listed);
         self.malformed_logged()
             .retain(|upstream, _| is_listed(upstream));
     }
 
-    /// Whether a malformed limit is to be logged now.
-    fn logs_malformed(&self, upstream: &UpstreamId, now: Instant) -> bool {
+    /// Whether a malformed limit of the upstream is to be logged now.
+    fn should_log_malformed(&self, upstream: &UpstreamId, now: Instant) -> bool {
         let mut logged = self.malformed_logged();
         let is_due = logged
             .get(upstream)
@@ -118,13 +118,13 @@
 }
 
 impl Gateway {
-    /// Takes in what an upstream's answer says of its limit. What can't be read changes nothing.
-    pub(crate) fn on_limit_said(&self, upstream: &UpstreamId, said: &LimitSaid) {
-        let limit = match said {
-            LimitSaid::Nothing => return,
-            LimitSaid::Unlimited => None,
-            LimitSaid::Limited(limit) => Some(*limit),
-            LimitSaid::Malformed(value) => {
+    /// Records the limit that an upstream's response advertises. A malformed limit changes nothing.
+    pub(crate) fn on_response_limit(&self, upstream: &UpstreamId, advertised: &AdvertisedLimit) {
+        let limit = match advertised {
+            AdvertisedLimit::Absent => return,
+            AdvertisedLimit::Unlimited => None,
+            AdvertisedLimit::Limited(limit) => Some(*limit),
+            AdvertisedLimit::Malformed(value) => {
                 self.on_malformed_limit(upstream, value);
                 return;
             }
@@ -134,12 +134,12 @@
         let is_change = book.on_answer(upstream, limit, now);
         drop(book);
         if is_change {
-            self.note_limit(upstream, limit, None, Duration::ZERO);
+            self.on_limit_change(upstream, limit, None, Duration::ZERO);
         }
     }
 
-    /// Takes in what another host, or a collector, tells of an upstream's limit.
-    pub(crate) fn hear_limit(
+    /// Records the limit of an upstream as reported by another host or a collector.
+    pub(crate) fn on_limit_report(
         &self,
         source: &LoadSource,
         upstream: &UpstreamId,
@@ -147,59 +147,64 @@
         now: Instant,
     ) {
         let mut book = self.rate_limits.book();
-        let is_change = book.hear(source.clone(), upstream, report, now);
+        let is_change = book.on_report(source.clone(), upstream, report, now);
         drop(book);
         if is_change {
-            self.note_limit(upstream, report.limit, Some(source.host()), report.age);
+            self.on_limit_change(upstream, report.limit, Some(source.host()), report.age);
         }
     }
 
-    /// Logs another limit than before, and tells the others at once what was sent there.
-    fn note_limit(
+    /// Logs a changed limit, and broadcasts at once how many requests this host has sent to the
+    /// upstream.
+    fn on_limit_change(
         &self,
         upstream: &UpstreamId,
         limit: Option<RequestsPerSecond>,
         told_by: Option<&HostId>,
         age: Duration,
     ) {
-        self.log.note(Event::UpstreamLimit {
+        self.log.record(DecisionEvent::UpstreamLimit {
             upstream: upstream.to_string(),
             limit_per_s: limit.map(|limit| limit.0),
             told_by: told_by.map(ToString::to_string),
             age_ms: whole_millis(age),
         });
-        self.load_urgent.notify_one();
+        self.broadcast_now.notify_one();
     }
 
-    /// How many of the listed hosts this one hears, by their own word or by that of their domain's collector.
-    pub(crate) fn hosts_heard(&self, now: Instant) -> HostsHeard {
-        let hosts = self.beliefs.hosts();
+    /// How many of the listed hosts are heard by this one, directly or through the collector of
+    /// their failure domain.
+    pub(crate) fn hosts_heard(&self, now: Instant) -> HostCoverage {
+        let hosts = self.platform_view.hosts();
         let ledger = self.ledger();
-        let speaks = |listed: &&ListedHost| ledger.speaks_for_domain(&listed.host, now);
-        let spoken_for = hosts.iter().filter(speaks).map(|listed| &listed.domain);
-        let spoken_for: IndexSet<&FailureDomainId> = spoken_for.collect();
+        let has_collector = |listed: &&ListedHost| ledger.is_collector_live(&listed.host, now);
+        let collected_domains = hosts
+            .iter()
+            .filter(has_collector)
+            .map(|listed| &listed.domain);
+        let collected_domains: IndexSet<&FailureDomainId> = collected_domains.collect();
         let is_heard = |listed: &&ListedHost| {
             listed.host == self.conf.host
-                || spoken_for.contains(&listed.domain)
-                || ledger.is_heard(&listed.host, now)
+                || collected_domains.contains(&listed.domain)
+                || ledger.is_host_live(&listed.host, now)
         };
-        HostsHeard {
+        HostCoverage {
             listed: hosts.len(),
             heard: hosts.iter().filter(is_heard).count(),
         }
     }
 
-    /// How long it takes until hosts hear of each other's sends.
-    pub(crate) fn sends_seen_within(&self) -> Duration {
-        let route = self.news_route();
-        route.near_age.max(route.far_age) + NEWS_WAY
+    /// The time until this host's sends are known to the other hosts.
+    pub(crate) fn send_visibility_delay(&self) -> Duration {
+        let route = self.update_route();
+        route.local_age_max.max(route.remote_age_max) + BROADCAST_LATENCY
     }
 
     fn on_malformed_limit(&self, upstream: &UpstreamId, value: &str) {
         let now = self.clock.now();
-        self.meters.fault("malformed_limit");
-        if self.rate_limits.logs_malformed(upstream, now) {
-            self.log.note(Event::LimitMalformed {
+        self.metrics.fault("malformed_limit");
+        if self.rate_limits.should_log_malformed(upstream, now) {
+            self.log.record(DecisionEvent::LimitMalformed {
                 upstream: upstream.to_string(),
                 value: value.to_owned(),
             });
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -1,4 +1,4 @@
-//! From the settings to the end of the process.
+//! Runs a gateway from its configuration to the end of the process.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,28 +11,29 @@
 
 use crate::daemon::serve_pages;
 use crate::exchange::Exchange;
-use crate::exchange::NewsDesk;
+use crate::exchange::ExchangeHandler;
 use crate::gateway::Catalog;
-use crate::gateway::DrainPhase;
-use crate::gateway::Event;
+use crate::gateway::DecisionEvent;
 use crate::gateway::Gateway;
 use crate::gateway::GatewayError;
 use crate::gateway::Listeners;
-use crate::gateway::engine_reports::keep_reports;
+use crate::gateway::ShutdownPhase;
+use crate::gateway::catalog_sharing::serve_reads;
+use crate::gateway::engine_reports::poll_engine_reports;
 use crate::gateway::pages::GatewayPages;
-use crate::gateway::probe::try_unreachable;
+use crate::gateway::probe::probe_unreachable;
 use crate::gateway::server::serve_callers;
-use crate::gateway::share::serve_reads;
 use crate::gateway::sync;
 
-/// Taking this host off the list is a courtesy: others find out by its silence.
+/// The timeout for removing this host from the list. The removal is optional: other hosts detect a
+/// stopped host by its silence.
 const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Reads the settings again and says what came of it.
+/// Reads the settings file again and returns a description of the result.
 pub type Reload = Box<dyn Fn() -> String + Send>;
 
-/// Runs a host until SIGTERM has been followed by the end of its requests, or its time is up. SIGHUP
-/// reads the settings again.
+/// Runs a host until SIGTERM has been received and all requests have ended, or the grace period is
+/// over. SIGHUP reloads the settings.
 pub async fn run(
     gateway: Arc<Gateway>,
     catalog: Arc<dyn Catalog>,
@@ -41,7 +42,7 @@
     let terminate = signal(SignalKind::terminate()).map_err(GatewayError::Signal)?;
     let hangup = signal(SignalKind::hangup()).map_err(GatewayError::Signal)?;
     let listeners = Listeners::bind(&gateway.conf).await?;
-    tokio::spawn(obey_signals(
+    tokio::spawn(handle_signals(
         Arc::clone(&gateway),
         terminate,
         hangup,
@@ -52,17 +53,17 @@
     Ok(())
 }
 
-/// Serves callers until [`Gateway::begin_stop`] has been followed by the end of all requests, or the
-/// time to stop is up.
+/// Serves callers until [`Gateway::begin_shutdown`] has been called and all requests have ended, or
+/// the grace period is over.
 pub async fn serve(
     gateway: Arc<Gateway>,
     catalog: Arc<dyn Catalog>,
     listeners: Listeners,
 ) -> Result<(), GatewayError> {
-    let desk: Arc<dyn NewsDesk> = Arc::<Gateway>::clone(&gateway);
+    let desk: Arc<dyn ExchangeHandler> = Arc::<Gateway>::clone(&gateway);
     let exchange_addr = listeners.exchange.local_addr();
     let exchange_addr = exchange_addr.map_err(|err| GatewayError::Bind("exchange", err))?;
-    gateway.log.note(Event::Started {
+    gateway.log.record(DecisionEvent::Started {
         domain: gateway.conf.domain.to_string(),
         callers_addr: gateway.conf.callers_addr.to_string(),
     });
@@ -70,21 +71,21 @@
     let mut tasks = tokio::task::JoinSet::new();
     tasks.spawn(Exchange::new(listeners.exchange, desk).run());
     tasks.spawn(serve_reads(Arc::clone(&gateway), listeners.share));
-    tasks.spawn(sync::keep_routes(
+    tasks.spawn(sync::sync_routes(
         Arc::clone(&gateway),
         Arc::clone(&catalog),
     ));
-    tasks.spawn(sync::keep_upstreams(
+    tasks.spawn(sync::sync_upstreams(
         Arc::clone(&gateway),
         Arc::clone(&catalog),
     ));
-    tasks.spawn(sync::keep_hosts(
+    tasks.spawn(sync::sync_hosts(
         Arc::clone(&gateway),
         Arc::clone(&catalog),
         exchange_addr,
     ));
-    tasks.spawn(try_unreachable(Arc::clone(&gateway)));
-    tasks.spawn(keep_reports(Arc::clone(&gateway)));
+    tasks.spawn(probe_unreachable(Arc::clone(&gateway)));
+    tasks.spawn(poll_engine_reports(Arc::clone(&gateway)));
     tasks.spawn(serve_pages(
         Arc::<GatewayPages>::clone(&pages),
         listeners.ready,
@@ -93,11 +94,11 @@
     tasks.spawn(withdraw(Arc::clone(&gateway), catalog));
     serve_callers(Arc::clone(&gateway), listeners.callers).await;
     let cut = gateway.in_flight();
-    gateway.log.note(Event::Stopped { cut });
+    gateway.log.record(DecisionEvent::Stopped { cut });
     Ok(())
 }
 
-async fn obey_signals(
+async fn handle_signals(
     gateway: Arc<Gateway>,
     mut terminate: Signal,
     mut hangup: Signal,
@@ -105,25 +106,25 @@
 ) {
     loop {
         tokio::select! {
-            _ = terminate.recv() => gateway.begin_stop(),
+            _ = terminate.recv() => gateway.begin_shutdown(),
             _ = hangup.recv() => {
                 let outcome = reload();
-                gateway.log.note(Event::Reloaded { outcome });
+                gateway.log.record(DecisionEvent::Reloaded { outcome });
             }
         }
-        if gateway.phase() == DrainPhase::Over {
+        if gateway.phase() == ShutdownPhase::Expired {
             return;
         }
     }
 }
 
-/// Takes this host off the list when it begins to stop.
+/// Removes this host from the list when its shutdown begins.
 async fn withdraw(gateway: Arc<Gateway>, catalog: Arc<dyn Catalog>) {
-    gateway.stop_begun().await;
+    gateway.shutdown_requested().await;
     let host = gateway.conf.host.clone();
-    match timeout(WITHDRAW_TIMEOUT, catalog.withdraw(host)).await {
+    match timeout(WITHDRAW_TIMEOUT, catalog.deregister_host(host)).await {
         Ok(Ok(())) => {}
-        Ok(Err(err)) => warn!("gateway: still on the list of hosts: {err}"),
-        Err(_) => warn!("gateway: still on the list of hosts: no answer"),
+        Ok(Err(err)) => warn!("gateway: cannot remove this host from the list: {err}"),
+        Err(_) => warn!("gateway: cannot remove this host from the list: timeout"),
     }
 }
--- a/src/peer/addrs.rs
+++ b/src/peer/addrs.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use crate::board::Board;
-use crate::board::Shards;
+use crate::cluster_view::ClusterView;
+use crate::cluster_view::ShardedMap;
 use crate::settings::PeerSeed;
 use crate::units::HostId;
 
@@ -17,16 +17,16 @@
 /// The addresses that the membership knows, and for others those of seeds.
 #[derive(Debug)]
 pub struct SeededAddrs {
-    board: Arc<Board>,
-    seeds: Shards<HostId, SocketAddr>,
+    cluster_view: Arc<ClusterView>,
+    seeds: ShardedMap<HostId, SocketAddr>,
 }
 
 impl SeededAddrs {
-    /// The addresses on the board, and no seeds yet.
-    pub fn new(board: Arc<Board>) -> Self {
+    /// The addresses in the cluster view, and no seeds yet.
+    pub fn new(cluster_view: Arc<ClusterView>) -> Self {
         Self {
-            board,
-            seeds: Shards::new(),
+            cluster_view,
+            seeds: ShardedMap::new(),
         }
     }
 
@@ -40,7 +40,7 @@
 
 impl PeerAddrs for SeededAddrs {
     fn peer_addr(&self, host: &HostId) -> Option<SocketAddr> {
-        let view = self.board.hosts.get(host);
+        let view = self.cluster_view.hosts.get(host);
         view.map(|view| view.peer_addr)
             .or_else(|| self.seeds.get(host))
     }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,5 +1,5 @@
-//! Where calls go: routes by host name and path, the services behind them, and the customers by
-//! key. All of it comes from the manifest and is replaced as a whole.
+//! Routes by host name and path, the services behind them, and customers by key. All of it comes
+//! from the manifest and is replaced as a whole.
 
 mod call_kind;
 mod keys;
@@ -12,7 +12,7 @@
 pub use keys::CustomerKeys;
 pub use limits::CallerLimits;
 pub use route::Route;
-pub use route::Target;
-pub use route::callers_patience;
+pub use route::RouteTarget;
+pub use route::stream_caller_timeout;
 pub use service::Service;
 pub use table::RouteTable;
--- a/tests/decide_fakes/outcome.rs
+++ b/tests/decide_fakes/outcome.rs
@@ -1,4 +1,4 @@
-//! What callers got.
+//! The outcomes of a simulation.
 
 use std::time::Duration;
 
@@ -6,20 +6,22 @@
 use banyanarch::decide::RefuseReason;
 use banyanarch::units::Tokens;
 
-use super::Ask;
+use super::RequestSpec;
 
+/// The outcome of one request.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    pub ask: Ask,
-    /// From the request to its first token.
+    pub request: RequestSpec,
+    /// The time from the request to its first token.
     pub first_token: Option<Duration>,
-    /// From the request to its end within its time limit.
+    /// The time from the request to its end, if the request completed before its deadline.
     pub completed: Option<Duration>,
     pub refused: Option<RefuseReason>,
     pub engines: Vec<usize>,
     pub attempts: u32,
 }
 
+/// The outcomes of several requests.
 pub struct Outcomes(pub Vec<Outcome>);
 
 impl Outcomes {
@@ -34,14 +36,14 @@
     }
 
     pub fn class(&self, class: LengthClass) -> Self {
-        self.only(|outcome| LengthClass::of(Tokens(outcome.ask.prompt)) == class)
+        self.only(|outcome| LengthClass::of(Tokens(outcome.request.prompt)) == class)
     }
 
     pub fn customer(&self, name: &str) -> Self {
-        self.only(|outcome| outcome.ask.customer == name)
+        self.only(|outcome| outcome.request.customer == name)
     }
 
-    /// Time to first token in seconds at a quantile, over those that got one.
+    /// The given quantile of the time to first token in seconds, over requests that got one.
     pub fn ttft(&self, quantile: f64) -> f64 {
         let mut all: Vec<f64> = self
             .0
@@ -70,16 +72,16 @@
             .count()
     }
 
-    /// The part completed in time.
-    pub fn part(&self) -> f64 {
+    /// The fraction of requests that completed before their deadline.
+    pub fn completed_fraction(&self) -> f64 {
         self.completed() as f64 / self.0.len().max(1) as f64
     }
 
-    /// Tokens of prompts and answers completed in time.
+    /// The prompt and answer tokens of requests that completed before their deadline.
     pub fn goodput(&self) -> f64 {
         let completed = self.0.iter().filter(|outcome| outcome.completed.is_some());
         completed
-            .map(|o| (o.ask.prompt + o.ask.output) as f64)
+            .map(|o| (o.request.prompt + o.request.output) as f64)
             .sum()
     }
 }
--- a/tests/decide_retry.rs
+++ b/tests/decide_retry.rs
@@ -1,15 +1,15 @@
-//! Retries and poison: what entry hosts ask before another attempt.
+//! Retries, and refusal of requests that crash upstreams.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use banyanarch::decide::FailedAttempt;
-use banyanarch::decide::Poison;
+use banyanarch::decide::GiveUpReason;
 use banyanarch::decide::PoisonList;
-use banyanarch::decide::PoisonMark;
+use banyanarch::decide::PoisonReport;
+use banyanarch::decide::RequestFingerprint;
 use banyanarch::decide::RetryBudget;
-use banyanarch::decide::RetryStop;
-use banyanarch::decide::RetryVerdict;
+use banyanarch::decide::RetryDecision;
 use banyanarch::units::AttemptId;
 use banyanarch::units::ContentHash;
 use yare::parameterized;
@@ -19,22 +19,25 @@
         attempts: 1,
         did_not_run: true,
         is_repeatable: true,
-        answer_started: false,
+        response_started: false,
         retry_after: None,
         deadline: now + Duration::from_secs(10),
     }
 }
 
 #[parameterized(
-    may_have_run = { |f| FailedAttempt { did_not_run: false, is_repeatable: false, ..f }, RetryStop::NotRepeatable },
-    started = { |f| FailedAttempt { answer_started: true, ..f }, RetryStop::AnswerStarted },
-    third = { |f| FailedAttempt { attempts: 3, ..f }, RetryStop::Attempts },
-    no_time = { |f| FailedAttempt { retry_after: Some(Duration::from_secs(11)), ..f }, RetryStop::Deadline },
+    may_have_run = { |f| FailedAttempt { did_not_run: false, is_repeatable: false, ..f }, GiveUpReason::NotRepeatable },
+    started = { |f| FailedAttempt { response_started: true, ..f }, GiveUpReason::ResponseStarted },
+    third = { |f| FailedAttempt { attempts: 3, ..f }, GiveUpReason::Attempts },
+    no_time = { |f| FailedAttempt { retry_after: Some(Duration::from_secs(11)), ..f }, GiveUpReason::Deadline },
 )]
-fn some_attempts_are_never_repeated(change: fn(FailedAttempt) -> FailedAttempt, why: RetryStop) {
+fn some_attempts_are_never_repeated(
+    change: fn(FailedAttempt) -> FailedAttempt,
+    reason: GiveUpReason,
+) {
     let now = Instant::now();
-    let verdict = RetryBudget::new(1, now).judge(&change(failed(now)), now);
-    assert_eq!(verdict, RetryVerdict::GiveUp(why));
+    let decision = RetryBudget::new(1, now).decide(&change(failed(now)), now);
+    assert_eq!(decision, RetryDecision::GiveUp(reason));
 }
 
 #[test]
@@ -44,12 +47,13 @@
         is_repeatable: false,
         ..failed(now)
     };
-    let verdict = RetryBudget::new(1, now).judge(&attempt, now);
-    assert!(matches!(verdict, RetryVerdict::Again { .. }));
+    let decision = RetryBudget::new(1, now).decide(&attempt, now);
+    assert!(matches!(decision, RetryDecision::Retry { .. }));
 }
 
-/// All upstreams of a service fail for a minute at a hundred requests a second. If each request were
-/// made three times, the service would meet three hundred when it comes back.
+/// Load condition: all upstreams of a service fail for a minute at a hundred requests per second.
+/// If each request were tried three times, the service would receive three hundred requests per
+/// second when it recovers.
 #[test]
 fn an_outage_does_not_multiply_the_load() {
     let start = Instant::now();
@@ -64,7 +68,7 @@
                 attempts,
                 ..failed(now)
             };
-            if let RetryVerdict::Again { after } = budget.judge(&attempt, now) {
+            if let RetryDecision::Retry { after } = budget.decide(&attempt, now) {
                 retries += 1;
                 pauses.push(after);
             }
@@ -76,54 +80,60 @@
     );
     pauses.sort();
     pauses.dedup();
-    assert!(pauses.len() > 1_000, "pauses are jittered");
+    assert!(pauses.len() > 1_000, "pauses must be jittered");
 }
 
-fn mark() -> PoisonMark {
-    PoisonMark::of_content(ContentHash(7))
+fn fingerprint() -> RequestFingerprint {
+    RequestFingerprint::of_content(ContentHash(7))
 }
 
-fn poison(attempt: u128) -> Poison {
-    Poison {
-        mark: mark(),
+fn report(attempt: u128) -> PoisonReport {
+    PoisonReport {
+        fingerprint: fingerprint(),
         attempts: vec![AttemptId(attempt)],
     }
 }
 
-/// A request crashes the engine that runs it, and its caller sends it again through another host.
-/// Hosts tell each other of the crashes, in any order and more than once; after two crashes of
-/// distinct attempts every host refuses it. One crash, told twice, is not held against it.
+/// Failure: a request crashes the engine that runs it, and its caller sends it again through
+/// another host. Hosts report crashes to each other, in any order and more than once. After two
+/// crashes of distinct attempts every host refuses the request. One crash that is reported twice
+/// counts once.
 #[test]
 fn two_crashes_anywhere_make_a_request_poison() {
     let now = Instant::now();
     let (mut here, mut there) = (PoisonList::new(), PoisonList::new());
-    let told = here.on_crash(&[mark()], AttemptId(1), now);
-    assert!(here.on_crash(&[mark()], AttemptId(1), now).is_empty());
-    assert!(there.merge(&told[0], now));
-    assert!(!there.merge(&told[0], now));
-    assert!(!here.is_poison(&[mark()], now) && !there.is_poison(&[mark()], now));
-    let told = there.on_crash(&[mark()], AttemptId(2), now);
-    assert!(there.is_poison(&[mark()], now));
-    told.iter()
+    let reports = here.on_crash(&[fingerprint()], AttemptId(1), now);
+    assert!(
+        here.on_crash(&[fingerprint()], AttemptId(1), now)
+            .is_empty()
+    );
+    assert!(there.merge(&reports[0], now));
+    assert!(!there.merge(&reports[0], now));
+    assert!(!here.is_poison(&[fingerprint()], now) && !there.is_poison(&[fingerprint()], now));
+    let reports = there.on_crash(&[fingerprint()], AttemptId(2), now);
+    assert!(there.is_poison(&[fingerprint()], now));
+    reports
+        .iter()
         .for_each(|poison| assert!(here.merge(poison, now)));
-    assert!(here.is_poison(&[mark()], now));
+    assert!(here.is_poison(&[fingerprint()], now));
     let mut fresh = PoisonList::new();
     here.all(now)
         .iter()
         .rev()
         .for_each(|poison| assert!(fresh.merge(poison, now)));
-    assert!(fresh.is_poison(&[mark()], now));
-    assert!(!fresh.is_poison(&[mark()], now + Duration::from_secs(7_200)));
+    assert!(fresh.is_poison(&[fingerprint()], now));
+    assert!(!fresh.is_poison(&[fingerprint()], now + Duration::from_secs(7_200)));
 }
 
 #[test]
 fn the_same_key_is_recognised_with_another_body() {
     let now = Instant::now();
-    let key =
-        |customer: &str| PoisonMark::of_key(&customer.parse().unwrap(), &"k-1".parse().unwrap());
+    let key = |customer: &str| {
+        RequestFingerprint::of_key(&customer.parse().unwrap(), &"k-1".parse().unwrap())
+    };
     let mut list = PoisonList::new();
     for attempt in [1, 2] {
-        let body = PoisonMark::of_content(ContentHash(attempt));
+        let body = RequestFingerprint::of_content(ContentHash(attempt));
         list.on_crash(&[body, key("desk")], AttemptId(attempt), now);
     }
     assert!(list.is_poison(&[key("desk")], now));
@@ -135,17 +145,17 @@
     let now = Instant::now();
     let mut list = PoisonList::new();
     for number in 0..20_000 {
-        let mark = PoisonMark::of_content(ContentHash(number + 100));
+        let fingerprint = RequestFingerprint::of_content(ContentHash(number + 100));
         list.merge(
-            &Poison {
-                mark,
-                ..poison(number)
+            &PoisonReport {
+                fingerprint,
+                ..report(number)
             },
             now,
         );
     }
-    list.merge(&poison(1), now);
-    list.merge(&poison(2), now);
+    list.merge(&report(1), now);
+    list.merge(&report(2), now);
     assert!(list.all(now).len() <= 8_192);
-    assert!(list.is_poison(&[mark()], now));
+    assert!(list.is_poison(&[fingerprint()], now));
 }
--- a/tests/engine_world/mod.rs
+++ b/tests/engine_world/mod.rs
@@ -1,5 +1,6 @@
-//! Engines by the published speed model, and hosts that choose among them by what they know of each
-//! other, under a clock moved by hand. Loads are drawn from a fixed seed, so a run repeats exactly.
+//! Simulation of engines that follow the published speed model and of hosts that choose among them
+//! by their reports to each other. Time is simulated, and loads are drawn from a fixed seed, so a
+//! run is reproducible.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -8,7 +9,7 @@
 mod event_queue;
 mod host;
 mod load;
-mod tally;
+mod run_results;
 mod world;
 
 pub use load::LONG;
@@ -17,7 +18,7 @@
 pub use load::Phase;
 pub use load::SHORT;
 pub use load::Site;
-pub use load::SlowStretch;
-pub use tally::Ended;
-pub use tally::Tally;
+pub use load::SlowPeriod;
+pub use run_results::Ended;
+pub use run_results::RunResults;
 pub use world::World;
--- a/tests/exchange.rs
+++ b/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! The news between hosts: datagrams, and how often they are sent.
+//! The exchange of updates between hosts over UDP: the codec, and how often updates are sent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,12 +6,12 @@
 use std::time::Duration;
 
 use banyanarch::exchange::Exchange;
-use banyanarch::exchange::HostNews;
+use banyanarch::exchange::ExchangeHandler;
+use banyanarch::exchange::HostUpdate;
 use banyanarch::exchange::ListedHost;
-use banyanarch::exchange::LoadNews;
-use banyanarch::exchange::NewsCodec;
-use banyanarch::exchange::NewsDesk;
-use banyanarch::exchange::NewsRoute;
+use banyanarch::exchange::LoadEntry;
+use banyanarch::exchange::UpdateCodec;
+use banyanarch::exchange::UpdateRoute;
 use banyanarch::units::FailureDomainId;
 use banyanarch::units::HostId;
 use bytes::Bytes;
@@ -22,40 +22,40 @@
 use tokio_util::codec::Decoder;
 use tokio_util::codec::Encoder;
 
-struct Desk {
+struct RecordingHandler {
     name: &'static str,
     hosts: Mutex<Arc<Vec<ListedHost>>>,
-    heard: Mutex<Vec<HostNews>>,
+    received: Mutex<Vec<HostUpdate>>,
     changed: Notify,
     urgent: Notify,
 }
 
-impl Desk {
+impl RecordingHandler {
     fn new(name: &'static str) -> Arc<Self> {
         Arc::new(Self {
             name,
             hosts: Mutex::default(),
-            heard: Mutex::default(),
+            received: Mutex::default(),
             changed: Notify::new(),
             urgent: Notify::new(),
         })
     }
 
-    fn heard(&self) -> usize {
-        self.heard.lock().unwrap().len()
+    fn received(&self) -> usize {
+        self.received.lock().unwrap().len()
     }
 }
 
-impl NewsDesk for Desk {
-    fn news(&self) -> HostNews {
-        HostNews {
+impl ExchangeHandler for RecordingHandler {
+    fn local_update(&self) -> HostUpdate {
+        HostUpdate {
             host: self.name.to_owned(),
-            ..HostNews::default()
+            ..HostUpdate::default()
         }
     }
 
-    fn hear(&self, news: HostNews) {
-        self.heard.lock().unwrap().push(news);
+    fn on_update(&self, update: HostUpdate) {
+        self.received.lock().unwrap().push(update);
     }
 
     fn host(&self) -> HostId {
@@ -70,19 +70,19 @@
         self.hosts.lock().unwrap().clone()
     }
 
-    fn on_route(&self, _route: NewsRoute) {}
+    fn on_update_route(&self, _route: UpdateRoute) {}
 
-    fn changed(&self) -> &Notify {
+    fn change_notify(&self) -> &Notify {
         &self.changed
     }
 
-    fn urgent(&self) -> &Notify {
+    fn urgent_change_notify(&self) -> &Notify {
         &self.urgent
     }
 }
 
-/// A host that each other one tells itself.
-fn former(name: &str, addr: SocketAddr) -> ListedHost {
+/// A host of a version without support for collectors, to which every other host sends directly.
+fn legacy_host(name: &str, addr: SocketAddr) -> ListedHost {
     ListedHost {
         host: name.parse().unwrap(),
         domain: "here".parse().unwrap(),
@@ -91,87 +91,90 @@
     }
 }
 
-fn encoded(news: &HostNews) -> Bytes {
-    Bytes::from(news.encode_to_vec())
+fn encoded(update: &HostUpdate) -> Bytes {
+    Bytes::from(update.encode_to_vec())
 }
 
-async fn until(mut is_true: impl FnMut() -> bool) {
+async fn wait_until(mut is_true: impl FnMut() -> bool) {
     let waiting = async {
         while !is_true() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
     let waited = tokio::time::timeout(Duration::from_secs(20), waiting).await;
-    waited.expect("it becomes true");
+    waited.expect("the condition holds before the timeout");
 }
 
 #[test]
 fn a_message_is_one_datagram() {
-    let news = HostNews {
+    let update = HostUpdate {
         host: "edge-1".to_owned(),
-        loads: vec![LoadNews {
+        loads: vec![LoadEntry {
             upstream: "i-7".to_owned(),
             in_flight: 3,
-            ..LoadNews::default()
+            ..LoadEntry::default()
         }],
-        ..HostNews::default()
+        ..HostUpdate::default()
     };
     let mut bytes = BytesMut::new();
-    NewsCodec.encode(encoded(&news), &mut bytes).unwrap();
-    assert_eq!(NewsCodec.decode(&mut bytes).unwrap(), Some(news));
+    UpdateCodec.encode(encoded(&update), &mut bytes).unwrap();
+    assert_eq!(UpdateCodec.decode(&mut bytes).unwrap(), Some(update));
     assert!(bytes.is_empty());
 }
 
-/// A stray datagram arrives at the port. Its bytes are kept and taken for the beginning of the next
-/// message, and a host is never understood again.
+/// The bytes of a stray datagram must not be taken for the beginning of the next message, which
+/// would make all later messages unreadable.
 #[test]
-fn a_datagram_that_is_no_message_leaves_nothing_behind() {
+fn an_undecodable_datagram_is_discarded_whole() {
     let mut bytes = BytesMut::from(&b"\xff\xff\xff not a message"[..]);
-    assert!(NewsCodec.decode(&mut bytes).is_err());
+    assert!(UpdateCodec.decode(&mut bytes).is_err());
     assert!(bytes.is_empty());
 }
 
 #[test]
-fn news_that_fits_no_datagram_is_refused() {
-    let news = HostNews {
+fn an_update_too_long_for_a_datagram_is_rejected() {
+    let update = HostUpdate {
         host: "x".repeat(70_000),
-        ..HostNews::default()
+        ..HostUpdate::default()
     };
     let mut bytes = BytesMut::new();
-    assert!(NewsCodec.encode(encoded(&news), &mut bytes).is_err());
+    assert!(UpdateCodec.encode(encoded(&update), &mut bytes).is_err());
 }
 
-/// A fleet of 400 hosts: what each may send is spread so far that the others take it for dead, forget
-/// its work, and all choose the same engines.
+/// In a fleet of 400 hosts, the interval between two updates of a host must not grow so long that
+/// others treat the host as dead, forget its load, and all choose the same engines.
 #[tokio::test]
-async fn hosts_hear_each_other_again_and_again_also_in_a_large_fleet() {
+async fn hosts_keep_hearing_each_other_in_a_large_fleet() {
     let sockets = [
         UdpSocket::bind("127.0.0.1:0").await.unwrap(),
         UdpSocket::bind("127.0.0.1:0").await.unwrap(),
     ];
     let addrs: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().unwrap()).collect();
-    let (first, second) = (Desk::new("first"), Desk::new("second"));
-    // Most of the fleet is a port that nobody reads.
+    let (first, second) = (
+        RecordingHandler::new("first"),
+        RecordingHandler::new("second"),
+    );
+    // The rest of the fleet is one port that nobody reads from.
     let nobody = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let mut many = vec![nobody.local_addr().unwrap(); 400];
     many[0] = addrs[1];
     let many = many.into_iter().enumerate();
-    let many = many.map(|(index, addr)| former(&format!("other-{index}"), addr));
+    let many = many.map(|(index, addr)| legacy_host(&format!("other-{index}"), addr));
     *first.hosts.lock().unwrap() = Arc::new(many.collect());
-    *second.hosts.lock().unwrap() = Arc::new(vec![former("first", addrs[0])]);
+    *second.hosts.lock().unwrap() = Arc::new(vec![legacy_host("first", addrs[0])]);
     let [one, two] = sockets;
     tokio::spawn(Exchange::new(one, first.clone()).run());
     tokio::spawn(Exchange::new(two, second.clone()).run());
-    until(|| second.heard() >= 1 && first.heard() >= 1).await;
-    let before = second.heard();
+    wait_until(|| second.received() >= 1 && first.received() >= 1).await;
+    let before = second.received();
     first.changed.notify_one();
-    until(|| second.heard() >= before + 3).await;
+    wait_until(|| second.received() >= before + 3).await;
     assert!(
         second
-            .heard
+            .received
             .lock()
             .unwrap()
             .iter()
-            .all(|news| news.host == "first")
+            .all(|update| update.host == "first")
     );
 }
--- a/tests/exchange_pace.rs
+++ b/tests/exchange_pace.rs
@@ -1,30 +1,29 @@
-//! When a host's news are due: after an idle time, in a burst, in fleets of all sizes.
+//! When the updates of a host are due: after idle time, in a burst, and in fleets of all sizes.
 
 use std::time::Duration;
 use std::time::Instant;
 
-use banyanarch::exchange::Need;
-use banyanarch::exchange::Pace;
-use banyanarch::exchange::news_interval;
+use banyanarch::exchange::SendPacer;
+use banyanarch::exchange::SendReason;
+use banyanarch::exchange::update_interval;
 use yare::parameterized;
 
-/// A host that is not heard for this long is taken for dead, and its work is forgotten.
-const TAKEN_FOR_DEAD_AFTER: Duration = Duration::from_secs(1);
+/// Time without a message after which a host is treated as dead and its load is forgotten.
+const HOST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Lets a host that has nothing to tell show that it lives until `end`.
-fn idle(pace: &mut Pace, peers: usize, end: Instant) -> Instant {
-    let mut now = pace.due_at(news_interval(peers));
+/// Sends the heartbeats of an idle host until `end`.
+fn idle(pacer: &mut SendPacer, peers: usize, end: Instant) -> Instant {
+    let mut now = pacer.due_at(update_interval(peers));
     while now < end {
-        pace.on_told(news_interval(peers), now);
-        now = pace.due_at(news_interval(peers));
+        pacer.on_sent(update_interval(peers), now);
+        now = pacer.due_at(update_interval(peers));
     }
     end
 }
 
-/// Hosts of a large fleet wait for their first requests, then all get some. Each falls silent for
-/// seconds at that very moment, nobody counts its work, and all choose the same engines. The signs of
-/// life of the idle time had been counted as changes, and the first urgent one waited for its turn
-/// behind them.
+/// If heartbeats count as changes, the first urgent change after an idle time waits for seconds in
+/// a large fleet. When all hosts get their first requests at the same moment, nobody then knows the
+/// load of the others, and all choose the same engines.
 #[parameterized(
     pair = { 1 },
     eight = { 7 },
@@ -32,58 +31,60 @@
     large = { 194 },
     target = { 399 },
 )]
-fn a_host_that_was_idle_tells_its_first_work_at_once(peers: usize) {
+fn an_idle_host_sends_its_first_load_at_once(peers: usize) {
     let start = Instant::now();
-    let mut pace = Pace::new(start);
-    let now = idle(&mut pace, peers, start + Duration::from_secs(60));
-    pace.on_need(Need::UrgentChange);
-    let waits = pace
-        .due_at(news_interval(peers))
+    let mut pacer = SendPacer::new(start);
+    let now = idle(&mut pacer, peers, start + Duration::from_secs(60));
+    pacer.request_send(SendReason::UrgentChange);
+    let waits = pacer
+        .due_at(update_interval(peers))
         .saturating_duration_since(now);
     assert!(waits <= Duration::from_millis(10), "waits for {waits:?}");
 }
 
-/// Requests come without a pause: urgent changes are told as they come while the burst lasts, then at
-/// the fleet's interval, and the host is never silent for so long that the others forget its work.
+/// Under continuous requests, urgent changes are sent at once during the burst and at the fleet's
+/// interval after it. The host is never silent for so long that others forget its load.
 #[parameterized(
     eight = { 7 },
     seventy = { 69 },
     large = { 194 },
     target = { 399 },
 )]
-fn a_busy_host_keeps_to_the_pace_and_is_never_taken_for_dead(peers: usize) {
+fn a_busy_host_keeps_its_pace_and_never_times_out(peers: usize) {
     let start = Instant::now();
     let end = start + Duration::from_secs(60);
-    let mut pace = Pace::new(start);
+    let mut pacer = SendPacer::new(start);
     let mut now = start;
-    let mut told = 0_u32;
+    let mut sent = 0_u32;
     while now < end {
-        pace.on_need(Need::UrgentChange);
-        let due_at = pace.due_at(news_interval(peers));
-        assert!(due_at.saturating_duration_since(now) < TAKEN_FOR_DEAD_AFTER);
+        pacer.request_send(SendReason::UrgentChange);
+        let due_at = pacer.due_at(update_interval(peers));
+        assert!(due_at.saturating_duration_since(now) < HOST_TIMEOUT);
         now = due_at;
-        pace.on_told(news_interval(peers), now);
-        told += 1;
+        pacer.on_sent(update_interval(peers), now);
+        sent += 1;
     }
-    let interval = news_interval(peers);
-    let even = (end - start).as_secs_f64() / interval.as_secs_f64();
-    let most = even + 5.0;
-    assert!(f64::from(told) <= most, "{told} of at most {most}");
+    let interval = update_interval(peers);
+    let paced = (end - start).as_secs_f64() / interval.as_secs_f64();
+    let sent_max = paced + 5.0;
+    assert!(f64::from(sent) <= sent_max, "{sent} of at most {sent_max}");
 }
 
-/// Most of a fleet is gone from the list right after a burst. The few that are left are told the next
-/// urgent change at the pace of a small fleet.
+/// When most of a fleet leaves the list right after a burst, the next urgent change must be sent at
+/// the interval of a small fleet.
 #[test]
-fn a_fleet_that_shrank_is_told_at_its_own_pace() {
+fn a_shrunken_fleet_is_updated_at_its_own_interval() {
     let start = Instant::now();
-    let mut pace = Pace::new(start);
+    let mut pacer = SendPacer::new(start);
     let mut now = start;
     for _ in 0..4 {
-        pace.on_need(Need::UrgentChange);
-        now = pace.due_at(news_interval(399)).max(now);
-        pace.on_told(news_interval(399), now);
+        pacer.request_send(SendReason::UrgentChange);
+        now = pacer.due_at(update_interval(399)).max(now);
+        pacer.on_sent(update_interval(399), now);
     }
-    pace.on_need(Need::UrgentChange);
-    let waits = pace.due_at(news_interval(7)).saturating_duration_since(now);
-    assert!(waits <= news_interval(7), "waits for {waits:?}");
+    pacer.request_send(SendReason::UrgentChange);
+    let waits = pacer
+        .due_at(update_interval(7))
+        .saturating_duration_since(now);
+    assert!(waits <= update_interval(7), "waits for {waits:?}");
 }
--- a/tests/news_world/tally.rs
+++ b/tests/exchange_world/measurements.rs
@@ -1,23 +1,23 @@
-//! What a run of a fleet cost, and how old its news were.
+//! Measurements of a run: the age of updates and their cost.
 
 use std::time::Duration;
 
-pub struct Tally {
-    /// From a change to each other host's knowledge of it.
+pub struct Measurements {
+    /// The time from each change until each other host knew of it.
     pub ages: Vec<Duration>,
     pub received: Vec<usize>,
     pub sent_bytes: Vec<usize>,
-    /// Bytes between failure domains, without the headers of datagrams.
-    pub far_bytes: usize,
+    /// The bytes sent between failure domains, without datagram headers.
+    pub cross_domain_bytes: usize,
 }
 
-impl Tally {
+impl Measurements {
     pub fn new(hosts: usize) -> Self {
         Self {
             ages: Vec::new(),
             received: vec![0; hosts],
             sent_bytes: vec![0; hosts],
-            far_bytes: 0,
+            cross_domain_bytes: 0,
         }
     }
 
@@ -25,27 +25,27 @@
         self.received[host] += 1;
     }
 
-    /// The age that this part of all news did not exceed.
-    pub fn age(&mut self, part: f64) -> Duration {
+    /// The age of updates at a quantile from 0 to 1.
+    pub fn age(&mut self, quantile: f64) -> Duration {
         self.ages.sort_unstable();
         let last = self.ages.len() - 1;
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let place = (last as f64 * part) as usize;
-        self.ages[place]
+        let index = (last as f64 * quantile) as usize;
+        self.ages[index]
     }
 
-    /// The median of what hosts received.
+    /// The median of the numbers of messages that hosts received.
     pub fn received_median(&self) -> usize {
         let mut received = self.received.clone();
         received.sort_unstable();
         received[received.len() / 2]
     }
 
-    pub fn received_most(&self) -> usize {
+    pub fn received_max(&self) -> usize {
         self.received.iter().copied().max().unwrap_or(0)
     }
 
-    pub fn sent_bytes_most(&self) -> usize {
+    pub fn sent_bytes_max(&self) -> usize {
         self.sent_bytes.iter().copied().max().unwrap_or(0)
     }
 }
--- a/tests/fakes/first_fit.rs
+++ b/tests/fakes/first_fit.rs
@@ -4,15 +4,15 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use banyanarch::decide::AttemptSummary;
 use banyanarch::decide::Decision;
-use banyanarch::decide::Done;
 use banyanarch::decide::Grant;
 use banyanarch::decide::LiveGrant;
 use banyanarch::decide::Policy;
 use banyanarch::decide::PoolLoad;
 use banyanarch::decide::RefuseReason;
 use banyanarch::decide::UpstreamHealth;
-use banyanarch::decide::UpstreamSeen;
+use banyanarch::decide::UpstreamInfo;
 use banyanarch::decide::Work;
 use banyanarch::units::GrantId;
 use banyanarch::units::RequestId;
@@ -24,7 +24,7 @@
 
 #[derive(Default)]
 pub(crate) struct FirstFit {
-    upstreams: Vec<UpstreamSeen>,
+    upstreams: Vec<UpstreamInfo>,
     queue: VecDeque<Work>,
     live: IndexMap<GrantId, LiveGrant>,
     first_id: u128,
@@ -49,7 +49,7 @@
     }
 
     fn room_for(&self, work: &Work) -> Option<UpstreamId> {
-        let fits = |seen: &&UpstreamSeen| {
+        let fits = |seen: &&UpstreamInfo| {
             let wanted = self.held(&seen.id) + work.memory_tokens();
             seen.health == UpstreamHealth::Live && wanted <= seen.memory_tokens
         };
@@ -58,7 +58,7 @@
 }
 
 impl Policy for FirstFit {
-    fn set_upstreams(&mut self, upstreams: &[UpstreamSeen], _now: Instant) {
+    fn set_upstreams(&mut self, upstreams: &[UpstreamInfo], _now: Instant) {
         self.upstreams = upstreams.to_vec();
     }
 
@@ -110,7 +110,7 @@
         self.queue.iter().map(|work| work.deadline).min()
     }
 
-    fn finish(&mut self, grant: GrantId, _done: Done, _now: Instant) {
+    fn finish(&mut self, grant: GrantId, _done: AttemptSummary, _now: Instant) {
         self.live.swap_remove(&grant);
     }
 
@@ -122,9 +122,9 @@
         self.live.values().cloned().collect()
     }
 
-    fn report(&mut self, _upstream: &UpstreamId, _report: &LoadReport, _now: Instant) {}
+    fn on_load_report(&mut self, _upstream: &UpstreamId, _report: &LoadReport, _now: Instant) {}
 
-    fn cache_events(&mut self, _upstream: &UpstreamId, _events: &[CacheEvent], _now: Instant) {}
+    fn on_cache_events(&mut self, _upstream: &UpstreamId, _events: &[CacheEvent], _now: Instant) {}
 
     fn load(&self, _now: Instant) -> PoolLoad {
         PoolLoad::default()
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,11 +1,11 @@
-//! Calls that are passed through: what callers get and what upstreams see, over loopback.
+//! Forwarded calls over loopback: what callers receive and what upstreams see.
 
 mod gateway_world;
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use banyanarch::gateway::DrainPhase;
+use banyanarch::gateway::ShutdownPhase;
 use banyanarch::http::one_shot;
 use banyanarch::routing::CallKind;
 use banyanarch::routing::CustomerKeys;
@@ -19,26 +19,37 @@
 use gateway_world::request_of;
 use gateway_world::route;
 use gateway_world::table;
-use gateway_world::until;
-use gateway_world::upstream::Act;
-use gateway_world::upstream::Upstream;
+use gateway_world::upstream::ScriptStep;
+use gateway_world::upstream::ScriptedUpstream;
 use gateway_world::upstream::event;
+use gateway_world::wait_until;
 use hyper::Response;
 use indexmap::IndexMap;
 use yare::parameterized;
 
-/// A host before two upstreams of one service, `a` and `b`.
-async fn two(service: &str, a: Act, b: Act) -> (TestHost, Upstream, Upstream) {
+/// A host with two upstreams of one service, `a` and `b`.
+async fn host_with_two_upstreams(
+    service: &str,
+    a: ScriptStep,
+    b: ScriptStep,
+) -> (TestHost, ScriptedUpstream, ScriptedUpstream) {
     let catalog = FakeCatalog::new(table(1));
-    let (a, b) = (Upstream::start([a]).await, Upstream::start([b]).await);
+    let (a, b) = (
+        ScriptedUpstream::start([a]).await,
+        ScriptedUpstream::start([b]).await,
+    );
     catalog.list("a", service, a.addr);
     catalog.list("b", service, b.addr);
     (TestHost::start("host", &catalog).await, a, b)
 }
 
-async fn one(service: &str, act: Act) -> (TestHost, Upstream, Arc<FakeCatalog>) {
+/// A host with one upstream `a` of one service, and its catalog.
+async fn host_with_one_upstream(
+    service: &str,
+    step: ScriptStep,
+) -> (TestHost, ScriptedUpstream, Arc<FakeCatalog>) {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = Upstream::start([act]).await;
+    let upstream = ScriptedUpstream::start([step]).await;
     catalog.list("a", service, upstream.addr);
     (TestHost::start("host", &catalog).await, upstream, catalog)
 }
@@ -49,7 +60,8 @@
 
 #[tokio::test]
 async fn a_call_and_its_answer_are_passed_through_untouched() {
-    let (host, upstream, _) = one("app", Act::Answer(201, "answer")).await;
+    let (host, upstream, _) =
+        host_with_one_upstream("app", ScriptStep::Respond(201, "answer")).await;
     let mut req = request("/safe/a%20b/c?x=1&y=%2F");
     req.headers_mut()
         .insert("own-header", "kept".parse().unwrap());
@@ -58,7 +70,7 @@
     assert!(res.headers().contains_key("test-signature"));
     let arrivals = upstream.arrivals();
     let [arrival] = arrivals.as_slice() else {
-        panic!("one arrival: {arrivals:?}");
+        panic!("expected one arrival: {arrivals:?}");
     };
     assert!(
         arrival
@@ -75,7 +87,8 @@
 
 #[tokio::test]
 async fn calls_without_route_or_key_are_rejected() {
-    let (host, upstream, _) = one("app", Act::Answer(200, "answer")).await;
+    let (host, upstream, _) =
+        host_with_one_upstream("app", ScriptStep::Respond(200, "answer")).await;
     assert_eq!(status(&host.call(request("/none/1")).await), 404);
     assert_eq!(
         status(&host.call(request_of("key-9", "/safe/1")).await),
@@ -93,19 +106,24 @@
     assert_eq!(host.readiness().await, 503);
 }
 
-/// A licence grant is invoiced twice. The first instance runs it and its answer is lost; sent again
-/// it runs a second time.
+/// Failure: a licence grant is invoiced twice. The first instance runs the call, the response is
+/// lost, and the call is sent again and runs a second time.
 #[tokio::test]
 async fn a_call_that_may_have_run_and_must_not_repeat_is_not_sent_again() {
-    let (host, a, b) = two("app", Act::Break, Act::Break).await;
+    let (host, a, b) = host_with_two_upstreams("app", ScriptStep::Break, ScriptStep::Break).await;
     let res = host.call(request("/once/1")).await;
-    assert_eq!(status(&res), 502, "no promise that it did not run");
+    assert_eq!(
+        status(&res),
+        502,
+        "the status must not state that the call did not run"
+    );
     assert_eq!(a.arrivals().len() + b.arrivals().len(), 1);
 }
 
 #[tokio::test]
 async fn a_call_that_was_turned_away_goes_to_another_upstream() {
-    let (host, a, b) = two("app", Act::TurnAway, Act::Answer(200, "ok")).await;
+    let (host, a, b) =
+        host_with_two_upstreams("app", ScriptStep::Refuse, ScriptStep::Respond(200, "ok")).await;
     for _ in 0..4 {
         assert_eq!(status(&host.call(request("/once/1")).await), 200);
     }
@@ -114,15 +132,16 @@
 
 #[tokio::test]
 async fn a_call_that_all_turned_away_is_answered_as_not_run() {
-    let (host, _, _) = two("app", Act::TurnAway, Act::TurnAway).await;
+    let (host, _, _) = host_with_two_upstreams("app", ScriptStep::Refuse, ScriptStep::Refuse).await;
     let res = host.call(request("/once/1")).await;
     assert_eq!(status(&res), 503);
     assert!(res.headers().contains_key("retry-after"));
     assert!(!res.headers().contains_key("test-signature"));
 }
 
-/// A licence grant's route allows two upstreams, since the first may turn it away. The first one runs it
-/// and breaks off; sent again, the grant is issued twice.
+/// Failure: a licence grant is issued twice. Its route allows two upstreams, since the first may
+/// refuse it. The first upstream runs the call and breaks the connection, and the call is sent
+/// again.
 #[tokio::test]
 async fn a_call_that_may_run_once_is_not_sent_again_where_its_route_allows_more() {
     let mut routes = RouteTable::new(
@@ -132,8 +151,8 @@
     routes.keys = table(1).keys;
     let catalog = FakeCatalog::new(routes);
     let (a, b) = (
-        Upstream::start([Act::Break]).await,
-        Upstream::start([Act::Break]).await,
+        ScriptedUpstream::start([ScriptStep::Break]).await,
+        ScriptedUpstream::start([ScriptStep::Break]).await,
     );
     catalog.list("a", "app", a.addr);
     catalog.list("b", "app", b.addr);
@@ -142,15 +161,16 @@
     assert_eq!(a.arrivals().len() + b.arrivals().len(), 1);
 }
 
-/// A caller was turned away and asks why. The log has the status and nothing of what the host knew when
-/// it decided: how many upstreams, whose work, how old a manifest.
+/// Failure: a caller asks why its call was refused, and the log has only the status and not the
+/// state that the decision was based on: the number of upstreams, the hosts whose load was known,
+/// and the age of the manifest.
 #[tokio::test]
 async fn a_refusal_is_logged_with_what_decided_it() {
     let catalog = FakeCatalog::new(table(1));
     let host = TestHost::start("host", &catalog).await;
     let res = host.call(request("/safe/1")).await;
     assert_eq!(status(&res), 503);
-    until(|| {
+    wait_until(|| {
         host.log
             .lines()
             .iter()
@@ -172,23 +192,24 @@
 
 #[tokio::test]
 async fn an_idempotent_call_is_sent_to_as_many_upstreams_as_its_route_allows() {
-    let (host, a, b) = two("app", Act::Break, Act::Break).await;
+    let (host, a, b) = host_with_two_upstreams("app", ScriptStep::Break, ScriptStep::Break).await;
     assert_eq!(status(&host.call(request("/safe/1")).await), 502);
     assert_eq!((a.arrivals().len(), b.arrivals().len()), (1, 1));
 }
 
 #[parameterized(
-    broken = { Act::Break },
-    cut_short = { Act::CutShort },
-    unsigned = { Act::Unsigned(200, "rot") },
-    crossed = { Act::Crossed },
-    unsigned_failure = { Act::Unsigned(503, "") },
-    failed = { Act::Answer(500, "failed") },
+    broken = { ScriptStep::Break },
+    cut_short = { ScriptStep::Truncate },
+    unsigned = { ScriptStep::Unsigned(200, "rot") },
+    other_request = { ScriptStep::RespondToOther },
+    unsigned_failure = { ScriptStep::Unsigned(503, "") },
+    failed = { ScriptStep::Respond(500, "failed") },
 )]
-fn what_is_no_whole_answer_to_the_call_does_not_reach_its_caller(act: Act) {
+fn an_invalid_or_incomplete_response_does_not_reach_the_caller(step: ScriptStep) {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
-        let (host, _, b) = two("app", act, Act::Answer(200, "right")).await;
+        let (host, _, b) =
+            host_with_two_upstreams("app", step, ScriptStep::Respond(200, "right")).await;
         for _ in 0..4 {
             let res = host.call(request("/safe/1")).await;
             assert_eq!((status(&res), res.body().as_ref()), (200, &b"right"[..]));
@@ -199,26 +220,31 @@
 
 #[tokio::test]
 async fn an_upstreams_failure_reaches_the_caller_as_it_is() {
-    let (host, _, _) = two("app", Act::Answer(500, "why"), Act::Answer(500, "why")).await;
+    let (host, _, _) = host_with_two_upstreams(
+        "app",
+        ScriptStep::Respond(500, "why"),
+        ScriptStep::Respond(500, "why"),
+    )
+    .await;
     let res = host.call(request("/safe/1")).await;
     assert_eq!((status(&res), res.body().as_ref()), (500, &b"why"[..]));
     assert!(res.headers().contains_key("test-signature"));
 }
 
-/// A caller hears the same words twice. An engine died in the middle of an event, the first half was
-/// passed on, and the next engine began the event again.
+/// Failure: a caller receives the same words twice. An engine died in the middle of an event, the
+/// first half of the event was forwarded, and the next engine sent the whole event again.
 #[tokio::test]
 async fn a_stream_that_breaks_goes_on_at_another_engine_after_the_last_whole_event() {
     let catalog = FakeCatalog::new(table(1));
-    let script = [Act::EventsThenBreak(3), Act::Events(6)];
-    // Both do the same, so that it does not matter which one is asked first.
-    let a = Upstream::start(script.clone()).await;
-    let b = Upstream::start(script).await;
+    let script = [ScriptStep::EventsThenBreak(3), ScriptStep::Events(6)];
+    // Both upstreams have the same script, so it does not matter which one is chosen first.
+    let a = ScriptedUpstream::start(script.clone()).await;
+    let b = ScriptedUpstream::start(script).await;
     catalog.list("a", "app", a.addr);
     catalog.list("b", "app", b.addr);
     let host = TestHost::start("host", &catalog).await;
-    // Of the two calls at least one meets an engine that breaks off and one that goes on.
-    let mut went_on = 0;
+    // At least one of the calls meets an engine that breaks off and one that resumes.
+    let mut resumed = 0;
     for _ in 0..3 {
         let Ok(res) = host.try_call(request("/stream/1")).await else {
             continue;
@@ -226,76 +252,82 @@
         let expected: String = (1..=6).map(event).collect();
         assert_eq!(String::from_utf8_lossy(res.body()), expected);
         let arrivals = [a.arrivals(), b.arrivals()].concat();
-        went_on += arrivals
+        resumed += arrivals
             .iter()
             .filter(|arrival| arrival.header("test-after") == Some("3"))
             .count();
     }
-    assert!(went_on > 0, "no stream went on elsewhere");
+    assert!(resumed > 0, "no stream was resumed on another engine");
 }
 
 #[tokio::test]
 async fn a_stream_that_cannot_be_resumed_is_cut_and_does_not_look_complete() {
-    let (host, a, b) = two("app", Act::EventsThenBreak(3), Act::EventsThenBreak(3)).await;
+    let (host, a, b) = host_with_two_upstreams(
+        "app",
+        ScriptStep::EventsThenBreak(3),
+        ScriptStep::EventsThenBreak(3),
+    )
+    .await;
     let cut = host.try_call(request("/fixed/1")).await;
     assert!(cut.is_err(), "{cut:?}");
     assert_eq!(a.arrivals().len() + b.arrivals().len(), 1);
 }
 
 #[tokio::test]
-async fn an_engine_that_falls_silent_is_left_for_another() {
-    let (host, a, b) = two("app", Act::EventsThenHang(2), Act::Events(4)).await;
+async fn a_silent_engine_is_replaced_by_another() {
+    let (host, a, b) =
+        host_with_two_upstreams("app", ScriptStep::EventsThenHang(2), ScriptStep::Events(4)).await;
     for _ in 0..3 {
         let res = host.call(request("/stream/1")).await;
         let expected: String = (1..=4).map(event).collect();
         assert_eq!(String::from_utf8_lossy(res.body()), expected);
     }
     assert_eq!(
-        a.left_early(),
+        a.early_disconnects(),
         a.arrivals().len(),
-        "its connections were closed"
+        "connections to the silent engine must be closed"
     );
     assert_eq!(b.arrivals().len(), 3);
 }
 
-/// An engine works for a caller who has hung up. The host does not look at the caller's connection
-/// while it waits, and the engine is busy until the deadline.
+/// Failure: an engine works for a caller who has disconnected, and is busy until the deadline,
+/// because the host does not watch the connection of the caller while it waits.
 #[tokio::test]
-async fn when_a_caller_leaves_its_upstream_is_left_as_well() {
-    let (host, upstream, _) = one("app", Act::Hang).await;
+async fn the_upstream_connection_is_closed_when_the_caller_disconnects() {
+    let (host, upstream, _) = host_with_one_upstream("app", ScriptStep::Hang).await;
     let asked = tokio::time::timeout(Duration::from_millis(300), host.call(request("/once/1")));
     assert!(asked.await.is_err());
-    until(|| upstream.left_early() == 1).await;
-    until(|| host.gateway.in_flight() == 0).await;
+    wait_until(|| upstream.early_disconnects() == 1).await;
+    wait_until(|| host.gateway.in_flight() == 0).await;
 }
 
 #[tokio::test]
 async fn a_call_has_its_final_answer_when_its_time_is_up() {
-    let (host, upstream, _) = one("app", Act::Hang).await;
+    let (host, upstream, _) = host_with_one_upstream("app", ScriptStep::Hang).await;
     let mut req = request("/once/1");
     req.headers_mut()
         .insert("test-deadline-ms", "400".parse().unwrap());
     let res = host.call(req).await;
     assert_eq!(status(&res), 504);
-    until(|| upstream.left_early() == 1).await;
+    wait_until(|| upstream.early_disconnects() == 1).await;
     let arrivals = upstream.arrivals();
     let left_ms: u64 = arrivals[0].header("test-left-ms").unwrap().parse().unwrap();
     assert!(
         left_ms <= 400,
-        "no more time than the caller gave: {left_ms}"
+        "the upstream must not get more time than the caller gave: {left_ms}"
     );
 }
 
 #[tokio::test]
 async fn an_upstream_that_leaves_gets_no_new_calls() {
     let catalog = FakeCatalog::new(table(1));
-    let leaving = Upstream::start([Act::Answer(200, "a")]).await;
-    let staying = Upstream::start([Act::Answer(200, "b")]).await;
+    let leaving = ScriptedUpstream::start([ScriptStep::Respond(200, "a")]).await;
+    let staying = ScriptedUpstream::start([ScriptStep::Respond(200, "b")]).await;
     catalog.list("a", "app", leaving.addr);
     catalog.list("b", "app", staying.addr);
     let host = TestHost::start("host", &catalog).await;
-    catalog.leave("a");
-    until(|| !host.gateway.beliefs.is_listed(&"a".parse().unwrap())).await;
+    catalog.mark_leaving("a");
+    wait_until(|| !host.gateway.platform_view.is_listed(&"a".parse().unwrap())).await;
     let before = leaving.arrivals().len();
     for _ in 0..6 {
         assert_eq!(status(&host.call(request("/safe/1")).await), 200);
@@ -303,30 +335,30 @@
     assert_eq!(leaving.arrivals().len(), before);
 }
 
-/// A customer's key was stolen and taken back. One host can't reach the platform, does not hear of
-/// it, and goes on serving the thief.
+/// Failure: a customer's key was stolen and revoked. One host cannot reach the platform, does not
+/// learn of the revocation, and goes on serving the thief.
 #[tokio::test]
 async fn a_host_that_cannot_renew_its_knowledge_serves_no_keys() {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = Upstream::start([Act::Answer(200, "ok")]).await;
+    let upstream = ScriptedUpstream::start([ScriptStep::Respond(200, "ok")]).await;
     catalog.list("a", "app", upstream.addr);
     let mut conf = conf("host");
     conf.key_lease = Some(Duration::from_millis(1_500));
     let host = TestHost::start_with(conf, &catalog).await;
     assert_eq!(status(&host.call(request("/safe/1")).await), 200);
-    catalog.set_away(true);
-    until(|| !host.gateway.is_ready()).await;
+    catalog.set_unreachable(true);
+    wait_until(|| !host.gateway.is_ready()).await;
     let arrived = upstream.arrivals().len();
     assert_eq!(status(&host.call(request("/safe/1")).await), 503);
     assert_eq!(upstream.arrivals().len(), arrived);
-    catalog.set_away(false);
-    until(|| host.gateway.is_ready()).await;
+    catalog.set_unreachable(false);
+    wait_until(|| host.gateway.is_ready()).await;
     assert_eq!(status(&host.call(request("/safe/1")).await), 200);
 }
 
 #[tokio::test]
 async fn a_key_that_was_taken_back_stops_working() {
-    let (host, _, catalog) = one("app", Act::Answer(200, "ok")).await;
+    let (host, _, catalog) = host_with_one_upstream("app", ScriptStep::Respond(200, "ok")).await;
     assert_eq!(
         status(&host.call(request_of("key-2", "/safe/1")).await),
         200
@@ -335,8 +367,8 @@
     let keys = IndexMap::from([("key-1".to_owned(), "acme".parse().unwrap())]);
     next.keys = CustomerKeys::required(keys);
     catalog.publish(next);
-    let in_force = || host.gateway.beliefs.routes().unwrap().generation.0 == 2;
-    until(in_force).await;
+    let in_force = || host.gateway.platform_view.routes().unwrap().generation.0 == 2;
+    wait_until(in_force).await;
     assert_eq!(
         status(&host.call(request_of("key-2", "/safe/1")).await),
         401
@@ -346,50 +378,62 @@
 
 #[tokio::test]
 async fn an_older_manifest_never_replaces_a_newer_one() {
-    let (host, _, catalog) = one("app", Act::Answer(200, "ok")).await;
+    let (host, _, catalog) = host_with_one_upstream("app", ScriptStep::Respond(200, "ok")).await;
     catalog.publish(table(7));
-    until(|| host.gateway.beliefs.routes().unwrap().generation.0 == 7).await;
+    wait_until(|| host.gateway.platform_view.routes().unwrap().generation.0 == 7).await;
     catalog.publish(table(3));
     let reads = catalog.reads();
-    until(|| catalog.reads() >= reads + 2).await;
-    assert_eq!(host.gateway.beliefs.routes().unwrap().generation.0, 7);
+    wait_until(|| catalog.reads() >= reads + 2).await;
+    assert_eq!(host.gateway.platform_view.routes().unwrap().generation.0, 7);
 }
 
-/// A host is replaced while a caller waits for its answer. The process ends with the request, and
-/// the caller's connection breaks.
+/// Failure: a host is replaced while a caller waits for its response. The process exits before the
+/// request ends, and the connection of the caller breaks.
 #[tokio::test]
 async fn a_stopping_host_finishes_what_runs_and_closes_after_each_answer() {
-    let (host, _, _) = one("app", Act::AnswerAfter(Duration::from_secs(4), "late")).await;
+    let (host, _, _) = host_with_one_upstream(
+        "app",
+        ScriptStep::RespondAfter(Duration::from_secs(4), "late"),
+    )
+    .await;
     let callers = host.callers;
     let running = tokio::spawn(async move {
         let limit = Duration::from_secs(20);
         one_shot::call(callers, request("/once/1"), 1 << 20, limit).await
     });
-    until(|| host.gateway.in_flight() == 1).await;
-    host.gateway.begin_stop();
+    wait_until(|| host.gateway.in_flight() == 1).await;
+    host.gateway.begin_shutdown();
     assert_eq!(host.readiness().await, 503);
     let rejected = host.call(request("/none/1")).await;
-    assert_eq!(status(&rejected), 404, "what still comes is served");
+    assert_eq!(
+        status(&rejected),
+        404,
+        "requests are still served while draining"
+    );
     assert_eq!(rejected.headers().get("connection").unwrap(), "close");
     let res = running.await.unwrap().unwrap();
     assert_eq!(res.body().as_ref(), b"late");
     host.serving.await.unwrap();
 }
 
-/// A caller whose request came to a stopping host late gets half of a long answer: the process was
-/// killed before it could finish. The balancer went on sending connections to the host since too few
-/// others were in rotation.
+/// Failure: a caller whose request reached a stopping host late receives half of a long response,
+/// because the process is killed before the response ends. The balancer still sent connections to
+/// the host since too few other hosts were in rotation.
 #[tokio::test]
 async fn a_host_that_has_no_time_left_turns_new_calls_away_as_not_run() {
-    let (host, upstream, _) = one("app", Act::AnswerAfter(Duration::from_secs(5), "late")).await;
+    let (host, upstream, _) = host_with_one_upstream(
+        "app",
+        ScriptStep::RespondAfter(Duration::from_secs(5), "late"),
+    )
+    .await;
     let callers = host.callers;
     let running = tokio::spawn(async move {
         let limit = Duration::from_secs(20);
         one_shot::call(callers, request("/once/1"), 1 << 20, limit).await
     });
-    until(|| host.gateway.in_flight() == 1).await;
-    host.gateway.begin_stop();
-    until(|| host.gateway.phase() == DrainPhase::Finishing).await;
+    wait_until(|| host.gateway.in_flight() == 1).await;
+    host.gateway.begin_shutdown();
+    wait_until(|| host.gateway.phase() == ShutdownPhase::Refusing).await;
     let res = host.call(request("/once/1")).await;
     assert_eq!(status(&res), 503);
     assert!(res.headers().contains_key("retry-after"));
@@ -399,14 +443,14 @@
 
 #[tokio::test]
 async fn every_line_of_the_decision_log_is_json_and_tells_how_a_request_ended() {
-    let (host, _, _) = two("app", Act::TurnAway, Act::TurnAway).await;
+    let (host, _, _) = host_with_two_upstreams("app", ScriptStep::Refuse, ScriptStep::Refuse).await;
     assert_eq!(status(&host.call(request("/once/1")).await), 503);
     let ended = || {
         let lines = host.log.lines();
         let mut ended = lines.into_iter().filter(|line| line["event"] == "ended");
         ended.find(|line| line["request"] == "r-1")
     };
-    until(|| ended().is_some()).await;
+    wait_until(|| ended().is_some()).await;
     let line = ended().unwrap();
     assert_eq!(line["outcome"], "no_upstream");
     assert_eq!(line["status"], 503);
--- a/tests/gateway_limits.rs
+++ b/tests/gateway_limits.rs
@@ -1,4 +1,4 @@
-//! Upstreams that name a limit of requests a second in their answers.
+//! Upstreams that name a rate limit in their answers.
 
 mod gateway_world;
 
@@ -10,24 +10,24 @@
 use gateway_world::catalog::FakeCatalog;
 use gateway_world::request;
 use gateway_world::table;
-use gateway_world::until;
-use gateway_world::upstream::Act;
-use gateway_world::upstream::Upstream;
+use gateway_world::upstream::ScriptStep;
+use gateway_world::upstream::ScriptedUpstream;
+use gateway_world::wait_until;
 
-async fn answering() -> Upstream {
-    Upstream::start([Act::Answer(200, "a")]).await
+async fn start_upstream() -> ScriptedUpstream {
+    ScriptedUpstream::start([ScriptStep::Respond(200, "a")]).await
 }
 
-/// A host, and the only upstream of the service that it calls.
-async fn host_before_one() -> (Upstream, TestHost) {
+/// A host and the only upstream of the service that it calls.
+async fn host_with_one_upstream() -> (ScriptedUpstream, TestHost) {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = answering().await;
+    let upstream = start_upstream().await;
     catalog.list("a", "app", upstream.addr);
     let host = TestHost::start("host", &catalog).await;
     (upstream, host)
 }
 
-async fn serve_one(host: &TestHost) {
+async fn serve_request(host: &TestHost) {
     assert_eq!(host.call(request("/safe/1")).await.status(), 200);
 }
 
@@ -38,53 +38,55 @@
         .collect()
 }
 
-/// Operators can't tell from logs when hosts knew of an upstream's limit.
+/// Operators must be able to tell from logs when hosts learnt of an upstream's limit.
 #[tokio::test]
 async fn each_change_of_a_limit_is_logged() {
-    let (upstream, host) = host_before_one().await;
-    serve_one(&host).await;
-    upstream.name_limit(Some("25"));
-    serve_one(&host).await;
-    serve_one(&host).await;
-    upstream.name_limit(None);
-    serve_one(&host).await;
-    until(|| limit_lines(&host).len() == 2).await;
+    let (upstream, host) = host_with_one_upstream().await;
+    serve_request(&host).await;
+    upstream.set_limit(Some("25"));
+    serve_request(&host).await;
+    serve_request(&host).await;
+    upstream.set_limit(None);
+    serve_request(&host).await;
+    wait_until(|| limit_lines(&host).len() == 2).await;
     let lines = limit_lines(&host);
     assert_eq!(lines[0]["upstream"], "a");
     assert_eq!(lines[0]["limit_per_s"], 25.0);
     assert!(lines[1]["limit_per_s"].is_null());
 }
 
-/// An upstream that names nonsense fills the log, or ends the limit that is known.
+/// An upstream that names a malformed limit must neither flood the log nor end the known limit.
 #[tokio::test]
 async fn a_malformed_limit_is_logged_once_and_changes_nothing() {
-    let (upstream, host) = host_before_one().await;
-    upstream.name_limit(Some("25"));
-    serve_one(&host).await;
-    upstream.name_limit(Some("few"));
-    serve_one(&host).await;
-    serve_one(&host).await;
-    upstream.name_limit(Some("25"));
-    serve_one(&host).await;
+    let (upstream, host) = host_with_one_upstream().await;
+    upstream.set_limit(Some("25"));
+    serve_request(&host).await;
+    upstream.set_limit(Some("few"));
+    serve_request(&host).await;
+    serve_request(&host).await;
+    upstream.set_limit(Some("25"));
+    serve_request(&host).await;
     let malformed = || {
         let text = host.log.text();
         text.matches("limit_malformed").count()
     };
-    until(|| malformed() == 1 && limit_lines(&host).len() == 1).await;
-    host.gateway.begin_stop();
-    until(|| host.log.text().contains("stopping")).await;
+    wait_until(|| malformed() == 1 && limit_lines(&host).len() == 1).await;
+    host.gateway.begin_shutdown();
+    wait_until(|| host.log.text().contains("stopping")).await;
     assert_eq!((malformed(), limit_lines(&host).len()), (1, 1));
 }
 
-/// Calls to each host and the pause after each, which makes several times the limit below.
+/// The number of calls to each host and the pause after each call, which add up to several times
+/// the limit of the test below.
 const CALLS: u32 = 60;
 const CALL_PAUSE: Duration = Duration::from_millis(40);
 
-/// An upstream that names a limit goes on getting its share of all requests, from each host.
+/// An upstream that names a limit must not go on getting its regular share of requests from each
+/// host.
 #[tokio::test]
-async fn an_upstream_in_need_gets_no_more_than_its_limit_from_all_hosts() {
+async fn all_hosts_together_keep_an_upstreams_limit() {
     let catalog = FakeCatalog::new(table(1));
-    let (limited, sound) = (answering().await, answering().await);
+    let (limited, sound) = (start_upstream().await, start_upstream().await);
     catalog.list("a", "app", limited.addr);
     catalog.list("b", "app", sound.addr);
     let mut hosts = Vec::new();
@@ -92,46 +94,52 @@
         hosts.push(TestHost::start(name, &catalog).await);
     }
     for host in &hosts {
-        host.until_hosts(hosts.len()).await;
+        host.wait_for_hosts(hosts.len()).await;
     }
-    limited.name_limit(Some("2"));
-    until_some_host_knows(&hosts).await;
+    limited.set_limit(Some("2"));
+    wait_until_limit_known(&hosts).await;
     let before = limited.arrivals().len();
-    let began = Instant::now();
-    join_all(hosts.iter().map(call_again_and_again)).await;
-    let got = limited.arrivals().len() - before;
-    let allowed = 1.5 * 2.0 * began.elapsed().as_secs_f64() + 5.0;
-    assert!(got as f64 <= allowed, "{got} requests, {allowed} allowed");
-    assert!(got > 0, "its answers are asked for the end of the limit");
+    let started_at = Instant::now();
+    join_all(hosts.iter().map(call_repeatedly)).await;
+    let received = limited.arrivals().len() - before;
+    let allowed = 1.5 * 2.0 * started_at.elapsed().as_secs_f64() + 5.0;
+    assert!(
+        received as f64 <= allowed,
+        "{received} requests, {allowed} allowed"
+    );
+    assert!(
+        received > 0,
+        "some requests must reach the upstream to detect the end of the limit"
+    );
 }
 
-async fn until_some_host_knows(hosts: &[TestHost]) {
+async fn wait_until_limit_known(hosts: &[TestHost]) {
     while hosts.iter().all(|host| limit_lines(host).is_empty()) {
-        serve_one(&hosts[0]).await;
+        serve_request(&hosts[0]).await;
         tokio::time::sleep(CALL_PAUSE).await;
     }
 }
 
-async fn call_again_and_again(host: &TestHost) {
+async fn call_repeatedly(host: &TestHost) {
     for _ in 0..CALLS {
-        serve_one(host).await;
+        serve_request(host).await;
         tokio::time::sleep(CALL_PAUSE).await;
     }
 }
 
-/// All upstreams of a service are short of capacity: calls that can't be served are kept waiting until their
-/// deadline, or told nothing of when to come back.
+/// When all upstreams of a service are limited, a call that cannot be served must not wait until
+/// its deadline, and must be told when to retry.
 #[tokio::test]
-async fn a_call_that_no_limit_leaves_time_for_is_refused_at_once() {
-    let (upstream, host) = host_before_one().await;
-    upstream.name_limit(Some("0"));
-    serve_one(&host).await;
+async fn a_call_that_no_limit_admits_in_time_is_refused_at_once() {
+    let (upstream, host) = host_with_one_upstream().await;
+    upstream.set_limit(Some("0"));
+    serve_request(&host).await;
     let res = host.call(request("/safe/1")).await;
     assert_eq!(res.status(), 503);
     let retry_after = res.headers()["retry-after"].to_str().unwrap();
     let retry_after: f64 = retry_after.parse().unwrap();
     assert!((0.5..=4.0).contains(&retry_after), "{retry_after}");
-    until(|| host.log.text().contains("rate_limited")).await;
+    wait_until(|| host.log.text().contains("rate_limited")).await;
     let waits = |line: &serde_json::Value| {
         line["event"] == "refused" && line["elapsed_ms"].as_u64() < Some(300)
     };
@@ -139,23 +147,24 @@
     assert_eq!(upstream.arrivals().len(), 1);
 }
 
-/// Each host learns of a limit, and of its end, by requests of its own.
+/// Hosts must learn of a limit and of its end from each other, without sending requests of their
+/// own.
 #[tokio::test]
-async fn a_limit_and_its_end_are_told_to_the_other_hosts() {
+async fn a_limit_and_its_end_are_sent_to_the_other_hosts() {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = answering().await;
+    let upstream = start_upstream().await;
     catalog.list("a", "app", upstream.addr);
     let first = TestHost::start("first", &catalog).await;
     let second = TestHost::start("second", &catalog).await;
-    first.until_hosts(2).await;
-    second.until_hosts(2).await;
-    upstream.name_limit(Some("25"));
-    serve_one(&first).await;
-    until(|| limit_lines(&second).len() == 1).await;
+    first.wait_for_hosts(2).await;
+    second.wait_for_hosts(2).await;
+    upstream.set_limit(Some("25"));
+    serve_request(&first).await;
+    wait_until(|| limit_lines(&second).len() == 1).await;
     assert_eq!(limit_lines(&second)[0]["told_by"], "first");
     assert_eq!(upstream.arrivals().len(), 1);
-    upstream.name_limit(None);
-    serve_one(&first).await;
-    until(|| limit_lines(&second).len() == 2).await;
+    upstream.set_limit(None);
+    serve_request(&first).await;
+    wait_until(|| limit_lines(&second).len() == 2).await;
     assert!(limit_lines(&second)[1]["limit_per_s"].is_null());
 }
