--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -1,4 +1,4 @@
-//! Upstreams that start again under the name of their last life.
+//! Upstreams that restart under the name of their former incarnation.
 
 mod gateway_world;
 
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use banyanarch::decide::HostLoad;
-use banyanarch::decide::LoadShare;
+use banyanarch::decide::RequestLoad;
 use banyanarch::decide::UpstreamFault;
 use banyanarch::units::Tokens;
 use banyanarch::units::UpstreamId;
@@ -14,65 +14,68 @@
 use gateway_world::catalog::FakeCatalog;
 use gateway_world::request;
 use gateway_world::table;
-use gateway_world::until;
-use gateway_world::upstream::Act;
-use gateway_world::upstream::Upstream;
+use gateway_world::upstream::ScriptStep;
+use gateway_world::upstream::ScriptedUpstream;
+use gateway_world::wait_until;
 use indexmap::IndexMap;
 
-fn knows(host: &TestHost, id: &UpstreamId) -> bool {
-    host.gateway.beliefs.is_listed(id)
+fn is_listed(host: &TestHost, id: &UpstreamId) -> bool {
+    host.gateway.platform_view.is_listed(id)
 }
 
-/// An engine restarts within a second under its old id and stays without work for seconds: hosts still
-/// hold the answers and the memory of its last life against it, and its faults, and go on hearing of
-/// them from each other.
+/// Failure: an engine restarts within a second under its old id and gets no work for seconds,
+/// because hosts still count the requests, memory and faults of its former incarnation against it,
+/// and go on reporting them to each other.
 #[tokio::test]
-async fn what_hosts_held_of_a_former_life_is_not_held_against_the_next() {
+async fn the_state_of_a_former_incarnation_does_not_count_against_the_next() {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = Upstream::start([Act::Answer(200, "ok")]).await;
+    let upstream = ScriptedUpstream::start([ScriptStep::Respond(200, "ok")]).await;
     catalog.list("a", "app", upstream.addr);
     let host = TestHost::start("host", &catalog).await;
     let former: UpstreamId = "a".parse().unwrap();
-    let share = LoadShare {
-        takes_place: true,
+    let share = RequestLoad {
+        takes_slot: true,
         is_short: true,
         pause: None,
-        read_time: Duration::from_secs(5),
+        prefill_time: Duration::from_secs(5),
         held_tokens: Tokens(9_000),
-        helps: None,
-        read_due: None,
+        helper_release: None,
+        prefill_due: None,
     };
     let now = Instant::now();
-    host.gateway.ledger().start(&former, &share, now);
+    host.gateway.ledger().start_request(&former, &share, now);
     let domain = "here".parse().unwrap();
     for _ in 0..4 {
         let fault = UpstreamFault::ConnectRefused;
         host.gateway.health().on_fault(&former, &domain, fault, now);
     }
     let id = catalog.restart("a", 2);
-    until(|| knows(&host, &id)).await;
-    // Another host has not heard of the restart.
-    let told = HostLoad {
+    wait_until(|| is_listed(&host, &id)).await;
+    // Another host does not know of the restart yet.
+    let reported = HostLoad {
         in_flight: 7,
         ..HostLoad::default()
     };
-    let loads = IndexMap::from([(former.clone(), told)]);
+    let loads = IndexMap::from([(former.clone(), reported)]);
     let other = "other".parse().unwrap();
-    host.gateway.ledger().hear(other, 1, loads, Instant::now());
+    host.gateway
+        .ledger()
+        .record_host_loads(other, 1, loads, Instant::now());
     let load = host.gateway.ledger().load(&id, Instant::now());
     assert_eq!(load.in_flight, 0);
     assert_eq!(load.held_tokens, Tokens::ZERO);
-    assert_eq!(load.read_backlog, Duration::ZERO);
+    assert_eq!(load.prefill_backlog, Duration::ZERO);
     let health = host.gateway.health();
     assert!(health.is_usable(&id, &domain, Instant::now()));
 }
 
-/// A caller waits out its whole time for an answer that nobody will give. Its upstream was cut off,
-/// restarted behind the cut, and the connection of its former life is silent.
+/// Failure: a caller waits until its deadline for a response that will never come. Its upstream was
+/// partitioned and restarted behind the partition, and the connection to the former incarnation is
+/// silent.
 #[tokio::test]
-async fn a_call_at_a_former_life_is_lost_and_not_waited_for() {
+async fn a_call_sent_to_a_former_incarnation_fails_without_waiting() {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = Upstream::start([Act::Hang]).await;
+    let upstream = ScriptedUpstream::start([ScriptStep::Hang]).await;
     catalog.list("a", "app", upstream.addr);
     let host = TestHost::start("host", &catalog).await;
     let answer = async {
@@ -80,7 +83,7 @@
         res.status().as_u16()
     };
     let restart = async {
-        until(|| upstream.arrivals().len() == 1).await;
+        wait_until(|| upstream.arrivals().len() == 1).await;
         let (former, domain) = ("a".parse().unwrap(), "here".parse().unwrap());
         let fault = UpstreamFault::ConnectTimeout;
         let now = Instant::now();
@@ -88,16 +91,20 @@
         catalog.restart("a", 2);
     };
     let (status, ()) = tokio::join!(answer, restart);
-    assert_eq!(status, 502, "504 if its time had run out");
-    until(|| host.log.text().contains("has started again")).await;
+    assert_eq!(
+        status, 502,
+        "the status would be 504 if the call had waited until its deadline"
+    );
+    wait_until(|| host.log.text().contains("the upstream has restarted")).await;
 }
 
-/// A call is answered as lost although it runs. It went to an upstream that had restarted already, by
-/// its old entry; then the new one is read.
+/// Failure: a running call is reported as lost. The call was sent by the old list entry to an
+/// upstream that had restarted already, and then the new entry was read.
 #[tokio::test]
-async fn a_call_that_was_sent_after_the_restart_runs_in_the_new_life() {
+async fn a_call_sent_after_the_restart_runs_in_the_new_incarnation() {
     let catalog = FakeCatalog::new(table(1));
-    let upstream = Upstream::start([Act::AnswerAfter(Duration::from_secs(2), "ok")]).await;
+    let upstream =
+        ScriptedUpstream::start([ScriptStep::RespondAfter(Duration::from_secs(2), "ok")]).await;
     catalog.list("a", "app", upstream.addr);
     let host = TestHost::start("host", &catalog).await;
     let (former, domain) = ("a".parse().unwrap(), "here".parse().unwrap());
@@ -106,9 +113,9 @@
     host.gateway.health().on_fault(&former, &domain, fault, now);
     let answer = async { host.call(request("/once/1")).await.status().as_u16() };
     let restart = async {
-        until(|| upstream.arrivals().len() == 1).await;
+        wait_until(|| upstream.arrivals().len() == 1).await;
         let id = catalog.restart("a", 2);
-        until(|| knows(&host, &id)).await;
+        wait_until(|| is_listed(&host, &id)).await;
     };
     let (status, ()) = tokio::join!(answer, restart);
     assert_eq!(status, 200);
--- a/tests/gateway_world/mod.rs
+++ b/tests/gateway_world/mod.rs
@@ -1,9 +1,9 @@
-//! Gateways over loopback, with a catalog, headers, orders and upstreams written for tests.
+//! Gateways over loopback, with a catalog, header codec, engine client and upstreams for tests.
 
 #![allow(dead_code, unreachable_pub)]
 
 pub mod catalog;
-pub mod dialect;
+pub mod header_codec;
 pub mod orders;
 pub mod upstream;
 
@@ -19,16 +19,16 @@
 use banyanarch::gateway::DecisionLog;
 use banyanarch::gateway::Gateway;
 use banyanarch::gateway::GatewayConf;
+use banyanarch::gateway::GatewayMetrics;
 use banyanarch::gateway::Listeners;
-use banyanarch::gateway::Meters;
 use banyanarch::gateway::serve;
 use banyanarch::http::one_shot;
 use banyanarch::routing::CallKind;
 use banyanarch::routing::CustomerKeys;
 use banyanarch::routing::Route;
 use banyanarch::routing::RouteTable;
+use banyanarch::routing::RouteTarget;
 use banyanarch::routing::Service;
-use banyanarch::routing::Target;
 use banyanarch::units::Generation;
 use banyanarch::units::Millicores;
 use banyanarch::units::Priority;
@@ -41,23 +41,23 @@
 use tokio::task::JoinHandle;
 
 use catalog::FakeCatalog;
-use dialect::TestDialect;
-use orders::FakeOrders;
+use header_codec::TestHeaderCodec;
+use orders::FakeEngineClient;
 
-/// What a test gives up after when it waits for something to become true.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a test waits for a condition before it fails.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A host under test.
+/// A gateway under test.
 pub struct TestHost {
     pub gateway: Arc<Gateway>,
     pub callers: SocketAddr,
     pub ready: SocketAddr,
-    pub orders: Arc<FakeOrders>,
+    pub orders: Arc<FakeEngineClient>,
     pub log: LogLines,
     pub serving: JoinHandle<()>,
 }
 
-/// What a host wrote into its decision log.
+/// The decision log of a host.
 #[derive(Clone, Default)]
 pub struct LogLines(Arc<Mutex<Vec<u8>>>);
 
@@ -88,6 +88,7 @@
     "127.0.0.1:0".parse().unwrap()
 }
 
+/// The configuration of a host with this name on loopback.
 pub fn conf(name: &str) -> GatewayConf {
     GatewayConf {
         host: name.parse().unwrap(),
@@ -112,20 +113,20 @@
         Self::start_with(conf(name), catalog).await
     }
 
-    /// Starts a host and waits until it has read manifest and upstreams, if there are any to read.
+    /// Starts a host and waits until it has read the manifest and the upstreams, if there are any.
     pub async fn start_with(conf: GatewayConf, catalog: &Arc<FakeCatalog>) -> Self {
         let clock: Arc<dyn Clock> = Arc::new(SystemClock);
-        let orders = Arc::new(FakeOrders::default());
+        let orders = Arc::new(FakeEngineClient::default());
         let log = LogLines::default();
         let decision_log =
             DecisionLog::new(conf.host.clone(), Arc::clone(&clock), Box::new(log.clone()));
         let gateway = Arc::new(Gateway::new(
             conf,
             clock,
-            Arc::new(TestDialect),
-            Arc::<FakeOrders>::clone(&orders),
+            Arc::new(TestHeaderCodec),
+            Arc::<FakeEngineClient>::clone(&orders),
             decision_log,
-            Meters::new().unwrap(),
+            GatewayMetrics::new().unwrap(),
         ));
         let listeners = Listeners::bind(&gateway.conf).await.unwrap();
         let callers = listeners.callers.local_addr().unwrap();
@@ -145,47 +146,47 @@
             serving,
         };
         if has_routes {
-            until(|| host.gateway.is_ready()).await;
+            wait_until(|| host.gateway.is_ready()).await;
         }
         host
     }
 
-    /// Waits until the host has so many hosts on its list.
-    pub async fn until_hosts(&self, count: usize) {
-        until(|| self.gateway.beliefs.hosts().len() == count).await;
+    /// Waits until the list of hosts has `count` entries.
+    pub async fn wait_for_hosts(&self, count: usize) {
+        wait_until(|| self.gateway.platform_view.hosts().len() == count).await;
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     pub async fn call(&self, req: Request<Full<Bytes>>) -> Response<Bytes> {
-        self.try_call(req).await.expect("an answer")
+        self.try_call(req).await.expect("the host responds")
     }
 
     pub async fn try_call(
         &self,
         req: Request<Full<Bytes>>,
     ) -> Result<Response<Bytes>, one_shot::OneShotError> {
-        one_shot::call(self.callers, req, 1 << 20, PATIENCE).await
+        one_shot::call(self.callers, req, 1 << 20, TIMEOUT).await
     }
 
     /// The status of the readiness page.
     pub async fn readiness(&self) -> u16 {
         let req = Request::get("/readyz").header("host", "ready");
         let req = req.body(Full::default()).unwrap();
-        let res = one_shot::call(self.ready, req, 1 << 10, PATIENCE).await;
+        let res = one_shot::call(self.ready, req, 1 << 10, TIMEOUT).await;
         res.unwrap().status().as_u16()
     }
 }
 
-/// Waits until something is true.
-pub async fn until(mut is_true: impl FnMut() -> bool) {
+/// Waits until the condition holds.
+pub async fn wait_until(mut condition: impl FnMut() -> bool) {
     let waiting = async {
-        while !is_true() {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, waiting)
+    tokio::time::timeout(TIMEOUT, waiting)
         .await
-        .expect("it becomes true");
+        .expect("the condition holds in time");
 }
 
 /// A route of `service` at `app.example/PREFIX/`.
@@ -199,7 +200,7 @@
         objective: Duration::from_millis(300),
         pause_objective: None,
         priority: Priority(1),
-        targets: vec![Target {
+        targets: vec![RouteTarget {
             service: service.parse().unwrap(),
             weight: 1,
         }],
@@ -208,7 +209,7 @@
     }
 }
 
-/// The routes that most tests use: `safe`, `once`, `stream` and `fixed` (a stream that can't be
+/// The routes that most tests use: `safe`, `once`, `stream` and `fixed` (a stream that cannot be
 /// resumed) of the plain service `app`, and `model` of the engines `llm`.
 pub fn table(generation: u64) -> RouteTable {
     let resumable = CallKind::Stream { is_resumable: true };
@@ -242,18 +243,19 @@
         memory_tokens: Tokens(450_000),
         stride: 46,
         step_ms: 0.925,
-        step_per_writer_ms: 0.00483,
+        step_per_sequence_ms: 0.00483,
         step_per_kilotoken_ms: 0.00254,
-        read_tokens_per_ms: 256.0,
-        read_per_megapair_ms: 0.0917,
+        prefill_tokens_per_ms: 256.0,
+        prefill_per_megapair_ms: 0.0917,
     }
 }
 
-/// A request of customer acme.
+/// A request of the customer acme.
 pub fn request(path: &str) -> Request<Full<Bytes>> {
     request_of("key-1", path)
 }
 
+/// A request with the key of a customer.
 pub fn request_of(key: &str, path: &str) -> Request<Full<Bytes>> {
     Request::post(path)
         .header("host", "app.example")
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,17 +1,17 @@
-//! Routes by host name and path, and shares of targets.
+//! Routes by host name and path, and the shares of their targets.
 
 use std::time::Duration;
 
 use banyanarch::routing::CallKind;
 use banyanarch::routing::Route;
 use banyanarch::routing::RouteTable;
-use banyanarch::routing::Target;
+use banyanarch::routing::RouteTarget;
 use banyanarch::units::Generation;
 use banyanarch::units::Priority;
 use yare::parameterized;
 
 fn route(name: &str, hostname: &str, path_prefix: &str, targets: &[(&str, u32)]) -> Route {
-    let target = |(service, weight): &(&str, u32)| Target {
+    let target = |(service, weight): &(&str, u32)| RouteTarget {
         service: service.parse().unwrap(),
         weight: *weight,
     };
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_route_without_weight_leads_nowhere() {
+fn a_route_without_weight_has_no_target() {
     let route = route("empty", "a", "/", &[("a", 0)]);
     assert_eq!(route.target(7), None);
 }
