--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -12,8 +12,8 @@
 use banyanarch::decide::HostLoad;
 use banyanarch::decide::LimitState;
 use banyanarch::decide::LoadLedger;
-use banyanarch::decide::ReadSent;
-use banyanarch::decide::engines::EngineAsk;
+use banyanarch::decide::PrefillSent;
+use banyanarch::decide::engines::EngineRequest;
 use banyanarch::decide::engines::EngineView;
 use banyanarch::decide::engines::choose_engines;
 use banyanarch::units::Slowdown;
@@ -84,7 +84,7 @@
         .map(|step| (ids[(host * 7 + step * 3) % ids.len()].clone(), load()))
         .collect();
     let host = format!("host-{host:03}").parse().unwrap();
-    ledger.hear(host, 1, loads, now);
+    ledger.record_host_loads(host, 1, loads, now);
 }
 
 fn load() -> HostLoad {
@@ -94,23 +94,23 @@
         helping: 0,
         strictest_pause: Some(Duration::from_millis(250)),
         held_tokens: Tokens(6_700),
-        read: ReadSent::default(),
-        read_due: None,
+        prefill: PrefillSent::default(),
+        prefill_due: None,
     }
 }
 
-fn ask() -> EngineAsk {
-    EngineAsk {
+fn ask() -> EngineRequest {
+    EngineRequest {
         prompt: Tokens(5_000),
         output: Tokens(1_800),
         objective_left: Duration::from_millis(300),
         patience_left: Duration::from_millis(1_500),
         time_left: Duration::from_secs(10),
         strictest_pause: Some(Duration::from_millis(200)),
-        news_age: Duration::from_millis(100),
-        far_news_age: Duration::from_millis(100),
-        is_far: false,
-        draw: 0x5EED,
+        local_load_age_max: Duration::from_millis(100),
+        remote_load_age_max: Duration::from_millis(100),
+        spans_domains: false,
+        shuffle_seed: 0x5EED,
     }
 }
 
@@ -120,9 +120,9 @@
         memory_tokens: Tokens(450_000),
         stride: 73,
         step_ms: 0.925,
-        step_per_writer_ms: 0.004_83,
+        step_per_sequence_ms: 0.004_83,
         step_per_kilotoken_ms: 0.002_54,
-        read_tokens_per_ms: 256.0,
-        read_per_megapair_ms: 0.091_7,
+        prefill_tokens_per_ms: 256.0,
+        prefill_per_megapair_ms: 0.091_7,
     }
 }
--- a/examples/sweep/main.rs
+++ b/examples/sweep/main.rs
@@ -60,12 +60,14 @@
         headroom: ms(at),
         ..base()
     });
-    sweep("equal_speed, percent", &[100, 120, 140, 200, 400], |at| {
-        Tuning {
-            equal_speed: at as f64 / 100.0,
+    sweep(
+        "equal_speed_ratio, percent",
+        &[100, 120, 140, 200, 400],
+        |at| Tuning {
+            equal_speed_ratio: at as f64 / 100.0,
             ..base()
-        }
-    });
+        },
+    );
     sweep(
         "short_tokens_max",
         &[1_000, 2_000, 4_000, 8_000, 16_000],
@@ -78,41 +80,55 @@
         long_prefills_max: usize::try_from(at).unwrap_or(usize::MAX),
         ..base()
     });
-    sweep("long_busy, percent", &[50, 70, 85, 100], |at| Tuning {
-        long_busy: at as f64 / 100.0,
-        ..base()
-    });
-    sweep("short_busy, percent", &[30, 45, 60, 80, 100], |at| Tuning {
-        short_busy: at as f64 / 100.0,
-        ..base()
-    });
-    sweep("long_sure_part, percent", &[0, 10, 25, 50], |at| Tuning {
-        long_sure_part: at as f64 / 100.0,
-        ..base()
+    sweep("long_utilization_max, percent", &[50, 70, 85, 100], |at| {
+        Tuning {
+            long_utilization_max: at as f64 / 100.0,
+            ..base()
+        }
     });
-    sweep("short_on_long_max, percent", &[0, 10, 25, 50, 100], |at| {
+    sweep(
+        "short_utilization_max, percent",
+        &[30, 45, 60, 80, 100],
+        |at| Tuning {
+            short_utilization_max: at as f64 / 100.0,
+            ..base()
+        },
+    );
+    sweep("long_fraction_min, percent", &[0, 10, 25, 50], |at| {
         Tuning {
-            short_on_long_max: at as f64 / 100.0,
+            long_fraction_min: at as f64 / 100.0,
             ..base()
         }
     });
-    sweep("admit_part, percent", &[60, 80, 90, 100, 120], |at| {
+    sweep(
+        "short_fraction_beside_long_max, percent",
+        &[0, 10, 25, 50, 100],
+        |at| Tuning {
+            short_fraction_beside_long_max: at as f64 / 100.0,
+            ..base()
+        },
+    );
+    sweep("admit_fraction, percent", &[60, 80, 90, 100, 120], |at| {
         Tuning {
-            admit_part: at as f64 / 100.0,
+            admit_fraction: at as f64 / 100.0,
             ..base()
         }
     });
-    sweep("wait_gain, percent", &[0, 50, 80, 100], |at| Tuning {
-        wait_gain: at as f64 / 100.0,
+    sweep("wait_ratio_max, percent", &[0, 50, 80, 100], |at| Tuning {
+        wait_ratio_max: at as f64 / 100.0,
         ..base()
     });
-    sweep("slow_part, percent", &[0, 20, 40, 60, 80], |at| Tuning {
-        slow_part: at as f64 / 100.0,
-        ..base()
+    sweep("slow_fraction, percent", &[0, 20, 40, 60, 80], |at| {
+        Tuning {
+            slow_fraction: at as f64 / 100.0,
+            ..base()
+        }
     });
-    sweep("out_part_max, percent", &[0, 25, 50, 100], |at| Tuning {
-        out_part_max: at as f64 / 100.0,
-        ..base()
+    sweep("ejected_fraction_max, percent", &[0, 25, 50, 100], |at| {
+        Tuning {
+            ejected_fraction_max: at as f64 / 100.0,
+            ..base()
+        }
     });
 }
 
--- a/examples/sweep/scenario.rs
+++ b/examples/sweep/scenario.rs
@@ -13,11 +13,11 @@
 use banyanarch::settings::PolicyName;
 use banyanarch::upstream::LoadReport;
 
-use crate::decide_fakes::Ask;
-use crate::decide_fakes::Bench;
 use crate::decide_fakes::Engine;
-use crate::decide_fakes::Load;
 use crate::decide_fakes::Outcomes;
+use crate::decide_fakes::RequestSpec;
+use crate::decide_fakes::Simulation;
+use crate::decide_fakes::Workload;
 use crate::decide_fakes::config;
 
 const ENGINES: usize = 20;
@@ -66,27 +66,27 @@
         }
     }
 
-    fn bench(&self, hosts: u64) -> Bench {
+    fn simulation(&self, hosts: u64) -> Simulation {
         let policies = (0..hosts).map(|seed| policy_for(self.policy, &self.conf(), seed));
         let policies: Vec<Box<dyn Policy>> = policies.collect();
         let engines = (0..ENGINES).map(|_| Engine::new(300_000, SPEED)).collect();
-        Bench::new(engines, policies)
+        Simulation::new(engines, policies)
     }
 
-    fn play(&self, load: Load) -> Outcomes {
-        self.bench(1).play(load).0
+    fn run(&self, load: Workload) -> Outcomes {
+        self.simulation(1).run(load).0
     }
 }
 
-fn shorts(seed: u64, rate: f64) -> Load {
-    Load::new(seed).stream(rate, (0.0, 120.0), &Ask::short())
+fn shorts(seed: u64, rate: f64) -> Workload {
+    Workload::new(seed).stream(rate, (0.0, 120.0), &RequestSpec::short())
 }
 
 /// Long prompts that take about half of the engines' time.
-fn with_long(load: Load) -> Load {
-    let long = |prompt| Ask {
+fn with_long(load: Workload) -> Workload {
+    let long = |prompt| RequestSpec {
         customer: "studio",
-        ..Ask::long(prompt)
+        ..RequestSpec::long(prompt)
     };
     let two_minutes = (0.0, 120.0);
     load.stream(0.6, two_minutes, &long(60_000))
@@ -96,9 +96,9 @@
 
 fn mixed(setup: &Setup, change: fn(&mut Engine)) -> String {
     let play = |load| {
-        let mut bench = setup.bench(1);
-        bench.engines.iter_mut().for_each(change);
-        bench.play(load).0
+        let mut simulation = setup.simulation(1);
+        simulation.engines.iter_mut().for_each(change);
+        simulation.run(load).0
     };
     let alone = play(shorts(7, 24.0));
     let all = play(with_long(shorts(7, 24.0)));
@@ -110,7 +110,7 @@
         short.ttft(0.99) / alone.ttft(0.99),
         by_class(&all),
         all.ttft(0.95),
-        all.part(),
+        all.completed_fraction(),
     )
 }
 
@@ -128,23 +128,24 @@
 }
 
 fn short_among_long_no_ranks(setup: &Setup) -> String {
-    mixed(setup, |engine| engine.honours_rank = false)
+    mixed(setup, |engine| engine.honours_priority = false)
 }
 
 /// Ten times the load for five seconds.
 fn burst(setup: &Setup) -> String {
-    let ask = Ask {
-        limit: Duration::from_secs(8),
-        ..Ask::short()
+    let request = RequestSpec {
+        timeout: Duration::from_secs(8),
+        ..RequestSpec::short()
     };
-    let load = Load::new(3)
-        .stream(30.0, MINUTE, &ask)
-        .stream(270.0, (20.0, 25.0), &ask);
-    let all = setup.play(load);
-    let after = all.only(|o| o.ask.at >= Duration::from_secs(35));
+    let load =
+        Workload::new(3)
+            .stream(30.0, MINUTE, &request)
+            .stream(270.0, (20.0, 25.0), &request);
+    let all = setup.run(load);
+    let after = all.only(|o| o.request.at >= Duration::from_secs(35));
     format!(
         "done {:.3}, refused {:.3}, p95 {:.2} s; from 10 s after the burst on: p95 {:.3} s",
-        all.part(),
+        all.completed_fraction(),
         all.refused() as f64 / all.0.len() as f64,
         all.ttft(0.95),
         after.ttft(0.95),
@@ -153,26 +154,26 @@
 
 /// Two of six customers send 90 percent of twice the capacity.
 fn two_customers(setup: &Setup) -> String {
-    let ask = |customer| Ask {
+    let request = |customer| RequestSpec {
         customer,
-        limit: Duration::from_secs(10),
-        ..Ask::short()
+        timeout: Duration::from_secs(10),
+        ..RequestSpec::short()
     };
-    let mut load = Load::new(5);
+    let mut load = Workload::new(5);
     for large in ["studio", "agency"] {
-        load = load.stream(108.0, MINUTE, &ask(large));
+        load = load.stream(108.0, MINUTE, &request(large));
     }
     for small in ["desk", "karaoke", "branch", "app"] {
-        load = load.stream(6.0, MINUTE, &ask(small));
+        load = load.stream(6.0, MINUTE, &request(small));
     }
-    let all = setup.play(load);
-    let small = all.only(|o| !["studio", "agency"].contains(&o.ask.customer));
-    let large = all.only(|o| ["studio", "agency"].contains(&o.ask.customer));
+    let all = setup.run(load);
+    let small = all.only(|o| !["studio", "agency"].contains(&o.request.customer));
+    let large = all.only(|o| ["studio", "agency"].contains(&o.request.customer));
     format!(
         "small done {:.3} p95 {:.2} s, large done {:.3} p95 {:.2} s, goodput {:.0} tok/s",
-        small.part(),
+        small.completed_fraction(),
         small.ttft(0.95),
-        large.part(),
+        large.completed_fraction(),
         large.ttft(0.95),
         all.goodput() / 60.0,
     )
@@ -180,55 +181,55 @@
 
 /// Half of all prompts begin with the same 3,000 tokens, the others with one of a hundred prefixes.
 fn hot_prefix(setup: &Setup) -> String {
-    let ask = |prefix: u128| Ask {
+    let request = |prefix: u128| RequestSpec {
         prompt: 3_400,
         prefix: Some((prefix, 3_000)),
-        ..Ask::short()
+        ..RequestSpec::short()
     };
-    let mut load = Load::new(9).stream(35.0, MINUTE, &ask(1_000));
+    let mut load = Workload::new(9).stream(35.0, MINUTE, &request(1_000));
     for prefix in 0..100 {
-        load = load.stream(0.35, MINUTE, &ask(prefix));
+        load = load.stream(0.35, MINUTE, &request(prefix));
     }
-    let all = setup.play(load);
+    let all = setup.run(load);
     let on = |index: usize| all.only(|o| o.engines.first() == Some(&index)).0.len();
     let most = (0..ENGINES).map(on).max().unwrap_or(0);
     format!(
         "p50 {:.3} s p95 {:.3} s, done {:.3}, fullest engine {:.3} of all",
         all.ttft(0.5),
         all.ttft(0.95),
-        all.part(),
+        all.completed_fraction(),
         most as f64 / all.0.len() as f64,
     )
 }
 
 /// One engine is five times slower.
 pub(crate) fn slow_upstream(setup: &Setup) -> String {
-    let mut bench = setup.bench(1);
-    bench.engines[5].pace = 0.2;
-    let all = bench.play(shorts(11, 60.0)).0;
+    let mut simulation = setup.simulation(1);
+    simulation.engines[5].pace = 0.2;
+    let all = simulation.run(shorts(11, 60.0)).0;
     let slow = all.only(|o| o.engines.first() == Some(&5)).0.len();
     format!(
         "p50 {:.3} p95 {:.3} p99 {:.3} s, done {:.3}, on the slow one {:.3} of all",
         all.ttft(0.5),
         all.ttft(0.95),
         all.ttft(0.99),
-        all.part(),
+        all.completed_fraction(),
         slow as f64 / all.0.len() as f64,
     )
 }
 
 /// Twice the capacity for a minute, against just the capacity.
 pub(crate) fn saturation(setup: &Setup) -> String {
-    let ask = Ask {
-        limit: Duration::from_secs(6),
-        ..Ask::short()
+    let request = RequestSpec {
+        timeout: Duration::from_secs(6),
+        ..RequestSpec::short()
     };
-    let play = |rate| setup.play(Load::new(13).stream(rate, MINUTE, &ask));
+    let play = |rate| setup.run(Workload::new(13).stream(rate, MINUTE, &request));
     let (once, twice) = (play(110.0), play(240.0));
     format!(
         "goodput at twice {:.3} of that at capacity, done {:.3}, refused {:.3}, p95 {:.2} s",
         twice.goodput() / once.goodput(),
-        twice.part(),
+        twice.completed_fraction(),
         twice.refused() as f64 / twice.0.len() as f64,
         twice.ttft(0.95),
     )
@@ -236,20 +237,20 @@
 
 /// Twice the capacity in short and long prompts together; what counts is asked in the middle.
 pub(crate) fn mixed_saturation(setup: &Setup) -> String {
-    let short = Ask {
-        limit: Duration::from_secs(10),
-        ..Ask::short()
+    let short = RequestSpec {
+        timeout: Duration::from_secs(10),
+        ..RequestSpec::short()
     };
-    let long = Ask {
+    let long = RequestSpec {
         customer: "studio",
-        limit: Duration::from_secs(60),
-        ..Ask::long(60_000)
+        timeout: Duration::from_secs(60),
+        ..RequestSpec::long(60_000)
     };
     let play = |part: f64| {
         let all_along = (0.0, 150.0);
-        let load = Load::new(17).stream(55.0 * part, all_along, &short);
-        let all = setup.play(load.stream(0.9 * part, all_along, &long));
-        all.only(|o| (30..90).contains(&o.ask.at.as_secs()))
+        let load = Workload::new(17).stream(55.0 * part, all_along, &short);
+        let all = setup.run(load.stream(0.9 * part, all_along, &long));
+        all.only(|o| (30..90).contains(&o.request.at.as_secs()))
     };
     let (once, twice) = (play(1.0), play(2.0));
     let (short, long) = (
@@ -260,30 +261,32 @@
         "goodput at twice {:.3}, {:.0} tok/s, short done {:.3} p95 {:.2} s, long done {:.3} p95 {:.2} s",
         twice.goodput() / once.goodput(),
         twice.goodput() / 60.0,
-        short.part(),
+        short.completed_fraction(),
         short.ttft(0.95),
-        long.part(),
+        long.completed_fraction(),
         long.ttft(0.95),
     )
 }
 
 /// Half of the engines are gone for five seconds, and hosts retry.
 fn outage(setup: &Setup) -> String {
-    let ask = Ask {
-        limit: Duration::from_secs(10),
-        ..Ask::short()
+    let request = RequestSpec {
+        timeout: Duration::from_secs(10),
+        ..RequestSpec::short()
     };
-    let mut bench = setup.bench(1);
-    bench.retry_with(|now| RetryBudget::new(1, now));
-    bench.outage = Some((0..10, 20.0, 25.0));
-    let all = bench.play(Load::new(19).stream(80.0, MINUTE, &ask)).0;
+    let mut simulation = setup.simulation(1);
+    simulation.enable_retries(|now| RetryBudget::new(1, now));
+    simulation.outage = Some((0..10, 20.0, 25.0));
+    let all = simulation
+        .run(Workload::new(19).stream(80.0, MINUTE, &request))
+        .0;
     let attempts: u32 = all.0.iter().map(|o| o.attempts).sum();
-    let after = all.only(|o| o.ask.at >= Duration::from_secs(30));
+    let after = all.only(|o| o.request.at >= Duration::from_secs(30));
     format!(
         "done {:.3}, attempts a request {:.3}; from 5 s after it on: done {:.3}, p95 {:.3} s",
-        all.part(),
+        all.completed_fraction(),
         f64::from(attempts) / all.0.len() as f64,
-        after.part(),
+        after.completed_fraction(),
         after.ttft(0.95),
     )
 }
@@ -302,14 +305,14 @@
         }),
     ];
     let figures = changes.map(|(name, change)| {
-        let mut bench = setup.bench(1);
-        bench.report_as = change;
-        let all = bench.play(with_long(shorts(7, 24.0))).0;
+        let mut simulation = setup.simulation(1);
+        simulation.alter_report = change;
+        let all = simulation.run(with_long(shorts(7, 24.0))).0;
         let short = all.class(LengthClass::Short);
         format!(
             "{name}: short p95 {:.3} s done {:.3}",
             short.ttft(0.95),
-            all.part()
+            all.completed_fraction()
         )
     });
     figures.join(", ")
@@ -323,13 +326,13 @@
             ..config(setup.objective, SPEED * factor)
         };
         let engines = (0..ENGINES).map(|_| Engine::new(300_000, SPEED)).collect();
-        let bench = Bench::new(engines, vec![policy_for(setup.policy, &conf, 1)]);
-        let all = bench.play(with_long(shorts(7, 24.0))).0;
+        let simulation = Simulation::new(engines, vec![policy_for(setup.policy, &conf, 1)]);
+        let all = simulation.run(with_long(shorts(7, 24.0))).0;
         let short = all.class(LengthClass::Short);
         format!(
             "x{factor}: short p95 {:.3} s done {:.3}",
             short.ttft(0.95),
-            all.part()
+            all.completed_fraction()
         )
     });
     figures.join(", ")
@@ -338,11 +341,11 @@
 /// Seven hosts that decide each by itself, against one home.
 fn seven_hosts(setup: &Setup) -> String {
     let figures = [1, 7].map(|hosts| {
-        let all = setup.bench(hosts).play(with_long(shorts(7, 60.0))).0;
+        let all = setup.simulation(hosts).run(with_long(shorts(7, 60.0))).0;
         format!(
             "{hosts} deciding: {}, done {:.3}",
             by_class(&all),
-            all.part()
+            all.completed_fraction()
         )
     });
     figures.join("; ")
--- a/src/control/home/controller.rs
+++ b/src/control/home/controller.rs
@@ -18,16 +18,16 @@
 use crate::control::home::requests::Asked;
 use crate::control::home::requests::Requests;
 use crate::control::home::requests::Standing;
+use crate::decide::AttemptOutcome;
+use crate::decide::AttemptSummary;
 use crate::decide::Decision;
-use crate::decide::Done;
-use crate::decide::Ended;
 use crate::decide::Grant;
 use crate::decide::LengthClass;
 use crate::decide::LiveGrant;
 use crate::decide::Policy;
 use crate::decide::PolicyConfig;
 use crate::decide::PoolLoad;
-use crate::decide::UpstreamSeen;
+use crate::decide::UpstreamInfo;
 use crate::decide::Work;
 use crate::units::GrantId;
 use crate::units::HostId;
@@ -150,9 +150,11 @@
                 self.apply(changes, now);
             }
             HomeEvent::Upstreams(upstreams) => self.set_upstreams(&upstreams, now),
-            HomeEvent::Report { upstream, report } => self.policy.report(&upstream, &report, now),
+            HomeEvent::Report { upstream, report } => {
+                self.policy.on_load_report(&upstream, &report, now);
+            }
             HomeEvent::CacheEvents { upstream, events } => {
-                self.policy.cache_events(&upstream, &events, now);
+                self.policy.on_cache_events(&upstream, &events, now);
             }
             HomeEvent::HandOver => return self.hand_over(now),
             HomeEvent::Tick => self.tick(now),
@@ -244,7 +246,7 @@
         self.apply(changes, now);
     }
 
-    fn finish(&mut self, from: &HostId, grant: GrantId, done: Done, now: Instant) {
+    fn finish(&mut self, from: &HostId, grant: GrantId, done: AttemptSummary, now: Instant) {
         if self
             .ledger
             .holder(grant)
@@ -262,7 +264,7 @@
         if is_known {
             self.policy.finish(grant, done, now);
         }
-        if ended != Ended::Failed {
+        if ended != AttemptOutcome::Failed {
             self.ledger.end(grant, true, now);
             return;
         }
@@ -288,7 +290,7 @@
             Standing::Granted(granted) if !self.ledger.is_announced(granted.grant) => {
                 if self.ledger.end(granted.grant, false, now) {
                     self.policy
-                        .finish(granted.grant, ended_unseen(Ended::NotSent), now);
+                        .finish(granted.grant, ended_unseen(AttemptOutcome::NotSent), now);
                 }
             }
             Standing::Held(_) | Standing::Granted(_) | Standing::Refused { .. } => (),
@@ -310,7 +312,7 @@
         self.apply(changes, now);
     }
 
-    fn set_upstreams(&mut self, upstreams: &[UpstreamSeen], now: Instant) {
+    fn set_upstreams(&mut self, upstreams: &[UpstreamInfo], now: Instant) {
         let gone = self.engines.set(upstreams, now);
         self.policy.set_upstreams(upstreams, now);
         for gone in gone {
@@ -326,7 +328,7 @@
                 Change::Drop(grant) => {
                     self.requests.forget_grant(grant);
                     self.policy
-                        .finish(grant, ended_unseen(Ended::Cancelled), now);
+                        .finish(grant, ended_unseen(AttemptOutcome::Cancelled), now);
                 }
             }
         }
@@ -434,7 +436,7 @@
         let Some(work) = self.works.swap_remove(&grant.request) else {
             // Withdrawn while the policy decided.
             self.policy
-                .finish(grant.id, ended_unseen(Ended::NotSent), now);
+                .finish(grant.id, ended_unseen(AttemptOutcome::NotSent), now);
             return;
         };
         let live = LiveGrant {
@@ -481,8 +483,8 @@
 }
 
 /// An end that no host told of, so nothing was measured.
-fn ended_unseen(ended: Ended) -> Done {
-    Done {
+fn ended_unseen(ended: AttemptOutcome) -> AttemptSummary {
+    AttemptSummary {
         ended,
         first_token: None,
         total: Duration::ZERO,
--- a/src/control/home/event.rs
+++ b/src/control/home/event.rs
@@ -1,8 +1,8 @@
 //! What a home hears.
 
-use crate::decide::Done;
+use crate::decide::AttemptSummary;
 use crate::decide::LiveGrant;
-use crate::decide::UpstreamSeen;
+use crate::decide::UpstreamInfo;
 use crate::decide::Work;
 use crate::units::AttemptId;
 use crate::units::GrantId;
@@ -37,7 +37,7 @@
         /// The grant.
         grant: GrantId,
         /// How it ended.
-        done: Done,
+        done: AttemptSummary,
     },
     /// A request that waits is to be forgotten.
     Withdraw {
@@ -69,7 +69,7 @@
         attempt: AttemptId,
     },
     /// The upstreams of the pool, all of them.
-    Upstreams(Vec<UpstreamSeen>),
+    Upstreams(Vec<UpstreamInfo>),
     /// An engine's lagging report.
     Report {
         /// The engine.
--- /dev/null
+++ b/src/decide/engines/boundary.rs
@@ -0,0 +1,32 @@
+//! The boundary between the engines for short prompts and those for long ones.
+
+use crate::decide::EngineModel;
+use crate::decide::engines::EngineView;
+
+/// Fraction of an engine's slots that short prompts fill before the next engine is opened to them.
+/// The remaining slots absorb a burst until the boundary has moved.
+const SHORT_FILL_FRACTION: f64 = 0.7;
+/// Fraction of all engines that is always kept for long prompts.
+const LONG_ENGINES_FRACTION_MIN: f64 = 0.1;
+
+/// The number of engines, counted from the front, that are for short prompts now.
+///
+/// The number follows the short prompts in flight, so within the time of one answer it adapts to
+/// rising as well as falling load.
+pub fn short_engine_count(model: &EngineModel, engines: &[EngineView]) -> usize {
+    let count = engines.len();
+    if count < 2 {
+        return count;
+    }
+    let short: u32 = engines.iter().map(|e| e.load.short_in_flight).sum();
+    let fill = (f64::from(model.slots) * SHORT_FILL_FRACTION).max(1.0);
+    let wanted = ceil(f64::from(short + 1) / fill) + 1;
+    let kept_for_long = ceil(count as f64 * LONG_ENGINES_FRACTION_MIN).max(1);
+    wanted.clamp(1, count.saturating_sub(kept_for_long).max(1))
+}
+
+/// Rounds up and limits the result to the range of 0 to 1,000,000.
+#[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
+pub(super) fn ceil(number: f64) -> usize {
+    number.ceil().clamp(0.0, 1e6) as usize
+}
--- /dev/null
+++ b/src/decide/grant_hold.rs
@@ -0,0 +1,35 @@
+//! The resources of one upstream that one grant occupies.
+
+use std::time::Duration;
+use std::time::Instant;
+
+use crate::decide::Lane;
+use crate::units::Priority;
+use crate::units::Tokens;
+
+/// The resources of one upstream that one grant occupies, with what is expected of it.
+#[derive(Clone, Debug)]
+pub struct GrantHold {
+    /// Engine memory, in tokens.
+    pub memory_tokens: Tokens,
+    /// The expected prefill, less what is probably cached.
+    pub prefill_tokens: Tokens,
+    /// The priority that was passed to the engine.
+    pub rank: Priority,
+    /// The lane of the prefill.
+    pub lane: Lane,
+    /// Whether another upstream failed the request before.
+    pub is_suspect: bool,
+    /// Whether the request waited in the home's queue, so that its engine was probably full.
+    pub has_waited: bool,
+    /// Time of the grant.
+    pub since: Instant,
+    /// Expected duration from the grant to the end of the answer.
+    pub expected: Duration,
+    /// Prefill in tokens that was ahead of this grant at the upstream when it was made; set by the
+    /// ledger.
+    pub prefill_ahead: f64,
+    /// The upstream's running total of granted prefill of higher priority at that time; set by the
+    /// ledger.
+    pub higher_prefill_mark: f64,
+}
--- a/src/fleet/home_desk/mod.rs
+++ b/src/fleet/home_desk/mod.rs
@@ -15,10 +15,10 @@
 use log::info;
 use tokio::sync::Notify;
 
-use crate::board::Board;
-use crate::board::HostState;
-use crate::board::Shards;
 use crate::clock::Clock;
+use crate::cluster_view::ClusterView;
+use crate::cluster_view::HostState;
+use crate::cluster_view::ShardedMap;
 use crate::control::home::GrantAnswer;
 use crate::control::home::HomeConf;
 use crate::control::home::HomeController;
@@ -27,7 +27,7 @@
 use crate::control::status::Events;
 use crate::decide::PoolKind;
 use crate::decide::PoolLoad;
-use crate::decide::UpstreamSeen;
+use crate::decide::UpstreamInfo;
 use crate::decide::policy_for;
 use crate::entry::UpstreamDirectory;
 use crate::fleet::GrantWaiters;
@@ -61,14 +61,14 @@
     asked_at: Mutex<Instant>,
     target: TargetId,
     is_service: bool,
-    made_of: Mutex<(Generation, Vec<UpstreamSeen>)>,
+    made_of: Mutex<(Generation, Vec<UpstreamInfo>)>,
 }
 
 /// The homes on this host.
 pub struct HomeDesk {
     clock: Arc<dyn Clock>,
     host: HostId,
-    board: Arc<Board>,
+    cluster_view: Arc<ClusterView>,
     events: Arc<Events>,
     peers: Arc<dyn Peers>,
     map: Arc<dyn HomeMap>,
@@ -76,7 +76,7 @@
     waiters: Arc<GrantWaiters>,
     live: Arc<LiveGrants>,
     policy: PolicyName,
-    homes: Shards<PoolId, Arc<Home>>,
+    homes: ShardedMap<PoolId, Arc<Home>>,
     is_closed: AtomicBool,
 }
 
@@ -87,7 +87,7 @@
     /// This host.
     pub host: HostId,
     /// The blackboard.
-    pub board: Arc<Board>,
+    pub cluster_view: Arc<ClusterView>,
     /// What this host did lately.
     pub events: Arc<Events>,
     /// Other hosts.
@@ -110,7 +110,7 @@
         Self {
             clock: parts.clock,
             host: parts.host,
-            board: parts.board,
+            cluster_view: parts.cluster_view,
             events: parts.events,
             peers: parts.peers,
             map: parts.map,
@@ -118,7 +118,7 @@
             waiters: parts.waiters,
             live: parts.live,
             policy: parts.policy,
-            homes: Shards::new(),
+            homes: ShardedMap::new(),
             is_closed: AtomicBool::new(false),
         }
     }
@@ -242,7 +242,7 @@
 
     fn make(self: &Arc<Self>, pool: &PoolId) -> Option<Arc<Home>> {
         let target = pool.target()?;
-        let in_force = self.board.manifest()?;
+        let in_force = self.cluster_view.manifest()?;
         let upstreams = self.upstreams_seen(pool, &target)?;
         let conf = self.policy_config(pool, &target)?;
         let now = self.clock.now();
@@ -277,7 +277,7 @@
     /// of the living ones, and ends what dead ones have left behind.
     fn tell_hosts(self: &Arc<Self>, pool: &PoolId, home: &Arc<Home>) {
         let domain = pool.domain();
-        for (id, view) in self.board.hosts.snapshot() {
+        for (id, view) in self.cluster_view.hosts.snapshot() {
             if domain.as_ref() != Some(&view.domain) {
                 continue;
             }
@@ -301,7 +301,7 @@
     }
 
     fn refresh_home(self: &Arc<Self>, pool: &PoolId, home: &Arc<Home>) {
-        let Some(in_force) = self.board.manifest() else {
+        let Some(in_force) = self.cluster_view.manifest() else {
             return;
         };
         let Some(upstreams) = self.upstreams_seen(pool, &home.target) else {
--- a/src/fleet/home_desk/seen.rs
+++ b/src/fleet/home_desk/seen.rs
@@ -1,8 +1,8 @@
-//! What homes are made of: the manifest and the board as they concern one pool.
+//! What homes are made of: the manifest and the cluster view as they concern one pool.
 
 use crate::decide::PolicyConfig;
 use crate::decide::PoolKind;
-use crate::decide::UpstreamSeen;
+use crate::decide::UpstreamInfo;
 use crate::fleet::home_desk::HomeDesk;
 use crate::units::PoolId;
 use crate::units::TargetId;
@@ -11,23 +11,26 @@
 
 impl HomeDesk {
     pub(super) fn policy_config(&self, pool: &PoolId, target: &TargetId) -> Option<PolicyConfig> {
-        let in_force = self.board.manifest()?;
+        let in_force = self.cluster_view.manifest()?;
         let of_pool = self.map.upstreams_of(pool).len();
-        let of_target = self.board.upstreams.count(|view| view.target == *target);
-        let pool_part = of_pool as f64 / of_target.max(1) as f64;
-        PolicyConfig::for_pool(&in_force.manifest, target, pool_part)
+        let of_target = self
+            .cluster_view
+            .upstreams
+            .count(|view| view.target == *target);
+        let pool_fraction = of_pool as f64 / of_target.max(1) as f64;
+        PolicyConfig::for_pool(&in_force.manifest, target, pool_fraction)
     }
 
     pub(super) fn upstreams_seen(
         &self,
         pool: &PoolId,
         target: &TargetId,
-    ) -> Option<Vec<UpstreamSeen>> {
-        let in_force = self.board.manifest()?;
+    ) -> Option<Vec<UpstreamInfo>> {
+        let in_force = self.cluster_view.manifest()?;
         let (memory_tokens, slots) = size_of(&in_force.manifest, target)?;
         let seen = |id: UpstreamId| {
-            let health = self.board.upstreams.get(&id)?.health;
-            Some(UpstreamSeen {
+            let health = self.cluster_view.upstreams.get(&id)?.health;
+            Some(UpstreamInfo {
                 id,
                 memory_tokens,
                 slots,
--- a/src/fleet/poison_wire.rs
+++ b/src/fleet/poison_wire.rs
@@ -1,7 +1,7 @@
 //! Requests that crash upstreams, as messages.
 
-use crate::decide::Poison;
-use crate::decide::PoisonMark;
+use crate::decide::PoisonReport;
+use crate::decide::RequestFingerprint;
 use crate::peer::message::PoisonNotice;
 use crate::units::AttemptId;
 use crate::units::ContentHash;
@@ -9,10 +9,10 @@
 const KEY_MARK: u8 = 1;
 
 /// A poison as a message.
-pub fn notice_of(poison: &Poison) -> PoisonNotice {
-    let content = match poison.mark {
-        PoisonMark::Content(hash) => hash.0.to_be_bytes().to_vec(),
-        PoisonMark::Key(hash) => {
+pub fn notice_of(poison: &PoisonReport) -> PoisonNotice {
+    let content = match poison.fingerprint {
+        RequestFingerprint::Content(hash) => hash.0.to_be_bytes().to_vec(),
+        RequestFingerprint::Key(hash) => {
             let mut bytes = vec![KEY_MARK];
             bytes.extend(hash.0.to_be_bytes());
             bytes
@@ -29,19 +29,19 @@
 }
 
 /// A poison out of a message; none if it can't be read.
-pub fn poison_of(notice: &PoisonNotice) -> Option<Poison> {
+pub fn poison_of(notice: &PoisonNotice) -> Option<PoisonReport> {
     let hash_of = |bytes: &[u8]| {
         let bytes: [u8; 16] = bytes.try_into().ok()?;
         Some(ContentHash(u128::from_be_bytes(bytes)))
     };
-    let mark = match notice.content.as_slice() {
-        [KEY_MARK, hash @ ..] if hash.len() == 16 => PoisonMark::Key(hash_of(hash)?),
-        content => PoisonMark::Content(hash_of(content)?),
+    let fingerprint = match notice.content.as_slice() {
+        [KEY_MARK, hash @ ..] if hash.len() == 16 => RequestFingerprint::Key(hash_of(hash)?),
+        content => RequestFingerprint::Content(hash_of(content)?),
     };
     let attempt_of = |bytes: &Vec<u8>| hash_of(bytes).map(|hash| AttemptId(hash.0));
     let attempts: Option<Vec<AttemptId>> = notice.attempts.iter().map(attempt_of).collect();
-    Some(Poison {
-        mark,
+    Some(PoisonReport {
+        fingerprint,
         attempts: attempts?,
     })
 }
--- a/src/fleet/upstream_registry.rs
+++ b/src/fleet/upstream_registry.rs
@@ -2,35 +2,35 @@
 
 use std::sync::Arc;
 
-use crate::board::Board;
-use crate::board::Shards;
+use crate::cluster_view::ClusterView;
+use crate::cluster_view::ShardedMap;
 use crate::entry::UpstreamDirectory;
 use crate::http::HttpClient;
 use crate::units::UpstreamId;
 use crate::upstream::HttpUpstream;
 use crate::upstream::Upstream;
 
-/// Clients of the upstreams on the board. A client keeps its idle connections, so it is made once
+/// Clients of the upstreams in the cluster view. A client keeps its idle connections, so it is made once
 /// and made anew only when the upstream's address has changed.
 #[derive(Debug)]
 pub struct UpstreamRegistry {
-    board: Arc<Board>,
-    clients: Shards<UpstreamId, HttpClient>,
+    cluster_view: Arc<ClusterView>,
+    clients: ShardedMap<UpstreamId, HttpClient>,
 }
 
 impl UpstreamRegistry {
-    /// A registry of what is on the board.
-    pub fn new(board: Arc<Board>) -> Self {
+    /// A registry of what is in the cluster view.
+    pub fn new(cluster_view: Arc<ClusterView>) -> Self {
         Self {
-            board,
-            clients: Shards::new(),
+            cluster_view,
+            clients: ShardedMap::new(),
         }
     }
 }
 
 impl UpstreamDirectory for UpstreamRegistry {
     fn upstream(&self, id: &UpstreamId) -> Option<Arc<dyn Upstream>> {
-        let addr = self.board.upstreams.get(id)?.addr;
+        let addr = self.cluster_view.upstreams.get(id)?.addr;
         let client = self.clients.upsert(
             id,
             || HttpClient::new(addr),
--- /dev/null
+++ b/src/gateway/advertised_limit.rs
@@ -0,0 +1,19 @@
+//! The rate limit that an upstream advertises in its answers.
+
+use crate::units::RequestsPerSecond;
+
+/// The rate limit that an upstream advertises in an answer, in requests a second from all hosts
+/// together.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub enum AdvertisedLimit {
+    /// The answer advertises no valid limit: it is not the upstream's own, or the request did not
+    /// run.
+    #[default]
+    Absent,
+    /// The upstream accepts any number of requests.
+    Unlimited,
+    /// The upstream accepts this many requests a second.
+    Limited(RequestsPerSecond),
+    /// The limit is not a rate; the start of its text.
+    Malformed(String),
+}
--- /dev/null
+++ b/src/gateway/catalog_sharing/catalog_cache.rs
@@ -0,0 +1,268 @@
+//! Cache of the lists that a host has read last, for itself and for its peers.
+
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::sync::MutexGuard;
+use std::sync::PoisonError;
+use std::time::Duration;
+
+use log::warn;
+use xxhash_rust::xxh3::xxh3_64;
+
+use crate::exchange::ListedHost;
+use crate::gateway::ListedUpstream;
+use crate::gateway::UpstreamChange;
+use crate::gateway::catalog_sharing::message::HostEntry;
+use crate::gateway::catalog_sharing::message::ListKind;
+use crate::gateway::catalog_sharing::message::ReadRequest;
+use crate::gateway::catalog_sharing::message::ReadResponse;
+use crate::gateway::catalog_sharing::message::UpstreamEntry;
+use crate::gateway::catalog_sharing::reader::RESPONSE_AGE_MAX;
+use crate::gateway::catalog_sharing::upstream_list::UpstreamList;
+use crate::units::ObjectVersion;
+use crate::units::whole_millis;
+
+/// A list with the time since boot at which it was last confirmed to be the newest.
+#[derive(Clone, Debug)]
+struct Confirmed<T> {
+    version: u64,
+    value: Arc<T>,
+    confirmed_at: Duration,
+}
+
+impl<T> Confirmed<T> {
+    /// A response with the version and the age of the list at `now`, since boot.
+    fn header(&self, now: Duration) -> ReadResponse {
+        header(self.version, self.confirmed_at, now)
+    }
+}
+
+#[derive(Debug, Default)]
+struct Lists {
+    routes: Option<Confirmed<String>>,
+    upstreams: UpstreamList,
+    /// The version that the reading host gave this list; 0 if the next response must be the full
+    /// list. A host of the previous version computes another number.
+    upstreams_version: u64,
+    upstreams_confirmed_at: Option<Duration>,
+    hosts: Option<Confirmed<Vec<ListedHost>>>,
+}
+
+/// The lists that were read last.
+#[derive(Debug, Default)]
+pub(crate) struct CatalogCache(Mutex<Lists>);
+
+impl CatalogCache {
+    /// Stores a newer manifest. A confirmation of the manifest before it applies to this one too.
+    pub(crate) fn set_routes(&self, version: u64, text: String, confirmed_at: Duration) {
+        let mut lists = self.lock();
+        let before = lists.routes.as_ref().map(|routes| routes.confirmed_at);
+        lists.routes = Some(Confirmed {
+            version,
+            value: Arc::new(text),
+            confirmed_at: before.map_or(confirmed_at, |before| before.max(confirmed_at)),
+        });
+    }
+
+    /// Records that the manifest was still the newest at this time since boot.
+    pub(crate) fn confirm_routes(&self, confirmed_at: Duration) {
+        if let Some(routes) = &mut self.lock().routes {
+            routes.confirmed_at = routes.confirmed_at.max(confirmed_at);
+        }
+    }
+
+    /// Replaces all upstreams. Returns whether the list has changed.
+    pub(crate) fn replace_upstreams(
+        &self,
+        listed: &[ListedUpstream],
+        confirmed_at: Duration,
+    ) -> bool {
+        let mut lists = self.lock();
+        lists.upstreams_confirmed_at = Some(confirmed_at);
+        let has_changed = lists.upstreams.replace(listed);
+        lists.upstreams_version = lists.upstreams.version();
+        has_changed
+    }
+
+    /// Applies changes of the upstreams. Returns whether the list has changed.
+    pub(crate) fn apply_changes(&self, changes: Vec<UpstreamChange>) -> bool {
+        let mut lists = self.lock();
+        let has_changed = lists.upstreams.apply(changes);
+        lists.upstreams_version = lists.upstreams.version();
+        has_changed
+    }
+
+    /// Applies the response of another host to a request for upstreams. Returns whether the list
+    /// has changed.
+    pub(crate) fn apply_response(&self, response: &ReadResponse, confirmed_at: Duration) -> bool {
+        let listed = response.upstreams.iter().filter_map(UpstreamEntry::decode);
+        let mut lists = self.lock();
+        let has_changed = if response.is_delta {
+            let removed = response.removed.iter().filter_map(|name| name.parse().ok());
+            let removed = removed.map(UpstreamChange::Removed);
+            let has_changed = lists
+                .upstreams
+                .apply(removed.chain(listed.map(UpstreamChange::Upserted)));
+            if lists.upstreams.version() != response.version {
+                warn!(
+                    "catalog sharing: a delta of the upstreams does not match its version, requesting the full list"
+                );
+                lists.upstreams_version = 0;
+                return has_changed;
+            }
+            has_changed
+        } else {
+            lists
+                .upstreams
+                .replace(&listed.collect::<Vec<ListedUpstream>>())
+        };
+        lists.upstreams_version = response.version;
+        lists.upstreams_confirmed_at = Some(confirmed_at);
+        has_changed
+    }
+
+    /// Records that the upstreams were still current at this time since boot.
+    pub(crate) fn confirm_upstreams(&self, confirmed_at: Duration) {
+        let mut lists = self.lock();
+        lists.upstreams_confirmed_at = lists.upstreams_confirmed_at.max(Some(confirmed_at));
+    }
+
+    /// Replaces the hosts.
+    pub(crate) fn set_hosts(&self, hosts: &[ListedHost], confirmed_at: Duration) {
+        self.lock().hosts = Some(Confirmed {
+            version: hosts_version_of(hosts),
+            value: Arc::new(hosts.to_vec()),
+            confirmed_at,
+        });
+    }
+
+    /// Records that the hosts were still current at this time since boot.
+    pub(crate) fn confirm_hosts(&self, confirmed_at: Duration) {
+        if let Some(hosts) = &mut self.lock().hosts {
+            hosts.confirmed_at = hosts.confirmed_at.max(confirmed_at);
+        }
+    }
+
+    /// The versions of the manifest and the upstreams; 0 for a list that was not read yet.
+    pub(crate) fn versions(&self) -> (u64, u64) {
+        let lists = self.lock();
+        let routes = lists.routes.as_ref().map_or(0, |routes| routes.version);
+        (routes, lists.upstreams_version)
+    }
+
+    /// The version of the manifest in the platform; 0 if it was not read yet.
+    pub(crate) fn routes_version(&self) -> ObjectVersion {
+        ObjectVersion(self.versions().0)
+    }
+
+    /// The version of the hosts; 0 if they were not read yet.
+    pub(crate) fn hosts_version(&self) -> u64 {
+        let lists = self.lock();
+        lists.hosts.as_ref().map_or(0, |hosts| hosts.version)
+    }
+
+    /// The upstreams that were read last; none before the first read.
+    pub(crate) fn upstreams(&self) -> Option<Arc<Vec<ListedUpstream>>> {
+        let lists = self.lock();
+        lists.upstreams_confirmed_at?;
+        Some(Arc::clone(lists.upstreams.listed()))
+    }
+
+    /// The time since boot at which the upstreams were last confirmed to be current.
+    pub(crate) fn upstreams_confirmed_at(&self) -> Option<Duration> {
+        self.lock().upstreams_confirmed_at
+    }
+
+    /// The time since boot at which the manifest and the upstreams were both last confirmed to be
+    /// current; none before both were read.
+    pub(crate) fn confirmed_at(&self) -> Option<Duration> {
+        let lists = self.lock();
+        let routes = lists.routes.as_ref()?.confirmed_at;
+        Some(routes.min(lists.upstreams_confirmed_at?))
+    }
+
+    /// Whether the manifest and the upstreams are fresh enough at `now`, since boot, for other
+    /// hosts to use them.
+    pub(crate) fn is_fresh(&self, now: Duration) -> bool {
+        self.confirmed_at()
+            .is_some_and(|confirmed_at| is_fresh(confirmed_at, now))
+    }
+
+    /// Responds to a request of another host at `now`, since boot.
+    pub(crate) fn respond(&self, request: &ReadRequest, now: Duration) -> ReadResponse {
+        let lists = self.lock();
+        match ListKind::try_from(request.list) {
+            Ok(ListKind::Routes) => lists.routes.as_ref().map(|routes| {
+                let mut response = routes.header(now);
+                if routes.version != request.known_version {
+                    response.routes = routes.value.to_string();
+                }
+                response
+            }),
+            Ok(ListKind::Upstreams) => lists.upstreams_confirmed_at.map(|confirmed_at| {
+                let header = header(lists.upstreams_version, confirmed_at, now);
+                add_upstreams(&lists, request, header)
+            }),
+            Ok(ListKind::Hosts) => lists.hosts.as_ref().map(|hosts| {
+                let mut response = hosts.header(now);
+                if hosts.version != request.known_version {
+                    response.hosts = hosts.value.iter().map(HostEntry::from).collect();
+                }
+                response
+            }),
+            // A host of a newer version requests a list that this version does not have.
+            Err(_) => None,
+        }
+        .unwrap_or_default()
+    }
+
+    fn lock(&self) -> MutexGuard<'_, Lists> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+/// Whether a list that was confirmed at `confirmed_at` is fresh enough at `now`, both since boot.
+pub(crate) fn is_fresh(confirmed_at: Duration, now: Duration) -> bool {
+    now.saturating_sub(confirmed_at) <= RESPONSE_AGE_MAX
+}
+
+/// A response with only the version and the age of a list.
+fn header(version: u64, confirmed_at: Duration, now: Duration) -> ReadResponse {
+    ReadResponse {
+        version,
+        age_ms: whole_millis(now.saturating_sub(confirmed_at)),
+        ..ReadResponse::default()
+    }
+}
+
+/// Adds to `header` the upstreams that the requesting host does not have.
+fn add_upstreams(lists: &Lists, request: &ReadRequest, header: ReadResponse) -> ReadResponse {
+    if lists.upstreams_version == request.known_version {
+        return header;
+    }
+    let list = &lists.upstreams;
+    let changes = list.changes_since(request.known_version);
+    let Some(changes) = changes.filter(|_| request.accepts_deltas) else {
+        return ReadResponse {
+            upstreams: list.listed().iter().map(UpstreamEntry::from).collect(),
+            ..header
+        };
+    };
+    let mut response = ReadResponse {
+        is_delta: true,
+        ..header
+    };
+    for change in changes {
+        match change {
+            UpstreamChange::Upserted(listed) => response.upstreams.push((&listed).into()),
+            UpstreamChange::Removed(name) => response.removed.push(name.to_string()),
+        }
+    }
+    response
+}
+
+/// A version that is the same for the same hosts in the same order.
+fn hosts_version_of(hosts: &[ListedHost]) -> u64 {
+    // Version 0 means that there is none.
+    xxh3_64(format!("{hosts:?}").as_bytes()).max(1)
+}
--- a/src/gateway/decision_log.rs
+++ b/src/gateway/decision_log.rs
@@ -1,4 +1,4 @@
-//! Writes the lines of decisions without ever holding up a request.
+//! The decision log, which is written without blocking requests.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -13,24 +13,25 @@
 use serde::Serialize;
 
 use crate::clock::Clock;
-use crate::gateway::Event;
+use crate::gateway::DecisionEvent;
 use crate::units::HostId;
 use crate::units::whole_millis;
 
-/// Lines that wait to be written, about 300 bytes each. A second of a host under its heaviest load.
-const WAITING_MAX: usize = 2_048;
-/// Of these, places that only lines of failures may take.
-const KEPT_FOR_FAILURES: usize = 512;
-/// Lines are gathered for this long and written together: each write and each time the writer
-/// wakes up costs processor time.
-const GATHER_TIME: Duration = Duration::from_millis(200);
+/// The capacity of the buffer in lines, about 300 bytes each. Holds one second of output of a host
+/// under its heaviest load.
+const PENDING_MAX: usize = 2_048;
+/// The part of the capacity that is reserved for lines of failures.
+const RESERVED_FOR_FAILURES: usize = 512;
+/// How long lines are collected before they are written together. Each write, and each wake-up of
+/// the writer, costs processor time.
+const BATCH_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(Serialize)]
 struct Line<'a> {
     wall_ms: u64,
     host: &'a HostId,
     #[serde(flatten)]
-    event: &'a Event,
+    event: &'a DecisionEvent,
 }
 
 #[derive(Serialize)]
@@ -42,8 +43,8 @@
 }
 
 #[derive(Default)]
-struct Waiting {
-    lines: Vec<(u64, Event)>,
+struct Pending {
+    lines: Vec<(u64, DecisionEvent)>,
     dropped: u64,
     dropped_total: u64,
     is_closed: bool,
@@ -51,17 +52,17 @@
 
 struct Shared {
     host: HostId,
-    waiting: Mutex<Waiting>,
+    pending: Mutex<Pending>,
     arrived: Condvar,
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Pending> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The decision log of a host.
+/// The decision log of one host.
 pub struct DecisionLog {
     clock: Arc<dyn Clock>,
     shared: Arc<Shared>,
@@ -69,11 +70,11 @@
 }
 
 impl DecisionLog {
-    /// A log whose lines a thread of its own writes to `out`.
+    /// Creates a log with a thread of its own that writes the lines to `out`.
     pub fn new(host: HostId, clock: Arc<dyn Clock>, out: Box<dyn Write + Send>) -> Self {
         let shared = Arc::new(Shared {
             host,
-            waiting: Mutex::default(),
+            pending: Mutex::default(),
             arrived: Condvar::new(),
         });
         let writer_shared = Arc::clone(&shared);
@@ -85,35 +86,35 @@
         }
     }
 
-    /// Notes an event. If too many wait, it is dropped and counted.
-    pub fn note(&self, event: Event) {
+    /// Records an event. If the buffer is full, the event is dropped and counted.
+    pub fn record(&self, event: DecisionEvent) {
         let wall = self.clock.wall().duration_since(UNIX_EPOCH);
         let wall_ms = whole_millis(wall.unwrap_or_default());
-        let mut waiting = self.shared.lock();
-        let places = if event.is_kept_first() {
-            WAITING_MAX
+        let mut pending = self.shared.lock();
+        let capacity = if event.has_priority() {
+            PENDING_MAX
         } else {
-            WAITING_MAX - KEPT_FOR_FAILURES
+            PENDING_MAX - RESERVED_FOR_FAILURES
         };
-        if waiting.lines.len() >= places {
-            waiting.dropped += 1;
-            waiting.dropped_total += 1;
+        if pending.lines.len() >= capacity {
+            pending.dropped += 1;
+            pending.dropped_total += 1;
             return;
         }
-        waiting.lines.push((wall_ms, event));
-        let is_first = waiting.lines.len() == 1;
-        drop(waiting);
+        pending.lines.push((wall_ms, event));
+        let is_first = pending.lines.len() == 1;
+        drop(pending);
         if is_first {
             self.shared.arrived.notify_one();
         }
     }
 
-    /// How many lines were dropped since the start.
+    /// The number of lines dropped since the start.
     pub fn dropped_total(&self) -> u64 {
         self.shared.lock().dropped_total
     }
 
-    /// Writes what waits and ends the writer.
+    /// Writes all buffered lines and ends the writer thread.
     pub fn close(&self) {
         self.shared.lock().is_closed = true;
         self.shared.arrived.notify_one();
@@ -125,7 +126,7 @@
         if let Some(writer) = writer
             && writer.join().is_err()
         {
-            log::error!("decision log: the writer broke down");
+            log::error!("decision log: the writer thread panicked");
         }
     }
 }
@@ -155,8 +156,8 @@
         }
         let written = out.write_all(&text).and_then(|()| out.flush());
         if let Err(err) = written {
-            // Standard output is gone: there is nobody left to read, and nothing else to tell it to.
-            log::error!("decision log: cannot write, ends: {err}");
+            // The output is closed, so this error goes to the process log, and the writer ends.
+            log::error!("decision log: cannot write, the writer stops: {err}");
             return;
         }
         if is_closed {
@@ -165,22 +166,22 @@
     }
 }
 
-fn take_lines(shared: &Shared) -> (Vec<(u64, Event)>, u64, bool) {
-    let waiting = shared.lock();
-    let waiting = shared
+fn take_lines(shared: &Shared) -> (Vec<(u64, DecisionEvent)>, u64, bool) {
+    let pending = shared.lock();
+    let pending = shared
         .arrived
-        .wait_while(waiting, |w| w.lines.is_empty() && !w.is_closed)
+        .wait_while(pending, |w| w.lines.is_empty() && !w.is_closed)
         .unwrap_or_else(PoisonError::into_inner);
-    if !waiting.is_closed {
-        drop(waiting);
-        thread::sleep(GATHER_TIME);
+    if !pending.is_closed {
+        drop(pending);
+        thread::sleep(BATCH_INTERVAL);
     } else {
-        drop(waiting);
+        drop(pending);
     }
-    let mut waiting = shared.lock();
-    let lines = std::mem::take(&mut waiting.lines);
-    let dropped = std::mem::take(&mut waiting.dropped);
-    (lines, dropped, waiting.is_closed)
+    let mut pending = shared.lock();
+    let lines = std::mem::take(&mut pending.lines);
+    let dropped = std::mem::take(&mut pending.dropped);
+    (lines, dropped, pending.is_closed)
 }
 
 fn append(text: &mut Vec<u8>, line: &impl Serialize) {
@@ -189,7 +190,7 @@
         Ok(()) => text.push(b'\n'),
         Err(err) => {
             text.truncate(len);
-            log::error!("decision log: a line can't be written as JSON: {err}");
+            log::error!("decision log: cannot serialize a line as JSON: {err}");
         }
     }
 }
--- /dev/null
+++ b/src/gateway/engine_client.rs
@@ -0,0 +1,60 @@
+//! The interface through which a gateway sends orders and report requests to engines.
+
+use std::fmt;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use futures_util::future::BoxFuture;
+
+use crate::units::Slowdown;
+use crate::units::Tokens;
+
+/// Why an engine did not carry out an order.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum EngineClientError {
+    /// The engine refused the order: the memory is not free, or the engine does not know the order.
+    Refused(String),
+    /// No response arrived; the order may have been carried out, or may still be.
+    NoAnswer(String),
+}
+
+impl fmt::Display for EngineClientError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Refused(why) => write!(f, "refused: {why}"),
+            Self::NoAnswer(why) => write!(f, "no answer: {why}"),
+        }
+    }
+}
+
+impl std::error::Error for EngineClientError {}
+
+/// An engine's report on itself, some hundred ms old.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct EngineReport {
+    /// How much slower the engine works than its model predicts.
+    pub slowdown: Slowdown,
+}
+
+/// Sends orders for engines' memory, and requests for reports.
+pub trait EngineClient: Send + Sync {
+    /// Reserves memory under a name for `hold`, counted from the arrival of the order, or renews
+    /// the reservation. The memory is free immediately or the order is refused.
+    fn reserve<'a>(
+        &'a self,
+        engine: SocketAddr,
+        name: &'a str,
+        tokens: Tokens,
+        hold: Duration,
+    ) -> BoxFuture<'a, Result<(), EngineClientError>>;
+
+    /// Requests a report from an engine.
+    fn report(&self, engine: SocketAddr) -> BoxFuture<'_, Result<EngineReport, EngineClientError>>;
+
+    /// Releases the reservation with this name.
+    fn release<'a>(
+        &'a self,
+        engine: SocketAddr,
+        name: &'a str,
+    ) -> BoxFuture<'a, Result<(), EngineClientError>>;
+}
--- a/src/gateway/event_splitter.rs
+++ b/src/gateway/event_splitter.rs
@@ -1,52 +1,54 @@
-//! Cuts a stream into whole events without changing a byte.
+//! Splits a stream into complete events without changing a byte.
 //!
-//! An upstream can break off in the middle of an event. If that half had been passed on, the event
-//! could not be sent again by the upstream that goes on: the caller would get it one and a half
-//! times. So only whole events are passed on, and the id of the last one is known.
+//! An upstream can break off in the middle of an event. If the first half had been forwarded, the
+//! upstream that resumes the stream would send the whole event again, and the caller would receive
+//! its first half twice. Only complete events are therefore forwarded, and the id of the last one
+//! is recorded.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// What has come of a stream and was not passed on yet.
+/// A buffer of the bytes received from a stream and not forwarded yet.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
-    searched: usize,
+    scanned: usize,
     last_id: Option<String>,
 }
 
 impl EventSplitter {
-    /// Takes in bytes and returns the whole events that are there now, if any.
+    /// Adds bytes and returns the complete events available now, if any.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.pending.extend_from_slice(bytes);
-        let end = self.end_of_events()?;
+        let end = self.last_event_end()?;
         let events = self.pending.split_to(end).freeze();
-        self.searched = 0;
+        self.scanned = 0;
         if let Some(id) = last_id(&events) {
             self.last_id = Some(id);
         }
         Some(events)
     }
 
-    /// Whether a part of an event is waiting for its rest.
-    pub fn has_part(&self) -> bool {
+    /// Whether the buffer holds an incomplete event.
+    pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Forgets a part of an event whose rest will not come.
-    pub fn drop_part(&mut self) {
+    /// Discards an incomplete event, the rest of which will not arrive.
+    pub fn discard_partial_event(&mut self) {
         self.pending.clear();
-        self.searched = 0;
+        self.scanned = 0;
     }
 
-    /// The id of the last event that was passed on.
+    /// The id of the last event returned by [`Self::push`].
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Where the last whole event ends: after an empty line. Lines end with LF or CR LF.
-    fn end_of_events(&mut self) -> Option<usize> {
-        let from = self.searched.saturating_sub(3);
+    /// The end of the last complete event, which an empty line terminates. Lines end with LF or CR
+    /// LF.
+    fn last_event_end(&mut self) -> Option<usize> {
+        let from = self.scanned.saturating_sub(3);
         let tail = &self.pending[from..];
         let mut end = None;
         for (index, byte) in tail.iter().enumerate() {
@@ -60,12 +62,12 @@
                 end = Some(from + index + 3);
             }
         }
-        self.searched = self.pending.len();
+        self.scanned = self.pending.len();
         end
     }
 }
 
-/// The id of the last event that has one.
+/// The id of the last event that has an id.
 fn last_id(events: &[u8]) -> Option<String> {
     let lines = events.rsplit(|byte| *byte == b'\n');
     let mut ids = lines.filter_map(|line| {
--- a/src/gateway/load_guard.rs
+++ b/src/gateway/load_guard.rs
@@ -1,56 +1,55 @@
-//! Keeps a request's work on the books for as long as it lasts.
+//! Counts the load of a request on its upstreams while the request lasts.
 
 use std::sync::Arc;
 
-use crate::decide::LoadShare;
+use crate::decide::RequestLoad;
 use crate::gateway::Gateway;
 use crate::units::UpstreamId;
 
-/// The work of one send, which is taken off the books when the guard is dropped, however the
-/// request ends.
+/// The load of one send, which is subtracted when the guard is dropped, however the request ends.
 pub(crate) struct LoadGuard {
     gateway: Arc<Gateway>,
-    shares: Vec<(UpstreamId, LoadShare)>,
-    /// Spares the ledger's lock at each event after the first.
-    is_read: bool,
+    loads: Vec<(UpstreamId, RequestLoad)>,
+    /// Avoids locking the ledger at each event after the first.
+    is_prefilled: bool,
 }
 
 impl LoadGuard {
-    pub(crate) fn new(gateway: &Arc<Gateway>, shares: Vec<(UpstreamId, LoadShare)>) -> Self {
+    pub(crate) fn new(gateway: &Arc<Gateway>, loads: Vec<(UpstreamId, RequestLoad)>) -> Self {
         let now = gateway.clock.now();
         let mut ledger = gateway.ledger();
-        for (upstream, share) in &shares {
-            ledger.start(upstream, share, now);
+        for (upstream, load) in &loads {
+            ledger.start_request(upstream, load, now);
         }
         drop(ledger);
         gateway
             .rate_limits
-            .on_sent(shares.iter().map(|(id, _)| id), now);
-        // Hosts that do not know of each other's prompts choose the same engines, and all of these
-        // come later than forecast by the time of the others.
-        if shares.iter().any(|(_, share)| !share.read_time.is_zero()) {
-            gateway.load_urgent.notify_one();
+            .on_sent(loads.iter().map(|(id, _)| id), now);
+        // Hosts that do not know of prompts sent by each other choose the same engines, and each of
+        // these prompts is then delayed beyond its forecast by the prefill of the others.
+        if loads.iter().any(|(_, load)| !load.prefill_time.is_zero()) {
+            gateway.broadcast_now.notify_one();
         } else {
             gateway.load_changed.notify_one();
         }
         Self {
             gateway: Arc::clone(gateway),
-            shares,
-            is_read: false,
+            loads,
+            is_prefilled: false,
         }
     }
 }
 
 impl LoadGuard {
-    /// Takes in that the prompt has been read.
-    pub(crate) fn read_done(&mut self) {
-        if self.is_read {
+    /// Records that the prompt has been prefilled.
+    pub(crate) fn on_prefill_done(&mut self) {
+        if self.is_prefilled {
             return;
         }
-        self.is_read = true;
+        self.is_prefilled = true;
         let mut ledger = self.gateway.ledger();
-        for (upstream, share) in &mut self.shares {
-            ledger.read_done(upstream, share);
+        for (upstream, load) in &mut self.loads {
+            ledger.finish_prefill(upstream, load);
         }
     }
 }
@@ -58,8 +57,8 @@
 impl Drop for LoadGuard {
     fn drop(&mut self) {
         let mut ledger = self.gateway.ledger();
-        for (upstream, share) in &self.shares {
-            ledger.end(upstream, share);
+        for (upstream, load) in &self.loads {
+            ledger.end_request(upstream, load);
         }
         drop(ledger);
         self.gateway.load_changed.notify_one();
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -1,4 +1,4 @@
-//! What a gateway tells the other hosts and hears from them.
+//! What a gateway broadcasts to the other hosts, and how it applies their broadcasts.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -9,27 +9,27 @@
 use log::warn;
 use tokio::sync::Notify;
 
-use crate::decide::Extent;
 use crate::decide::HostLoad;
 use crate::decide::LimitReport;
 use crate::decide::LoadSource;
-use crate::decide::Poison;
-use crate::decide::PoisonMark;
-use crate::decide::ReadSent;
-use crate::decide::SentLately;
-use crate::exchange::HostNews;
-use crate::exchange::LimitNews;
+use crate::decide::LoadUpdateKind;
+use crate::decide::PoisonReport;
+use crate::decide::PrefillSent;
+use crate::decide::RecentSends;
+use crate::decide::RequestFingerprint;
+use crate::exchange::ExchangeHandler;
+use crate::exchange::HostUpdate;
+use crate::exchange::LimitEntry;
 use crate::exchange::ListedHost;
-use crate::exchange::LoadNews;
-use crate::exchange::NewsDesk;
-use crate::exchange::NewsRoute;
-use crate::exchange::PoisonNews;
-use crate::exchange::SlowNews;
+use crate::exchange::LoadEntry;
+use crate::exchange::MessageScope;
+use crate::exchange::PoisonEntry;
+use crate::exchange::SlowdownEntry;
+use crate::exchange::UpdateRoute;
 use crate::exchange::UpstreamHash;
-use crate::exchange::Voice;
-use crate::gateway::Event;
+use crate::gateway::DecisionEvent;
 use crate::gateway::Gateway;
-use crate::gateway::share::is_fresh;
+use crate::gateway::catalog_sharing::is_fresh;
 use crate::units::AttemptId;
 use crate::units::ContentHash;
 use crate::units::FailureDomainId;
@@ -41,10 +41,10 @@
 use crate::units::whole_millis;
 use crate::units::whole_millis_u32;
 
-/// Marks in one message, the latest. 64 are 4 KB.
-const POISONS_MAX: usize = 64;
+/// Largest number of poison reports in one message, the latest ones. 64 take 4 KB.
+const POISON_REPORTS_MAX: usize = 64;
 
-impl NewsDesk for Gateway {
+impl ExchangeHandler for Gateway {
     fn host(&self) -> HostId {
         self.conf.host.clone()
     }
@@ -53,230 +53,258 @@
         self.conf.domain.clone()
     }
 
-    fn news(&self) -> HostNews {
+    fn local_update(&self) -> HostUpdate {
         let now = self.clock.now();
         let ledger = self.ledger();
-        let loads = ledger.own(now).map(|(id, load)| load_news(id, &load));
+        let loads = ledger
+            .own_loads(now)
+            .map(|(id, load)| load_entry(id, &load));
         let loads = loads.collect();
         drop(ledger);
-        let mut poisons = self.crashes_to_tell();
-        let surplus = poisons.len().saturating_sub(POISONS_MAX);
+        let mut poisons = self.recent_crashes();
+        let surplus = poisons.len().saturating_sub(POISON_REPORTS_MAX);
         let poisons = poisons.split_off(surplus);
-        let (routes_version, upstreams_version) = self.held.versions();
+        let (routes_version, upstreams_version) = self.catalog_cache.versions();
         let health = self.health();
-        let unreachable = health.unreachable(now).map(ToString::to_string).collect();
-        let cut_off = health.cut_off(now).map(ToString::to_string).collect();
+        let unreachable = health
+            .unreachable_upstreams(now)
+            .map(ToString::to_string)
+            .collect();
+        let cut_off = health
+            .unreachable_domains(now)
+            .map(ToString::to_string)
+            .collect();
         drop(health);
-        HostNews {
-            proof_age_plus_one_ms: self.proof_age_plus_one_ms(),
-            slow: self.slowdowns.own(now).iter().map(slow_news).collect(),
+        HostUpdate {
+            confirmed_age_plus_one_ms: self.list_age_plus_one_ms(),
+            slowdowns: self.slowdowns.own(now).iter().map(slowdown_entry).collect(),
             limits: self
                 .rate_limits
-                .book()
+                .tracker()
                 .reports(now)
-                .map(limit_news)
+                .map(limit_entry)
                 .collect(),
-            unreachable,
-            cut_off,
+            unreachable_upstreams: unreachable,
+            unreachable_domains: cut_off,
             routes_version,
             upstreams_version,
             host: self.conf.host.to_string(),
             incarnation: self.incarnation,
-            sequence: self.news_sent.fetch_add(1, Ordering::Relaxed),
+            sequence: self.updates_sent.fetch_add(1, Ordering::Relaxed),
             loads,
-            poisons: poisons.iter().map(poison_news).collect(),
-            ..HostNews::default()
+            poisons: poisons.iter().map(poison_entry).collect(),
+            ..HostUpdate::default()
         }
     }
 
-    fn hear(&self, news: HostNews) {
+    fn on_update(&self, update: HostUpdate) {
         let now = self.clock.now();
-        let Ok(host) = news.host.parse::<HostId>() else {
-            warn!("exchange: news without a host name");
+        let Ok(host) = update.host.parse::<HostId>() else {
+            warn!("exchange: a message without a valid host name");
             return;
         };
         if host == self.conf.host {
             return;
         }
-        if !self.beliefs.is_host(&host) {
-            self.hosts_news.notify_one();
+        if !self.platform_view.is_host(&host) {
+            self.hosts_changed.notify_one();
         }
-        for poison in news.poisons.iter().filter_map(read_poison) {
+        for poison in update.poisons.iter().filter_map(decode_poison) {
             self.poison().merge(&poison, now);
         }
-        self.hear_versions(&host, &news);
-        self.hear_proof(&host, &news, now);
-        self.hear_unreachable(&host, &news, now);
-        let source = match news.voice() {
-            Voice::Domain => LoadSource::Collector(host),
-            Voice::Own | Voice::Relay => LoadSource::Host(host),
+        self.apply_versions(&host, &update);
+        self.apply_list_age(&host, &update, now);
+        self.apply_unreachable(&host, &update, now);
+        let source = match update.scope() {
+            MessageScope::Domain => LoadSource::Collector(host),
+            MessageScope::Host | MessageScope::Relay => LoadSource::Host(host),
         };
-        let extent = if news.is_partial {
-            Extent::Changes
+        let extent = if update.is_partial {
+            LoadUpdateKind::Delta
         } else {
-            Extent::Whole
+            LoadUpdateKind::Snapshot
         };
-        let names = self.beliefs.upstream_names();
-        let loads = news.loads.iter();
-        let loads = loads.filter_map(|load| Some((upstream_of(load, &names)?, read_load(load))));
-        for slow in &news.slow {
-            if let Some(engine) = names.get(&UpstreamHash(slow.upstream_hash)) {
-                self.slowdowns.hear(engine, read_slowdown(slow), now);
+        let by_hash = self.platform_view.upstreams_by_hash();
+        let loads = update.loads.iter();
+        let loads =
+            loads.filter_map(|load| Some((resolve_upstream(load, &by_hash)?, decode_load(load))));
+        for slow in &update.slowdowns {
+            if let Some(engine) = by_hash.get(&UpstreamHash(slow.upstream_hash)) {
+                self.slowdowns
+                    .on_peer_report(engine, decode_slowdown(slow), now);
             }
         }
-        for limit in &news.limits {
-            if let Some(upstream) = names.get(&limit.upstream()) {
-                self.hear_limit(&source, upstream, &read_limit(limit), now);
+        for limit in &update.limits {
+            if let Some(upstream) = by_hash.get(&limit.upstream()) {
+                self.on_limit_report(&source, upstream, &decode_limit(limit), now);
             }
         }
         let mut ledger = self.ledger();
-        ledger.hear_part(source, news.incarnation, extent, loads, now);
+        ledger.record_loads(source, update.incarnation, extent, loads, now);
     }
 
     fn hosts(&self) -> Arc<Vec<ListedHost>> {
-        self.beliefs.hosts()
+        self.platform_view.hosts()
     }
 
-    fn on_route(&self, route: NewsRoute) {
-        if route.is_another_way_than(&self.logged_route()) {
-            self.log.note(Event::NewsRoute {
+    fn on_update_route(&self, route: UpdateRoute) {
+        if route.differs_noticeably_from(&self.logged_route()) {
+            self.log.record(DecisionEvent::UpdateRouteChanged {
                 collector: route.collector.as_ref().map(ToString::to_string),
-                near_age_ms: whole_millis(route.near_age),
-                far_age_ms: whole_millis(route.far_age),
+                near_age_ms: whole_millis(route.local_age_max),
+                far_age_ms: whole_millis(route.remote_age_max),
             });
             self.set_logged_route(route.clone());
         }
-        self.set_news_route(route);
+        self.set_update_route(route);
     }
 
-    fn changed(&self) -> &Notify {
+    fn change_notify(&self) -> &Notify {
         &self.load_changed
     }
 
-    fn urgent(&self) -> &Notify {
-        &self.load_urgent
+    fn urgent_change_notify(&self) -> &Notify {
+        &self.broadcast_now
     }
 }
 
 impl Gateway {
-    /// Takes in what a neighbour could not reach. A host of another failure domain has other ways.
-    fn hear_unreachable(&self, host: &HostId, news: &HostNews, now: Instant) {
-        if news.unreachable.is_empty() && news.cut_off.is_empty() {
+    /// Applies a peer's list of unreachable upstreams. Only peers of this failure domain count: a
+    /// host of another domain reaches upstreams by other network paths.
+    fn apply_unreachable(&self, host: &HostId, update: &HostUpdate, now: Instant) {
+        if update.unreachable_upstreams.is_empty() && update.unreachable_domains.is_empty() {
             return;
         }
-        let hosts = self.beliefs.hosts();
+        let hosts = self.platform_view.hosts();
         let sender = hosts.iter().find(|listed| listed.host == *host);
         if sender.is_none_or(|sender| sender.domain != self.conf.domain) {
             return;
         }
-        let Some(by_service) = self.beliefs.upstreams() else {
+        let Some(by_service) = self.platform_view.upstreams() else {
             return;
         };
         let mut health = self.health();
-        for domain in news.cut_off.iter().filter_map(|name| name.parse().ok()) {
-            health.hear_cut_off(&domain, now);
+        for domain in update
+            .unreachable_domains
+            .iter()
+            .filter_map(|name| name.parse().ok())
+        {
+            health.on_unreachable_domain_report(&domain, now);
         }
-        for upstream in by_service.values().flatten() {
-            if news.unreachable.iter().any(|id| id == upstream.id.as_str()) {
-                health.hear_unreachable(&upstream.id, &upstream.domain, now);
+        for listed in by_service.values().flatten() {
+            if update
+                .unreachable_upstreams
+                .iter()
+                .any(|id| id == listed.id.as_str())
+            {
+                health.on_unreachable_report(&listed.id, &listed.domain, now);
             }
         }
         drop(health);
         self.health_changed.notify_one();
     }
 
-    fn proof_age_plus_one_ms(&self) -> u32 {
+    fn list_age_plus_one_ms(&self) -> u32 {
         let now = self.clock.since_boot();
-        let age = self.held.proved_at().map(|at| now.saturating_sub(at));
+        let age = self
+            .catalog_cache
+            .confirmed_at()
+            .map(|at| now.saturating_sub(at));
         age.map_or(0, |age| whole_millis_u32(age).saturating_add(1))
     }
 
-    /// Takes in how old a host's lists are. Where this host's own are stale the tasks that read ask
-    /// that one at once.
-    fn hear_proof(&self, host: &HostId, news: &HostNews, now: Instant) {
-        let Some(age_ms) = news.proof_age_plus_one_ms.checked_sub(1) else {
+    /// Records the reported age of a host's lists. If this host's own lists are stale, the tasks
+    /// that read the platform are woken to read from that host.
+    fn apply_list_age(&self, host: &HostId, update: &HostUpdate, now: Instant) {
+        let Some(age_ms) = update.confirmed_age_plus_one_ms.checked_sub(1) else {
             return;
         };
         let at = self.clock.since_boot();
         let age = Duration::from_millis(age_ms.into());
-        let proved_at = at.saturating_sub(age);
-        let can_be_asked = self.readers.on_told(host, proved_at, age, now);
-        if can_be_asked && is_fresh(proved_at, at) && !self.held.is_fresh(at) {
-            self.routes_news.notify_one();
-            self.upstreams_news.notify_one();
+        let confirmed_at = at.saturating_sub(age);
+        let can_be_asked = self
+            .reader_selector
+            .on_age_report(host, confirmed_at, age, now);
+        if can_be_asked && is_fresh(confirmed_at, at) && !self.catalog_cache.is_fresh(at) {
+            self.routes_changed.notify_one();
+            self.upstreams_changed.notify_one();
         }
     }
 
-    /// Wakes the tasks that read if the host that reads for this one has something new.
-    fn hear_versions(&self, host: &HostId, news: &HostNews) {
-        let (routes, upstreams) = self.held.versions();
-        let has_upstreams = news.upstreams_version != 0 && news.upstreams_version != upstreams;
-        let has_news = news.routes_version > routes || has_upstreams;
-        if !has_news || !self.readers.is_asked(host) {
+    /// Wakes the tasks that read the platform if the host that reads for this one has a newer list.
+    fn apply_versions(&self, host: &HostId, update: &HostUpdate) {
+        let (routes, upstreams) = self.catalog_cache.versions();
+        let has_upstreams = update.upstreams_version != 0 && update.upstreams_version != upstreams;
+        let is_newer = update.routes_version > routes || has_upstreams;
+        if !is_newer || !self.reader_selector.is_selected(host) {
             return;
         }
-        if news.routes_version > routes {
-            self.routes_news.notify_one();
+        if update.routes_version > routes {
+            self.routes_changed.notify_one();
         }
         if has_upstreams {
-            self.upstreams_news.notify_one();
+            self.upstreams_changed.notify_one();
         }
     }
 }
 
-fn load_news(id: &UpstreamId, load: &HostLoad) -> LoadNews {
-    LoadNews {
+fn load_entry(id: &UpstreamId, load: &HostLoad) -> LoadEntry {
+    LoadEntry {
         upstream: id.to_string(),
         in_flight: load.in_flight,
         short_in_flight: load.short_in_flight,
-        read_remaining_ms: whole_millis_u32(load.read.remaining),
-        read_total_us: whole_micros(load.read.total),
+        prefill_remaining_ms: whole_millis_u32(load.prefill.remaining),
+        prefill_total_us: whole_micros(load.prefill.total),
         strictest_pause_ms: load.strictest_pause.map_or(0, whole_millis_u32),
         held_tokens: load.held_tokens.0,
         helping: load.helping,
-        read_due_ms: load.read_due.map_or(0, whole_millis_u32),
-        ..LoadNews::default()
+        prefill_due_ms: load.prefill_due.map_or(0, whole_millis_u32),
+        ..LoadEntry::default()
     }
 }
 
-/// The upstream that is spoken of; none if this host has not heard of it yet, and then does not choose
-/// it either.
-fn upstream_of(news: &LoadNews, names: &IndexMap<UpstreamHash, UpstreamId>) -> Option<UpstreamId> {
-    // A name that is known need not be made anew.
-    let known = names.get(&news.hash());
-    known.cloned().or_else(|| news.upstream.parse().ok())
+/// The upstream that a load belongs to; none if this host does not know it yet, in which case this
+/// host does not choose it either.
+fn resolve_upstream(
+    entry: &LoadEntry,
+    by_hash: &IndexMap<UpstreamHash, UpstreamId>,
+) -> Option<UpstreamId> {
+    // Cloning a known id is cheaper than parsing the name.
+    let known = by_hash.get(&entry.hash());
+    known.cloned().or_else(|| entry.upstream.parse().ok())
 }
 
-fn read_load(news: &LoadNews) -> HostLoad {
+fn decode_load(entry: &LoadEntry) -> HostLoad {
     HostLoad {
-        in_flight: news.in_flight,
-        short_in_flight: news.short_in_flight,
-        strictest_pause: (news.strictest_pause_ms > 0)
-            .then(|| Duration::from_millis(news.strictest_pause_ms.into())),
-        read: ReadSent {
-            total: Duration::from_micros(news.read_total_us),
-            remaining: Duration::from_millis(news.read_remaining_ms.into()),
+        in_flight: entry.in_flight,
+        short_in_flight: entry.short_in_flight,
+        strictest_pause: (entry.strictest_pause_ms > 0)
+            .then(|| Duration::from_millis(entry.strictest_pause_ms.into())),
+        prefill: PrefillSent {
+            total: Duration::from_micros(entry.prefill_total_us),
+            remaining: Duration::from_millis(entry.prefill_remaining_ms.into()),
         },
-        held_tokens: Tokens(news.held_tokens),
-        helping: news.helping,
-        read_due: (news.read_due_ms > 0).then(|| Duration::from_millis(news.read_due_ms.into())),
+        held_tokens: Tokens(entry.held_tokens),
+        helping: entry.helping,
+        prefill_due: (entry.prefill_due_ms > 0)
+            .then(|| Duration::from_millis(entry.prefill_due_ms.into())),
     }
 }
 
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn slow_news((engine, slowdown): &(UpstreamId, Slowdown)) -> SlowNews {
-    SlowNews {
+fn slowdown_entry((engine, slowdown): &(UpstreamId, Slowdown)) -> SlowdownEntry {
+    SlowdownEntry {
         upstream_hash: UpstreamHash::from(engine).0,
         slowdown_percent: (slowdown.factor() * 100.0) as u32,
     }
 }
 
-fn read_slowdown(news: &SlowNews) -> Slowdown {
-    Slowdown::new(f64::from(news.slowdown_percent) / 100.0)
+fn decode_slowdown(entry: &SlowdownEntry) -> Slowdown {
+    Slowdown::new(f64::from(entry.slowdown_percent) / 100.0)
 }
 
-fn limit_news((upstream, report): (&UpstreamId, LimitReport)) -> LimitNews {
-    LimitNews {
+fn limit_entry((upstream, report): (&UpstreamId, LimitReport)) -> LimitEntry {
+    LimitEntry {
         upstream_hash: UpstreamHash::from(upstream).0,
         limit_per_s: report.limit.map(|limit| limit.0),
         age_ms: whole_millis_u32(report.age),
@@ -285,13 +313,13 @@
     }
 }
 
-fn read_limit(news: &LimitNews) -> LimitReport {
+fn decode_limit(entry: &LimitEntry) -> LimitReport {
     LimitReport {
-        limit: news.limit_per_s.map(RequestsPerSecond),
-        age: Duration::from_millis(news.age_ms.into()),
-        sent: SentLately {
-            in_window: news.sent_in_window,
-            in_burst_window: news.sent_in_burst_window,
+        limit: entry.limit_per_s.map(RequestsPerSecond),
+        age: Duration::from_millis(entry.age_ms.into()),
+        sent: RecentSends {
+            in_window: entry.sent_in_window,
+            in_burst_window: entry.sent_in_burst_window,
         },
     }
 }
@@ -300,9 +328,9 @@
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-fn poison_news(poison: &Poison) -> PoisonNews {
-    let (PoisonMark::Content(hash) | PoisonMark::Key(hash)) = poison.mark;
-    PoisonNews {
+fn poison_entry(poison: &PoisonReport) -> PoisonEntry {
+    let (RequestFingerprint::Content(hash) | RequestFingerprint::Key(hash)) = poison.fingerprint;
+    PoisonEntry {
         content: hash.0.to_be_bytes().to_vec(),
         attempts: poison
             .attempts
@@ -312,11 +340,11 @@
     }
 }
 
-fn read_poison(news: &PoisonNews) -> Option<Poison> {
+fn decode_poison(entry: &PoisonEntry) -> Option<PoisonReport> {
     let number = |bytes: &Vec<u8>| Some(u128::from_be_bytes(bytes.as_slice().try_into().ok()?));
-    let attempts = news.attempts.iter().filter_map(number).map(AttemptId);
-    Some(Poison {
-        mark: PoisonMark::of_content(ContentHash(number(&news.content)?)),
+    let attempts = entry.attempts.iter().filter_map(number).map(AttemptId);
+    Some(PoisonReport {
+        fingerprint: RequestFingerprint::of_content(ContentHash(number(&entry.content)?)),
         attempts: attempts.collect(),
     })
 }
--- a/src/gateway/tracker.rs
+++ b/src/gateway/request_tracker.rs
@@ -1,11 +1,12 @@
-//! Tells log and metrics how a request ended, also when its caller leaves before.
+//! Records in the decision log and the metrics how a request ended, also when the caller
+//! disconnects first.
 
 use std::sync::Arc;
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::gateway::Call;
-use crate::gateway::Event;
+use crate::gateway::DecisionEvent;
 use crate::gateway::Gateway;
 use crate::gateway::shared::InFlight;
 use crate::routing::CallKind;
@@ -13,85 +14,89 @@
 use crate::units::Generation;
 use crate::units::whole_millis;
 
-/// The status in the log of a request whose caller left before its answer.
+/// The status logged for a request whose caller disconnected before the response.
 const STATUS_CALLER_GONE: u16 = 499;
 
-/// One request, from its head to its end.
-pub(crate) struct Tracker {
+/// The progress of one request from its head to its end.
+pub(crate) struct RequestTracker {
     gateway: Arc<Gateway>,
     request: String,
     route: String,
     customer: Option<CustomerId>,
     kind: Option<CallKind>,
-    arrived: Instant,
+    arrived_at: Instant,
     first_event: Option<Duration>,
     longest_pause: Duration,
     generation: Generation,
-    is_over: bool,
+    is_finished: bool,
     _in_flight: InFlight,
 }
 
-impl Tracker {
-    pub(crate) fn new(gateway: &Arc<Gateway>, arrived: Instant) -> Self {
-        let generation = gateway.beliefs.routes().map(|routes| routes.generation);
+impl RequestTracker {
+    pub(crate) fn new(gateway: &Arc<Gateway>, arrived_at: Instant) -> Self {
+        let generation = gateway
+            .platform_view
+            .routes()
+            .map(|routes| routes.generation);
         Self {
             gateway: Arc::clone(gateway),
             request: String::new(),
             route: String::new(),
             customer: None,
             kind: None,
-            arrived,
+            arrived_at,
             first_event: None,
             longest_pause: Duration::ZERO,
             generation: generation.unwrap_or_default(),
-            is_over: false,
+            is_finished: false,
             _in_flight: gateway.enter(),
         }
     }
 
-    /// Takes in the id, as soon as the head was read.
+    /// Records the request id once the head has been parsed.
     pub(crate) fn on_head(&mut self, request: &str) {
         request.clone_into(&mut self.request);
     }
 
-    /// Takes in that the request was admitted.
+    /// Records that the request was admitted.
     pub(crate) fn on_admitted(&mut self, call: &Call) {
         self.route.clone_from(&call.route.name);
         self.customer.clone_from(&call.customer);
         self.kind = Some(call.route.kind);
     }
 
-    /// Takes in that the first event of its answer, or all of it, goes to the caller.
+    /// Records that the first event of the response, or the complete response, is sent to the
+    /// caller.
     pub(crate) fn on_first_event(&mut self, now: Instant) {
-        let took = now.saturating_duration_since(self.arrived);
+        let took = now.saturating_duration_since(self.arrived_at);
         self.first_event = Some(took);
         if let Some(kind) = self.kind {
-            let meters = &self.gateway.meters;
-            meters.first_event(self.customer.as_ref(), kind, took);
+            let metrics = &self.gateway.metrics;
+            metrics.first_event(self.customer.as_ref(), kind, took);
         }
     }
 
-    /// Takes in a pause between two events of its answer.
+    /// Records a pause between two events of the response.
     pub(crate) fn on_pause(&mut self, pause: Duration) {
         self.longest_pause = self.longest_pause.max(pause);
     }
 
-    /// Takes in the end.
+    /// Records the end of the request. Only the first call has an effect.
     pub(crate) fn finish(&mut self, outcome: &str, status: u16) {
-        if self.is_over {
+        if self.is_finished {
             return;
         }
-        self.is_over = true;
+        self.is_finished = true;
         let kind = self.kind.map_or("none", CallKind::name);
         self.gateway
-            .meters
+            .metrics
             .ended(self.customer.as_ref(), kind, outcome);
         if self.kind.is_some_and(CallKind::is_stream) && self.first_event.is_some() {
-            let meters = &self.gateway.meters;
-            meters.longest_pause(self.customer.as_ref(), self.longest_pause);
+            let metrics = &self.gateway.metrics;
+            metrics.longest_pause(self.customer.as_ref(), self.longest_pause);
         }
         let now = self.gateway.clock.now();
-        self.gateway.log.note(Event::Ended {
+        self.gateway.log.record(DecisionEvent::Ended {
             request: std::mem::take(&mut self.request),
             route: std::mem::take(&mut self.route),
             customer: self
@@ -101,7 +106,7 @@
             kind: kind.into(),
             outcome: outcome.to_owned(),
             status,
-            elapsed_ms: whole_millis(now.saturating_duration_since(self.arrived)),
+            elapsed_ms: whole_millis(now.saturating_duration_since(self.arrived_at)),
             first_event_ms: self.first_event.map(whole_millis),
             longest_pause_ms: whole_millis(self.longest_pause),
             generation: self.generation.0,
@@ -109,7 +114,7 @@
     }
 }
 
-impl Drop for Tracker {
+impl Drop for RequestTracker {
     fn drop(&mut self) {
         self.finish("caller_gone", STATUS_CALLER_GONE);
     }
--- /dev/null
+++ b/src/gateway/stream_relay.rs
@@ -0,0 +1,192 @@
+//! Forwards a stream of events, and resumes it on another engine when the first one breaks off.
+
+use std::time::Duration;
+use std::time::Instant;
+
+use bytes::Bytes;
+use http_body_util::BodyExt;
+use tokio::time::timeout;
+
+use crate::decide::UpstreamFault;
+use crate::gateway::EventSplitter;
+use crate::gateway::TruncatedResponse;
+use crate::gateway::call_dispatcher::CallDispatcher;
+use crate::gateway::call_dispatcher::DispatchOutcome;
+use crate::gateway::request_tracker::RequestTracker;
+use crate::gateway::send::UPSTREAM_RESTARTED;
+use crate::gateway::send::UpstreamResponse;
+use crate::gateway::send::first_event_timeout;
+
+/// How long a stream may be silent before another engine resumes it, as a multiple of the longest
+/// pause that is on time. Callers give up after eight times this pause.
+const SILENCE_OBJECTIVES_MAX: u32 = 5;
+/// The allowed silence of streams that have no objective for pauses.
+const SILENCE_DEFAULT: Duration = Duration::from_secs(2);
+
+/// A stream that is being forwarded to a caller.
+pub(crate) struct StreamRelay {
+    dispatcher: CallDispatcher,
+    current: Option<Box<UpstreamResponse>>,
+    splitter: EventSplitter,
+    tracker: RequestTracker,
+    last_chunk_at: Instant,
+    has_event: bool,
+    is_finished: bool,
+}
+
+/// The next input from an engine.
+enum NextChunk {
+    Data(Bytes),
+    End,
+    Broken(UpstreamFault, String),
+    DeadlineExceeded,
+}
+
+impl StreamRelay {
+    pub(crate) fn new(
+        dispatcher: CallDispatcher,
+        response: Box<UpstreamResponse>,
+        tracker: RequestTracker,
+    ) -> Self {
+        let last_chunk_at = response.sent_at;
+        Self {
+            dispatcher,
+            current: Some(response),
+            splitter: EventSplitter::default(),
+            tracker,
+            last_chunk_at,
+            has_event: false,
+            is_finished: false,
+        }
+    }
+
+    /// The next complete events; none at the end of the stream.
+    pub(crate) async fn next(&mut self) -> Option<Result<Bytes, TruncatedResponse>> {
+        if self.is_finished {
+            return None;
+        }
+        loop {
+            match self.next_chunk().await {
+                NextChunk::Data(bytes) => {
+                    if let Some(events) = self.splitter.push(&bytes) {
+                        self.on_events();
+                        return Some(Ok(events));
+                    }
+                }
+                NextChunk::End if !self.splitter.has_partial_event() => {
+                    self.finish("served");
+                    self.dispatcher.on_served();
+                    return None;
+                }
+                NextChunk::End => {
+                    let why = "ended in the middle of an event".to_owned();
+                    if !self.fail_over(UpstreamFault::Broken, why).await {
+                        return Some(self.truncate("broken"));
+                    }
+                }
+                NextChunk::Broken(fault, why) => {
+                    if !self.fail_over(fault, why).await {
+                        return Some(self.truncate("broken"));
+                    }
+                }
+                NextChunk::DeadlineExceeded => return Some(self.truncate("time_up")),
+            }
+        }
+    }
+
+    async fn next_chunk(&mut self) -> NextChunk {
+        let now = self.dispatcher.gateway.clock.now();
+        let time_left = self.dispatcher.call.time_left(now);
+        if time_left.is_zero() {
+            return NextChunk::DeadlineExceeded;
+        }
+        let silence_budget = self.silence_budget(now);
+        let Some(response) = &mut self.current else {
+            return NextChunk::Broken(UpstreamFault::Broken, "no engine".to_owned());
+        };
+        let wait = silence_budget.map_or(time_left, |left| left.min(time_left));
+        let gateway = &self.dispatcher.gateway;
+        let lost = gateway
+            .incarnations
+            .wait_until_lost(&response.upstream.id, response.sent_at);
+        let next = tokio::select! {
+            next = timeout(wait, response.body.frame()) => next,
+            () = lost => return NextChunk::Broken(UpstreamFault::Broken, UPSTREAM_RESTARTED.to_owned()),
+        };
+        match next {
+            Ok(Some(Ok(frame))) => NextChunk::Data(frame.into_data().unwrap_or_default()),
+            Ok(Some(Err(err))) => NextChunk::Broken(UpstreamFault::Broken, err.to_string()),
+            Ok(None) => NextChunk::End,
+            Err(_) if wait == time_left => NextChunk::DeadlineExceeded,
+            Err(_) => NextChunk::Broken(UpstreamFault::Silent, format!("silent for {wait:?}")),
+        }
+    }
+
+    /// How long the engine may remain silent; none where no other engine may resume the stream.
+    fn silence_budget(&self, now: Instant) -> Option<Duration> {
+        if !self.dispatcher.may_run_again() {
+            return None;
+        }
+        let forecast = self.current.as_ref().map(|response| response.forecast)?;
+        let pause = self.dispatcher.call.route.pause_objective;
+        let pause = pause.map_or(SILENCE_DEFAULT, |pause| pause * SILENCE_OBJECTIVES_MAX);
+        let allowed = if self.has_event {
+            pause
+        } else {
+            pause.max(first_event_timeout(&self.dispatcher.call, forecast))
+        };
+        let silent = now.saturating_duration_since(self.last_chunk_at);
+        Some(allowed.saturating_sub(silent).max(Duration::from_millis(1)))
+    }
+
+    fn on_events(&mut self) {
+        let now = self.dispatcher.gateway.clock.now();
+        if self.has_event {
+            self.tracker
+                .on_pause(now.saturating_duration_since(self.last_chunk_at));
+        } else {
+            self.tracker.on_first_event(now);
+        }
+        if let Some(response) = &mut self.current {
+            response.load.on_prefill_done();
+        }
+        self.has_event = true;
+        self.last_chunk_at = now;
+    }
+
+    /// Sends the call to another engine, which resumes the stream after the last event that was
+    /// forwarded. The incomplete event after it is discarded, since the other engine sends this
+    /// event again from its beginning.
+    async fn fail_over(&mut self, fault: UpstreamFault, why: String) -> bool {
+        // Closes the connection to the failed engine first: two engines must not write the same
+        // response.
+        if let Some(failed) = self.current.take() {
+            self.dispatcher
+                .on_connection_lost(&failed.upstream, fault, &why);
+        }
+        if !self.dispatcher.may_run_again() {
+            return false;
+        }
+        self.splitter.discard_partial_event();
+        let last_event = self.splitter.last_id().map(str::to_owned);
+        match self.dispatcher.dispatch(last_event.as_deref()).await {
+            DispatchOutcome::Answered(response) if response.head.status.is_success() => {
+                self.last_chunk_at = response.sent_at;
+                self.current = Some(response);
+                true
+            }
+            DispatchOutcome::Answered(_) | DispatchOutcome::Refused(_) => false,
+        }
+    }
+
+    fn truncate(&mut self, outcome: &str) -> Result<Bytes, TruncatedResponse> {
+        self.current = None;
+        self.finish(outcome);
+        Err(TruncatedResponse)
+    }
+
+    fn finish(&mut self, outcome: &str) {
+        self.is_finished = true;
+        self.tracker.finish(outcome, 200);
+    }
+}
--- a/src/units/byte_size.rs
+++ b/src/units/byte_size.rs
@@ -6,7 +6,7 @@
 use crate::units::ParseUnitError;
 use crate::units::macros::serde_as_text;
 
-const WANTED: &str = "a size like 512KiB or 64MiB";
+const EXPECTED: &str = "a size like 512KiB or 64MiB";
 const UNITS: [(&str, u64); 4] = [
     ("GiB", 1 << 30),
     ("MiB", 1 << 20),
@@ -14,12 +14,12 @@
     ("B", 1),
 ];
 
-/// A size in bytes, written with a unit: `64MiB`.
+/// A size in bytes, written with a unit such as `64MiB`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ByteSize(pub u64);
 
 impl ByteSize {
-    /// The size as a length in memory.
+    /// The size as a `usize`, capped at `usize::MAX`.
     pub fn as_usize(self) -> usize {
         usize::try_from(self.0).unwrap_or(usize::MAX)
     }
@@ -40,7 +40,7 @@
     type Err = ParseUnitError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let error = || ParseUnitError::new(WANTED, text);
+        let error = || ParseUnitError::new(EXPECTED, text);
         let digits_end = text.find(|c: char| !c.is_ascii_digit()).ok_or_else(error)?;
         let (digits, name) = text.split_at(digits_end);
         let number: u64 = digits.parse().map_err(|_| error())?;
--- a/src/units/error.rs
+++ b/src/units/error.rs
@@ -1,21 +1,21 @@
-//! The error of parsing a newtype.
+//! The parse error of the unit types.
 
 use std::error::Error;
 use std::fmt;
 
-/// A text that is not a value of the wanted newtype.
+/// The error for a text that is not a valid value of a unit type.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseUnitError {
-    /// What the text should have been, such as `a size like 64MiB`.
-    pub wanted: &'static str,
-    /// The text as it was given.
+    /// The expected form of the text, such as `a size like 64MiB`.
+    pub expected: &'static str,
+    /// The text that could not be parsed.
     pub text: String,
 }
 
 impl ParseUnitError {
-    pub(crate) fn new(wanted: &'static str, text: &str) -> Self {
+    pub(crate) fn new(expected: &'static str, text: &str) -> Self {
         Self {
-            wanted,
+            expected,
             text: text.to_owned(),
         }
     }
@@ -23,7 +23,7 @@
 
 impl fmt::Display for ParseUnitError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "expected {}, got `{}`", self.wanted, self.text)
+        write!(f, "expected {}, got `{}`", self.expected, self.text)
     }
 }
 
--- a/src/units/rates.rs
+++ b/src/units/rates.rs
@@ -1,4 +1,4 @@
-//! Rates a second.
+//! Rates per second.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,9 +7,9 @@
 use crate::units::ParseUnitError;
 use crate::units::Tokens;
 
-/// Defines a rate: a finite number, not negative, with a unit that is written behind it.
+/// Defines a rate: a finite, non-negative number followed by a unit.
 macro_rules! rate_newtype {
-    ($(#[$doc:meta])* $name:ident, $unit:literal, $wanted:literal) => {
+    ($(#[$doc:meta])* $name:ident, $unit:literal, $expected:literal) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
         pub struct $name(pub f64);
@@ -27,7 +27,7 @@
                 let number = text.strip_suffix($unit).and_then(|number| number.trim().parse().ok());
                 match number {
                     Some(number) if f64::is_finite(number) && number >= 0.0 => Ok(Self(number)),
-                    _ => Err(ParseUnitError::new($wanted, text)),
+                    _ => Err(ParseUnitError::new($expected, text)),
                 }
             }
         }
@@ -37,20 +37,20 @@
 }
 
 rate_newtype!(
-    /// Tokens a second.
+    /// A rate in tokens per second.
     TokensPerSecond,
     "tok/s",
     "a rate like 8000tok/s"
 );
 rate_newtype!(
-    /// Requests a second.
+    /// A rate in requests per second.
     RequestsPerSecond,
     "req/s",
     "a rate like 20req/s"
 );
 
 impl TokensPerSecond {
-    /// How long `tokens` take at this rate; a rate of 0 never ends.
+    /// The time that `tokens` take at this rate; `Duration::MAX` at a rate of 0.
     pub fn time_for(self, tokens: Tokens) -> Duration {
         Duration::try_from_secs_f64(tokens.as_f64() / self.0).unwrap_or(Duration::MAX)
     }
--- a/tests/decide_fakes/bench.rs
+++ b/tests/decide_fakes/simulation.rs
@@ -1,20 +1,20 @@
-//! Plays a load against one policy, or several that share the engines.
+//! A simulation of a workload against one policy, or against several that share the engines.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use banyanarch::clock::Clock;
 use banyanarch::clock::ManualClock;
+use banyanarch::decide::AttemptOutcome;
+use banyanarch::decide::AttemptSummary;
 use banyanarch::decide::Decision;
-use banyanarch::decide::Done;
-use banyanarch::decide::Ended;
 use banyanarch::decide::FailedAttempt;
 use banyanarch::decide::Grant;
 use banyanarch::decide::Policy;
 use banyanarch::decide::RetryBudget;
-use banyanarch::decide::RetryVerdict;
+use banyanarch::decide::RetryDecision;
 use banyanarch::decide::UpstreamHealth;
-use banyanarch::decide::UpstreamSeen;
+use banyanarch::decide::UpstreamInfo;
 use banyanarch::decide::Work;
 use banyanarch::units::AttemptId;
 use banyanarch::units::ContentHash;
@@ -26,42 +26,47 @@
 use indexmap::IndexMap;
 
 use super::Engine;
-use super::Load;
 use super::Outcome;
 use super::Outcomes;
+use super::Workload;
 use super::engine::Event;
 
+/// The time step of the simulation.
 const STEP: Duration = Duration::from_millis(5);
+/// The interval of load reports, and the age of a report at its delivery.
 const REPORT_EVERY: Duration = Duration::from_secs(1);
 
-pub struct Bench {
+/// Engines and policies under a manual clock.
+pub struct Simulation {
     clock: ManualClock,
     policies: Vec<Box<dyn Policy>>,
     pub engines: Vec<Engine>,
-    flights: IndexMap<AttemptId, Flight>,
+    running_attempts: IndexMap<AttemptId, RunningAttempt>,
     outcomes: Vec<Outcome>,
-    again: Vec<(Instant, usize, Vec<UpstreamId>)>,
+    retries: Vec<(Instant, usize, Vec<UpstreamId>)>,
     budget: Option<RetryBudget>,
-    /// Engines that are down, with from and to in seconds.
+    /// The engines that fail, with the start and the end of the outage in seconds.
     pub outage: Option<(std::ops::Range<usize>, f64, f64)>,
-    /// Changes a report before it is delivered.
-    pub report_as: fn(&LoadReport) -> LoadReport,
-    pub decided_in: Duration,
+    /// Alters each load report before it is delivered.
+    pub alter_report: fn(&LoadReport) -> LoadReport,
+    /// The real time that the policies have taken for their decisions.
+    pub decision_time: Duration,
     start: Instant,
 }
 
-struct Flight {
-    call: usize,
+/// An attempt that has not ended.
+struct RunningAttempt {
+    request_index: usize,
     policy: usize,
     engines: Vec<usize>,
     work: Work,
     since: Instant,
-    prefills: usize,
+    prefills_left: usize,
     first_token: Option<Duration>,
     cached: u64,
 }
 
-impl Bench {
+impl Simulation {
     pub fn new(engines: Vec<Engine>, policies: Vec<Box<dyn Policy>>) -> Self {
         let clock = ManualClock::new();
         let start = clock.now();
@@ -69,41 +74,44 @@
             clock,
             policies,
             engines,
-            flights: IndexMap::new(),
+            running_attempts: IndexMap::new(),
             outcomes: Vec::new(),
-            again: Vec::new(),
+            retries: Vec::new(),
             budget: None,
             outage: None,
-            report_as: Clone::clone,
-            decided_in: Duration::ZERO,
+            alter_report: Clone::clone,
+            decision_time: Duration::ZERO,
             start,
         }
     }
 
-    /// Plays the load to its end and returns what callers got, in the order of their requests.
-    pub fn play(mut self, load: Load) -> (Outcomes, Self) {
-        let mut asks = load.asks;
-        asks.sort_by_key(|ask| ask.at);
-        let last = asks
+    /// Runs the workload to its end and returns the outcomes in the order of the requests.
+    pub fn run(mut self, load: Workload) -> (Outcomes, Self) {
+        let mut requests = load.requests;
+        requests.sort_by_key(|request| request.at);
+        let last = requests
             .iter()
-            .map(|ask| ask.at + ask.limit)
+            .map(|request| request.at + request.timeout)
             .max()
             .unwrap_or_default();
-        self.outcomes = asks.iter().map(Outcome::of).collect();
-        self.list_engines();
+        self.outcomes = requests.iter().map(Outcome::of).collect();
+        self.register_engines();
         let mut reports: Vec<LoadReport> = self.engines.iter().map(Engine::report).collect();
         let (mut next, mut elapsed) = (0, Duration::ZERO);
-        while elapsed <= last && (next < asks.len() || !self.is_at_rest()) {
-            while asks.get(next).is_some_and(|ask| ask.at <= elapsed) {
+        while elapsed <= last && (next < requests.len() || !self.is_idle()) {
+            while requests
+                .get(next)
+                .is_some_and(|request| request.at <= elapsed)
+            {
                 self.offer(next, Vec::new());
                 next += 1;
             }
-            self.offer_again();
+            self.offer_retries();
             self.poll();
-            self.set_outage(elapsed.as_secs_f64());
+            self.apply_outage(elapsed.as_secs_f64());
             self.step();
             if elapsed.as_millis() % REPORT_EVERY.as_millis() == 0 {
-                self.deliver(&reports);
+                self.deliver_reports(&reports);
                 reports = self.engines.iter().map(Engine::report).collect();
             }
             self.clock.advance(STEP);
@@ -112,22 +120,22 @@
         (Outcomes(std::mem::take(&mut self.outcomes)), self)
     }
 
-    /// Lets hosts retry within a budget.
-    pub fn retry_with(&mut self, budget: impl FnOnce(Instant) -> RetryBudget) {
+    /// Lets hosts retry failed attempts within a budget.
+    pub fn enable_retries(&mut self, budget: impl FnOnce(Instant) -> RetryBudget) {
         self.budget = Some(budget(self.start));
     }
 
-    fn is_at_rest(&self) -> bool {
+    fn is_idle(&self) -> bool {
         let now = self.clock.now();
         let is_waiting = |policy: &dyn Policy| policy.load(now).waiting > 0;
-        self.flights.is_empty()
-            && self.again.is_empty()
+        self.running_attempts.is_empty()
+            && self.retries.is_empty()
             && !self.policies.iter().any(|policy| is_waiting(&**policy))
     }
 
-    fn list_engines(&mut self) {
-        let seen: Vec<UpstreamSeen> = (0..self.engines.len())
-            .map(|index| UpstreamSeen {
+    fn register_engines(&mut self) {
+        let listed: Vec<UpstreamInfo> = (0..self.engines.len())
+            .map(|index| UpstreamInfo {
                 id: name(index),
                 memory_tokens: Tokens(self.engines[index].memory),
                 slots: self.engines[index].slots as u32,
@@ -135,41 +143,41 @@
             })
             .collect();
         for policy in &mut self.policies {
-            policy.set_upstreams(&seen, self.clock.now());
+            policy.set_upstreams(&listed, self.clock.now());
         }
     }
 
-    fn offer(&mut self, call: usize, avoid: Vec<UpstreamId>) {
-        let outcome = &mut self.outcomes[call];
-        let ask = &outcome.ask;
+    fn offer(&mut self, request_index: usize, avoid: Vec<UpstreamId>) {
+        let outcome = &mut self.outcomes[request_index];
+        let request = &outcome.request;
         outcome.attempts += 1;
-        let prefixes = ask
+        let prefixes = request
             .prefix
             .map(|(name, tokens)| (ContentHash(name), Tokens(tokens)));
-        let policy = call % self.policies.len();
+        let policy = request_index % self.policies.len();
         let work = Work {
-            request: RequestId(call as u128 | (u128::from(outcome.attempts) << 64)),
+            request: RequestId(request_index as u128 | (u128::from(outcome.attempts) << 64)),
             host: format!("host-{policy}").parse().unwrap(),
-            customer: ask.customer.parse().unwrap(),
-            priority: banyanarch::units::Priority(ask.rank),
-            prompt_tokens: Tokens(ask.prompt),
-            output_tokens: Tokens(ask.output_max),
+            customer: request.customer.parse().unwrap(),
+            priority: banyanarch::units::Priority(request.priority),
+            prompt_tokens: Tokens(request.prompt),
+            output_tokens: Tokens(request.output_max),
             prefixes: prefixes.into_iter().collect(),
-            deadline: self.start + ask.at + ask.limit,
+            deadline: self.start + request.at + request.timeout,
             avoid,
         };
         self.timed(|policies, now| policies[policy].offer(work, now));
     }
 
-    fn offer_again(&mut self) {
+    fn offer_retries(&mut self) {
         let now = self.clock.now();
-        let (due, later) = std::mem::take(&mut self.again)
+        let (due, later) = std::mem::take(&mut self.retries)
             .into_iter()
             .partition(|a| a.0 <= now);
-        self.again = later;
+        self.retries = later;
         let due: Vec<(Instant, usize, Vec<UpstreamId>)> = due;
-        for (_, call, avoid) in due {
-            self.offer(call, avoid);
+        for (_, request_index, avoid) in due {
+            self.offer(request_index, avoid);
         }
     }
 
@@ -189,7 +197,7 @@
     }
 
     fn dispatch(&mut self, policy: usize, grant: &Grant) {
-        let call = grant.request.0 as u32 as usize;
+        let request_index = grant.request.0 as u32 as usize;
         let index = |id: &UpstreamId| id.as_str()[7..].parse().unwrap();
         let engines: Vec<usize> = grant.upstreams.iter().map(index).collect();
         let live = self.policies[policy].live_grants();
@@ -201,28 +209,28 @@
         let attempt = AttemptId(grant.id.0);
         let members = engines.len() as u64;
         let share = work.memory_tokens().0.div_ceil(members);
-        let flight = Flight {
-            call,
+        let running = RunningAttempt {
+            request_index,
             policy,
             engines: engines.clone(),
             work: work.clone(),
             since: self.clock.now(),
-            prefills: engines.len(),
+            prefills_left: engines.len(),
             first_token: None,
             cached: 0,
         };
-        self.outcomes[call].engines = engines.clone();
-        self.flights.insert(attempt, flight);
+        self.outcomes[request_index].engines = engines.clone();
+        self.running_attempts.insert(attempt, running);
         let has_room = |index: &usize| members == 1 || self.engines[*index].has_room(share);
         if engines.iter().any(|index| self.engines[*index].is_dead) {
-            self.end(attempt, Ended::NotSent);
+            self.end(attempt, AttemptOutcome::NotSent);
         } else if !engines.iter().all(has_room) {
-            self.end(attempt, Ended::Refused);
+            self.end(attempt, AttemptOutcome::Refused);
         } else {
-            let output = self.outcomes[call].ask.output;
+            let output = self.outcomes[request_index].request.output;
             for index in engines {
                 self.engines[index].start(attempt, &work, output, members);
-                self.flights[&attempt].cached = self.engines[index].jobs[&attempt].cached;
+                self.running_attempts[&attempt].cached = self.engines[index].jobs[&attempt].cached;
             }
         }
     }
@@ -236,93 +244,99 @@
         for event in events {
             match event {
                 Event::FirstToken(attempt) => {
-                    let flight = &mut self.flights[&attempt];
-                    flight.prefills -= 1;
-                    if flight.prefills == 0 {
-                        flight.first_token = Some(now - flight.since);
-                        let outcome = &mut self.outcomes[flight.call];
-                        outcome.first_token = Some(now - self.start - outcome.ask.at);
+                    let running = &mut self.running_attempts[&attempt];
+                    running.prefills_left -= 1;
+                    if running.prefills_left == 0 {
+                        running.first_token = Some(now - running.since);
+                        let outcome = &mut self.outcomes[running.request_index];
+                        outcome.first_token = Some(now - self.start - outcome.request.at);
                     }
                 }
                 Event::End(attempt) => {
                     if self
-                        .flights
+                        .running_attempts
                         .get(&attempt)
-                        .is_some_and(|flight| flight.prefills == 0)
+                        .is_some_and(|running| running.prefills_left == 0)
                     {
-                        self.end(attempt, Ended::Completed);
+                        self.end(attempt, AttemptOutcome::Completed);
                     }
                 }
             }
         }
-        let late = |flight: &Flight| flight.work.deadline <= now;
-        let cut: Vec<AttemptId> = self
-            .flights
+        let is_overdue = |running: &RunningAttempt| running.work.deadline <= now;
+        let overdue: Vec<AttemptId> = self
+            .running_attempts
             .iter()
-            .filter(|(_, f)| late(f))
+            .filter(|(_, running)| is_overdue(running))
             .map(|(id, _)| *id)
             .collect();
-        for attempt in cut {
-            self.end(attempt, Ended::Cancelled);
+        for attempt in overdue {
+            self.end(attempt, AttemptOutcome::Cancelled);
         }
     }
 
-    fn end(&mut self, attempt: AttemptId, ended: Ended) {
-        let flight = self.flights.swap_remove(&attempt).unwrap();
-        let left = self.engines[flight.engines[0]]
+    fn end(&mut self, attempt: AttemptId, ended: AttemptOutcome) {
+        let running = self.running_attempts.swap_remove(&attempt).unwrap();
+        let output_left = self.engines[running.engines[0]]
             .jobs
             .get(&attempt)
             .map_or(0.0, |job| job.output_left);
-        for index in &flight.engines {
+        for index in &running.engines {
             self.engines[*index].jobs.shift_remove(&attempt);
         }
         let now = self.clock.now() + STEP;
-        let outcome = &mut self.outcomes[flight.call];
-        let is_completed = ended == Ended::Completed;
+        let outcome = &mut self.outcomes[running.request_index];
+        let is_completed = ended == AttemptOutcome::Completed;
         if is_completed {
-            outcome.completed = Some(now - self.start - outcome.ask.at);
+            outcome.completed = Some(now - self.start - outcome.request.at);
         }
-        let done = Done {
+        let done = AttemptSummary {
             ended,
-            first_token: flight.first_token,
-            total: now - flight.since,
+            first_token: running.first_token,
+            total: now - running.since,
             prompt_tokens: if is_completed {
-                flight.work.prompt_tokens
+                running.work.prompt_tokens
             } else {
                 Tokens::ZERO
             },
-            cached_tokens: Tokens(flight.cached),
-            output_tokens: Tokens(outcome.ask.output - (left as u64).min(outcome.ask.output)),
+            cached_tokens: Tokens(running.cached),
+            output_tokens: Tokens(
+                outcome.request.output - (output_left as u64).min(outcome.request.output),
+            ),
         };
-        if matches!(ended, Ended::Failed | Ended::NotSent | Ended::Refused) {
-            self.retry(&flight, ended, now);
+        if matches!(
+            ended,
+            AttemptOutcome::Failed | AttemptOutcome::NotSent | AttemptOutcome::Refused
+        ) {
+            self.retry(&running, ended, now);
         }
-        self.timed(|policies, now| policies[flight.policy].finish(GrantId(attempt.0), done, now));
+        self.timed(|policies, now| policies[running.policy].finish(GrantId(attempt.0), done, now));
     }
 
-    fn retry(&mut self, flight: &Flight, ended: Ended, now: Instant) {
+    fn retry(&mut self, running: &RunningAttempt, ended: AttemptOutcome, now: Instant) {
         let Some(budget) = &mut self.budget else {
             return;
         };
         let failed = FailedAttempt {
-            attempts: self.outcomes[flight.call].attempts,
-            did_not_run: ended != Ended::Failed,
+            attempts: self.outcomes[running.request_index].attempts,
+            did_not_run: ended != AttemptOutcome::Failed,
             is_repeatable: true,
-            answer_started: false,
+            response_started: false,
             retry_after: None,
-            deadline: flight.work.deadline,
+            deadline: running.work.deadline,
         };
         if failed.attempts == 1 {
             budget.on_first_attempt();
         }
-        if let RetryVerdict::Again { after } = budget.judge(&failed, now) {
-            let mut avoid = flight.work.avoid.clone();
-            avoid.extend(flight.engines.iter().map(|index| name(*index)));
-            self.again.push((now + after, flight.call, avoid));
+        if let RetryDecision::Retry { after } = budget.decide(&failed, now) {
+            let mut avoid = running.work.avoid.clone();
+            avoid.extend(running.engines.iter().map(|index| name(*index)));
+            self.retries
+                .push((now + after, running.request_index, avoid));
         }
     }
 
-    fn set_outage(&mut self, seconds: f64) {
+    fn apply_outage(&mut self, seconds: f64) {
         let Some((engines, from, to)) = self.outage.clone() else {
             return;
         };
@@ -331,24 +345,24 @@
             let lost: Vec<AttemptId> = self.engines[index].jobs.keys().copied().collect();
             self.engines[index].is_dead = is_dead;
             for attempt in lost.into_iter().filter(|_| is_dead) {
-                self.end(attempt, Ended::Failed);
+                self.end(attempt, AttemptOutcome::Failed);
             }
         }
     }
 
-    fn deliver(&mut self, reports: &[LoadReport]) {
+    fn deliver_reports(&mut self, reports: &[LoadReport]) {
         for (index, report) in reports.iter().enumerate() {
-            let report = (self.report_as)(report);
+            let report = (self.alter_report)(report);
             for policy in &mut self.policies {
-                policy.report(&name(index), &report, self.clock.now());
+                policy.on_load_report(&name(index), &report, self.clock.now());
             }
         }
     }
 
     fn timed<R>(&mut self, call: impl FnOnce(&mut [Box<dyn Policy>], Instant) -> R) -> R {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let result = call(&mut self.policies, self.clock.now());
-        self.decided_in += began.elapsed();
+        self.decision_time += started_at.elapsed();
         result
     }
 }
@@ -358,9 +372,9 @@
 }
 
 impl Outcome {
-    fn of(ask: &super::Ask) -> Self {
+    fn of(request: &super::RequestSpec) -> Self {
         Self {
-            ask: ask.clone(),
+            request: request.clone(),
             first_token: None,
             completed: None,
             refused: None,
--- a/tests/decide_fakes/load.rs
+++ b/tests/decide_fakes/workload.rs
@@ -1,4 +1,4 @@
-//! What callers ask, drawn from a seed.
+//! The requests of callers, generated from a seed.
 
 use std::time::Duration;
 
@@ -15,30 +15,30 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// One request of a caller.
+/// One request of a caller, sent at the time `at`.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct RequestSpec {
     pub at: Duration,
     pub customer: &'static str,
-    pub rank: u8,
+    pub priority: u8,
     pub prompt: u64,
     pub output_max: u64,
     pub output: u64,
-    pub limit: Duration,
-    /// Names a prefix and its length.
+    pub timeout: Duration,
+    /// The hash and the length of the prompt's shared prefix.
     pub prefix: Option<(u128, u64)>,
 }
 
-impl Ask {
+impl RequestSpec {
     pub fn short() -> Self {
         Self {
             at: Duration::ZERO,
             customer: "desk",
-            rank: 0,
+            priority: 0,
             prompt: 1_000,
             output_max: 64,
             output: 32,
-            limit: Duration::from_secs(20),
+            timeout: Duration::from_secs(20),
             prefix: None,
         }
     }
@@ -46,28 +46,29 @@
     pub fn long(prompt: u64) -> Self {
         Self {
             prompt,
-            limit: Duration::from_secs(600),
+            timeout: Duration::from_secs(600),
             ..Self::short()
         }
     }
 }
 
-pub struct Load {
-    pub asks: Vec<Ask>,
+/// The requests of a simulation, in any order.
+pub struct Workload {
+    pub requests: Vec<RequestSpec>,
     rng: StdRng,
 }
 
-impl Load {
+impl Workload {
     pub fn new(seed: u64) -> Self {
         Self {
-            asks: Vec::new(),
+            requests: Vec::new(),
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// Adds a Poisson stream of requests like `ask`, from and to these seconds. Prompts and answers
-    /// vary from a half to one and a half of the given length.
-    pub fn stream(mut self, rate: f64, seconds: (f64, f64), ask: &Ask) -> Self {
+    /// Adds a Poisson stream of requests like `request` between two times in `seconds`, at `rate`
+    /// requests a second. Prompt and answer lengths vary from 0.5 to 1.5 times the given length.
+    pub fn stream(mut self, rate: f64, seconds: (f64, f64), request: &RequestSpec) -> Self {
         let mut at = seconds.0;
         loop {
             at += -self.rng.random_range(f64::MIN_POSITIVE..1.0_f64).ln() / rate;
@@ -75,17 +76,18 @@
                 return self;
             }
             let mut vary = |middle: u64| self.rng.random_range(middle / 2..=middle * 3 / 2);
-            let (prompt, output) = (vary(ask.prompt), vary(ask.output));
-            self.asks.push(Ask {
+            let (prompt, output) = (vary(request.prompt), vary(request.output));
+            self.requests.push(RequestSpec {
                 at: Duration::from_secs_f64(at),
-                prompt: prompt.max(ask.prefix.map_or(1, |(_, tokens)| tokens + 100)),
-                output: output.clamp(1, ask.output_max),
-                ..ask.clone()
+                prompt: prompt.max(request.prefix.map_or(1, |(_, tokens)| tokens + 100)),
+                output: output.clamp(1, request.output_max),
+                ..request.clone()
             });
         }
     }
 }
 
+/// A configuration for model engines in which no customer reaches its rate.
 pub fn config(objective: Objective, speed: f64) -> PolicyConfig {
     let share = CustomerShare {
         share: 1,
--- /dev/null
+++ b/tests/exchange_world/node.rs
@@ -0,0 +1,139 @@
+//! One host of the simulated fleet.
+
+use std::sync::Arc;
+use std::time::Duration;
+use std::time::Instant;
+
+use banyanarch::decide::LoadLedger;
+use banyanarch::decide::LoadSource;
+use banyanarch::decide::LoadUpdateKind;
+use banyanarch::exchange::ExchangeState;
+use banyanarch::exchange::HostUpdate;
+use banyanarch::exchange::LimitEntry;
+use banyanarch::exchange::ListedHost;
+use banyanarch::exchange::LoadEntry;
+use banyanarch::exchange::MessageScope;
+use banyanarch::exchange::OutgoingUpdate;
+use banyanarch::exchange::UpstreamHash;
+use banyanarch::units::UpstreamId;
+use indexmap::IndexMap;
+
+use super::requests;
+
+pub struct Node {
+    pub listed: ListedHost,
+    pub hosts: Arc<Vec<ListedHost>>,
+    pub exchange: ExchangeState,
+    pub ledger: LoadLedger,
+    pub is_up: bool,
+    pub is_paused: bool,
+    pub is_partitioned: bool,
+    pub missed: Vec<Arc<HostUpdate>>,
+    pub wakes_at: Option<Duration>,
+    /// The number of restarts so far.
+    pub incarnation: u64,
+    own: IndexMap<UpstreamId, u32>,
+    /// The sends of this host to an upstream that has named a limit.
+    pub sent: Option<LimitEntry>,
+    heard_sends: IndexMap<LoadSource, u32>,
+}
+
+impl Node {
+    pub fn new(listed: ListedHost, now: Instant) -> Self {
+        Self {
+            exchange: ExchangeState::new(listed.host.clone(), listed.domain.clone(), now),
+            listed,
+            hosts: Arc::default(),
+            ledger: LoadLedger::default(),
+            is_up: true,
+            is_paused: false,
+            is_partitioned: false,
+            missed: Vec::new(),
+            wakes_at: None,
+            incarnation: 0,
+            own: IndexMap::new(),
+            sent: None,
+            heard_sends: IndexMap::new(),
+        }
+    }
+
+    pub fn restart(&mut self, now: Instant) {
+        let listed = self.listed.clone();
+        let next = Self {
+            hosts: Arc::clone(&self.hosts),
+            incarnation: self.incarnation + 1,
+            is_partitioned: self.is_partitioned,
+            ..Self::new(listed, now)
+        };
+        *self = next;
+    }
+
+    /// Sets the number of this host's requests at an upstream.
+    pub fn set_requests(&mut self, upstream: &UpstreamId, requests: u32) {
+        self.own.insert(upstream.clone(), requests);
+    }
+
+    pub fn in_flight(&self, upstream: &UpstreamId) -> u32 {
+        self.own.get(upstream).copied().unwrap_or(0)
+    }
+
+    /// The requests that all hosts have sent to the limited upstream, as far as this host knows.
+    pub fn known_sends(&self) -> u32 {
+        let own = self.sent.map_or(0, |entry| entry.sent_in_window);
+        own + self.heard_sends.values().sum::<u32>()
+    }
+
+    pub fn due_messages(&mut self, now: Instant) -> Vec<OutgoingUpdate> {
+        let own = &self.own;
+        let (host, incarnation) = (&self.listed.host, self.incarnation);
+        let sent = self.sent;
+        let update = || {
+            let busy = own.iter().filter(|(_, in_flight)| **in_flight > 0);
+            let loads = busy.map(|(upstream, in_flight)| LoadEntry {
+                upstream: upstream.to_string(),
+                in_flight: *in_flight,
+                ..LoadEntry::default()
+            });
+            HostUpdate {
+                host: host.to_string(),
+                incarnation: incarnation + 1,
+                loads: loads.collect(),
+                limits: sent.into_iter().collect(),
+                ..HostUpdate::default()
+            }
+        };
+        self.exchange.due_messages(update, now)
+    }
+
+    pub fn on_message(
+        &mut self,
+        update: HostUpdate,
+        names: &IndexMap<UpstreamHash, UpstreamId>,
+        now: Instant,
+    ) -> Option<OutgoingUpdate> {
+        let (accepted, forwarded) = self.exchange.on_message(update, now);
+        for update in accepted {
+            let host = update.host.parse().unwrap();
+            let source = match update.scope() {
+                MessageScope::Domain => LoadSource::Collector(host),
+                _ => LoadSource::Host(host),
+            };
+            for limit in &update.limits {
+                self.heard_sends
+                    .insert(source.clone(), limit.sent_in_window);
+            }
+            let extent = if update.is_partial {
+                LoadUpdateKind::Delta
+            } else {
+                LoadUpdateKind::Snapshot
+            };
+            let id = |load: &LoadEntry| names[&load.hash()].clone();
+            let loads = update.loads.iter();
+            let loads = loads.map(|load| (id(load), requests(load.in_flight)));
+            self.ledger
+                .record_loads(source, update.incarnation, extent, loads, now);
+        }
+        self.ledger.expire_peers(now);
+        forwarded
+    }
+}
--- a/tests/fakes/make.rs
+++ b/tests/fakes/make.rs
@@ -6,10 +6,10 @@
 use banyanarch::control::claims::Claim;
 use banyanarch::control::claims::ClaimKey;
 use banyanarch::control::claims::ClaimState;
-use banyanarch::decide::Done;
-use banyanarch::decide::Ended;
+use banyanarch::decide::AttemptOutcome;
+use banyanarch::decide::AttemptSummary;
 use banyanarch::decide::UpstreamHealth;
-use banyanarch::decide::UpstreamSeen;
+use banyanarch::decide::UpstreamInfo;
 use banyanarch::decide::Work;
 use banyanarch::units::AttemptId;
 use banyanarch::units::ContentHash;
@@ -41,8 +41,8 @@
     }
 }
 
-pub(crate) fn engine(name: &str, memory_tokens: u64, health: UpstreamHealth) -> UpstreamSeen {
-    UpstreamSeen {
+pub(crate) fn engine(name: &str, memory_tokens: u64, health: UpstreamHealth) -> UpstreamInfo {
+    UpstreamInfo {
         id: upstream(name),
         memory_tokens: Tokens(memory_tokens),
         slots: 64,
@@ -50,8 +50,8 @@
     }
 }
 
-pub(crate) fn done(ended: Ended) -> Done {
-    Done {
+pub(crate) fn done(ended: AttemptOutcome) -> AttemptSummary {
+    AttemptSummary {
         ended,
         first_token: None,
         total: Duration::from_millis(1),
--- a/tests/gateway_world/orders.rs
+++ b/tests/gateway_world/engine_client.rs
@@ -1,12 +1,12 @@
-//! Engines' memory that can be set aside, and is counted.
+//! A fake client for orders to engines, which records reservations and requests.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
 use std::time::Duration;
 
-use banyanarch::gateway::EngineOrders;
+use banyanarch::gateway::EngineClient;
+use banyanarch::gateway::EngineClientError;
 use banyanarch::gateway::EngineReport;
-use banyanarch::gateway::OrderError;
 use banyanarch::units::Slowdown;
 use banyanarch::units::Tokens;
 use futures_util::FutureExt;
@@ -14,74 +14,79 @@
 use indexmap::IndexMap;
 
 #[derive(Default)]
-pub struct FakeOrders {
+pub struct FakeEngineClient {
     reserved: Mutex<IndexMap<(SocketAddr, String), u64>>,
-    made: Mutex<usize>,
+    reservations_made: Mutex<usize>,
     refuses_from: Mutex<Option<usize>>,
     silent: Mutex<Option<SocketAddr>>,
-    asked: Mutex<IndexMap<SocketAddr, usize>>,
+    reserve_requests: Mutex<IndexMap<SocketAddr, usize>>,
     slowdowns: Mutex<IndexMap<SocketAddr, Slowdown>>,
-    reports: Mutex<usize>,
+    report_requests: Mutex<usize>,
 }
 
-impl FakeOrders {
-    /// Tokens that are set aside now.
+impl FakeEngineClient {
+    /// The number of tokens reserved now.
     pub fn reserved_tokens(&self) -> u64 {
         self.reserved.lock().unwrap().values().sum()
     }
 
-    /// How many reservations were ever made.
-    pub fn made(&self) -> usize {
-        *self.made.lock().unwrap()
+    /// The number of reservations and renewals that succeeded.
+    pub fn reservations_made(&self) -> usize {
+        *self.reservations_made.lock().unwrap()
     }
 
-    /// An engine answers no more orders.
-    pub fn silence(&self, engine: SocketAddr) {
+    /// Makes an engine respond to no more orders.
+    pub fn set_silent(&self, engine: SocketAddr) {
         *self.silent.lock().unwrap() = Some(engine);
     }
 
-    /// How often an engine was asked to set memory aside or to renew it.
-    pub fn asked(&self, engine: SocketAddr) -> usize {
-        let asked = self.asked.lock().unwrap();
-        asked.get(&engine).copied().unwrap_or(0)
+    /// How often an engine was requested to reserve memory or to renew a reservation.
+    pub fn reserve_requests(&self, engine: SocketAddr) -> usize {
+        let requests = self.reserve_requests.lock().unwrap();
+        requests.get(&engine).copied().unwrap_or(0)
     }
 
-    /// An engine says that it works this much slower than its model.
-    pub fn slow_down(&self, engine: SocketAddr, slowdown: Slowdown) {
+    /// Makes an engine report that it works this much slower than its model.
+    pub fn set_slowdown(&self, engine: SocketAddr, slowdown: Slowdown) {
         self.slowdowns.lock().unwrap().insert(engine, slowdown);
     }
 
-    /// How often engines were asked how they do.
-    pub fn reports(&self) -> usize {
-        *self.reports.lock().unwrap()
+    /// How often engines were requested for reports.
+    pub fn report_requests(&self) -> usize {
+        *self.report_requests.lock().unwrap()
     }
 
-    /// Refuses every reservation after this many.
+    /// Refuses every reservation once this many have been made.
     pub fn refuse_from(&self, made: usize) {
         *self.refuses_from.lock().unwrap() = Some(made);
     }
 }
 
-impl EngineOrders for FakeOrders {
+impl EngineClient for FakeEngineClient {
     fn reserve<'a>(
         &'a self,
         engine: SocketAddr,
         name: &'a str,
         tokens: Tokens,
         _: Duration,
-    ) -> BoxFuture<'a, Result<(), OrderError>> {
-        *self.asked.lock().unwrap().entry(engine).or_default() += 1;
+    ) -> BoxFuture<'a, Result<(), EngineClientError>> {
+        *self
+            .reserve_requests
+            .lock()
+            .unwrap()
+            .entry(engine)
+            .or_default() += 1;
         if *self.silent.lock().unwrap() == Some(engine) {
-            return async { Err(OrderError::NoAnswer("dark".to_owned())) }.boxed();
+            return async { Err(EngineClientError::NoAnswer("silent".to_owned())) }.boxed();
         }
-        let mut made = self.made.lock().unwrap();
+        let mut made = self.reservations_made.lock().unwrap();
         let is_refused = self
             .refuses_from
             .lock()
             .unwrap()
             .is_some_and(|max| *made >= max);
         if is_refused {
-            let refused = OrderError::Refused("no memory".to_owned());
+            let refused = EngineClientError::Refused("no memory".to_owned());
             return async { Err(refused) }.boxed();
         }
         *made += 1;
@@ -90,8 +95,8 @@
         async { Ok(()) }.boxed()
     }
 
-    fn report(&self, engine: SocketAddr) -> BoxFuture<'_, Result<EngineReport, OrderError>> {
-        *self.reports.lock().unwrap() += 1;
+    fn report(&self, engine: SocketAddr) -> BoxFuture<'_, Result<EngineReport, EngineClientError>> {
+        *self.report_requests.lock().unwrap() += 1;
         let known = self.slowdowns.lock().unwrap().get(&engine).copied();
         let slowdown = known.unwrap_or(Slowdown::NONE);
         async move { Ok(EngineReport { slowdown }) }.boxed()
@@ -101,7 +106,7 @@
         &'a self,
         engine: SocketAddr,
         name: &'a str,
-    ) -> BoxFuture<'a, Result<(), OrderError>> {
+    ) -> BoxFuture<'a, Result<(), EngineClientError>> {
         let key = (engine, name.to_owned());
         self.reserved.lock().unwrap().swap_remove(&key);
         async { Ok(()) }.boxed()
