--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -18,7 +18,7 @@
 mod manifest_changes;
 mod publication;
 mod publish;
-mod publish_verdict;
+mod publish_outcome;
 mod remote;
 mod show;
 mod status;
@@ -34,7 +34,7 @@
 pub use exit::Exit;
 pub use manifest_changes::changes;
 pub use publication::publish;
-pub use publish_verdict::PublishVerdict;
+pub use publish_outcome::PublishVerdict;
 
 /// Runs the tool with the arguments after its name. What it has to say goes to `out`, problems go
 /// to standard error.
