--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -34,7 +34,7 @@
 pub use exit::Exit;
 pub use manifest_changes::changes;
 pub use publication::publish;
-pub use publish_outcome::PublishVerdict;
+pub use publish_outcome::PublishOutcome;
 
 /// Runs the tool with the arguments after its name. What it has to say goes to `out`, problems go
 /// to standard error.
--- a/src/cmd/publication.rs
+++ b/src/cmd/publication.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::cmd::CmdError;
-use crate::cmd::PublishVerdict;
+use crate::cmd::PublishOutcome;
 use crate::cmd::remote::published;
 use crate::manifest::CURRENT;
 use crate::manifest::Manifest;
@@ -34,7 +34,7 @@
 /// What to do after reading.
 enum Next {
     Write(Write),
-    Tell(PublishVerdict),
+    Tell(PublishOutcome),
 }
 
 /// Publishes a checked text. `expect` is the generation that it is meant to follow, if the operator
@@ -45,14 +45,14 @@
     publish_id: u128,
     expect: Option<Generation>,
     pauses: &[Duration],
-) -> Result<PublishVerdict, CmdError> {
+) -> Result<PublishOutcome, CmdError> {
     let current = match published(platform).await {
         Ok(current) => current,
         Err(CmdError::Platform(PlatformError::Refused(why))) => {
-            return Ok(PublishVerdict::Refused(why));
+            return Ok(PublishOutcome::Refused(why));
         }
         Err(CmdError::Platform(error)) => {
-            return Ok(PublishVerdict::Unreachable(error.to_string()));
+            return Ok(PublishOutcome::Unreachable(error.to_string()));
         }
         Err(error) => return Err(error),
     };
@@ -61,10 +61,10 @@
         Next::Tell(verdict) => return Ok(verdict),
     };
     match put(platform, &write).await? {
-        Ok(_) => Ok(PublishVerdict::Accepted(write.mine.generation)),
+        Ok(_) => Ok(PublishOutcome::Accepted(write.mine.generation)),
         Err(PlatformError::Conflict | PlatformError::Absent) => Ok(met(platform, &write).await),
-        Err(PlatformError::Refused(why)) => Ok(PublishVerdict::Refused(why)),
-        Err(PlatformError::Unavailable(why)) => Ok(PublishVerdict::Unreachable(why)),
+        Err(PlatformError::Refused(why)) => Ok(PublishOutcome::Refused(why)),
+        Err(PlatformError::Unavailable(why)) => Ok(PublishOutcome::Unreachable(why)),
         Err(PlatformError::Unknown(why)) => settle(platform, &write, why, pauses).await,
     }
 }
@@ -76,15 +76,15 @@
     };
     if expect.is_some_and(|expect| expect != generation) {
         let why = format!("generation {generation} is published");
-        return Next::Tell(PublishVerdict::Refused(why));
+        return Next::Tell(PublishOutcome::Refused(why));
     }
     let held_text = current.as_ref().map(|(held, _)| held.text.as_str());
     if let Some(other) = held_text.and_then(|held| other_deployment(held, text)) {
         let why = format!("this platform holds the manifest of deployment {other}");
-        return Next::Tell(PublishVerdict::Refused(why));
+        return Next::Tell(PublishOutcome::Refused(why));
     }
     if held_text == Some(text) {
-        return Next::Tell(PublishVerdict::Accepted(generation));
+        return Next::Tell(PublishOutcome::Accepted(generation));
     }
     Next::Write(Write {
         mine: PublishedManifest::following(generation, publish_id, text),
@@ -114,14 +114,14 @@
 }
 
 /// Whose generation a refused write met, as far as the platform says.
-async fn met(platform: &dyn Platform, write: &Write) -> PublishVerdict {
+async fn met(platform: &dyn Platform, write: &Write) -> PublishOutcome {
     match published(platform).await {
         Ok(Some((held, _))) => match judge_held(&held, &write.mine) {
             // It was this write that was refused, so ours never was in force.
-            PublishVerdict::Unknown(why) => PublishVerdict::Refused(why),
+            PublishOutcome::Unknown(why) => PublishOutcome::Refused(why),
             verdict => verdict,
         },
-        _ => PublishVerdict::Refused("another publish came first".to_owned()),
+        _ => PublishOutcome::Refused("another publish came first".to_owned()),
     }
 }
 
@@ -131,7 +131,7 @@
     write: &Write,
     mut why: String,
     pauses: &[Duration],
-) -> Result<PublishVerdict, CmdError> {
+) -> Result<PublishOutcome, CmdError> {
     for pause in pauses {
         tokio::time::sleep(*pause).await;
         let current = match published(platform).await {
@@ -145,27 +145,27 @@
             return Ok(verdict);
         }
         match put(platform, write).await? {
-            Ok(_) => return Ok(PublishVerdict::Accepted(write.mine.generation)),
+            Ok(_) => return Ok(PublishOutcome::Accepted(write.mine.generation)),
             // The first write may have come through between the read and this: read again.
             Err(error) => why = error.to_string(),
         }
     }
-    Ok(PublishVerdict::Unknown(why))
+    Ok(PublishOutcome::Unknown(why))
 }
 
 /// What the held manifest says of a write whose answer was lost; none while the write may still
 /// take effect.
-fn judge(current: Current, write: &Write) -> Option<PublishVerdict> {
+fn judge(current: Current, write: &Write) -> Option<PublishOutcome> {
     let (held, version) = current?;
     let is_unchanged = write.expected == Expected::Version(version);
     (!is_unchanged).then(|| judge_held(&held, &write.mine))
 }
 
 /// What a manifest that was written since says of ours.
-fn judge_held(held: &PublishedManifest, mine: &PublishedManifest) -> PublishVerdict {
+fn judge_held(held: &PublishedManifest, mine: &PublishedManifest) -> PublishOutcome {
     // Two operators may publish the same file, and an earlier run's write may come through late.
     if held.publish_id == mine.publish_id || held.text == mine.text {
-        return PublishVerdict::Accepted(held.generation);
+        return PublishOutcome::Accepted(held.generation);
     }
     let whose = format!(
         "generation {}, publish id {}",
@@ -173,7 +173,7 @@
     );
     if held.generation > mine.generation {
         // Ours may have been in force for a moment before.
-        return PublishVerdict::Unknown(format!("a later publish is in force: {whose}"));
+        return PublishOutcome::Unknown(format!("a later publish is in force: {whose}"));
     }
-    PublishVerdict::Refused(format!("another publish came first: {whose}"))
+    PublishOutcome::Refused(format!("another publish came first: {whose}"))
 }
--- a/src/cmd/publish_outcome.rs
+++ b/src/cmd/publish_outcome.rs
@@ -7,7 +7,7 @@
 
 /// What came of publishing.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PublishVerdict {
+pub enum PublishOutcome {
     /// It is the manifest of this generation.
     Accepted(Generation),
     /// It was not taken and never will be.
@@ -18,7 +18,7 @@
     Unknown(String),
 }
 
-impl PublishVerdict {
+impl PublishOutcome {
     /// The exit code that goes with it.
     pub fn exit(&self) -> Exit {
         match self {
@@ -30,7 +30,7 @@
     }
 }
 
-impl fmt::Display for PublishVerdict {
+impl fmt::Display for PublishOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Accepted(generation) => write!(f, "accepted as generation {generation}"),
--- a/tests/cmd_publish.rs
+++ b/tests/cmd_publish.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use banyanarch::cmd::Exit;
-use banyanarch::cmd::PublishVerdict;
+use banyanarch::cmd::PublishOutcome;
 use banyanarch::cmd::changes;
 use banyanarch::cmd::publish;
 use banyanarch::manifest::Manifest;
@@ -183,7 +183,7 @@
     }
 }
 
-fn publish_to(platform: &FakePlatform, expect: Option<u64>) -> PublishVerdict {
+fn publish_to(platform: &FakePlatform, expect: Option<u64>) -> PublishOutcome {
     let work = publish(platform, MANIFEST, 42, expect.map(Generation), &PAUSES);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -220,18 +220,18 @@
 fn a_platform_that_stays_silent_leaves_it_unknown() {
     let platform = FakePlatform::holding("old").with_faults(&[Fault::LostBefore; 9]);
     let verdict = publish_to(&platform, None);
-    assert!(matches!(verdict, PublishVerdict::Unknown(_)), "{verdict}");
+    assert!(matches!(verdict, PublishOutcome::Unknown(_)), "{verdict}");
     assert_eq!(verdict.exit().code(), 4);
     // The operator runs the command again when the platform is well.
     platform.state.lock().unwrap().faults.clear();
     assert_eq!(
         publish_to(&platform, None),
-        PublishVerdict::Accepted(Generation(8))
+        PublishOutcome::Accepted(Generation(8))
     );
     // And once more: what is published already is not published twice.
     assert_eq!(
         publish_to(&platform, None),
-        PublishVerdict::Accepted(Generation(8))
+        PublishOutcome::Accepted(Generation(8))
     );
 }
 
@@ -244,7 +244,7 @@
     let empty = FakePlatform::default();
     assert_eq!(
         publish_to(&empty, Some(0)),
-        PublishVerdict::Accepted(Generation(1))
+        PublishOutcome::Accepted(Generation(1))
     );
 }
 
--- a/tests/manifests.rs
+++ b/tests/manifests.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use banyanarch::cmd::PublishVerdict;
+use banyanarch::cmd::PublishOutcome;
 use banyanarch::cmd::publish;
 use banyanarch::control::homes::Member;
 use banyanarch::control::manifests::CheckManifest;
@@ -480,7 +480,7 @@
     platform: &FakePlatform,
     history: &Recorded,
     process: usize,
-    told: &Mutex<Vec<(u128, PublishVerdict)>>,
+    told: &Mutex<Vec<(u128, PublishOutcome)>>,
 ) {
     for round in 0..3 {
         let publish_id = (process * 100 + round) as u128;
@@ -496,9 +496,9 @@
         let id = format!("{publish_id:032x}");
         let written = state.1.iter().find(|held| held.publish_id == id);
         let generation = match &verdict {
-            PublishVerdict::Accepted(generation) => Some(generation.0),
-            PublishVerdict::Unknown(_) => written.map(|held| held.generation.0),
-            PublishVerdict::Refused(_) | PublishVerdict::Unreachable(_) => None,
+            PublishOutcome::Accepted(generation) => Some(generation.0),
+            PublishOutcome::Unknown(_) => written.map(|held| held.generation.0),
+            PublishOutcome::Refused(_) | PublishOutcome::Unreachable(_) => None,
         };
         let response = (process, Action::Response(Op::Publish(generation)));
         history.lock().unwrap().push(response);
@@ -560,16 +560,16 @@
     }
 }
 
-fn check_told(log: &[PublishedManifest], told: &[(u128, PublishVerdict)], seed: u64) {
+fn check_told(log: &[PublishedManifest], told: &[(u128, PublishOutcome)], seed: u64) {
     for (publish_id, verdict) in told {
         let id = format!("{publish_id:032x}");
         let times = log.iter().filter(|held| held.publish_id == id).count();
         match verdict {
-            PublishVerdict::Accepted(_) => assert_eq!(times, 1, "seed {seed}: {verdict}"),
-            PublishVerdict::Refused(_) | PublishVerdict::Unreachable(_) => {
+            PublishOutcome::Accepted(_) => assert_eq!(times, 1, "seed {seed}: {verdict}"),
+            PublishOutcome::Refused(_) | PublishOutcome::Unreachable(_) => {
                 assert_eq!(times, 0, "seed {seed}: {verdict}");
             }
-            PublishVerdict::Unknown(_) => assert!(times <= 1, "seed {seed}"),
+            PublishOutcome::Unknown(_) => assert!(times <= 1, "seed {seed}"),
         }
     }
 }
