--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -33,7 +33,7 @@
 pub use error::CmdError;
 pub use exit::Exit;
 pub use manifest_changes::changes;
-pub use publication::publish;
+pub use publication::publish_manifest;
 pub use publish_outcome::PublishOutcome;
 
 /// Runs the tool with the arguments after its name. What it has to say goes to `out`, problems go
--- a/src/cmd/publication.rs
+++ b/src/cmd/publication.rs
@@ -39,7 +39,7 @@
 
 /// Publishes a checked text. `expect` is the generation that it is meant to follow, if the operator
 /// named one. After a lost answer, each of `pauses` is one more try to learn what became of it.
-pub async fn publish(
+pub async fn publish_manifest(
     platform: &dyn Platform,
     text: &str,
     publish_id: u128,
--- a/src/cmd/publish.rs
+++ b/src/cmd/publish.rs
@@ -65,7 +65,8 @@
     let file = read_manifest(&args.file)?;
     let platform = platform(args.platform);
     let publish_id = rand::random();
-    let work = publication::publish(&platform, &file.text, publish_id, args.expect, &PAUSES);
+    let work =
+        publication::publish_manifest(&platform, &file.text, publish_id, args.expect, &PAUSES);
     let verdict = block_on(work)??;
     writeln!(out, "{verdict}")?;
     Ok(verdict.exit())
--- a/tests/cmd_publish.rs
+++ b/tests/cmd_publish.rs
@@ -8,7 +8,7 @@
 use banyanarch::cmd::Exit;
 use banyanarch::cmd::PublishOutcome;
 use banyanarch::cmd::changes;
-use banyanarch::cmd::publish;
+use banyanarch::cmd::publish_manifest;
 use banyanarch::manifest::Manifest;
 use banyanarch::manifest::PublishedManifest;
 use banyanarch::objects::Expected;
@@ -184,7 +184,7 @@
 }
 
 fn publish_to(platform: &FakePlatform, expect: Option<u64>) -> PublishOutcome {
-    let work = publish(platform, MANIFEST, 42, expect.map(Generation), &PAUSES);
+    let work = publish_manifest(platform, MANIFEST, 42, expect.map(Generation), &PAUSES);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .build();
--- a/tests/manifests.rs
+++ b/tests/manifests.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use banyanarch::cmd::PublishOutcome;
-use banyanarch::cmd::publish;
+use banyanarch::cmd::publish_manifest;
 use banyanarch::control::homes::Member;
 use banyanarch::control::manifests::CheckManifest;
 use banyanarch::control::manifests::ManifestAction;
@@ -488,7 +488,7 @@
         history.lock().unwrap().push(call);
         let text = format!("text {publish_id}");
         let pauses = [Duration::ZERO; 4];
-        let verdict = publish(platform, &text, publish_id, None, &pauses)
+        let verdict = publish_manifest(platform, &text, publish_id, None, &pauses)
             .await
             .unwrap();
         // What the operator was not told is taken from the platform's own record.
