--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `banyanarch check`.
+//! The subcommand `banyanarch check`.
 
 use std::io::Write;
 use std::path::Path;
@@ -7,17 +7,17 @@
 use pico_args::Arguments;
 
 use crate::cmd::CmdError;
-use crate::cmd::Exit;
-use crate::cmd::cross_check::CheckedFiles;
+use crate::cmd::ExitStatus;
+use crate::cmd::checked_files::CheckedFiles;
 use crate::cmd::files::read_text;
-use crate::cmd::files::rest;
+use crate::cmd::files::remaining_files;
 use crate::manifest::Manifest;
 use crate::settings::Settings;
 use crate::yaml::Node;
 
 pub(crate) const USAGE: &str = "
-Checks settings and manifests, and whether those given together go together. Reports every problem
-as `FILE:LINE: FIELD: what is wrong`.
+Checks settings and manifests, and whether the given files contradict each other. Reports every
+problem as `FILE:LINE: FIELD: what is wrong`.
 
 Usage:
     banyanarch check [--settings | --manifest] FILE...
@@ -45,11 +45,11 @@
     fn parse(mut args: Arguments) -> Result<Self, CmdError> {
         let settings = args.contains("--settings");
         let manifest = args.contains("--manifest");
-        let files = rest(args)?;
+        let files = remaining_files(args)?;
         let kind = match (settings, manifest) {
             (true, true) => {
-                let why = "give one of --settings and --manifest";
-                return Err(CmdError::Usage(why.to_owned()));
+                let message = "give one of --settings and --manifest";
+                return Err(CmdError::Usage(message.to_owned()));
             }
             (true, false) => Some(FileKind::Settings),
             (false, true) => Some(FileKind::Manifest),
@@ -62,24 +62,24 @@
     }
 }
 
-pub(crate) fn run(args: Arguments, out: &mut dyn Write) -> Result<Exit, CmdError> {
+pub(crate) fn run(args: Arguments, out: &mut dyn Write) -> Result<ExitStatus, CmdError> {
     let args = Args::parse(args)?;
     let mut checked = CheckedFiles::default();
     let mut problems = Vec::new();
     for path in &args.files {
         match check_file(path, args.kind, &mut checked) {
-            Ok(what) => writeln!(out, "{}: good: {what}", path.display())?,
+            Ok(description) => writeln!(out, "{}: good: {description}", path.display())?,
             Err(error) => problems.push(error.to_string()),
         }
     }
-    problems.extend(checked.clashes().iter().map(ToString::to_string));
+    problems.extend(checked.conflicts().iter().map(ToString::to_string));
     for problem in &problems {
         eprintln!("{problem}");
     }
     Ok(if problems.is_empty() {
-        Exit::Done
+        ExitStatus::Success
     } else {
-        Exit::BadInput
+        ExitStatus::BadInput
     })
 }
 
@@ -90,16 +90,16 @@
 ) -> Result<String, CmdError> {
     let text = read_text(path)?;
     let file = path.display().to_string();
-    match kind.unwrap_or_else(|| guess(&text)) {
+    match kind.unwrap_or_else(|| detect_kind(&text)) {
         FileKind::Settings => {
             let settings = Settings::parse(&text, &file)?;
-            let what = format!("settings of host {}", settings.host);
+            let description = format!("settings of host {}", settings.host);
             checked.add_settings(file, &text, settings);
-            Ok(what)
+            Ok(description)
         }
         FileKind::Manifest => {
             let manifest = Manifest::parse(&text, &file)?;
-            let what = format!(
+            let description = format!(
                 "manifest of {}, {} models, {} services, {} customers",
                 manifest.deployment,
                 manifest.models.len(),
@@ -107,12 +107,12 @@
                 manifest.customers.len()
             );
             checked.add_manifest(file, manifest);
-            Ok(what)
+            Ok(description)
         }
     }
 }
 
-fn guess(text: &str) -> FileKind {
+fn detect_kind(text: &str) -> FileKind {
     match Node::parse(text) {
         Ok(root) if root.has_key("listen") => FileKind::Settings,
         _ => FileKind::Manifest,
--- a/src/cmd/command.rs
+++ b/src/cmd/command.rs
@@ -1,4 +1,4 @@
-//! The subcommands by name.
+//! The subcommands of the tool.
 
 use std::io::Write;
 use std::str::FromStr;
@@ -6,7 +6,7 @@
 use pico_args::Arguments;
 
 use crate::cmd::CmdError;
-use crate::cmd::Exit;
+use crate::cmd::ExitStatus;
 use crate::cmd::check;
 use crate::cmd::diff;
 use crate::cmd::explain;
@@ -18,19 +18,19 @@
 /// A subcommand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Checks files.
+    /// Checks settings and manifest files.
     Check,
     /// Shows what a manifest would change.
     Diff,
-    /// Shows what was decided for a request.
+    /// Shows the decisions that were made for a request.
     Explain,
-    /// Shows how the tool is used.
+    /// Shows the usage of the tool or of one subcommand.
     Help,
     /// Publishes a manifest.
     Publish,
-    /// Shows how the fleet is.
+    /// Shows the state of the fleet.
     Status,
-    /// Shows the version.
+    /// Shows the version of the tool.
     Version,
 }
 
@@ -45,7 +45,7 @@
         ("version", Self::Version),
     ];
 
-    /// How the subcommand is used.
+    /// The usage text of the subcommand.
     pub fn usage(self) -> &'static str {
         let usage = match self {
             Self::Check => check::USAGE,
@@ -59,8 +59,8 @@
         usage.trim()
     }
 
-    /// Runs the subcommand with the arguments after its name.
-    pub fn run(self, args: Arguments, out: &mut dyn Write) -> Result<Exit, CmdError> {
+    /// Runs the subcommand with the arguments that follow its name.
+    pub fn run(self, args: Arguments, out: &mut dyn Write) -> Result<ExitStatus, CmdError> {
         match self {
             Self::Check => check::run(args, out),
             Self::Diff => diff::run(args, out),
--- a/src/cmd/diff.rs
+++ b/src/cmd/diff.rs
@@ -1,4 +1,4 @@
-//! `banyanarch diff`.
+//! The subcommand `banyanarch diff`.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -7,17 +7,17 @@
 use pico_args::Arguments;
 
 use crate::cmd::CmdError;
-use crate::cmd::Exit;
-use crate::cmd::changes;
-use crate::cmd::files::one_file;
+use crate::cmd::ExitStatus;
+use crate::cmd::diff_manifests;
 use crate::cmd::files::read_manifest;
+use crate::cmd::files::single_file;
 use crate::cmd::remote::block_on;
-use crate::cmd::remote::platform;
-use crate::cmd::remote::published;
+use crate::cmd::remote::fetch_published;
+use crate::cmd::remote::platform_client;
 use crate::manifest::Manifest;
 
 pub(crate) const USAGE: &str = "
-Shows what a manifest would change against the published one.
+Shows what a manifest would change compared with the published one.
 
 Usage:
     banyanarch diff FILE --platform ADDR
@@ -25,7 +25,7 @@
 Options:
     --platform ADDR    IP:PORT of the platform's object service.
 
-Exit codes: 0 no difference, 1 different, 2 the file is wrong, 3 the platform was not reached.
+Exit codes: 0 no difference, 1 different, 2 the file is invalid, 3 the platform was not reached.
 ";
 
 struct Args {
@@ -37,28 +37,35 @@
     fn parse(mut args: Arguments) -> Result<Self, CmdError> {
         Ok(Self {
             platform: args.value_from_str("--platform")?,
-            file: one_file(args)?,
+            file: single_file(args)?,
         })
     }
 }
 
-pub(crate) fn run(args: Arguments, out: &mut dyn Write) -> Result<Exit, CmdError> {
+pub(crate) fn run(args: Arguments, out: &mut dyn Write) -> Result<ExitStatus, CmdError> {
     let args = Args::parse(args)?;
     let new = read_manifest(&args.file)?.manifest;
-    let platform = platform(args.platform);
-    let Some((held, _)) = block_on(published(&platform))?? else {
+    let platform = platform_client(args.platform);
+    let Some((published, _)) = block_on(fetch_published(&platform))?? else {
         writeln!(out, "no manifest is published; all of it is new")?;
-        return Ok(Exit::Refused);
+        return Ok(ExitStatus::Negative);
     };
-    let old = Manifest::parse(&held.text, &format!("generation {}", held.generation))?;
-    let lines = changes(&old, &new)?;
+    let old = Manifest::parse(
+        &published.text,
+        &format!("generation {}", published.generation),
+    )?;
+    let lines = diff_manifests(&old, &new)?;
     if lines.is_empty() {
-        writeln!(out, "no difference to generation {}", held.generation)?;
-        return Ok(Exit::Done);
+        writeln!(
+            out,
+            "no difference from generation {}",
+            published.generation
+        )?;
+        return Ok(ExitStatus::Success);
     }
-    writeln!(out, "against generation {}:", held.generation)?;
+    writeln!(out, "compared with generation {}:", published.generation)?;
     for line in lines {
         writeln!(out, "{line}")?;
     }
-    Ok(Exit::Refused)
+    Ok(ExitStatus::Negative)
 }
--- a/src/cmd/error.rs
+++ b/src/cmd/error.rs
@@ -1,49 +1,51 @@
-//! Why a subcommand could not do its work.
+//! Errors of subcommands.
 
 use std::error::Error;
 use std::fmt;
 use std::io;
 
-use crate::cmd::Exit;
+use crate::cmd::ExitStatus;
 use crate::http::HttpError;
 use crate::manifest::ManifestErrors;
 use crate::objects::PlatformError;
 use crate::settings::SettingsErrors;
 use crate::yaml::FileErrors;
 
-/// Why a subcommand could not do its work.
+/// An error that ends a subcommand.
 #[derive(Debug)]
 pub enum CmdError {
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage(String),
-    /// Settings are wrong.
+    /// A settings file is invalid.
     Settings(SettingsErrors),
-    /// A manifest is wrong.
+    /// A manifest is invalid.
     Manifest(ManifestErrors),
-    /// A file can't be read, or files contradict each other.
+    /// A file cannot be read, or files contradict each other.
     Files(FileErrors),
-    /// The platform did not do it.
+    /// A call to the platform failed.
     Platform(PlatformError),
-    /// A host did not answer.
+    /// A call to a host failed.
     Host(HttpError),
-    /// An answer is not what it should be.
-    BadAnswer(String),
-    /// Standard output can't be written to.
+    /// A response of the platform or a host is invalid.
+    InvalidResponse(String),
+    /// Standard output cannot be written to.
     Output(io::Error),
-    /// The machine gave no thread or descriptor.
+    /// The async runtime cannot be started, such as for lack of file descriptors.
     Runtime(io::Error),
 }
 
 impl CmdError {
-    /// The exit code that goes with it.
-    pub fn exit(&self) -> Exit {
+    /// The exit status of the tool for this error.
+    pub fn exit_status(&self) -> ExitStatus {
         match self {
             Self::Usage(_) | Self::Settings(_) | Self::Manifest(_) | Self::Files(_) => {
-                Exit::BadInput
+                ExitStatus::BadInput
             }
-            Self::Platform(PlatformError::Absent | PlatformError::Refused(_)) => Exit::Refused,
-            Self::Platform(_) | Self::Host(_) => Exit::Unreachable,
-            Self::BadAnswer(_) | Self::Output(_) | Self::Runtime(_) => Exit::Refused,
+            Self::Platform(PlatformError::Absent | PlatformError::Refused(_)) => {
+                ExitStatus::Negative
+            }
+            Self::Platform(_) | Self::Host(_) => ExitStatus::Unreachable,
+            Self::InvalidResponse(_) | Self::Output(_) | Self::Runtime(_) => ExitStatus::Negative,
         }
     }
 }
@@ -51,15 +53,15 @@
 impl fmt::Display for CmdError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Usage(why) => f.write_str(why),
+            Self::Usage(message) => f.write_str(message),
             Self::Settings(errors) => errors.fmt(f),
             Self::Manifest(errors) => errors.fmt(f),
             Self::Files(errors) => errors.fmt(f),
             Self::Platform(error) => error.fmt(f),
             Self::Host(error) => write!(f, "host {error}"),
-            Self::BadAnswer(why) => write!(f, "bad answer: {why}"),
+            Self::InvalidResponse(message) => write!(f, "invalid response: {message}"),
             Self::Output(error) => write!(f, "standard output: {error}"),
-            Self::Runtime(error) => write!(f, "can't start: {error}"),
+            Self::Runtime(error) => write!(f, "cannot start the async runtime: {error}"),
         }
     }
 }
@@ -104,7 +106,7 @@
 
 impl From<serde_json::Error> for CmdError {
     fn from(error: serde_json::Error) -> Self {
-        Self::BadAnswer(error.to_string())
+        Self::InvalidResponse(error.to_string())
     }
 }
 
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! `banyanarch explain`.
+//! The subcommand `banyanarch explain`.
 
 use std::io;
 use std::io::Write;
@@ -9,19 +9,20 @@
 use pico_args::Arguments;
 
 use crate::cmd::CmdError;
-use crate::cmd::Exit;
-use crate::cmd::explain_text::Merged;
-use crate::cmd::files::finish;
+use crate::cmd::ExitStatus;
+use crate::cmd::files::expect_no_more_args;
 use crate::cmd::files::read_text;
 use crate::cmd::host_page;
-use crate::cmd::logs::Logs;
+use crate::cmd::merged_explanation::MergedExplanation;
+use crate::cmd::merged_logs::MergedLogs;
 use crate::cmd::remote::block_on;
 use crate::units::RequestId;
 
 pub(crate) const USAGE: &str = "
-Shows what was decided for a request, where it went and why. The request's id stands in the header
-Banyanarch-Request-Id of its answer, the host that knows most in Banyanarch-Host. Hosts keep the
-latest requests only. Their logs know all: with --logs the id is the one that the caller gave.
+Shows which decisions were made for a request, where it was sent and why. The header
+Banyanarch-Request-Id of the answer is the id of the request, and Banyanarch-Host the host that has
+most of its steps. Hosts keep the latest requests only, their logs have all.
+With --logs the id is the one that the caller gave.
 
 Usage:
     banyanarch explain REQUEST_ID --host ADDR [--host ADDR]... [--json]
@@ -38,7 +39,7 @@
     --summary      Where answers were lost: waits, forecasts and first events by the length of the prompt,
                    and how requests ended, by time.
 
-Exit codes: 0 done, 1 no host or log knows the request, 2 bad command line, 3 no host was reached.
+Exit codes: 0 done, 1 no host or log has the request, 2 bad command line, 3 no host was reached.
 ";
 
 struct Args {
@@ -47,8 +48,8 @@
     json: bool,
 }
 
-/// What is asked of logs.
-enum OfLogs {
+/// What to show from the logs.
+enum LogQuery {
     Failed,
     Summary,
     Request(String),
@@ -59,7 +60,7 @@
         let json = args.contains("--json");
         let hosts: Vec<SocketAddr> = args.values_from_str("--host")?;
         let request = args.free_from_str()?;
-        finish(args)?;
+        expect_no_more_args(args)?;
         if hosts.is_empty() {
             return Err(CmdError::Usage("give at least one --host".to_owned()));
         }
@@ -71,56 +72,68 @@
     }
 }
 
-pub(crate) fn run(mut args: Arguments, out: &mut dyn Write) -> Result<Exit, CmdError> {
+pub(crate) fn run(mut args: Arguments, out: &mut dyn Write) -> Result<ExitStatus, CmdError> {
     let logs: Vec<PathBuf> = args.values_from_str("--logs")?;
     if !logs.is_empty() {
         return run_logs(args, &logs, out);
     }
     let args = Args::parse(args)?;
-    let merged = block_on(ask_all(args.request, &args.hosts))??;
+    let merged = block_on(query_hosts(args.request, &args.hosts))??;
     if merged.steps.is_empty() && merged.not_reached.len() == args.hosts.len() {
         eprintln!("no host was reached");
-        return Ok(Exit::Unreachable);
+        return Ok(ExitStatus::Unreachable);
     }
     if args.json {
         writeln!(out, "{}", serde_json::to_string_pretty(&merged)?)?;
     } else {
         write!(out, "{merged}")?;
     }
-    let is_known = !merged.steps.is_empty();
-    Ok(if is_known { Exit::Done } else { Exit::Refused })
+    let is_found = !merged.steps.is_empty();
+    Ok(if is_found {
+        ExitStatus::Success
+    } else {
+        ExitStatus::Negative
+    })
 }
 
-fn run_logs(mut args: Arguments, paths: &[PathBuf], out: &mut dyn Write) -> Result<Exit, CmdError> {
-    let wanted = if args.contains("--failed") {
-        OfLogs::Failed
+fn run_logs(
+    mut args: Arguments,
+    paths: &[PathBuf],
+    out: &mut dyn Write,
+) -> Result<ExitStatus, CmdError> {
+    let query = if args.contains("--failed") {
+        LogQuery::Failed
     } else if args.contains("--summary") {
-        OfLogs::Summary
+        LogQuery::Summary
     } else {
-        OfLogs::Request(args.free_from_str()?)
+        LogQuery::Request(args.free_from_str()?)
     };
-    finish(args)?;
-    let mut logs = Logs::default();
+    expect_no_more_args(args)?;
+    let mut logs = MergedLogs::default();
     for path in paths {
-        logs.take_in(&read_log(path)?);
+        logs.add_log(&read_log(path)?);
     }
     logs.sort();
-    let is_known = match wanted {
-        OfLogs::Failed => {
-            write!(out, "{}", logs.failed())?;
+    let is_found = match query {
+        LogQuery::Failed => {
+            write!(out, "{}", logs.failed_requests())?;
             true
         }
-        OfLogs::Summary => {
+        LogQuery::Summary => {
             write!(out, "{}", logs.summary())?;
             true
         }
-        OfLogs::Request(request) => {
-            let story = logs.story(&request);
-            write!(out, "{story}")?;
-            story.is_known()
+        LogQuery::Request(request) => {
+            let timeline = logs.timeline(&request);
+            write!(out, "{timeline}")?;
+            timeline.is_found()
         }
     };
-    Ok(if is_known { Exit::Done } else { Exit::Refused })
+    Ok(if is_found {
+        ExitStatus::Success
+    } else {
+        ExitStatus::Negative
+    })
 }
 
 fn read_log(path: &Path) -> Result<String, CmdError> {
@@ -130,11 +143,14 @@
     read_text(path)
 }
 
-async fn ask_all(request: RequestId, hosts: &[SocketAddr]) -> Result<Merged, CmdError> {
-    let mut merged = Merged::new(request);
+async fn query_hosts(
+    request: RequestId,
+    hosts: &[SocketAddr],
+) -> Result<MergedExplanation, CmdError> {
+    let mut merged = MergedExplanation::new(request);
     for addr in hosts {
-        match host_page::read(*addr, &format!("/explain/{request}")).await {
-            Ok(Some(page)) => merged.take_in(*addr, page)?,
+        match host_page::fetch(*addr, &format!("/explain/{request}")).await {
+            Ok(Some(page)) => merged.add_page(*addr, page)?,
             Ok(None) => {}
             Err(error) => {
                 eprintln!("{addr}: {error}; its steps are missing");
--- a/src/cmd/files.rs
+++ b/src/cmd/files.rs
@@ -1,4 +1,4 @@
-//! Files and options that several subcommands read alike.
+//! Files and command-line arguments that several subcommands read.
 
 use std::fs;
 use std::path::Path;
@@ -10,7 +10,7 @@
 use crate::manifest::Manifest;
 use crate::yaml::FileErrors;
 
-/// A manifest file that has been read and checked.
+/// A manifest file that has been read and validated.
 pub(crate) struct ManifestFile {
     pub(crate) text: String,
     pub(crate) manifest: Manifest,
@@ -28,8 +28,8 @@
     Ok(ManifestFile { text, manifest })
 }
 
-/// The files that are left on the command line.
-pub(crate) fn rest(args: Arguments) -> Result<Vec<PathBuf>, CmdError> {
+/// The remaining arguments as files; an error if one is an option.
+pub(crate) fn remaining_files(args: Arguments) -> Result<Vec<PathBuf>, CmdError> {
     let rest = args.finish();
     match rest
         .iter()
@@ -40,18 +40,18 @@
     }
 }
 
-/// The one file that must be left on the command line.
-pub(crate) fn one_file(args: Arguments) -> Result<PathBuf, CmdError> {
-    let mut files = rest(args)?;
+/// The only remaining argument as a file; an error if there is none or more than one.
+pub(crate) fn single_file(args: Arguments) -> Result<PathBuf, CmdError> {
+    let mut files = remaining_files(args)?;
     match (files.pop(), files.is_empty()) {
         (Some(file), true) => Ok(file),
         _ => Err(CmdError::Usage("expected one FILE".to_owned())),
     }
 }
 
-/// Nothing may be left on the command line.
-pub(crate) fn finish(args: Arguments) -> Result<(), CmdError> {
-    match rest(args)?.first() {
+/// Returns an error if an argument remains on the command line.
+pub(crate) fn expect_no_more_args(args: Arguments) -> Result<(), CmdError> {
+    match remaining_files(args)?.first() {
         Some(extra) => Err(CmdError::Usage(format!(
             "unexpected argument `{}`",
             extra.display()
--- a/src/cmd/host_page.rs
+++ b/src/cmd/host_page.rs
@@ -1,4 +1,4 @@
-//! Pages of a host's status port.
+//! Pages of the status port of a host.
 
 use std::net::SocketAddr;
 
@@ -10,21 +10,24 @@
 use crate::http::ChunksBody;
 use crate::http::HttpClient;
 
-const PAGE_LEN_MAX: usize = 16 << 20;
+/// The maximum length of a page in bytes.
+const PAGE_BYTES_MAX: usize = 16 << 20;
 
-/// Reads a page as JSON; none if the host has no such page.
-pub(crate) async fn read(
+/// Fetches a page as JSON; none if the host has no such page.
+pub(crate) async fn fetch(
     addr: SocketAddr,
     path: &str,
 ) -> Result<Option<serde_json::Value>, CmdError> {
     let req = Request::get(path).body(ChunksBody::default());
     let req = req.map_err(|error| CmdError::Usage(error.to_string()))?;
     let res = HttpClient::new(addr)
-        .call(req, PAGE_LEN_MAX, CALL_TIMEOUT)
+        .call(req, PAGE_BYTES_MAX, CALL_TIMEOUT)
         .await?;
     match res.status() {
         StatusCode::OK => Ok(Some(serde_json::from_slice(res.body())?)),
         StatusCode::NOT_FOUND => Ok(None),
-        status => Err(CmdError::BadAnswer(format!("{addr} answered {status}"))),
+        status => Err(CmdError::InvalidResponse(format!(
+            "{addr} answered {status}"
+        ))),
     }
 }
--- a/src/cmd/log_summary.rs
+++ b/src/cmd/log_summary.rs
@@ -1,68 +1,75 @@
-//! Where answers were lost, by what hosts wrote into their decision logs.
+//! Statistics over the requests in the decision logs: waits, forecasts, refusals and outcomes.
 
 use std::cmp::Reverse;
 use std::fmt;
 
 use indexmap::IndexMap;
 
-use crate::cmd::logs::Line;
+use crate::cmd::merged_logs::LogLine;
 use crate::gateway::DecisionEvent;
 
-/// The longest prompts of the rows, in tokens; the last row has no end.
-const LENGTHS: [u64; 7] = [10_000, 25_000, 50_000, 100_000, 250_000, 500_000, 750_000];
-/// The length of a stretch of time, in ms.
-const STRETCH_MS: u64 = 2_000;
-/// What is turned away within this time was not kept waiting, in ms.
-const AT_ONCE_MS: i64 = 100;
-/// Columns of outcomes, the most frequent ones; the others are counted together.
-const OUTCOMES_MAX: usize = 5;
+/// The upper bounds of the rows, in tokens, exclusive. One more row has the longer prompts.
+const PROMPT_TOKENS_BOUNDS: [u64; 7] = [10_000, 25_000, 50_000, 100_000, 250_000, 500_000, 750_000];
+/// The length of the intervals in which outcomes are counted, in ms.
+const INTERVAL_MS: u64 = 2_000;
+/// A request that is refused in less than this time counts as refused without a wait, in ms.
+const IMMEDIATE_REFUSAL_MS: i64 = 100;
+/// The number of the most frequent outcomes that get a column each. All others share one column.
+const OUTCOME_COLUMNS_MAX: usize = 5;
 
 /// The last send of a request.
-struct Send {
+struct LastSend {
     prompt_tokens: u64,
     forecast_ms: u64,
+    /// The time from the arrival of the request to the send.
     waited_ms: u64,
     engines: usize,
     reserves: usize,
     manifest_age_ms: u64,
 }
 
-/// Requests with prompts of about the same length.
+/// Statistics over the requests whose prompts are in one range of lengths.
 #[derive(Default)]
-struct Row {
+struct PromptLengthRow {
     waited_ms: Vec<i64>,
     forecast_ms: Vec<i64>,
     first_event_ms: Vec<i64>,
-    /// How much later than forecast; negative where sooner.
-    error_ms: Vec<i64>,
+    /// How much later than forecast the first event came; negative if it came earlier.
+    delay_ms: Vec<i64>,
+    /// The sum of the engines that each prompt was sent to.
     engines: usize,
+    /// The sum of the engines with memory reserved for each prompt.
     reserves: usize,
-    /// How long requests that hosts turned away had waited, by reason.
+    /// The waits of refused requests, by reason.
     refused_after_ms: IndexMap<String, Vec<i64>>,
 }
 
-/// What became of the requests of several hosts.
-pub(crate) struct Summary {
-    rows: Vec<Row>,
+/// Statistics over the requests of several hosts.
+pub(crate) struct LogSummary {
+    rows: Vec<PromptLengthRow>,
     manifest_ages_ms: Vec<i64>,
-    /// How many requests ended how, by the beginning of the stretch.
-    stretches: IndexMap<u64, IndexMap<String, usize>>,
+    /// The number of requests by outcome, by the start of the interval in ms.
+    intervals: IndexMap<u64, IndexMap<String, usize>>,
     outcomes: IndexMap<String, usize>,
-    begins_ms: u64,
+    /// The time of the first line, in ms since the Unix epoch.
+    start_ms: u64,
 }
 
-impl Summary {
-    /// Takes lines in order of time.
-    pub(crate) fn of(lines: &[Line]) -> Self {
+impl LogSummary {
+    /// Computes the statistics. The lines must be sorted by time.
+    pub(crate) fn from_lines(lines: &[LogLine]) -> Self {
         let mut summary = Self {
-            rows: LENGTHS.iter().map(|_| Row::default()).collect(),
+            rows: PROMPT_TOKENS_BOUNDS
+                .iter()
+                .map(|_| PromptLengthRow::default())
+                .collect(),
             manifest_ages_ms: Vec::new(),
-            stretches: IndexMap::new(),
+            intervals: IndexMap::new(),
             outcomes: IndexMap::new(),
-            begins_ms: lines.first().map_or(0, |line| line.wall_ms),
+            start_ms: lines.first().map_or(0, |line| line.wall_ms),
         };
-        summary.rows.push(Row::default());
-        let mut sends: IndexMap<(&str, &str), Send> = IndexMap::new();
+        summary.rows.push(PromptLengthRow::default());
+        let mut sends: IndexMap<(&str, &str), LastSend> = IndexMap::new();
         for line in lines {
             match &line.event {
                 DecisionEvent::Sent {
@@ -75,7 +82,7 @@
                     manifest_age_ms,
                     ..
                 } => {
-                    let send = Send {
+                    let send = LastSend {
                         prompt_tokens: *prompt_tokens,
                         forecast_ms: *forecast_ms,
                         waited_ms: *elapsed_ms,
@@ -91,10 +98,10 @@
                     first_event_ms,
                     ..
                 } => {
-                    summary.count(line.wall_ms, outcome);
+                    summary.count_outcome(line.wall_ms, outcome);
                     let send = sends.swap_remove(&(line.host.as_str(), request.as_str()));
                     if let (Some(send), Some(first_event_ms)) = (send, first_event_ms) {
-                        summary.take_in(&send, *first_event_ms);
+                        summary.record_first_event(&send, *first_event_ms);
                     }
                 }
                 DecisionEvent::Refused {
@@ -103,8 +110,8 @@
                     elapsed_ms,
                     ..
                 } if *prompt_tokens > 0 => {
-                    let refused = &mut summary.row(*prompt_tokens).refused_after_ms;
-                    let waited_ms = refused.entry(reason.to_string()).or_default();
+                    let refused_after_ms = &mut summary.row_mut(*prompt_tokens).refused_after_ms;
+                    let waited_ms = refused_after_ms.entry(reason.to_string()).or_default();
                     waited_ms.push(signed(*elapsed_ms));
                 }
                 _ => {}
@@ -114,52 +121,51 @@
     }
 
     /// The row of prompts of this length.
-    fn row(&mut self, prompt_tokens: u64) -> &mut Row {
-        let place = LENGTHS.iter().position(|max| prompt_tokens < *max);
-        &mut self.rows[place.unwrap_or(LENGTHS.len())]
+    fn row_mut(&mut self, prompt_tokens: u64) -> &mut PromptLengthRow {
+        let index = PROMPT_TOKENS_BOUNDS
+            .iter()
+            .position(|max| prompt_tokens < *max);
+        &mut self.rows[index.unwrap_or(PROMPT_TOKENS_BOUNDS.len())]
     }
 
-    fn count(&mut self, wall_ms: u64, outcome: &str) {
-        let since_ms = wall_ms.saturating_sub(self.begins_ms);
-        let stretch = since_ms / STRETCH_MS * STRETCH_MS;
-        let outcomes = self.stretches.entry(stretch).or_default();
+    fn count_outcome(&mut self, wall_ms: u64, outcome: &str) {
+        let elapsed_ms = wall_ms.saturating_sub(self.start_ms);
+        let interval_ms = elapsed_ms / INTERVAL_MS * INTERVAL_MS;
+        let outcomes = self.intervals.entry(interval_ms).or_default();
         *outcomes.entry(outcome.to_owned()).or_default() += 1;
         *self.outcomes.entry(outcome.to_owned()).or_default() += 1;
     }
 
-    fn take_in(&mut self, send: &Send, first_event_ms: u64) {
+    fn record_first_event(&mut self, send: &LastSend, first_event_ms: u64) {
         self.manifest_ages_ms.push(signed(send.manifest_age_ms));
-        // Plain services have no prompts.
+        // Requests to plain services have no prompt.
         if send.prompt_tokens == 0 {
             return;
         }
-        let row = self.row(send.prompt_tokens);
+        let row = self.row_mut(send.prompt_tokens);
         let since_send_ms = signed(first_event_ms) - signed(send.waited_ms);
         row.waited_ms.push(signed(send.waited_ms));
         row.forecast_ms.push(signed(send.forecast_ms));
         row.first_event_ms.push(signed(first_event_ms));
-        row.error_ms.push(since_send_ms - signed(send.forecast_ms));
+        row.delay_ms.push(since_send_ms - signed(send.forecast_ms));
         row.engines += send.engines;
         row.reserves += send.reserves;
     }
 
-    /// The names of the most frequent outcomes.
-    fn frequent(&self) -> Vec<&String> {
+    /// The names of the most frequent outcomes, the most frequent first.
+    fn frequent_outcomes(&self) -> Vec<&String> {
         let mut outcomes: Vec<(&String, usize)> =
             self.outcomes.iter().map(|(k, v)| (k, *v)).collect();
         outcomes.sort_by_key(|(name, count)| (Reverse(*count), *name));
         outcomes
             .into_iter()
-            .take(OUTCOMES_MAX)
+            .take(OUTCOME_COLUMNS_MAX)
             .map(|(name, _)| name)
             .collect()
     }
 
-    fn write_lengths(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(
-            f,
-            "By length of the prompt; ms, median and 90th percentile:"
-        )?;
+    fn write_first_events(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        writeln!(f, "By prompt length; median and 90th percentile in ms:")?;
         writeln!(
             f,
             "{:>12} {:>7} {:>15} {:>15} {:>15} {:>15} {:>8} {:>9}",
@@ -172,16 +178,16 @@
             "engines",
             "reserves"
         )?;
-        for (place, row) in self.rows.iter().enumerate() {
-            let name = row_name(place);
+        for (index, row) in self.rows.iter().enumerate() {
+            let name = row_name(index);
             let sends = row.waited_ms.len();
             writeln!(
                 f,
                 "{name:>12} {sends:>7} {:>15} {:>15} {:>15} {:>15} {:>8.1} {:>9}",
-                spread(&row.waited_ms),
-                spread(&row.forecast_ms),
-                spread(&row.first_event_ms),
-                spread(&row.error_ms),
+                median_and_p90(&row.waited_ms),
+                median_and_p90(&row.forecast_ms),
+                median_and_p90(&row.first_event_ms),
+                median_and_p90(&row.delay_ms),
                 row.engines as f64 / sends.max(1) as f64,
                 row.reserves,
             )?;
@@ -189,7 +195,7 @@
         let ages = &self.manifest_ages_ms;
         writeln!(
             f,
-            "\nAge of the manifest at a send, ms: {} {} {} (10th, 50th, 99th percentile)",
+            "\nAge of the manifest at the last send, in ms: {} {} {} (10th, 50th, 99th percentile)",
             quantile(ages, 0.1),
             quantile(ages, 0.5),
             quantile(ages, 0.99),
@@ -197,37 +203,37 @@
     }
 
     fn write_refusals(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "\nTurned away by length of the prompt:")?;
+        writeln!(f, "\nRefused requests by prompt length:")?;
         writeln!(
             f,
             "{:>12} {:>18} {:>7} {:>13} {:>15}",
             "tokens", "reason", "count", "under 100 ms", "waited"
         )?;
-        for (place, row) in self.rows.iter().enumerate() {
+        for (index, row) in self.rows.iter().enumerate() {
             for (reason, waited_ms) in &row.refused_after_ms {
-                let at_once = waited_ms.iter().filter(|ms| **ms < AT_ONCE_MS);
+                let immediate = waited_ms.iter().filter(|ms| **ms < IMMEDIATE_REFUSAL_MS);
                 writeln!(
                     f,
                     "{:>12} {reason:>18} {:>7} {:>13} {:>15}",
-                    row_name(place),
+                    row_name(index),
                     waited_ms.len(),
-                    at_once.count(),
-                    spread(waited_ms),
+                    immediate.count(),
+                    median_and_p90(waited_ms),
                 )?;
             }
         }
         Ok(())
     }
 
-    fn write_stretches(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let names = self.frequent();
-        write!(f, "\nEnds in stretches of two seconds:\n{:>8}", "second")?;
+    fn write_outcomes(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let names = self.frequent_outcomes();
+        write!(f, "\nOutcomes by interval of two seconds:\n{:>8}", "second")?;
         for name in &names {
             write!(f, " {name:>16}")?;
         }
         writeln!(f, " {:>16}", "others")?;
-        for (at_ms, outcomes) in &self.stretches {
-            write!(f, "{:>8}", at_ms / 1_000)?;
+        for (interval_ms, outcomes) in &self.intervals {
+            write!(f, "{:>8}", interval_ms / 1_000)?;
             let count = |name: &&String| outcomes.get(*name).copied().unwrap_or(0);
             for name in &names {
                 write!(f, " {:>16}", count(name))?;
@@ -239,16 +245,17 @@
     }
 }
 
-impl fmt::Display for Summary {
+impl fmt::Display for LogSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.write_lengths(f)?;
+        self.write_first_events(f)?;
         self.write_refusals(f)?;
-        self.write_stretches(f)
+        self.write_outcomes(f)
     }
 }
 
-fn row_name(place: usize) -> String {
-    let max = LENGTHS.get(place);
+/// The name of the row at an index.
+fn row_name(index: usize) -> String {
+    let max = PROMPT_TOKENS_BOUNDS.get(index);
     max.map_or_else(|| "beyond".to_owned(), |max| format!("under {max}"))
 }
 
@@ -256,15 +263,15 @@
     i64::try_from(ms).unwrap_or(i64::MAX)
 }
 
-/// The median and the 90th percentile.
-fn spread(values: &[i64]) -> String {
+/// The median and the 90th percentile as text.
+fn median_and_p90(values: &[i64]) -> String {
     format!("{} {}", quantile(values, 0.5), quantile(values, 0.9))
 }
 
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn quantile(values: &[i64], part: f64) -> i64 {
+fn quantile(values: &[i64], fraction: f64) -> i64 {
     let mut values = values.to_vec();
     values.sort_unstable();
-    let place = (values.len().saturating_sub(1) as f64 * part).round() as usize;
-    values.get(place).copied().unwrap_or(0)
+    let index = (values.len().saturating_sub(1) as f64 * fraction).round() as usize;
+    values.get(index).copied().unwrap_or(0)
 }
--- a/src/cmd/explain_text.rs
+++ b/src/cmd/merged_explanation.rs
@@ -1,4 +1,4 @@
-//! What several hosts know of one request.
+//! The steps of one request, merged from several hosts.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,9 +9,10 @@
 use crate::cmd::CmdError;
 use crate::units::RequestId;
 
-/// A host's page. Only what is shown is read, so that hosts of a neighbouring version can be asked.
+/// The explanation page of a host. Only the fields that are shown are read, so that pages of hosts of
+/// the previous or next version can be read too.
 #[derive(Deserialize)]
-struct Page {
+struct ExplanationPage {
     #[serde(default)]
     host: Option<String>,
     steps: Vec<PageStep>,
@@ -29,17 +30,17 @@
     why: String,
 }
 
-/// The steps that all asked hosts know of one request.
+/// The steps of one request from all queried hosts.
 #[derive(Debug)]
 #[derive(Serialize)]
-pub(crate) struct Merged {
+pub(crate) struct MergedExplanation {
     request_id: RequestId,
     pub(crate) steps: Vec<MergedStep>,
     left_out: u64,
     pub(crate) not_reached: Vec<SocketAddr>,
 }
 
-/// A step with the host that noted it.
+/// A step with the host that recorded it.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(crate) struct MergedStep {
@@ -50,7 +51,7 @@
     why: String,
 }
 
-impl Merged {
+impl MergedExplanation {
     pub(crate) fn new(request: RequestId) -> Self {
         Self {
             request_id: request,
@@ -60,12 +61,13 @@
         }
     }
 
-    pub(crate) fn take_in(
+    /// Adds the steps of the page that was read from `addr`.
+    pub(crate) fn add_page(
         &mut self,
         addr: SocketAddr,
         page: serde_json::Value,
     ) -> Result<(), CmdError> {
-        let page: Page = serde_json::from_value(page)?;
+        let page: ExplanationPage = serde_json::from_value(page)?;
         let host = page.host.unwrap_or_else(|| addr.to_string());
         self.left_out += page.left_out;
         self.steps
@@ -79,19 +81,19 @@
         Ok(())
     }
 
-    /// Orders the steps by hosts' clocks, which may differ by a little; the steps of one host keep
-    /// their order.
+    /// Sorts the steps by the clocks of the hosts, which may differ slightly. The sort is stable, so
+    /// that steps of one host with equal times keep their order.
     pub(crate) fn sort(&mut self) {
         self.steps.sort_by_key(|step| step.wall_ms);
     }
 }
 
-impl fmt::Display for Merged {
+impl fmt::Display for MergedExplanation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Some(first) = self.steps.first() else {
             return writeln!(
                 f,
-                "{}: not known to any host that answered",
+                "{}: not found on any host that answered",
                 self.request_id
             );
         };
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,26 +1,26 @@
-//! The subcommands of the command-line tool, one a file.
+//! The subcommands of the command-line tool, one per file, and the code that they share.
 
 mod check;
+mod checked_files;
 mod command;
-mod cross_check;
 mod diff;
 mod error;
-mod exit;
+mod exit_status;
 mod explain;
-mod explain_text;
 mod files;
 mod help;
 mod host_page;
-mod log_causes;
-mod log_story;
 mod log_summary;
-mod logs;
-mod manifest_changes;
+mod manifest_diff;
+mod merged_explanation;
+mod merged_logs;
+mod outcome_descriptions;
 mod publication;
 mod publish;
 mod publish_outcome;
 mod remote;
-mod show;
+mod report_text;
+mod request_timeline;
 mod status;
 mod version;
 
@@ -31,28 +31,28 @@
 
 pub use command::Command;
 pub use error::CmdError;
-pub use exit::Exit;
-pub use manifest_changes::changes;
+pub use exit_status::ExitStatus;
+pub use manifest_diff::diff_manifests;
 pub use publication::publish_manifest;
 pub use publish_outcome::PublishOutcome;
 
-/// Runs the tool with the arguments after its name. What it has to say goes to `out`, problems go
-/// to standard error.
-pub fn run(args: Vec<OsString>, out: &mut dyn Write) -> Exit {
+/// Runs the tool with the arguments that follow the program name. Results are written to `out`,
+/// errors to standard error.
+pub fn run(args: Vec<OsString>, out: &mut dyn Write) -> ExitStatus {
     match dispatch(args, out) {
-        Ok(exit) => exit,
+        Ok(status) => status,
         Err(CmdError::Output(error)) if error.kind() == std::io::ErrorKind::BrokenPipe => {
-            // The reader, such as `head`, has had enough.
-            Exit::Done
+            // The reader, such as `head`, has closed the pipe. This is not an error.
+            ExitStatus::Success
         }
         Err(error) => {
             eprintln!("{error}");
-            error.exit()
+            error.exit_status()
         }
     }
 }
 
-fn dispatch(args: Vec<OsString>, out: &mut dyn Write) -> Result<Exit, CmdError> {
+fn dispatch(args: Vec<OsString>, out: &mut dyn Write) -> Result<ExitStatus, CmdError> {
     let mut args = Arguments::from_vec(args);
     let name = args.subcommand()?;
     let command = match name {
@@ -62,7 +62,7 @@
     };
     if args.contains(["-h", "--help"]) {
         writeln!(out, "{}", command.usage())?;
-        return Ok(Exit::Done);
+        return Ok(ExitStatus::Success);
     }
     command.run(args, out)
 }
--- a/src/cmd/publication.rs
+++ b/src/cmd/publication.rs
@@ -1,16 +1,16 @@
-//! Publishing a manifest by one conditional update, truthfully.
+//! Publishes a manifest by a conditional update and reports what came of it.
 //!
-//! Of two operators at once one wins, since both writes expect the same version; the other is told
-//! whose generation it met. A write whose answer was lost may have taken effect, or may yet: it is
-//! told apart by reading the publish id back, and brought to an end by writing the same again. A
-//! second identical write under the same expected version is harmless: at most one of the two can
-//! take effect, and both say the same.
+//! If two operators publish at once, both writes expect the same object version, so only one takes
+//! effect. The other operator gets the generation that was published first. A write whose answer was
+//! lost may have taken effect, or may still do so. To find out, the publisher reads the publish id
+//! back and repeats the same write. Repeating a write with the same expected version is safe: at most
+//! one of the two writes can take effect, and their contents are equal.
 
 use std::time::Duration;
 
 use crate::cmd::CmdError;
 use crate::cmd::PublishOutcome;
-use crate::cmd::remote::published;
+use crate::cmd::remote::fetch_published;
 use crate::manifest::CURRENT;
 use crate::manifest::Manifest;
 use crate::manifest::PublishedManifest;
@@ -22,23 +22,24 @@
 use crate::units::Generation;
 use crate::units::ObjectVersion;
 
-/// The manifest that the platform holds, with its object's version.
-type Current = Option<(PublishedManifest, ObjectVersion)>;
+/// The published manifest and the version of its object; none if nothing is published.
+type Published = Option<(PublishedManifest, ObjectVersion)>;
 
-/// A write that is being made.
-struct Write {
-    mine: PublishedManifest,
+/// A conditional write of a manifest.
+struct ManifestWrite {
+    manifest: PublishedManifest,
     expected: Expected,
 }
 
-/// What to do after reading.
-enum Next {
-    Write(Write),
-    Tell(PublishOutcome),
+/// The next step after the published manifest was read.
+enum NextStep {
+    Write(ManifestWrite),
+    Finish(PublishOutcome),
 }
 
-/// Publishes a checked text. `expect` is the generation that it is meant to follow, if the operator
-/// named one. After a lost answer, each of `pauses` is one more try to learn what became of it.
+/// Publishes a validated manifest. `expect` is the generation that must be published now, if the
+/// operator named one. If the answer to the write is lost, each of `pauses` is followed by one more
+/// attempt to learn whether the write took effect.
 pub async fn publish_manifest(
     platform: &dyn Platform,
     text: &str,
@@ -46,134 +47,149 @@
     expect: Option<Generation>,
     pauses: &[Duration],
 ) -> Result<PublishOutcome, CmdError> {
-    let current = match published(platform).await {
-        Ok(current) => current,
-        Err(CmdError::Platform(PlatformError::Refused(why))) => {
-            return Ok(PublishOutcome::Refused(why));
+    let published = match fetch_published(platform).await {
+        Ok(published) => published,
+        Err(CmdError::Platform(PlatformError::Refused(reason))) => {
+            return Ok(PublishOutcome::Refused(reason));
         }
         Err(CmdError::Platform(error)) => {
             return Ok(PublishOutcome::Unreachable(error.to_string()));
         }
         Err(error) => return Err(error),
     };
-    let write = match plan(&current, text, publish_id, expect) {
-        Next::Write(write) => write,
-        Next::Tell(verdict) => return Ok(verdict),
+    let write = match plan(&published, text, publish_id, expect) {
+        NextStep::Write(write) => write,
+        NextStep::Finish(outcome) => return Ok(outcome),
     };
     match put(platform, &write).await? {
-        Ok(_) => Ok(PublishOutcome::Accepted(write.mine.generation)),
-        Err(PlatformError::Conflict | PlatformError::Absent) => Ok(met(platform, &write).await),
-        Err(PlatformError::Refused(why)) => Ok(PublishOutcome::Refused(why)),
-        Err(PlatformError::Unavailable(why)) => Ok(PublishOutcome::Unreachable(why)),
-        Err(PlatformError::Unknown(why)) => settle(platform, &write, why, pauses).await,
+        Ok(_) => Ok(PublishOutcome::Accepted(write.manifest.generation)),
+        Err(PlatformError::Conflict | PlatformError::Absent) => {
+            Ok(conflict_outcome(platform, &write).await)
+        }
+        Err(PlatformError::Refused(reason)) => Ok(PublishOutcome::Refused(reason)),
+        Err(PlatformError::Unavailable(reason)) => Ok(PublishOutcome::Unreachable(reason)),
+        Err(PlatformError::Unknown(error)) => {
+            resolve_unanswered(platform, &write, error, pauses).await
+        }
     }
 }
 
-fn plan(current: &Current, text: &str, publish_id: u128, expect: Option<Generation>) -> Next {
-    let (generation, expected) = match current {
-        Some((held, version)) => (held.generation, Expected::Version(*version)),
+fn plan(
+    published: &Published,
+    text: &str,
+    publish_id: u128,
+    expect: Option<Generation>,
+) -> NextStep {
+    let (generation, expected) = match published {
+        Some((manifest, version)) => (manifest.generation, Expected::Version(*version)),
         None => (Generation::default(), Expected::Absent),
     };
     if expect.is_some_and(|expect| expect != generation) {
-        let why = format!("generation {generation} is published");
-        return Next::Tell(PublishOutcome::Refused(why));
+        let reason = format!("generation {generation} is published");
+        return NextStep::Finish(PublishOutcome::Refused(reason));
     }
-    let held_text = current.as_ref().map(|(held, _)| held.text.as_str());
-    if let Some(other) = held_text.and_then(|held| other_deployment(held, text)) {
-        let why = format!("this platform holds the manifest of deployment {other}");
-        return Next::Tell(PublishOutcome::Refused(why));
+    let published_text = published
+        .as_ref()
+        .map(|(manifest, _)| manifest.text.as_str());
+    if let Some(other) = published_text.and_then(|old_text| other_deployment(old_text, text)) {
+        let reason = format!("this platform holds the manifest of deployment {other}");
+        return NextStep::Finish(PublishOutcome::Refused(reason));
     }
-    if held_text == Some(text) {
-        return Next::Tell(PublishOutcome::Accepted(generation));
+    if published_text == Some(text) {
+        return NextStep::Finish(PublishOutcome::Accepted(generation));
     }
-    Next::Write(Write {
-        mine: PublishedManifest::following(generation, publish_id, text),
+    NextStep::Write(ManifestWrite {
+        manifest: PublishedManifest::following(generation, publish_id, text),
         expected,
     })
 }
 
-/// The deployment of the held manifest, if it is not that of the new one. Hosts would refuse the new
-/// one and be left without a manifest that they can take.
-fn other_deployment(held: &str, new: &str) -> Option<String> {
+/// The deployment of the published manifest if the new manifest has a different one. The hosts of
+/// the published deployment would refuse the new manifest, and new hosts would have no manifest that
+/// they accept.
+fn other_deployment(published: &str, new: &str) -> Option<String> {
     let deployment = |text| {
         Manifest::parse(text, "")
             .ok()
             .map(|manifest| manifest.deployment)
     };
-    let held = deployment(held)?;
-    (Some(&held) != deployment(new).as_ref()).then_some(held)
+    let published = deployment(published)?;
+    (Some(&published) != deployment(new).as_ref()).then_some(published)
 }
 
 async fn put(
     platform: &dyn Platform,
-    write: &Write,
+    write: &ManifestWrite,
 ) -> Result<Result<ObjectVersion, PlatformError>, CmdError> {
     let key = ObjectKey::new(Kind::Manifests, CURRENT);
-    let value = serde_json::to_value(&write.mine)?;
+    let value = serde_json::to_value(&write.manifest)?;
     Ok(platform.put(key, value, write.expected).await)
 }
 
-/// Whose generation a refused write met, as far as the platform says.
-async fn met(platform: &dyn Platform, write: &Write) -> PublishOutcome {
-    match published(platform).await {
-        Ok(Some((held, _))) => match judge_held(&held, &write.mine) {
-            // It was this write that was refused, so ours never was in force.
-            PublishOutcome::Unknown(why) => PublishOutcome::Refused(why),
-            verdict => verdict,
+/// The outcome of a write that the platform answered with a conflict. Names the generation that was
+/// published instead, if the platform can be read.
+async fn conflict_outcome(platform: &dyn Platform, write: &ManifestWrite) -> PublishOutcome {
+    match fetch_published(platform).await {
+        Ok(Some((published, _))) => match outcome_by_manifest(&published, &write.manifest) {
+            // The platform refused this write, so the manifest was never published.
+            PublishOutcome::Unknown(reason) => PublishOutcome::Refused(reason),
+            outcome => outcome,
         },
         _ => PublishOutcome::Refused("another publish came first".to_owned()),
     }
 }
 
-/// Finds out what became of a write whose answer was lost.
-async fn settle(
+/// Finds out whether a write whose answer was lost took effect, and repeats the write if the object
+/// is unchanged.
+async fn resolve_unanswered(
     platform: &dyn Platform,
-    write: &Write,
-    mut why: String,
+    write: &ManifestWrite,
+    mut last_error: String,
     pauses: &[Duration],
 ) -> Result<PublishOutcome, CmdError> {
     for pause in pauses {
         tokio::time::sleep(*pause).await;
-        let current = match published(platform).await {
-            Ok(current) => current,
+        let published = match fetch_published(platform).await {
+            Ok(published) => published,
             Err(error) => {
-                why = error.to_string();
+                last_error = error.to_string();
                 continue;
             }
         };
-        if let Some(verdict) = judge(current, write) {
-            return Ok(verdict);
+        if let Some(outcome) = unanswered_outcome(published, write) {
+            return Ok(outcome);
         }
         match put(platform, write).await? {
-            Ok(_) => return Ok(PublishOutcome::Accepted(write.mine.generation)),
-            // The first write may have come through between the read and this: read again.
-            Err(error) => why = error.to_string(),
+            Ok(_) => return Ok(PublishOutcome::Accepted(write.manifest.generation)),
+            // The first write may have taken effect after the read, so the object is read again.
+            Err(error) => last_error = error.to_string(),
         }
     }
-    Ok(PublishOutcome::Unknown(why))
+    Ok(PublishOutcome::Unknown(last_error))
 }
 
-/// What the held manifest says of a write whose answer was lost; none while the write may still
-/// take effect.
-fn judge(current: Current, write: &Write) -> Option<PublishOutcome> {
-    let (held, version) = current?;
+/// The outcome of a write whose answer was lost, by the manifest that is published now; none while
+/// the object is unchanged, since the write may still take effect.
+fn unanswered_outcome(published: Published, write: &ManifestWrite) -> Option<PublishOutcome> {
+    let (manifest, version) = published?;
     let is_unchanged = write.expected == Expected::Version(version);
-    (!is_unchanged).then(|| judge_held(&held, &write.mine))
+    (!is_unchanged).then(|| outcome_by_manifest(&manifest, &write.manifest))
 }
 
-/// What a manifest that was written since says of ours.
-fn judge_held(held: &PublishedManifest, mine: &PublishedManifest) -> PublishOutcome {
-    // Two operators may publish the same file, and an earlier run's write may come through late.
-    if held.publish_id == mine.publish_id || held.text == mine.text {
-        return PublishOutcome::Accepted(held.generation);
+/// The outcome of a write of `own`, by a manifest that was published after its preceding read.
+fn outcome_by_manifest(published: &PublishedManifest, own: &PublishedManifest) -> PublishOutcome {
+    // Equal texts have different publish ids if two operators publish the same file, or if a write
+    // of an earlier run of the tool takes effect late.
+    if published.publish_id == own.publish_id || published.text == own.text {
+        return PublishOutcome::Accepted(published.generation);
     }
-    let whose = format!(
+    let description = format!(
         "generation {}, publish id {}",
-        held.generation, held.publish_id
+        published.generation, published.publish_id
     );
-    if held.generation > mine.generation {
-        // Ours may have been in force for a moment before.
-        return PublishOutcome::Unknown(format!("a later publish is in force: {whose}"));
+    if published.generation > own.generation {
+        // The own manifest may have been published before the later one.
+        return PublishOutcome::Unknown(format!("a later publish is in force: {description}"));
     }
-    PublishOutcome::Refused(format!("another publish came first: {whose}"))
+    PublishOutcome::Refused(format!("another publish came first: {description}"))
 }
--- a/src/cmd/publish.rs
+++ b/src/cmd/publish.rs
@@ -1,4 +1,4 @@
-//! `banyanarch publish`.
+//! The subcommand `banyanarch publish`.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -8,12 +8,12 @@
 use pico_args::Arguments;
 
 use crate::cmd::CmdError;
-use crate::cmd::Exit;
-use crate::cmd::files::one_file;
+use crate::cmd::ExitStatus;
 use crate::cmd::files::read_manifest;
+use crate::cmd::files::single_file;
 use crate::cmd::publication;
 use crate::cmd::remote::block_on;
-use crate::cmd::remote::platform;
+use crate::cmd::remote::platform_client;
 use crate::units::Generation;
 
 pub(crate) const USAGE: &str = "
@@ -27,13 +27,14 @@
     --platform ADDR        IP:PORT of the platform's object service.
     --expect GENERATION    Publish only if this generation is the one published now (0: none).
 
-Exit codes: 0 accepted, or published already; 1 refused; 2 the file is wrong; 3 the platform was
-not reached and nothing was written; 4 unknown: the platform took the write and did not answer.
-After 4, run the same command again: what was published already is not published twice.
+Exit codes: 0 accepted, or already published; 1 refused; 2 the file is invalid; 3 the platform was
+not reached and nothing was written; 4 unknown: the platform did not answer the write.
+After 4, run the same command again: a manifest that is already published is not published twice.
 ";
 
-/// About ten seconds in all: the platform answers in milliseconds when it is well.
-const PAUSES: [Duration; 8] = [
+/// Pauses before the attempts to learn whether an unanswered write took effect, about ten seconds in
+/// all. A healthy platform answers within milliseconds.
+const RETRY_PAUSES: [Duration; 8] = [
     Duration::from_millis(100),
     Duration::from_millis(200),
     Duration::from_millis(400),
@@ -55,19 +56,24 @@
         Ok(Self {
             platform: args.value_from_str("--platform")?,
             expect: args.opt_value_from_str("--expect")?,
-            file: one_file(args)?,
+            file: single_file(args)?,
         })
     }
 }
 
-pub(crate) fn run(args: Arguments, out: &mut dyn Write) -> Result<Exit, CmdError> {
+pub(crate) fn run(args: Arguments, out: &mut dyn Write) -> Result<ExitStatus, CmdError> {
     let args = Args::parse(args)?;
     let file = read_manifest(&args.file)?;
-    let platform = platform(args.platform);
+    let platform = platform_client(args.platform);
     let publish_id = rand::random();
-    let work =
-        publication::publish_manifest(&platform, &file.text, publish_id, args.expect, &PAUSES);
-    let verdict = block_on(work)??;
-    writeln!(out, "{verdict}")?;
-    Ok(verdict.exit())
+    let work = publication::publish_manifest(
+        &platform,
+        &file.text,
+        publish_id,
+        args.expect,
+        &RETRY_PAUSES,
+    );
+    let outcome = block_on(work)??;
+    writeln!(out, "{outcome}")?;
+    Ok(outcome.exit_status())
 }
--- a/src/cmd/publish_outcome.rs
+++ b/src/cmd/publish_outcome.rs
@@ -1,31 +1,32 @@
-//! What came of publishing a manifest.
+//! The result of publishing a manifest.
 
 use std::fmt;
 
-use crate::cmd::Exit;
+use crate::cmd::ExitStatus;
 use crate::units::Generation;
 
-/// What came of publishing.
+/// The result of publishing a manifest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PublishOutcome {
-    /// It is the manifest of this generation.
+    /// The manifest was published with this generation.
     Accepted(Generation),
-    /// It was not taken and never will be.
+    /// The manifest was not published and will not be, for this reason.
     Refused(String),
-    /// The platform was not reached; nothing was written.
+    /// The platform was not reached and nothing was written, for this reason.
     Unreachable(String),
-    /// The platform did not say.
+    /// The platform did not answer, so whether the manifest was published is unknown. Holds the
+    /// last error.
     Unknown(String),
 }
 
 impl PublishOutcome {
-    /// The exit code that goes with it.
-    pub fn exit(&self) -> Exit {
+    /// The exit status of the tool for this outcome.
+    pub fn exit_status(&self) -> ExitStatus {
         match self {
-            Self::Accepted(_) => Exit::Done,
-            Self::Refused(_) => Exit::Refused,
-            Self::Unreachable(_) => Exit::Unreachable,
-            Self::Unknown(_) => Exit::Unknown,
+            Self::Accepted(_) => ExitStatus::Success,
+            Self::Refused(_) => ExitStatus::Negative,
+            Self::Unreachable(_) => ExitStatus::Unreachable,
+            Self::Unknown(_) => ExitStatus::Unknown,
         }
     }
 }
@@ -34,9 +35,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Accepted(generation) => write!(f, "accepted as generation {generation}"),
-            Self::Refused(why) => write!(f, "refused ({why})"),
-            Self::Unreachable(why) => write!(f, "refused ({why}; nothing was written)"),
-            Self::Unknown(why) => write!(f, "unknown ({why})"),
+            Self::Refused(reason) => write!(f, "refused ({reason})"),
+            Self::Unreachable(reason) => write!(f, "refused ({reason}; nothing was written)"),
+            Self::Unknown(reason) => write!(f, "unknown ({reason})"),
         }
     }
 }
--- a/src/cmd/remote.rs
+++ b/src/cmd/remote.rs
@@ -15,10 +15,11 @@
 use crate::objects::PlatformError;
 use crate::units::ObjectVersion;
 
-/// Long enough for a platform that is slow; an operator waits for it.
+/// The timeout of a call. Allows for a slow platform, and is short enough for an operator who
+/// waits.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs a command's calls to their end on this thread.
+/// Runs the calls of a subcommand to completion on this thread.
 pub(crate) fn block_on<T>(work: impl Future<Output = T>) -> Result<T, CmdError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -26,12 +27,12 @@
     Ok(runtime.map_err(CmdError::Runtime)?.block_on(work))
 }
 
-pub(crate) fn platform(addr: SocketAddr) -> HttpPlatform {
+pub(crate) fn platform_client(addr: SocketAddr) -> HttpPlatform {
     HttpPlatform::new(HttpClient::new(addr), CALL_TIMEOUT)
 }
 
-/// The manifest that the platform holds, with its object's version.
-pub(crate) async fn published(
+/// Reads the published manifest and the version of its object; none if nothing is published.
+pub(crate) async fn fetch_published(
     platform: &dyn Platform,
 ) -> Result<Option<(PublishedManifest, ObjectVersion)>, CmdError> {
     match platform.get(ObjectKey::new(Kind::Manifests, CURRENT)).await {
--- a/src/cmd/show.rs
+++ b/src/cmd/report_text.rs
@@ -1,4 +1,4 @@
-//! JSON reports as text for people, whatever their fields are.
+//! Formats JSON reports with any fields as text.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -8,39 +8,40 @@
 use serde_json::Map;
 use serde_json::Value;
 
+/// The indentation of a nested section or table, in columns.
 const INDENT: usize = 2;
 
-/// What names a thing stands before what is said of it.
-const NAMES: [&str; 5] = ["host", "domain", "pool", "target", "id"];
+/// Keys that identify an object. They are shown before its other keys.
+const IDENTIFYING_KEYS: [&str; 5] = ["host", "domain", "pool", "target", "id"];
 
-/// A report as lines of `key: value`; a list of objects becomes a table.
-pub(crate) fn text(report: &Value) -> String {
+/// Formats a report as lines of `key: value`, with a list of objects as a table.
+pub(crate) fn format_report(report: &Value) -> String {
     let mut out = String::new();
     match report {
-        Value::Object(entries) => show_entries(entries, 0, &mut out),
+        Value::Object(entries) => push_entries(entries, 0, &mut out),
         other => push_line(&mut out, 0, &inline(other)),
     }
     out
 }
 
-fn show_entries(entries: &Map<String, Value>, depth: usize, out: &mut String) {
-    for (key, value) in names_first(entries) {
+fn push_entries(entries: &Map<String, Value>, depth: usize, out: &mut String) {
+    for (key, value) in identifying_keys_first(entries) {
         match value {
             Value::Object(nested) if is_section(value) => {
                 push_line(out, depth, &format!("{key}:"));
-                show_entries(nested, depth + INDENT, out);
+                push_entries(nested, depth + INDENT, out);
             }
             Value::Array(items) if items.iter().any(Value::is_object) => {
                 push_line(out, depth, &format!("{key}:"));
-                show_table(items, depth + INDENT, out);
+                push_table(items, depth + INDENT, out);
             }
             other => push_line(out, depth, &format!("{key}: {}", inline(other))),
         }
     }
 }
 
-fn show_table(items: &[Value], depth: usize, out: &mut String) {
-    let rows: Vec<IndexMap<String, String>> = items.iter().map(row).collect();
+fn push_table(items: &[Value], depth: usize, out: &mut String) {
+    let rows: Vec<IndexMap<String, String>> = items.iter().map(table_row).collect();
     let columns: IndexSet<&String> = rows.iter().flat_map(IndexMap::keys).collect();
     let cell = |row: &IndexMap<String, String>, column: &String| -> String {
         row.get(column).map_or_else(|| "-".to_owned(), Clone::clone)
@@ -50,7 +51,7 @@
         cells.max().unwrap_or(0).max(column.chars().count())
     };
     let widths: Vec<usize> = columns.iter().map(width).collect();
-    let line = |cells: Vec<String>| -> String {
+    let format_line = |cells: Vec<String>| -> String {
         let padded = cells
             .iter()
             .zip(&widths)
@@ -60,19 +61,19 @@
     push_line(
         out,
         depth,
-        &line(columns.iter().map(ToString::to_string).collect()),
+        &format_line(columns.iter().map(ToString::to_string).collect()),
     );
     for row in &rows {
         push_line(
             out,
             depth,
-            &line(columns.iter().map(|column| cell(row, column)).collect()),
+            &format_line(columns.iter().map(|column| cell(row, column)).collect()),
         );
     }
 }
 
-/// A table's row: nested fields become columns such as `load.running`.
-fn row(item: &Value) -> IndexMap<String, String> {
+/// A row of a table by column. Nested fields become columns such as `load.running`.
+fn table_row(item: &Value) -> IndexMap<String, String> {
     let mut cells = IndexMap::new();
     match item {
         Value::Object(entries) => flatten("", entries, &mut cells),
@@ -84,7 +85,7 @@
 }
 
 fn flatten(path: &str, entries: &Map<String, Value>, cells: &mut IndexMap<String, String>) {
-    for (key, value) in names_first(entries) {
+    for (key, value) in identifying_keys_first(entries) {
         let column = if path.is_empty() {
             key.clone()
         } else {
@@ -99,6 +100,7 @@
     }
 }
 
+/// A value on one line.
 fn inline(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
@@ -109,24 +111,26 @@
         }
         Value::Array(items) => items.iter().map(inline).collect::<Vec<_>>().join(", "),
         Value::Object(entries) if entries.is_empty() => "-".to_owned(),
-        other => duration(other).unwrap_or_else(|| other.to_string()),
+        other => format_duration(other).unwrap_or_else(|| other.to_string()),
     }
 }
 
-fn names_first(entries: &Map<String, Value>) -> Vec<(&String, &Value)> {
+/// The entries with identifying keys first.
+fn identifying_keys_first(entries: &Map<String, Value>) -> Vec<(&String, &Value)> {
     let mut sorted: Vec<(&String, &Value)> = entries.iter().collect();
-    let rank = |key: &str| NAMES.iter().position(|name| *name == key);
-    sorted.sort_by_key(|(key, _)| rank(key).unwrap_or(NAMES.len()));
+    let rank = |key: &str| IDENTIFYING_KEYS.iter().position(|name| *name == key);
+    sorted.sort_by_key(|(key, _)| rank(key).unwrap_or(IDENTIFYING_KEYS.len()));
     sorted
 }
 
+/// Whether a value is shown as a section of its own instead of on one line.
 fn is_section(value: &Value) -> bool {
     let is_empty = value.as_object().is_none_or(Map::is_empty);
-    !is_empty && duration(value).is_none()
+    !is_empty && format_duration(value).is_none()
 }
 
-/// A duration as serde writes it.
-fn duration(value: &Value) -> Option<String> {
+/// A duration in the format of serde, as seconds; none if the value is no duration.
+fn format_duration(value: &Value) -> Option<String> {
     let entries = value.as_object().filter(|entries| entries.len() == 2)?;
     let secs = entries.get("secs")?.as_u64()?;
     let nanos = entries.get("nanos")?.as_u64()?;
@@ -140,6 +144,6 @@
 }
 
 fn push_line(out: &mut String, depth: usize, line: &str) {
-    // Writing to a string does not fail.
+    // Writing to a string cannot fail.
     let _ = writeln!(out, "{:depth$}{}", "", line.trim_end());
 }
--- a/src/cmd/log_story.rs
+++ b/src/cmd/request_timeline.rs
@@ -1,46 +1,45 @@
-//! The story of one request, from the decision logs.
+//! The events of one request, from the decision logs.
 
 use std::fmt;
 
-use crate::cmd::log_causes::cause;
-use crate::cmd::logs::Line;
+use crate::cmd::merged_logs::LogLine;
+use crate::cmd::outcome_descriptions::describe_outcome;
 use crate::gateway::DecisionEvent;
 use crate::gateway::EngineSurveyRecord;
 
-/// What the logs know of one request, in order.
-pub(crate) struct Story<'a> {
+/// The events of one request in order of time.
+pub(crate) struct RequestTimeline<'a> {
     request: String,
-    lines: Vec<&'a Line>,
-    /// What its host took to be true when it began: the newest manifest, and what it could not
-    /// reach.
-    beliefs: Vec<&'a Line>,
+    lines: Vec<&'a LogLine>,
+    /// The state of the host at the first event of the request: the manifest in force and the
+    /// unreachable dependencies.
+    host_state: Vec<&'a LogLine>,
 }
 
-impl<'a> Story<'a> {
-    pub(crate) fn new(request: &str, all: &'a [Line]) -> Self {
-        let is_about = |line: &&Line| line.event.request() == Some(request);
-        let lines: Vec<&Line> = all.iter().filter(is_about).collect();
-        let beliefs = lines
+impl<'a> RequestTimeline<'a> {
+    pub(crate) fn new(request: &str, all: &'a [LogLine]) -> Self {
+        let is_about = |line: &&LogLine| line.event.request() == Some(request);
+        let lines: Vec<&LogLine> = all.iter().filter(is_about).collect();
+        let host_state = lines
             .first()
-            .map(|first| beliefs_of(&first.host, first.wall_ms, all))
+            .map(|first| host_state_at(&first.host, first.wall_ms, all))
             .unwrap_or_default();
         Self {
             request: request.to_owned(),
             lines,
-            beliefs,
+            host_state,
         }
     }
 
-    pub(crate) fn is_known(&self) -> bool {
+    pub(crate) fn is_found(&self) -> bool {
         !self.lines.is_empty()
     }
 }
 
-/// The last manifest that came into force on a host before a moment, and the dependencies that it
-/// had lost then.
-fn beliefs_of<'a>(host: &str, wall_ms: u64, all: &'a [Line]) -> Vec<&'a Line> {
+/// The manifest in force on a host at a time, and the dependencies that it could not reach then.
+fn host_state_at<'a>(host: &str, wall_ms: u64, all: &'a [LogLine]) -> Vec<&'a LogLine> {
     let mut manifest = None;
-    let mut lost: Vec<&Line> = Vec::new();
+    let mut lost: Vec<&LogLine> = Vec::new();
     for line in all.iter().filter(|line| line.host == host) {
         if line.wall_ms > wall_ms {
             break;
@@ -49,7 +48,7 @@
             DecisionEvent::ManifestInForce { .. } => manifest = Some(line),
             DecisionEvent::DependencyLost { .. } => lost.push(line),
             DecisionEvent::DependencyRegained { dependency, .. } => {
-                lost.retain(|lost| !is_loss_of(lost, dependency));
+                lost.retain(|line| !is_loss_of(line, dependency));
             }
             DecisionEvent::Started { .. } => {
                 manifest = None;
@@ -61,44 +60,45 @@
     manifest.into_iter().chain(lost).collect()
 }
 
-fn is_loss_of(line: &Line, wanted: &str) -> bool {
-    matches!(&line.event, DecisionEvent::DependencyLost { dependency, .. } if dependency == wanted)
+/// Whether a line is the loss of the dependency of this name.
+fn is_loss_of(line: &LogLine, name: &str) -> bool {
+    matches!(&line.event, DecisionEvent::DependencyLost { dependency, .. } if dependency == name)
 }
 
-impl fmt::Display for Story<'_> {
+impl fmt::Display for RequestTimeline<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Some(first) = self.lines.first() else {
-            return writeln!(f, "{}: in none of the logs", self.request);
+            return writeln!(f, "{}: not found in the logs", self.request);
         };
         writeln!(f, "{}, on {}:", self.request, first.host)?;
-        for line in &self.beliefs {
+        for line in &self.host_state {
             let before_ms = first.wall_ms.saturating_sub(line.wall_ms);
-            writeln!(f, "  {before_ms:>8} ms before  {}", Told(&line.event))?;
+            writeln!(f, "  {before_ms:>8} ms before  {}", EventText(&line.event))?;
         }
         for line in &self.lines {
             let after_ms = line.wall_ms.saturating_sub(first.wall_ms);
-            writeln!(f, "  {after_ms:>8} ms after   {}", Told(&line.event))?;
+            writeln!(f, "  {after_ms:>8} ms after   {}", EventText(&line.event))?;
         }
         Ok(())
     }
 }
 
-/// What a host saw of some of the engines, on a line of its own.
-fn write_seen(
+/// Writes the state of a set of engines, as the host knew it, on a line of its own.
+fn write_engine_survey(
     f: &mut fmt::Formatter<'_>,
     name: &str,
-    seen: Option<&EngineSurveyRecord>,
+    survey: Option<&EngineSurveyRecord>,
 ) -> fmt::Result {
-    match seen {
-        Some(seen) => write!(f, "\n                     {name}: {seen}"),
+    match survey {
+        Some(survey) => write!(f, "\n                     {name}: {survey}"),
         None => Ok(()),
     }
 }
 
-/// An event as a sentence.
-struct Told<'a>(&'a DecisionEvent);
+/// Displays an event as text.
+struct EventText<'a>(&'a DecisionEvent);
 
-impl fmt::Display for Told<'_> {
+impl fmt::Display for EventText<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             DecisionEvent::ManifestInForce {
@@ -110,13 +110,13 @@
                 "manifest {generation} in force: {routes} routes, {keys} keys"
             ),
             DecisionEvent::DependencyLost { dependency, error } => {
-                write!(f, "{dependency} lost, not regained: {error}")
+                write!(f, "{dependency} unreachable: {error}")
             }
             DecisionEvent::UpstreamFault {
                 upstream, fault, ..
             } => write!(f, "upstream {upstream}: {fault}"),
             DecisionEvent::ReservationRefused { error, .. } => {
-                write!(f, "no memory set aside: {error}")
+                write!(f, "memory reservation refused: {error}")
             }
             DecisionEvent::Sent {
                 upstream,
@@ -130,9 +130,9 @@
                 ..
             } => write!(
                 f,
-                "sent to {upstream}, {elapsed_ms} ms after its arrival, {earlier_sends} sends \
-                 before; {prompt_tokens} prompt tokens, {} helpers [{}], memory on {reserves} \
-                 engines, first event expected in {forecast_ms} ms; manifest proved \
+                "sent to {upstream}, {elapsed_ms} ms after its arrival, {earlier_sends} earlier \
+                 sends; {prompt_tokens} prompt tokens, {} helpers [{}], memory reserved on \
+                 {reserves} engines, first event expected in {forecast_ms} ms; manifest confirmed \
                  {manifest_age_ms} ms ago",
                 helpers.len(),
                 helpers.join(" ")
@@ -154,14 +154,14 @@
             } => {
                 write!(
                     f,
-                    "turned away ({reason}), {elapsed_ms} ms after its arrival with \
-                     {objective_left_ms} ms left to be on time and {time_left_ms} ms in all, after \
-                     {choices} choices; {prompt_tokens} prompt tokens, \
-                     {upstreams} upstreams listed, work of {hosts_heard} other hosts known, to come \
-                     back after {retry_after_ms} ms; manifest proved {manifest_age_ms} ms ago"
+                    "refused ({reason}), {elapsed_ms} ms after its arrival with \
+                     {objective_left_ms} ms left to be on time and {time_left_ms} ms until its \
+                     deadline, after {choices} placement decisions; {prompt_tokens} prompt tokens, \
+                     {upstreams} upstreams listed, load of {hosts_heard} other hosts known, retry \
+                     after {retry_after_ms} ms; manifest confirmed {manifest_age_ms} ms ago"
                 )?;
-                write_seen(f, "near", near.as_deref())?;
-                write_seen(f, "all", all.as_deref())
+                write_engine_survey(f, "near", near.as_deref())?;
+                write_engine_survey(f, "all", all.as_deref())
             }
             DecisionEvent::Waiting {
                 prompt_tokens,
@@ -176,11 +176,11 @@
                 write!(
                     f,
                     "waits, {elapsed_ms} ms after its arrival with {objective_left_ms} ms left to be \
-                     on time and {time_left_ms} ms in all, after {choices} choices; \
-                     {prompt_tokens} prompt tokens"
+                     on time and {time_left_ms} ms until its deadline, after {choices} placement \
+                     decisions; {prompt_tokens} prompt tokens"
                 )?;
-                write_seen(f, "near", Some(near))?;
-                write_seen(f, "all", Some(all))
+                write_engine_survey(f, "near", Some(near))?;
+                write_engine_survey(f, "all", Some(all))
             }
             DecisionEvent::Ended {
                 outcome,
@@ -201,7 +201,7 @@
                 }
                 write!(f, "; admitted by manifest {generation}")?;
                 if outcome != "served" {
-                    write!(f, "\n  {}", cause(outcome))?;
+                    write!(f, "\n  {}", describe_outcome(outcome))?;
                 }
                 Ok(())
             }
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `banyanarch status`.
+//! The subcommand `banyanarch status`.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -8,20 +8,20 @@
 use serde_json::json;
 
 use crate::cmd::CmdError;
-use crate::cmd::Exit;
-use crate::cmd::files::finish;
+use crate::cmd::ExitStatus;
+use crate::cmd::files::expect_no_more_args;
 use crate::cmd::host_page;
 use crate::cmd::remote;
 use crate::cmd::remote::block_on;
-use crate::cmd::remote::published;
-use crate::cmd::show;
+use crate::cmd::remote::fetch_published;
+use crate::cmd::report_text;
 use crate::objects::Kind;
 use crate::objects::Object;
 use crate::objects::Platform;
 
 pub(crate) const USAGE: &str = "
-Shows how the fleet is: as one host sees it, or from the reports in the platform. A host answers
-also when the platform is away.
+Shows the state of the fleet: as one host sees it, or from the reports in the platform. A host
+answers even if the platform is unreachable.
 
 Usage:
     banyanarch status --host ADDR [--json]
@@ -32,7 +32,7 @@
     --platform ADDR    IP:PORT of the platform's object service.
     --json             Print JSON.
 
-Exit codes: 0 done, 1 a bad answer, 2 bad command line, 3 not reached.
+Exit codes: 0 done, 1 invalid response, 2 bad command line, 3 not reached.
 ";
 
 enum Source {
@@ -50,7 +50,7 @@
         let json = args.contains("--json");
         let host = args.opt_value_from_str("--host")?;
         let platform = args.opt_value_from_str("--platform")?;
-        finish(args)?;
+        expect_no_more_args(args)?;
         let source = match (host, platform) {
             (Some(addr), None) => Source::Host(addr),
             (None, Some(addr)) => Source::Platform(addr),
@@ -64,37 +64,37 @@
     }
 }
 
-pub(crate) fn run(args: Arguments, out: &mut dyn Write) -> Result<Exit, CmdError> {
+pub(crate) fn run(args: Arguments, out: &mut dyn Write) -> Result<ExitStatus, CmdError> {
     let args = Args::parse(args)?;
     let report = match args.source {
-        Source::Host(addr) => block_on(of_host(addr))??,
-        Source::Platform(addr) => block_on(of_platform(&remote::platform(addr)))??,
+        Source::Host(addr) => block_on(read_host_report(addr))??,
+        Source::Platform(addr) => block_on(read_platform_reports(&remote::platform_client(addr)))??,
     };
     if args.json {
         writeln!(out, "{report:#}")?;
     } else {
-        write!(out, "{}", show::text(&report))?;
+        write!(out, "{}", report_text::format_report(&report))?;
     }
-    Ok(Exit::Done)
+    Ok(ExitStatus::Success)
 }
 
-async fn of_host(addr: SocketAddr) -> Result<Value, CmdError> {
-    let page = host_page::read(addr, "/status").await?;
-    page.ok_or_else(|| CmdError::BadAnswer(format!("{addr} has no status page")))
+async fn read_host_report(addr: SocketAddr) -> Result<Value, CmdError> {
+    let page = host_page::fetch(addr, "/status").await?;
+    page.ok_or_else(|| CmdError::InvalidResponse(format!("{addr} has no status page")))
 }
 
-async fn of_platform(platform: &dyn Platform) -> Result<Value, CmdError> {
-    let generation = match published(platform).await? {
-        Some((held, _)) => Value::from(held.generation.0),
+async fn read_platform_reports(platform: &dyn Platform) -> Result<Value, CmdError> {
+    let generation = match fetch_published(platform).await? {
+        Some((published, _)) => Value::from(published.generation.0),
         None => Value::Null,
     };
     let statuses = platform.list(Kind::Statuses).await?;
-    let hosts: Vec<Value> = statuses.items.into_iter().map(named).collect();
+    let hosts: Vec<Value> = statuses.items.into_iter().map(with_host_name).collect();
     Ok(json!({ "published_generation": generation, "reports": hosts }))
 }
 
-/// A report with its host's name in front.
-fn named(object: Object) -> Value {
+/// The report of a host with the name of the host as its first entry.
+fn with_host_name(object: Object) -> Value {
     let mut entries = serde_json::Map::new();
     entries.insert("host".to_owned(), Value::from(object.key.name));
     match object.value {
--- a/src/cmd/version.rs
+++ b/src/cmd/version.rs
@@ -1,12 +1,12 @@
-//! `banyanarch version`.
+//! The subcommand `banyanarch version`.
 
 use std::io::Write;
 
 use pico_args::Arguments;
 
 use crate::cmd::CmdError;
-use crate::cmd::Exit;
-use crate::cmd::files::finish;
+use crate::cmd::ExitStatus;
+use crate::cmd::files::expect_no_more_args;
 
 pub(crate) const USAGE: &str = "
 Shows the version.
@@ -15,8 +15,8 @@
     banyanarch version
 ";
 
-pub(crate) fn run(args: Arguments, out: &mut dyn Write) -> Result<Exit, CmdError> {
-    finish(args)?;
+pub(crate) fn run(args: Arguments, out: &mut dyn Write) -> Result<ExitStatus, CmdError> {
+    expect_no_more_args(args)?;
     writeln!(out, "banyanarch {}", env!("CARGO_PKG_VERSION"))?;
-    Ok(Exit::Done)
+    Ok(ExitStatus::Success)
 }
--- a/tests/cmd_check.rs
+++ b/tests/cmd_check.rs
@@ -1,4 +1,4 @@
-//! `banyanarch check`, `help` and `version`.
+//! Tests of `banyanarch check`, `help` and `version`, and of invalid command lines.
 
 mod workdir;
 
@@ -11,15 +11,15 @@
 const HOST_2: &str = include_str!("../examples/desai/desai-sg-highway-1.yaml");
 
 #[test]
-fn good_files_are_told_with_what_they_are() {
+fn valid_files_are_listed_with_their_contents() {
     let dir = WorkDir::new();
-    dir.file("m.yaml", MANIFEST)
-        .file("h1.yaml", HOST_1)
-        .file("h2.yaml", HOST_2);
-    let ran = dir.run(&["check", "m.yaml", "h1.yaml", "h2.yaml"]);
-    assert_eq!((ran.code, ran.stderr.as_str()), (0, ""));
+    dir.write_file("m.yaml", MANIFEST)
+        .write_file("h1.yaml", HOST_1)
+        .write_file("h2.yaml", HOST_2);
+    let output = dir.run(&["check", "m.yaml", "h1.yaml", "h2.yaml"]);
+    assert_eq!((output.code, output.stderr.as_str()), (0, ""));
     assert_eq!(
-        ran.stdout,
+        output.stdout,
         "m.yaml: good: manifest of desai, 1 models, 1 services, 10 customers\n\
          h1.yaml: good: settings of host desai-navrangpura-1\n\
          h2.yaml: good: settings of host desai-sg-highway-1\n"
@@ -27,47 +27,48 @@
 }
 
 #[test]
-fn problems_of_all_files_are_told_in_one_run() {
+fn problems_of_all_files_are_reported_in_one_run() {
     let dir = WorkDir::new();
-    dir.file("m.yaml", &MANIFEST.replace("rank: 2", "rank: 1"));
-    dir.file("h.yaml", &HOST_1.replace("level: info", "level: loud"));
-    let ran = dir.run(&["check", "m.yaml", "h.yaml", "gone.yaml"]);
-    assert_eq!(ran.code, 2);
+    dir.write_file("m.yaml", &MANIFEST.replace("rank: 2", "rank: 1"));
+    dir.write_file("h.yaml", &HOST_1.replace("level: info", "level: loud"));
+    let output = dir.run(&["check", "m.yaml", "h.yaml", "gone.yaml"]);
+    assert_eq!(output.code, 2);
     assert_eq!(
-        ran.stderr,
+        output.stderr,
         "m.yaml:32: priorities[2].rank: `1` is taken by priorities[1].rank\n\
          h.yaml:37: logs.level: must be one of off, error, warn, info, debug, trace\n\
          gone.yaml:1: (file): can't be read: No such file or directory (os error 2)\n"
     );
 }
 
-/// Each file is good by itself. Rolled out together, two hosts would refuse each other's frames and
-/// every body of the largest size, and nobody would see why before it happened.
+/// Guards against files that are each valid but contradict each other. Without this check, the
+/// conflict shows only after the rollout, when hosts refuse each other's frames or the largest bodies.
 #[parameterized(
     key = { "replace-me-before-use", "another-secret-for-one", "peers.keys[0]: is not among the keys of" },
-    host = { "host: desai-sg-highway-1\ndeployment", "host: desai-navrangpura-1\ndeployment", "host: `desai-navrangpura-1` is the host of" },
+    host = { "host: desai-sg-highway-1\ndeployment", "host: desai-navrangpura-1\ndeployment", "host: `desai-navrangpura-1` is also the host in" },
     deployment = { "deployment: desai", "deployment: acornleaf", "deployment: is not `desai`" },
-    memory = { "128MiB", "16MiB", "body_memory_size: 16MiB can't hold one body" },
+    memory = { "128MiB", "16MiB", "body_memory_size: 16MiB is smaller than limits.body_size_max of" },
 )]
-fn files_that_do_not_go_together_are_told(from: &str, to: &str, told: &str) {
+fn conflicts_between_files_are_reported(from: &str, to: &str, expected: &str) {
     let dir = WorkDir::new();
     assert!(HOST_2.contains(from));
-    dir.file("m.yaml", MANIFEST).file("h1.yaml", HOST_1);
-    // A seed by this host's name elsewhere would be a problem of its own.
+    dir.write_file("m.yaml", MANIFEST)
+        .write_file("h1.yaml", HOST_1);
+    // The seeds are removed, since a seed with the name of this host would be another problem.
     let text = HOST_2.replacen(from, to, 1);
     let text = text.split("  seeds:").next().unwrap();
-    dir.file(
+    dir.write_file(
         "h2.yaml",
         &format!(
             "{text}\nbody_memory_size: {}\n",
             if to == "16MiB" { to } else { "128MiB" }
         ),
     );
-    let ran = dir.run(&["check", "m.yaml", "h1.yaml", "h2.yaml"]);
-    assert_eq!(ran.code, 2, "{ran:?}");
+    let output = dir.run(&["check", "m.yaml", "h1.yaml", "h2.yaml"]);
+    assert_eq!(output.code, 2, "{output:?}");
     assert!(
-        ran.stderr.starts_with("h2.yaml:") && ran.stderr.contains(told),
-        "{ran:?}"
+        output.stderr.starts_with("h2.yaml:") && output.stderr.contains(expected),
+        "{output:?}"
     );
 }
 
@@ -82,10 +83,10 @@
     no_host = { &["explain", "00000000000000000000000000000001"], "give at least one --host" },
     id = { &["explain", "7", "--host", "127.0.0.1:1"], "expected a request id of 32 hexadecimal" },
 )]
-fn a_wrong_command_line_says_what_is_wrong(args: &[&str], told: &str) {
-    let ran = WorkDir::new().run(args);
-    assert_eq!((ran.code, ran.stdout.as_str()), (2, ""));
-    assert!(ran.stderr.contains(told), "{ran:?}");
+fn an_invalid_command_line_is_explained(args: &[&str], expected: &str) {
+    let output = WorkDir::new().run(args);
+    assert_eq!((output.code, output.stdout.as_str()), (2, ""));
+    assert!(output.stderr.contains(expected), "{output:?}");
 }
 
 #[test]
--- a/tests/cmd_explain.rs
+++ b/tests/cmd_explain.rs
@@ -1,4 +1,4 @@
-//! `banyanarch explain --logs`, over logs of real hosts.
+//! Tests of `banyanarch explain --logs`, mostly with decision logs that a gateway host has written.
 
 mod gateway_world;
 mod workdir;
@@ -18,16 +18,17 @@
 use hyper::Request;
 use workdir::WorkDir;
 
-fn named(request: &str, key: &str, path: &str) -> Request<Full<Bytes>> {
+fn request_with_id(request: &str, key: &str, path: &str) -> Request<Full<Bytes>> {
     let mut req = request_of(key, path);
     req.headers_mut()
         .insert("test-request", request.parse().unwrap());
     req
 }
 
-/// Three callers complain: one was turned away, one got no answer to a call that must not repeat,
-/// and one was refused by a host that could not reach the platform. Returns that host's log.
-async fn three_failures() -> String {
+/// Produces three failures on one host: a request that no upstream accepts, a lost answer to a request
+/// that must not be repeated, and a request while the platform is unreachable. Returns the decision
+/// log of the host.
+async fn log_three_failures() -> String {
     let catalog = FakeCatalog::new(table(1));
     let full = ScriptedUpstream::start([ScriptStep::Refuse]).await;
     let lost = ScriptedUpstream::start([ScriptStep::Break]).await;
@@ -35,7 +36,8 @@
     let mut conf = conf("host-1");
     conf.key_lease = Some(Duration::from_millis(1_500));
     let host = TestHost::start_with(conf, &catalog).await;
-    host.call(named("r-full", "key-1", "/once/1")).await;
+    host.call(request_with_id("r-full", "key-1", "/once/1"))
+        .await;
     catalog.mark_leaving("full");
     catalog.list("lost", "app", lost.addr);
     let is_listed = || {
@@ -44,75 +46,77 @@
             .is_listed(&"lost".parse().unwrap())
     };
     wait_until(is_listed).await;
-    host.call(named("r-lost", "key-1", "/once/1")).await;
+    host.call(request_with_id("r-lost", "key-1", "/once/1"))
+        .await;
     catalog.set_unreachable(true);
     wait_until(|| !host.gateway.is_ready()).await;
-    host.call(named("r-stale", "key-1", "/once/1")).await;
+    host.call(request_with_id("r-stale", "key-1", "/once/1"))
+        .await;
     wait_until(|| host.log.text().contains("r-stale")).await;
     host.log.text()
 }
 
-fn log_of_failures(dir: &WorkDir) {
+fn write_failure_log(dir: &WorkDir) {
     let runtime = tokio::runtime::Runtime::new().unwrap();
-    let log = runtime.block_on(three_failures());
-    // As a process manager writes it, with what the process itself says in between.
+    let log = runtime.block_on(log_three_failures());
+    // The format of a process manager: a prefix on each line, and messages of the process itself.
     let lines = log.lines().map(|line| format!("host-1: {line}\n"));
     let text: String = lines.collect();
-    dir.file("host-1.log", &format!("host-1: starting\n{text}"));
+    dir.write_file("host-1.log", &format!("host-1: starting\n{text}"));
 }
 
 #[test]
 fn each_failed_request_is_listed_with_its_cause() {
     let dir = WorkDir::new();
-    log_of_failures(&dir);
-    let ran = dir.run(&["explain", "--failed", "--logs", "host-1.log"]);
-    assert_eq!(ran.code, 0, "{ran:?}");
+    write_failure_log(&dir);
+    let output = dir.run(&["explain", "--failed", "--logs", "host-1.log"]);
+    assert_eq!(output.code, 0, "{output:?}");
     let line = |request: &str| {
-        let line = ran.stdout.lines().find(|line| line.starts_with(request));
+        let line = output.stdout.lines().find(|line| line.starts_with(request));
         line.unwrap_or_default().to_owned()
     };
-    assert!(line("r-full").contains("503 no_upstream"), "{ran:?}");
-    assert!(line("r-full").contains("not run: no upstream took it"));
-    assert!(line("r-lost").contains("502 unknown"), "{ran:?}");
+    assert!(line("r-full").contains("503 no_upstream"), "{output:?}");
+    assert!(line("r-full").contains("not run: no upstream accepted it"));
+    assert!(line("r-lost").contains("502 unknown"), "{output:?}");
     assert!(line("r-lost").contains("may have run"));
-    assert!(line("r-stale").contains("503 stale_knowledge"), "{ran:?}");
-    assert_eq!(ran.stdout.lines().count(), 3, "{ran:?}");
+    assert!(
+        line("r-stale").contains("503 stale_knowledge"),
+        "{output:?}"
+    );
+    assert_eq!(output.stdout.lines().count(), 3, "{output:?}");
 }
 
 #[test]
-fn the_story_of_a_request_says_what_was_decided_from_which_knowledge() {
+fn a_request_timeline_shows_the_decisions_and_the_state_of_the_host() {
     let dir = WorkDir::new();
-    log_of_failures(&dir);
-    let story = |request: &str| dir.run(&["explain", request, "--logs", "host-1.log"]);
-    let lost = story("r-lost");
+    write_failure_log(&dir);
+    let timeline = |request: &str| dir.run(&["explain", request, "--logs", "host-1.log"]);
+    let lost = timeline("r-lost");
     assert_eq!(lost.code, 0, "{lost:?}");
-    let places: Vec<usize> = [
+    let positions: Vec<usize> = [
         "manifest 1 in force",
         "sent to lost",
         "upstream lost: broken",
         "unknown, status 502",
     ]
     .into_iter()
-    .map(|part| {
+    .map(|text| {
         lost.stdout
-            .find(part)
-            .unwrap_or_else(|| panic!("{part}: {lost:?}"))
+            .find(text)
+            .unwrap_or_else(|| panic!("{text}: {lost:?}"))
     })
     .collect();
-    assert!(places.is_sorted(), "{lost:?}");
-    let stale = story("r-stale");
-    assert!(
-        stale.stdout.contains("manifest lost, not regained"),
-        "{stale:?}"
-    );
-    let unknown = story("r-none");
+    assert!(positions.is_sorted(), "{lost:?}");
+    let stale = timeline("r-stale");
+    assert!(stale.stdout.contains("manifest unreachable: "), "{stale:?}");
+    let unknown = timeline("r-none");
     assert_eq!(unknown.code, 1, "{unknown:?}");
 }
 
-/// After a bad day somebody asks where its answers were lost: prompts of one length that came later than
-/// forecast, or one stretch of time, and why.
+/// An operator looks for the cause of failed requests: prompts of one length whose first events come
+/// later than forecast, or one interval of time with many failures.
 #[test]
-fn a_summary_shows_late_first_events_by_length_and_ends_by_time() {
+fn a_summary_shows_late_first_events_by_prompt_length_and_outcomes_by_time() {
     let dir = WorkDir::new();
     let sent = |request: &str, at: u64, tokens: u64, waited: u64, forecast: u64| {
         format!(
@@ -138,11 +142,11 @@
         refused("turned-away", 5_900, 40),
         refused("waited", 5_900, 8_000),
     ];
-    dir.file("host.log", &lines.join("\n"));
-    let ran = dir.run(&["explain", "--summary", "--logs", "host.log"]);
-    assert_eq!(ran.code, 0, "{ran:?}");
+    dir.write_file("host.log", &lines.join("\n"));
+    let output = dir.run(&["explain", "--summary", "--logs", "host.log"]);
+    assert_eq!(output.code, 0, "{output:?}");
     let words = |start: &str| {
-        let line = ran
+        let line = output
             .stdout
             .lines()
             .find(|line| line.trim().starts_with(start));
@@ -158,14 +162,14 @@
         "under 10000 1 0 0 200 200 150 150 -50 -50 2.0 2"
     );
     assert!(
-        ran.stdout.lines().any(|line| {
+        output.stdout.lines().any(|line| {
             let words: Vec<&str> = line.split_whitespace().collect();
             words == ["under", "750000", "deadline", "2", "1", "8000", "8000"]
         }),
-        "{ran:?}"
+        "{output:?}"
     );
     assert_eq!(words("second"), "second served deadline others");
     assert_eq!(words("0 "), "0 1 0 0");
     assert_eq!(words("4 "), "4 1 1 0");
-    assert!(ran.stdout.contains("700 700 700"), "{ran:?}");
+    assert!(output.stdout.contains("700 700 700"), "{output:?}");
 }
--- a/tests/cmd_host.rs
+++ b/tests/cmd_host.rs
@@ -1,4 +1,4 @@
-//! `banyanarch status` and `explain`, against ports that answer like hosts and the platform.
+//! Tests of `banyanarch status`, `explain` and `diff` against fake hosts and a fake platform.
 
 mod workdir;
 
@@ -13,7 +13,8 @@
 
 const REQUEST: &str = "0000000000000000000000000000000a";
 
-/// Answers the given paths with JSON and all others with 404, one request a connection.
+/// Starts an HTTP server that answers the given paths with JSON and all others with 404. Each
+/// connection serves one request.
 fn serve(pages: &'static [(&'static str, &'static str)]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
@@ -39,10 +40,10 @@
     addr
 }
 
-/// A parent complains of a late answer. Its request was received by one host and granted by another,
-/// and a third host is gone: the operator must see one story, and that a part may be missing.
+/// A request was received by one host and granted by another, and a third host is unreachable. The
+/// operator must see the steps of both hosts in order, and that steps of the third may be missing.
 #[test]
-fn explain_merges_what_hosts_know() {
+fn explain_merges_the_steps_of_several_hosts() {
     let entry = serve(&[(
         "/explain/0000000000000000000000000000000a",
         r#"{"host":"hall-a-1","left_out":0,"steps":[
@@ -60,9 +61,9 @@
     let (entry, home, gone) = (entry.to_string(), home.to_string(), gone.to_string());
     let dir = WorkDir::new();
     let hosts = ["--host", &home, "--host", &entry, "--host", &gone];
-    let ran = dir.run(&[&["explain", REQUEST], &hosts[..]].concat());
-    assert_eq!(ran.code, 0, "{ran:?}");
-    let lines: Vec<&str> = ran.stdout.lines().map(str::trim).collect();
+    let output = dir.run(&[&["explain", REQUEST], &hosts[..]].concat());
+    assert_eq!(output.code, 0, "{output:?}");
+    let lines: Vec<&str> = output.stdout.lines().map(str::trim).collect();
     assert_eq!(lines[0], format!("{REQUEST}:"));
     assert!(lines[1].starts_with("0 ms  hall-a-1") && lines[1].ends_with("received  42 tokens"));
     assert_eq!(
@@ -70,12 +71,12 @@
         format!("40 ms  {home:15}  granted  engine-3  prefix")
     );
     assert!(lines[3].starts_with("90 ms  hall-a-1") && lines[3].ends_with("dispatched  engine-3"));
-    assert!(ran.stderr.contains(&gone) && ran.stderr.contains("its steps are missing"));
+    assert!(output.stderr.contains(&gone) && output.stderr.contains("its steps are missing"));
 
-    let ran = dir.run(&["explain", &REQUEST.replace('a', "b"), "--host", &entry]);
-    assert_eq!(ran.code, 1, "{ran:?}");
-    let ran = dir.run(&["explain", REQUEST, "--host", &gone]);
-    assert_eq!(ran.code, 3, "{ran:?}");
+    let output = dir.run(&["explain", &REQUEST.replace('a', "b"), "--host", &entry]);
+    assert_eq!(output.code, 1, "{output:?}");
+    let output = dir.run(&["explain", REQUEST, "--host", &gone]);
+    assert_eq!(output.code, 3, "{output:?}");
 }
 
 #[test]
@@ -87,10 +88,10 @@
             {"id":"engine-22","health":"leaving"}],"homes":[],"manifest":{"confirmed_ago":{"secs":2,"nanos":39718955}}}"#,
     )]);
     let dir = WorkDir::new();
-    let ran = dir.run(&["status", "--host", &host.to_string()]);
-    assert_eq!(ran.code, 0, "{ran:?}");
+    let output = dir.run(&["status", "--host", &host.to_string()]);
+    assert_eq!(output.code, 0, "{output:?}");
     assert_eq!(
-        ran.stdout,
+        output.stdout,
         "host: hall-a-1\n\
          generation: 7\n\
          homes: -\n\
@@ -100,8 +101,8 @@
            engine-1   live     3\n  \
            engine-22  leaving  -\n"
     );
-    let ran = dir.run(&["status", "--json", "--host", &host.to_string()]);
-    let json: serde_json::Value = serde_json::from_str(&ran.stdout).unwrap();
+    let output = dir.run(&["status", "--json", "--host", &host.to_string()]);
+    let json: serde_json::Value = serde_json::from_str(&output.stdout).unwrap();
     assert_eq!(json["generation"], 7);
 }
 
@@ -122,20 +123,23 @@
                  "metadata":{"name":"hall-b-1","resourceVersion":"3"},"spec":{"generation":8,"homes":[{"pool":"p"}]}}]}"#,
         ),
     ]);
-    let ran = WorkDir::new().run(&["status", "--platform", &platform.to_string()]);
-    assert_eq!(ran.code, 0, "{ran:?}");
+    let output = WorkDir::new().run(&["status", "--platform", &platform.to_string()]);
+    assert_eq!(output.code, 0, "{output:?}");
     assert_eq!(
-        ran.stdout,
+        output.stdout,
         "published_generation: 9\nreports:\n  host      generation  homes\n  hall-b-1  8           (1 entries)\n"
     );
 }
 
 #[test]
-fn a_first_manifest_is_all_new() {
+fn a_diff_says_if_no_manifest_is_published() {
     let platform = serve(&[]).to_string();
     let dir = WorkDir::new();
-    dir.file("m.yaml", include_str!("../examples/desai/manifest.yaml"));
-    let ran = dir.run(&["diff", "m.yaml", "--platform", &platform]);
-    assert_eq!(ran.code, 1, "{ran:?}");
-    assert_eq!(ran.stdout, "no manifest is published; all of it is new\n");
+    dir.write_file("m.yaml", include_str!("../examples/desai/manifest.yaml"));
+    let output = dir.run(&["diff", "m.yaml", "--platform", &platform]);
+    assert_eq!(output.code, 1, "{output:?}");
+    assert_eq!(
+        output.stdout,
+        "no manifest is published; all of it is new\n"
+    );
 }
--- a/tests/cmd_publish.rs
+++ b/tests/cmd_publish.rs
@@ -1,13 +1,13 @@
-//! `banyanarch publish` and `diff`: what operators are told is true.
+//! Tests of `banyanarch publish` and of the differences between manifests.
 
 mod workdir;
 
 use std::sync::Mutex;
 use std::time::Duration;
 
-use banyanarch::cmd::Exit;
+use banyanarch::cmd::ExitStatus;
 use banyanarch::cmd::PublishOutcome;
-use banyanarch::cmd::changes;
+use banyanarch::cmd::diff_manifests;
 use banyanarch::cmd::publish_manifest;
 use banyanarch::manifest::Manifest;
 use banyanarch::manifest::PublishedManifest;
@@ -28,26 +28,26 @@
 use workdir::WorkDir;
 
 const MANIFEST: &str = include_str!("../examples/desai/manifest.yaml");
-const PAUSES: [Duration; 4] = [Duration::ZERO; 4];
+const RETRY_PAUSES: [Duration; 4] = [Duration::ZERO; 4];
 
-/// What happens to one write.
+/// A fault of one write.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
-    /// It takes effect and its answer is lost.
-    LostAfter,
-    /// It and its answer are lost.
-    LostBefore,
-    /// Its answer is lost, and it takes effect before the next write.
-    Late,
-    /// Another operator's write takes effect first.
-    Overtaken,
-    /// It takes effect, its answer is lost, and another operator publishes on top.
-    Buried,
-    /// The platform turns it away.
-    TurnedAway,
+    /// The write takes effect and its answer is lost.
+    AnswerLost,
+    /// The write never takes effect and its answer is lost.
+    WriteLost,
+    /// The answer is lost, and the write takes effect just before the next one.
+    AppliedLate,
+    /// The write of another operator takes effect first.
+    PrecededByAnother,
+    /// The write takes effect, its answer is lost, and another operator publishes after it.
+    FollowedByAnother,
+    /// The platform refuses the write for now.
+    Unavailable,
 }
 
-/// One object, and the faults of the coming writes.
+/// A platform with one object and with faults for the next writes.
 #[derive(Default)]
 struct FakePlatform {
     state: Mutex<State>,
@@ -55,14 +55,14 @@
 
 #[derive(Default)]
 struct State {
-    held: Option<Object>,
+    object: Option<Object>,
     faults: Vec<Fault>,
-    late: Option<(serde_json::Value, Expected)>,
-    is_away: bool,
+    late_write: Option<(serde_json::Value, Expected)>,
+    is_unreachable: bool,
 }
 
 impl FakePlatform {
-    fn holding(text: &str) -> Self {
+    fn with_manifest(text: &str) -> Self {
         let platform = Self::default();
         let manifest = PublishedManifest::following(Generation(6), 1, text);
         let value = serde_json::to_value(manifest).unwrap();
@@ -80,9 +80,9 @@
         self
     }
 
-    fn held(&self) -> PublishedManifest {
+    fn published(&self) -> PublishedManifest {
         let state = self.state.lock().unwrap();
-        serde_json::from_value(state.held.as_ref().unwrap().value.clone()).unwrap()
+        serde_json::from_value(state.object.as_ref().unwrap().value.clone()).unwrap()
     }
 }
 
@@ -92,7 +92,7 @@
         value: serde_json::Value,
         expected: Expected,
     ) -> Result<ObjectVersion, PlatformError> {
-        let version = self.held.as_ref().map(|object| object.version);
+        let version = self.object.as_ref().map(|object| object.version);
         let is_expected = match expected {
             Expected::Absent => version.is_none(),
             Expected::Version(wanted) => version == Some(wanted),
@@ -101,7 +101,7 @@
             return Err(PlatformError::Conflict);
         }
         let version = ObjectVersion(version.unwrap_or_default().0 + 1);
-        self.held = Some(Object {
+        self.object = Some(Object {
             key: ObjectKey::new(Kind::Manifests, "current"),
             version,
             value,
@@ -110,10 +110,10 @@
     }
 
     fn write_by_another(&mut self) {
-        let held = self.held.as_ref().unwrap();
-        let generation: PublishedManifest = serde_json::from_value(held.value.clone()).unwrap();
-        let theirs = PublishedManifest::following(generation.generation, 99, "theirs");
-        let expected = Expected::Version(held.version);
+        let object = self.object.as_ref().unwrap();
+        let published: PublishedManifest = serde_json::from_value(object.value.clone()).unwrap();
+        let theirs = PublishedManifest::following(published.generation, 99, "theirs");
+        let expected = Expected::Version(object.version);
         self.write(serde_json::to_value(theirs).unwrap(), expected)
             .unwrap();
     }
@@ -123,31 +123,31 @@
         value: serde_json::Value,
         expected: Expected,
     ) -> Result<ObjectVersion, PlatformError> {
-        if let Some((value, expected)) = self.late.take() {
+        if let Some((value, expected)) = self.late_write.take() {
             let _ = self.write(value, expected);
         }
-        let lost = Err(PlatformError::Unknown("cut off".to_owned()));
+        let no_answer = Err(PlatformError::Unknown("connection closed".to_owned()));
         match self.faults.pop() {
             None => self.write(value, expected),
-            Some(Fault::LostBefore) => lost,
-            Some(Fault::LostAfter) => {
+            Some(Fault::WriteLost) => no_answer,
+            Some(Fault::AnswerLost) => {
                 let _ = self.write(value, expected);
-                lost
+                no_answer
             }
-            Some(Fault::Late) => {
-                self.late = Some((value, expected));
-                lost
+            Some(Fault::AppliedLate) => {
+                self.late_write = Some((value, expected));
+                no_answer
             }
-            Some(Fault::Overtaken) => {
+            Some(Fault::PrecededByAnother) => {
                 self.write_by_another();
                 self.write(value, expected)
             }
-            Some(Fault::Buried) => {
+            Some(Fault::FollowedByAnother) => {
                 let _ = self.write(value, expected);
                 self.write_by_another();
-                lost
+                no_answer
             }
-            Some(Fault::TurnedAway) => Err(PlatformError::Unavailable("busy".to_owned())),
+            Some(Fault::Unavailable) => Err(PlatformError::Unavailable("busy".to_owned())),
         }
     }
 }
@@ -155,9 +155,14 @@
 impl Platform for FakePlatform {
     fn get(&self, _: ObjectKey) -> BoxFuture<'_, Result<Object, PlatformError>> {
         let state = self.state.lock().unwrap();
-        let away = PlatformError::Unavailable("away".to_owned());
-        let held = state.held.clone().ok_or(PlatformError::Absent);
-        ready(if state.is_away { Err(away) } else { held }).boxed()
+        let unreachable = PlatformError::Unavailable("unreachable".to_owned());
+        let object = state.object.clone().ok_or(PlatformError::Absent);
+        ready(if state.is_unreachable {
+            Err(unreachable)
+        } else {
+            object
+        })
+        .boxed()
     }
 
     fn put(
@@ -184,51 +189,57 @@
 }
 
 fn publish_to(platform: &FakePlatform, expect: Option<u64>) -> PublishOutcome {
-    let work = publish_manifest(platform, MANIFEST, 42, expect.map(Generation), &PAUSES);
+    let work = publish_manifest(
+        platform,
+        MANIFEST,
+        42,
+        expect.map(Generation),
+        &RETRY_PAUSES,
+    );
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .build();
     runtime.unwrap().block_on(work).unwrap()
 }
 
-/// An operator publishes, and the platform takes the write or loses it, while its answer is lost, or
-/// another operator publishes at the same moment. `accepted` must mean that the fleet gets this
-/// manifest, and `refused` that it never does: an operator who is told the wrong one leaves the old
-/// limits in force, or publishes on top of a colleague.
+/// Guards against a wrong result when the platform loses a write or its answer, or when another
+/// operator publishes at the same time. `accepted` must mean that the manifest was published, and
+/// `refused` that it never will be. An operator who sees a wrong result leaves the old limits in force,
+/// or overwrites the manifest of another operator.
 #[parameterized(
-    plain = { &[], "accepted as generation 8", true },
-    lost_after = { &[Fault::LostAfter], "accepted as generation 8", true },
-    lost_before = { &[Fault::LostBefore], "accepted as generation 8", true },
-    lost_twice = { &[Fault::LostBefore, Fault::LostAfter], "accepted as generation 8", true },
-    late = { &[Fault::Late], "accepted as generation 8", true },
-    overtaken = { &[Fault::Overtaken], "refused (another publish came first: generation 8", false },
-    lost_then_overtaken = {
-        &[Fault::LostBefore, Fault::Overtaken], "refused (another publish came first: generation 8", false
+    no_fault = { &[], "accepted as generation 8", true },
+    answer_lost = { &[Fault::AnswerLost], "accepted as generation 8", true },
+    write_lost = { &[Fault::WriteLost], "accepted as generation 8", true },
+    write_lost_then_answer_lost = { &[Fault::WriteLost, Fault::AnswerLost], "accepted as generation 8", true },
+    applied_late = { &[Fault::AppliedLate], "accepted as generation 8", true },
+    preceded_by_another = { &[Fault::PrecededByAnother], "refused (another publish came first: generation 8", false },
+    write_lost_then_preceded_by_another = {
+        &[Fault::WriteLost, Fault::PrecededByAnother], "refused (another publish came first: generation 8", false
     },
-    buried = { &[Fault::Buried], "unknown (a later publish is in force: generation 9", false },
-    turned_away = { &[Fault::TurnedAway], "refused (busy; nothing was written)", false },
+    followed_by_another = { &[Fault::FollowedByAnother], "unknown (a later publish is in force: generation 9", false },
+    unavailable = { &[Fault::Unavailable], "refused (busy; nothing was written)", false },
 )]
-fn a_publish_ends_in_the_truth(faults: &[Fault], told: &str, is_held: bool) {
-    let platform = FakePlatform::holding("old").with_faults(faults);
-    let verdict = publish_to(&platform, None);
-    assert!(verdict.to_string().starts_with(told), "{verdict}");
-    assert_eq!(platform.held().text == MANIFEST, is_held);
+fn the_reported_outcome_is_what_happened(faults: &[Fault], expected: &str, is_published: bool) {
+    let platform = FakePlatform::with_manifest("old").with_faults(faults);
+    let outcome = publish_to(&platform, None);
+    assert!(outcome.to_string().starts_with(expected), "{outcome}");
+    assert_eq!(platform.published().text == MANIFEST, is_published);
 }
 
-/// The platform takes every write's connection down and never says more.
+/// The platform closes the connection of every write without an answer.
 #[test]
-fn a_platform_that_stays_silent_leaves_it_unknown() {
-    let platform = FakePlatform::holding("old").with_faults(&[Fault::LostBefore; 9]);
-    let verdict = publish_to(&platform, None);
-    assert!(matches!(verdict, PublishOutcome::Unknown(_)), "{verdict}");
-    assert_eq!(verdict.exit().code(), 4);
-    // The operator runs the command again when the platform is well.
+fn the_outcome_is_unknown_if_the_platform_never_answers() {
+    let platform = FakePlatform::with_manifest("old").with_faults(&[Fault::WriteLost; 9]);
+    let outcome = publish_to(&platform, None);
+    assert!(matches!(outcome, PublishOutcome::Unknown(_)), "{outcome}");
+    assert_eq!(outcome.exit_status().code(), 4);
+    // The operator runs the command again when the platform has recovered.
     platform.state.lock().unwrap().faults.clear();
     assert_eq!(
         publish_to(&platform, None),
         PublishOutcome::Accepted(Generation(8))
     );
-    // And once more: what is published already is not published twice.
+    // A third run does not publish the manifest a second time.
     assert_eq!(
         publish_to(&platform, None),
         PublishOutcome::Accepted(Generation(8))
@@ -237,10 +248,16 @@
 
 #[test]
 fn an_expected_generation_guards_against_overwriting() {
-    let platform = FakePlatform::holding("old");
-    assert_eq!(publish_to(&platform, Some(5)).exit(), Exit::Refused);
-    assert_eq!(platform.held().text, "old");
-    assert_eq!(publish_to(&platform, Some(7)).exit(), Exit::Done);
+    let platform = FakePlatform::with_manifest("old");
+    assert_eq!(
+        publish_to(&platform, Some(5)).exit_status(),
+        ExitStatus::Negative
+    );
+    assert_eq!(platform.published().text, "old");
+    assert_eq!(
+        publish_to(&platform, Some(7)).exit_status(),
+        ExitStatus::Success
+    );
     let empty = FakePlatform::default();
     assert_eq!(
         publish_to(&empty, Some(0)),
@@ -248,50 +265,53 @@
     );
 }
 
-/// An operator of two deployments mixes up the addresses. The hosts would refuse the other
-/// deployment's manifest, and new hosts would find none that they can take.
+/// An operator of two deployments confuses their platforms. Hosts would refuse the manifest of the
+/// other deployment, and new hosts would have no manifest that they accept.
 #[test]
 fn a_manifest_of_another_deployment_is_refused() {
     let theirs = include_str!("../examples/acornleaf/manifest.yaml");
-    let platform = FakePlatform::holding(theirs);
-    let verdict = publish_to(&platform, None);
+    let platform = FakePlatform::with_manifest(theirs);
+    let outcome = publish_to(&platform, None);
     assert!(
-        verdict.to_string().contains("deployment acornleaf"),
-        "{verdict}"
+        outcome.to_string().contains("deployment acornleaf"),
+        "{outcome}"
     );
-    assert_eq!(platform.held().text, theirs);
+    assert_eq!(platform.published().text, theirs);
 }
 
 #[test]
-fn a_platform_that_is_away_is_told_apart_from_a_refusal() {
-    let platform = FakePlatform::holding("old");
-    platform.state.lock().unwrap().is_away = true;
-    assert_eq!(publish_to(&platform, None).exit(), Exit::Unreachable);
+fn an_unreachable_platform_is_distinguished_from_a_refusal() {
+    let platform = FakePlatform::with_manifest("old");
+    platform.state.lock().unwrap().is_unreachable = true;
+    assert_eq!(
+        publish_to(&platform, None).exit_status(),
+        ExitStatus::Unreachable
+    );
 }
 
 #[test]
-fn a_wrong_manifest_never_leaves() {
+fn an_invalid_manifest_is_not_sent() {
     let dir = WorkDir::new();
-    dir.file("m.yaml", &MANIFEST.replace("rank: 2", "rank: 1"));
-    // Nothing listens there; a call would end with 3.
-    let ran = dir.run(&["publish", "m.yaml", "--platform", "127.0.0.1:1"]);
-    assert_eq!((ran.code, ran.stdout.as_str()), (2, ""));
-    assert!(ran.stderr.contains("priorities[2].rank"), "{ran:?}");
+    dir.write_file("m.yaml", &MANIFEST.replace("rank: 2", "rank: 1"));
+    // Nothing listens on this port, so a call to the platform would end with exit code 3.
+    let output = dir.run(&["publish", "m.yaml", "--platform", "127.0.0.1:1"]);
+    assert_eq!((output.code, output.stdout.as_str()), (2, ""));
+    assert!(output.stderr.contains("priorities[2].rank"), "{output:?}");
 }
 
 #[test]
-fn a_diff_names_what_changes_whatever_the_order() {
+fn a_diff_lists_changes_and_ignores_the_order() {
     let old = Manifest::parse(MANIFEST, "old").unwrap();
     let mut new = old.clone();
     new.customers.reverse();
-    assert_eq!(changes(&old, &new).unwrap(), Vec::<String>::new());
+    assert_eq!(diff_manifests(&old, &new).unwrap(), Vec::<String>::new());
     new.customers
         .retain(|customer| customer.name.as_str() != "manek-music");
     new.models[0].version = "2026.12".to_owned();
     new.limits.deadline_max_ms = 7;
     new.priorities[0].name = "first".to_owned();
     assert_eq!(
-        changes(&old, &new).unwrap(),
+        diff_manifests(&old, &new).unwrap(),
         [
             "- customers.manek-music",
             "~ limits.deadline_max_ms: 3600000 -> 7",
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -1,4 +1,4 @@
-//! Reports: bounded in size and rate, and telling what matters.
+//! Tests of the status reports: contents, size and write rate.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -67,10 +67,10 @@
     })
 }
 
-/// At night a host flaps a thousand times. Whoever is on call must still see what came before it,
-/// and the report must not have grown with it.
+/// Guards against a report whose events are all of one host that flaps a thousand times. An operator
+/// must still see the earlier events, and the report must not grow with the number of events.
 #[test]
-fn a_report_stays_small_and_tells_what_matters() {
+fn a_report_stays_small_and_keeps_earlier_events() {
     let clock = Arc::new(ManualClock::new());
     let events = Events::new(clock.clone());
     events.record("homes", "took over pool a", "host-7 is dead");
@@ -106,46 +106,47 @@
     assert!(to_platform.len() < 8_192, "{}", to_platform.len());
 }
 
-/// The platform was away, and 400 hosts have news of it. If they all wrote at once and went on at
-/// each change, they would bring it down again.
+/// The platform recovers from an outage while 400 hosts have changed reports. If all hosts wrote at
+/// once and at each further change, they would overload the platform again.
 #[test]
-fn four_hundred_reporters_keep_to_a_rate() {
+fn four_hundred_reporters_stay_below_a_rate() {
     let start = Instant::now();
     let mut rng = StdRng::seed_from_u64(3);
     let mut reporters: Vec<Reporter> = (0..400)
         .map(|n| Reporter::new(StdRng::seed_from_u64(n), start))
         .collect();
-    let mut most = 0;
+    let mut calls_max = 0;
     let mut writes = 0;
     for second in 0..1_200_u64 {
         let now = start + Duration::from_secs(second);
-        let is_away = (300..600).contains(&second);
+        let is_outage = (300..600).contains(&second);
         let mut calls = 0;
         for reporter in &mut reporters {
             let Some(action) = reporter.tick(rng.random(), now) else {
                 continue;
             };
             calls += 1;
-            let away = || PlatformError::Unavailable("away".to_owned());
+            let outage = || PlatformError::Unavailable("unreachable".to_owned());
             match action {
-                ReporterAction::Read if is_away => reporter.read(&Err(away()), now),
+                ReporterAction::Read if is_outage => reporter.read(&Err(outage()), now),
                 ReporterAction::Read => reporter.read(&Err(PlatformError::Absent), now),
-                ReporterAction::Write(_) if is_away => reporter.written(&Err(away()), now),
+                ReporterAction::Write(_) if is_outage => reporter.written(&Err(outage()), now),
                 ReporterAction::Write(_) => {
                     writes += 1;
                     reporter.written(&Ok(ObjectVersion(1)), now);
                 }
             }
         }
-        most = most.max(calls);
+        calls_max = calls_max.max(calls);
     }
-    assert!(most <= 60, "{most} calls in a second");
-    assert!(writes <= 400 * 900 / 30, "{writes}");
+    assert!(calls_max <= 60, "{calls_max} calls in a second");
+    assert!(writes <= 400 * 900 / 30, "{writes} writes");
 }
 
-/// The answer to a write was lost. The next write must not fail for ever on the version before it.
+/// The answer to a write is lost. The reporter must read the version again, or all its later writes
+/// would expect the version before the lost one and fail.
 #[test]
-fn a_lost_answer_is_read_back() {
+fn the_object_is_read_again_after_a_lost_answer() {
     let start = Instant::now();
     let mut reporter = Reporter::new(StdRng::seed_from_u64(1), start);
     let at = |seconds| start + Duration::from_secs(seconds);
@@ -158,9 +159,10 @@
     assert_eq!(reporter.tick(1, at(120)), Some(ReporterAction::Read));
 }
 
-/// Nothing changes; the report is still written now and then, or it would look like a dead host's.
+/// A report that never changes is still written from time to time. Otherwise it would look like the
+/// report of a dead host.
 #[test]
-fn an_unchanged_report_is_written_seldom() {
+fn an_unchanged_report_is_written_rarely() {
     let start = Instant::now();
     let mut reporter = Reporter::new(StdRng::seed_from_u64(1), start);
     let mut writes = 0;
@@ -175,5 +177,5 @@
             None => {}
         }
     }
-    assert!((8..=13).contains(&writes), "{writes}");
+    assert!((8..=13).contains(&writes), "{writes} writes");
 }
--- a/tests/workdir/mod.rs
+++ b/tests/workdir/mod.rs
@@ -1,4 +1,4 @@
-//! A directory for a command's files, and the command run in it.
+//! Runs the command-line tool in a temporary directory.
 
 use std::env;
 use std::fs;
@@ -8,14 +8,14 @@
 use std::sync::atomic::AtomicU32;
 use std::sync::atomic::Ordering;
 
-static COUNT: AtomicU32 = AtomicU32::new(0);
+static NEXT_DIR_NUMBER: AtomicU32 = AtomicU32::new(0);
 
-/// A directory that is removed at the end of a test.
+/// A temporary directory that is removed at the end of a test.
 pub(crate) struct WorkDir(PathBuf);
 
-/// What a command printed and how it ended.
+/// The exit code and the output of a run of the tool.
 #[derive(Debug)]
-pub(crate) struct Ran {
+pub(crate) struct ToolOutput {
     pub(crate) code: i32,
     pub(crate) stdout: String,
     #[allow(dead_code, reason = "not every test file reads it")]
@@ -23,28 +23,28 @@
 }
 
 impl WorkDir {
-    /// An empty directory of its own.
+    /// Creates an empty directory.
     pub(crate) fn new() -> Self {
-        let number = COUNT.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_DIR_NUMBER.fetch_add(1, Ordering::Relaxed);
         let path = env::temp_dir().join(format!("banyanarch-{}-{number}", process::id()));
         fs::create_dir_all(&path).unwrap();
         Self(path)
     }
 
-    /// Writes a file.
-    pub(crate) fn file(&self, name: &str, text: &str) -> &Self {
+    /// Writes a file into the directory.
+    pub(crate) fn write_file(&self, name: &str, text: &str) -> &Self {
         fs::write(self.0.join(name), text).unwrap();
         self
     }
 
-    /// Runs the tool in the directory.
-    pub(crate) fn run(&self, args: &[&str]) -> Ran {
+    /// Runs the tool with the directory as working directory.
+    pub(crate) fn run(&self, args: &[&str]) -> ToolOutput {
         let output = Command::new(env!("CARGO_BIN_EXE_banyanarch"))
             .args(args)
             .current_dir(&self.0)
             .output()
             .unwrap();
-        Ran {
+        ToolOutput {
             code: output.status.code().unwrap(),
             stdout: String::from_utf8(output.stdout).unwrap(),
             stderr: String::from_utf8(output.stderr).unwrap(),
