--- a/src/manifest/mod.rs
+++ b/src/manifest/mod.rs
@@ -2,15 +2,15 @@
 
 mod clashes;
 mod errors;
-mod in_force;
 mod lookup;
+mod manifest_in_force;
 mod parse;
 mod published;
 mod spec;
 mod target;
 
 pub use errors::ManifestErrors;
-pub use in_force::InForce;
+pub use manifest_in_force::InForce;
 pub use published::CURRENT;
 pub use published::PublishedManifest;
 pub use spec::CustomerSpec;
