--- a/src/manifest/mod.rs
+++ b/src/manifest/mod.rs
@@ -1,6 +1,6 @@
 //! The manifest: models, services, customers, priorities and limits that operators publish.
 
-mod clashes;
+mod conflicts;
 mod errors;
 mod lookup;
 mod manifest_in_force;
--- a/src/manifest/parse.rs
+++ b/src/manifest/parse.rs
@@ -8,7 +8,7 @@
 use crate::manifest::PrioritySpec;
 use crate::manifest::ServiceSpec;
 use crate::manifest::WeightStoreSpec;
-use crate::manifest::clashes;
+use crate::manifest::conflicts;
 use crate::manifest::lookup::ADAPTER_SEPARATOR;
 use crate::manifest::spec;
 use crate::units::ByteSize;
@@ -62,10 +62,10 @@
             |text: &String| is_filled(text),
             NOT_EMPTY,
         );
-        clashes::check_targets(fields, &models, &services);
-        clashes::check_customers(fields, &customers, &priorities);
-        clashes::check_priorities(fields, &priorities);
-        clashes::check_output(fields, &models, limits.as_ref());
+        conflicts::check_targets(fields, &models, &services);
+        conflicts::check_customers(fields, &customers, &priorities);
+        conflicts::check_priorities(fields, &priorities);
+        conflicts::check_output(fields, &models, limits.as_ref());
         Some(Self {
             deployment: deployment?,
             objective: objective?,
--- a/src/observe/gauges.rs
+++ b/src/observe/gauges.rs
@@ -6,7 +6,7 @@
 use opentelemetry::metrics::Meter;
 
 use crate::decide::PoolLoad;
-use crate::observe::board_totals::BoardTotals;
+use crate::observe::latest_counts::BoardTotals;
 
 pub(crate) fn observe_board(meter: &Meter, board: &Arc<BoardTotals>) {
     let seen = board.clone();
--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -28,10 +28,10 @@
 use crate::manifest::Manifest;
 use crate::observe::HostCounts;
 use crate::observe::ObserveError;
-use crate::observe::board_totals::BoardTotals;
 use crate::observe::gauges;
 use crate::observe::instruments::exporter;
 use crate::observe::instruments::seconds;
+use crate::observe::latest_counts::BoardTotals;
 use crate::units::CustomerId;
 
 /// 670 customers in 4 classes and 3 outcomes are 8,040 series of one metric.
--- a/src/observe/mod.rs
+++ b/src/observe/mod.rs
@@ -1,11 +1,11 @@
 //! Metrics, logs and explanations of what was decided.
 
-mod board_totals;
 mod error;
 mod explanations;
 mod gauges;
 mod host_counts;
 pub(crate) mod instruments;
+mod latest_counts;
 pub mod logs;
 mod metrics;
 mod step;
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,15 +1,15 @@
 //! The settings of one process, in YAML.
 
-mod clashes;
+mod conflicts;
 mod errors;
-mod file_check;
 mod parse;
+mod settings_check;
 mod spec;
 
 pub use errors::SettingsErrors;
-pub use file_check::EXIT_BAD_SETTINGS;
-pub use file_check::FileCheck;
-pub use file_check::run_daemon_check;
+pub use settings_check::EXIT_BAD_SETTINGS;
+pub use settings_check::FileCheck;
+pub use settings_check::run_daemon_check;
 pub use spec::DrainSettings;
 pub use spec::ListenSettings;
 pub use spec::LogFormat;
--- a/src/yaml/mod.rs
+++ b/src/yaml/mod.rs
@@ -8,7 +8,7 @@
 mod file_errors;
 mod node;
 mod problem;
-mod raw;
+mod raw_value;
 mod scalar;
 
 pub use fields::Fields;
--- a/src/yaml/node.rs
+++ b/src/yaml/node.rs
@@ -5,7 +5,7 @@
 use serde_saphyr::Spanned;
 
 use crate::yaml::Problem;
-use crate::yaml::raw::Raw;
+use crate::yaml::raw_value::Raw;
 
 /// Deeper than any settings or manifest, and shallow enough that reading never exhausts the stack.
 const DEPTH_MAX: usize = 32;
