--- a/src/cluster_view/mod.rs
+++ b/src/cluster_view/mod.rs
@@ -14,7 +14,7 @@
 use std::sync::PoisonError;
 use std::sync::RwLock;
 
-use crate::manifest::InForce;
+use crate::manifest::ManifestInForce;
 use crate::units::HostId;
 use crate::units::UpstreamId;
 
@@ -25,7 +25,7 @@
     pub hosts: ShardedMap<HostId, HostView>,
     /// The upstreams, by id.
     pub upstreams: ShardedMap<UpstreamId, UpstreamView>,
-    manifest: RwLock<Option<Arc<InForce>>>,
+    manifest: RwLock<Option<Arc<ManifestInForce>>>,
 }
 
 impl ClusterView {
@@ -39,7 +39,7 @@
     }
 
     /// The manifest in force, if one is known yet.
-    pub fn manifest(&self) -> Option<Arc<InForce>> {
+    pub fn manifest(&self) -> Option<Arc<ManifestInForce>> {
         self.manifest
             .read()
             .unwrap_or_else(PoisonError::into_inner)
@@ -48,7 +48,7 @@
 
     /// Puts a manifest in force unless the current one is as new or newer. Returns whether this
     /// call has put it in force.
-    pub fn advance_manifest(&self, next: InForce) -> bool {
+    pub fn advance_manifest(&self, next: ManifestInForce) -> bool {
         let mut manifest = self
             .manifest
             .write()
--- a/src/control/manifests/action.rs
+++ b/src/control/manifests/action.rs
@@ -1,6 +1,6 @@
 //! What the spreading of manifests wants done.
 
-use crate::manifest::InForce;
+use crate::manifest::ManifestInForce;
 use crate::peer::Message;
 use crate::units::HostId;
 
@@ -17,5 +17,5 @@
     /// Read the manifest from the platform after a short random wait, and tell what it says.
     ReadPlatform,
     /// Put a manifest in force on this host.
-    PutInForce(InForce),
+    PutInForce(ManifestInForce),
 }
--- a/src/control/manifests/machine.rs
+++ b/src/control/manifests/machine.rs
@@ -16,8 +16,8 @@
 use crate::control::manifests::parts::pages;
 use crate::control::manifests::parts::split;
 use crate::control::manifests::parts::to_bytes;
-use crate::manifest::InForce;
 use crate::manifest::Manifest;
+use crate::manifest::ManifestInForce;
 use crate::manifest::PublishedManifest;
 use crate::peer::Message;
 use crate::peer::TokenBucket;
@@ -275,7 +275,7 @@
         self.refused = None;
         self.fetch = None;
         log::info!("manifests: generation {generation} is in force");
-        actions.push(ManifestAction::PutInForce(InForce {
+        actions.push(ManifestAction::PutInForce(ManifestInForce {
             generation,
             hash,
             manifest,
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -32,7 +32,7 @@
 use crate::entry::Route;
 use crate::entry::Verdict;
 use crate::entry::driver::Driver;
-use crate::manifest::InForce;
+use crate::manifest::ManifestInForce;
 use crate::units::RequestId;
 
 /// A caller that has not sent its whole head by then holds a connection for nothing.
@@ -178,7 +178,7 @@
     parts: &Arc<EntryParts>,
     request: RequestId,
     req: Request<Incoming>,
-    in_force: &Arc<InForce>,
+    in_force: &Arc<ManifestInForce>,
 ) -> Result<(Job, crate::entry::HeldBody), Rejection> {
     let manifest = &in_force.manifest;
     let (head, body) = req.into_parts();
@@ -247,7 +247,7 @@
 async fn parse_job(
     head: JobHead,
     route: Route,
-    in_force: &Arc<InForce>,
+    in_force: &Arc<ManifestInForce>,
     body: bytes::Bytes,
 ) -> Result<Job, Rejection> {
     if body.len() <= PARSE_INLINE_MAX {
--- a/src/manifest/manifest_in_force.rs
+++ b/src/manifest/manifest_in_force.rs
@@ -6,7 +6,7 @@
 
 /// An accepted manifest with its generation.
 #[derive(Clone, Debug, PartialEq)]
-pub struct InForce {
+pub struct ManifestInForce {
     /// Its generation.
     pub generation: Generation,
     /// The hash of its text, by which peers name it.
--- a/src/manifest/mod.rs
+++ b/src/manifest/mod.rs
@@ -10,7 +10,7 @@
 mod target;
 
 pub use errors::ManifestErrors;
-pub use manifest_in_force::InForce;
+pub use manifest_in_force::ManifestInForce;
 pub use published::CURRENT;
 pub use published::PublishedManifest;
 pub use spec::CustomerSpec;
--- a/tests/observe.rs
+++ b/tests/observe.rs
@@ -14,8 +14,8 @@
 use banyanarch::decide::LengthClass;
 use banyanarch::decide::PoolLoad;
 use banyanarch::decide::UpstreamHealth;
-use banyanarch::manifest::InForce;
 use banyanarch::manifest::Manifest;
+use banyanarch::manifest::ManifestInForce;
 use banyanarch::observe::Bounds;
 use banyanarch::observe::Explanations;
 use banyanarch::observe::HostCounts;
@@ -132,7 +132,7 @@
 
 fn cluster_view() -> ClusterView {
     let cluster_view = ClusterView::new();
-    cluster_view.advance_manifest(InForce {
+    cluster_view.advance_manifest(ManifestInForce {
         generation: Generation(4),
         hash: ContentHash::of(DESAI.as_bytes()),
         manifest: Manifest::parse(DESAI, "m.yaml").unwrap(),
