--- a/benches/control.rs
+++ b/benches/control.rs
@@ -252,7 +252,7 @@
             )
         };
         let text: String = (0..9_000).map(customer).collect();
-        let published = PublishedManifest::following(last, 1, &text);
+        let published = PublishedManifest::next_after(last, 1, &text);
         self.published = Some(published.clone());
         for domain in self.domains() {
             let first = self
--- a/benches/daemons/mod.rs
+++ b/benches/daemons/mod.rs
@@ -205,7 +205,7 @@
     let example = include_str!("../../examples/desai/manifest.yaml");
     let last = held.map_or(Generation(0), |held| held.generation);
     let text = format!("{example}\n# {last}\n");
-    let next = PublishedManifest::following(last, last.0.into(), &text);
+    let next = PublishedManifest::next_after(last, last.0.into(), &text);
     let mut object = json!({"metadata": {"name": "current"}, "spec": &next});
     if last == Generation(0) {
         call_json(platform, Method::POST, &format!("{KIND}manifests"), &object)
--- a/src/cmd/publication.rs
+++ b/src/cmd/publication.rs
@@ -87,7 +87,7 @@
         return Next::Tell(PublishVerdict::Accepted(generation));
     }
     Next::Write(Write {
-        mine: PublishedManifest::following(generation, publish_id, text),
+        mine: PublishedManifest::next_after(generation, publish_id, text),
         expected,
     })
 }
--- a/src/manifest/published.rs
+++ b/src/manifest/published.rs
@@ -25,9 +25,9 @@
 
 impl PublishedManifest {
     /// A text as the generation that follows `after`.
-    pub fn following(after: Generation, publish_id: u128, text: &str) -> Self {
+    pub fn next_after(generation: Generation, publish_id: u128, text: &str) -> Self {
         Self {
-            generation: after.next(),
+            generation: generation.next(),
             publish_id: format!("{publish_id:032x}"),
             hash: ContentHash::of(text.as_bytes()),
             text: text.to_owned(),
--- a/tests/cmd_publish.rs
+++ b/tests/cmd_publish.rs
@@ -64,7 +64,7 @@
 impl FakePlatform {
     fn holding(text: &str) -> Self {
         let platform = Self::default();
-        let manifest = PublishedManifest::following(Generation(6), 1, text);
+        let manifest = PublishedManifest::next_after(Generation(6), 1, text);
         let value = serde_json::to_value(manifest).unwrap();
         platform
             .state
@@ -112,7 +112,7 @@
     fn write_by_another(&mut self) {
         let held = self.held.as_ref().unwrap();
         let generation: PublishedManifest = serde_json::from_value(held.value.clone()).unwrap();
-        let theirs = PublishedManifest::following(generation.generation, 99, "theirs");
+        let theirs = PublishedManifest::next_after(generation.generation, 99, "theirs");
         let expected = Expected::Version(held.version);
         self.write(serde_json::to_value(theirs).unwrap(), expected)
             .unwrap();
--- a/tests/manifests.rs
+++ b/tests/manifests.rs
@@ -62,7 +62,7 @@
 }
 
 fn published(generation: u64, text: &str) -> PublishedManifest {
-    PublishedManifest::following(Generation(generation - 1), generation.into(), text)
+    PublishedManifest::next_after(Generation(generation - 1), generation.into(), text)
 }
 
 struct Domain {
--- a/tests/worlds/manifest_world.rs
+++ b/tests/worlds/manifest_world.rs
@@ -105,7 +105,7 @@
             Step::Publish => {
                 let after = Generation(self.published.len() as u64);
                 let text = format!("# manifest {after}\n").repeat(40);
-                let next = PublishedManifest::following(after, 0, &text);
+                let next = PublishedManifest::next_after(after, 0, &text);
                 self.published.push(next);
             }
             Step::Word { host, age } => self.word(host, age.into()),
