--- a/src/cmd/publication.rs
+++ b/src/cmd/publication.rs
@@ -11,7 +11,7 @@
 use crate::cmd::CmdError;
 use crate::cmd::PublishVerdict;
 use crate::cmd::remote::published;
-use crate::manifest::CURRENT;
+use crate::manifest::MANIFEST_OBJECT_NAME;
 use crate::manifest::Manifest;
 use crate::manifest::PublishedManifest;
 use crate::objects::Expected;
@@ -108,7 +108,7 @@
     platform: &dyn Platform,
     write: &Write,
 ) -> Result<Result<ObjectVersion, PlatformError>, CmdError> {
-    let key = ObjectKey::new(Kind::Manifests, CURRENT);
+    let key = ObjectKey::new(Kind::Manifests, MANIFEST_OBJECT_NAME);
     let value = serde_json::to_value(&write.mine)?;
     Ok(platform.put(key, value, write.expected).await)
 }
--- a/src/cmd/remote.rs
+++ b/src/cmd/remote.rs
@@ -6,7 +6,7 @@
 
 use crate::cmd::CmdError;
 use crate::http::HttpClient;
-use crate::manifest::CURRENT;
+use crate::manifest::MANIFEST_OBJECT_NAME;
 use crate::manifest::PublishedManifest;
 use crate::objects::HttpPlatform;
 use crate::objects::Kind;
@@ -34,7 +34,10 @@
 pub(crate) async fn published(
     platform: &dyn Platform,
 ) -> Result<Option<(PublishedManifest, ObjectVersion)>, CmdError> {
-    match platform.get(ObjectKey::new(Kind::Manifests, CURRENT)).await {
+    match platform
+        .get(ObjectKey::new(Kind::Manifests, MANIFEST_OBJECT_NAME))
+        .await
+    {
         Ok(object) => Ok(Some((
             serde_json::from_value(object.value)?,
             object.version,
--- a/src/manifest/mod.rs
+++ b/src/manifest/mod.rs
@@ -11,7 +11,7 @@
 
 pub use errors::ManifestErrors;
 pub use manifest_in_force::ManifestInForce;
-pub use published::CURRENT;
+pub use published::MANIFEST_OBJECT_NAME;
 pub use published::PublishedManifest;
 pub use spec::CustomerSpec;
 pub use spec::FencingSupport;
--- a/src/manifest/published.rs
+++ b/src/manifest/published.rs
@@ -7,7 +7,7 @@
 use crate::units::Generation;
 
 /// The name of the one object of the kind `manifests`.
-pub const CURRENT: &str = "current";
+pub const MANIFEST_OBJECT_NAME: &str = "current";
 
 /// The `spec` of the object that holds the manifest. Fields that a later version adds are ignored.
 #[derive(Clone, Debug, PartialEq, Eq)]
