--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -55,7 +55,7 @@
 use crate::http::HttpClient;
 use crate::objects::HttpPlatform;
 use crate::objects::Platform;
-use crate::observe::Bounds;
+use crate::observe::ExplanationLimits;
 use crate::observe::Explanations;
 use crate::observe::Metrics;
 use crate::peer::Keyring;
@@ -204,7 +204,10 @@
             poison_spread: Arc::clone(&membership) as _,
             retries: Mutex::new(IndexMap::new()),
             metrics: Arc::new(Metrics::new()?),
-            explanations: Arc::new(Explanations::new(Arc::clone(&clock), Bounds::default())),
+            explanations: Arc::new(Explanations::new(
+                Arc::clone(&clock),
+                ExplanationLimits::default(),
+            )),
         });
         let manifests = Arc::new(ManifestDesk::new(
             ManifestDeskParts {
--- a/src/observe/explanations.rs
+++ b/src/observe/explanations.rs
@@ -23,7 +23,7 @@
 
 /// How much is kept, over all shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct ExplanationLimits {
     /// Requests.
     pub requests: usize,
     /// Bytes, as they are counted by the text and the size of the structures.
@@ -34,7 +34,7 @@
     pub text_bytes: usize,
 }
 
-impl Default for Bounds {
+impl Default for ExplanationLimits {
     /// 16,384 requests are 19 minutes of a host that gets 14 a second, the share of one of 400 hosts
     /// in 5,600; 16 MiB are a sixteenth of such a host's memory and hold that many of usual size.
     fn default() -> Self {
@@ -50,7 +50,7 @@
 /// Explanations of the latest requests, in shards under their own locks. The oldest go first.
 pub struct Explanations {
     clock: Arc<dyn Clock>,
-    bounds: Bounds,
+    bounds: ExplanationLimits,
     shards: Vec<Mutex<Shard>>,
 }
 
@@ -69,7 +69,7 @@
 
 impl Explanations {
     /// Keeps nothing yet.
-    pub fn new(clock: Arc<dyn Clock>, bounds: Bounds) -> Self {
+    pub fn new(clock: Arc<dyn Clock>, bounds: ExplanationLimits) -> Self {
         let shards = (0..SHARD_COUNT).map(|_| Mutex::default()).collect();
         Self {
             clock,
--- a/src/observe/mod.rs
+++ b/src/observe/mod.rs
@@ -12,7 +12,7 @@
 
 pub use crate::control::outcome::Outcome;
 pub use error::ObserveError;
-pub use explanations::Bounds;
+pub use explanations::ExplanationLimits;
 pub use explanations::Explanations;
 pub use host_counts::HostCounts;
 pub use metrics::Metrics;
--- a/tests/observe.rs
+++ b/tests/observe.rs
@@ -16,7 +16,7 @@
 use banyanarch::decide::UpstreamHealth;
 use banyanarch::manifest::Manifest;
 use banyanarch::manifest::ManifestInForce;
-use banyanarch::observe::Bounds;
+use banyanarch::observe::ExplanationLimits;
 use banyanarch::observe::Explanations;
 use banyanarch::observe::HostCounts;
 use banyanarch::observe::Metrics;
@@ -224,14 +224,14 @@
     }
 }
 
-fn explanations(bounds: Bounds) -> (Arc<ManualClock>, Explanations) {
+fn explanations(bounds: ExplanationLimits) -> (Arc<ManualClock>, Explanations) {
     let clock = Arc::new(ManualClock::new());
     (clock.clone(), Explanations::new(clock, bounds))
 }
 
 #[test]
 fn an_explanation_is_told_as_json() {
-    let (clock, explanations) = explanations(Bounds::default());
+    let (clock, explanations) = explanations(ExplanationLimits::default());
     let request = RequestId(7);
     explanations.note(request, StepKind::Received, "", "42 tokens");
     clock.advance(Duration::from_millis(30));
@@ -259,7 +259,7 @@
 /// would take the memory that prompts need.
 #[test]
 fn explanations_are_bounded_and_the_oldest_go_first() {
-    let bounds = Bounds {
+    let bounds = ExplanationLimits {
         requests: 160,
         bytes: 100_000,
         steps: 6,
