--- a/src/daemon/pages.rs
+++ b/src/daemon/pages.rs
@@ -41,8 +41,8 @@
     fn metrics(&self) -> Page {
         let host = &self.0;
         let metrics = &host.parts.metrics;
-        metrics.see_board(&host.cluster_view);
-        metrics.see_host(HostCounts {
+        metrics.update_cluster_counts(&host.cluster_view);
+        metrics.update_host_counts(HostCounts {
             peer_control_bytes: host.traffic.control_bytes(),
             peer_work_bytes: host.traffic.work_bytes(),
             peer_dropped_messages: host.traffic.dropped_messages(),
--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -99,7 +99,7 @@
 
     /// Takes in what the cluster view holds: the customers of the manifest in force, which get series, and
     /// the counts of hosts and upstreams. To be called often, such as each second.
-    pub fn see_board(&self, board: &ClusterView) {
+    pub fn update_cluster_counts(&self, board: &ClusterView) {
         let before = self.board.latest().generation;
         self.board.count(board);
         if let Some(in_force) = board.manifest()
@@ -110,7 +110,7 @@
     }
 
     /// Takes in what the host's parts count, right before metrics are rendered.
-    pub fn see_host(&self, counts: HostCounts) {
+    pub fn update_host_counts(&self, counts: HostCounts) {
         self.board.set_counts(counts);
     }
 
--- a/tests/observe.rs
+++ b/tests/observe.rs
@@ -94,8 +94,8 @@
     metrics.outcome(&films, LengthClass::Short, Outcome::NotRun, "deadline");
     metrics.retry("refused");
     metrics.in_flight(LengthClass::Short, 1);
-    metrics.see_host(counts());
-    metrics.see_board(&cluster_view());
+    metrics.update_host_counts(counts());
+    metrics.update_cluster_counts(&cluster_view());
     let text = metrics.render().unwrap();
     let names = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
     let names: Vec<&str> = names.filter_map(|rest| rest.split(' ').next()).collect();
@@ -164,7 +164,7 @@
 fn the_board_is_counted_anew_each_time() {
     let metrics = Metrics::new().unwrap();
     let cluster_view = cluster_view();
-    metrics.see_board(&cluster_view);
+    metrics.update_cluster_counts(&cluster_view);
     metrics.first_token(
         &customer("garba-karaoke"),
         LengthClass::Short,
@@ -177,7 +177,7 @@
     assert!(text.contains(&format!("{live} 1")));
     assert!(text.contains("customer=\"garba-karaoke\""));
     cluster_view.upstreams.retain(|_, _| false);
-    metrics.see_board(&cluster_view);
+    metrics.update_cluster_counts(&cluster_view);
     assert!(!metrics.render().unwrap().contains(live));
 }
 
@@ -203,11 +203,11 @@
 #[test]
 fn a_pool_that_was_handed_over_is_shown_no_more() {
     let metrics = metrics();
-    metrics.see_host(counts());
+    metrics.update_host_counts(counts());
     let text = metrics.render().unwrap();
     assert!(text.contains("banyanarch_ledger_free_tokens{pool=\"hall-a/llm-advisor/0\"} 700"));
     assert!(text.contains("banyanarch_peer_bytes_total{purpose=\"control\"} 120"));
-    metrics.see_host(HostCounts::default());
+    metrics.update_host_counts(HostCounts::default());
     assert!(!metrics.render().unwrap().contains("hall-a"));
 }
 
