--- a/src/observe/gauges.rs
+++ b/src/observe/gauges.rs
@@ -6,9 +6,9 @@
 use opentelemetry::metrics::Meter;
 
 use crate::decide::PoolLoad;
-use crate::observe::latest_counts::BoardTotals;
+use crate::observe::latest_counts::LatestCounts;
 
-pub(crate) fn observe_board(meter: &Meter, board: &Arc<BoardTotals>) {
+pub(crate) fn register_cluster_gauges(meter: &Meter, board: &Arc<LatestCounts>) {
     let seen = board.clone();
     let generation = meter.u64_observable_gauge("manifest_generation");
     generation
@@ -39,7 +39,7 @@
         .build();
 }
 
-pub(crate) fn observe_counts(meter: &Meter, board: &Arc<BoardTotals>) {
+pub(crate) fn register_host_instruments(meter: &Meter, board: &Arc<LatestCounts>) {
     let seen = board.clone();
     let bytes = meter.u64_observable_counter("peer").with_unit("By");
     bytes
@@ -72,20 +72,20 @@
         .build();
 }
 
-pub(crate) fn observe_pools(meter: &Meter, board: &Arc<BoardTotals>) {
-    pool_gauge(meter, board, "ledger_free_tokens", |load| {
+pub(crate) fn register_pool_gauges(meter: &Meter, board: &Arc<LatestCounts>) {
+    register_pool_gauge(meter, board, "ledger_free_tokens", |load| {
         load.free_tokens.0
     });
-    pool_gauge(meter, board, "ledger_running", |load| load.running);
-    pool_gauge(meter, board, "ledger_waiting", |load| load.waiting);
-    pool_gauge(meter, board, "ledger_upstreams", |load| {
+    register_pool_gauge(meter, board, "ledger_running", |load| load.running);
+    register_pool_gauge(meter, board, "ledger_waiting", |load| load.waiting);
+    register_pool_gauge(meter, board, "ledger_upstreams", |load| {
         load.upstreams.into()
     });
 }
 
-fn pool_gauge(
+fn register_pool_gauge(
     meter: &Meter,
-    board: &Arc<BoardTotals>,
+    board: &Arc<LatestCounts>,
     name: &'static str,
     value: impl Fn(&PoolLoad) -> u64 + Send + Sync + 'static,
 ) {
--- a/src/observe/latest_counts.rs
+++ b/src/observe/latest_counts.rs
@@ -16,24 +16,24 @@
 /// The latest counts. They are replaced as a whole: a gauge that kept the count of a target that is
 /// gone would show upstreams that are not there.
 #[derive(Debug, Default)]
-pub(crate) struct BoardTotals {
-    totals: Mutex<Totals>,
+pub(crate) struct LatestCounts {
+    totals: Mutex<ClusterCounts>,
     counts: Mutex<HostCounts>,
 }
 
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Totals {
+pub(crate) struct ClusterCounts {
     pub(crate) generation: Option<Generation>,
     pub(crate) hosts: IndexMap<&'static str, u64>,
     pub(crate) upstreams: IndexMap<(TargetId, &'static str), u64>,
 }
 
-impl BoardTotals {
+impl LatestCounts {
     /// Counts what the cluster view holds now.
     pub(crate) fn count(&self, cluster_view: &ClusterView) {
-        let mut totals = Totals {
+        let mut totals = ClusterCounts {
             generation: cluster_view.manifest().map(|in_force| in_force.generation),
-            ..Totals::default()
+            ..ClusterCounts::default()
         };
         for (_, host) in cluster_view.hosts.snapshot() {
             *totals.hosts.entry(state_name(host.state)).or_default() += 1;
@@ -55,11 +55,11 @@
         counts.clone()
     }
 
-    pub(crate) fn latest(&self) -> Totals {
+    pub(crate) fn latest(&self) -> ClusterCounts {
         self.lock().clone()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Totals> {
+    fn lock(&self) -> MutexGuard<'_, ClusterCounts> {
         self.totals.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -31,7 +31,7 @@
 use crate::observe::gauges;
 use crate::observe::instruments::exporter;
 use crate::observe::instruments::seconds;
-use crate::observe::latest_counts::BoardTotals;
+use crate::observe::latest_counts::LatestCounts;
 use crate::units::CustomerId;
 
 /// 670 customers in 4 classes and 3 outcomes are 8,040 series of one metric.
@@ -57,7 +57,7 @@
     // The instruments go quiet when their provider is dropped.
     _provider: SdkMeterProvider,
     customers: RwLock<IndexMap<CustomerId, StringValue>>,
-    board: Arc<BoardTotals>,
+    board: Arc<LatestCounts>,
     first_token: Histogram<f64>,
     between_tokens: Histogram<f64>,
     queue_wait: Histogram<f64>,
@@ -77,10 +77,10 @@
             .with_view(series_bound)
             .build();
         let meter = provider.meter("banyanarch");
-        let board = Arc::new(BoardTotals::default());
-        gauges::observe_board(&meter, &board);
-        gauges::observe_counts(&meter, &board);
-        gauges::observe_pools(&meter, &board);
+        let board = Arc::new(LatestCounts::default());
+        gauges::register_cluster_gauges(&meter, &board);
+        gauges::register_host_instruments(&meter, &board);
+        gauges::register_pool_gauges(&meter, &board);
         let metrics = Self {
             registry,
             customers: RwLock::default(),
