--- a/src/entry/driver/mod.rs
+++ b/src/entry/driver/mod.rs
@@ -211,7 +211,7 @@
         let work = &held.work;
         self.parts
             .metrics
-            .queue_wait(&work.customer, work.class(), held.waited);
+            .record_queue_wait(&work.customer, work.class(), held.waited);
     }
 
     pub(super) async fn broken(&mut self, err: UpstreamError) -> LifeEvent {
@@ -303,7 +303,7 @@
             .with_budget(&self.job.target, |budget| budget.decide(&failed, now))
         {
             RetryDecision::Retry { after } => {
-                self.parts.metrics.retry(self.last_reason());
+                self.parts.metrics.count_retry(self.last_reason());
                 self.reply.restart();
                 // Homes answer a request that is asked again with the grant it has. If the end of the
                 // failed attempt got lost on its way, that would be the same grant, and its attempt
--- a/src/entry/driver/pumping.rs
+++ b/src/entry/driver/pumping.rs
@@ -104,11 +104,11 @@
         let work = &self.job.work;
         let metrics = &self.parts.metrics;
         match gap {
-            Some(gap) => metrics.between_tokens(&work.customer, work.class(), gap),
+            Some(gap) => metrics.record_token_gap(&work.customer, work.class(), gap),
             None => {
                 let now = self.parts.clock.now();
                 let took = now.saturating_duration_since(self.job.received);
-                metrics.first_token(&work.customer, work.class(), took);
+                metrics.record_first_token(&work.customer, work.class(), took);
                 self.note(StepKind::FirstToken, self.leader(), "");
             }
         }
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -143,15 +143,17 @@
         Ok((job, _body)) => {
             reply.set_shape(job.shape, &job.model);
             let (customer, class) = (job.work.customer.clone(), job.work.class());
-            parts.metrics.in_flight(class, 1);
+            parts.metrics.add_in_flight(class, 1);
             let verdict = Driver::new(parts, job, reply).run().await;
-            parts.metrics.in_flight(class, -1);
+            parts.metrics.add_in_flight(class, -1);
             // A caller that went away before the end did not see whether it ran.
             let (outcome, reason) = verdict
                 .map_or((Outcome::MayHaveRun, "caller_gone"), |verdict| {
                     (verdict.outcome(), verdict.reason())
                 });
-            parts.metrics.outcome(&customer, class, outcome, reason);
+            parts
+                .metrics
+                .count_outcome(&customer, class, outcome, reason);
             debug!(request:% = request; "entry: {outcome} {reason}");
         }
         Err(rejection) => reject(reply, rejection).await,
--- a/tests/observe.rs
+++ b/tests/observe.rs
@@ -50,13 +50,13 @@
 fn histograms_tell_the_aims_apart_by_customer_and_class() {
     let metrics = metrics();
     let films = customer("sabarmati-films");
-    metrics.first_token(&films, LengthClass::Huge, Duration::from_millis(1_800));
-    metrics.between_tokens(&films, LengthClass::Short, Duration::from_millis(48));
-    metrics.queue_wait(&films, LengthClass::Short, Duration::from_millis(3));
-    metrics.outcome(&films, LengthClass::Short, Outcome::NotRun, "deadline");
-    metrics.retry("refused");
-    metrics.in_flight(LengthClass::Long, 2);
-    metrics.in_flight(LengthClass::Long, -1);
+    metrics.record_first_token(&films, LengthClass::Huge, Duration::from_millis(1_800));
+    metrics.record_token_gap(&films, LengthClass::Short, Duration::from_millis(48));
+    metrics.record_queue_wait(&films, LengthClass::Short, Duration::from_millis(3));
+    metrics.count_outcome(&films, LengthClass::Short, Outcome::NotRun, "deadline");
+    metrics.count_retry("refused");
+    metrics.add_in_flight(LengthClass::Long, 2);
+    metrics.add_in_flight(LengthClass::Long, -1);
     let text = metrics.render().unwrap();
     let labels = "class=\"huge\",customer=\"sabarmati-films\"";
     for line in [
@@ -88,12 +88,12 @@
     let page = include_str!("../docs/OPERATIONS.md");
     let metrics = metrics();
     let films = customer("sabarmati-films");
-    metrics.first_token(&films, LengthClass::Short, Duration::ZERO);
-    metrics.between_tokens(&films, LengthClass::Short, Duration::ZERO);
-    metrics.queue_wait(&films, LengthClass::Short, Duration::ZERO);
-    metrics.outcome(&films, LengthClass::Short, Outcome::NotRun, "deadline");
-    metrics.retry("refused");
-    metrics.in_flight(LengthClass::Short, 1);
+    metrics.record_first_token(&films, LengthClass::Short, Duration::ZERO);
+    metrics.record_token_gap(&films, LengthClass::Short, Duration::ZERO);
+    metrics.record_queue_wait(&films, LengthClass::Short, Duration::ZERO);
+    metrics.count_outcome(&films, LengthClass::Short, Outcome::NotRun, "deadline");
+    metrics.count_retry("refused");
+    metrics.add_in_flight(LengthClass::Short, 1);
     metrics.update_host_counts(counts());
     metrics.update_cluster_counts(&cluster_view());
     let text = metrics.render().unwrap();
@@ -165,7 +165,7 @@
     let metrics = Metrics::new().unwrap();
     let cluster_view = cluster_view();
     metrics.update_cluster_counts(&cluster_view);
-    metrics.first_token(
+    metrics.record_first_token(
         &customer("garba-karaoke"),
         LengthClass::Short,
         Duration::ZERO,
@@ -188,7 +188,7 @@
     let metrics = metrics();
     for n in 0..500 {
         let name = customer(&format!("made-up-{n}"));
-        metrics.first_token(&name, LengthClass::Short, Duration::from_millis(9));
+        metrics.record_first_token(&name, LengthClass::Short, Duration::from_millis(9));
     }
     let text = metrics.render().unwrap();
     assert!(!text.contains("made-up"));
--- a/tests/observe_memory.rs
+++ b/tests/observe_memory.rs
@@ -43,11 +43,11 @@
     for customer in &manifest.customers {
         for class in LengthClass::ALL {
             let took = Duration::from_millis(300);
-            metrics.first_token(&customer.name, class, took);
-            metrics.between_tokens(&customer.name, class, took);
-            metrics.queue_wait(&customer.name, class, took);
+            metrics.record_first_token(&customer.name, class, took);
+            metrics.record_token_gap(&customer.name, class, took);
+            metrics.record_queue_wait(&customer.name, class, took);
             for outcome in [Outcome::Completed, Outcome::NotRun, Outcome::MayHaveRun] {
-                metrics.outcome(&customer.name, class, outcome, "deadline");
+                metrics.count_outcome(&customer.name, class, outcome, "deadline");
             }
         }
     }
