--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -127,26 +127,26 @@
     }
 
     /// From a request's first byte to the first token of its answer.
-    pub fn first_token(&self, customer: &CustomerId, class: LengthClass, took: Duration) {
+    pub fn record_first_token(&self, customer: &CustomerId, class: LengthClass, took: Duration) {
         self.first_token
             .record(took.as_secs_f64(), &self.labels(customer, class));
     }
 
     /// Between two tokens of an answer.
-    pub fn between_tokens(&self, customer: &CustomerId, class: LengthClass, took: Duration) {
+    pub fn record_token_gap(&self, customer: &CustomerId, class: LengthClass, took: Duration) {
         self.between_tokens
             .record(took.as_secs_f64(), &self.labels(customer, class));
     }
 
     /// How long a granted request waited at its home.
-    pub fn queue_wait(&self, customer: &CustomerId, class: LengthClass, took: Duration) {
+    pub fn record_queue_wait(&self, customer: &CustomerId, class: LengthClass, took: Duration) {
         self.queue_wait
             .record(took.as_secs_f64(), &self.labels(customer, class));
     }
 
     /// The end of a request, with the reason as one word. Reasons are counted apart from customers,
     /// or the series would multiply.
-    pub fn outcome(
+    pub fn count_outcome(
         &self,
         customer: &CustomerId,
         class: LengthClass,
@@ -164,12 +164,12 @@
     }
 
     /// An attempt after the first, with what the earlier one failed of.
-    pub fn retry(&self, reason: &'static str) {
+    pub fn count_retry(&self, reason: &'static str) {
         self.retries.add(1, &[KeyValue::new("reason", reason)]);
     }
 
     /// A change of the number of requests that have not ended: +1 or -1.
-    pub fn in_flight(&self, class: LengthClass, change: i64) {
+    pub fn add_in_flight(&self, class: LengthClass, change: i64) {
         self.in_flight
             .add(change, &[KeyValue::new("class", class.name())]);
     }
