--- a/src/entry/driver/mod.rs
+++ b/src/entry/driver/mod.rs
@@ -126,7 +126,7 @@
     fn note(&self, what: StepKind, place: &str, why: impl Into<Cow<'static, str>>) {
         self.parts
             .explanations
-            .note(self.job.request, what, place, why);
+            .record(self.job.request, what, place, why);
     }
 
     /// The engine of the current attempt; none for a plain service.
--- a/tests/observe.rs
+++ b/tests/observe.rs
@@ -233,9 +233,9 @@
 fn an_explanation_is_told_as_json() {
     let (clock, explanations) = explanations(ExplanationLimits::default());
     let request = RequestId(7);
-    explanations.note(request, StepKind::Received, "", "42 tokens");
+    explanations.record(request, StepKind::Received, "", "42 tokens");
     clock.advance(Duration::from_millis(30));
-    explanations.note(
+    explanations.record(
         request,
         StepKind::Granted,
         "engine-3",
@@ -269,7 +269,7 @@
     for id in 0..10_000 {
         for n in 0..20 {
             let why = format!("step {n} of it"); // the eighth byte on is clipped away at n > 9
-            explanations.note(RequestId(id), StepKind::Retried, "ગીત-model", why);
+            explanations.record(RequestId(id), StepKind::Retried, "ગીત-model", why);
         }
     }
     let (requests, bytes) = explanations.size();
