--- a/src/observe/explanations.rs
+++ b/src/observe/explanations.rs
@@ -79,7 +79,7 @@
     }
 
     /// Notes a step of a request. `place` is the upstream or host it concerns, or empty.
-    pub fn note(
+    pub fn record(
         &self,
         request: RequestId,
         what: StepKind,
