--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -11,8 +11,8 @@
 use prometheus::TextEncoder;
 
 use crate::observe::ObserveError;
-use crate::observe::instruments::exporter;
-use crate::observe::instruments::seconds;
+use crate::observe::instruments::prometheus_exporter;
+use crate::observe::instruments::seconds_histogram;
 use crate::routing::CallKind;
 use crate::units::CustomerId;
 
@@ -44,7 +44,7 @@
     /// Creates all metrics in a registry of their own.
     pub fn new() -> Result<Self, ObserveError> {
         let registry = Registry::new();
-        let exporter = exporter(&registry)?;
+        let exporter = prometheus_exporter(&registry)?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("banyanarch");
         Ok(Self {
@@ -52,10 +52,10 @@
             requests: meter.u64_counter("gateway_requests").build(),
             sends: meter.u64_counter("gateway_sends").build(),
             faults: meter.u64_counter("gateway_upstream_faults").build(),
-            first_event: seconds(&meter, "gateway_first_event", &FIRST_EVENT_BOUNDS),
-            pause: seconds(&meter, "gateway_pause", &PAUSE_BOUNDS),
+            first_event: seconds_histogram(&meter, "gateway_first_event", &FIRST_EVENT_BOUNDS),
+            pause: seconds_histogram(&meter, "gateway_pause", &PAUSE_BOUNDS),
             store_returns: meter.u64_counter("gateway_store_returns").build(),
-            catalog: seconds(&meter, "gateway_catalog_call", &CATALOG_BOUNDS),
+            catalog: seconds_histogram(&meter, "gateway_catalog_call", &CATALOG_BOUNDS),
             _provider: provider,
         })
     }
--- a/src/observe/instruments.rs
+++ b/src/observe/instruments.rs
@@ -8,7 +8,7 @@
 use crate::observe::ObserveError;
 
 /// Shows the metrics of one registry under the system's name.
-pub(crate) fn exporter(registry: &Registry) -> Result<PrometheusExporter, ObserveError> {
+pub(crate) fn prometheus_exporter(registry: &Registry) -> Result<PrometheusExporter, ObserveError> {
     let exporter = opentelemetry_prometheus::exporter()
         .with_registry(registry.clone())
         .with_namespace("banyanarch")
@@ -19,7 +19,11 @@
 }
 
 /// A histogram of times in seconds.
-pub(crate) fn seconds(meter: &Meter, name: &'static str, bounds: &[f64]) -> Histogram<f64> {
+pub(crate) fn seconds_histogram(
+    meter: &Meter,
+    name: &'static str,
+    bounds: &[f64],
+) -> Histogram<f64> {
     let histogram = meter.f64_histogram(name).with_unit("s");
     histogram.with_boundaries(bounds.to_vec()).build()
 }
--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -29,8 +29,8 @@
 use crate::observe::HostCounts;
 use crate::observe::ObserveError;
 use crate::observe::gauges;
-use crate::observe::instruments::exporter;
-use crate::observe::instruments::seconds;
+use crate::observe::instruments::prometheus_exporter;
+use crate::observe::instruments::seconds_histogram;
 use crate::observe::latest_counts::LatestCounts;
 use crate::units::CustomerId;
 
@@ -71,7 +71,7 @@
     /// Sets up all metrics in a registry of their own.
     pub fn new() -> Result<Self, ObserveError> {
         let registry = Registry::new();
-        let exporter = exporter(&registry)?;
+        let exporter = prometheus_exporter(&registry)?;
         let provider = SdkMeterProvider::builder()
             .with_reader(exporter)
             .with_view(series_bound)
@@ -85,9 +85,13 @@
             registry,
             customers: RwLock::default(),
             board,
-            first_token: seconds(&meter, "time_to_first_token", &FIRST_TOKEN_BOUNDS),
-            between_tokens: seconds(&meter, "time_between_tokens", &BETWEEN_TOKENS_BOUNDS),
-            queue_wait: seconds(&meter, "queue_wait", &QUEUE_WAIT_BOUNDS),
+            first_token: seconds_histogram(&meter, "time_to_first_token", &FIRST_TOKEN_BOUNDS),
+            between_tokens: seconds_histogram(
+                &meter,
+                "time_between_tokens",
+                &BETWEEN_TOKENS_BOUNDS,
+            ),
+            queue_wait: seconds_histogram(&meter, "queue_wait", &QUEUE_WAIT_BOUNDS),
             requests: meter.u64_counter("requests").build(),
             failures: meter.u64_counter("failures").build(),
             retries: meter.u64_counter("retries").build(),
