--- a/src/bin/banyanarchd.rs
+++ b/src/bin/banyanarchd.rs
@@ -7,7 +7,7 @@
 use banyanarch::daemon;
 use banyanarch::daemon::DaemonError;
 use banyanarch::settings::EXIT_BAD_SETTINGS;
-use banyanarch::settings::run_daemon_check;
+use banyanarch::settings::check_settings_file;
 use pico_args::Arguments;
 
 const USAGE: &str = "
@@ -48,7 +48,7 @@
 }
 
 fn check(path: &Path) -> ExitCode {
-    let checked = run_daemon_check(path);
+    let checked = check_settings_file(path);
     println!("{}", checked.report.trim_end());
     ExitCode::from(checked.exit_code)
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -8,8 +8,8 @@
 
 pub use errors::SettingsErrors;
 pub use settings_check::EXIT_BAD_SETTINGS;
-pub use settings_check::FileCheck;
-pub use settings_check::run_daemon_check;
+pub use settings_check::SettingsCheck;
+pub use settings_check::check_settings_file;
 pub use spec::DrainSettings;
 pub use spec::ListenSettings;
 pub use spec::LogFormat;
--- a/src/settings/settings_check.rs
+++ b/src/settings/settings_check.rs
@@ -9,7 +9,7 @@
 
 /// The result of a check, ready to be printed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FileCheck {
+pub struct SettingsCheck {
     /// One line if all is well, else one a problem.
     pub report: String,
     /// 0, or [`EXIT_BAD_SETTINGS`].
@@ -17,9 +17,9 @@
 }
 
 /// Checks a settings file without binding or connecting to anything.
-pub fn run_daemon_check(path: &Path) -> FileCheck {
+pub fn check_settings_file(path: &Path) -> SettingsCheck {
     match Settings::read(path) {
-        Ok(settings) => FileCheck {
+        Ok(settings) => SettingsCheck {
             report: format!(
                 "{}: good: host {} in {} of {}",
                 path.display(),
@@ -29,7 +29,7 @@
             ),
             exit_code: 0,
         },
-        Err(errors) => FileCheck {
+        Err(errors) => SettingsCheck {
             report: errors.to_string(),
             exit_code: EXIT_BAD_SETTINGS,
         },
