--- a/src/yaml/node.rs
+++ b/src/yaml/node.rs
@@ -5,7 +5,7 @@
 use serde_saphyr::Spanned;
 
 use crate::yaml::Problem;
-use crate::yaml::raw_value::Raw;
+use crate::yaml::raw_value::RawValue;
 
 /// Deeper than any settings or manifest, and shallow enough that reading never exhausts the stack.
 const DEPTH_MAX: usize = 32;
@@ -44,7 +44,7 @@
             duplicate_keys: DuplicateKeyPolicy::PassThrough,
             non_finite_float_policy: NonFiniteFloatPolicy::PassThrough,
         };
-        serde_saphyr::from_str_with_options::<Spanned<Raw>>(text, options)
+        serde_saphyr::from_str_with_options::<Spanned<RawValue>>(text, options)
             .map(|raw| Self::from_raw(raw, text))
             .map_err(|error| syntax_problem(&error))
     }
@@ -74,18 +74,18 @@
         }
     }
 
-    fn from_raw(raw: Spanned<Raw>, text: &str) -> Self {
+    fn from_raw(raw: Spanned<RawValue>, text: &str) -> Self {
         let nested = |raw| Self::from_raw(raw, text);
         let line = raw.referenced.line();
         let value = match raw.value {
-            Raw::Null => Value::Null,
-            Raw::Text(scalar) => Value::Scalar(scalar),
-            Raw::Guessed(shown) => {
+            RawValue::Null => Value::Null,
+            RawValue::Text(scalar) => Value::Scalar(scalar),
+            RawValue::Inferred(shown) => {
                 let span = raw.defined.span();
                 Value::Scalar(slice(text, span).map_or(shown, str::to_owned))
             }
-            Raw::Sequence(items) => Value::Sequence(items.into_iter().map(nested).collect()),
-            Raw::Mapping(entries) => {
+            RawValue::Sequence(items) => Value::Sequence(items.into_iter().map(nested).collect()),
+            RawValue::Mapping(entries) => {
                 let entry = |(key, value)| (nested(key), nested(value));
                 Value::Mapping(entries.into_iter().map(entry).collect())
             }
--- a/src/yaml/raw_value.rs
+++ b/src/yaml/raw_value.rs
@@ -11,15 +11,15 @@
 
 /// A value as the parser hands it over. A plain scalar comes as what the parser takes it for; its
 /// text is then cut out of the file.
-pub(crate) enum Raw {
+pub(crate) enum RawValue {
     Null,
     Text(String),
-    Guessed(String),
-    Sequence(Vec<Spanned<Raw>>),
-    Mapping(Vec<(Spanned<Raw>, Spanned<Raw>)>),
+    Inferred(String),
+    Sequence(Vec<Spanned<RawValue>>),
+    Mapping(Vec<(Spanned<RawValue>, Spanned<RawValue>)>),
 }
 
-impl<'de> Deserialize<'de> for Raw {
+impl<'de> Deserialize<'de> for RawValue {
     fn deserialize<D: Deserializer<'de>>(input: D) -> Result<Self, D::Error> {
         input.deserialize_any(RawVisitor)
     }
@@ -28,57 +28,57 @@
 struct RawVisitor;
 
 impl<'de> Visitor<'de> for RawVisitor {
-    type Value = Raw;
+    type Value = RawValue;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a YAML value")
     }
 
-    fn visit_unit<E>(self) -> Result<Raw, E> {
-        Ok(Raw::Null)
+    fn visit_unit<E>(self) -> Result<RawValue, E> {
+        Ok(RawValue::Null)
     }
 
-    fn visit_bool<E>(self, value: bool) -> Result<Raw, E> {
-        Ok(Raw::Guessed(value.to_string()))
+    fn visit_bool<E>(self, value: bool) -> Result<RawValue, E> {
+        Ok(RawValue::Inferred(value.to_string()))
     }
 
-    fn visit_i64<E>(self, value: i64) -> Result<Raw, E> {
-        Ok(Raw::Guessed(value.to_string()))
+    fn visit_i64<E>(self, value: i64) -> Result<RawValue, E> {
+        Ok(RawValue::Inferred(value.to_string()))
     }
 
-    fn visit_i128<E>(self, value: i128) -> Result<Raw, E> {
-        Ok(Raw::Guessed(value.to_string()))
+    fn visit_i128<E>(self, value: i128) -> Result<RawValue, E> {
+        Ok(RawValue::Inferred(value.to_string()))
     }
 
-    fn visit_u64<E>(self, value: u64) -> Result<Raw, E> {
-        Ok(Raw::Guessed(value.to_string()))
+    fn visit_u64<E>(self, value: u64) -> Result<RawValue, E> {
+        Ok(RawValue::Inferred(value.to_string()))
     }
 
-    fn visit_u128<E>(self, value: u128) -> Result<Raw, E> {
-        Ok(Raw::Guessed(value.to_string()))
+    fn visit_u128<E>(self, value: u128) -> Result<RawValue, E> {
+        Ok(RawValue::Inferred(value.to_string()))
     }
 
-    fn visit_f64<E>(self, value: f64) -> Result<Raw, E> {
-        Ok(Raw::Guessed(value.to_string()))
+    fn visit_f64<E>(self, value: f64) -> Result<RawValue, E> {
+        Ok(RawValue::Inferred(value.to_string()))
     }
 
-    fn visit_str<E>(self, value: &str) -> Result<Raw, E> {
-        Ok(Raw::Text(value.to_owned()))
+    fn visit_str<E>(self, value: &str) -> Result<RawValue, E> {
+        Ok(RawValue::Text(value.to_owned()))
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, mut input: A) -> Result<Raw, A::Error> {
+    fn visit_seq<A: SeqAccess<'de>>(self, mut input: A) -> Result<RawValue, A::Error> {
         let mut items = Vec::new();
         while let Some(item) = input.next_element()? {
             items.push(item);
         }
-        Ok(Raw::Sequence(items))
+        Ok(RawValue::Sequence(items))
     }
 
-    fn visit_map<A: MapAccess<'de>>(self, mut input: A) -> Result<Raw, A::Error> {
+    fn visit_map<A: MapAccess<'de>>(self, mut input: A) -> Result<RawValue, A::Error> {
         let mut entries = Vec::new();
         while let Some(entry) = input.next_entry()? {
             entries.push(entry);
         }
-        Ok(Raw::Mapping(entries))
+        Ok(RawValue::Mapping(entries))
     }
 }
