--- a/src/manifest/conflicts.rs
+++ b/src/manifest/conflicts.rs
@@ -29,7 +29,7 @@
     for (path, name) in services.clone() {
         if name == MODEL_PATH {
             let what = format!("`{name}` is the path of the model calls");
-            fields.problem(&format!("{path}.name"), what);
+            fields.report(&format!("{path}.name"), what);
         }
     }
     check_unique(fields, "name", models.chain(services));
@@ -46,7 +46,7 @@
     check_unique(fields, "name", names);
     let is_fallback = |customer: &Item<CustomerSpec>| customer.value.name == CustomerId::fallback();
     if !customers.is_empty() && !customers.iter().any(is_fallback) {
-        fields.problem(
+        fields.report(
             "customers",
             "has none named `default`, for all that are not listed",
         );
@@ -56,7 +56,7 @@
         let priority = &customer.value.priority;
         if !priorities.is_empty() && !is_known(priority) {
             let what = format!("`{priority}` is no priority of this manifest");
-            fields.problem(&format!("{}.priority", customer.path), what);
+            fields.report(&format!("{}.priority", customer.path), what);
         }
     }
 }
@@ -93,7 +93,7 @@
                 "leaves no room for a prompt beside limits.output_tokens_default, {}",
                 limits.output_tokens_default
             );
-            fields.problem(&format!("{}.context_tokens_max", model.path), what);
+            fields.report(&format!("{}.context_tokens_max", model.path), what);
         }
     }
 }
@@ -107,7 +107,7 @@
     for (path, value) in values {
         if let Some(earlier) = seen.get(value) {
             let what = format!("`{value}` is taken by {earlier}.{field}");
-            fields.problem(&format!("{path}.{field}"), what);
+            fields.report(&format!("{path}.{field}"), what);
         } else {
             seen.insert(value, path);
         }
--- a/src/manifest/parse.rs
+++ b/src/manifest/parse.rs
@@ -294,10 +294,10 @@
     for (index, adapter) in adapters.iter().enumerate() {
         let path = format!("adapters[{index}]");
         if adapter.parse::<TargetId>().is_err() || adapter.contains([ADAPTER_SEPARATOR, '/']) {
-            fields.problem(&path, format!("expected an adapter name, got `{adapter}`"));
+            fields.report(&path, format!("expected an adapter name, got `{adapter}`"));
         }
         if adapters[..index].contains(adapter) {
-            fields.problem(&path, format!("`{adapter}` is listed twice"));
+            fields.report(&path, format!("`{adapter}` is listed twice"));
         }
     }
 }
--- a/src/settings/conflicts.rs
+++ b/src/settings/conflicts.rs
@@ -29,7 +29,7 @@
     for (path, address) in rest.into_iter().chain(platform) {
         let earlier = taken.iter().find(|(_, other)| collide(*other, address));
         if let Some((earlier, _)) = earlier {
-            fields.problem(path, format!("{address} is taken by {earlier}"));
+            fields.report(path, format!("{address} is taken by {earlier}"));
         }
         taken.push((path, address));
     }
@@ -58,7 +58,7 @@
         let is_here = collide(seed.address, listen.peers);
         if is_self != is_here {
             let what = format!("{} is not where {} listens", seed.address, seed.host);
-            fields.problem(&format!("peers.seeds[{index}].address"), what);
+            fields.report(&format!("peers.seeds[{index}].address"), what);
         }
     }
 }
@@ -71,7 +71,7 @@
             .find(|other| other.value.host == seed.value.host);
         if let Some(other) = other {
             let what = format!("{} is named by {} too", seed.value.host, other.path);
-            fields.problem(&format!("{}.host", seed.path), what);
+            fields.report(&format!("{}.host", seed.path), what);
         }
         let other = earlier
             .iter()
@@ -81,7 +81,7 @@
                 "{} is the address of {} too",
                 seed.value.address, other.path
             );
-            fields.problem(&format!("{}.address", seed.path), what);
+            fields.report(&format!("{}.address", seed.path), what);
         }
     }
 }
@@ -93,7 +93,7 @@
             .find(|other| other.value.id == key.value.id);
         if let Some(other) = other {
             let what = format!("{} is the id of {} too", key.value.id, other.path);
-            fields.problem(&format!("{}.id", key.path), what);
+            fields.report(&format!("{}.id", key.path), what);
         }
     }
 }
--- a/src/yaml/fields.rs
+++ b/src/yaml/fields.rs
@@ -9,7 +9,7 @@
 use crate::yaml::node::find;
 use crate::yaml::scalar;
 
-const NAMES_SHOWN_MAX: usize = 12;
+const SHOWN_FIELD_NAMES_MAX: usize = 12;
 
 /// What can be read from a mapping.
 pub trait Section: Sized {
@@ -34,7 +34,7 @@
     section: &'a Node,
     entries: &'a [(Node, Node)],
     path: &'a str,
-    asked: Vec<&'static str>,
+    requested: Vec<&'static str>,
     problems: &'a mut Problems,
 }
 
@@ -49,7 +49,7 @@
         let Value::Mapping(entries) = &section.value else {
             problems.push(Problem {
                 line: section.line,
-                field: shown_path(path),
+                field: display_path(path),
                 what: "expected a mapping of keys to values".to_owned(),
             });
             return None;
@@ -58,7 +58,7 @@
             section,
             entries,
             path,
-            asked: Vec::new(),
+            requested: Vec::new(),
             problems,
         };
         let value = T::read(&mut fields);
@@ -99,7 +99,7 @@
     /// A list that must have an element. Those that can't be read are left out and reported.
     pub fn list<T: Section>(&mut self, name: &'static str) -> Vec<Item<T>> {
         match self.required_node(name).map(|node| &node.value) {
-            Some(Value::Sequence(items)) if items.is_empty() => self.problem(name, "is empty"),
+            Some(Value::Sequence(items)) if items.is_empty() => self.report(name, "is empty"),
             Some(_) | None => {}
         }
         self.optional_list(name)
@@ -128,7 +128,7 @@
     }
 
     /// Reports what is wrong with a field of this section.
-    pub fn problem(&mut self, path: &str, what: impl Into<String>) {
+    pub fn report(&mut self, path: &str, what: impl Into<String>) {
         self.problems.push(Problem {
             line: self.section.line_of(path),
             field: self.path_of(path),
@@ -146,13 +146,13 @@
         what: &str,
     ) {
         if value.is_some_and(|value| !is_good(value)) {
-            self.problem(path, what);
+            self.report(path, what);
         }
     }
 
     fn take(&mut self, name: &'static str) -> Option<&'a Node> {
-        if !self.asked.contains(&name) {
-            self.asked.push(name);
+        if !self.requested.contains(&name) {
+            self.requested.push(name);
         }
         find(self.entries, name)
     }
@@ -160,7 +160,7 @@
     fn required_node(&mut self, name: &'static str) -> Option<&'a Node> {
         let node = self.take(name);
         if node.is_none() {
-            self.problem(name, "is missing");
+            self.report(name, "is missing");
         }
         node
     }
@@ -169,18 +169,18 @@
         let text = match &node.value {
             Value::Scalar(text) => text,
             Value::Null => {
-                self.problem(path, "has no value");
+                self.report(path, "has no value");
                 return None;
             }
             Value::Sequence(_) | Value::Mapping(_) => {
-                self.problem(path, "expected one value, not a list or mapping");
+                self.report(path, "expected one value, not a list or mapping");
                 return None;
             }
         };
         match scalar::read(text) {
             Ok(value) => Some(value),
             Err(error) => {
-                self.problem(path, wrong_value(path, text, &error.to_string()));
+                self.report(path, invalid_value_message(path, text, &error.to_string()));
                 None
             }
         }
@@ -190,7 +190,7 @@
         match self.take(name).map(|node| &node.value) {
             Some(Value::Sequence(items)) => items,
             Some(_) => {
-                self.problem(name, "expected a list");
+                self.report(name, "expected a list");
                 &[]
             }
             None => &[],
@@ -200,12 +200,12 @@
     fn check_keys(&mut self) {
         for (index, (key, _)) in self.entries.iter().enumerate() {
             let Value::Scalar(name) = &key.value else {
-                self.key_problem(key.line, "", "a key must be a name".to_owned());
+                self.report_key(key.line, "", "a key must be a name".to_owned());
                 continue;
             };
-            if !self.asked.contains(&name.as_str()) {
-                let what = format!("is not known here; known are {}", self.known_names());
-                self.key_problem(key.line, name, what);
+            if !self.requested.contains(&name.as_str()) {
+                let what = format!("is not known here; known are {}", self.known_field_names());
+                self.report_key(key.line, name, what);
             }
             let earlier = self.entries[..index].iter();
             let earlier = earlier
@@ -213,24 +213,24 @@
                 .find(|other| other.value == key.value);
             if let Some(earlier) = earlier {
                 let what = format!("is given twice, first in line {}", earlier.line);
-                self.key_problem(key.line, name, what);
+                self.report_key(key.line, name, what);
             }
         }
     }
 
-    fn key_problem(&mut self, line: u64, name: &str, what: String) {
+    fn report_key(&mut self, line: u64, name: &str, what: String) {
         let field = self.path_of(name);
         self.problems.push(Problem { line, field, what });
     }
 
-    fn known_names(&self) -> String {
-        let shown = self.asked.len().min(NAMES_SHOWN_MAX);
-        self.asked[..shown].join(", ")
+    fn known_field_names(&self) -> String {
+        let shown = self.requested.len().min(SHOWN_FIELD_NAMES_MAX);
+        self.requested[..shown].join(", ")
     }
 
     fn path_of(&self, name: &str) -> String {
         match (self.path, name) {
-            ("", "") => shown_path(""),
+            ("", "") => display_path(""),
             ("", name) => name.to_owned(),
             (path, "") => path.to_owned(),
             (path, name) => format!("{path}.{name}"),
@@ -238,13 +238,13 @@
     }
 }
 
-fn shown_path(path: &str) -> String {
+fn display_path(path: &str) -> String {
     if path.is_empty() { "(file)" } else { path }.to_owned()
 }
 
 /// Names the value unless the type's own message does, and the unit that the field's name calls
 /// for. Secrets are not repeated, since these lines end up in logs.
-fn wrong_value(path: &str, text: &str, error: &str) -> String {
+fn invalid_value_message(path: &str, text: &str, error: &str) -> String {
     let is_secret = path.ends_with("secret");
     let is_named = error.contains(&format!("`{text}`"));
     let unit = match path.rsplit_once('_') {
--- a/src/yaml/problem.rs
+++ b/src/yaml/problem.rs
@@ -38,13 +38,18 @@
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let field = one_line(&self.field);
-        write!(f, "{}: {field}: {}", self.line, one_line(&self.what))
+        let field = escape_control_chars(&self.field);
+        write!(
+            f,
+            "{}: {field}: {}",
+            self.line,
+            escape_control_chars(&self.what)
+        )
     }
 }
 
 /// A key or value that holds a line break would break the report's lines.
-fn one_line(text: &str) -> Cow<'_, str> {
+fn escape_control_chars(text: &str) -> Cow<'_, str> {
     if !text.contains(char::is_control) {
         return Cow::Borrowed(text);
     }
