--- a/src/settings/conflicts.rs
+++ b/src/settings/conflicts.rs
@@ -1,4 +1,4 @@
-//! Settings that are each good and do not go together.
+//! Checks for settings that are valid one by one and contradict each other.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,8 @@
 use crate::yaml::Fields;
 use crate::yaml::Item;
 
-/// Two listeners on one port would let whichever binds first win.
+/// Reports listeners and the platform if two of them have the same address. With two listeners on
+/// one port, the one that binds first would get all connections.
 pub(crate) fn check_addresses(
     fields: &mut Fields<'_>,
     listen: Option<&ListenSettings>,
@@ -27,7 +28,9 @@
     ];
     let platform = platform.map(|platform| ("platform.address", platform.address));
     for (path, address) in rest.into_iter().chain(platform) {
-        let earlier = taken.iter().find(|(_, other)| collide(*other, address));
+        let earlier = taken
+            .iter()
+            .find(|(_, other)| addresses_conflict(*other, address));
         if let Some((earlier, _)) = earlier {
             fields.report(path, format!("{address} is taken by {earlier}"));
         }
@@ -35,12 +38,15 @@
     }
 }
 
-fn collide(a: SocketAddr, b: SocketAddr) -> bool {
+/// Whether two addresses name the same port of the same host. Port 0 conflicts with no other, since
+/// the operating system chooses a free port for it.
+fn addresses_conflict(a: SocketAddr, b: SocketAddr) -> bool {
     let same_ip = a.ip() == b.ip() || a.ip().is_unspecified() || b.ip().is_unspecified();
     a.port() != 0 && a.port() == b.port() && same_ip
 }
 
-/// One list of seeds for all hosts may name this host too, but then by its own address.
+/// Reports a seed that names this host with another address, or this host's address with another
+/// name. All hosts may share one list of seeds, so this host may be among its own seeds.
 pub(crate) fn check_own_seed(
     fields: &mut Fields<'_>,
     host: Option<&HostId>,
@@ -55,14 +61,18 @@
     }
     for (index, seed) in peers.seeds.iter().enumerate() {
         let is_self = seed.host == *host;
-        let is_here = collide(seed.address, listen.peers);
-        if is_self != is_here {
-            let what = format!("{} is not where {} listens", seed.address, seed.host);
+        let is_own_address = addresses_conflict(seed.address, listen.peers);
+        if is_self != is_own_address {
+            let what = format!(
+                "{} is not the address that {} listens on",
+                seed.address, seed.host
+            );
             fields.report(&format!("peers.seeds[{index}].address"), what);
         }
     }
 }
 
+/// Reports seeds that share a host name or an address with an earlier seed.
 pub(crate) fn check_seeds(fields: &mut Fields<'_>, seeds: &[Item<PeerSeed>]) {
     for (index, seed) in seeds.iter().enumerate() {
         let earlier = &seeds[..index];
@@ -70,7 +80,7 @@
             .iter()
             .find(|other| other.value.host == seed.value.host);
         if let Some(other) = other {
-            let what = format!("{} is named by {} too", seed.value.host, other.path);
+            let what = format!("{} is the host of {} too", seed.value.host, other.path);
             fields.report(&format!("{}.host", seed.path), what);
         }
         let other = earlier
@@ -86,6 +96,7 @@
     }
 }
 
+/// Reports keys that share an id with an earlier key.
 pub(crate) fn check_keys(fields: &mut Fields<'_>, keys: &[Item<PeerKey>]) {
     for (index, key) in keys.iter().enumerate() {
         let other = keys[..index]
--- a/src/settings/errors.rs
+++ b/src/settings/errors.rs
@@ -1,11 +1,11 @@
-//! What is wrong with settings.
+//! The error type of the settings.
 
 use std::error::Error;
 use std::fmt;
 
 use crate::yaml::FileErrors;
 
-/// All that is wrong with a settings file, one problem a line.
+/// All problems of a settings file, displayed as one problem per line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsErrors(pub FileErrors);
 
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings of one process, in YAML.
+//! The settings of one daemon process, read from a YAML file.
 
 mod conflicts;
 mod errors;
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -1,4 +1,4 @@
-//! Reading and checking a settings file.
+//! Parsing and validation of a settings file.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -25,21 +25,21 @@
 use crate::yaml::Item;
 use crate::yaml::Section;
 
-/// Shorter secrets can be guessed by trying.
-const SECRET_LEN_MIN: usize = 16;
-/// One membership message must fit into a second's budget.
-const CONTROL_BYTES_MIN: u64 = 1_024;
-/// A body of the smallest useful limit must fit.
-const BODY_MEMORY_MIN: ByteSize = ByteSize(1 << 20);
-const LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
+/// In characters. Shorter secrets can be found by brute force.
+const SECRET_CHARS_MIN: usize = 16;
+/// One membership message must fit into the budget of one second.
+const CONTROL_BYTES_PER_SECOND_MIN: u64 = 1_024;
+/// The memory must hold at least one body of the smallest useful size limit.
+const BODY_MEMORY_SIZE_MIN: ByteSize = ByteSize(1 << 20);
+const LOG_LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
 
 impl Settings {
-    /// Reads and checks settings. `file` is the name that problems are reported under.
+    /// Parses and validates settings. `file` is the file name that problems are reported with.
     pub fn parse(text: &str, file: &str) -> Result<Self, SettingsErrors> {
         Ok(yaml::read(text, file)?)
     }
 
-    /// Reads and checks a settings file.
+    /// Reads, parses and validates a settings file.
     pub fn read(path: &Path) -> Result<Self, SettingsErrors> {
         let file = path.display().to_string();
         let text =
@@ -69,8 +69,8 @@
             |name: &String| !name.is_empty(),
             "is empty",
         );
-        let is_enough = |size: &ByteSize| *size >= BODY_MEMORY_MIN;
-        let what = format!("must be at least {BODY_MEMORY_MIN}");
+        let is_enough = |size: &ByteSize| *size >= BODY_MEMORY_SIZE_MIN;
+        let what = format!("must be at least {BODY_MEMORY_SIZE_MIN}");
         fields.check(
             "body_memory_size",
             body_memory_size.as_ref(),
@@ -100,10 +100,11 @@
         let callers = fields.required("callers");
         let peers = fields.required("peers");
         let status = fields.required("status");
-        // Other hosts are told this address; the unspecified one would lead them to themselves.
-        let is_one_host = |address: &SocketAddr| !address.ip().is_unspecified();
+        // This address is sent to other hosts. With an unspecified address they would connect to
+        // themselves.
+        let is_specified = |address: &SocketAddr| !address.ip().is_unspecified();
         let what = "must be an address that other hosts can reach";
-        fields.check("peers", peers.as_ref(), is_one_host, what);
+        fields.check("peers", peers.as_ref(), is_specified, what);
         Some(Self {
             callers: callers?,
             peers: peers?,
@@ -145,8 +146,8 @@
         );
         check_seeds(fields, &seeds);
         check_keys(fields, &keys);
-        let is_enough = |bytes: &u64| *bytes >= CONTROL_BYTES_MIN;
-        let what = format!("must be at least {CONTROL_BYTES_MIN}");
+        let is_enough = |bytes: &u64| *bytes >= CONTROL_BYTES_PER_SECOND_MIN;
+        let what = format!("must be at least {CONTROL_BYTES_PER_SECOND_MIN}");
         fields.check(
             "control_bytes_per_second",
             control_bytes_per_second.as_ref(),
@@ -185,9 +186,9 @@
         let id = fields.required("id");
         let secret = fields.required("secret");
         fields.check("id", id.as_ref(), |id: &String| !id.is_empty(), "is empty");
-        let is_long = |secret: &String| secret.chars().count() >= SECRET_LEN_MIN;
-        let what = format!("must have at least {SECRET_LEN_MIN} characters");
-        fields.check("secret", secret.as_ref(), is_long, &what);
+        let is_long_enough = |secret: &String| secret.chars().count() >= SECRET_CHARS_MIN;
+        let what = format!("must have at least {SECRET_CHARS_MIN} characters");
+        fields.check("secret", secret.as_ref(), is_long_enough, &what);
         Some(Self {
             id: id?,
             secret: secret?,
@@ -207,8 +208,8 @@
         let defaults = Self::default();
         let format = fields.optional("format", defaults.format);
         let level = fields.optional("level", defaults.level);
-        let is_level = |level: &String| LEVELS.contains(&level.as_str());
-        let what = format!("must be one of {}", LEVELS.join(", "));
+        let is_level = |level: &String| LOG_LEVELS.contains(&level.as_str());
+        let what = format!("must be one of {}", LOG_LEVELS.join(", "));
         fields.check("level", level.as_ref(), is_level, &what);
         Some(Self {
             format: format?,
--- a/src/settings/settings_check.rs
+++ b/src/settings/settings_check.rs
@@ -1,22 +1,22 @@
-//! What `banyanarchd --check` says.
+//! The check of a settings file behind `banyanarchd --check`.
 
 use std::path::Path;
 
 use crate::settings::Settings;
 
-/// The exit code of a process whose settings are wrong.
+/// The exit code of a process with invalid settings or a wrong command line.
 pub const EXIT_BAD_SETTINGS: u8 = 2;
 
-/// The result of a check, ready to be printed.
+/// The result of the check of a settings file, ready to be printed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsCheck {
-    /// One line if all is well, else one a problem.
+    /// One line if the settings are valid, otherwise one line per problem.
     pub report: String,
-    /// 0, or [`EXIT_BAD_SETTINGS`].
+    /// 0 if the settings are valid, otherwise [`EXIT_BAD_SETTINGS`].
     pub exit_code: u8,
 }
 
-/// Checks a settings file without binding or connecting to anything.
+/// Checks a settings file without binding or connecting to any address.
 pub fn check_settings_file(path: &Path) -> SettingsCheck {
     match Settings::read(path) {
         Ok(settings) => SettingsCheck {
--- a/src/settings/spec.rs
+++ b/src/settings/spec.rs
@@ -1,4 +1,4 @@
-//! The settings' fields.
+//! The fields of the settings file and their defaults.
 
 use std::net::SocketAddr;
 
@@ -9,102 +9,103 @@
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
-/// All settings of a daemon.
+/// The settings of a daemon.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// This host's name.
+    /// The name of this host.
     pub host: HostId,
-    /// The deployment whose manifests this host takes.
+    /// The deployment whose manifests this host accepts.
     pub deployment: String,
-    /// The failure domain it stands in.
+    /// The failure domain of this host.
     pub failure_domain: FailureDomainId,
-    /// Where it listens.
+    /// The addresses that this host listens on.
     pub listen: ListenSettings,
-    /// The platform's object service.
+    /// The object service of the platform.
     pub platform: PlatformSettings,
-    /// Other hosts.
+    /// The connections to other hosts.
     pub peers: PeerSettings,
-    /// The decisions under load; others than `shipped` are baselines for measurements.
+    /// The load balancing policy. Policies other than `shipped` are baselines for measurements.
     #[serde(default)]
     pub policy: PolicyName,
-    /// How it shuts down.
+    /// The shutdown of this host.
     #[serde(default)]
     pub drain: DrainSettings,
-    /// Logs.
+    /// The log output.
     #[serde(default)]
     pub logs: LogSettings,
-    /// Worker threads; 0 takes one a core.
+    /// The number of worker threads; 0 starts one per core.
     #[serde(default)]
     pub threads: usize,
-    /// Memory for the bodies of requests that have not ended.
+    /// The memory for the bodies of requests that have not ended.
     #[serde(default = "default_body_memory_size")]
     pub body_memory_size: ByteSize,
 }
 
-/// Where a host listens. Port 0 lets the machine choose.
+/// The addresses that a host listens on. With port 0 the operating system chooses the port.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
-    /// For callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// For other hosts.
+    /// The address for other hosts.
     pub peers: SocketAddr,
-    /// For health, metrics and status.
+    /// The address for health, metrics and status pages.
     pub status: SocketAddr,
 }
 
-/// How to reach the platform.
+/// The connection to the platform.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Its address.
+    /// The address of the platform.
     pub address: SocketAddr,
-    /// How long a call may take.
+    /// The timeout of one call, in milliseconds.
     #[serde(default = "default_platform_timeout_ms")]
     pub timeout_ms: u64,
 }
 
-/// How to reach and to trust other hosts.
+/// How this host reaches and authenticates other hosts.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
-    /// Hosts to ask first.
+    /// The hosts to contact first when this host joins the fleet.
     #[serde(default)]
     pub seeds: Vec<PeerSeed>,
-    /// Keys that peers share. The first one signs, all are accepted, so that a new key is first
-    /// added everywhere at the end, then moved to the front, then the old one is removed.
+    /// The keys shared by all hosts. A host signs with the first key and accepts all of them. To
+    /// rotate keys, append the new key on every host, then move it to the front, then remove the
+    /// old key.
     pub keys: Vec<PeerKey>,
-    /// The bound on bytes a second that this host sends for membership and manifests.
+    /// The limit, in bytes per second, on what this host sends for membership and manifests.
     #[serde(default = "default_control_bytes_per_second")]
     pub control_bytes_per_second: u64,
 }
 
-/// A host to ask first.
+/// A host to contact first when this host joins the fleet.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSeed {
-    /// Its name.
+    /// The name of the host.
     pub host: HostId,
-    /// Its failure domain.
+    /// The failure domain of the host.
     pub failure_domain: FailureDomainId,
-    /// Where it listens for peers.
+    /// The address that the host listens on for other hosts.
     pub address: SocketAddr,
 }
 
-/// A key that peers share.
+/// A key shared by all hosts.
 #[derive(Clone, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerKey {
-    /// The key's name, which is sent in the clear.
+    /// The name of the key, which is sent unencrypted.
     pub id: String,
-    /// The secret: at least 16 characters.
+    /// The secret, of at least 16 characters.
     pub secret: String,
 }
 
@@ -120,7 +121,8 @@
 #[serde(deny_unknown_fields)]
 #[serde(default)]
 pub struct DrainSettings {
-    /// How long new work is still taken after readiness fails, so that the balancer sees it.
+    /// How long new requests are still accepted after the readiness check starts to fail, in
+    /// milliseconds. In this time the load balancer notices the failed check.
     pub notice_ms: u64,
 }
 
@@ -130,15 +132,15 @@
     }
 }
 
-/// What is logged and how.
+/// The log output.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 #[serde(default)]
 pub struct LogSettings {
-    /// The form of a line.
+    /// The format of a log line.
     pub format: LogFormat,
-    /// The least level: `error`, `warn`, `info`, `debug` or `trace`.
+    /// The most verbose level that is logged: `off`, `error`, `warn`, `info`, `debug` or `trace`.
     pub level: String,
 }
 
@@ -151,31 +153,31 @@
     }
 }
 
-/// The form of a log line.
+/// The format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text, for people.
     #[default]
     Text,
-    /// For machines.
+    /// One JSON object per line, for programs.
     Json,
 }
 
-/// The decisions under load that a home runs.
+/// The load balancing policy that a home runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PolicyName {
-    /// The project's own.
+    /// The policy meant for production.
     #[default]
     Shipped,
-    /// Baseline: each host in turn, without a queue.
+    /// Baseline: the upstreams in turn, without a queue.
     RoundRobin,
     /// Baseline: the upstream with the fewest requests in flight, without a queue.
     LeastInFlight,
-    /// Baseline: each host decides alone from lagging reports and its own work.
+    /// Baseline: each host decides alone, from outdated load reports and its own requests.
     Alone,
 }
 
