--- a/src/manifest/conflicts.rs
+++ b/src/manifest/conflicts.rs
@@ -1,4 +1,4 @@
-//! Parts of a manifest that are each good and do not go together.
+//! Checks for parts of a manifest that are valid one by one and contradict each other.
 
 use indexmap::IndexMap;
 
@@ -11,10 +11,12 @@
 use crate::yaml::Fields;
 use crate::yaml::Item;
 
-/// The first part of the model calls' paths, which a service of that name would hide.
-const MODEL_PATH: &str = "v1";
+/// The first segment of the paths of model calls. A service of this name would make them
+/// unreachable.
+const MODEL_PATH_SEGMENT: &str = "v1";
 
-/// Models and services share one space of names, since both are what a caller asks for.
+/// Reports names that two models or services share. Both are targets that callers request by name,
+/// so their names must differ.
 pub(crate) fn check_targets(
     fields: &mut Fields<'_>,
     models: &[Item<ModelSpec>],
@@ -27,14 +29,15 @@
         .iter()
         .map(|service| (&service.path, service.value.name.as_str()));
     for (path, name) in services.clone() {
-        if name == MODEL_PATH {
-            let what = format!("`{name}` is the path of the model calls");
+        if name == MODEL_PATH_SEGMENT {
+            let what = format!("`{name}` is reserved for the path of model calls");
             fields.report(&format!("{path}.name"), what);
         }
     }
     check_unique(fields, "name", models.chain(services));
 }
 
+/// Reports duplicate customers, a missing `default` customer, and unknown priorities of customers.
 pub(crate) fn check_customers(
     fields: &mut Fields<'_>,
     customers: &[Item<CustomerSpec>],
@@ -48,19 +51,20 @@
     if !customers.is_empty() && !customers.iter().any(is_fallback) {
         fields.report(
             "customers",
-            "has none named `default`, for all that are not listed",
+            "has no entry named `default`, which applies to customers that are not listed",
         );
     }
     let is_known = |name: &str| priorities.iter().any(|known| known.value.name == name);
     for customer in customers {
         let priority = &customer.value.priority;
         if !priorities.is_empty() && !is_known(priority) {
-            let what = format!("`{priority}` is no priority of this manifest");
+            let what = format!("`{priority}` is not a priority of this manifest");
             fields.report(&format!("{}.priority", customer.path), what);
         }
     }
 }
 
+/// Reports priorities that share a name or a rank.
 pub(crate) fn check_priorities(fields: &mut Fields<'_>, priorities: &[Item<PrioritySpec>]) {
     let names = priorities
         .iter()
@@ -68,17 +72,17 @@
     check_unique(fields, "name", names);
     let ranks: Vec<String> = priorities
         .iter()
-        .map(|it| it.value.rank.to_string())
+        .map(|priority| priority.value.rank.to_string())
         .collect();
     let ranks = priorities
         .iter()
         .zip(&ranks)
-        .map(|(it, rank)| (&it.path, rank.as_str()));
+        .map(|(priority, rank)| (&priority.path, rank.as_str()));
     check_unique(fields, "rank", ranks);
 }
 
-/// An answer of the default length must fit into every model beside a prompt.
-pub(crate) fn check_output(
+/// Reports models whose context has no room for a prompt and an answer of the default length.
+pub(crate) fn check_default_output(
     fields: &mut Fields<'_>,
     models: &[Item<ModelSpec>],
     limits: Option<&LimitsSpec>,
@@ -90,7 +94,7 @@
         let context = model.value.context_tokens_max;
         if context.0 > 0 && context <= limits.output_tokens_default {
             let what = format!(
-                "leaves no room for a prompt beside limits.output_tokens_default, {}",
+                "leaves no room for a prompt besides limits.output_tokens_default of {}",
                 limits.output_tokens_default
             );
             fields.report(&format!("{}.context_tokens_max", model.path), what);
@@ -98,18 +102,20 @@
     }
 }
 
+/// Reports each value of `field` that an earlier element has already. `values` are pairs of an
+/// element's path and its value.
 fn check_unique<'a>(
     fields: &mut Fields<'_>,
     field: &str,
     values: impl Iterator<Item = (&'a String, &'a str)>,
 ) {
-    let mut seen = IndexMap::new();
+    let mut paths = IndexMap::new();
     for (path, value) in values {
-        if let Some(earlier) = seen.get(value) {
+        if let Some(earlier) = paths.get(value) {
             let what = format!("`{value}` is taken by {earlier}.{field}");
             fields.report(&format!("{path}.{field}"), what);
         } else {
-            seen.insert(value, path);
+            paths.insert(value, path);
         }
     }
 }
--- a/src/manifest/errors.rs
+++ b/src/manifest/errors.rs
@@ -1,11 +1,11 @@
-//! What is wrong with a manifest.
+//! The error type of manifests.
 
 use std::error::Error;
 use std::fmt;
 
 use crate::yaml::FileErrors;
 
-/// All that is wrong with a manifest, one problem a line.
+/// All problems of a manifest, displayed as one problem per line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ManifestErrors(pub FileErrors);
 
--- a/src/manifest/lookup.rs
+++ b/src/manifest/lookup.rs
@@ -1,4 +1,4 @@
-//! Finding things in a manifest by name.
+//! Lookup of customers, targets and priorities in a manifest by name.
 
 use std::sync::LazyLock;
 
@@ -10,12 +10,12 @@
 use crate::units::RequestsPerSecond;
 use crate::units::TargetId;
 
-/// Stands between a model's name and an adapter's in a target's name.
+/// Separates the model name from the adapter name in the name of a target.
 pub(crate) const ADAPTER_SEPARATOR: char = ':';
 
-/// What unknown customers get from a manifest without a `default`, which a checked manifest never
-/// is: nothing.
-static NOTHING: LazyLock<CustomerSpec> = LazyLock::new(|| CustomerSpec {
+/// A customer without any allowance. It applies to unknown customers if the manifest has no
+/// `default`; the validation of manifests rules this out.
+static NO_ALLOWANCE: LazyLock<CustomerSpec> = LazyLock::new(|| CustomerSpec {
     name: CustomerId::fallback(),
     share: 1,
     rate: RequestsPerSecond(0.0),
@@ -24,7 +24,7 @@
 });
 
 impl Manifest {
-    /// The customer of this name, or `default` for one that is not listed.
+    /// Returns the customer of this name, or `default` if it is not listed.
     pub fn customer(&self, name: &CustomerId) -> &CustomerSpec {
         let find = |name: &CustomerId| {
             self.customers
@@ -33,10 +33,10 @@
         };
         find(name)
             .or_else(|| find(&CustomerId::fallback()))
-            .unwrap_or(&NOTHING)
+            .unwrap_or(&NO_ALLOWANCE)
     }
 
-    /// What a target name stands for.
+    /// Returns the model, adapter or service that a target name refers to.
     pub fn target(&self, name: &TargetId) -> Option<Target<'_>> {
         let model = |name: &str| self.models.iter().find(|model| model.name.as_str() == name);
         if let Some(service) = self.services.iter().find(|service| service.name == *name) {
@@ -51,9 +51,9 @@
         Some(Target::Adapter { model, adapter })
     }
 
-    /// The rank of a priority.
+    /// Returns the rank of the priority with this name.
     pub fn rank(&self, priority: &str) -> Option<Priority> {
-        let named = self.priorities.iter().find(|spec| spec.name == priority);
-        named.map(|spec| spec.rank)
+        let spec = self.priorities.iter().find(|spec| spec.name == priority);
+        spec.map(|spec| spec.rank)
     }
 }
--- a/src/manifest/manifest_in_force.rs
+++ b/src/manifest/manifest_in_force.rs
@@ -1,16 +1,16 @@
-//! A manifest that is in force.
+//! The manifest that a host applies.
 
 use crate::manifest::Manifest;
 use crate::units::ContentHash;
 use crate::units::Generation;
 
-/// An accepted manifest with its generation.
+/// The manifest that a host has accepted and applies to requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ManifestInForce {
-    /// Its generation.
+    /// The generation of the manifest.
     pub generation: Generation,
-    /// The hash of its text, by which peers name it.
+    /// The hash of the manifest's text, by which hosts refer to it in messages.
     pub hash: ContentHash,
-    /// The manifest.
+    /// The parsed manifest.
     pub manifest: Manifest,
 }
--- a/src/manifest/mod.rs
+++ b/src/manifest/mod.rs
@@ -1,4 +1,5 @@
-//! The manifest: models, services, customers, priorities and limits that operators publish.
+//! The manifest: the models, services, customers, priorities and limits that operators publish for
+//! a deployment.
 
 mod conflicts;
 mod errors;
--- a/src/manifest/parse.rs
+++ b/src/manifest/parse.rs
@@ -1,4 +1,4 @@
-//! Reading and checking a manifest.
+//! Parsing and validation of a manifest.
 
 use crate::manifest::CustomerSpec;
 use crate::manifest::LimitsSpec;
@@ -24,17 +24,18 @@
 use crate::yaml::Problems;
 use crate::yaml::Section;
 
-/// The platform holds values up to a megabyte; the object around the text takes the rest.
-const JSON_LEN_MAX: usize = 1_000_000 - 1_024;
+/// The platform stores values of up to 1 MB. 1,024 bytes are reserved for the object around the
+/// text.
+const JSON_BYTES_MAX: usize = 1_000_000 - 1_024;
 const ABOVE_ZERO: &str = "must be above 0";
 const NOT_EMPTY: &str = "is empty";
 
 impl Manifest {
-    /// Reads and checks a manifest. `file` is the name that problems are reported under.
+    /// Parses and validates a manifest. `file` is the file name that problems are reported with.
     pub fn parse(text: &str, file: &str) -> Result<Self, ManifestErrors> {
         let manifest = yaml::read(text, file)?;
-        let too_large = size_problem(text);
-        match too_large {
+        let size_problem = find_size_problem(text);
+        match size_problem {
             Some(problem) => {
                 let mut problems = Problems::default();
                 problems.push(problem);
@@ -59,13 +60,13 @@
         fields.check(
             "deployment",
             deployment.as_ref(),
-            |text: &String| is_filled(text),
+            |text: &String| is_not_empty(text),
             NOT_EMPTY,
         );
         conflicts::check_targets(fields, &models, &services);
         conflicts::check_customers(fields, &customers, &priorities);
         conflicts::check_priorities(fields, &priorities);
-        conflicts::check_output(fields, &models, limits.as_ref());
+        conflicts::check_default_output(fields, &models, limits.as_ref());
         Some(Self {
             deployment: deployment?,
             objective: objective?,
@@ -99,26 +100,26 @@
         fields.check(
             "version",
             version.as_ref(),
-            |text: &String| is_filled(text),
+            |text: &String| is_not_empty(text),
             NOT_EMPTY,
         );
         fields.check(
             "role",
             role.as_ref(),
-            |text: &String| is_filled(text),
+            |text: &String| is_not_empty(text),
             NOT_EMPTY,
         );
-        let some = |tokens: &Tokens| tokens.0 > 0;
+        let is_positive = |tokens: &Tokens| tokens.0 > 0;
         fields.check(
             "engine_memory_tokens",
             engine_memory_tokens.as_ref(),
-            some,
+            is_positive,
             ABOVE_ZERO,
         );
         fields.check(
             "context_tokens_max",
             context_tokens_max.as_ref(),
-            some,
+            is_positive,
             ABOVE_ZERO,
         );
         fields.check(
@@ -127,8 +128,13 @@
             |slots| *slots > 0,
             ABOVE_ZERO,
         );
-        let moves = |speed: &TokensPerSecond| speed.0 > 0.0;
-        fields.check("prefill_speed", prefill_speed.as_ref(), moves, ABOVE_ZERO);
+        let is_positive_speed = |speed: &TokensPerSecond| speed.0 > 0.0;
+        fields.check(
+            "prefill_speed",
+            prefill_speed.as_ref(),
+            is_positive_speed,
+            ABOVE_ZERO,
+        );
         let is_percent = |percent: &u8| *percent <= 100;
         fields.check(
             "loaded_percent_min",
@@ -183,7 +189,7 @@
         let priority = fields.required("priority");
         fields.check("share", share.as_ref(), |share| *share > 0, ABOVE_ZERO);
         if rate.is_some_and(|rate| rate.0 > 0.0) {
-            let what = "must be above 0, or the rate lets nothing in";
+            let what = "must be above 0, or the rate admits no request";
             fields.check(
                 "burst_requests",
                 burst_requests.as_ref(),
@@ -208,7 +214,7 @@
         fields.check(
             "name",
             name.as_ref(),
-            |text: &String| is_filled(text),
+            |text: &String| is_not_empty(text),
             NOT_EMPTY,
         );
         Some(Self {
@@ -228,17 +234,17 @@
             fields.optional("output_tokens_default", defaults.output_tokens_default);
         let body_size_max = fields.optional("body_size_max", defaults.body_size_max);
 
-        let some_ms = |ms: &u64| *ms > 0;
+        let is_positive_ms = |ms: &u64| *ms > 0;
         fields.check(
             "deadline_default_ms",
             deadline_default_ms.as_ref(),
-            some_ms,
+            is_positive_ms,
             ABOVE_ZERO,
         );
         fields.check(
             "deadline_max_ms",
             deadline_max_ms.as_ref(),
-            some_ms,
+            is_positive_ms,
             ABOVE_ZERO,
         );
         let is_within = |ms: &u64| deadline_max_ms.is_none_or(|max| *ms <= max);
@@ -249,15 +255,20 @@
             is_within,
             what,
         );
-        let some = |tokens: &Tokens| tokens.0 > 0;
+        let is_positive_tokens = |tokens: &Tokens| tokens.0 > 0;
         fields.check(
             "output_tokens_default",
             output_tokens_default.as_ref(),
-            some,
+            is_positive_tokens,
+            ABOVE_ZERO,
+        );
+        let is_positive_size = |size: &ByteSize| size.0 > 0;
+        fields.check(
+            "body_size_max",
+            body_size_max.as_ref(),
+            is_positive_size,
             ABOVE_ZERO,
         );
-        let some = |size: &ByteSize| size.0 > 0;
-        fields.check("body_size_max", body_size_max.as_ref(), some, ABOVE_ZERO);
         Some(Self {
             deadline_default_ms: deadline_default_ms?,
             deadline_max_ms: deadline_max_ms?,
@@ -271,11 +282,11 @@
     fn read(fields: &mut Fields<'_>) -> Option<Self> {
         let default = Self::default().load_size_per_second;
         let load_size_per_second = fields.optional("load_size_per_second", default);
-        let some = |size: &ByteSize| size.0 > 0;
+        let is_positive_size = |size: &ByteSize| size.0 > 0;
         fields.check(
             "load_size_per_second",
             load_size_per_second.as_ref(),
-            some,
+            is_positive_size,
             ABOVE_ZERO,
         );
         Some(Self {
@@ -284,12 +295,19 @@
     }
 }
 
-/// A target's name is a part of a path, and of `MODEL:ADAPTER`.
+/// Reports a target name that contains a separator. The name is used as a path segment and in
+/// `MODEL:ADAPTER`.
 fn check_target_name(fields: &mut Fields<'_>, name: Option<&TargetId>) {
-    let is_plain = |name: &TargetId| !name.as_str().contains([ADAPTER_SEPARATOR, '/']);
-    fields.check("name", name, is_plain, "must not contain `:` or `/`");
+    let has_no_separator = |name: &TargetId| !name.as_str().contains([ADAPTER_SEPARATOR, '/']);
+    fields.check(
+        "name",
+        name,
+        has_no_separator,
+        "must not contain `:` or `/`",
+    );
 }
 
+/// Reports invalid and duplicate adapter names.
 fn check_adapters(fields: &mut Fields<'_>, adapters: &[String]) {
     for (index, adapter) in adapters.iter().enumerate() {
         let path = format!("adapters[{index}]");
@@ -302,7 +320,7 @@
     }
 }
 
-fn is_filled(text: &str) -> bool {
+fn is_not_empty(text: &str) -> bool {
     !text.is_empty()
 }
 
@@ -310,12 +328,15 @@
     items.into_iter().map(|item| item.value).collect()
 }
 
-/// A manifest that the platform can't hold is better refused here, with a reason, than there.
-fn size_problem(text: &str) -> Option<Problem> {
+/// Returns a problem if the platform can't store the manifest. Checked here, the operator gets the
+/// reason; the platform would only refuse the write.
+fn find_size_problem(text: &str) -> Option<Problem> {
     let json_len = serde_json::to_string(text).map_or(usize::MAX, |json| json.len());
-    (json_len > JSON_LEN_MAX).then(|| Problem {
+    (json_len > JSON_BYTES_MAX).then(|| Problem {
         line: 1,
         field: "(file)".to_owned(),
-        what: format!("takes {json_len} bytes as JSON; the platform holds {JSON_LEN_MAX}"),
+        what: format!(
+            "has {json_len} bytes as JSON; the platform accepts at most {JSON_BYTES_MAX}"
+        ),
     })
 }
--- a/src/manifest/published.rs
+++ b/src/manifest/published.rs
@@ -1,4 +1,4 @@
-//! A manifest as the platform holds it.
+//! The manifest as it is stored on the platform.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,25 +6,27 @@
 use crate::units::ContentHash;
 use crate::units::Generation;
 
-/// The name of the one object of the kind `manifests`.
+/// The name of the only object of the kind `manifests`.
 pub const MANIFEST_OBJECT_NAME: &str = "current";
 
-/// The `spec` of the object that holds the manifest. Fields that a later version adds are ignored.
+/// The `spec` of the object that stores the manifest. Unknown fields, which a later version may
+/// add, are ignored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct PublishedManifest {
-    /// Its generation.
+    /// The generation of the manifest.
     pub generation: Generation,
-    /// Drawn by the publisher, so that it knows its own write again when the answer was lost.
+    /// A random id from the publisher. With it the publisher recognizes its own write if the response
+    /// to the write was lost.
     pub publish_id: String,
-    /// The hash of the text.
+    /// The hash of `text`.
     pub hash: ContentHash,
-    /// The manifest, in YAML.
+    /// The manifest as YAML.
     pub text: String,
 }
 
 impl PublishedManifest {
-    /// A text as the generation that follows `after`.
+    /// Builds the manifest that follows `generation`: its generation is one higher.
     pub fn next_after(generation: Generation, publish_id: u128, text: &str) -> Self {
         Self {
             generation: generation.next(),
--- a/src/manifest/spec.rs
+++ b/src/manifest/spec.rs
@@ -1,4 +1,4 @@
-//! The manifest's fields.
+//! The fields of the manifest and their defaults.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -11,43 +11,43 @@
 use crate::units::Tokens;
 use crate::units::TokensPerSecond;
 
-/// All that operators publish.
+/// The manifest that operators publish for one deployment.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Manifest {
-    /// The deployment's name, so that a manifest can't reach the wrong one.
+    /// The name of the deployment. It guards against a manifest that reaches another deployment.
     pub deployment: String,
-    /// What this deployment weighs more heavily.
+    /// The measure that this deployment optimizes for.
     #[serde(default)]
     pub objective: Objective,
-    /// The models.
+    /// The models that the fleet serves.
     #[serde(default)]
     pub models: Vec<ModelSpec>,
-    /// The plain services.
+    /// The plain services that the fleet serves.
     #[serde(default)]
     pub services: Vec<ServiceSpec>,
-    /// The customers. One named `default` stands for all that are not listed.
+    /// The customers. The one named `default` applies to all customers that are not listed.
     pub customers: Vec<CustomerSpec>,
-    /// The priorities.
+    /// The priorities of requests.
     pub priorities: Vec<PrioritySpec>,
-    /// The limits on every request.
+    /// The limits that apply to every request.
     #[serde(default)]
     pub limits: LimitsSpec,
-    /// The weight store that engines load from.
+    /// The weight store that engines load models from.
     #[serde(default)]
     pub weight_store: WeightStoreSpec,
 }
 
-/// The measure that decisions lean towards.
+/// The measure that scheduling decisions optimize for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Objective {
-    /// Short requests slow down as little as possible while long ones run.
+    /// The slowdown of short requests while long ones run, as low as possible.
     #[default]
     ShortSlowdown,
-    /// The time to the first token over all lengths.
+    /// The time to first token over prompts of all lengths, as low as possible.
     FirstToken,
 }
 
@@ -56,130 +56,130 @@
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpec {
-    /// The name that callers use.
+    /// The name that callers request.
     pub name: TargetId,
-    /// The version that engines should have loaded.
+    /// The version that engines should load.
     pub version: String,
-    /// Adapters on top of the model; callers name one as `MODEL:ADAPTER`.
+    /// The adapters of the model. Callers request one as `MODEL:ADAPTER`.
     #[serde(default)]
     pub adapters: Vec<String>,
-    /// The role wanted of its engines.
+    /// The role that the engines of the model should take.
     #[serde(default = "default_role")]
     pub role: String,
-    /// The memory of one engine for keys and values.
+    /// The capacity of one engine's key-value cache, in tokens.
     pub engine_memory_tokens: Tokens,
-    /// How many attempts one engine batches.
+    /// The maximum number of attempts that one engine runs in a batch.
     pub engine_slots: u32,
-    /// The prefill speed of one engine, as a first estimate; it is corrected by what is seen.
+    /// The initial estimate of one engine's prefill speed. Observed speeds correct it.
     pub prefill_speed: TokensPerSecond,
-    /// The longest prompt with its answer.
+    /// The maximum length of a prompt together with its answer, in tokens.
     pub context_tokens_max: Tokens,
-    /// Whether the engines refuse orders that carry an old fencing number.
+    /// Whether the engines refuse orders with an outdated fencing number.
     #[serde(default)]
     pub fencing: FencingSupport,
-    /// The size of the weights, which loading takes from the weight store.
+    /// The size of the weights that an engine reads from the weight store to load the model.
     #[serde(default)]
     pub weight_size: ByteSize,
-    /// How many loaded engines a change must leave, in percent.
+    /// The share of engines that must stay loaded during a change, in percent.
     #[serde(default = "default_loaded_percent_min")]
     pub loaded_percent_min: u8,
 }
 
-/// What engines do with an order that carries an old fencing number.
+/// How engines handle an order with an outdated fencing number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FencingSupport {
-    /// They refuse it.
+    /// Engines refuse the order.
     Checked,
-    /// They obey it.
+    /// Engines execute the order.
     #[default]
     Ignored,
 }
 
-/// A plain service.
+/// A plain service and how its calls are sent.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// The name, which is also the first part of the path.
+    /// The name of the service, which is also the first segment of the path of its calls.
     pub name: TargetId,
-    /// Which calls may be sent to an upstream twice.
+    /// Which calls may be sent to an upstream again after a failure.
     #[serde(default)]
     pub repeatable: RepeatRule,
     /// Whether calls that are not repeatable must carry an idempotency key.
     #[serde(default)]
     pub key_required: bool,
-    /// How many calls one upstream gets at once at most.
+    /// The maximum number of concurrent calls to one upstream.
     pub concurrency_max: u32,
 }
 
-/// Which calls of a service may be repeated.
+/// Which calls of a service may be sent again after a failure.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RepeatRule {
-    /// None.
+    /// No call.
     Never,
     /// GET, HEAD, PUT, DELETE and OPTIONS, which HTTP defines as idempotent.
     #[default]
     ByMethod,
-    /// All.
+    /// Every call.
     Always,
 }
 
-/// A customer's share of the fleet.
+/// A customer with its share of the fleet and its rate limit.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CustomerSpec {
-    /// The customer.
+    /// The name of the customer.
     pub name: CustomerId,
-    /// Its weight against other customers of the same priority.
+    /// The customer's weight relative to other customers of the same priority.
     #[serde(default = "default_share")]
     pub share: u32,
-    /// How many requests it may send, in the long run.
+    /// The rate limit of the customer's requests, averaged over time.
     pub rate: RequestsPerSecond,
-    /// How many requests it may send at once beyond the rate.
+    /// The number of requests that the customer may send at once beyond the rate.
     pub burst_requests: u32,
-    /// The priority of its requests that name none; also the first that they may name.
+    /// The priority of the customer's requests that name none. Requests can't name a higher one.
     pub priority: String,
 }
 
-/// A priority.
+/// A priority of requests.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PrioritySpec {
-    /// The name that customers and callers use.
+    /// The name by which customers and callers refer to the priority.
     pub name: String,
-    /// The rank; 0 first.
+    /// The rank; requests with rank 0 are served first.
     pub rank: Priority,
 }
 
-/// Limits on every request.
+/// The limits that apply to every request.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 #[serde(default)]
 pub struct LimitsSpec {
-    /// The time limit of a request that names none.
+    /// The deadline of a request that names none, in milliseconds.
     pub deadline_default_ms: u64,
-    /// The longest time limit that a request may name.
+    /// The longest deadline that a request may name, in milliseconds.
     pub deadline_max_ms: u64,
-    /// The longest answer of a request that names none.
+    /// The maximum length of the answer to a request that names none, in tokens.
     pub output_tokens_default: Tokens,
-    /// The largest body.
+    /// The maximum size of a request body.
     pub body_size_max: ByteSize,
 }
 
-/// What the weight store gives.
+/// The capacity of the weight store.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 #[serde(default)]
 pub struct WeightStoreSpec {
-    /// The bytes a second that all engines of a failure domain may load together.
+    /// The bytes per second that all engines of a failure domain together may load.
     pub load_size_per_second: ByteSize,
 }
 
--- a/src/manifest/target.rs
+++ b/src/manifest/target.rs
@@ -1,18 +1,18 @@
-//! What a caller's target name stands for.
+//! The model, adapter or service that a target name refers to.
 
 use crate::manifest::ModelSpec;
 use crate::manifest::ServiceSpec;
 
-/// What a caller's target name stands for.
+/// The model, adapter or service that a target name of a caller refers to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Target<'a> {
-    /// A model.
+    /// A model without an adapter.
     Model(&'a ModelSpec),
-    /// An adapter on top of a model.
+    /// A model with an adapter.
     Adapter {
-        /// The model.
+        /// The model that the adapter belongs to.
         model: &'a ModelSpec,
-        /// The adapter's name.
+        /// The name of the adapter.
         adapter: &'a str,
     },
     /// A plain service.
--- a/tests/manifest.rs
+++ b/tests/manifest.rs
@@ -1,4 +1,5 @@
-//! A manifest is checked whole before it is published, and says the same after a round trip.
+//! Tests of the manifest: lookup by name, the report of all problems at once, and a round trip
+//! through YAML.
 
 mod broken;
 
@@ -48,7 +49,7 @@
     desai = { "desai", DESAI, &["navrangpura", "sg-highway", "gandhinagar"] },
     acornleaf = { "acornleaf", ACORNLEAF, &["hall-a", "hall-b", "hall-c"] },
 )]
-fn examples_are_good(deployment: &str, manifest: &str, domains: &[&str]) {
+fn example_files_are_valid(deployment: &str, manifest: &str, domains: &[&str]) {
     let manifest = Manifest::parse(manifest, "manifest.yaml").unwrap();
     assert_eq!(manifest.deployment, deployment);
     assert_eq!(manifest.customers.len(), 10);
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn names_are_found() {
+fn targets_customers_and_priorities_are_looked_up_by_name() {
     let manifest = Manifest::parse(DESAI, "m.yaml").unwrap();
     let target = |name: &str| manifest.target(&name.parse::<TargetId>().unwrap());
     assert!(matches!(target("geet-model"), Some(Target::Model(_))));
@@ -89,8 +90,8 @@
     assert_eq!(manifest.rank("urgent"), None);
 }
 
-/// A version that looks like a number: read as one it would become 1.1, and engines would be ordered
-/// to load a version that nobody published.
+/// An unquoted version such as `1.10` looks like a number. Parsed as one it would become 1.1, and
+/// engines would be ordered to load a version that was never published.
 #[parameterized(ten = { "1.10" }, octal = { "0755" }, truth = { "yes" }, hex = { "0x10" }, big = { "9e999" })]
 fn an_unquoted_version_stays_text(version: &str) {
     let text = DESAI.replacen("version: \"2026.11\"", &format!("version: {version}"), 1);
@@ -98,10 +99,10 @@
     assert_eq!(manifest.models[0].version, version);
 }
 
-/// A build pipeline generates a manifest with several faults. One check must show them all with
-/// their lines, or the fleet keeps the old manifest for as many rounds as there are faults.
+/// A manifest has several faults. One check must report all of them with their lines; otherwise the
+/// manifest in force can't be replaced before the faults have been fixed one check at a time.
 #[test]
-fn all_problems_are_told_at_once() {
+fn all_problems_are_reported_at_once() {
     let text = "\
 deployment: desai
 models:
@@ -129,15 +130,16 @@
          unit (tokens), got `-5`",
         "m.yaml:7: models[0].prefill_speed: expected a rate like 8000tok/s, got `12000`",
         "m.yaml:10: services[0].concurrency_max: must be above 0",
-        "m.yaml:10: services[0].name: `v1` is the path of the model calls",
+        "m.yaml:10: services[0].name: `v1` is reserved for the path of model calls",
+        "m.yaml:11: services[1].name: `v1` is reserved for the path of model calls",
         "m.yaml:11: services[1].name: `v1` is taken by services[0].name",
-        "m.yaml:11: services[1].name: `v1` is the path of the model calls",
-        "m.yaml:15: customers: has none named `default`, for all that are not listed",
-        "m.yaml:15: customers[0].burst_requests: must be above 0, or the rate lets nothing in",
+        "m.yaml:15: customers: has no entry named `default`, which applies to customers that are not \
+         listed",
+        "m.yaml:15: customers[0].burst_requests: must be above 0, or the rate admits no request",
         "m.yaml:16: customers[1].name: `a` is taken by customers[0].name",
-        "m.yaml:16: customers[1].priority: `urgent` is no priority of this manifest",
+        "m.yaml:16: customers[1].priority: `urgent` is not a priority of this manifest",
         "m.yaml:18: limits.deadline_default_ms: is above deadline_max_ms",
-        "m.yaml:20: limits.deadline_min_ms: is not known here; known are deadline_default_ms, \
+        "m.yaml:20: limits.deadline_min_ms: is not a known field; known fields are deadline_default_ms, \
          deadline_max_ms, output_tokens_default, body_size_max",
     ];
     assert_eq!(problems(text), expected);
@@ -154,20 +156,24 @@
     missing = { "rank: 2", "order: 2", "priorities[2].rank: is missing" },
     not_a_list = { "adapters: [gujarati, hindi]", "adapters: hindi", "expected a list" },
 )]
-fn a_wrong_manifest_names_the_field(from: &str, to: &str, told: &str) {
+fn a_problem_is_reported_with_its_field(from: &str, to: &str, message: &str) {
     assert!(DESAI.contains(from));
     let found = problems(&DESAI.replacen(from, to, 1));
-    assert!(found.iter().any(|line| line.contains(told)), "{found:#?}");
+    assert!(
+        found.iter().any(|line| line.contains(message)),
+        "{found:#?}"
+    );
 }
 
-/// The platform refuses values above a megabyte, and a refusal there reaches the operator late.
+/// The platform refuses values above 1 MB. The check must find this first, since the operator would
+/// see the platform's refusal only when the manifest is published.
 #[test]
-fn a_manifest_beyond_the_platforms_limit_is_refused() {
+fn a_manifest_above_the_size_limit_of_the_platform_is_refused() {
     let text = format!("{DESAI}# {}\n", "x".repeat(1_000_000));
-    assert!(problems(&text)[0].contains("the platform holds"));
+    assert!(problems(&text)[0].contains("the platform accepts at most"));
 }
 
-/// Aliases let a short file stand for an enormous one.
+/// With nested aliases a short file can expand to an enormous document.
 #[test]
 fn an_alias_bomb_is_an_error() {
     let mut text = String::from("a0: &a0 [x, x, x, x, x, x, x, x, x, x]\n");
@@ -178,7 +184,7 @@
     assert!(problems(&text)[0].starts_with("m.yaml:"));
 }
 
-/// Free texts; those that YAML would rather read as something else are among them.
+/// Generates free texts, among them texts that YAML would parse as another type.
 fn text() -> impl Strategy<Value = String> {
     let tricky = vec![
         "null",
