--- a/src/yaml/fields.rs
+++ b/src/yaml/fields.rs
@@ -1,4 +1,4 @@
-//! Taking the fields out of a section.
+//! Extraction of the fields of a section.
 
 use serde::de::DeserializeOwned;
 
@@ -6,29 +6,30 @@
 use crate::yaml::Problem;
 use crate::yaml::Problems;
 use crate::yaml::node::Value;
-use crate::yaml::node::find;
+use crate::yaml::node::find_value;
 use crate::yaml::scalar;
 
+/// The maximum number of field names that the report of an unknown field lists.
 const SHOWN_FIELD_NAMES_MAX: usize = 12;
 
-/// What can be read from a mapping.
+/// A type that can be read from a mapping.
 pub trait Section: Sized {
-    /// Takes the fields. Every one must be asked for, also after one was wrong: that is how all
-    /// problems are found, and how unknown keys are told from known ones. None if one that is
-    /// needed is missing or wrong.
+    /// Reads the fields of the section. An implementation must request every field, even after an
+    /// earlier one was invalid: this finds all problems and tells unknown keys from known ones.
+    /// Returns `None` if a needed field is missing or invalid.
     fn read(fields: &mut Fields<'_>) -> Option<Self>;
 }
 
-/// An element of a list that could be read, with its way.
+/// An element of a list with its path in the section.
 #[derive(Clone, Debug)]
 pub struct Item<T> {
-    /// Such as `customers[2]`.
+    /// The path of the element, such as `customers[2]`.
     pub path: String,
-    /// The element.
+    /// The value that was read.
     pub value: T,
 }
 
-/// The fields of one section that is being read.
+/// The fields of the section that is being read.
 #[derive(Debug)]
 pub struct Fields<'a> {
     section: &'a Node,
@@ -39,8 +40,8 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Reads a section and reports the keys that it did not ask for or that
-    /// stand there twice.
+    /// Reads a section and reports its unknown and duplicate keys. A key is unknown if the type did
+    /// not request a field of this name.
     pub fn read_section<T: Section>(
         section: &'a Node,
         path: &'a str,
@@ -66,37 +67,37 @@
         value
     }
 
-    /// A field that must be there.
+    /// Reads a required field.
     pub fn required<T: DeserializeOwned>(&mut self, name: &'static str) -> Option<T> {
         let node = self.required_node(name)?;
         self.scalar(name, node)
     }
 
-    /// A field that may be left out.
+    /// Reads a field that falls back to `default` if it is absent.
     pub fn optional<T: DeserializeOwned>(&mut self, name: &'static str, default: T) -> Option<T> {
-        match self.take(name) {
+        match self.request(name) {
             Some(node) => self.scalar(name, node),
             None => Some(default),
         }
     }
 
-    /// A section that must be there.
+    /// Reads a required section.
     pub fn section<T: Section>(&mut self, name: &'static str) -> Option<T> {
         let node = self.required_node(name)?;
         let path = self.path_of(name);
         Fields::read_section(node, &path, self.problems)
     }
 
-    /// A section that may be left out.
+    /// Reads a section that falls back to its default if it is absent.
     pub fn optional_section<T: Section + Default>(&mut self, name: &'static str) -> Option<T> {
-        if self.take(name).is_some() {
+        if self.request(name).is_some() {
             self.section(name)
         } else {
             Some(T::default())
         }
     }
 
-    /// A list that must have an element. Those that can't be read are left out and reported.
+    /// Reads a required list with at least one element. Invalid elements are reported and left out.
     pub fn list<T: Section>(&mut self, name: &'static str) -> Vec<Item<T>> {
         match self.required_node(name).map(|node| &node.value) {
             Some(Value::Sequence(items)) if items.is_empty() => self.report(name, "is empty"),
@@ -105,29 +106,29 @@
         self.optional_list(name)
     }
 
-    /// A list that may be left out. Elements that can't be read are left out and reported.
+    /// Reads a list that may be absent. Invalid elements are reported and left out.
     pub fn optional_list<T: Section>(&mut self, name: &'static str) -> Vec<Item<T>> {
-        let mut read = Vec::new();
+        let mut values = Vec::new();
         for (index, node) in self.sequence(name).iter().enumerate() {
             let path = format!("{}[{index}]", self.path_of(name));
             if let Some(value) = Fields::read_section(node, &path, self.problems) {
                 let path = format!("{name}[{index}]");
-                read.push(Item { path, value });
+                values.push(Item { path, value });
             }
         }
-        read
+        values
     }
 
-    /// A list of plain values that may be left out.
+    /// Reads a list of scalars that may be absent. Invalid elements are reported and left out.
     pub fn optional_values<T: DeserializeOwned>(&mut self, name: &'static str) -> Vec<T> {
-        let mut read = Vec::new();
+        let mut values = Vec::new();
         for (index, node) in self.sequence(name).iter().enumerate() {
-            read.extend(self.scalar(&format!("{name}[{index}]"), node));
+            values.extend(self.scalar(&format!("{name}[{index}]"), node));
         }
-        read
+        values
     }
 
-    /// Reports what is wrong with a field of this section.
+    /// Reports a problem with the field at `path` in this section.
     pub fn report(&mut self, path: &str, what: impl Into<String>) {
         self.problems.push(Problem {
             line: self.section.line_of(path),
@@ -136,29 +137,30 @@
         });
     }
 
-    /// Reports a field unless what is wanted of it holds. A field that could not be read has been
-    /// reported already.
+    /// Reports a field unless its value passes `is_valid`. A value of `None` has been reported
+    /// before, when the field was read.
     pub fn check<T>(
         &mut self,
         path: &str,
         value: Option<&T>,
-        is_good: impl FnOnce(&T) -> bool,
+        is_valid: impl FnOnce(&T) -> bool,
         what: &str,
     ) {
-        if value.is_some_and(|value| !is_good(value)) {
+        if value.is_some_and(|value| !is_valid(value)) {
             self.report(path, what);
         }
     }
 
-    fn take(&mut self, name: &'static str) -> Option<&'a Node> {
+    /// Returns the value of a field and notes the field as known.
+    fn request(&mut self, name: &'static str) -> Option<&'a Node> {
         if !self.requested.contains(&name) {
             self.requested.push(name);
         }
-        find(self.entries, name)
+        find_value(self.entries, name)
     }
 
     fn required_node(&mut self, name: &'static str) -> Option<&'a Node> {
-        let node = self.take(name);
+        let node = self.request(name);
         if node.is_none() {
             self.report(name, "is missing");
         }
@@ -187,7 +189,7 @@
     }
 
     fn sequence(&mut self, name: &'static str) -> &'a [Node] {
-        match self.take(name).map(|node| &node.value) {
+        match self.request(name).map(|node| &node.value) {
             Some(Value::Sequence(items)) => items,
             Some(_) => {
                 self.report(name, "expected a list");
@@ -197,6 +199,7 @@
         }
     }
 
+    /// Reports unknown and duplicate keys.
     fn check_keys(&mut self) {
         for (index, (key, _)) in self.entries.iter().enumerate() {
             let Value::Scalar(name) = &key.value else {
@@ -204,7 +207,10 @@
                 continue;
             };
             if !self.requested.contains(&name.as_str()) {
-                let what = format!("is not known here; known are {}", self.known_field_names());
+                let what = format!(
+                    "is not a known field; known fields are {}",
+                    self.known_field_names()
+                );
                 self.report_key(key.line, name, what);
             }
             let earlier = self.entries[..index].iter();
@@ -242,17 +248,18 @@
     if path.is_empty() { "(file)" } else { path }.to_owned()
 }
 
-/// Names the value unless the type's own message does, and the unit that the field's name calls
-/// for. Secrets are not repeated, since these lines end up in logs.
+/// Builds the message for an invalid value. It adds the unit that the suffix of the field name
+/// stands for, and the value unless `error` has it already. Secrets are not printed, since these
+/// messages end up in logs.
 fn invalid_value_message(path: &str, text: &str, error: &str) -> String {
     let is_secret = path.ends_with("secret");
-    let is_named = error.contains(&format!("`{text}`"));
+    let is_in_error = error.contains(&format!("`{text}`"));
     let unit = match path.rsplit_once('_') {
         Some((_, "ms")) => " (milliseconds)",
         Some((_, "tokens")) => " (tokens)",
         _ => "",
     };
-    if is_secret || is_named {
+    if is_secret || is_in_error {
         format!("{error}{unit}")
     } else {
         format!("{error}{unit}, got `{text}`")
--- a/src/yaml/file_errors.rs
+++ b/src/yaml/file_errors.rs
@@ -1,4 +1,4 @@
-//! The problems of one file, as they are shown.
+//! The error type for a file with problems.
 
 use std::error::Error;
 use std::fmt;
@@ -6,17 +6,17 @@
 use crate::yaml::Problem;
 use crate::yaml::Problems;
 
-/// All problems of one file; shown one a line as `FILE:LINE: FIELD: what is wrong`.
+/// All problems of one file, displayed one per line as `FILE:LINE: FIELD: PROBLEM`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileErrors {
-    /// The file's name as it was given.
+    /// The file name as the caller gave it.
     pub file: String,
-    /// The problems in the order of their lines; never empty.
+    /// The problems, ordered by line; never empty.
     pub problems: Vec<Problem>,
 }
 
 impl FileErrors {
-    /// The problems that were found in a file.
+    /// Builds the error from the problems of a file.
     pub fn new(file: &str, problems: Problems) -> Self {
         Self {
             file: file.to_owned(),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A file that can't be read at all.
+    /// Builds the error for a file that can't be read from disk.
     pub fn unreadable(file: &str, error: &std::io::Error) -> Self {
         let problem = Problem {
             line: 1,
--- a/src/yaml/mod.rs
+++ b/src/yaml/mod.rs
@@ -1,8 +1,8 @@
-//! Reading YAML so that all problems of a file are found at once, each with its line and field.
+//! YAML parsing that reports all problems of a file at once, each with its line and field.
 //!
-//! A file is read into a tree of [`Node`]s that know their lines. [`Fields`] then takes the fields
-//! of a section one after the other and notes every one that is missing, unknown or wrong, in place
-//! of stopping at the first as a plain serde derive does.
+//! A file is parsed into a tree of [`Node`]s with line numbers. [`Fields`] then reads the fields of
+//! each section and records every missing, unknown or invalid one. A plain serde derive would stop
+//! at the first.
 
 mod fields;
 mod file_errors;
@@ -19,7 +19,8 @@
 pub use problem::Problem;
 pub use problem::Problems;
 
-/// Reads a whole file as one section. `file` is the name that its problems are reported under.
+/// Reads the text of a whole file as one section. `file` is the file name that problems are
+/// reported with.
 pub fn read<T: Section>(text: &str, file: &str) -> Result<T, FileErrors> {
     let mut problems = Problems::default();
     let value = match Node::parse(text) {
--- a/src/yaml/node.rs
+++ b/src/yaml/node.rs
@@ -1,4 +1,4 @@
-//! A YAML document as a tree that knows its lines.
+//! A YAML document as a tree with line numbers.
 
 use serde_saphyr::DuplicateKeyPolicy;
 use serde_saphyr::NonFiniteFloatPolicy;
@@ -7,20 +7,20 @@
 use crate::yaml::Problem;
 use crate::yaml::raw_value::RawValue;
 
-/// Deeper than any settings or manifest, and shallow enough that reading never exhausts the stack.
+/// Settings and manifests are less deeply nested; deeper documents could overflow the stack.
 const DEPTH_MAX: usize = 32;
-/// A file that repeats itself by aliases may not grow beyond this.
+/// Bounds the memory of a document whose aliases expand to many copies of a node.
 const NODES_MAX: usize = 100_000;
 
-/// A value with the line it begins at.
+/// A value with the line that it begins on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
     pub(crate) line: u64,
     pub(crate) value: Value,
 }
 
-/// A value as it stands in the file. Scalars stay text, so that `1.10` as a version is not read as
-/// a number on the way.
+/// A value as it is written in the file. Scalars are kept as text, so that the version `1.10` is
+/// not converted to the number 1.1.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Value {
     Null,
@@ -30,7 +30,7 @@
 }
 
 impl Node {
-    /// Reads a document. An error of its syntax is the only problem that is reported alone.
+    /// Parses a document. A syntax error is reported alone, since nothing else can be checked then.
     pub fn parse(text: &str) -> Result<Self, Problem> {
         let budget = serde_saphyr::budget! {
             max_depth: DEPTH_MAX,
@@ -49,16 +49,20 @@
             .map_err(|error| syntax_problem(&error))
     }
 
-    /// Whether it is a mapping with this key.
+    /// Whether the node is a mapping with this key.
     pub fn has_key(&self, key: &str) -> bool {
-        matches!(&self.value, Value::Mapping(entries) if find(entries, key).is_some())
+        matches!(&self.value, Value::Mapping(entries) if find_value(entries, key).is_some())
     }
 
-    /// The line of a field under this node, or of the deepest part of the way to it that exists.
+    /// Returns the line of the field at `path` below this node. If the field does not exist, this is
+    /// the line of its deepest existing ancestor.
     pub(crate) fn line_of(&self, path: &str) -> u64 {
         let mut node = self;
-        for step in path.split(['.', '[', ']']).filter(|step| !step.is_empty()) {
-            match node.child(step) {
+        for segment in path
+            .split(['.', '[', ']'])
+            .filter(|segment| !segment.is_empty())
+        {
+            match node.child(segment) {
                 Some(child) => node = child,
                 None => break,
             }
@@ -66,10 +70,10 @@
         node.line
     }
 
-    fn child(&self, step: &str) -> Option<&Self> {
+    fn child(&self, segment: &str) -> Option<&Self> {
         match &self.value {
-            Value::Mapping(entries) => find(entries, step),
-            Value::Sequence(items) => items.get(step.parse::<usize>().ok()?),
+            Value::Mapping(entries) => find_value(entries, segment),
+            Value::Sequence(items) => items.get(segment.parse::<usize>().ok()?),
             Value::Null | Value::Scalar(_) => None,
         }
     }
@@ -80,9 +84,9 @@
         let value = match raw.value {
             RawValue::Null => Value::Null,
             RawValue::Text(scalar) => Value::Scalar(scalar),
-            RawValue::Inferred(shown) => {
+            RawValue::Inferred(formatted) => {
                 let span = raw.defined.span();
-                Value::Scalar(slice(text, span).map_or(shown, str::to_owned))
+                Value::Scalar(source_text(text, span).map_or(formatted, str::to_owned))
             }
             RawValue::Sequence(items) => Value::Sequence(items.into_iter().map(nested).collect()),
             RawValue::Mapping(entries) => {
@@ -94,26 +98,27 @@
     }
 }
 
-/// The value of a key in a mapping's entries.
-pub(crate) fn find<'a>(entries: &'a [(Node, Node)], key: &str) -> Option<&'a Node> {
+/// Returns the value of a key in the entries of a mapping.
+pub(crate) fn find_value<'a>(entries: &'a [(Node, Node)], key: &str) -> Option<&'a Node> {
     let is_key = |node: &Node| matches!(&node.value, Value::Scalar(text) if text == key);
     let entry = entries.iter().find(|(name, _)| is_key(name));
     entry.map(|(_, value)| value)
 }
 
-fn slice(text: &str, span: serde_saphyr::Span) -> Option<&str> {
+/// Returns the part of `text` that `span` covers.
+fn source_text(text: &str, span: serde_saphyr::Span) -> Option<&str> {
     let start = usize::try_from(span.byte_offset()?).ok()?;
     let len = usize::try_from(span.byte_len()?).ok()?;
     text.get(start..start + len).map(str::trim)
 }
 
 fn syntax_problem(error: &serde_saphyr::Error) -> Problem {
-    let shown = error.to_string();
+    let message = error.to_string();
     Problem {
         line: error
             .location()
             .map_or(1, |location| location.line().max(1)),
         field: "(syntax)".to_owned(),
-        what: shown.lines().next().unwrap_or("not YAML").to_owned(),
+        what: message.lines().next().unwrap_or("invalid YAML").to_owned(),
     }
 }
--- a/src/yaml/problem.rs
+++ b/src/yaml/problem.rs
@@ -1,35 +1,35 @@
-//! What is wrong with a file.
+//! The problems that the validation of a file finds.
 
 use std::borrow::Cow;
 use std::fmt;
 
-/// One thing that is wrong with a file.
+/// A problem of a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Problem {
-    /// The line, from 1 on.
+    /// The line number, starting at 1.
     pub line: u64,
-    /// The field with the way to it, such as `customers[2].rate`.
+    /// The path of the field, such as `customers[2].rate`.
     pub field: String,
-    /// What is wrong.
+    /// The description of the problem.
     pub what: String,
 }
 
-/// All that is wrong with a file.
+/// The problems of a file, in the order in which they were found.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Problems(Vec<Problem>);
 
 impl Problems {
-    /// Adds one.
+    /// Adds a problem.
     pub fn push(&mut self, problem: Problem) {
         self.0.push(problem);
     }
 
-    /// Whether there is none.
+    /// Whether no problem was found.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// All of them in the order of their lines.
+    /// Returns the problems, ordered by line.
     pub fn into_sorted(mut self) -> Vec<Problem> {
         self.0.sort();
         self.0
@@ -48,17 +48,18 @@
     }
 }
 
-/// A key or value that holds a line break would break the report's lines.
+/// Escapes control characters. A line break in a key or value would otherwise split one problem
+/// into several lines.
 fn escape_control_chars(text: &str) -> Cow<'_, str> {
     if !text.contains(char::is_control) {
         return Cow::Borrowed(text);
     }
-    let shown = |c: char| {
+    let escape = |c: char| {
         if c.is_control() {
             c.escape_default().to_string()
         } else {
             c.into()
         }
     };
-    text.chars().map(shown).collect()
+    text.chars().map(escape).collect()
 }
--- a/src/yaml/raw_value.rs
+++ b/src/yaml/raw_value.rs
@@ -1,4 +1,4 @@
-//! A YAML value as the parser hands it over.
+//! A YAML value as the parser returns it.
 
 use std::fmt;
 
@@ -9,11 +9,12 @@
 use serde::de::Visitor;
 use serde_saphyr::Spanned;
 
-/// A value as the parser hands it over. A plain scalar comes as what the parser takes it for; its
-/// text is then cut out of the file.
+/// A value as the parser returns it. The parser infers the type of a plain scalar and converts it;
+/// the original text is taken from the file afterwards.
 pub(crate) enum RawValue {
     Null,
     Text(String),
+    /// A scalar that the parser converted, formatted as text again.
     Inferred(String),
     Sequence(Vec<Spanned<RawValue>>),
     Mapping(Vec<(Spanned<RawValue>, Spanned<RawValue>)>),
--- a/src/yaml/scalar.rs
+++ b/src/yaml/scalar.rs
@@ -1,4 +1,4 @@
-//! One scalar's text as a serde input, so that every leaf type reads itself.
+//! A serde deserializer for the text of one scalar, so that each field type parses its own text.
 
 use serde::de::DeserializeOwned;
 use serde::de::Error as _;
@@ -7,7 +7,7 @@
 use serde::de::value::Error;
 use serde::forward_to_deserialize_any;
 
-/// Reads a scalar's text as `T`: a number, a boolean, a name out of an enum, or a newtype.
+/// Parses the text of a scalar as `T`: a number, a boolean, a string, an enum variant or a newtype.
 pub(crate) fn read<T: DeserializeOwned>(text: &str) -> Result<T, Error> {
     T::deserialize(Scalar(text))
 }
