--- a/src/observe/error.rs
+++ b/src/observe/error.rs
@@ -1,23 +1,23 @@
-//! What can fail when observation is set up.
+//! The error type of the setup of logs and metrics.
 
 use std::error::Error;
 use std::fmt;
 
-/// Why logs or metrics could not be set up.
+/// A failure to set up or to render logs or metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ObserveError {
-    /// The log level is no level.
+    /// The log level is unknown.
     LogLevel(String),
-    /// A logger has been set before.
+    /// The logger can't be installed, for example since the process has one already.
     Logger(String),
-    /// The metrics exporter can't be built.
+    /// The metrics exporter can't be built, or the metrics can't be rendered.
     Metrics(String),
 }
 
 impl fmt::Display for ObserveError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::LogLevel(level) => write!(f, "logs: `{level}` is no level"),
+            Self::LogLevel(level) => write!(f, "logs: unknown level: {level}"),
             Self::Logger(why) => write!(f, "logs: {why}"),
             Self::Metrics(why) => write!(f, "metrics: {why}"),
         }
--- a/src/observe/explanations.rs
+++ b/src/observe/explanations.rs
@@ -1,4 +1,4 @@
-//! Explanations of the latest requests, bounded in count and bytes.
+//! A store of the explanations of the latest requests, bounded in requests and bytes.
 
 use std::borrow::Cow;
 use std::mem::size_of;
@@ -18,25 +18,27 @@
 use crate::units::RequestId;
 use crate::units::whole_millis;
 
-/// Enough that a dozen threads seldom meet at one lock.
+/// With 16 shards, a dozen threads rarely contend for the same lock.
 const SHARD_COUNT: usize = 16;
 
-/// How much is kept, over all shards.
+/// The limits on the explanations of a host, summed over all shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExplanationLimits {
-    /// Requests.
+    /// The maximum number of requests.
     pub requests: usize,
-    /// Bytes, as they are counted by the text and the size of the structures.
+    /// The maximum memory in bytes, estimated from the sizes of the structures and texts.
     pub bytes: usize,
-    /// Steps of one request; those in the middle are left out, since the first and last tell most.
+    /// The maximum number of steps per request. Beyond it, steps in the middle are removed, since the
+    /// first and the last ones are the most useful.
     pub steps: usize,
-    /// Bytes of one text.
+    /// The maximum length of one text in bytes; longer texts are truncated.
     pub text_bytes: usize,
 }
 
 impl Default for ExplanationLimits {
-    /// 16,384 requests are 19 minutes of a host that gets 14 a second, the share of one of 400 hosts
-    /// in 5,600; 16 MiB are a sixteenth of such a host's memory and hold that many of usual size.
+    /// 16,384 requests cover 19 minutes on a host that receives 14 requests per second, which is the
+    /// share of one of 400 hosts in 5,600 requests per second. 16 MiB are one sixteenth of such a
+    /// host's memory and hold 16,384 requests of the usual size.
     fn default() -> Self {
         Self {
             requests: 16_384,
@@ -47,10 +49,11 @@
     }
 }
 
-/// Explanations of the latest requests, in shards under their own locks. The oldest go first.
+/// The explanations of the latest requests, in shards with a lock each. The oldest requests of a
+/// shard are evicted first.
 pub struct Explanations {
     clock: Arc<dyn Clock>,
-    bounds: ExplanationLimits,
+    limits: ExplanationLimits,
     shards: Vec<Mutex<Shard>>,
 }
 
@@ -68,17 +71,17 @@
 }
 
 impl Explanations {
-    /// Keeps nothing yet.
-    pub fn new(clock: Arc<dyn Clock>, bounds: ExplanationLimits) -> Self {
+    /// Creates an empty store.
+    pub fn new(clock: Arc<dyn Clock>, limits: ExplanationLimits) -> Self {
         let shards = (0..SHARD_COUNT).map(|_| Mutex::default()).collect();
         Self {
             clock,
-            bounds,
+            limits,
             shards,
         }
     }
 
-    /// Notes a step of a request. `place` is the upstream or host it concerns, or empty.
+    /// Records a step of a request. `place` is the upstream or host that the step concerns, or empty.
     pub fn record(
         &self,
         request: RequestId,
@@ -92,27 +95,27 @@
             wall_ms: whole_millis(wall.unwrap_or_default()),
             elapsed_ms: 0,
             what,
-            place: clip(place, self.bounds.text_bytes).to_owned(),
-            why: clip_cow(why.into(), self.bounds.text_bytes),
+            place: truncate(place, self.limits.text_bytes).to_owned(),
+            why: truncate_cow(why.into(), self.limits.text_bytes),
         };
         let mut shard = self.shard(request);
-        let earlier = shard.entries.get(&request);
-        let before_bytes = earlier.map_or(0, |entry| entry.bytes);
+        let previous = shard.entries.get(&request);
+        let previous_bytes = previous.map_or(0, |entry| entry.bytes);
         let entry = shard
             .entries
             .entry(request)
             .or_insert_with(|| Entry::new(now));
         step.elapsed_ms = whole_millis(now.saturating_duration_since(entry.started));
-        entry.push(step, self.bounds.steps);
-        let after_bytes = entry.bytes;
-        shard.bytes = shard.bytes + after_bytes - before_bytes;
+        entry.push(step, self.limits.steps);
+        let entry_bytes = entry.bytes;
+        shard.bytes = shard.bytes + entry_bytes - previous_bytes;
         shard.evict(
-            self.bounds.requests / SHARD_COUNT,
-            self.bounds.bytes / SHARD_COUNT,
+            self.limits.requests / SHARD_COUNT,
+            self.limits.bytes / SHARD_COUNT,
         );
     }
 
-    /// What is known of a request.
+    /// Returns the recorded steps of a request, or `None` if it is unknown or has been evicted.
     pub fn get(&self, request: RequestId) -> Option<Explanation> {
         let shard = self.shard(request);
         let entry = shard.entries.get(&request)?;
@@ -123,7 +126,7 @@
         })
     }
 
-    /// How many requests and bytes are kept.
+    /// Returns the number of requests in the store and their memory in bytes.
     pub fn size(&self) -> (usize, usize) {
         let sizes = self.shards.iter().map(|shard| {
             let shard = lock(shard);
@@ -139,20 +142,21 @@
 }
 
 impl Shard {
-    /// Removes the oldest requests until the bounds hold. The newest stays, whatever its size.
+    /// Evicts the oldest requests until the shard is within the limits. The newest request is kept
+    /// regardless of its size.
     fn evict(&mut self, requests_max: usize, bytes_max: usize) {
-        let mut surplus = 0;
+        let mut evicted = 0;
         let mut bytes = self.bytes;
         let len = self.entries.len();
         for entry in self.entries.values() {
-            let fits = len - surplus <= requests_max && bytes <= bytes_max;
-            if fits || surplus + 1 >= len {
+            let fits = len - evicted <= requests_max && bytes <= bytes_max;
+            if fits || evicted + 1 >= len {
                 break;
             }
             bytes -= entry.bytes;
-            surplus += 1;
+            evicted += 1;
         }
-        self.entries.drain(..surplus);
+        self.entries.drain(..evicted);
         self.bytes = bytes;
     }
 }
@@ -167,10 +171,11 @@
         }
     }
 
+    /// Adds a step. With `steps_max` steps or more, this first removes the one in the middle.
     fn push(&mut self, step: Step, steps_max: usize) {
         if self.steps.len() >= steps_max.max(2) {
-            let dropped = self.steps.remove(steps_max.max(2) / 2);
-            self.bytes -= step_bytes(&dropped);
+            let removed = self.steps.remove(steps_max.max(2) / 2);
+            self.bytes -= step_bytes(&removed);
             self.left_out += 1;
         }
         self.bytes += step_bytes(&step);
@@ -178,6 +183,7 @@
     }
 }
 
+/// Estimates the memory of a step. Static texts take none.
 fn step_bytes(step: &Step) -> usize {
     let why = match &step.why {
         Cow::Borrowed(_) => 0,
@@ -186,15 +192,16 @@
     size_of::<Step>() + step.place.len() + why
 }
 
-fn clip(text: &str, len_max: usize) -> &str {
+/// Truncates a text to at most `len_max` bytes at a character boundary.
+fn truncate(text: &str, len_max: usize) -> &str {
     &text[..text.floor_char_boundary(len_max)]
 }
 
-fn clip_cow(text: Cow<'static, str>, len_max: usize) -> Cow<'static, str> {
+fn truncate_cow(text: Cow<'static, str>, len_max: usize) -> Cow<'static, str> {
     if text.len() <= len_max {
         return text;
     }
-    clip(&text, len_max).to_owned().into()
+    truncate(&text, len_max).to_owned().into()
 }
 
 fn lock(shard: &Mutex<Shard>) -> MutexGuard<'_, Shard> {
--- a/src/observe/host_counts.rs
+++ b/src/observe/host_counts.rs
@@ -1,24 +1,24 @@
-//! What the parts of a host count by themselves.
+//! The counts that the parts of a host keep on their own.
 
 use std::time::Duration;
 
 use crate::decide::PoolLoad;
 use crate::units::PoolId;
 
-/// Counts of one moment, collected when metrics are rendered.
+/// The counts of a host's parts, collected each time metrics are rendered.
 #[derive(Clone, Debug, Default)]
 pub struct HostCounts {
-    /// Bytes sent to other hosts for membership and manifests since the start.
+    /// The bytes sent to other hosts for membership and manifests since the start.
     pub peer_control_bytes: u64,
-    /// Bytes sent to other hosts for grants and relayed calls since the start.
+    /// The bytes sent to other hosts for grants and relayed calls since the start.
     pub peer_work_bytes: u64,
-    /// Messages to other hosts that were dropped since the start.
+    /// The messages to other hosts that were dropped since the start.
     pub peer_dropped_messages: u64,
-    /// Connections of other hosts that were refused since the start.
+    /// The connections from other hosts that were refused since the start.
     pub peer_refused_connections: u64,
-    /// How long ago the manifest in force was known to be the newest.
+    /// The time since the manifest in force was last confirmed to be the newest.
     pub manifest_confirmed_ago: Option<Duration>,
-    /// The pools that this host is home of. One that is handed over is left out: a gauge that kept
-    /// its last value would show its memory as held for ever.
+    /// The pools that this host is the home of. A pool that was handed over is left out: a gauge
+    /// that kept its last value would report the pool's memory as held forever.
     pub pools: Vec<(PoolId, PoolLoad)>,
 }
--- a/src/observe/instruments.rs
+++ b/src/observe/instruments.rs
@@ -1,4 +1,4 @@
-//! What all sets of metrics have in common.
+//! Helpers to build instruments, shared by all sets of metrics.
 
 use opentelemetry::metrics::Histogram;
 use opentelemetry::metrics::Meter;
@@ -7,7 +7,7 @@
 
 use crate::observe::ObserveError;
 
-/// Shows the metrics of one registry under the system's name.
+/// Builds an exporter of the metrics in `registry`, with names that start with `banyanarch_`.
 pub(crate) fn prometheus_exporter(registry: &Registry) -> Result<PrometheusExporter, ObserveError> {
     let exporter = opentelemetry_prometheus::exporter()
         .with_registry(registry.clone())
@@ -18,7 +18,7 @@
     Ok(exporter)
 }
 
-/// A histogram of times in seconds.
+/// Builds a histogram of durations in seconds.
 pub(crate) fn seconds_histogram(
     meter: &Meter,
     name: &'static str,
--- a/src/observe/latest_counts.rs
+++ b/src/observe/latest_counts.rs
@@ -1,4 +1,4 @@
-//! The latest counts of a host, for metrics that are read when they are rendered.
+//! The counts that observable instruments read when metrics are rendered.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -13,14 +13,15 @@
 use crate::units::Generation;
 use crate::units::TargetId;
 
-/// The latest counts. They are replaced as a whole: a gauge that kept the count of a target that is
-/// gone would show upstreams that are not there.
+/// The latest counts of the cluster view and of the host's parts. Each set is replaced as a whole: a
+/// gauge that kept the count of a removed target would report upstreams that no longer exist.
 #[derive(Debug, Default)]
 pub(crate) struct LatestCounts {
-    totals: Mutex<ClusterCounts>,
-    counts: Mutex<HostCounts>,
+    cluster: Mutex<ClusterCounts>,
+    host: Mutex<HostCounts>,
 }
 
+/// The counts of the cluster view: hosts by state, and upstreams by target and health.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClusterCounts {
     pub(crate) generation: Option<Generation>,
@@ -29,38 +30,38 @@
 }
 
 impl LatestCounts {
-    /// Counts what the cluster view holds now.
-    pub(crate) fn count(&self, cluster_view: &ClusterView) {
-        let mut totals = ClusterCounts {
+    /// Replaces the cluster counts by those of `cluster_view`.
+    pub(crate) fn update_cluster(&self, cluster_view: &ClusterView) {
+        let mut counts = ClusterCounts {
             generation: cluster_view.manifest().map(|in_force| in_force.generation),
             ..ClusterCounts::default()
         };
         for (_, host) in cluster_view.hosts.snapshot() {
-            *totals.hosts.entry(state_name(host.state)).or_default() += 1;
+            *counts.hosts.entry(state_name(host.state)).or_default() += 1;
         }
         for (_, upstream) in cluster_view.upstreams.snapshot() {
             let key = (upstream.target, health_name(upstream.health));
-            *totals.upstreams.entry(key).or_default() += 1;
+            *counts.upstreams.entry(key).or_default() += 1;
         }
-        *self.lock() = totals;
+        *self.lock_cluster() = counts;
     }
 
-    /// Takes in what the host's parts count.
-    pub(crate) fn set_counts(&self, counts: HostCounts) {
-        *self.counts.lock().unwrap_or_else(PoisonError::into_inner) = counts;
+    /// Replaces the host counts.
+    pub(crate) fn update_host(&self, counts: HostCounts) {
+        *self.host.lock().unwrap_or_else(PoisonError::into_inner) = counts;
     }
 
-    pub(crate) fn counts(&self) -> HostCounts {
-        let counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
+    pub(crate) fn host(&self) -> HostCounts {
+        let counts = self.host.lock().unwrap_or_else(PoisonError::into_inner);
         counts.clone()
     }
 
-    pub(crate) fn latest(&self) -> ClusterCounts {
-        self.lock().clone()
+    pub(crate) fn cluster(&self) -> ClusterCounts {
+        self.lock_cluster().clone()
     }
 
-    fn lock(&self) -> MutexGuard<'_, ClusterCounts> {
-        self.totals.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_cluster(&self) -> MutexGuard<'_, ClusterCounts> {
+        self.cluster.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/src/observe/logs.rs
+++ b/src/observe/logs.rs
@@ -1,7 +1,7 @@
 //! Logs on standard error, as text or JSON.
 //!
-//! Each part starts its messages with a fixed prefix (`homes: …`). What belongs to one request
-//! carries its id as the key `request`: `log::info!(request:% = id; "entry: …")`.
+//! Each part of the program starts its messages with a fixed prefix (`homes: …`). A message about
+//! one request carries the request id under the key `request`: `log::info!(request:% = id; "entry: …")`.
 
 use log::LevelFilter;
 use logforth::append::Stderr;
@@ -13,7 +13,7 @@
 use crate::settings::LogFormat;
 use crate::settings::LogSettings;
 
-/// Sets up the process's one logger.
+/// Installs the logger of the process. Fails if it is called twice.
 pub fn init(settings: &LogSettings) -> Result<(), ObserveError> {
     let level: LevelFilter = settings.level.parse()?;
     let append = match settings.format {
@@ -21,8 +21,8 @@
         LogFormat::Json => Stderr::default().with_layout(JsonLayout::default()),
     };
     let logger = starter_log::builder().dispatch(|dispatch| dispatch.append(append));
-    let set = logger.try_apply();
-    set.map_err(|error| ObserveError::Logger(error.to_string()))?;
+    let applied = logger.try_apply();
+    applied.map_err(|error| ObserveError::Logger(error.to_string()))?;
     log::set_max_level(level);
     Ok(())
 }
--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -1,8 +1,9 @@
-//! Metrics by opentelemetry, shown in the Prometheus text format.
+//! Metrics of a host, recorded with OpenTelemetry and rendered in the Prometheus text format.
 //!
-//! Times are kept by customer and length class. The number of series is bounded: customers that the
-//! manifest does not name count as `default`, so that callers cannot make series up, and beyond
-//! [`SERIES_MAX`] the library puts what is new into one overflow series.
+//! Durations are recorded by customer and length class. The number of series is bounded: customers
+//! that the manifest does not list count as `default`, so that callers can't create series by
+//! sending new names. Beyond [`SERIES_MAX`] series per metric, the library adds all new label sets
+//! to one overflow series.
 
 use std::sync::Arc;
 use std::sync::PoisonError;
@@ -34,19 +35,21 @@
 use crate::observe::latest_counts::LatestCounts;
 use crate::units::CustomerId;
 
-/// 670 customers in 4 classes and 3 outcomes are 8,040 series of one metric.
+/// The maximum number of series per metric. 670 customers, 4 length classes and 3 outcomes make
+/// 8,040 series.
 const SERIES_MAX: usize = 10_000;
 
-/// Seconds. 1.8 is the aim for 95 in 100 first tokens, so it is a bound of its own; the longest
-/// prompts take minutes.
+/// Histogram bounds in seconds. The objective is a first token within 1.8 s for 95 % of the
+/// requests, so 1.8 is a bound of its own. The longest prompts take minutes.
 const FIRST_TOKEN_BOUNDS: [f64; 15] = [
     0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 1.8, 2.5, 5.0, 10.0, 30.0, 60.0, 300.0, 1_800.0,
 ];
-/// Seconds. 0.047 is the aim for 95 in 100 gaps between tokens.
-const BETWEEN_TOKENS_BOUNDS: [f64; 12] = [
+/// Histogram bounds in seconds. The objective is 0.047 s for 95 % of the gaps between tokens, so
+/// 0.047 is a bound of its own.
+const TOKEN_GAP_BOUNDS: [f64; 12] = [
     0.005, 0.01, 0.02, 0.03, 0.04, 0.047, 0.06, 0.1, 0.2, 0.5, 1.0, 5.0,
 ];
-/// Seconds.
+/// Histogram bounds in seconds.
 const QUEUE_WAIT_BOUNDS: [f64; 12] = [
     0.001, 0.005, 0.01, 0.05, 0.1, 0.25, 0.5, 1.0, 1.8, 5.0, 30.0, 300.0,
 ];
@@ -54,12 +57,12 @@
 /// The metrics of one host.
 pub struct Metrics {
     registry: Registry,
-    // The instruments go quiet when their provider is dropped.
+    // The instruments stop recording when their provider is dropped.
     _provider: SdkMeterProvider,
     customers: RwLock<IndexMap<CustomerId, StringValue>>,
-    board: Arc<LatestCounts>,
+    latest_counts: Arc<LatestCounts>,
     first_token: Histogram<f64>,
-    between_tokens: Histogram<f64>,
+    token_gap: Histogram<f64>,
     queue_wait: Histogram<f64>,
     requests: Counter<u64>,
     failures: Counter<u64>,
@@ -68,29 +71,25 @@
 }
 
 impl Metrics {
-    /// Sets up all metrics in a registry of their own.
+    /// Creates all metrics in a registry of their own.
     pub fn new() -> Result<Self, ObserveError> {
         let registry = Registry::new();
         let exporter = prometheus_exporter(&registry)?;
         let provider = SdkMeterProvider::builder()
             .with_reader(exporter)
-            .with_view(series_bound)
+            .with_view(limit_series)
             .build();
         let meter = provider.meter("banyanarch");
-        let board = Arc::new(LatestCounts::default());
-        gauges::register_cluster_gauges(&meter, &board);
-        gauges::register_host_instruments(&meter, &board);
-        gauges::register_pool_gauges(&meter, &board);
+        let latest_counts = Arc::new(LatestCounts::default());
+        gauges::register_cluster_gauges(&meter, &latest_counts);
+        gauges::register_host_instruments(&meter, &latest_counts);
+        gauges::register_pool_gauges(&meter, &latest_counts);
         let metrics = Self {
             registry,
             customers: RwLock::default(),
-            board,
+            latest_counts,
             first_token: seconds_histogram(&meter, "time_to_first_token", &FIRST_TOKEN_BOUNDS),
-            between_tokens: seconds_histogram(
-                &meter,
-                "time_between_tokens",
-                &BETWEEN_TOKENS_BOUNDS,
-            ),
+            token_gap: seconds_histogram(&meter, "time_between_tokens", &TOKEN_GAP_BOUNDS),
             queue_wait: seconds_histogram(&meter, "queue_wait", &QUEUE_WAIT_BOUNDS),
             requests: meter.u64_counter("requests").build(),
             failures: meter.u64_counter("failures").build(),
@@ -101,55 +100,56 @@
         Ok(metrics)
     }
 
-    /// Takes in what the cluster view holds: the customers of the manifest in force, which get series, and
-    /// the counts of hosts and upstreams. To be called often, such as each second.
-    pub fn update_cluster_counts(&self, board: &ClusterView) {
-        let before = self.board.latest().generation;
-        self.board.count(board);
-        if let Some(in_force) = board.manifest()
-            && before != Some(in_force.generation)
+    /// Updates the counts of hosts and upstreams from the cluster view, and the customers that get
+    /// their own series if the manifest in force has changed. Call this before each rendering.
+    pub fn update_cluster_counts(&self, cluster_view: &ClusterView) {
+        let previous = self.latest_counts.cluster().generation;
+        self.latest_counts.update_cluster(cluster_view);
+        if let Some(in_force) = cluster_view.manifest()
+            && previous != Some(in_force.generation)
         {
             self.set_customers(&in_force.manifest);
         }
     }
 
-    /// Takes in what the host's parts count, right before metrics are rendered.
+    /// Replaces the counts of the host's parts. Call this before each rendering.
     pub fn update_host_counts(&self, counts: HostCounts) {
-        self.board.set_counts(counts);
+        self.latest_counts.update_host(counts);
     }
 
-    /// Takes the customers of a manifest as the ones that get series.
+    /// Replaces the customers that get their own series by those of a manifest.
     pub fn set_customers(&self, manifest: &Manifest) {
         let label = |name: &CustomerId| StringValue::from(Arc::<str>::from(name.as_str()));
         let names = manifest.customers.iter().map(|customer| &customer.name);
         let customers = names.map(|name| (name.clone(), label(name))).collect();
-        let mut known = self
+        let mut current = self
             .customers
             .write()
             .unwrap_or_else(PoisonError::into_inner);
-        *known = customers;
+        *current = customers;
     }
 
-    /// From a request's first byte to the first token of its answer.
-    pub fn record_first_token(&self, customer: &CustomerId, class: LengthClass, took: Duration) {
+    /// Records the time from the first byte of a request to the first token of its answer.
+    pub fn record_first_token(&self, customer: &CustomerId, class: LengthClass, elapsed: Duration) {
         self.first_token
-            .record(took.as_secs_f64(), &self.labels(customer, class));
+            .record(elapsed.as_secs_f64(), &self.labels(customer, class));
     }
 
-    /// Between two tokens of an answer.
-    pub fn record_token_gap(&self, customer: &CustomerId, class: LengthClass, took: Duration) {
-        self.between_tokens
-            .record(took.as_secs_f64(), &self.labels(customer, class));
+    /// Records the time between two tokens of an answer.
+    pub fn record_token_gap(&self, customer: &CustomerId, class: LengthClass, gap: Duration) {
+        self.token_gap
+            .record(gap.as_secs_f64(), &self.labels(customer, class));
     }
 
-    /// How long a granted request waited at its home.
-    pub fn record_queue_wait(&self, customer: &CustomerId, class: LengthClass, took: Duration) {
+    /// Records how long a request waited at its home until it was granted.
+    pub fn record_queue_wait(&self, customer: &CustomerId, class: LengthClass, wait: Duration) {
         self.queue_wait
-            .record(took.as_secs_f64(), &self.labels(customer, class));
+            .record(wait.as_secs_f64(), &self.labels(customer, class));
     }
 
-    /// The end of a request, with the reason as one word. Reasons are counted apart from customers,
-    /// or the series would multiply.
+    /// Counts the end of a request, and for a failed request the one-word reason. Failures are
+    /// counted by reason but not by customer, since both labels together would multiply the number
+    /// of series.
     pub fn count_outcome(
         &self,
         customer: &CustomerId,
@@ -167,18 +167,18 @@
         }
     }
 
-    /// An attempt after the first, with what the earlier one failed of.
+    /// Counts a retry by the reason for which the previous attempt failed.
     pub fn count_retry(&self, reason: &'static str) {
         self.retries.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// A change of the number of requests that have not ended: +1 or -1.
+    /// Adds `change`, which is 1 or -1, to the number of requests in flight.
     pub fn add_in_flight(&self, class: LengthClass, change: i64) {
         self.in_flight
             .add(change, &[KeyValue::new("class", class.name())]);
     }
 
-    /// All metrics in the Prometheus text format.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> Result<String, ObserveError> {
         Ok(TextEncoder::new().encode_to_string(&self.registry.gather())?)
     }
@@ -197,8 +197,9 @@
     }
 }
 
-/// Without it the library's own bound of 2,000 would put most of 670 customers into one series.
-fn series_bound(_: &Instrument) -> Option<Stream> {
+/// Raises the maximum number of series per metric to [`SERIES_MAX`]. With the library's default of
+/// 2,000, most of 670 customers would share the overflow series.
+fn limit_series(_: &Instrument) -> Option<Stream> {
     Stream::builder()
         .with_cardinality_limit(SERIES_MAX)
         .build()
--- a/src/observe/mod.rs
+++ b/src/observe/mod.rs
@@ -1,4 +1,4 @@
-//! Metrics, logs and explanations of what was decided.
+//! Metrics, logs, and explanations of the decisions for a request.
 
 mod error;
 mod explanations;
--- a/src/observe/step.rs
+++ b/src/observe/step.rs
@@ -1,4 +1,4 @@
-//! What was decided for a request.
+//! The explanation of a request: the decisions and events in its course.
 
 use std::borrow::Cow;
 
@@ -6,59 +6,59 @@
 
 use crate::units::RequestId;
 
-/// One thing that was decided for, or happened to, a request.
+/// One decision or event in the course of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Step {
-    /// The time of day on this host's clock, in milliseconds since 1970.
+    /// The wall clock time of this host, in milliseconds since the Unix epoch.
     pub wall_ms: u64,
-    /// The time since the request's first step.
+    /// The time since the first step of the request, in milliseconds.
     pub elapsed_ms: u64,
-    /// What.
+    /// The kind of the step.
     pub what: StepKind,
-    /// The upstream or host that it concerns; empty if none.
+    /// The upstream or host that the step concerns; empty if there is none.
     pub place: String,
-    /// Why.
+    /// The reason for the step.
     pub why: Cow<'static, str>,
 }
 
-/// The kinds of steps.
+/// The kind of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StepKind {
-    /// It arrived and was understood.
+    /// The request arrived and was parsed.
     Received,
-    /// A home was asked for a grant.
+    /// A home was asked for a grant of upstreams.
     Asked,
-    /// It was granted upstreams.
+    /// The home granted upstreams to the request.
     Granted,
-    /// It was turned away.
+    /// The request was refused.
     Refused,
-    /// Its claim was recorded, or found to be another's.
+    /// The claim of the request's idempotency key was recorded, or another request held it already.
     Claimed,
-    /// It was sent to an upstream.
+    /// The request was sent to an upstream.
     Dispatched,
-    /// The first token came.
+    /// The first token of the answer arrived.
     FirstToken,
-    /// An attempt failed and another follows.
+    /// An attempt failed and another one follows.
     Retried,
-    /// A stream that broke was taken up again.
+    /// An interrupted stream was resumed.
     Resumed,
     /// An attempt was cancelled at its upstream.
     Cancelled,
-    /// It ended.
+    /// The request ended.
     Ended,
 }
 
-/// All that is known of one request.
+/// The recorded steps of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Explanation {
-    /// The request.
+    /// The id of the request.
     pub request_id: RequestId,
-    /// The steps in order.
+    /// The steps, in the order in which they happened.
     pub steps: Vec<Step>,
-    /// Steps that were left out since there were too many.
+    /// The number of steps that were removed to keep within the limit per request.
     pub left_out: u64,
 }
--- a/tests/observe.rs
+++ b/tests/observe.rs
@@ -1,4 +1,4 @@
-//! Metrics, logs and explanations.
+//! Tests of metrics, logs and explanations.
 
 use std::env;
 use std::process::Command;
@@ -34,6 +34,7 @@
 
 const DESAI: &str = include_str!("../examples/desai/manifest.yaml");
 const HOST: &str = include_str!("../examples/desai/desai-navrangpura-1.yaml");
+/// Set in the child process that writes the log lines.
 const LOG_CHILD: &str = "BANYANARCH_TEST_LOG_CHILD";
 
 fn customer(name: &str) -> CustomerId {
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn histograms_tell_the_aims_apart_by_customer_and_class() {
+fn histograms_have_bounds_at_the_objectives_and_labels_of_customer_and_class() {
     let metrics = metrics();
     let films = customer("sabarmati-films");
     metrics.record_first_token(&films, LengthClass::Huge, Duration::from_millis(1_800));
@@ -76,15 +77,15 @@
         "banyanarch_in_flight{class=\"long\"} 1".to_owned(),
     ] {
         assert!(
-            text.lines().any(|it| it == line),
+            text.lines().any(|shown| shown == line),
             "{line} is not in\n{text}"
         );
     }
 }
 
-/// An operator who looks a metric up, or a setting, finds it on the operators' page.
+/// The operators' page must list every metric, every setting and every manifest field.
 #[test]
-fn the_operators_page_names_all_metrics_and_settings() {
+fn the_operators_page_lists_all_metrics_and_settings() {
     let page = include_str!("../docs/OPERATIONS.md");
     let metrics = metrics();
     let films = customer("sabarmati-films");
@@ -94,7 +95,7 @@
     metrics.count_outcome(&films, LengthClass::Short, Outcome::NotRun, "deadline");
     metrics.count_retry("refused");
     metrics.add_in_flight(LengthClass::Short, 1);
-    metrics.update_host_counts(counts());
+    metrics.update_host_counts(host_counts());
     metrics.update_cluster_counts(&cluster_view());
     let text = metrics.render().unwrap();
     let names = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
@@ -158,10 +159,10 @@
     cluster_view
 }
 
-/// A host starts, gets its first manifest, and later its last upstream vanishes. The customers must
-/// get their own series from the manifest on, and the gauges must not keep what is gone.
+/// A host gets its first manifest, and later its last upstream is removed. Customers must have their
+/// own series from the first manifest on, and the gauges must not report the removed upstream.
 #[test]
-fn the_board_is_counted_anew_each_time() {
+fn the_cluster_view_is_counted_anew_on_each_update() {
     let metrics = Metrics::new().unwrap();
     let cluster_view = cluster_view();
     metrics.update_cluster_counts(&cluster_view);
@@ -181,29 +182,30 @@
     assert!(!metrics.render().unwrap().contains(live));
 }
 
-/// A caller puts a fresh name into the customer header of every request. With a series for each,
-/// the host's memory grows until it is killed, and all its requests with it.
+/// A caller sends a new name in the customer header of every request. With a series for each name,
+/// the host would run out of memory and lose all its requests.
 #[test]
-fn made_up_customers_count_as_default() {
+fn unlisted_customers_count_as_default() {
     let metrics = metrics();
     for n in 0..500 {
-        let name = customer(&format!("made-up-{n}"));
+        let name = customer(&format!("unlisted-{n}"));
         metrics.record_first_token(&name, LengthClass::Short, Duration::from_millis(9));
     }
     let text = metrics.render().unwrap();
-    assert!(!text.contains("made-up"));
+    assert!(!text.contains("unlisted"));
     let count = "banyanarch_time_to_first_token_seconds_count";
     assert!(text.contains(&format!(
         "{count}{{class=\"short\",customer=\"default\"}} 500"
     )));
 }
 
-/// A home hands a pool over while memory is held. If its gauge stayed, the sum over hosts would
-/// count that memory twice for ever, and the alarm for lost memory would never clear.
+/// A home hands over a pool whose memory is partly reserved. If the gauges of the pool remained, the
+/// sum over all hosts would count that memory twice forever, and the alarm for lost memory would
+/// never clear.
 #[test]
-fn a_pool_that_was_handed_over_is_shown_no_more() {
+fn gauges_of_a_pool_that_was_handed_over_are_removed() {
     let metrics = metrics();
-    metrics.update_host_counts(counts());
+    metrics.update_host_counts(host_counts());
     let text = metrics.render().unwrap();
     assert!(text.contains("banyanarch_ledger_free_tokens{pool=\"hall-a/llm-advisor/0\"} 700"));
     assert!(text.contains("banyanarch_peer_bytes_total{purpose=\"control\"} 120"));
@@ -211,7 +213,7 @@
     assert!(!metrics.render().unwrap().contains("hall-a"));
 }
 
-fn counts() -> HostCounts {
+fn host_counts() -> HostCounts {
     let load = PoolLoad {
         free_tokens: Tokens(700),
         ..PoolLoad::default()
@@ -224,13 +226,13 @@
     }
 }
 
-fn explanations(bounds: ExplanationLimits) -> (Arc<ManualClock>, Explanations) {
+fn explanations(limits: ExplanationLimits) -> (Arc<ManualClock>, Explanations) {
     let clock = Arc::new(ManualClock::new());
-    (clock.clone(), Explanations::new(clock, bounds))
+    (clock.clone(), Explanations::new(clock, limits))
 }
 
 #[test]
-fn an_explanation_is_told_as_json() {
+fn an_explanation_is_serialized_as_json() {
     let (clock, explanations) = explanations(ExplanationLimits::default());
     let request = RequestId(7);
     explanations.record(request, StepKind::Received, "", "42 tokens");
@@ -255,38 +257,38 @@
     assert_eq!(explanations.get(RequestId(8)), None);
 }
 
-/// A host runs for weeks under load, and one request is retried without end. Unbounded, either
-/// would take the memory that prompts need.
+/// A host runs for weeks under load, and one request is retried again and again. Without limits on
+/// requests and steps, the explanations would take the memory that prompts need.
 #[test]
-fn explanations_are_bounded_and_the_oldest_go_first() {
-    let bounds = ExplanationLimits {
+fn explanations_are_limited_and_the_oldest_are_evicted_first() {
+    let limits = ExplanationLimits {
         requests: 160,
         bytes: 100_000,
         steps: 6,
         text_bytes: 10,
     };
-    let (_, explanations) = explanations(bounds);
+    let (_, explanations) = explanations(limits);
     for id in 0..10_000 {
         for n in 0..20 {
-            let why = format!("step {n} of it"); // the eighth byte on is clipped away at n > 9
+            let why = format!("step {n} of it"); // longer than text_bytes, so it is truncated
             explanations.record(RequestId(id), StepKind::Retried, "ગીત-model", why);
         }
     }
     let (requests, bytes) = explanations.size();
     assert!(
-        requests <= bounds.requests && bytes <= bounds.bytes,
+        requests <= limits.requests && bytes <= limits.bytes,
         "{requests} {bytes}"
     );
     assert_eq!(explanations.get(RequestId(0)), None);
-    let kept = explanations.get(RequestId(9_999)).unwrap();
-    assert_eq!((kept.steps.len(), kept.left_out), (6, 14));
-    assert_eq!(kept.steps[0].why, "step 0 of ");
-    assert_eq!(kept.steps[5].why, "step 19 of");
-    assert_eq!(kept.steps[5].place, "ગીત-");
+    let newest = explanations.get(RequestId(9_999)).unwrap();
+    assert_eq!((newest.steps.len(), newest.left_out), (6, 14));
+    assert_eq!(newest.steps[0].why, "step 0 of ");
+    assert_eq!(newest.steps[5].why, "step 19 of");
+    assert_eq!(newest.steps[5].place, "ગીત-");
 }
 
 #[test]
-fn a_json_log_line_carries_the_request() {
+fn a_json_log_line_has_the_request_id() {
     if env::var_os(LOG_CHILD).is_some() {
         let settings = LogSettings {
             format: LogFormat::Json,
@@ -294,13 +296,13 @@
         };
         logs::init(&settings).unwrap();
         log::debug!("homes: not shown");
-        log::info!(request:% = RequestId(9); "entry: turned away");
+        log::info!(request:% = RequestId(9); "entry: refused");
         return;
     }
     let child = Command::new(env::current_exe().unwrap())
         .args([
             "--exact",
-            "a_json_log_line_carries_the_request",
+            "a_json_log_line_has_the_request_id",
             "--nocapture",
         ])
         .env(LOG_CHILD, "1")
@@ -309,7 +311,7 @@
     let stderr = String::from_utf8(child.stderr).unwrap();
     let line = stderr.lines().find(|line| line.starts_with('{')).unwrap();
     let line: serde_json::Value = serde_json::from_str(line).unwrap();
-    assert_eq!(line["message"], "entry: turned away");
+    assert_eq!(line["message"], "entry: refused");
     assert_eq!(line["kvs"]["request"], RequestId(9).to_string());
     assert!(!stderr.contains("not shown"));
 }
--- a/tests/observe_memory.rs
+++ b/tests/observe_memory.rs
@@ -1,5 +1,5 @@
-//! What metrics take at the size of the target. A file of its own, so that its process does nothing
-//! else meanwhile.
+//! Test of the memory of metrics with as many customers as the largest target deployment. It is in a
+//! file of its own, so that no other test changes the memory of the process.
 
 use std::fs;
 use std::time::Duration;
@@ -11,9 +11,9 @@
 use banyanarch::observe::Metrics;
 
 const DESAI: &str = include_str!("../examples/desai/manifest.yaml");
-const CUSTOMERS: usize = 670;
-/// Of the 256 MB that a host may take for control.
-const BUDGET_BYTES: u64 = 64 << 20;
+const CUSTOMER_COUNT: usize = 670;
+/// The part of the 256 MB that a host may use for control.
+const MEMORY_BUDGET_BYTES: u64 = 64 << 20;
 
 fn resident_bytes() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap();
@@ -25,41 +25,41 @@
     kilobytes * 1024
 }
 
-/// 670 customers in steady use fill every series there can be. A host that ran out of memory for
-/// them would take the requests it holds with it.
+/// Requests of 670 customers create every possible series. If the series needed too much memory, the
+/// host would run out of memory and lose the requests in flight.
 #[test]
 fn the_series_of_670_customers_fit_into_a_hosts_budget() {
     let mut manifest = Manifest::parse(DESAI, "m.yaml").unwrap();
-    let like = manifest.customers[0].clone();
-    manifest.customers = (0..CUSTOMERS)
+    let template = manifest.customers[0].clone();
+    manifest.customers = (0..CUSTOMER_COUNT)
         .map(|n| CustomerSpec {
             name: format!("customer-{n}").parse().unwrap(),
-            ..like.clone()
+            ..template.clone()
         })
         .collect();
-    let before = resident_bytes();
+    let bytes_before = resident_bytes();
     let metrics = Metrics::new().unwrap();
     metrics.set_customers(&manifest);
     for customer in &manifest.customers {
         for class in LengthClass::ALL {
-            let took = Duration::from_millis(300);
-            metrics.record_first_token(&customer.name, class, took);
-            metrics.record_token_gap(&customer.name, class, took);
-            metrics.record_queue_wait(&customer.name, class, took);
+            let elapsed = Duration::from_millis(300);
+            metrics.record_first_token(&customer.name, class, elapsed);
+            metrics.record_token_gap(&customer.name, class, elapsed);
+            metrics.record_queue_wait(&customer.name, class, elapsed);
             for outcome in [Outcome::Completed, Outcome::NotRun, Outcome::MayHaveRun] {
                 metrics.count_outcome(&customer.name, class, outcome, "deadline");
             }
         }
     }
-    let recorded = resident_bytes() - before;
+    let recorded_bytes = resident_bytes() - bytes_before;
     let text = metrics.render().unwrap();
-    let rendered = resident_bytes() - before;
+    let rendered_bytes = resident_bytes() - bytes_before;
     println!(
-        "series held: {recorded} bytes; with one rendering of {}: {rendered}",
+        "memory of all series: {recorded_bytes} bytes; after rendering {} bytes of text: {rendered_bytes}",
         text.len()
     );
-    let counts = text.matches("time_to_first_token_seconds_count{").count();
-    assert_eq!(counts, CUSTOMERS * LengthClass::ALL.len());
+    let series_count = text.matches("time_to_first_token_seconds_count{").count();
+    assert_eq!(series_count, CUSTOMER_COUNT * LengthClass::ALL.len());
     assert!(!text.contains("overflow"));
-    assert!(rendered < BUDGET_BYTES, "{rendered}");
+    assert!(rendered_bytes < MEMORY_BUDGET_BYTES, "{rendered_bytes}");
 }
