--- a/src/bin/banyanarch.rs
+++ b/src/bin/banyanarch.rs
@@ -1,4 +1,4 @@
-//! The command-line tool.
+//! The command-line tool for operators.
 
 use std::io;
 use std::process::ExitCode;
--- a/src/bin/banyanarchd.rs
+++ b/src/bin/banyanarchd.rs
@@ -1,4 +1,4 @@
-//! The daemon.
+//! The daemon that serves requests on one host.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -11,7 +11,7 @@
 use pico_args::Arguments;
 
 const USAGE: &str = "
-Serves requests of callers from the upstreams of one fleet.
+Serves the requests of callers with the upstreams of one fleet.
 
 Usage:
     banyanarchd --settings FILE
@@ -20,9 +20,9 @@
 
 Options:
     --settings FILE    Run with these settings.
-    --check FILE       Check these settings and bind nothing.
+    --check FILE       Check these settings without binding or connecting to any address.
 
-Exit codes: 0 drained or good, 1 failed while running, 2 bad settings or command line.
+Exit codes: 0 drained or settings valid, 1 failed while running, 2 invalid settings or command line.
 ";
 
 fn main() -> ExitCode {
@@ -48,9 +48,9 @@
 }
 
 fn check(path: &Path) -> ExitCode {
-    let checked = check_settings_file(path);
-    println!("{}", checked.report.trim_end());
-    ExitCode::from(checked.exit_code)
+    let settings_check = check_settings_file(path);
+    println!("{}", settings_check.report.trim_end());
+    ExitCode::from(settings_check.exit_code)
 }
 
 fn run(path: &Path) -> ExitCode {
