--- a/src/manifest/published.rs
+++ b/src/manifest/published.rs
@@ -16,8 +16,8 @@
 pub struct PublishedManifest {
     /// The generation of the manifest.
     pub generation: Generation,
-    /// A random id from the publisher. With it the publisher recognizes its own write if the response
-    /// to the write was lost.
+    /// A random id from the publisher. With it the publisher recognizes its own write if the
+    /// response to the write was lost.
     pub publish_id: String,
     /// The hash of `text`.
     pub hash: ContentHash,
--- a/src/observe/explanations.rs
+++ b/src/observe/explanations.rs
@@ -28,17 +28,17 @@
     pub requests: usize,
     /// The maximum memory in bytes, estimated from the sizes of the structures and texts.
     pub bytes: usize,
-    /// The maximum number of steps per request. Beyond it, steps in the middle are removed, since the
-    /// first and the last ones are the most useful.
+    /// The maximum number of steps per request. Beyond it, steps in the middle are removed, since
+    /// the first and the last ones are the most useful.
     pub steps: usize,
     /// The maximum length of one text in bytes; longer texts are truncated.
     pub text_bytes: usize,
 }
 
 impl Default for ExplanationLimits {
-    /// 16,384 requests cover 19 minutes on a host that receives 14 requests per second, which is the
-    /// share of one of 400 hosts in 5,600 requests per second. 16 MiB are one sixteenth of such a
-    /// host's memory and hold 16,384 requests of the usual size.
+    /// 16,384 requests cover 19 minutes on a host that receives 14 requests per second, which is
+    /// the share of one of 400 hosts in 5,600 requests per second. 16 MiB are one sixteenth of such
+    /// a host's memory and hold 16,384 requests of the usual size.
     fn default() -> Self {
         Self {
             requests: 16_384,
@@ -81,7 +81,8 @@
         }
     }
 
-    /// Records a step of a request. `place` is the upstream or host that the step concerns, or empty.
+    /// Records a step of a request. `place` is the upstream or host that the step concerns, or
+    /// empty.
     pub fn record(
         &self,
         request: RequestId,
--- a/src/observe/latest_counts.rs
+++ b/src/observe/latest_counts.rs
@@ -13,8 +13,8 @@
 use crate::units::Generation;
 use crate::units::TargetId;
 
-/// The latest counts of the cluster view and of the host's parts. Each set is replaced as a whole: a
-/// gauge that kept the count of a removed target would report upstreams that no longer exist.
+/// The latest counts of the cluster view and of the host's parts. Each set is replaced as a whole:
+/// a gauge that kept the count of a removed target would report upstreams that no longer exist.
 #[derive(Debug, Default)]
 pub(crate) struct LatestCounts {
     cluster: Mutex<ClusterCounts>,
--- a/src/observe/logs.rs
+++ b/src/observe/logs.rs
@@ -1,7 +1,8 @@
 //! Logs on standard error, as text or JSON.
 //!
 //! Each part of the program starts its messages with a fixed prefix (`homes: …`). A message about
-//! one request carries the request id under the key `request`: `log::info!(request:% = id; "entry: …")`.
+//! one request carries the request id under the key `request`:
+//! `log::info!(request:% = id; "entry: …")`.
 
 use log::LevelFilter;
 use logforth::append::Stderr;
--- a/src/yaml/node.rs
+++ b/src/yaml/node.rs
@@ -54,8 +54,8 @@
         matches!(&self.value, Value::Mapping(entries) if find_value(entries, key).is_some())
     }
 
-    /// Returns the line of the field at `path` below this node. If the field does not exist, this is
-    /// the line of its deepest existing ancestor.
+    /// Returns the line of the field at `path` below this node. If the field does not exist, this
+    /// is the line of its deepest existing ancestor.
     pub(crate) fn line_of(&self, path: &str) -> u64 {
         let mut node = self;
         for segment in path
--- a/src/yaml/raw_value.rs
+++ b/src/yaml/raw_value.rs
@@ -13,6 +13,7 @@
 /// the original text is taken from the file afterwards.
 pub(crate) enum RawValue {
     Null,
+    /// A string, as the parser returns it.
     Text(String),
     /// A scalar that the parser converted, formatted as text again.
     Inferred(String),
--- a/tests/manifest.rs
+++ b/tests/manifest.rs
@@ -133,14 +133,14 @@
         "m.yaml:10: services[0].name: `v1` is reserved for the path of model calls",
         "m.yaml:11: services[1].name: `v1` is reserved for the path of model calls",
         "m.yaml:11: services[1].name: `v1` is taken by services[0].name",
-        "m.yaml:15: customers: has no entry named `default`, which applies to customers that are not \
-         listed",
+        "m.yaml:15: customers: has no entry named `default`, which applies to customers that are \
+         not listed",
         "m.yaml:15: customers[0].burst_requests: must be above 0, or the rate admits no request",
         "m.yaml:16: customers[1].name: `a` is taken by customers[0].name",
         "m.yaml:16: customers[1].priority: `urgent` is not a priority of this manifest",
         "m.yaml:18: limits.deadline_default_ms: is above deadline_max_ms",
-        "m.yaml:20: limits.deadline_min_ms: is not a known field; known fields are deadline_default_ms, \
-         deadline_max_ms, output_tokens_default, body_size_max",
+        "m.yaml:20: limits.deadline_min_ms: is not a known field; known fields are \
+         deadline_default_ms, deadline_max_ms, output_tokens_default, body_size_max",
     ];
     assert_eq!(problems(text), expected);
 }
--- a/tests/observe.rs
+++ b/tests/observe.rs
@@ -159,8 +159,9 @@
     cluster_view
 }
 
-/// A host gets its first manifest, and later its last upstream is removed. Customers must have their
-/// own series from the first manifest on, and the gauges must not report the removed upstream.
+/// A host gets its first manifest, and later its last upstream is removed. Customers must have
+/// their own series from the first manifest on, and the gauges must not report the removed
+/// upstream.
 #[test]
 fn the_cluster_view_is_counted_anew_on_each_update() {
     let metrics = Metrics::new().unwrap();
@@ -199,9 +200,9 @@
     )));
 }
 
-/// A home hands over a pool whose memory is partly reserved. If the gauges of the pool remained, the
-/// sum over all hosts would count that memory twice forever, and the alarm for lost memory would
-/// never clear.
+/// A home hands over a pool whose memory is partly reserved. If the gauges of the pool remained,
+/// the sum over all hosts would count that memory twice forever, and the alarm for lost memory
+/// would never clear.
 #[test]
 fn gauges_of_a_pool_that_was_handed_over_are_removed() {
     let metrics = metrics();
--- a/tests/observe_memory.rs
+++ b/tests/observe_memory.rs
@@ -1,5 +1,5 @@
-//! Test of the memory of metrics with as many customers as the largest target deployment. It is in a
-//! file of its own, so that no other test changes the memory of the process.
+//! Test of the memory of metrics with as many customers as the largest target deployment. It is in
+//! a file of its own, so that no other test changes the memory of the process.
 
 use std::fs;
 use std::time::Duration;
@@ -25,8 +25,8 @@
     kilobytes * 1024
 }
 
-/// Requests of 670 customers create every possible series. If the series needed too much memory, the
-/// host would run out of memory and lose the requests in flight.
+/// Requests of 670 customers create every possible series. If the series needed too much memory,
+/// the host would run out of memory and lose the requests in flight.
 #[test]
 fn the_series_of_670_customers_fit_into_a_hosts_budget() {
     let mut manifest = Manifest::parse(DESAI, "m.yaml").unwrap();
@@ -55,7 +55,7 @@
     let text = metrics.render().unwrap();
     let rendered_bytes = resident_bytes() - bytes_before;
     println!(
-        "memory of all series: {recorded_bytes} bytes; after rendering {} bytes of text: {rendered_bytes}",
+        "memory of the series: {recorded_bytes} bytes; after rendering {} bytes: {rendered_bytes}",
         text.len()
     );
     let series_count = text.matches("time_to_first_token_seconds_count{").count();
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -45,8 +45,8 @@
 }
 
 /// One change renames a key, omits a required one, writes a duration with a unit, makes a number
-/// negative and gives two listeners the same port. The host must not start, and one run of the check
-/// must report all of it; otherwise the operator finds one problem per restart.
+/// negative and gives two listeners the same port. The host must not start, and one run of the
+/// check must report all of it; otherwise the operator finds one problem per restart.
 #[test]
 fn all_problems_are_reported_at_once() {
     let text = "\
