--- a/src/exchange/aggregate.rs
+++ b/src/exchange/aggregate.rs
@@ -7,9 +7,9 @@
 use indexmap::IndexMap;
 
 use crate::exchange::HostUpdate;
-use crate::exchange::LimitEntry;
 use crate::exchange::MessageScope;
 use crate::exchange::PoisonEntry;
+use crate::exchange::RateLimitEntry;
 use crate::exchange::UpstreamHash;
 use crate::exchange::collector_messages::CollectorMessages;
 use crate::exchange::sent_limits::SentLimits;
@@ -130,8 +130,8 @@
         poisons
     }
 
-    fn total_limits(&self, now: Instant) -> Vec<LimitEntry> {
-        let mut sum: IndexMap<UpstreamHash, LimitEntry> = IndexMap::new();
+    fn total_limits(&self, now: Instant) -> Vec<RateLimitEntry> {
+        let mut sum: IndexMap<UpstreamHash, RateLimitEntry> = IndexMap::new();
         for entry in self
             .neighbours
             .values()
--- a/src/exchange/message.rs
+++ b/src/exchange/message.rs
@@ -63,7 +63,7 @@
     /// Upstreams that have named a rate limit, and the requests sent to them. Upstreams that are
     /// not included are unchanged.
     #[prost(message, repeated, tag = "17")]
-    pub limits: Vec<LimitEntry>,
+    pub limits: Vec<RateLimitEntry>,
 }
 
 /// The load at one upstream.
@@ -133,7 +133,7 @@
 /// An upstream that has named a limit of requests per second.
 #[derive(Clone, Copy, PartialEq)]
 #[derive(prost::Message)]
-pub struct LimitEntry {
+pub struct RateLimitEntry {
     /// The hash of the upstream's id.
     #[prost(fixed64, tag = "1")]
     pub upstream_hash: u64,
@@ -153,7 +153,7 @@
     pub sent_in_burst_window: u32,
 }
 
-impl LimitEntry {
+impl RateLimitEntry {
     /// The hash of the upstream's id.
     pub fn upstream(&self) -> UpstreamHash {
         UpstreamHash(self.upstream_hash)
--- a/src/exchange/received_limits.rs
+++ b/src/exchange/received_limits.rs
@@ -5,7 +5,7 @@
 
 use indexmap::IndexMap;
 
-use crate::exchange::LimitEntry;
+use crate::exchange::RateLimitEntry;
 use crate::exchange::UpstreamHash;
 
 /// Time after which a received limit is ignored, because the requests that it counts have left the
@@ -14,13 +14,13 @@
 
 #[derive(Clone, Copy, Debug)]
 struct ReceivedLimit {
-    entry: LimitEntry,
+    entry: RateLimitEntry,
     received_at: Instant,
     is_forwarded: bool,
 }
 
 impl ReceivedLimit {
-    fn aged(&self, now: Instant) -> LimitEntry {
+    fn aged(&self, now: Instant) -> RateLimitEntry {
         let since = now.saturating_duration_since(self.received_at);
         self.entry.aged_by(since)
     }
@@ -34,7 +34,7 @@
 
 impl ReceivedLimits {
     /// Records the limits of a message. Limits of upstreams that are not included stay unchanged.
-    pub(crate) fn record(&mut self, limits: Vec<LimitEntry>, now: Instant) {
+    pub(crate) fn record(&mut self, limits: Vec<RateLimitEntry>, now: Instant) {
         for entry in limits {
             let received = ReceivedLimit {
                 entry,
@@ -46,7 +46,7 @@
     }
 
     /// The limits that have not expired, with their age at `now`.
-    pub(crate) fn current(&self, now: Instant) -> impl Iterator<Item = LimitEntry> {
+    pub(crate) fn current(&self, now: Instant) -> impl Iterator<Item = RateLimitEntry> {
         let is_kept = move |received: &&ReceivedLimit| {
             now.saturating_duration_since(received.received_at) < RETENTION
         };
@@ -55,7 +55,7 @@
     }
 
     /// Takes the limits that have not been forwarded yet.
-    pub(crate) fn take_pending(&mut self, now: Instant) -> Vec<LimitEntry> {
+    pub(crate) fn take_pending(&mut self, now: Instant) -> Vec<RateLimitEntry> {
         let new = self
             .by_upstream
             .values_mut()
--- a/src/exchange/source_state.rs
+++ b/src/exchange/source_state.rs
@@ -7,9 +7,9 @@
 use indexmap::IndexMap;
 
 use crate::exchange::HostUpdate;
-use crate::exchange::LimitEntry;
 use crate::exchange::LoadEntry;
 use crate::exchange::PoisonEntry;
+use crate::exchange::RateLimitEntry;
 use crate::exchange::UpstreamHash;
 use crate::exchange::load_state::LoadState;
 use crate::exchange::received_limits::ReceivedLimits;
@@ -66,7 +66,7 @@
     }
 
     /// The rate limits that the source has reported, with their age at `now`.
-    pub(crate) fn limits(&self, now: Instant) -> impl Iterator<Item = LimitEntry> {
+    pub(crate) fn limits(&self, now: Instant) -> impl Iterator<Item = RateLimitEntry> {
         self.limits.current(now)
     }
 
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -19,11 +19,11 @@
 use crate::decide::RequestFingerprint;
 use crate::exchange::ExchangeHandler;
 use crate::exchange::HostUpdate;
-use crate::exchange::LimitEntry;
 use crate::exchange::ListedHost;
 use crate::exchange::LoadEntry;
 use crate::exchange::MessageScope;
 use crate::exchange::PoisonEntry;
+use crate::exchange::RateLimitEntry;
 use crate::exchange::SlowdownEntry;
 use crate::exchange::UpdateRoute;
 use crate::exchange::UpstreamHash;
@@ -303,8 +303,8 @@
     Slowdown::new(f64::from(entry.slowdown_percent) / 100.0)
 }
 
-fn limit_entry((upstream, report): (&UpstreamId, LimitReport)) -> LimitEntry {
-    LimitEntry {
+fn limit_entry((upstream, report): (&UpstreamId, LimitReport)) -> RateLimitEntry {
+    RateLimitEntry {
         upstream_hash: UpstreamHash::from(upstream).0,
         limit_per_s: report.limit.map(|limit| limit.0),
         age_ms: whole_millis_u32(report.age),
@@ -313,7 +313,7 @@
     }
 }
 
-fn decode_limit(entry: &LimitEntry) -> LimitReport {
+fn decode_limit(entry: &RateLimitEntry) -> LimitReport {
     LimitReport {
         limit: entry.limit_per_s.map(RequestsPerSecond),
         age: Duration::from_millis(entry.age_ms.into()),
--- a/tests/exchange_fleet.rs
+++ b/tests/exchange_fleet.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use banyanarch::exchange::LimitEntry;
+use banyanarch::exchange::RateLimitEntry;
 use exchange_world::CHANGES_PER_S;
 use exchange_world::Node;
 use exchange_world::World;
@@ -91,11 +91,11 @@
     world.loss_rate = 0.05;
     for sent_in_window in [1, 4] {
         for index in (0..hosts).step_by(3) {
-            world.nodes[index].sent = Some(LimitEntry {
+            world.nodes[index].sent = Some(RateLimitEntry {
                 upstream_hash: 1,
                 limit_per_s: Some(1.7),
                 sent_in_window,
-                ..LimitEntry::default()
+                ..RateLimitEntry::default()
             });
         }
         world.run_for(ms(1_500));
--- a/tests/exchange_world/node.rs
+++ b/tests/exchange_world/node.rs
@@ -9,11 +9,11 @@
 use banyanarch::decide::LoadUpdateKind;
 use banyanarch::exchange::ExchangeState;
 use banyanarch::exchange::HostUpdate;
-use banyanarch::exchange::LimitEntry;
 use banyanarch::exchange::ListedHost;
 use banyanarch::exchange::LoadEntry;
 use banyanarch::exchange::MessageScope;
 use banyanarch::exchange::OutgoingUpdate;
+use banyanarch::exchange::RateLimitEntry;
 use banyanarch::exchange::UpstreamHash;
 use banyanarch::units::UpstreamId;
 use indexmap::IndexMap;
@@ -34,7 +34,7 @@
     pub incarnation: u64,
     own: IndexMap<UpstreamId, u32>,
     /// The sends of this host to an upstream that has named a limit.
-    pub sent: Option<LimitEntry>,
+    pub sent: Option<RateLimitEntry>,
     heard_sends: IndexMap<LoadSource, u32>,
 }
 
