--- a/src/exchange/message.rs
+++ b/src/exchange/message.rs
@@ -197,7 +197,7 @@
 pub struct PoisonEntry {
     /// The hash that identifies the request, 16 bytes.
     #[prost(bytes = "vec", tag = "1")]
-    pub content: Vec<u8>,
+    pub content_hash: Vec<u8>,
     /// The attempts that crashed an upstream, 16 bytes each.
     #[prost(bytes = "vec", repeated, tag = "2")]
     pub attempts: Vec<Vec<u8>>,
