--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -331,7 +331,7 @@
 fn poison_entry(poison: &PoisonReport) -> PoisonEntry {
     let (RequestFingerprint::Content(hash) | RequestFingerprint::Key(hash)) = poison.fingerprint;
     PoisonEntry {
-        content: hash.0.to_be_bytes().to_vec(),
+        content_hash: hash.0.to_be_bytes().to_vec(),
         attempts: poison
             .attempts
             .iter()
@@ -344,7 +344,7 @@
     let number = |bytes: &Vec<u8>| Some(u128::from_be_bytes(bytes.as_slice().try_into().ok()?));
     let attempts = entry.attempts.iter().filter_map(number).map(AttemptId);
     Some(PoisonReport {
-        fingerprint: RequestFingerprint::of_content(ContentHash(number(&entry.content)?)),
+        fingerprint: RequestFingerprint::of_content(ContentHash(number(&entry.content_hash)?)),
         attempts: attempts.collect(),
     })
 }
