--- a/src/clock/manual.rs
+++ b/src/clock/manual.rs
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Moves the time forward.
+    /// Moves all three times of the clock forward.
     pub fn advance(&self, by: Duration) {
         *self.elapsed.lock().unwrap_or_else(PoisonError::into_inner) += by;
     }
--- a/src/clock/mod.rs
+++ b/src/clock/mod.rs
@@ -1,4 +1,4 @@
-//! The clock as an interface, so that tests can control the time.
+//! The clock as a trait, so that tests can control the time.
 
 mod manual;
 mod system;
@@ -15,8 +15,9 @@
     /// Monotonic time, on which all deadlines and ages are measured.
     fn now(&self) -> Instant;
 
-    /// Time since boot, including time in suspension. Leases are measured on it: by [`Clock::now`],
-    /// a machine that was suspended past the end of its lease would go on using the lease.
+    /// Time since the machine booted, including the time for which it was suspended. Leases are
+    /// measured on this clock. By [`Clock::now`], which may stop during suspension, a machine that
+    /// was suspended past the end of its lease would go on using the lease.
     fn since_boot(&self) -> Duration;
 
     /// The time of day, for logs and people only, because the clocks of hosts differ.
--- a/src/cluster_view/host_view.rs
+++ b/src/cluster_view/host_view.rs
@@ -7,16 +7,17 @@
 use crate::units::HostId;
 use crate::units::Incarnation;
 
-/// The state of a host according to the membership.
+/// What the membership protocol reports about one host: its failure domain, address, state and
+/// manifest generation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostView {
     /// The name of the host.
     pub id: HostId,
     /// The failure domain of the host.
     pub domain: FailureDomainId,
-    /// The address at which the host listens for peers.
+    /// The address at which the host accepts connections of other hosts.
     pub peer_addr: SocketAddr,
-    /// The incarnation of the host.
+    /// The incarnation of the host that the report is about.
     pub incarnation: Incarnation,
     /// The membership state of the host.
     pub state: HostState,
@@ -27,12 +28,12 @@
 /// The states of a host in the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum HostState {
-    /// The host answers.
+    /// The host answers probes.
     Alive,
-    /// The host did not answer, but may still refute the suspicion.
+    /// The host did not answer a probe, but may still refute the suspicion that it is dead.
     Suspect,
-    /// The host drains: it takes no homes and finishes its requests.
+    /// The host drains: it is not chosen as the home of any pool, and finishes its requests.
     Leaving,
-    /// The host is gone.
+    /// The host is treated as gone.
     Dead,
 }
--- a/src/cluster_view/sharded_map.rs
+++ b/src/cluster_view/sharded_map.rs
@@ -1,4 +1,4 @@
-//! A concurrent map of shards, each under its own lock.
+//! A concurrent map that is divided into shards, each under its own lock.
 
 use std::hash::BuildHasher;
 use std::hash::Hash;
@@ -11,10 +11,11 @@
 
 use indexmap::IndexMap;
 
-/// With a dozen threads, contention for one of this many locks is rare.
+/// The number of shards. With a dozen threads, contention for one of this many locks is rare.
 const SHARD_COUNT: usize = 32;
 
-/// A concurrent map of shards. No call holds more than one lock, which rules out deadlocks.
+/// A concurrent map that is divided into shards, each under its own lock. No call holds more than
+/// one lock, which rules out deadlocks.
 #[derive(Debug)]
 pub struct ShardedMap<K, V> {
     hasher: RandomState,
@@ -41,28 +42,30 @@
         self.changes.load(Ordering::Acquire)
     }
 
-    /// Sets a value and returns the previous one.
+    /// Sets the value of a key and returns the previous one, if any.
     pub fn insert(&self, key: K, value: V) -> Option<V> {
         let before = self.shard(&key).insert(key, value);
         self.record_change();
         before
     }
 
-    /// Removes a value and returns it.
+    /// Removes the value of a key and returns it; none if the map does not contain the key.
     pub fn remove(&self, key: &K) -> Option<V> {
         let before = self.shard(key).swap_remove(key);
         self.record_change();
         before
     }
 
-    /// Runs `change` on the value of a key under the lock of its shard.
+    /// Runs `change` on the value of a key under the lock of its shard, and returns its result;
+    /// none if the map does not contain the key.
     pub fn update<R>(&self, key: &K, change: impl FnOnce(&mut V) -> R) -> Option<R> {
         let changed = self.shard(key).get_mut(key).map(change);
         self.record_change();
         changed
     }
 
-    /// Runs `change` on the value of a key, which `make` creates if there is none.
+    /// Runs `change` on the value of a key under the lock of its shard, and returns its result. If
+    /// the map does not contain the key, `make` creates the value first.
     pub fn upsert<R>(
         &self,
         key: &K,
@@ -74,7 +77,8 @@
         changed
     }
 
-    /// Keeps the entries for which `keep` returns true.
+    /// Removes all entries for which `keep` returns false. `keep` may change values. The shards are
+    /// locked one after another, so other threads may change the map meanwhile.
     pub fn retain(&self, mut keep: impl FnMut(&K, &mut V) -> bool) {
         for shard in &self.shards {
             lock(shard).retain(&mut keep);
@@ -116,12 +120,13 @@
 }
 
 impl<K: Hash + Eq + Clone, V: Clone> ShardedMap<K, V> {
-    /// Returns a copy of one value.
+    /// Returns a copy of the value of a key.
     pub fn get(&self, key: &K) -> Option<V> {
         self.shard(key).get(key).cloned()
     }
 
-    /// Returns a copy of all entries, shard by shard.
+    /// Returns a copy of all entries. The shards are copied one after another, so other threads may
+    /// change the map meanwhile.
     pub fn snapshot(&self) -> Vec<(K, V)> {
         let copy = |shard: &Mutex<IndexMap<K, V>>| -> Vec<(K, V)> {
             lock(shard)
--- a/src/routing/call_kind.rs
+++ b/src/routing/call_kind.rs
@@ -1,4 +1,4 @@
-//! Which calls may be repeated.
+//! The kinds of calls by whether they may be repeated.
 
 /// Whether a call may be sent to a second upstream although the first one may have run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,8 @@
         matches!(self, Self::Stream { .. })
     }
 
-    /// The name of the kind in logs and metrics.
+    /// The name of the kind in logs and metrics: `idempotent`, `at_most_once`, `resumable_stream`
+    /// or `stream`.
     pub fn name(self) -> &'static str {
         match self {
             Self::Idempotent => "idempotent",
--- a/src/routing/keys.rs
+++ b/src/routing/keys.rs
@@ -25,7 +25,7 @@
         self.is_required
     }
 
-    /// The customer that holds a key.
+    /// The customer that holds a key; none if the key is not in force.
     pub fn customer(&self, key: &str) -> Option<&CustomerId> {
         self.by_key.get(key)
     }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,5 +1,5 @@
-//! Routes by host name and path, the services behind them, and customers by key. All of it comes
-//! from the manifest and is replaced as a whole.
+//! Routes by host name and path, the services behind them, and customers by API key. All of this
+//! comes from the manifest and is replaced as a whole by the next manifest.
 
 mod call_kind;
 mod keys;
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -6,15 +6,16 @@
 use crate::units::Priority;
 use crate::units::ServiceId;
 
-/// The minimum time for which callers of streams wait for an event, as documented for the
-/// interface.
+/// The minimum of [`stream_caller_timeout`], as documented for the interface.
 const CALLER_TIMEOUT_MIN: Duration = Duration::from_secs(2);
-/// The same time as a multiple of the objective, and as a multiple of the longest pause that is on
-/// time. The longest of the three times applies.
+/// The minimum of [`stream_caller_timeout`] as a multiple of the objective for the first event.
 const CALLER_TIMEOUT_OBJECTIVES: u32 = 4;
+/// The minimum of [`stream_caller_timeout`] as a multiple of the longest pause between two events
+/// that is on time.
 const CALLER_TIMEOUT_PAUSES: u32 = 8;
 
-/// How long the caller of a stream waits for an event, given the objectives of its route.
+/// How long the caller of a stream waits for an event, given the objectives of its route: the
+/// longest of the three minimum times.
 pub fn stream_caller_timeout(objective: Duration, pause_objective: Option<Duration>) -> Duration {
     let by_objective = objective * CALLER_TIMEOUT_OBJECTIVES;
     let by_pause = pause_objective.unwrap_or_default() * CALLER_TIMEOUT_PAUSES;
@@ -45,7 +46,8 @@
     pub timeout: Duration,
     /// The target time for the answer, or for the first event of a stream.
     pub objective: Duration,
-    /// The longest pause between two events that is still on time.
+    /// The longest pause between two events of a stream that is still on time; none if pauses are
+    /// not limited.
     pub pause_objective: Option<Duration>,
     /// The priority; 0 is served first.
     pub priority: Priority,
@@ -58,7 +60,8 @@
 }
 
 impl Route {
-    /// Chooses a target by weight. `draw` is uniformly distributed over all `u32` values.
+    /// Chooses a target by weight; none if no target has a weight above 0. `draw` is uniformly
+    /// distributed over all `u32` values.
     pub fn target(&self, draw: u32) -> Option<&ServiceId> {
         let total: u64 = self.targets.iter().map(|t| u64::from(t.weight)).sum();
         let mut remaining = (u64::from(draw) * total) >> 32;
--- a/src/routing/table.rs
+++ b/src/routing/table.rs
@@ -12,7 +12,8 @@
 use crate::units::Generation;
 use crate::units::ServiceId;
 
-/// The routes of a manifest, indexed for lookups.
+/// The routes of a manifest, indexed by host name and path prefix, with the services, API keys and
+/// caller limits of the same manifest.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     /// The generation of the manifest.
@@ -25,12 +26,13 @@
     pub limits: CallerLimits,
     /// The routes of each host name, the longest prefix first.
     by_hostname: IndexMap<String, Vec<Arc<Route>>>,
-    /// The shortest pause between two events that callers of each service accept.
+    /// The strictest limit on the pause between two events among the routes to each service.
     strictest_pauses: IndexMap<ServiceId, Duration>,
 }
 
 impl RouteTable {
-    /// Creates a table of the given routes.
+    /// Creates a table of the given routes, without services and keys and with the default caller
+    /// limits.
     pub fn new(generation: Generation, routes: Vec<Route>) -> Self {
         let mut by_hostname: IndexMap<String, Vec<Arc<Route>>> = IndexMap::new();
         let strictest_pauses = strictest_pauses(&routes);
@@ -51,14 +53,14 @@
         }
     }
 
-    /// The shortest pause between two events that callers of a service accept; none if no route of
-    /// the service limits it.
+    /// The strictest limit on the pause between two events among the routes to a service; none if
+    /// no route to the service limits the pause.
     pub fn strictest_pause(&self, service: &ServiceId) -> Option<Duration> {
         self.strictest_pauses.get(service).copied()
     }
 
     /// The route of a call: among the routes of the host name, the one with the longest matching
-    /// path prefix. `authority` may include a port.
+    /// path prefix; none if no route matches. `authority` may include a port.
     pub fn route(&self, authority: &str, path: &str) -> Option<&Arc<Route>> {
         let hostname = authority
             .rsplit_once(':')
--- a/src/units/byte_size.rs
+++ b/src/units/byte_size.rs
@@ -27,10 +27,10 @@
 
 impl fmt::Display for ByteSize {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let whole = |unit: u64| self.0 >= unit && self.0.is_multiple_of(unit);
+        let is_multiple = |unit: u64| self.0 >= unit && self.0.is_multiple_of(unit);
         let (name, unit) = UNITS
             .into_iter()
-            .find(|(_, unit)| whole(*unit))
+            .find(|(_, unit)| is_multiple(*unit))
             .unwrap_or(("B", 1));
         write!(f, "{}{name}", self.0 / unit)
     }
--- a/src/units/counters.rs
+++ b/src/units/counters.rs
@@ -16,8 +16,8 @@
     "an incarnation number"
 );
 number_newtype!(
-    /// The number that an order carries, with which an engine refuses orders of an earlier lease
-    /// holder.
+    /// The number in an order to an engine that grows with each lease. An engine that compares it
+    /// with the highest number seen refuses orders of an earlier lease holder.
     FencingNumber,
     u64,
     "a fencing number"
@@ -43,12 +43,12 @@
 );
 
 /// The number of bits of a version that hold the revision; the era takes the bits above. At a
-/// thousand writes per second, a store uses them up in 8,000 years.
+/// thousand writes per second, a store exhausts this range of revisions in 8,000 years.
 const REVISION_BITS: u32 = 48;
 
 impl ObjectVersion {
     /// The version of a revision in a given era. Versions of a later era are greater than those of
-    /// an earlier one, whatever their revisions.
+    /// an earlier one, whatever their revisions. Only the lowest 48 bits of the revision are kept.
     pub fn in_era(era: StoreEra, revision: u64) -> Self {
         let revision = revision & ((1 << REVISION_BITS) - 1);
         Self(u64::from(era.0) << REVISION_BITS | revision)
--- a/src/units/millicores.rs
+++ b/src/units/millicores.rs
@@ -6,7 +6,7 @@
     /// A CPU share in thousandths of a core.
     Millicores,
     u32,
-    "a share of processors"
+    "a CPU share in thousandths of a core"
 );
 
 impl Millicores {
--- a/src/units/names.rs
+++ b/src/units/names.rs
@@ -52,7 +52,7 @@
 );
 
 impl PoolId {
-    /// The name of shard `shard` of a target's upstreams in a failure domain.
+    /// The name of the pool that holds shard `shard` of a target's upstreams in a failure domain.
     pub fn new(domain: &FailureDomainId, target: &TargetId, shard: u32) -> Self {
         Self(format!("{domain}/{target}/{shard}").into())
     }
@@ -71,8 +71,8 @@
             .and_then(|(domain, _)| domain.parse().ok())
     }
 
-    /// A placeholder for requests without a pool: the answer of an earlier send is read without a
-    /// grant.
+    /// A placeholder for a request that needs no grant of any pool, because it reads the answer to
+    /// an earlier send of the same request.
     pub fn placeholder() -> Self {
         Self("followed".into())
     }
--- a/src/units/random_ids.rs
+++ b/src/units/random_ids.rs
@@ -8,7 +8,8 @@
     "a request id of 32 hexadecimal digits"
 );
 random_id_newtype!(
-    /// The id of one dispatch of a request to an upstream. A retry is another attempt.
+    /// The id of one dispatch of a request to an upstream. A retry is an attempt with an id of its
+    /// own.
     AttemptId,
     "an attempt id of 32 hexadecimal digits"
 );
--- a/src/units/slowdown.rs
+++ b/src/units/slowdown.rs
@@ -6,7 +6,8 @@
 
 use crate::units::ParseUnitError;
 
-/// The factor by which an engine takes longer than its model predicts; 1 at full speed.
+/// The factor by which an engine takes longer than its model predicts, at least 1; 1 at full speed.
+/// Written as a number followed by `x`, such as `3.5x`.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Slowdown(f64);
 
@@ -15,7 +16,7 @@
     pub const NONE: Self = Self(1.0);
 
     /// Creates a slowdown. Factors below 1 count as 1: an engine that seemed faster than its model
-    /// would attract all requests.
+    /// would attract all requests. Factors that are not finite count as 1 too.
     pub fn new(factor: f64) -> Self {
         Self(if factor.is_finite() {
             factor.max(1.0)
@@ -53,6 +54,7 @@
 impl FromStr for Slowdown {
     type Err = ParseUnitError;
 
+    /// Parses a finite number of at least 1 that is followed by `x`, such as `3.5x`.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let number = text
             .strip_suffix('x')
