--- a/src/decide/customer_bucket.rs
+++ b/src/decide/customer_bucket.rs
@@ -1,7 +1,8 @@
 //! Token buckets for the request rates of customers.
 //!
-//! Fair shares already protect the waiting times of other customers when one sends far more than
-//! was agreed. The bucket keeps the surplus from filling the queue, and refuses it at once.
+//! Fair shares already protect the waiting times of other customers when one customer sends far
+//! more than was agreed. The bucket refuses the surplus at once, so that it does not fill the
+//! queue.
 
 use std::time::Instant;
 
@@ -23,7 +24,8 @@
         }
     }
 
-    /// Takes the token of one request. Returns whether the customer is within its rate.
+    /// Takes the token of one request. Returns false, and takes nothing, if the customer has
+    /// exceeded its rate.
     pub fn take(&mut self, limit: &CustomerShare, now: Instant) -> bool {
         let elapsed = now
             .saturating_duration_since(self.refilled_at)
--- a/src/decide/rate_limit.rs
+++ b/src/decide/rate_limit.rs
@@ -2,8 +2,8 @@
 //!
 //! An upstream short of capacity names the requests per second that it accepts from all hosts
 //! together. Divided evenly, the limit would allow each of 195 hosts one request in two minutes, or
-//! a burst of 195. Hosts therefore tell each other what they have sent to the upstream, and each
-//! sends while the sum is below the limit.
+//! a burst of 195 requests. Hosts therefore report to each other what they have sent to the
+//! upstream, and each sends while the sum is below the limit.
 
 use std::time::Duration;
 
@@ -18,10 +18,11 @@
 /// The requests allowed in a window however low the limit is, because only an answer shows that the
 /// limit has ended.
 const REQUESTS_IN_WINDOW_MIN: f64 = 1.0;
-/// The shortest wait for a limit to allow another request.
+/// The minimum of [`RateLimitView::opens_in`] while the limit allows no request.
 const WAIT_MIN: Duration = Duration::from_millis(20);
 
-/// The numbers of requests sent to an upstream recently.
+/// The numbers of requests sent to an upstream within the two windows over which its rate limit is
+/// enforced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RecentSends {
     /// Requests sent within [`LIMIT_WINDOW`].
@@ -47,10 +48,10 @@
     pub limit: RequestsPerSecond,
     /// The requests sent to the upstream by this host and all hosts that it hears.
     pub sent: RecentSends,
-    /// How long the limit has allowed another request, as far as this host knows; none if it allows
-    /// none.
+    /// How long the limit has allowed another request, as far as this host knows; none if the limit
+    /// allows no request now.
     pub open_for: Option<Duration>,
-    /// The hosts that share the limit.
+    /// The numbers of hosts that share the limit.
     pub hosts: HostCoverage,
     /// Time since the start of this host.
     pub uptime: Duration,
@@ -64,7 +65,7 @@
         self.remaining() >= 1.0
     }
 
-    /// Time until another request may be sent; zero if one may be sent now.
+    /// The estimated time until the limit allows another request; zero if it allows one now.
     pub fn opens_in(&self) -> Duration {
         if self.is_open() {
             return Duration::ZERO;
@@ -77,9 +78,9 @@
     ///
     /// When a limit allows another request, each of two hundred hosts could send one before it
     /// hears of the others. The probability therefore starts at a level at which one host in all is
-    /// expected to send, and doubles for each maximum report age that passes without a report of a
-    /// send. However many requests wait, about one is sent in addition to the first before its
-    /// report arrives.
+    /// expected to send. It doubles for each maximum report age for which the limit has allowed
+    /// another request. However many requests wait, only about one more is sent before the report
+    /// of the first arrives.
     pub fn admits(&self, draw: f64) -> bool {
         let Some(open_for) = self.open_for else {
             return false;
--- a/src/decide/rate_limit_tracker.rs
+++ b/src/decide/rate_limit_tracker.rs
@@ -34,12 +34,12 @@
 /// The known limit of one upstream.
 #[derive(Clone, Copy, Debug)]
 struct KnownLimit {
-    /// None if the limit has ended.
+    /// The limit; none if it has ended.
     limit: Option<RequestsPerSecond>,
     stated_at: Instant,
     /// Whether this host received the limit from the upstream itself.
     is_first_hand: bool,
-    /// Since when the limit has allowed another request; none if it allows none.
+    /// Since when the limit has allowed another request; none if it allows no request now.
     open_since: Option<Instant>,
 }
 
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Records that this host sends a request, or a part of one, to an upstream.
+    /// Records that this host sends a request, or a part of a request, to an upstream.
     pub fn on_sent(&mut self, upstream: &UpstreamId, now: Instant) {
         match self.own_sent.get_mut(upstream) {
             Some(sent) => sent.add(now),
@@ -96,6 +96,7 @@
                 self.own_sent.insert(upstream.clone(), sent);
             }
         }
+        // Updates `open_since`.
         self.view(upstream, now);
     }
 
@@ -131,7 +132,8 @@
         is_change
     }
 
-    /// Records a limit unless a more recent statement of the upstream is known.
+    /// Records a limit unless a more recent statement of the upstream is known. Returns whether the
+    /// limit has changed.
     fn record_limit(
         &mut self,
         upstream: &UpstreamId,
@@ -161,7 +163,7 @@
         is_change
     }
 
-    /// The limit of an upstream; none if it accepts any number of requests.
+    /// The limit of an upstream; none if the upstream has not named one or the limit has ended.
     pub fn limit(&self, upstream: &UpstreamId) -> Option<RequestsPerSecond> {
         self.limits.get(upstream).and_then(|known| known.limit)
     }
@@ -172,7 +174,9 @@
         self.update_age_max = update_age_max;
     }
 
-    /// The state of an upstream that has named a limit; none for other upstreams.
+    /// The state of an upstream that has named a limit; none for other upstreams. Each call also
+    /// records whether the limit allows another request at `now`, from which
+    /// [`RateLimitView::open_for`] is computed.
     pub fn view(&mut self, upstream: &UpstreamId, now: Instant) -> Option<RateLimitView> {
         let limit = self.limit(upstream)?;
         let mut view = RateLimitView {
@@ -194,7 +198,9 @@
         Some(view)
     }
 
-    /// The reports that this host sends to other hosts.
+    /// The reports that this host sends to other hosts: about limits that it received from the
+    /// upstream itself, or under which it has sent requests recently, and about limits whose end
+    /// the upstream has recently stated to this host.
     pub fn reports(&self, now: Instant) -> impl Iterator<Item = (&UpstreamId, LimitReport)> {
         self.limits.iter().filter_map(move |(upstream, known)| {
             let age = now.saturating_duration_since(known.stated_at);
@@ -212,7 +218,7 @@
         })
     }
 
-    /// Keeps only the upstreams for which `is_listed` returns true.
+    /// Forgets all upstreams for which `is_listed` returns false.
     pub fn retain(&mut self, is_listed: impl Fn(&UpstreamId) -> bool) {
         self.limits.retain(|id, _| is_listed(id));
         self.own_sent.retain(|id, _| is_listed(id));
