--- a/src/exchange/active_collectors.rs
+++ b/src/exchange/active_collectors.rs
@@ -1,4 +1,4 @@
-//! The collector that each other failure domain is currently heard through.
+//! The collectors whose updates a host accepts, one for each other failure domain.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -20,13 +20,13 @@
 }
 
 impl ActiveCollectors {
-    /// Returns the updates to apply for an update of a collector: none if another collector of its
-    /// domain is active; on a change of collectors, an empty update that removes the load of the
-    /// former one comes first.
+    /// Records an update of a collector, and returns the updates to apply. There are none if
+    /// another collector of the domain is active. When this collector takes over from another one,
+    /// an empty update that removes the load of the former collector comes first.
     ///
     /// For a moment, two hosts of a domain can both be collectors, and each sends the load of the
-    /// whole domain. Accepting both would count that load twice. One of them stays active until it
-    /// times out, and its load is removed when the other one takes over.
+    /// whole domain. Accepting both would count that load twice, so one of them stays active until
+    /// it times out.
     pub(crate) fn accept(
         &mut self,
         domain: FailureDomainId,
--- a/src/exchange/aggregate.rs
+++ b/src/exchange/aggregate.rs
@@ -66,7 +66,8 @@
         self.remote_domains.retain(|host, _| is_active(host));
     }
 
-    /// Makes the next messages complete, for a recipient that has received nothing yet.
+    /// Treats everything as not sent yet, for a recipient that has received nothing. The next
+    /// messages carry the complete load and all rate limits.
     pub(crate) fn resend_all(&mut self) {
         self.domain_total.resend_all();
         self.sent_limits = SentLimits::default();
@@ -84,7 +85,8 @@
         self.remote_domains.retain(|_, remote| is_kept(remote));
     }
 
-    /// Returns the messages to send now. `own` is the update of this host alone.
+    /// Returns the messages to send now and records them as sent. `own` is the update of this host
+    /// alone, which is added to the load of the domain.
     pub(crate) fn next_messages(&mut self, own: HostUpdate, now: Instant) -> CollectorMessages {
         let header = HostUpdate {
             loads: Vec::new(),
@@ -120,7 +122,8 @@
         CollectorMessages { relay, domain }
     }
 
-    /// Takes the requests that crashed upstreams, as reported by the hosts of the domain.
+    /// Removes and returns the requests that crashed upstreams, as reported by the hosts of the
+    /// domain.
     fn take_domain_poisons(&mut self, now: Instant) -> Vec<PoisonEntry> {
         let neighbours = self.neighbours.values_mut();
         let mut poisons: Vec<PoisonEntry> = neighbours
@@ -130,6 +133,8 @@
         poisons
     }
 
+    /// The rate limits of upstreams, with the requests that all hosts of the domain have sent
+    /// there.
     fn total_limits(&self, now: Instant) -> Vec<RateLimitEntry> {
         let mut sum: IndexMap<UpstreamHash, RateLimitEntry> = IndexMap::new();
         for entry in self
@@ -144,6 +149,7 @@
         sum.into_values().collect()
     }
 
+    /// The load of all hosts of the domain together.
     fn total_loads(&self) -> LoadsByUpstream {
         let mut sum = LoadsByUpstream::new();
         for (upstream, load) in self.neighbours.values().flat_map(SourceState::loads) {
--- a/src/exchange/collector_messages.rs
+++ b/src/exchange/collector_messages.rs
@@ -5,8 +5,10 @@
 /// The messages that a collector sends in one round.
 #[derive(Debug, Default)]
 pub(crate) struct CollectorMessages {
-    /// The message to the hosts of the collector's failure domain.
+    /// The message to the hosts of the collector's failure domain, with the updates of other
+    /// domains.
     pub(crate) relay: HostUpdate,
-    /// The message to the other collectors, if there is anything new.
+    /// The message to the collectors of other domains, with the load of the collector's own domain;
+    /// none if there is nothing new.
     pub(crate) domain: Option<HostUpdate>,
 }
--- a/src/exchange/collector_tracker.rs
+++ b/src/exchange/collector_tracker.rs
@@ -42,7 +42,8 @@
 }
 
 impl CollectorTracker {
-    /// Records that a host of this failure domain is alive.
+    /// Records that a message of a host of this failure domain has arrived, which makes the host
+    /// eligible as collector for [`NEIGHBOUR_TIMEOUT`] unless it is excluded.
     pub(crate) fn on_neighbour_heard(&mut self, host: &HostId, now: Instant) {
         match self.neighbour_heard_at.get_mut(host) {
             Some(heard_at) => *heard_at = now,
@@ -52,18 +53,20 @@
         }
     }
 
-    /// Records a message that a collector sent directly to this host.
+    /// Records a message that a collector sent directly to this host, and ends its exclusion from
+    /// election.
     pub(crate) fn on_collector_heard(&mut self, host: &HostId, now: Instant) {
         self.collector_heard_at.insert(host.clone(), now);
         self.excluded_until.swap_remove(host);
     }
 
-    /// Whether a collector has sent a message to this host within the timeout.
+    /// Whether a collector has sent a message directly to this host within [`COLLECTOR_TIMEOUT`].
     pub(crate) fn has_reported(&self, host: &HostId, now: Instant) -> bool {
         is_within(self.collector_heard_at.get(host), COLLECTOR_TIMEOUT, now)
     }
 
-    /// Monitors exactly the given hosts, and excludes those that have timed out.
+    /// Monitors the given hosts and no others, and excludes those that have timed out from election
+    /// for [`EXCLUSION_TIME`].
     pub(crate) fn monitor(&mut self, monitored: &[HostId], now: Instant) {
         self.waiting_since
             .retain(|host, _| monitored.contains(host));
@@ -81,7 +84,7 @@
         }
     }
 
-    /// The earliest time at which a monitored host times out.
+    /// The earliest time at which a monitored host times out; none if no host is monitored.
     pub(crate) fn next_timeout(&self) -> Option<Instant> {
         let next_timeout = |(host, started_at): (&HostId, &Instant)| {
             let heard_at = self.collector_heard_at.get(host).unwrap_or(started_at);
@@ -90,8 +93,8 @@
         self.waiting_since.iter().map(next_timeout).min()
     }
 
-    /// Elects the strongest live host of a failure domain as its collector. `own` is this host,
-    /// which always counts as alive.
+    /// Returns the host to use as collector of this failure domain: the strongest live one that is
+    /// not excluded. `own` is this host, which always counts as alive.
     pub(crate) fn elect<'a>(
         &self,
         neighbours: impl Iterator<Item = &'a ListedHost>,
--- a/src/exchange/exchange_state.rs
+++ b/src/exchange/exchange_state.rs
@@ -6,10 +6,10 @@
 //! sends the aggregated load of the domain to the collectors of the other domains, which relay it
 //! to their own hosts.
 //!
-//! With a full mesh, 195 hosts would send 78,000 messages a second. Since a host can receive only
-//! so many, updates would be half a second old, and in that time hosts place a hundred prompts that
-//! the others do not know of. Hosts that prefer the engines of their own domain need recent updates
-//! of their neighbours only.
+//! With a full mesh, 195 hosts would send 78,000 messages a second. Since the number of messages
+//! that a host can receive is limited, updates would be half a second old, and in that time hosts
+//! place a hundred prompts that the others do not know of. Hosts that prefer the engines of their
+//! own domain need recent updates of their neighbours only.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -153,7 +153,7 @@
         self.elect_collector(now);
     }
 
-    /// Requests that a message is sent for the given reason.
+    /// Requests that a message with the current state is sent for the given reason.
     pub fn request_send(&mut self, reason: SendReason) {
         self.pacer.request_send(reason);
         self.has_relay_data = true;
@@ -189,7 +189,9 @@
             .fold(own, Instant::min)
     }
 
-    /// Returns the messages that are due now. `own` builds the update of this host alone.
+    /// Returns the messages that are due now and records them as sent. `own` builds the update of
+    /// this host alone. Each call also forgets the load of hosts and domains that have timed out,
+    /// and elects the collector anew.
     pub fn due_messages(
         &mut self,
         own: impl Fn() -> HostUpdate,
@@ -213,7 +215,8 @@
         outgoing
     }
 
-    /// Handles a received message. Returns the updates to apply, and a message to forward at once.
+    /// Handles a received message. Returns the updates to apply, and a message to forward at once,
+    /// if any.
     pub fn on_message(
         &mut self,
         update: HostUpdate,
@@ -241,6 +244,8 @@
         }
     }
 
+    /// Handles the update of another failure domain's collector. If this host is not the collector
+    /// of its own domain, the update is only forwarded to that collector.
     fn on_domain_message(
         &mut self,
         host: HostId,
@@ -266,6 +271,7 @@
         (accepted, None)
     }
 
+    /// Handles updates of other failure domains that the collector of this domain relays.
     fn on_relay_message(
         &mut self,
         host: &HostId,
@@ -291,7 +297,8 @@
         accepted
     }
 
-    /// Returns the updates to apply for an update of a collector of another failure domain.
+    /// Returns the updates to apply for an update of a collector; none unless the collector is a
+    /// listed host of another failure domain.
     fn accept_domain_update(
         &mut self,
         collector: &HostId,
@@ -307,15 +314,18 @@
         }
     }
 
-    /// Whether this host acts as a collector.
+    /// Whether this host acts as the collector of its failure domain.
     fn is_collector(&self) -> bool {
         self.is_large() && self.collector.is_none()
     }
 
+    /// Whether the fleet is too large for a full mesh of updates.
     fn is_large(&self) -> bool {
         is_large_fleet(self.hosts.len())
     }
 
+    /// Elects the collector of this host's failure domain, and monitors it. If it is this host,
+    /// chooses and monitors the collectors of the other domains as well.
     fn elect_collector(&mut self, now: Instant) {
         if !self.is_large() {
             self.collector = None;
@@ -370,6 +380,7 @@
         [hashed].into_iter().chain(named).collect()
     }
 
+    /// When the next messages of this host as a collector are due.
     fn relay_due_at(&self) -> Instant {
         let interval = if self.has_relay_data {
             self.relay_interval
@@ -379,6 +390,8 @@
         (self.relay_sent_at + interval).max(self.started_at + STARTUP_LISTEN_TIME)
     }
 
+    /// The messages that this host sends as a collector: relayed updates for the hosts of its own
+    /// domain, and the load of its own domain for the other collectors.
     fn collector_messages(&mut self, own: HostUpdate, now: Instant) -> Vec<OutgoingUpdate> {
         let messages = self.aggregate.next_messages(own, now);
         let relayed = split_relay(messages.relay)
@@ -399,9 +412,9 @@
     }
 }
 
-/// Forwards an update of another failure domain, whose collector does not know the collector of
-/// this domain, to the collector of this domain. An update is forwarded only once: two hosts that
-/// take each other for the collector would otherwise forward it in a loop.
+/// The message that forwards an update of another failure domain to the collector of this domain,
+/// which the sender does not know; none if the update has already been forwarded. Two hosts that
+/// take each other for the collector would otherwise forward the update in a loop.
 fn redirect(collector: &ListedHost, update: HostUpdate) -> Option<OutgoingUpdate> {
     if update.is_redirected {
         return None;
@@ -429,7 +442,8 @@
     update
 }
 
-/// Splits a relay message into messages of bounded size.
+/// Splits a relay message into messages of at most [`RELAY_LOADS_MAX`] load entries each. An update
+/// that exceeds the maximum on its own is not split.
 fn split_relay(mut relay: HostUpdate) -> Vec<HostUpdate> {
     let relayed = std::mem::take(&mut relay.relayed);
     let mut loads = 0;
--- a/src/exchange/load_state.rs
+++ b/src/exchange/load_state.rs
@@ -20,7 +20,10 @@
     held_tokens: u64,
     helping: u32,
     prefill_total_us: u64,
+    /// When the upstream has finished the prefill of the requests, as estimated by their senders.
     prefill_until: Instant,
+    /// The earliest deadline for a first event among the requests in prefill; none if there are no
+    /// such requests.
     prefill_due: Option<Instant>,
 }
 
@@ -59,8 +62,8 @@
         }
     }
 
-    /// An entry which says that the load has ended. It repeats the total, so that none of that
-    /// prefill is counted again.
+    /// An entry which reports that no load is left at the upstream. It repeats the prefill total,
+    /// so that recipients do not count the same prefill again.
     pub(crate) fn ended_entry(&self, upstream: UpstreamHash) -> LoadEntry {
         LoadEntry {
             upstream_hash: upstream.0,
@@ -69,7 +72,7 @@
         }
     }
 
-    /// Adds the load of another host.
+    /// Adds the load of another host at the same upstream.
     pub(crate) fn add(&mut self, other: &Self) {
         self.in_flight += other.in_flight;
         self.short_in_flight += other.short_in_flight;
@@ -96,11 +99,12 @@
                 load.prefill_total_us,
             )
         };
-        counts(self) != counts(sent) || !is_due_within_tolerance(self.prefill_due, sent.prefill_due)
+        counts(self) != counts(sent) || !are_due_times_equal(self.prefill_due, sent.prefill_due)
     }
 }
 
-fn is_due_within_tolerance(one: Option<Instant>, other: Option<Instant>) -> bool {
+/// Whether two due times differ by less than [`DUE_TOLERANCE`], or neither is set.
+fn are_due_times_equal(one: Option<Instant>, other: Option<Instant>) -> bool {
     match (one, other) {
         (Some(one), Some(other)) => {
             let apart = one.max(other).saturating_duration_since(one.min(other));
--- a/src/exchange/message.rs
+++ b/src/exchange/message.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct HostUpdate {
-    /// The name of the sender.
+    /// The name of the host that sends the update.
     #[prost(string, tag = "1")]
     pub host: String,
     /// A random number drawn at each start of the sender. Totals start from zero with each
@@ -60,8 +60,8 @@
     /// Slow engines that the sender polls. An engine that is no longer included runs at full speed.
     #[prost(message, repeated, tag = "16")]
     pub slowdowns: Vec<SlowdownEntry>,
-    /// Upstreams that have named a rate limit, and the requests sent to them. Upstreams that are
-    /// not included are unchanged.
+    /// The rate limits that upstreams have named, and the requests sent to these upstreams. The
+    /// limits of upstreams that are not included are unchanged.
     #[prost(message, repeated, tag = "17")]
     pub limits: Vec<RateLimitEntry>,
 }
@@ -90,8 +90,8 @@
     /// start, in microseconds.
     #[prost(uint64, tag = "7")]
     pub prefill_total_us: u64,
-    /// The shortest pause between two events that the caller of a request in flight accepts, in ms;
-    /// 0 if no caller has a limit.
+    /// The strictest limit on the pause between two events among the requests in flight, in ms; 0
+    /// if no request has such a limit.
     #[prost(uint32, tag = "6")]
     pub strictest_pause_ms: u32,
     /// Engine memory held by the requests in flight, in tokens.
@@ -130,7 +130,8 @@
     pub slowdown_percent: u32,
 }
 
-/// An upstream that has named a limit of requests per second.
+/// The rate limit that an upstream has named, or the end of the limit, and the requests sent to the
+/// upstream recently.
 #[derive(Clone, Copy, PartialEq)]
 #[derive(prost::Message)]
 pub struct RateLimitEntry {
@@ -159,7 +160,7 @@
         UpstreamHash(self.upstream_hash)
     }
 
-    /// Returns the entry as it reads after `time` has passed.
+    /// Returns the entry with its age increased by `time`.
     pub(crate) fn aged_by(self, time: Duration) -> Self {
         Self {
             age_ms: self.age_ms.saturating_add(whole_millis_u32(time)),
@@ -184,21 +185,22 @@
         }
     }
 
-    /// Whether the two entries differ at most in their age.
+    /// Whether all fields other than the age are equal.
     pub(crate) fn is_equal_ignoring_age(&self, other: &Self) -> bool {
         let age_ms = self.age_ms;
         *self == Self { age_ms, ..*other }
     }
 }
 
-/// A request that crashed upstreams.
+/// A request that crashed upstreams, with the ids of the attempts that crashed them.
 #[derive(Clone, PartialEq, Eq, Hash)]
 #[derive(prost::Message)]
 pub struct PoisonEntry {
-    /// The hash that identifies the request, 16 bytes.
+    /// The hash of the request's content, which identifies the request when it is sent again; 16
+    /// bytes.
     #[prost(bytes = "vec", tag = "1")]
     pub content_hash: Vec<u8>,
-    /// The attempts that crashed an upstream, 16 bytes each.
+    /// The ids of the attempts that crashed an upstream, 16 bytes each.
     #[prost(bytes = "vec", repeated, tag = "2")]
     pub attempts: Vec<Vec<u8>>,
 }
--- a/src/exchange/received_limits.rs
+++ b/src/exchange/received_limits.rs
@@ -12,6 +12,7 @@
 /// limit window.
 const RETENTION: Duration = Duration::from_secs(4);
 
+/// A rate limit, when it was received, and whether it has been forwarded.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedLimit {
     entry: RateLimitEntry,
@@ -54,13 +55,14 @@
         kept.map(move |received| received.aged(now))
     }
 
-    /// Takes the limits that have not been forwarded yet.
+    /// Returns the limits that have not been forwarded yet, with their age at `now`, and records
+    /// them as forwarded.
     pub(crate) fn take_pending(&mut self, now: Instant) -> Vec<RateLimitEntry> {
-        let new = self
+        let unsent = self
             .by_upstream
             .values_mut()
             .filter(|limit| !limit.is_forwarded);
-        let pending = new.map(|received| {
+        let pending = unsent.map(|received| {
             received.is_forwarded = true;
             received.aged(now)
         });
--- a/src/exchange/send_pacer.rs
+++ b/src/exchange/send_pacer.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// The minimum interval between two messages. Two hosts that decide within it can choose the same
-/// upstream; the passes of engines take longer and smooth that out.
+/// The minimum interval between two messages. Two hosts that decide within this interval can choose
+/// the same upstream, which has little effect because a pass of an engine takes longer.
 const INTERVAL_MIN: Duration = Duration::from_millis(10);
 /// Number of messages with urgent changes that may be sent in a burst at the minimum interval,
 /// while the average rate stays within the limit for the size of the fleet. In a fleet of 70, a
@@ -24,11 +24,11 @@
 /// The reason for the next message, in ascending order of urgency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SendReason {
-    /// To show that the host is alive.
+    /// The host only shows that it is alive.
     Heartbeat,
-    /// To send a change at the regular interval.
+    /// The host has a change to send at the regular interval.
     Change,
-    /// To send a change at once.
+    /// The host has a change to send as soon as the burst limit allows.
     UrgentChange,
 }
 
@@ -56,7 +56,8 @@
         self.reason
     }
 
-    /// Requests that a message is sent for the given reason.
+    /// Requests that a message is sent for the given reason. The most urgent reason requested since
+    /// the last message applies.
     pub fn request_send(&mut self, reason: SendReason) {
         self.reason = self.reason.max(reason);
     }
@@ -79,11 +80,11 @@
 
     /// Records that a message has been sent.
     ///
-    /// Heartbeats must not advance `next_paced_at`. If they counted as changes, it would run ever
-    /// further ahead of the clock in fleets of more than a hundred hosts, where the interval is
-    /// longer than that of heartbeats. After 15 idle seconds, the first urgent change then waited
-    /// for seven seconds while nothing else was sent, and peers treated the host as dead as soon as
-    /// it had load.
+    /// Heartbeats must not advance `next_paced_at`. If they counted as changes, `next_paced_at`
+    /// would run ever further ahead of the clock in fleets of more than a hundred hosts, where the
+    /// interval is longer than that of heartbeats. After 15 idle seconds, the first urgent change
+    /// would wait for seven seconds while nothing else is sent, and peers would treat the host as
+    /// dead as soon as it has load.
     pub fn on_sent(&mut self, interval: Duration, now: Instant) {
         if self.reason > SendReason::Heartbeat {
             self.next_paced_at = self.next_paced_at.max(now) + interval;
--- a/src/exchange/sent_limits.rs
+++ b/src/exchange/sent_limits.rs
@@ -18,8 +18,8 @@
 }
 
 impl SentLimits {
-    /// Returns the limits to send now: those that have changed, and those that were sent too long
-    /// ago.
+    /// Returns the limits to send now and records them as sent: those that have changed, and those
+    /// that were last sent longer than [`REPEAT_INTERVAL`] ago.
     pub(crate) fn take_due(
         &mut self,
         limits: Vec<RateLimitEntry>,
--- a/src/exchange/source_state.rs
+++ b/src/exchange/source_state.rs
@@ -60,7 +60,7 @@
         self.heard_at
     }
 
-    /// The load of the source.
+    /// The last known load at each upstream, as reported by the source.
     pub(crate) fn loads(&self) -> &LoadsByUpstream {
         &self.loads
     }
@@ -70,7 +70,9 @@
         self.limits.current(now)
     }
 
-    /// Records an update of the source.
+    /// Records an update of the source. A full update replaces the load of the source, and a
+    /// partial one changes it. After a restart of the source, the next forwarded update is a full
+    /// one.
     pub(crate) fn on_update(&mut self, mut update: HostUpdate, now: Instant) {
         let loads = std::mem::take(&mut update.loads);
         self.limits.record(std::mem::take(&mut update.limits), now);
@@ -94,7 +96,8 @@
         self.has_update = true;
     }
 
-    /// Replaces the whole state. Only the changes of its load are forwarded.
+    /// Replaces the header and the load. Between full updates, only changes of the load are
+    /// forwarded.
     pub(crate) fn replace(&mut self, header: HostUpdate, loads: LoadsByUpstream, now: Instant) {
         self.header = header;
         self.loads = loads;
@@ -102,7 +105,9 @@
         self.has_update = true;
     }
 
-    /// Makes the next update complete, for recipients that have received nothing yet.
+    /// Treats the load and the rate limits as not forwarded yet, for recipients that have received
+    /// nothing. The next update is due even if the source sends nothing until then, and it is a
+    /// full one. Requests that crashed upstreams are not repeated.
     pub(crate) fn resend_all(&mut self) {
         self.sent_loads.clear();
         self.limits.mark_all_pending();
@@ -110,7 +115,8 @@
         self.has_update = true;
     }
 
-    /// Returns the update to forward now; none if the source has sent nothing since the last one.
+    /// Returns the update to forward now and records it as forwarded; none if the source has sent
+    /// nothing since the last one.
     pub(crate) fn next_update(&mut self, now: Instant) -> Option<HostUpdate> {
         if !std::mem::take(&mut self.has_update) {
             return None;
@@ -135,7 +141,8 @@
         Some(update)
     }
 
-    /// Takes the requests that crashed upstreams, except those that have just been forwarded.
+    /// Removes and returns the requests that crashed upstreams, without those that were forwarded
+    /// within [`POISON_REPEAT_INTERVAL`].
     pub(crate) fn take_poisons(&mut self, now: Instant) -> Vec<PoisonEntry> {
         self.sent_poisons
             .retain(|(at, _)| now.saturating_duration_since(*at) < POISON_REPEAT_INTERVAL);
--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -24,7 +24,8 @@
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
-/// The interface between the exchange and the host that takes part in it.
+/// The interface through which the exchange reads the state of this host and applies updates of
+/// others.
 pub trait ExchangeHandler: Send + Sync {
     /// The name of this host.
     fn host(&self) -> HostId;
@@ -38,10 +39,10 @@
     /// Applies an update of another host.
     fn on_update(&self, update: HostUpdate);
 
-    /// All hosts, including this one.
+    /// The current list of hosts, including this one.
     fn hosts(&self) -> Arc<Vec<ListedHost>>;
 
-    /// Reports that updates arrive on another route from now on.
+    /// Called when the route on which updates reach this host has changed.
     fn on_update_route(&self, route: UpdateRoute);
 
     /// Notified at each change of the result of [`ExchangeHandler::local_update`].
--- a/src/exchange/update_route.rs
+++ b/src/exchange/update_route.rs
@@ -4,7 +4,8 @@
 
 use crate::units::HostId;
 
-/// Ages that differ by less than this factor make no difference to a reader of the log.
+/// The maximum factor between two ages that are not noticeably different. A smaller change is not
+/// worth a log line.
 const AGE_FACTOR: f64 = 1.5;
 
 /// The route on which updates of other hosts reach a host, and how old they are on arrival.
@@ -20,9 +21,9 @@
 }
 
 impl UpdateRoute {
-    /// Whether updates come through another collector, or their ages differ by a factor that
-    /// matters. The fleet grows and shrinks by one host at a time, and each step changes the ages
-    /// by a few milliseconds only.
+    /// Whether updates come through another collector, or one of their maximum ages differs by a
+    /// factor of more than 1.5. The fleet grows and shrinks by one host at a time, and each step
+    /// changes the ages by a few milliseconds only.
     pub fn differs_noticeably_from(&self, other: &Self) -> bool {
         let is_other_age = |one: Duration, other: Duration| {
             let (less, more) = (one.min(other), one.max(other));
--- a/src/exchange/upstream_hash.rs
+++ b/src/exchange/upstream_hash.rs
@@ -4,7 +4,7 @@
 
 use crate::units::UpstreamId;
 
-/// The hash of an upstream's id, which is the same on every host.
+/// The hash of an upstream's id, which is the same on every host and never 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamHash(pub u64);
 
