--- a/tests/exchange_fleet.rs
+++ b/tests/exchange_fleet.rs
@@ -36,8 +36,8 @@
 /// each host can send to all others only twice a second.
 #[parameterized(
     small = { 8, 3, 1 },
-    just_direct = { 32, 3, 2 },
-    just_collected = { 33, 3, 3 },
+    largest_full_mesh = { 32, 3, 2 },
+    smallest_with_collectors = { 33, 3, 3 },
     seventy = { 69, 3, 4 },
     large = { 195, 5, 5 },
     target = { 400, 6, 6 },
@@ -211,7 +211,7 @@
     world.run_for(ms(1_500));
     world.probe(9);
     let took = world.run_until(ms(10_000), |world| world.undelivered_probes() == 0);
-    println!("known to all after {took:?}");
+    println!("updates delivered again after {took:?}");
     assert!(took <= ms(1_000), "{took:?}");
     settle(&mut world, ms(4_000));
     assert_eq!(world.mismatches(), 0);
--- a/tests/exchange_world/measurements.rs
+++ b/tests/exchange_world/measurements.rs
@@ -2,10 +2,13 @@
 
 use std::time::Duration;
 
+/// The measurements since the last reset.
 pub struct Measurements {
     /// The time from each change until each other host knew of it.
     pub ages: Vec<Duration>,
+    /// The number of messages that each host received.
     pub received: Vec<usize>,
+    /// The bytes that each host sent, without datagram headers.
     pub sent_bytes: Vec<usize>,
     /// The bytes sent between failure domains, without datagram headers.
     pub cross_domain_bytes: usize,
--- a/tests/exchange_world/mod.rs
+++ b/tests/exchange_world/mod.rs
@@ -175,6 +175,7 @@
         self.nodes[index].is_paused = true;
     }
 
+    /// Resumes a paused host, which receives the updates that arrived meanwhile.
     pub fn wake(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         node.is_paused = false;
@@ -201,8 +202,8 @@
         let Some(collector) = route.collector else {
             return index;
         };
-        let is_it = |node: &Node| node.listed.host == collector;
-        self.nodes.iter().position(is_it).unwrap()
+        let is_collector = |node: &Node| node.listed.host == collector;
+        self.nodes.iter().position(is_collector).unwrap()
     }
 
     /// Adds one request of a host at an upstream that no other host uses, and tracks when the other
@@ -326,7 +327,7 @@
     fn send(&mut self, from: usize, outgoing: Vec<OutgoingUpdate>) {
         for outgoing in outgoing {
             let bytes = outgoing.update.encoded_len();
-            assert!(bytes < 65_000, "{bytes} bytes fit no datagram");
+            assert!(bytes < 65_000, "{bytes} bytes do not fit into a datagram");
             let update = Arc::new(outgoing.update);
             for to in outgoing.recipients {
                 let to = usize::from(to.port()) - 1;
--- a/tests/exchange_world/node.rs
+++ b/tests/exchange_world/node.rs
@@ -20,6 +20,7 @@
 
 use super::requests;
 
+/// A host, its exchange and what it knows of the load of others.
 pub struct Node {
     pub listed: ListedHost,
     pub hosts: Arc<Vec<ListedHost>>,
@@ -28,13 +29,17 @@
     pub is_up: bool,
     pub is_paused: bool,
     pub is_partitioned: bool,
+    /// The updates that arrived while the host was paused.
     pub missed: Vec<Arc<HostUpdate>>,
+    /// When the host is next due to send; none if no wake event is scheduled.
     pub wakes_at: Option<Duration>,
     /// The number of restarts so far.
     pub incarnation: u64,
+    /// The number of this host's requests at each upstream.
     own: IndexMap<UpstreamId, u32>,
     /// The sends of this host to an upstream that has named a limit.
     pub sent: Option<RateLimitEntry>,
+    /// The sends to that upstream that each source has reported.
     heard_sends: IndexMap<LoadSource, u32>,
 }
 
@@ -57,6 +62,7 @@
         }
     }
 
+    /// Resets the host to the state after a start, with the next incarnation.
     pub fn restart(&mut self, now: Instant) {
         let listed = self.listed.clone();
         let next = Self {
@@ -122,7 +128,7 @@
                 self.heard_sends
                     .insert(source.clone(), limit.sent_in_window);
             }
-            let extent = if update.is_partial {
+            let kind = if update.is_partial {
                 LoadUpdateKind::Delta
             } else {
                 LoadUpdateKind::Snapshot
@@ -131,7 +137,7 @@
             let loads = update.loads.iter();
             let loads = loads.map(|load| (id(load), requests(load.in_flight)));
             self.ledger
-                .record_loads(source, update.incarnation, extent, loads, now);
+                .record_loads(source, update.incarnation, kind, loads, now);
         }
         self.ledger.expire_peers(now);
         forwarded
--- a/tests/gateway_limits.rs
+++ b/tests/gateway_limits.rs
@@ -86,9 +86,9 @@
 #[tokio::test]
 async fn all_hosts_together_keep_an_upstreams_limit() {
     let catalog = FakeCatalog::new(table(1));
-    let (limited, sound) = (start_upstream().await, start_upstream().await);
+    let (limited, unlimited) = (start_upstream().await, start_upstream().await);
     catalog.list("a", "app", limited.addr);
-    catalog.list("b", "app", sound.addr);
+    catalog.list("b", "app", unlimited.addr);
     let mut hosts = Vec::new();
     for name in ["first", "second", "third"] {
         hosts.push(TestHost::start(name, &catalog).await);
@@ -140,10 +140,14 @@
     let retry_after: f64 = retry_after.parse().unwrap();
     assert!((0.5..=4.0).contains(&retry_after), "{retry_after}");
     wait_until(|| host.log.text().contains("rate_limited")).await;
-    let waits = |line: &serde_json::Value| {
+    let is_prompt_refusal = |line: &serde_json::Value| {
         line["event"] == "refused" && line["elapsed_ms"].as_u64() < Some(300)
     };
-    assert!(host.log.lines().iter().any(waits), "{}", host.log.text());
+    assert!(
+        host.log.lines().iter().any(is_prompt_refusal),
+        "{}",
+        host.log.text()
+    );
     assert_eq!(upstream.arrivals().len(), 1);
 }
 
--- a/tests/limit_world/mod.rs
+++ b/tests/limit_world/mod.rs
@@ -66,7 +66,9 @@
     now: Duration,
     rng: StdRng,
     events: EventQueue<Event>,
+    /// When each request was sent to the upstream.
     sent_at: Vec<Duration>,
+    /// The time from which on answers of the upstream name the limit.
     limit_start: Duration,
     is_partitioned: bool,
 }
