--- a/src/decide/config.rs
+++ b/src/decide/config.rs
@@ -30,7 +30,7 @@
     pub customers: IndexMap<CustomerId, CustomerShare>,
     /// The share of a customer that is not listed.
     pub default_customer: CustomerShare,
-    /// The account that all customers share that are not listed.
+    /// The common account of all customers that are not listed.
     pub default_account: CustomerId,
 }
 
--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -28,7 +28,7 @@
     keys: IndexMap<RequestId, (Priority, QueueKey)>,
     expiry: BTreeSet<(Instant, u64, RequestId)>,
     next_seq: u64,
-    /// The cost that lower priorities may use before the first priority is served again.
+    /// The credit of lower priorities in cost units, which grows while a higher priority is served.
     lower_credit: f64,
 }
 
--- a/src/decide/queued_request.rs
+++ b/src/decide/queued_request.rs
@@ -11,8 +11,8 @@
 pub struct QueuedRequest {
     /// The request as submitted.
     pub work: Work,
-    /// The account that the request is charged to: its customer, or the account that all customers
-    /// share that are not listed.
+    /// The account that the request is charged to: its customer, or the common account of all
+    /// customers that are not listed.
     pub account: CustomerId,
     /// The weight of the account.
     pub share: u32,
--- a/src/decide/upstream_load.rs
+++ b/src/decide/upstream_load.rs
@@ -22,7 +22,7 @@
     pub held_tokens: Tokens,
     /// The memory in tokens that the engine has recently refused to reserve.
     pub refused_tokens: Option<Tokens>,
-    /// The time until the first event is due of the most urgent prompt in prefill at the upstream.
+    /// The shortest time in which a prompt in prefill at the upstream has to have its first event.
     pub prefill_due: Option<Duration>,
 }
 
