--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -88,7 +88,7 @@
             })
     }
 
-    /// Places a request of `lane`.
+    /// Chooses the placement of a request of `lane`.
     pub fn choose(&self, waiting: &QueuedRequest, lane: Lane) -> Placement {
         if let Some(placement) = self.probe(waiting, lane) {
             return placement;
