--- a/src/control/outcome/answer_check.rs
+++ b/src/control/outcome/answer_check.rs
@@ -2,17 +2,17 @@
 
 use crate::control::outcome::AnswerFault;
 use crate::units::AttemptId;
-use crate::upstream::AnswerEvent;
+use crate::upstream::ResponseEvent;
 
 /// What to do with a piece of an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AnswerStep {
     /// It is the next piece: pass it on.
-    Forward(AnswerEvent),
+    Forward(ResponseEvent),
     /// The caller has all of it already.
     Skip,
     /// It is the end mark, and nothing is missing: the answer is whole.
-    End(AnswerEvent),
+    End(ResponseEvent),
     /// It must not reach the caller.
     Fault(AnswerFault),
 }
@@ -77,7 +77,7 @@
     }
 
     /// Takes in a piece.
-    pub fn take(&mut self, event: AnswerEvent) -> AnswerStep {
+    pub fn take(&mut self, event: ResponseEvent) -> AnswerStep {
         if self.is_whole() {
             return AnswerStep::Fault(AnswerFault::AfterEnd);
         }
@@ -97,28 +97,28 @@
         })
     }
 
-    fn take_model(&mut self, attempt: AttemptId, event: AnswerEvent) -> AnswerStep {
+    fn take_model(&mut self, attempt: AttemptId, event: ResponseEvent) -> AnswerStep {
         match event {
-            AnswerEvent::Tokens { attempt: got, .. } if got != attempt => crossed(got),
-            AnswerEvent::Tokens {
+            ResponseEvent::Tokens { attempt: got, .. } if got != attempt => crossed(got),
+            ResponseEvent::Tokens {
                 offset_tokens,
                 count,
                 ..
             } => self.take_tokens(offset_tokens, count, event),
-            AnswerEvent::End {
+            ResponseEvent::End {
                 attempt: Some(got), ..
             } if got != attempt => crossed(got),
-            AnswerEvent::End { attempt: None, .. } => out_of_place("an end without an id"),
-            AnswerEvent::End { .. } => {
+            ResponseEvent::End { attempt: None, .. } => out_of_place("an end without an id"),
+            ResponseEvent::End { .. } => {
                 self.expecting = Expecting::Nothing;
                 AnswerStep::End(event)
             }
-            AnswerEvent::Head { .. } => out_of_place("a status"),
-            AnswerEvent::Data(_) => out_of_place("bytes"),
+            ResponseEvent::Head { .. } => out_of_place("a status"),
+            ResponseEvent::Data(_) => out_of_place("bytes"),
         }
     }
 
-    fn take_tokens(&mut self, offset: u64, count: u64, event: AnswerEvent) -> AnswerStep {
+    fn take_tokens(&mut self, offset: u64, count: u64, event: ResponseEvent) -> AnswerStep {
         let wanted = self.offset_tokens;
         let end = offset.saturating_add(count);
         if offset == wanted {
@@ -142,19 +142,19 @@
         AnswerStep::Fault(fault)
     }
 
-    fn take_service(&mut self, event: AnswerEvent) -> AnswerStep {
+    fn take_service(&mut self, event: ResponseEvent) -> AnswerStep {
         match (self.expecting, &event) {
-            (Expecting::Head, AnswerEvent::Head { .. }) => {
+            (Expecting::Head, ResponseEvent::Head { .. }) => {
                 self.expecting = Expecting::Body;
                 AnswerStep::Forward(event)
             }
-            (Expecting::Body, AnswerEvent::Data(_)) => AnswerStep::Forward(event),
-            (Expecting::Body, AnswerEvent::End { .. }) => {
+            (Expecting::Body, ResponseEvent::Data(_)) => AnswerStep::Forward(event),
+            (Expecting::Body, ResponseEvent::End { .. }) => {
                 self.expecting = Expecting::Nothing;
                 AnswerStep::End(event)
             }
-            (_, AnswerEvent::Tokens { .. }) => out_of_place("tokens"),
-            (_, AnswerEvent::Head { .. }) => out_of_place("a second status"),
+            (_, ResponseEvent::Tokens { .. }) => out_of_place("tokens"),
+            (_, ResponseEvent::Head { .. }) => out_of_place("a second status"),
             _ => out_of_place("a body before its status"),
         }
     }
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -14,7 +14,7 @@
 use crate::units::AttemptId;
 use crate::units::Tokens;
 use crate::units::UpstreamId;
-use crate::upstream::AnswerEvent;
+use crate::upstream::ResponseEvent;
 use crate::upstream::UpstreamError;
 
 /// What to do with a piece of an answer.
@@ -96,7 +96,7 @@
 
     /// Checks a piece before a byte of it reaches the caller. Answers can be late, crossed, cut or
     /// repeated; only the next tokens of this very attempt may pass.
-    pub fn take(&mut self, event: AnswerEvent, now: Instant) -> Piece {
+    pub fn take(&mut self, event: ResponseEvent, now: Instant) -> Piece {
         match self.check.take(event) {
             AnswerStep::Skip => Piece::Repeated,
             AnswerStep::Fault(fault) => Piece::Wrong(fault),
@@ -105,30 +105,30 @@
         }
     }
 
-    fn forward(&mut self, event: AnswerEvent, now: Instant) -> Piece {
+    fn forward(&mut self, event: ResponseEvent, now: Instant) -> Piece {
         match event {
-            AnswerEvent::Head {
+            ResponseEvent::Head {
                 status,
                 content_type,
             } => Piece::Head {
                 status,
                 content_type,
             },
-            AnswerEvent::Data(bytes) => {
+            ResponseEvent::Data(bytes) => {
                 self.note_token(now);
                 Piece::Data(bytes)
             }
-            AnswerEvent::Tokens { count: 0, .. } => Piece::Repeated,
-            AnswerEvent::Tokens { text, .. } => {
+            ResponseEvent::Tokens { count: 0, .. } => Piece::Repeated,
+            ResponseEvent::Tokens { text, .. } => {
                 let gap = self.note_token(now);
                 Piece::Text { text, gap }
             }
-            AnswerEvent::End { .. } => self.end(event),
+            ResponseEvent::End { .. } => self.end(event),
         }
     }
 
-    fn end(&mut self, event: AnswerEvent) -> Piece {
-        let AnswerEvent::End {
+    fn end(&mut self, event: ResponseEvent) -> Piece {
+        let ResponseEvent::End {
             finish_reason,
             prompt_tokens,
             cached_tokens,
--- a/src/entry/driver/dispatching.rs
+++ b/src/entry/driver/dispatching.rs
@@ -27,9 +27,9 @@
 use crate::settings::PolicyName;
 use crate::units::Priority;
 use crate::units::UpstreamId;
-use crate::upstream::AnswerStream;
 use crate::upstream::Dispatch;
 use crate::upstream::RequestBody;
+use crate::upstream::ResponseStream;
 use crate::upstream::Upstream;
 use crate::upstream::UpstreamError;
 
@@ -209,7 +209,7 @@
         upstream: &dyn Upstream,
         claim: &Claim,
         offset_tokens: u64,
-    ) -> Result<AnswerStream, UpstreamError> {
+    ) -> Result<ResponseStream, UpstreamError> {
         let clock = &self.parts.clock;
         let give_up = (clock.now() + DISPATCH_MAX).min(self.job.work.deadline);
         loop {
--- a/src/entry/driver/pumping.rs
+++ b/src/entry/driver/pumping.rs
@@ -19,14 +19,14 @@
 use crate::entry::driver::frozen::frozen_error;
 use crate::entry::driver::gone;
 use crate::observe::StepKind;
-use crate::upstream::AnswerStream;
+use crate::upstream::ResponseStream;
 use crate::upstream::UpstreamError;
 
 impl Driver<'_> {
     /// Hands an answer on until it ends, whichever way.
     pub(super) async fn pump(
         &mut self,
-        mut answer: AnswerStream,
+        mut answer: ResponseStream,
         life: &mut StateMachine<Life>,
     ) -> LifeEvent {
         let deadline = self.job.work.deadline;
--- a/src/upstream/answer.rs
+++ b/src/upstream/answer.rs
@@ -6,12 +6,12 @@
 use crate::units::AttemptId;
 use crate::upstream::UpstreamError;
 
-/// An answer in pieces. It is whole only when [`AnswerEvent::End`] has come.
-pub type AnswerStream = BoxStream<'static, Result<AnswerEvent, UpstreamError>>;
+/// An answer in pieces. It is whole only when [`ResponseEvent::End`] has come.
+pub type ResponseStream = BoxStream<'static, Result<ResponseEvent, UpstreamError>>;
 
 /// A piece of an answer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum AnswerEvent {
+pub enum ResponseEvent {
     /// The status and content type of a plain service's answer; it comes first.
     Head {
         /// The HTTP status.
--- a/src/upstream/http/answer_reader.rs
+++ b/src/upstream/http/answer_reader.rs
@@ -12,13 +12,13 @@
 use crate::http::PooledBody;
 use crate::http::SseParser;
 use crate::units::AttemptId;
-use crate::upstream::AnswerEvent;
-use crate::upstream::AnswerStream;
+use crate::upstream::ResponseEvent;
+use crate::upstream::ResponseStream;
 use crate::upstream::UpstreamError;
 use crate::upstream::http::model_event::ModelEvent;
 
 /// A model's answer: events until the end mark.
-pub(crate) fn model_answer(body: PooledBody, attempt: AttemptId) -> AnswerStream {
+pub(crate) fn model_answer(body: PooledBody, attempt: AttemptId) -> ResponseStream {
     let reader = ModelReader {
         body,
         attempt,
@@ -35,19 +35,19 @@
 }
 
 /// A plain service's answer: its head, its bytes, and an end when the body was whole.
-pub(crate) fn service_answer(res: Response<PooledBody>) -> AnswerStream {
+pub(crate) fn service_answer(res: Response<PooledBody>) -> ResponseStream {
     let content_type = res
         .headers()
         .get(CONTENT_TYPE)
         .and_then(|value| value.to_str().ok());
-    let head = AnswerEvent::Head {
+    let head = ResponseEvent::Head {
         status: res.status().as_u16(),
         content_type: content_type.map(str::to_owned),
     };
     let rest = stream::unfold(Some(res.into_body()), async |body| {
         let mut body = body?;
         match next_bytes(&mut body).await {
-            Some(Ok(bytes)) => Some((Ok(AnswerEvent::Data(bytes)), Some(body))),
+            Some(Ok(bytes)) => Some((Ok(ResponseEvent::Data(bytes)), Some(body))),
             Some(Err(err)) => Some((Err(err), None)),
             None => Some((Ok(service_end()), None)),
         }
@@ -55,8 +55,8 @@
     stream::iter([Ok(head)]).chain(rest).boxed()
 }
 
-fn service_end() -> AnswerEvent {
-    AnswerEvent::End {
+fn service_end() -> ResponseEvent {
+    ResponseEvent::End {
         attempt: None,
         finish_reason: String::new(),
         prompt_tokens: 0,
@@ -81,13 +81,13 @@
     body: PooledBody,
     attempt: AttemptId,
     parser: SseParser,
-    ready: VecDeque<AnswerEvent>,
-    end: Option<AnswerEvent>,
+    ready: VecDeque<ResponseEvent>,
+    end: Option<ResponseEvent>,
     is_over: bool,
 }
 
 impl ModelReader {
-    async fn next(&mut self) -> Option<Result<AnswerEvent, UpstreamError>> {
+    async fn next(&mut self) -> Option<Result<ResponseEvent, UpstreamError>> {
         loop {
             if let Some(event) = self.ready.pop_front() {
                 return Some(Ok(event));
--- a/src/upstream/http/mod.rs
+++ b/src/upstream/http/mod.rs
@@ -26,12 +26,12 @@
 use crate::units::HostId;
 use crate::units::Tokens;
 use crate::units::UpstreamId;
-use crate::upstream::AnswerStream;
 use crate::upstream::CacheEvent;
 use crate::upstream::Dispatch;
 use crate::upstream::EngineState;
 use crate::upstream::LoadReport;
 use crate::upstream::Order;
+use crate::upstream::ResponseStream;
 use crate::upstream::RunningAttempt;
 use crate::upstream::Upstream;
 use crate::upstream::UpstreamError;
@@ -57,7 +57,7 @@
         Self { client }
     }
 
-    async fn start_attempt(&self, dispatch: Dispatch) -> Result<AnswerStream, UpstreamError> {
+    async fn start_attempt(&self, dispatch: Dispatch) -> Result<ResponseStream, UpstreamError> {
         let is_model = dispatch.is_model;
         let attempt = dispatch.attempt;
         let res = self.client.send(dispatch_request(dispatch)?).await?;
@@ -77,7 +77,7 @@
         &self,
         attempt: AttemptId,
         offset_tokens: u64,
-    ) -> Result<AnswerStream, UpstreamError> {
+    ) -> Result<ResponseStream, UpstreamError> {
         let req = Request::get(format!("/v1/attempts/{attempt}/stream"))
             .header("Last-Event-ID", format!("{attempt}:{offset_tokens}"));
         let sent = self.client.send(finish(req, ChunksBody::default())?);
@@ -129,7 +129,7 @@
 }
 
 impl Upstream for HttpUpstream {
-    fn start(&self, dispatch: Dispatch) -> BoxFuture<'_, Result<AnswerStream, UpstreamError>> {
+    fn start(&self, dispatch: Dispatch) -> BoxFuture<'_, Result<ResponseStream, UpstreamError>> {
         self.start_attempt(dispatch).boxed()
     }
 
@@ -137,7 +137,7 @@
         &self,
         attempt: AttemptId,
         offset_tokens: u64,
-    ) -> BoxFuture<'_, Result<AnswerStream, UpstreamError>> {
+    ) -> BoxFuture<'_, Result<ResponseStream, UpstreamError>> {
         self.resume_attempt(attempt, offset_tokens).boxed()
     }
 
--- a/src/upstream/http/model_event.rs
+++ b/src/upstream/http/model_event.rs
@@ -3,21 +3,21 @@
 use serde::Deserialize;
 
 use crate::units::AttemptId;
-use crate::upstream::AnswerEvent;
+use crate::upstream::ResponseEvent;
 use crate::upstream::UpstreamError;
 
 /// What one event's data says.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ModelEvent {
     /// A piece of the answer.
-    Tokens(AnswerEvent),
+    Tokens(ResponseEvent),
     /// The model has stopped; the stream's end mark has yet to come.
     Stopped {
         /// The last event's tokens. There may be none; its offset still tells whether tokens are
         /// missing before it.
-        tokens: AnswerEvent,
+        tokens: ResponseEvent,
         /// What to hand on once the end mark has come.
-        end: AnswerEvent,
+        end: ResponseEvent,
     },
     /// The end mark.
     Done,
@@ -69,7 +69,7 @@
             .map_err(|err| garbled(format!("id: {err}")))?;
         let choice = body.choices.into_iter().next();
         let choice = choice.ok_or_else(|| garbled("an event without choices".to_owned()))?;
-        let tokens = AnswerEvent::Tokens {
+        let tokens = ResponseEvent::Tokens {
             attempt,
             offset_tokens: body.offset,
             count: body.count,
@@ -82,7 +82,7 @@
             prompt_tokens: 0,
             cached_tokens: 0,
         });
-        let end = AnswerEvent::End {
+        let end = ResponseEvent::End {
             attempt: Some(attempt),
             finish_reason,
             prompt_tokens: usage.prompt_tokens,
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -15,8 +15,8 @@
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
 
-pub use answer::AnswerEvent;
-pub use answer::AnswerStream;
+pub use answer::ResponseEvent;
+pub use answer::ResponseStream;
 pub use dispatch::Dispatch;
 pub use dispatch::RequestBody;
 pub use error::UpstreamError;
@@ -37,14 +37,14 @@
 pub trait Upstream: Send + Sync {
     /// Starts an attempt and returns its answer as a stream. The implementation sends the request
     /// once: it never repeats it by itself on another connection.
-    fn start(&self, dispatch: Dispatch) -> BoxFuture<'_, Result<AnswerStream, UpstreamError>>;
+    fn start(&self, dispatch: Dispatch) -> BoxFuture<'_, Result<ResponseStream, UpstreamError>>;
 
     /// Reads the answer of a running or lately finished attempt from a token offset on.
     fn resume(
         &self,
         attempt: AttemptId,
         offset_tokens: u64,
-    ) -> BoxFuture<'_, Result<AnswerStream, UpstreamError>>;
+    ) -> BoxFuture<'_, Result<ResponseStream, UpstreamError>>;
 
     /// Ends an attempt. `Ok` means that the engine has given back its memory.
     fn cancel(&self, attempt: AttemptId) -> BoxFuture<'_, Result<(), UpstreamError>>;
--- a/standin/tests/engine.rs
+++ b/standin/tests/engine.rs
@@ -9,13 +9,13 @@
 use banyanarch::units::ContentHash;
 use banyanarch::units::FencingNumber;
 use banyanarch::units::Priority;
-use banyanarch::upstream::AnswerEvent;
-use banyanarch::upstream::AnswerStream;
 use banyanarch::upstream::Dispatch;
 use banyanarch::upstream::EngineState;
 use banyanarch::upstream::HttpUpstream;
 use banyanarch::upstream::Order;
 use banyanarch::upstream::RequestBody;
+use banyanarch::upstream::ResponseEvent;
+use banyanarch::upstream::ResponseStream;
 use banyanarch::upstream::Upstream;
 use banyanarch::upstream::UpstreamError;
 use bytes::Bytes;
@@ -78,10 +78,10 @@
 }
 
 /// Reads an answer to its end and returns its text.
-async fn text_of(mut stream: AnswerStream) -> Result<String, UpstreamError> {
+async fn text_of(mut stream: ResponseStream) -> Result<String, UpstreamError> {
     let mut text = String::new();
     while let Some(event) = stream.next().await {
-        if let AnswerEvent::Tokens { text: piece, .. } = event? {
+        if let ResponseEvent::Tokens { text: piece, .. } = event? {
             text.push_str(&piece);
         }
     }
@@ -103,7 +103,7 @@
     let engine = engine(EngineOptions::default()).await;
     let body = ask(1, 500).body();
     let mut first = client(&engine).start(dispatch(7, 0, &body)).await.unwrap();
-    let Some(Ok(AnswerEvent::Tokens { text, count, .. })) = first.next().await else {
+    let Some(Ok(ResponseEvent::Tokens { text, count, .. })) = first.next().await else {
         panic!("no tokens");
     };
     drop(first);
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -7,15 +7,15 @@
 use banyanarch::control::outcome::Outcome;
 use banyanarch::control::outcome::RunRecord;
 use banyanarch::units::AttemptId;
-use banyanarch::upstream::AnswerEvent;
+use banyanarch::upstream::ResponseEvent;
 use banyanarch::upstream::UpstreamError;
 use yare::parameterized;
 
 const OURS: AttemptId = AttemptId(1);
 const OTHER: AttemptId = AttemptId(2);
 
-fn tokens(attempt: AttemptId, offset_tokens: u64, count: u64) -> AnswerEvent {
-    AnswerEvent::Tokens {
+fn tokens(attempt: AttemptId, offset_tokens: u64, count: u64) -> ResponseEvent {
+    ResponseEvent::Tokens {
         attempt,
         offset_tokens,
         count,
@@ -23,8 +23,8 @@
     }
 }
 
-fn end(attempt: Option<AttemptId>) -> AnswerEvent {
-    AnswerEvent::End {
+fn end(attempt: Option<AttemptId>) -> ResponseEvent {
+    ResponseEvent::End {
         attempt,
         finish_reason: "stop".to_owned(),
         prompt_tokens: 0,
@@ -32,8 +32,8 @@
     }
 }
 
-fn head() -> AnswerEvent {
-    AnswerEvent::Head {
+fn head() -> ResponseEvent {
+    ResponseEvent::Head {
         status: 200,
         content_type: None,
     }
@@ -63,9 +63,9 @@
     hole = { tokens(OURS, 4, 1), gap(3, 4) },
     missing_tail = { tokens(OURS, 9, 0), gap(3, 9) },
     overlapping = { tokens(OURS, 2, 2), overlap(3, 2) },
-    bytes = { AnswerEvent::Data("x".into()), AnswerFault::OutOfPlace("bytes") },
+    bytes = { ResponseEvent::Data("x".into()), AnswerFault::OutOfPlace("bytes") },
 )]
-fn wrong_pieces_do_not_pass(event: AnswerEvent, fault: AnswerFault) {
+fn wrong_pieces_do_not_pass(event: ResponseEvent, fault: AnswerFault) {
     let mut check = AnswerCheck::model(OURS);
     let first = tokens(OURS, 0, 3);
     assert_eq!(check.take(first.clone()), AnswerStep::Forward(first));
@@ -104,13 +104,13 @@
 #[test]
 fn service_answers_are_whole_or_cut() {
     let mut check = AnswerCheck::service();
-    let early = check.take(AnswerEvent::Data("x".into()));
+    let early = check.take(ResponseEvent::Data("x".into()));
     assert!(matches!(
         early,
         AnswerStep::Fault(AnswerFault::OutOfPlace(_))
     ));
     assert_eq!(check.take(head()), AnswerStep::Forward(head()));
-    check.take(AnswerEvent::Data("x".into()));
+    check.take(ResponseEvent::Data("x".into()));
     assert!(check.stopped().is_err());
     assert_eq!(check.take(end(None)), AnswerStep::End(end(None)));
     assert_eq!(check.stopped(), Ok(()));
--- a/tests/worlds/answer_world.rs
+++ b/tests/worlds/answer_world.rs
@@ -3,7 +3,7 @@
 use banyanarch::control::outcome::AnswerCheck;
 use banyanarch::control::outcome::AnswerStep;
 use banyanarch::units::AttemptId;
-use banyanarch::upstream::AnswerEvent;
+use banyanarch::upstream::ResponseEvent;
 use proptest::prelude::Strategy;
 use proptest::prop_oneof;
 
@@ -89,9 +89,9 @@
     }
 
     /// Returns whether the stream goes on. After a fault it is resumed.
-    fn take(&mut self, at: usize, event: AnswerEvent) -> bool {
+    fn take(&mut self, at: usize, event: ResponseEvent) -> bool {
         match self.checks[at].take(event) {
-            AnswerStep::Forward(AnswerEvent::Tokens { text, .. }) => self.got[at].push_str(&text),
+            AnswerStep::Forward(ResponseEvent::Tokens { text, .. }) => self.got[at].push_str(&text),
             AnswerStep::Forward(other) => panic!("{other:?} is no part of a model's answer"),
             AnswerStep::Skip => (),
             AnswerStep::End(_) => self.is_whole[at] = true,
@@ -129,8 +129,8 @@
         .collect()
 }
 
-fn tokens(attempt: u64, offset_tokens: u64, count: u64) -> AnswerEvent {
-    AnswerEvent::Tokens {
+fn tokens(attempt: u64, offset_tokens: u64, count: u64) -> ResponseEvent {
+    ResponseEvent::Tokens {
         attempt: AttemptId(attempt.into()),
         offset_tokens,
         count,
@@ -138,8 +138,8 @@
     }
 }
 
-fn end(attempt: u64) -> AnswerEvent {
-    AnswerEvent::End {
+fn end(attempt: u64) -> ResponseEvent {
+    ResponseEvent::End {
         attempt: Some(AttemptId(attempt.into())),
         finish_reason: "stop".to_owned(),
         prompt_tokens: 0,
