--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -180,7 +180,7 @@
     if fault.can_resume() {
         UpstreamError::Interrupted(fault.to_string())
     } else {
-        UpstreamError::Garbled(fault.to_string())
+        UpstreamError::InvalidResponse(fault.to_string())
     }
 }
 
@@ -189,7 +189,7 @@
     match err {
         UpstreamError::NotSent(_) | UpstreamError::Refused { .. } => Break::DidNotRun,
         UpstreamError::Interrupted(_) => Break::Cut,
-        UpstreamError::Garbled(_) => Break::Garbled,
+        UpstreamError::InvalidResponse(_) => Break::Garbled,
         UpstreamError::Failed(_) | UpstreamError::UnknownAttempt => Break::Lost,
     }
 }
--- a/src/entry/driver/mod.rs
+++ b/src/entry/driver/mod.rs
@@ -327,7 +327,7 @@
         match &self.last_error {
             Some(UpstreamError::NotSent(_)) => "not_sent",
             Some(UpstreamError::Refused { .. }) => "refused",
-            Some(UpstreamError::Garbled(_)) => "garbled",
+            Some(UpstreamError::InvalidResponse(_)) => "garbled",
             _ => "failed",
         }
     }
--- a/src/upstream/http/answer_reader.rs
+++ b/src/upstream/http/answer_reader.rs
@@ -103,14 +103,21 @@
     }
 
     async fn fill(&mut self) -> Result<(), UpstreamError> {
-        while let Some(event) = self.parser.next_event().map_err(UpstreamError::Garbled)? {
+        while let Some(event) = self
+            .parser
+            .next_event()
+            .map_err(UpstreamError::InvalidResponse)?
+        {
             self.take(&event.data)?;
         }
         if !self.ready.is_empty() || self.is_over {
             return Ok(());
         }
         match next_bytes(&mut self.body).await {
-            Some(bytes) => self.parser.push(&bytes?).map_err(UpstreamError::Garbled),
+            Some(bytes) => self
+                .parser
+                .push(&bytes?)
+                .map_err(UpstreamError::InvalidResponse),
             None => Err(UpstreamError::Interrupted(format!(
                 "the answer of attempt {} ended without its end mark",
                 self.attempt
@@ -127,7 +134,8 @@
             }
             ModelEvent::Done => {
                 let end = self.end.take();
-                let missing = || UpstreamError::Garbled("an end mark before the end".to_owned());
+                let missing =
+                    || UpstreamError::InvalidResponse("an end mark before the end".to_owned());
                 self.ready.push_back(end.ok_or_else(missing)?);
                 self.is_over = true;
             }
--- a/src/upstream/http/mod.rs
+++ b/src/upstream/http/mod.rs
@@ -124,7 +124,7 @@
     async fn read<T: DeserializeOwned>(&self, path: &str) -> Result<T, UpstreamError> {
         let body = self.control(Method::GET, path, None).await?;
         let parsed = serde_json::from_slice(&body);
-        parsed.map_err(|err| UpstreamError::Garbled(format!("{path}: {err}")))
+        parsed.map_err(|err| UpstreamError::InvalidResponse(format!("{path}: {err}")))
     }
 }
 
--- a/src/upstream/http/model_event.rs
+++ b/src/upstream/http/model_event.rs
@@ -58,7 +58,7 @@
         if data == "[DONE]" {
             return Ok(Self::Done);
         }
-        let garbled = |why: String| UpstreamError::Garbled(why);
+        let garbled = |why: String| UpstreamError::InvalidResponse(why);
         let body: EventBody = serde_json::from_str(data).map_err(|err| garbled(err.to_string()))?;
         if let Some(error) = body.error {
             return Err(UpstreamError::Failed(error.to_string()));
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -130,7 +130,7 @@
     not_sent = { UpstreamError::NotSent(String::new()), Outcome::NotRun },
     turned_away = { refused(), Outcome::NotRun },
     interrupted = { UpstreamError::Interrupted(String::new()), Outcome::MayHaveRun },
-    garbled = { UpstreamError::Garbled(String::new()), Outcome::MayHaveRun },
+    garbled = { UpstreamError::InvalidResponse(String::new()), Outcome::MayHaveRun },
     failed = { UpstreamError::Failed(String::new()), Outcome::MayHaveRun },
     unknown = { UpstreamError::UnknownAttempt, Outcome::MayHaveRun },
 )]
