--- a/src/upstream/error.rs
+++ b/src/upstream/error.rs
@@ -21,7 +21,7 @@
     /// The connection broke or timed out after bytes had left: it may have run.
     Interrupted(String),
     /// The answer breaks the protocol, or is not the answer of this attempt: it may have run.
-    Garbled(String),
+    InvalidResponse(String),
     /// The upstream ran it and reported a failure.
     Failed(String),
     /// The upstream does not know the attempt.
@@ -41,7 +41,7 @@
             Self::NotSent(why) => write!(f, "upstream not reached: {why}"),
             Self::Refused { status, why, .. } => write!(f, "upstream refused ({status}): {why}"),
             Self::Interrupted(why) => write!(f, "upstream cut off: {why}"),
-            Self::Garbled(why) => write!(f, "upstream answered wrongly: {why}"),
+            Self::InvalidResponse(why) => write!(f, "upstream answered wrongly: {why}"),
             Self::Failed(why) => write!(f, "upstream failed: {why}"),
             Self::UnknownAttempt => f.write_str("upstream does not know the attempt"),
         }
