--- a/src/control/outcome/answer_fault.rs
+++ b/src/control/outcome/answer_fault.rs
@@ -75,7 +75,7 @@
     fn from(fault: AnswerFault) -> Self {
         match fault {
             AnswerFault::Cut { .. } => Self::Interrupted(fault.to_string()),
-            _ => Self::Garbled(fault.to_string()),
+            _ => Self::InvalidResponse(fault.to_string()),
         }
     }
 }
