--- a/src/entry/driver/dispatching.rs
+++ b/src/entry/driver/dispatching.rs
@@ -30,7 +30,7 @@
 use crate::upstream::Dispatch;
 use crate::upstream::RequestBody;
 use crate::upstream::ResponseStream;
-use crate::upstream::Upstream;
+use crate::upstream::UpstreamClient;
 use crate::upstream::UpstreamError;
 
 /// How long to wait before an answer is read on: long enough for an upstream to notice that the
@@ -206,7 +206,7 @@
     /// between.
     async fn resume_started(
         &self,
-        upstream: &dyn Upstream,
+        upstream: &dyn UpstreamClient,
         claim: &Claim,
         offset_tokens: u64,
     ) -> Result<ResponseStream, UpstreamError> {
--- a/src/entry/driver/frozen.rs
+++ b/src/entry/driver/frozen.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::sleep;
 
-use crate::upstream::Upstream;
+use crate::upstream::UpstreamClient;
 use crate::upstream::UpstreamError;
 
 /// A silence after which an engine is asked whether it is there. Reading a long prompt in takes
@@ -16,7 +16,7 @@
 ///
 /// Load it answers: an engine, or its machine, stands still. Its connections stay open and nothing
 /// comes, so that every request there waits until its time limit although other engines are idle.
-pub(super) async fn frozen(engine: Option<&dyn Upstream>) {
+pub(super) async fn frozen(engine: Option<&dyn UpstreamClient>) {
     let Some(engine) = engine else {
         return std::future::pending().await;
     };
--- a/src/entry/driver/mod.rs
+++ b/src/entry/driver/mod.rs
@@ -44,7 +44,7 @@
 use crate::units::AttemptId;
 use crate::units::RequestId;
 use crate::units::UpstreamId;
-use crate::upstream::Upstream;
+use crate::upstream::UpstreamClient;
 use crate::upstream::UpstreamError;
 
 /// When a request that failed not run may come back where nothing better is known.
@@ -130,7 +130,7 @@
     }
 
     /// The engine of the current attempt; none for a plain service.
-    fn engine(&self) -> Option<Arc<dyn Upstream>> {
+    fn engine(&self) -> Option<Arc<dyn UpstreamClient>> {
         let leader = self.attempt.as_ref().and_then(Attempt::leader);
         let leader = leader.filter(|_| self.job.is_model());
         leader.and_then(|id| self.parts.upstreams.upstream(id))
--- a/src/fleet/upstream_registry.rs
+++ b/src/fleet/upstream_registry.rs
@@ -7,8 +7,8 @@
 use crate::entry::UpstreamDirectory;
 use crate::http::HttpClient;
 use crate::units::UpstreamId;
-use crate::upstream::HttpUpstream;
-use crate::upstream::Upstream;
+use crate::upstream::HttpUpstreamClient;
+use crate::upstream::UpstreamClient;
 
 /// Clients of the upstreams in the cluster view. A client keeps its idle connections, so it is made once
 /// and made anew only when the upstream's address has changed.
@@ -29,7 +29,7 @@
 }
 
 impl UpstreamDirectory for UpstreamRegistry {
-    fn upstream(&self, id: &UpstreamId) -> Option<Arc<dyn Upstream>> {
+    fn upstream(&self, id: &UpstreamId) -> Option<Arc<dyn UpstreamClient>> {
         let addr = self.cluster_view.upstreams.get(id)?.addr;
         let client = self.clients.upsert(
             id,
@@ -41,6 +41,6 @@
                 client.clone()
             },
         );
-        Some(Arc::new(HttpUpstream::new(client)))
+        Some(Arc::new(HttpUpstreamClient::new(client)))
     }
 }
--- a/src/upstream/http/mod.rs
+++ b/src/upstream/http/mod.rs
@@ -33,7 +33,7 @@
 use crate::upstream::Order;
 use crate::upstream::ResponseStream;
 use crate::upstream::RunningAttempt;
-use crate::upstream::Upstream;
+use crate::upstream::UpstreamClient;
 use crate::upstream::UpstreamError;
 
 /// How long a call beside the answers may take. A frozen engine costs a controller this much.
@@ -47,11 +47,11 @@
 
 /// A client of one upstream.
 #[derive(Clone, Debug)]
-pub struct HttpUpstream {
+pub struct HttpUpstreamClient {
     client: HttpClient,
 }
 
-impl HttpUpstream {
+impl HttpUpstreamClient {
     /// A client of the upstream behind `client`.
     pub fn new(client: HttpClient) -> Self {
         Self { client }
@@ -128,7 +128,7 @@
     }
 }
 
-impl Upstream for HttpUpstream {
+impl UpstreamClient for HttpUpstreamClient {
     fn start(&self, dispatch: Dispatch) -> BoxFuture<'_, Result<ResponseStream, UpstreamError>> {
         self.start_attempt(dispatch).boxed()
     }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -20,7 +20,7 @@
 pub use dispatch::Dispatch;
 pub use dispatch::RequestBody;
 pub use error::UpstreamError;
-pub use http::HttpUpstream;
+pub use http::HttpUpstreamClient;
 pub use order::EngineState;
 pub use order::Order;
 pub use report::CacheEvent;
@@ -34,7 +34,7 @@
 use crate::units::Tokens;
 
 /// One upstream. Model engines answer all of these calls, plain services only `start`.
-pub trait Upstream: Send + Sync {
+pub trait UpstreamClient: Send + Sync {
     /// Starts an attempt and returns its answer as a stream. The implementation sends the request
     /// once: it never repeats it by itself on another connection.
     fn start(&self, dispatch: Dispatch) -> BoxFuture<'_, Result<ResponseStream, UpstreamError>>;
--- a/standin/tests/engine.rs
+++ b/standin/tests/engine.rs
@@ -11,12 +11,12 @@
 use banyanarch::units::Priority;
 use banyanarch::upstream::Dispatch;
 use banyanarch::upstream::EngineState;
-use banyanarch::upstream::HttpUpstream;
+use banyanarch::upstream::HttpUpstreamClient;
 use banyanarch::upstream::Order;
 use banyanarch::upstream::RequestBody;
 use banyanarch::upstream::ResponseEvent;
 use banyanarch::upstream::ResponseStream;
-use banyanarch::upstream::Upstream;
+use banyanarch::upstream::UpstreamClient;
 use banyanarch::upstream::UpstreamError;
 use bytes::Bytes;
 use futures_util::StreamExt;
@@ -69,8 +69,8 @@
     }
 }
 
-fn client(engine: &Engine) -> HttpUpstream {
-    HttpUpstream::new(HttpClient::new(engine.addr()))
+fn client(engine: &Engine) -> HttpUpstreamClient {
+    HttpUpstreamClient::new(HttpClient::new(engine.addr()))
 }
 
 async fn engine(options: EngineOptions) -> Engine {
