--- a/src/objects/http/mod.rs
+++ b/src/objects/http/mod.rs
@@ -116,7 +116,7 @@
         let req = Request::builder().method(method).uri(path);
         let req = req
             .header(CONTENT_TYPE, "application/json")
-            .body(ChunksBody::one(body));
+            .body(ChunksBody::single(body));
         let req = req.map_err(|err| PlatformError::Refused(err.to_string()))?;
         let res = self.client.call(req, ANSWER_LEN_MAX, self.timeout).await;
         let res = res.map_err(write_error)?;
--- a/src/upstream/http/mod.rs
+++ b/src/upstream/http/mod.rs
@@ -98,7 +98,7 @@
     ) -> Result<Bytes, UpstreamError> {
         let req = Request::builder().method(method).uri(path);
         let req = req.header(CONTENT_TYPE, "application/json");
-        let body = body.map(ChunksBody::one).unwrap_or_default();
+        let body = body.map(ChunksBody::single).unwrap_or_default();
         let res = self
             .client
             .call(finish(req, body)?, CONTROL_LEN_MAX, CONTROL_TIMEOUT)
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -294,7 +294,7 @@
     for (name, value) in headers {
         req = req.header(*name, *value);
     }
-    let req = req.body(ChunksBody::one(body.to_owned())).unwrap();
+    let req = req.body(ChunksBody::single(body.to_owned())).unwrap();
     HttpClient::new(addr)
         .call(req, BODY_LEN_MAX, PATIENCE)
         .await
