--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -34,7 +34,7 @@
     }
 
     /// A body of one piece.
-    pub fn one(chunk: impl Into<Bytes>) -> Self {
+    pub fn single(chunk: impl Into<Bytes>) -> Self {
         Self::new([chunk.into()])
     }
 }
