--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -212,13 +212,13 @@
             at_fault: None,
             why,
         },
-        OneShotError::Connect(_) | OneShotError::NotSent(_) => SendOutcome::NotRun {
+        OneShotError::ConnectFailed(_) | OneShotError::NotSent(_) => SendOutcome::NotRun {
             fault: UpstreamFault::ConnectRefused,
             arrived: false,
             at_fault: None,
             why,
         },
-        OneShotError::Broken(_) | OneShotError::Timeout => SendOutcome::Lost {
+        OneShotError::ConnectionBroken(_) | OneShotError::Timeout => SendOutcome::Lost {
             fault: UpstreamFault::Broken,
             why,
         },
--- a/src/http/one_shot.rs
+++ b/src/http/one_shot.rs
@@ -80,8 +80,8 @@
     let connected = timeout(connect_timeout, TcpStream::connect(addr)).await;
     let stream = connected
         .map_err(|_| OneShotError::ConnectTimeout)?
-        .map_err(OneShotError::Connect)?;
-    detect_silence(&stream).map_err(OneShotError::Connect)?;
+        .map_err(OneShotError::ConnectFailed)?;
+    detect_silence(&stream).map_err(OneShotError::ConnectFailed)?;
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (mut sender, conn) = handshake.map_err(|err| OneShotError::NotSent(err.to_string()))?;
     let mut conn = Some(Box::pin(conn));
@@ -95,7 +95,7 @@
         Ok(res) => Ok(res.map(|incoming| OneShotBody { conn, incoming })),
         Err(mut err) => match err.take_message() {
             Some(_) => Err(OneShotError::NotSent(err.into_error().to_string())),
-            None => Err(OneShotError::Broken(err.into_error().to_string())),
+            None => Err(OneShotError::ConnectionBroken(err.into_error().to_string())),
         },
     }
 }
@@ -129,7 +129,7 @@
         let frame = timeout(silence_max, body.frame()).await;
         match frame.map_err(|_| OneShotError::Timeout)? {
             None => return Ok(Response::from_parts(head, bytes.freeze())),
-            Some(Err(err)) => return Err(OneShotError::Broken(err.to_string())),
+            Some(Err(err)) => return Err(OneShotError::ConnectionBroken(err.to_string())),
             Some(Ok(frame)) => bytes.extend(frame.into_data().ok()),
         }
     }
