--- a/src/http/one_shot.rs
+++ b/src/http/one_shot.rs
@@ -48,11 +48,11 @@
     /// No connection came about in time; nothing was sent.
     ConnectTimeout,
     /// The connection was refused or failed at once; nothing was sent.
-    Connect(io::Error),
+    ConnectFailed(io::Error),
     /// The connection broke before the request was handed to it; nothing was sent.
     NotSent(String),
     /// The connection broke after the request may have left.
-    Broken(String),
+    ConnectionBroken(String),
     /// No whole answer came in time.
     Timeout,
 }
@@ -61,9 +61,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::ConnectTimeout => f.write_str("connecting timed out"),
-            Self::Connect(err) => write!(f, "cannot connect: {err}"),
+            Self::ConnectFailed(err) => write!(f, "cannot connect: {err}"),
             Self::NotSent(why) => write!(f, "not sent: {why}"),
-            Self::Broken(why) => write!(f, "broke off: {why}"),
+            Self::ConnectionBroken(why) => write!(f, "broke off: {why}"),
             Self::Timeout => f.write_str("no answer in time"),
         }
     }
