--- a/src/http/one_shot.rs
+++ b/src/http/one_shot.rs
@@ -107,7 +107,7 @@
     len_max: usize,
     limit: Duration,
 ) -> Result<Response<Bytes>, OneShotError> {
-    let whole = call_while_it_goes_on(addr, req, len_max, limit);
+    let whole = call_with_idle_timeout(addr, req, len_max, limit);
     timeout(limit, whole)
         .await
         .map_err(|_| OneShotError::Timeout)?
@@ -115,7 +115,7 @@
 
 /// Sends a request and reads the whole answer, at most `len_max` bytes. Its head has to come within
 /// `silence_max`, and each further part of it within as long after the one before.
-pub async fn call_while_it_goes_on(
+pub async fn call_with_idle_timeout(
     addr: SocketAddr,
     req: Request<Full<Bytes>>,
     len_max: usize,
