--- a/soak/src/call.rs
+++ b/soak/src/call.rs
@@ -5,8 +5,8 @@
 use banyanarch::decide::EngineModel;
 use banyanarch::routing::CallKind;
 use banyanarch::units::Tokens;
-use banyanarch_platform::stand_in::ManifestPlan;
-use banyanarch_platform::stand_in::RoutePlan;
+use banyanarch_platform::stand_in::ManifestConf;
+use banyanarch_platform::stand_in::RouteConf;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The host name that callers use.
@@ -108,8 +108,8 @@
     version: u64,
     moving_to: &str,
     customers: &[(String, Vec<String>)],
-) -> ManifestPlan {
-    let route = |kind: Kind| RoutePlan {
+) -> ManifestConf {
+    let route = |kind: Kind| RouteConf {
         name: kind.route().to_owned(),
         hostname: HOSTNAME.to_owned(),
         kind: kind.call_kind(),
@@ -122,7 +122,7 @@
         },
         runs_max: kind.runs_max(),
     };
-    ManifestPlan {
+    ManifestConf {
         version,
         routes: Kind::ALL.map(route).to_vec(),
         services: vec![
--- a/soak/src/host.rs
+++ b/soak/src/host.rs
@@ -8,7 +8,7 @@
 use std::process::Command;
 use std::process::Stdio;
 
-use banyanarch_platform::stand_in::NodePlan;
+use banyanarch_platform::stand_in::NodeConf;
 use nix::sys::signal;
 use nix::sys::signal::Signal;
 use nix::unistd::Pid;
@@ -16,7 +16,7 @@
 /// A host.
 #[derive(Debug)]
 pub(crate) struct Host {
-    pub(crate) plan: NodePlan,
+    pub(crate) plan: NodeConf,
     program: PathBuf,
     dir: PathBuf,
     process: Option<Child>,
@@ -25,7 +25,7 @@
 }
 
 impl Host {
-    pub(crate) fn new(plan: NodePlan, program: &Path, dir: &Path) -> Self {
+    pub(crate) fn new(plan: NodeConf, program: &Path, dir: &Path) -> Self {
         Self {
             plan,
             program: program.to_owned(),
--- a/soak/src/site.rs
+++ b/soak/src/site.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use banyanarch_platform::stand_in;
-use banyanarch_platform::stand_in::NodePlan;
+use banyanarch_platform::stand_in::NodeConf;
 use indexmap::IndexMap;
 use tokio::net::TcpListener;
 use tokio::time::Instant;
@@ -106,7 +106,7 @@
             let seen = Arc::new(Mutex::new(SeenAs::default()));
             let store_addr = store.serve(links_ip, Arc::clone(&seen)).await?;
             let store_link = Link::start(links_ip, store_addr).await?;
-            let plan = NodePlan {
+            let plan = NodeConf {
                 name: format!("host-{index}"),
                 domain: format!("domain-{}", index % DOMAINS),
                 ip: own_ip,
