--- a/soak/src/upstream.rs
+++ b/soak/src/upstream.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use banyanarch_platform::stand_in;
-use banyanarch_platform::stand_in::ArrivedHead;
 use banyanarch_platform::stand_in::EngineOrder;
+use banyanarch_platform::stand_in::ForwardedHead;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use http_body_util::StreamBody;
@@ -191,7 +191,7 @@
         if stand_in::asks_for_report(&head.method, head.uri.path()) {
             return Ok(whole(StatusCode::OK, stand_in::report_json().to_string()));
         }
-        let arrived = ArrivedHead::read(&head.headers);
+        let arrived = ForwardedHead::read(&head.headers);
         let request = arrived.request.clone();
         let is_other = arrived.upstream.as_ref().is_some_and(|id| *id != self.id);
         let lacks_memory = !self.holds_own(&arrived);
@@ -234,14 +234,14 @@
     }
 
     /// Whether the memory is still set aside that a request names as its own here.
-    fn holds_own(&self, arrived: &ArrivedHead) -> bool {
+    fn holds_own(&self, arrived: &ForwardedHead) -> bool {
         let now = self.began.elapsed();
         let reserved = self.reservations();
         let own = arrived.helpers.first().and_then(|(_, name)| name.as_ref());
         own.is_none_or(|name| reserved.get(name).is_some_and(|until| *until > now))
     }
 
-    fn record(&self, head: &hyper::http::request::Parts, body: &Bytes, arrived: &ArrivedHead) {
+    fn record(&self, head: &hyper::http::request::Parts, body: &Bytes, arrived: &ForwardedHead) {
         let path = head.uri.path();
         let question = call::question(&arrived.request);
         let is_path = call::Kind::ALL
@@ -281,7 +281,7 @@
     }
 
     /// The events after the one that the caller has.
-    fn stream(self: &Arc<Self>, arrived: &ArrivedHead, state: UpstreamState) -> Response<Body> {
+    fn stream(self: &Arc<Self>, arrived: &ForwardedHead, state: UpstreamState) -> Response<Body> {
         let (sender, receiver) = mpsc::channel::<Result<Frame<Bytes>, std::io::Error>>(1);
         let request = arrived.request.clone();
         let first = arrived.last_event.unwrap_or(0) + 1;
