--- a/soak/src/store.rs
+++ b/soak/src/store.rs
@@ -146,7 +146,7 @@
                     let (store, seen_as) = (store.clone(), Arc::clone(&seen_as));
                     async move {
                         let mut res = store.answer(req, &seen_as).await?;
-                        stand_in::name_era(res.headers_mut(), store.lock().era);
+                        stand_in::set_store_era(res.headers_mut(), store.lock().era);
                         Ok::<_, Infallible>(res)
                     }
                 });
--- a/soak/src/upstream.rs
+++ b/soak/src/upstream.rs
@@ -202,7 +202,7 @@
                 StatusCode::SERVICE_UNAVAILABLE
             };
             let mut res = whole(status, String::new());
-            stand_in::mark_not_run(res.headers_mut(), &request);
+            stand_in::mark_not_executed(res.headers_mut(), &request);
             return Ok(res);
         }
         self.record(&head, &body, &arrived);
@@ -226,9 +226,9 @@
         } else {
             request.as_str()
         };
-        stand_in::mark_ran(res.headers_mut(), answered, &self.id);
+        stand_in::mark_executed(res.headers_mut(), answered, &self.id);
         if let Some(per_s) = *self.limit() {
-            stand_in::name_limit(res.headers_mut(), per_s);
+            stand_in::set_request_limit(res.headers_mut(), per_s);
         }
         Ok(res)
     }
