--- a/soak/src/site.rs
+++ b/soak/src/site.rs
@@ -114,7 +114,7 @@
                 ready_addr: free_port(own_ip).await?,
                 internal_port: free_port(own_ip).await?.port(),
                 store_addr: store_link.addr,
-                revoke_after: REVOKE_AFTER,
+                revocation_delay: REVOKE_AFTER,
                 stop_grace: STOP_GRACE,
             };
             caller_links.push(Link::start(links_ip, plan.callers_addr).await?);
--- a/soak/src/store.rs
+++ b/soak/src/store.rs
@@ -226,7 +226,7 @@
         let object = |name: &str, revision: u64, spec: &Value| {
             let mut spec = spec.clone();
             let moved = |addr| seen_as.get(&addr).copied().unwrap_or(addr);
-            stand_in::move_addresses(&mut spec, moved);
+            stand_in::rewrite_addresses(&mut spec, moved);
             stand_in::object_json(name, revision, &spec)
         };
         let found = |kind: &str, name: &str| {
--- a/soak/src/upstream.rs
+++ b/soak/src/upstream.rs
@@ -188,7 +188,7 @@
         if let Some(order) = EngineOrder::read(&body) {
             return Ok(self.obey(order));
         }
-        if stand_in::asks_for_report(&head.method, head.uri.path()) {
+        if stand_in::is_report_request(&head.method, head.uri.path()) {
             return Ok(whole(StatusCode::OK, stand_in::report_json().to_string()));
         }
         let arrived = ForwardedHead::read(&head.headers);
