--- a/soak/src/store.rs
+++ b/soak/src/store.rs
@@ -168,7 +168,7 @@
             .await
             .map(http_body_util::Collected::to_bytes);
         let body = body.unwrap_or_default();
-        let Some(call) = StoreCall::read(&head.method, head.uri.path(), &body) else {
+        let Some(call) = StoreCall::parse(&head.method, head.uri.path(), &body) else {
             return Ok(response(StatusCode::BAD_REQUEST, &Value::Null));
         };
         let state = self.lock().state;
--- a/soak/src/upstream.rs
+++ b/soak/src/upstream.rs
@@ -185,13 +185,13 @@
             .await
             .map_err(std::io::Error::other)?
             .to_bytes();
-        if let Some(order) = EngineOrder::read(&body) {
+        if let Some(order) = EngineOrder::parse(&body) {
             return Ok(self.obey(order));
         }
         if stand_in::is_report_request(&head.method, head.uri.path()) {
             return Ok(whole(StatusCode::OK, stand_in::report_json().to_string()));
         }
-        let arrived = ForwardedHead::read(&head.headers);
+        let arrived = ForwardedHead::parse(&head.headers);
         let request = arrived.request.clone();
         let is_other = arrived.upstream.as_ref().is_some_and(|id| *id != self.id);
         let lacks_memory = !self.holds_own(&arrived);
