--- a/benches/drills.rs
+++ b/benches/drills.rs
@@ -9,7 +9,7 @@
 use nix::sys::signal::Signal;
 use tokio::time::sleep;
 
-use site::Site;
+use site::TestSite;
 use site::call;
 use site::completion;
 
@@ -27,7 +27,7 @@
     let mut slowest = Duration::ZERO;
     let mut lost = 0;
     for run in 0..TAKE_OVERS {
-        let mut site = Site::with(2, 3).await;
+        let mut site = TestSite::with(2, 3).await;
         site.joined().await;
         sleep(Duration::from_secs(2)).await;
         let home = site.home_of("geet-model").await;
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -11,7 +11,7 @@
 
 use site::Gate;
 use site::MANIFEST;
-use site::Site;
+use site::TestSite;
 use site::answer_to;
 use site::call;
 use site::callers::LONG_ANSWER;
@@ -30,7 +30,7 @@
 /// a few such days the fleet is full of nothing. The home must find the attempt and end it.
 #[tokio::test]
 async fn a_killed_host_leaves_no_memory_behind() {
-    let mut site = Site::with(2, 3).await;
+    let mut site = TestSite::with(2, 3).await;
     site.joined().await;
     let body = completion("an audit whose host dies", 20_000, false);
     let addr = site.hosts[2].callers;
@@ -49,7 +49,7 @@
 /// engines idle. A request that may be repeated is run again elsewhere, within its time.
 #[tokio::test]
 async fn a_dead_engine_costs_a_repeatable_request_nothing_but_time() {
-    let site = Site::with(3, 1).await;
+    let site = TestSite::with(3, 1).await;
     let body = completion("a quote whose engine dies", LONG_ANSWER, false);
     let caller = send_later(site.hosts[0].callers, None, &body);
     until_running(&site, &body).await;
@@ -69,7 +69,7 @@
 /// there, and the request is run elsewhere.
 #[tokio::test]
 async fn a_frozen_engine_holds_no_repeatable_request_until_its_limit() {
-    let site = Site::with(2, 1).await;
+    let site = TestSite::with(2, 1).await;
     let body = completion("a quote whose engine freezes", LONG_ANSWER, false);
     let caller = send_later(site.hosts[0].callers, None, &body);
     until_running(&site, &body).await;
@@ -94,7 +94,7 @@
 /// memory must not wait for the time limit.
 #[tokio::test]
 async fn a_caller_that_hangs_up_leaves_no_memory_behind() {
-    let site = Site::with(1, 1).await;
+    let site = TestSite::with(1, 1).await;
     let body = completion("a question whose caller hangs up", 5_000, true);
     let caller = connect_and_send(site.hosts[0].callers, "", &body).await;
     until_running(&site, &body).await;
@@ -111,7 +111,7 @@
 /// nothing is lost or cut.
 #[tokio::test]
 async fn a_frozen_home_holds_nobody_up_and_wakes_up_harmless() {
-    let site = Site::with(2, 3).await;
+    let site = TestSite::with(2, 3).await;
     site.joined().await;
     let home = site.home_of("geet-model").await;
     site.hosts[home].signal(Signal::SIGSTOP);
@@ -137,7 +137,7 @@
 /// since nothing of it passes through the home.
 #[tokio::test]
 async fn a_dead_home_cuts_no_stream() {
-    let mut site = Site::with(2, 3).await;
+    let mut site = TestSite::with(2, 3).await;
     site.joined().await;
     let home = site.home_of("geet-model").await;
     let other = (home + 1) % 3;
@@ -156,7 +156,7 @@
 /// must learn that the host goes, and the process must end by itself once all is done.
 #[tokio::test]
 async fn a_shutdown_cuts_off_no_request() {
-    let mut site = Site::with(2, 2).await;
+    let mut site = TestSite::with(2, 2).await;
     site.joined().await;
     let body = completion("an answer during a shutdown", LONG_ANSWER, true);
     let caller = send_later(site.hosts[0].callers, None, &body);
@@ -185,7 +185,7 @@
 /// after the platform's list says so, nothing new may go there.
 #[tokio::test]
 async fn a_leaving_upstream_gets_no_new_work() {
-    let site = Site::with(2, 2).await;
+    let site = TestSite::with(2, 2).await;
     site.joined().await;
     site.engine_leaves(0, "a").await;
     sleep(Duration::from_secs(3)).await;
@@ -205,7 +205,7 @@
 /// yesterday's customers and limits back in force.
 #[tokio::test]
 async fn a_manifest_never_reverts() {
-    let mut site = Site::with(1, 2).await;
+    let mut site = TestSite::with(1, 2).await;
     site.joined().await;
     site.publish(7, MANIFEST).await;
     for host in &site.hosts {
@@ -231,7 +231,7 @@
 /// from them and serves.
 #[tokio::test]
 async fn a_fresh_host_learns_the_manifest_from_its_neighbours() {
-    let mut site = Site::with(1, 2).await;
+    let mut site = TestSite::with(1, 2).await;
     site.joined().await;
     let gate = Gate::to(site.platform.addr()).await;
     gate.cut(true);
@@ -244,7 +244,7 @@
 /// crashes it must be known for what it is at every host, or it takes down the whole fleet.
 #[tokio::test]
 async fn a_request_that_crashes_engines_is_refused_after_two() {
-    let site = Site::with(4, 2).await;
+    let site = TestSite::with(4, 2).await;
     site.joined().await;
     for engine in &site.engines {
         let crash_marker = Some("the verse that breaks it".to_owned());
@@ -286,7 +286,7 @@
 /// child. No crossed byte may pass; the request fails, or gets its own answer elsewhere.
 #[tokio::test]
 async fn crossed_answers_reach_nobody() {
-    let site = Site::with(2, 1).await;
+    let site = TestSite::with(2, 1).await;
     let faults = EngineFaults {
         cross_answers: true,
         ..Default::default()
@@ -312,7 +312,7 @@
 /// read on from where they were cut: whole, once, and without a second run.
 #[tokio::test]
 async fn cut_answers_are_read_on() {
-    let site = Site::with(2, 1).await;
+    let site = TestSite::with(2, 1).await;
     for engine in &site.engines {
         engine.set_faults(EngineFaults {
             cut_one_in: 2,
@@ -336,7 +336,7 @@
 /// The homes compare with what engines list, and cancel what nobody holds.
 #[tokio::test]
 async fn leaked_engine_memory_is_given_back() {
-    let site = Site::with(1, 1).await;
+    let site = TestSite::with(1, 1).await;
     site.engines[0].set_faults(EngineFaults {
         leak_one_in: 2,
         ..Default::default()
@@ -356,7 +356,7 @@
 /// the engine's memory back.
 #[tokio::test]
 async fn a_request_ends_within_its_time_limit() {
-    let site = Site::with(1, 1).await;
+    let site = TestSite::with(1, 1).await;
     let body = completion("longer than its limit", 100_000, false);
     let headers = [("Banyanarch-Timeout-Ms", "1000")];
     let res = call(site.hosts[0].callers, "/v1/completions", &headers, &body)
@@ -376,7 +376,7 @@
 /// All of them must give their part back.
 #[tokio::test]
 async fn a_gang_whose_host_dies_gives_everything_back() {
-    let mut site = Site::start().await;
+    let mut site = TestSite::start().await;
     for _ in 0..3 {
         let options = EngineOptions {
             prefill_tokens_per_second: 50_000.0,
@@ -402,7 +402,7 @@
 /// engines stay loaded, and all of them get there.
 #[tokio::test]
 async fn a_new_version_is_loaded_while_callers_are_served() {
-    let mut site = Site::start().await;
+    let mut site = TestSite::start().await;
     for _ in 0..4 {
         let options = EngineOptions {
             load_ms: 500,
--- a/tests/faults_claims.rs
+++ b/tests/faults_claims.rs
@@ -8,7 +8,7 @@
 use standin::platform::PlatformFaults;
 
 use site::Gate;
-use site::Site;
+use site::TestSite;
 use site::answer_to;
 use site::callers::LONG_ANSWER;
 use site::callers::connect_and_send;
@@ -25,7 +25,7 @@
 /// sent. The caller is told so, and a second letter is not written behind its back.
 #[tokio::test]
 async fn a_dead_engine_leaves_what_must_not_repeat_in_doubt() {
-    let site = Site::with(3, 1).await;
+    let site = TestSite::with(3, 1).await;
     let body = completion("a letter whose engine dies", LONG_ANSWER, false);
     let caller = send_later(site.hosts[0].callers, Some("letter-1"), &body);
     until_running(&site, &body).await;
@@ -48,7 +48,7 @@
 /// invoices the client twice. The second host finds the claim and reads the running answer.
 #[tokio::test]
 async fn a_key_sent_again_through_another_host_gets_the_running_answer() {
-    let mut site = Site::with(3, 3).await;
+    let mut site = TestSite::with(3, 3).await;
     site.joined().await;
     let body = completion("a licence grant", LONG_ANSWER, false);
     let _caller = send_later(site.hosts[0].callers, Some("grant-7"), &body);
@@ -67,7 +67,7 @@
 /// connection, the grant would be lost and its key used up; run again, it would be doubled.
 #[tokio::test]
 async fn a_caller_that_hangs_up_gets_its_answer_when_it_calls_again() {
-    let site = Site::with(2, 1).await;
+    let site = TestSite::with(2, 1).await;
     let body = completion("a grant whose caller hangs up", LONG_ANSWER, true);
     let caller = connect_and_send(site.hosts[0].callers, &keyed("hung-up"), &body).await;
     until_running(&site, &body).await;
@@ -87,7 +87,7 @@
 /// callers get the one answer.
 #[tokio::test]
 async fn two_sendings_of_one_key_at_once_run_once() {
-    let site = Site::with(2, 2).await;
+    let site = TestSite::with(2, 2).await;
     site.joined().await;
     for round in 0..10 {
         let body = completion(&format!("a race, round {round}"), 20, false);
@@ -106,7 +106,7 @@
 /// running the second would break the key's promise.
 #[tokio::test]
 async fn a_key_used_for_another_request_is_refused() {
-    let site = Site::with(1, 1).await;
+    let site = TestSite::with(1, 1).await;
     let addr = site.hosts[0].callers;
     let first = completion("one letter", 4, false);
     let other = completion("another letter", 4, false);
@@ -123,7 +123,7 @@
 /// the truth, not run; clause lookups go on.
 #[tokio::test]
 async fn without_the_platform_only_what_needs_a_claim_is_turned_away() {
-    let site = Site::with(2, 2).await;
+    let site = TestSite::with(2, 2).await;
     site.joined().await;
     site.platform.set_faults(PlatformFaults {
         outage: Outage::Closed,
@@ -159,7 +159,7 @@
 /// for a failure says "not run" of a claim that is in, or claims a second time and runs it twice.
 #[tokio::test]
 async fn lost_answers_of_the_platform_double_nothing() {
-    let site = Site::with(2, 2).await;
+    let site = TestSite::with(2, 2).await;
     site.joined().await;
     site.platform.set_faults(PlatformFaults {
         lose_answer_one_in: 2,
@@ -192,7 +192,7 @@
 /// turned away: a peer makes the call.
 #[tokio::test]
 async fn a_host_cut_off_from_the_platform_claims_through_a_peer() {
-    let mut site = Site::with(2, 2).await;
+    let mut site = TestSite::with(2, 2).await;
     let gate = Gate::to(site.platform.addr()).await;
     site.add_host_at("a", gate.addr).await;
     site.ready().await;
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpStream;
 use yare::parameterized;
 
-use site::Site;
+use site::TestSite;
 use site::answer_to;
 use site::call;
 use site::completion;
@@ -18,7 +18,7 @@
 
 #[tokio::test]
 async fn a_caller_gets_the_whole_answer_to_its_own_request() {
-    let site = Site::with(2, 1).await;
+    let site = TestSite::with(2, 1).await;
     let body = completion("which verses are free to license?", 24, false);
     let res = call(site.hosts[0].callers, "/v1/completions", &[], &body)
         .await
@@ -31,7 +31,7 @@
 
 #[tokio::test]
 async fn a_streamed_answer_ends_with_its_end_mark() {
-    let site = Site::with(1, 1).await;
+    let site = TestSite::with(1, 1).await;
     let body = completion("stream this", 12, true);
     let res = call(site.hosts[0].callers, "/v1/completions", &[], &body)
         .await
@@ -47,7 +47,7 @@
 
 #[tokio::test]
 async fn a_service_call_is_answered_and_explained() {
-    let site = Site::with(1, 1).await;
+    let site = TestSite::with(1, 1).await;
     let host = &site.hosts[0];
     let headers = [("Banyanarch-Repeatable", "true")];
     let res = call(host.callers, "/adhikar-app/quotes", &headers, "verse 7")
@@ -80,7 +80,7 @@
 )]
 #[test_macro(tokio::test)]
 async fn a_wrong_request_is_told_what_is_wrong(path: &str, body: &str, status: u16, reason: &str) {
-    let site = Site::with(1, 1).await;
+    let site = TestSite::with(1, 1).await;
     let res = call(site.hosts[0].callers, path, &[], body).await.unwrap();
     let text = String::from_utf8(res.body().to_vec()).unwrap();
     assert_eq!(res.status(), status, "{text}");
@@ -99,7 +99,7 @@
 )]
 #[test_macro(tokio::test)]
 async fn garbage_closes_its_own_connection_only(bytes: &[u8]) {
-    let site = Site::with(1, 1).await;
+    let site = TestSite::with(1, 1).await;
     let host = &site.hosts[0];
     for port in [host.callers, host.status, host.peers] {
         let mut stream = TcpStream::connect(port).await.unwrap();
@@ -117,7 +117,7 @@
 
 #[tokio::test]
 async fn an_oversized_head_is_refused() {
-    let site = Site::with(1, 1).await;
+    let site = TestSite::with(1, 1).await;
     let long = "x".repeat(100 << 10);
     let headers = [("X-Long", long.as_str())];
     let res = call(site.hosts[0].callers, "/v1/completions", &headers, "{}").await;
@@ -135,7 +135,7 @@
 
 #[tokio::test]
 async fn a_prompt_of_a_million_tokens_passes_as_it_was_sent() {
-    let mut site = Site::start().await;
+    let mut site = TestSite::start().await;
     for _ in 0..6 {
         let options = standin::engine::EngineOptions {
             prefill_tokens_per_second: 4_000_000.0,
--- a/tests/site/callers.rs
+++ b/tests/site/callers.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-use crate::site::Site;
+use crate::site::TestSite;
 use crate::site::call;
 use crate::site::until;
 
@@ -51,6 +51,6 @@
     caller
 }
 
-pub(crate) async fn until_running(site: &Site, body: &str) {
+pub(crate) async fn until_running(site: &TestSite, body: &str) {
     until("a run at an engine", async || site.runs_of(body) > 0).await;
 }
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -69,14 +69,14 @@
 ";
 
 /// The stand-ins around the hosts of a test.
-pub(crate) struct Site {
+pub(crate) struct TestSite {
     pub(crate) platform: PlatformFake,
     pub(crate) engines: Vec<Engine>,
     pub(crate) services: Vec<Service>,
     pub(crate) hosts: Vec<Host>,
 }
 
-impl Site {
+impl TestSite {
     /// A platform with the manifest, and nothing else yet.
     pub(crate) async fn start() -> Self {
         let platform = PlatformFake::start(loopback()).await.unwrap();
