--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -9,7 +9,7 @@
 use standin::engine::EngineOptions;
 use tokio::time::sleep;
 
-use site::Gate;
+use site::BlackholeProxy;
 use site::MANIFEST;
 use site::TestSite;
 use site::answer_to;
@@ -233,8 +233,8 @@
 async fn a_fresh_host_learns_the_manifest_from_its_neighbours() {
     let mut site = TestSite::with(1, 2).await;
     site.joined().await;
-    let gate = Gate::to(site.platform.addr()).await;
-    gate.cut(true);
+    let gate = BlackholeProxy::start(site.platform.addr()).await;
+    gate.set_blackhole(true);
     let fresh = site.add_seeded_host("a", gate.addr).await;
     site.hosts[fresh].ready().await;
     assert_eq!(site.hosts[fresh].status().await["generation"], 1);
--- a/tests/faults_claims.rs
+++ b/tests/faults_claims.rs
@@ -7,7 +7,7 @@
 use standin::platform::Outage;
 use standin::platform::PlatformFaults;
 
-use site::Gate;
+use site::BlackholeProxy;
 use site::TestSite;
 use site::answer_to;
 use site::callers::LONG_ANSWER;
@@ -193,11 +193,11 @@
 #[tokio::test]
 async fn a_host_cut_off_from_the_platform_claims_through_a_peer() {
     let mut site = TestSite::with(2, 2).await;
-    let gate = Gate::to(site.platform.addr()).await;
+    let gate = BlackholeProxy::start(site.platform.addr()).await;
     site.add_host_at("a", gate.addr).await;
     site.ready().await;
     site.joined().await;
-    gate.cut(true);
+    gate.set_blackhole(true);
     let body = completion("a grant through a peer", 4, false);
     until("a claim through a peer", async || {
         let res = send(site.hosts[2].callers, Some("relayed"), &body)
--- a/tests/site/gate.rs
+++ b/tests/site/gate.rs
@@ -12,12 +12,12 @@
 use tokio::time::sleep;
 
 /// Passes connections on to one address. Cut, it swallows them without an answer, as a network does.
-pub(crate) struct Gate {
+pub(crate) struct BlackholeProxy {
     pub(crate) addr: SocketAddr,
     is_cut: Arc<AtomicBool>,
 }
 
-impl Gate {
+impl BlackholeProxy {
     pub(crate) async fn to(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -28,7 +28,7 @@
     unused_imports,
     reason = "only some test files cut the way to the platform"
 )]
-pub(crate) use gate::Gate;
+pub(crate) use gate::BlackholeProxy;
 pub(crate) use host::Host;
 
 /// Long against everything that a test waits for, short against a CI run that hangs.
