--- a/tests/site/gate.rs
+++ b/tests/site/gate.rs
@@ -18,7 +18,7 @@
 }
 
 impl BlackholeProxy {
-    pub(crate) async fn to(target: SocketAddr) -> Self {
+    pub(crate) async fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
         let is_cut = Arc::new(AtomicBool::new(false));
@@ -31,7 +31,7 @@
         Self { addr, is_cut }
     }
 
-    pub(crate) fn cut(&self, is_cut: bool) {
+    pub(crate) fn set_blackhole(&self, is_cut: bool) {
         self.is_cut.store(is_cut, Ordering::SeqCst);
     }
 }
