--- a/benches/drills.rs
+++ b/benches/drills.rs
@@ -28,7 +28,7 @@
     let mut lost = 0;
     for run in 0..TAKE_OVERS {
         let mut site = TestSite::with(2, 3).await;
-        site.joined().await;
+        site.wait_until_joined().await;
         sleep(Duration::from_secs(2)).await;
         let home = site.home_of("geet-model").await;
         let killed = site.hosts.remove(home);
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -31,7 +31,7 @@
 #[tokio::test]
 async fn a_killed_host_leaves_no_memory_behind() {
     let mut site = TestSite::with(2, 3).await;
-    site.joined().await;
+    site.wait_until_joined().await;
     let body = completion("an audit whose host dies", 20_000, false);
     let addr = site.hosts[2].callers;
     let audit = body.clone();
@@ -41,8 +41,8 @@
     });
     until_running(&site, &body).await;
     site.hosts[2].signal(Signal::SIGKILL);
-    site.hosts[2].ended().await;
-    site.at_rest().await;
+    site.hosts[2].wait_for_exit().await;
+    site.wait_until_idle().await;
 }
 
 /// A caller waits for a quote, its engine dies, and the caller gets an error although three other
@@ -87,7 +87,7 @@
     );
     assert_eq!(text_of(&res), answer_to(&body, LONG_ANSWER));
     site.engines[engine].set_faults(EngineFaults::default());
-    site.at_rest().await;
+    site.wait_until_idle().await;
 }
 
 /// A caller hangs up and nothing was claimed: nobody will ask for the answer again, and the engine's
@@ -103,7 +103,7 @@
         site.engines[0].record().iter().all(|run| run.end.is_some())
     })
     .await;
-    site.at_rest().await;
+    site.wait_until_idle().await;
 }
 
 /// The home of the pool is frozen, and nobody has noticed yet. Lookups through the other hosts must
@@ -112,7 +112,7 @@
 #[tokio::test]
 async fn a_frozen_home_holds_nobody_up_and_wakes_up_harmless() {
     let site = TestSite::with(2, 3).await;
-    site.joined().await;
+    site.wait_until_joined().await;
     let home = site.home_of("geet-model").await;
     site.hosts[home].signal(Signal::SIGSTOP);
     let others: Vec<usize> = (0..3).filter(|host| *host != home).collect();
@@ -124,13 +124,13 @@
         sleep(Duration::from_millis(100)).await;
     }
     site.hosts[home].signal(Signal::SIGCONT);
-    site.joined().await;
+    site.wait_until_joined().await;
     for host in 0..3 {
         let body = completion(&format!("a lookup after the thaw, {host}"), 4, false);
         let res = send(site.hosts[host].callers, None, &body).await.unwrap();
         assert_eq!(text_of(&res), answer_to(&body, 4), "{:?}", res.body());
     }
-    site.at_rest().await;
+    site.wait_until_idle().await;
 }
 
 /// The home is killed with a stream running that it granted to another host. The stream goes on,
@@ -138,18 +138,18 @@
 #[tokio::test]
 async fn a_dead_home_cuts_no_stream() {
     let mut site = TestSite::with(2, 3).await;
-    site.joined().await;
+    site.wait_until_joined().await;
     let home = site.home_of("geet-model").await;
     let other = (home + 1) % 3;
     let body = completion("a stream beside a dying home", LONG_ANSWER, true);
     let caller = send_later(site.hosts[other].callers, None, &body);
     until_running(&site, &body).await;
     site.hosts[home].signal(Signal::SIGKILL);
-    site.hosts[home].ended().await;
+    site.hosts[home].wait_for_exit().await;
     let res = caller.await.unwrap().unwrap();
     assert!(res.body().ends_with(b"data: [DONE]\n\n"));
     assert_eq!(site.runs_of(&body), 1);
-    site.at_rest().await;
+    site.wait_until_idle().await;
 }
 
 /// A host is replaced while a parent waits for an answer. SIGTERM must not cut it off, the balancer
@@ -157,7 +157,7 @@
 #[tokio::test]
 async fn a_shutdown_cuts_off_no_request() {
     let mut site = TestSite::with(2, 2).await;
-    site.joined().await;
+    site.wait_until_joined().await;
     let body = completion("an answer during a shutdown", LONG_ANSWER, true);
     let caller = send_later(site.hosts[0].callers, None, &body);
     until_running(&site, &body).await;
@@ -170,7 +170,7 @@
     .await;
     let res = caller.await.unwrap().unwrap();
     assert!(res.body().ends_with(b"data: [DONE]\n\n"));
-    assert!(site.hosts[0].ended().await.success());
+    assert!(site.hosts[0].wait_for_exit().await.success());
     assert_eq!(
         site.hosts[1]
             .complete("and after it?", 2)
@@ -186,7 +186,7 @@
 #[tokio::test]
 async fn a_leaving_upstream_gets_no_new_work() {
     let site = TestSite::with(2, 2).await;
-    site.joined().await;
+    site.wait_until_joined().await;
     site.engine_leaves(0, "a").await;
     sleep(Duration::from_secs(3)).await;
     let before = site.engines[0].record().len();
@@ -206,7 +206,7 @@
 #[tokio::test]
 async fn a_manifest_never_reverts() {
     let mut site = TestSite::with(1, 2).await;
-    site.joined().await;
+    site.wait_until_joined().await;
     site.publish(7, MANIFEST).await;
     for host in &site.hosts {
         until("generation 7", async || {
@@ -232,11 +232,11 @@
 #[tokio::test]
 async fn a_fresh_host_learns_the_manifest_from_its_neighbours() {
     let mut site = TestSite::with(1, 2).await;
-    site.joined().await;
+    site.wait_until_joined().await;
     let gate = BlackholeProxy::start(site.platform.addr()).await;
     gate.set_blackhole(true);
     let fresh = site.add_seeded_host("a", gate.addr).await;
-    site.hosts[fresh].ready().await;
+    site.hosts[fresh].wait_until_ready().await;
     assert_eq!(site.hosts[fresh].status().await["generation"], 1);
 }
 
@@ -245,7 +245,7 @@
 #[tokio::test]
 async fn a_request_that_crashes_engines_is_refused_after_two() {
     let site = TestSite::with(4, 2).await;
-    site.joined().await;
+    site.wait_until_joined().await;
     for engine in &site.engines {
         let crash_marker = Some("the verse that breaks it".to_owned());
         engine.set_faults(EngineFaults {
@@ -305,7 +305,7 @@
         }
     }
     site.engines[0].set_faults(EngineFaults::default());
-    site.at_rest().await;
+    site.wait_until_idle().await;
 }
 
 /// Connections to engines break in the middle of answers while the engines go on. The answers are
@@ -349,7 +349,7 @@
         assert_eq!(res.status(), 200);
     }
     site.engines[0].set_faults(EngineFaults::default());
-    site.at_rest().await;
+    site.wait_until_idle().await;
 }
 
 /// A request that takes longer than its limit. It must fail within the limit, truthfully, and give
@@ -369,7 +369,7 @@
     );
     let ran = site.runs_of(&body) > 0;
     assert!(!ran || outcome(&res) == "may-have-run", "{:?}", res.body());
-    site.at_rest().await;
+    site.wait_until_idle().await;
 }
 
 /// An archive larger than one engine needs several at once. Its host is killed while they hold it.
@@ -386,15 +386,15 @@
     }
     site.add_host("a").await;
     site.add_host("a").await;
-    site.ready().await;
-    site.joined().await;
+    site.wait_until_ready().await;
+    site.wait_until_joined().await;
     let prompt = "an archive of verses, ".repeat(1_200_000 / 22);
     let body = completion(&prompt, 64, false);
     let _caller = send_later(site.hosts[1].callers, None, &body);
     until_running(&site, &body).await;
     site.hosts[1].signal(Signal::SIGKILL);
-    site.hosts[1].ended().await;
-    site.at_rest().await;
+    site.hosts[1].wait_for_exit().await;
+    site.wait_until_idle().await;
 }
 
 /// A new version of the model is published while callers work. If all engines load it at once, nobody
@@ -413,8 +413,8 @@
     }
     site.add_host("a").await;
     site.add_host("a").await;
-    site.ready().await;
-    site.joined().await;
+    site.wait_until_ready().await;
+    site.wait_until_joined().await;
     site.publish(
         2,
         &MANIFEST.replace("version: \"1\"", "version: \"2\"\n    fencing: checked"),
--- a/tests/faults_claims.rs
+++ b/tests/faults_claims.rs
@@ -49,12 +49,12 @@
 #[tokio::test]
 async fn a_key_sent_again_through_another_host_gets_the_running_answer() {
     let mut site = TestSite::with(3, 3).await;
-    site.joined().await;
+    site.wait_until_joined().await;
     let body = completion("a licence grant", LONG_ANSWER, false);
     let _caller = send_later(site.hosts[0].callers, Some("grant-7"), &body);
     until_running(&site, &body).await;
     site.hosts[0].signal(Signal::SIGKILL);
-    site.hosts[0].ended().await;
+    site.hosts[0].wait_for_exit().await;
     let res = send(site.hosts[1].callers, Some("grant-7"), &body)
         .await
         .unwrap();
@@ -88,7 +88,7 @@
 #[tokio::test]
 async fn two_sendings_of_one_key_at_once_run_once() {
     let site = TestSite::with(2, 2).await;
-    site.joined().await;
+    site.wait_until_joined().await;
     for round in 0..10 {
         let body = completion(&format!("a race, round {round}"), 20, false);
         let key = format!("race-{round}");
@@ -124,7 +124,7 @@
 #[tokio::test]
 async fn without_the_platform_only_what_needs_a_claim_is_turned_away() {
     let site = TestSite::with(2, 2).await;
-    site.joined().await;
+    site.wait_until_joined().await;
     site.platform.set_faults(PlatformFaults {
         outage: Outage::Closed,
         ..Default::default()
@@ -160,7 +160,7 @@
 #[tokio::test]
 async fn lost_answers_of_the_platform_double_nothing() {
     let site = TestSite::with(2, 2).await;
-    site.joined().await;
+    site.wait_until_joined().await;
     site.platform.set_faults(PlatformFaults {
         lose_answer_one_in: 2,
         ..Default::default()
@@ -195,8 +195,8 @@
     let mut site = TestSite::with(2, 2).await;
     let gate = BlackholeProxy::start(site.platform.addr()).await;
     site.add_host_at("a", gate.addr).await;
-    site.ready().await;
-    site.joined().await;
+    site.wait_until_ready().await;
+    site.wait_until_joined().await;
     gate.set_blackhole(true);
     let body = completion("a grant through a peer", 4, false);
     until("a claim through a peer", async || {
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -145,7 +145,7 @@
         site.add_engine("a", options).await;
     }
     site.add_host("a").await;
-    site.ready().await;
+    site.wait_until_ready().await;
     let prompt = "a verse of the whole catalogue; ".repeat(3_990_000 / 32);
     let body = completion(&prompt, 8, false);
     let res = call(site.hosts[0].callers, "/v1/completions", &[], &body)
--- a/tests/site/host.rs
+++ b/tests/site/host.rs
@@ -130,7 +130,7 @@
     }
 
     /// Waits until the balancer may send work.
-    pub(crate) async fn ready(&self) {
+    pub(crate) async fn wait_until_ready(&self) {
         until("readiness", async || {
             get(self.status, "/readyz")
                 .await
@@ -174,7 +174,7 @@
     }
 
     /// Waits until the process has ended.
-    pub(crate) async fn ended(&mut self) -> ExitStatus {
+    pub(crate) async fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
         until("the end of a host", async || {
             status = self.child.try_wait().unwrap();
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -100,7 +100,7 @@
         for _ in 0..hosts {
             site.add_host("a").await;
         }
-        site.ready().await;
+        site.wait_until_ready().await;
         site
     }
 
@@ -177,9 +177,9 @@
     }
 
     /// Waits until every host is ready and serves the model.
-    pub(crate) async fn ready(&self) {
+    pub(crate) async fn wait_until_ready(&self) {
         for host in &self.hosts {
-            host.ready().await;
+            host.wait_until_ready().await;
             until("a host that serves", async || {
                 let res = host.complete("ready?", 1).await;
                 res.is_ok_and(|res| res.status() == 200)
@@ -189,7 +189,7 @@
     }
 
     /// Waits until every host knows all others as alive.
-    pub(crate) async fn joined(&self) {
+    pub(crate) async fn wait_until_joined(&self) {
         for host in &self.hosts {
             until("a host that knows all others", async || {
                 let status = host.status().await;
@@ -227,7 +227,7 @@
     }
 
     /// Waits until no engine holds memory for anyone.
-    pub(crate) async fn at_rest(&self) {
+    pub(crate) async fn wait_until_idle(&self) {
         until("engines that hold nothing", async || {
             self.engines
                 .iter()
