--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -18,12 +18,12 @@
 use site::callers::connect_and_send;
 use site::callers::send;
 use site::callers::send_later;
-use site::callers::until_running;
+use site::callers::wait_until_running;
 use site::completion;
 use site::get;
 use site::outcome;
 use site::text_of;
-use site::until;
+use site::wait_until;
 
 /// A studio's audit is half done when the entry host that serves it is killed. The studio is gone,
 /// but the engine goes on holding the audit's memory until its time limit, an hour later, and after
@@ -39,7 +39,7 @@
         let headers = [("Banyanarch-Timeout-Ms", "3600000")];
         call(addr, "/v1/completions", &headers, &audit).await
     });
-    until_running(&site, &body).await;
+    wait_until_running(&site, &body).await;
     site.hosts[2].signal(Signal::SIGKILL);
     site.hosts[2].wait_for_exit().await;
     site.wait_until_idle().await;
@@ -52,7 +52,7 @@
     let site = TestSite::with(3, 1).await;
     let body = completion("a quote whose engine dies", LONG_ANSWER, false);
     let caller = send_later(site.hosts[0].callers, None, &body);
-    until_running(&site, &body).await;
+    wait_until_running(&site, &body).await;
     let engine = site.engine_running(&body);
     site.engines[engine].set_faults(EngineFaults {
         die: true,
@@ -72,7 +72,7 @@
     let site = TestSite::with(2, 1).await;
     let body = completion("a quote whose engine freezes", LONG_ANSWER, false);
     let caller = send_later(site.hosts[0].callers, None, &body);
-    until_running(&site, &body).await;
+    wait_until_running(&site, &body).await;
     let engine = site.engine_running(&body);
     site.engines[engine].set_faults(EngineFaults {
         freeze: true,
@@ -97,9 +97,9 @@
     let site = TestSite::with(1, 1).await;
     let body = completion("a question whose caller hangs up", 5_000, true);
     let caller = connect_and_send(site.hosts[0].callers, "", &body).await;
-    until_running(&site, &body).await;
+    wait_until_running(&site, &body).await;
     drop(caller);
-    until("the end of the run", async || {
+    wait_until("the end of the run", async || {
         site.engines[0].record().iter().all(|run| run.end.is_some())
     })
     .await;
@@ -143,7 +143,7 @@
     let other = (home + 1) % 3;
     let body = completion("a stream beside a dying home", LONG_ANSWER, true);
     let caller = send_later(site.hosts[other].callers, None, &body);
-    until_running(&site, &body).await;
+    wait_until_running(&site, &body).await;
     site.hosts[home].signal(Signal::SIGKILL);
     site.hosts[home].wait_for_exit().await;
     let res = caller.await.unwrap().unwrap();
@@ -160,9 +160,9 @@
     site.wait_until_joined().await;
     let body = completion("an answer during a shutdown", LONG_ANSWER, true);
     let caller = send_later(site.hosts[0].callers, None, &body);
-    until_running(&site, &body).await;
+    wait_until_running(&site, &body).await;
     site.hosts[0].signal(Signal::SIGTERM);
-    until("readiness to fail", async || {
+    wait_until("readiness to fail", async || {
         get(site.hosts[0].status, "/readyz")
             .await
             .is_ok_and(|res| res.status() == 503)
@@ -209,7 +209,7 @@
     site.wait_until_joined().await;
     site.publish(7, MANIFEST).await;
     for host in &site.hosts {
-        until("generation 7", async || {
+        wait_until("generation 7", async || {
             host.status().await["generation"] == 7
         })
         .await;
@@ -221,7 +221,7 @@
     }
     // A host that starts now is told of 7 by its neighbours, and of 3 by the platform.
     let late = site.add_host("a").await;
-    until("the newest on a fresh host", async || {
+    wait_until("the newest on a fresh host", async || {
         site.hosts[late].status().await["generation"] == 7
     })
     .await;
@@ -391,7 +391,7 @@
     let prompt = "an archive of verses, ".repeat(1_200_000 / 22);
     let body = completion(&prompt, 64, false);
     let _caller = send_later(site.hosts[1].callers, None, &body);
-    until_running(&site, &body).await;
+    wait_until_running(&site, &body).await;
     site.hosts[1].signal(Signal::SIGKILL);
     site.hosts[1].wait_for_exit().await;
     site.wait_until_idle().await;
@@ -421,7 +421,7 @@
     )
     .await;
     let mut round = 0;
-    until("version 2 on all engines", async || {
+    wait_until("version 2 on all engines", async || {
         round += 1;
         let res = site.hosts[round % 2]
             .complete(&format!("during a load, {round}"), 2)
--- a/tests/faults_claims.rs
+++ b/tests/faults_claims.rs
@@ -15,11 +15,11 @@
 use site::callers::keyed;
 use site::callers::send;
 use site::callers::send_later;
-use site::callers::until_running;
+use site::callers::wait_until_running;
 use site::completion;
 use site::outcome;
 use site::text_of;
-use site::until;
+use site::wait_until;
 
 /// A guardianship letter must go out once. Its engine dies in the middle: the letter may have been
 /// sent. The caller is told so, and a second letter is not written behind its back.
@@ -28,7 +28,7 @@
     let site = TestSite::with(3, 1).await;
     let body = completion("a letter whose engine dies", LONG_ANSWER, false);
     let caller = send_later(site.hosts[0].callers, Some("letter-1"), &body);
-    until_running(&site, &body).await;
+    wait_until_running(&site, &body).await;
     let engine = site.engine_running(&body);
     site.engines[engine].set_faults(EngineFaults {
         die: true,
@@ -52,7 +52,7 @@
     site.wait_until_joined().await;
     let body = completion("a licence grant", LONG_ANSWER, false);
     let _caller = send_later(site.hosts[0].callers, Some("grant-7"), &body);
-    until_running(&site, &body).await;
+    wait_until_running(&site, &body).await;
     site.hosts[0].signal(Signal::SIGKILL);
     site.hosts[0].wait_for_exit().await;
     let res = send(site.hosts[1].callers, Some("grant-7"), &body)
@@ -70,7 +70,7 @@
     let site = TestSite::with(2, 1).await;
     let body = completion("a grant whose caller hangs up", LONG_ANSWER, true);
     let caller = connect_and_send(site.hosts[0].callers, &keyed("hung-up"), &body).await;
-    until_running(&site, &body).await;
+    wait_until_running(&site, &body).await;
     drop(caller);
     let res = send(site.hosts[0].callers, Some("hung-up"), &body)
         .await
@@ -145,7 +145,7 @@
         200
     );
     site.platform.set_faults(PlatformFaults::default());
-    until("the grant after the outage", async || {
+    wait_until("the grant after the outage", async || {
         let res = send(site.hosts[1].callers, Some("outage-1"), &grant)
             .await
             .unwrap();
@@ -199,7 +199,7 @@
     site.wait_until_joined().await;
     gate.set_blackhole(true);
     let body = completion("a grant through a peer", 4, false);
-    until("a claim through a peer", async || {
+    wait_until("a claim through a peer", async || {
         let res = send(site.hosts[2].callers, Some("relayed"), &body)
             .await
             .unwrap();
--- a/tests/site/callers.rs
+++ b/tests/site/callers.rs
@@ -10,7 +10,7 @@
 
 use crate::site::TestSite;
 use crate::site::call;
-use crate::site::until;
+use crate::site::wait_until;
 
 pub(crate) type Answered = Result<Response<Bytes>, banyanarch::http::HttpError>;
 
@@ -51,6 +51,6 @@
     caller
 }
 
-pub(crate) async fn until_running(site: &TestSite, body: &str) {
-    until("a run at an engine", async || site.runs_of(body) > 0).await;
+pub(crate) async fn wait_until_running(site: &TestSite, body: &str) {
+    wait_until("a run at an engine", async || site.runs_of(body) > 0).await;
 }
--- a/tests/site/host.rs
+++ b/tests/site/host.rs
@@ -20,7 +20,7 @@
 use crate::site::call;
 use crate::site::completion;
 use crate::site::get;
-use crate::site::until;
+use crate::site::wait_until;
 
 /// A running `banyanarchd`. It is killed when it is dropped.
 pub(crate) struct Host {
@@ -105,7 +105,7 @@
             child,
             dir,
         };
-        until("the addresses of a host", async || {
+        wait_until("the addresses of a host", async || {
             host.log().contains("status on ")
         })
         .await;
@@ -131,7 +131,7 @@
 
     /// Waits until the balancer may send work.
     pub(crate) async fn wait_until_ready(&self) {
-        until("readiness", async || {
+        wait_until("readiness", async || {
             get(self.status, "/readyz")
                 .await
                 .is_ok_and(|res| res.status() == 200)
@@ -176,7 +176,7 @@
     /// Waits until the process has ended.
     pub(crate) async fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        until("the end of a host", async || {
+        wait_until("the end of a host", async || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         })
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -180,7 +180,7 @@
     pub(crate) async fn wait_until_ready(&self) {
         for host in &self.hosts {
             host.wait_until_ready().await;
-            until("a host that serves", async || {
+            wait_until("a host that serves", async || {
                 let res = host.complete("ready?", 1).await;
                 res.is_ok_and(|res| res.status() == 200)
             })
@@ -191,7 +191,7 @@
     /// Waits until every host knows all others as alive.
     pub(crate) async fn wait_until_joined(&self) {
         for host in &self.hosts {
-            until("a host that knows all others", async || {
+            wait_until("a host that knows all others", async || {
                 let status = host.status().await;
                 let hosts = status["hosts"].as_array().cloned().unwrap_or_default();
                 hosts.iter().filter(|view| view["state"] == "alive").count() == self.hosts.len()
@@ -228,7 +228,7 @@
 
     /// Waits until no engine holds memory for anyone.
     pub(crate) async fn wait_until_idle(&self) {
-        until("engines that hold nothing", async || {
+        wait_until("engines that hold nothing", async || {
             self.engines
                 .iter()
                 .all(|engine| engine.free_tokens() == ENGINE_MEMORY_TOKENS)
@@ -261,7 +261,7 @@
 }
 
 /// Waits until a condition holds.
-pub(crate) async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+pub(crate) async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let deadline = tokio::time::Instant::now() + PATIENCE;
     while !holds().await {
         assert!(
