--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -12,7 +12,6 @@
 use site::BlackholeProxy;
 use site::MANIFEST;
 use site::TestSite;
-use site::answer_to;
 use site::call;
 use site::callers::LONG_ANSWER;
 use site::callers::connect_and_send;
@@ -20,9 +19,10 @@
 use site::callers::send_later;
 use site::callers::wait_until_running;
 use site::completion;
+use site::completion_text;
+use site::expected_answer;
 use site::get;
 use site::outcome;
-use site::text_of;
 use site::wait_until;
 
 /// A studio's audit is half done when the entry host that serves it is killed. The studio is gone,
@@ -60,8 +60,8 @@
     });
     let res = caller.await.unwrap().unwrap();
     assert_eq!((res.status().as_u16(), outcome(&res)), (200, "completed"));
-    assert_eq!(text_of(&res), answer_to(&body, LONG_ANSWER));
-    assert_eq!(site.runs_of(&body), 2);
+    assert_eq!(completion_text(&res), expected_answer(&body, LONG_ANSWER));
+    assert_eq!(site.run_count(&body), 2);
 }
 
 /// An engine stands still: its connections stay open and nothing comes. A caller on the line would wait
@@ -85,7 +85,7 @@
         "{:?}",
         res.body()
     );
-    assert_eq!(text_of(&res), answer_to(&body, LONG_ANSWER));
+    assert_eq!(completion_text(&res), expected_answer(&body, LONG_ANSWER));
     site.engines[engine].set_faults(EngineFaults::default());
     site.wait_until_idle().await;
 }
@@ -120,7 +120,12 @@
         let body = completion(&format!("a lookup beside a frozen home, {round}"), 4, false);
         let host = others[round % others.len()];
         let res = send(site.hosts[host].callers, None, &body).await.unwrap();
-        assert_eq!(text_of(&res), answer_to(&body, 4), "{:?}", res.body());
+        assert_eq!(
+            completion_text(&res),
+            expected_answer(&body, 4),
+            "{:?}",
+            res.body()
+        );
         sleep(Duration::from_millis(100)).await;
     }
     site.hosts[home].signal(Signal::SIGCONT);
@@ -128,7 +133,12 @@
     for host in 0..3 {
         let body = completion(&format!("a lookup after the thaw, {host}"), 4, false);
         let res = send(site.hosts[host].callers, None, &body).await.unwrap();
-        assert_eq!(text_of(&res), answer_to(&body, 4), "{:?}", res.body());
+        assert_eq!(
+            completion_text(&res),
+            expected_answer(&body, 4),
+            "{:?}",
+            res.body()
+        );
     }
     site.wait_until_idle().await;
 }
@@ -148,7 +158,7 @@
     site.hosts[home].wait_for_exit().await;
     let res = caller.await.unwrap().unwrap();
     assert!(res.body().ends_with(b"data: [DONE]\n\n"));
-    assert_eq!(site.runs_of(&body), 1);
+    assert_eq!(site.run_count(&body), 1);
     site.wait_until_idle().await;
 }
 
@@ -187,7 +197,7 @@
 async fn a_leaving_upstream_gets_no_new_work() {
     let site = TestSite::with(2, 2).await;
     site.wait_until_joined().await;
-    site.engine_leaves(0, "a").await;
+    site.mark_engine_leaving(0, "a").await;
     sleep(Duration::from_secs(3)).await;
     let before = site.engines[0].record().len();
     for round in 0..40 {
@@ -268,9 +278,9 @@
         last.body()
     );
     assert!(
-        site.runs_of(&body) <= 2,
+        site.run_count(&body) <= 2,
         "it ran {} times",
-        site.runs_of(&body)
+        site.run_count(&body)
     );
     assert_eq!(
         site.hosts[0]
@@ -301,7 +311,7 @@
     for (caller, body) in callers {
         let res = caller.await.unwrap().unwrap();
         if res.status() == 200 {
-            assert_eq!(text_of(&res), answer_to(&body, 16));
+            assert_eq!(completion_text(&res), expected_answer(&body, 16));
         }
     }
     site.engines[0].set_faults(EngineFaults::default());
@@ -326,9 +336,9 @@
         if number % 2 == 0 {
             assert!(res.body().ends_with(b"data: [DONE]\n\n"));
         } else {
-            assert_eq!(text_of(&res), answer_to(&body, 40));
+            assert_eq!(completion_text(&res), expected_answer(&body, 40));
         }
-        assert_eq!(site.runs_of(&body), 1);
+        assert_eq!(site.run_count(&body), 1);
     }
 }
 
@@ -367,7 +377,7 @@
         "{:?}",
         res.body()
     );
-    let ran = site.runs_of(&body) > 0;
+    let ran = site.run_count(&body) > 0;
     assert!(!ran || outcome(&res) == "may-have-run", "{:?}", res.body());
     site.wait_until_idle().await;
 }
--- a/tests/faults_claims.rs
+++ b/tests/faults_claims.rs
@@ -9,7 +9,6 @@
 
 use site::BlackholeProxy;
 use site::TestSite;
-use site::answer_to;
 use site::callers::LONG_ANSWER;
 use site::callers::connect_and_send;
 use site::callers::keyed;
@@ -17,8 +16,9 @@
 use site::callers::send_later;
 use site::callers::wait_until_running;
 use site::completion;
+use site::completion_text;
+use site::expected_answer;
 use site::outcome;
-use site::text_of;
 use site::wait_until;
 
 /// A guardianship letter must go out once. Its engine dies in the middle: the letter may have been
@@ -40,7 +40,7 @@
         .await
         .unwrap();
     assert_eq!(outcome(&again), "may-have-run", "{:?}", again.body());
-    assert_eq!(site.runs_of(&body), 1);
+    assert_eq!(site.run_count(&body), 1);
 }
 
 /// The caller of a licence grant loses its connection with the host that is killed, and sends the
@@ -59,8 +59,8 @@
         .await
         .unwrap();
     assert_eq!((res.status().as_u16(), outcome(&res)), (200, "completed"));
-    assert_eq!(text_of(&res), answer_to(&body, LONG_ANSWER));
-    assert_eq!(site.runs_of(&body), 1);
+    assert_eq!(completion_text(&res), expected_answer(&body, LONG_ANSWER));
+    assert_eq!(site.run_count(&body), 1);
 }
 
 /// A caller hangs up while its grant is being written, and calls again at once. Ended with the
@@ -80,7 +80,7 @@
         "{:?}",
         res.body()
     );
-    assert_eq!(site.runs_of(&body), 1);
+    assert_eq!(site.run_count(&body), 1);
 }
 
 /// Two sendings of one key meet at the same moment at two hosts. Both claim; one wins, and both
@@ -96,9 +96,14 @@
         let second = send_later(site.hosts[1].callers, Some(&key), &body);
         for caller in [first, second] {
             let res = caller.await.unwrap().unwrap();
-            assert_eq!(text_of(&res), answer_to(&body, 20), "{:?}", res.body());
+            assert_eq!(
+                completion_text(&res),
+                expected_answer(&body, 20),
+                "{:?}",
+                res.body()
+            );
         }
-        assert_eq!(site.runs_of(&body), 1);
+        assert_eq!(site.run_count(&body), 1);
     }
 }
 
@@ -116,7 +121,7 @@
     );
     let res = send(addr, Some("letter"), &other).await.unwrap();
     assert_eq!((res.status().as_u16(), outcome(&res)), (422, "not-run"));
-    assert_eq!(site.runs_of(&other), 0);
+    assert_eq!(site.run_count(&other), 0);
 }
 
 /// The platform is down. A grant that can't be claimed could run twice, so it is turned away with
@@ -135,7 +140,7 @@
         .unwrap();
     assert_eq!((res.status().as_u16(), outcome(&res)), (503, "not-run"));
     assert!(res.headers().contains_key("retry-after"));
-    assert_eq!(site.runs_of(&grant), 0);
+    assert_eq!(site.run_count(&grant), 0);
     let lookup = completion("a lookup in an outage", 4, false);
     assert_eq!(
         send(site.hosts[1].callers, None, &lookup)
@@ -152,7 +157,7 @@
         res.status() == 200
     })
     .await;
-    assert_eq!(site.runs_of(&grant), 1);
+    assert_eq!(site.run_count(&grant), 1);
 }
 
 /// Every second write to the platform takes effect and its answer is lost. A host that takes this
@@ -175,7 +180,7 @@
                 .unwrap();
             outcomes.push(outcome(&res).to_owned());
         }
-        let runs = site.runs_of(&body);
+        let runs = site.run_count(&body);
         assert!(runs <= 1, "ran {runs} times: {outcomes:?}");
         let completed = outcomes.iter().any(|outcome| outcome == "completed");
         assert!(!completed || runs == 1, "{outcomes:?}");
@@ -206,5 +211,5 @@
         res.status() == 200
     })
     .await;
-    assert_eq!(site.runs_of(&body), 1);
+    assert_eq!(site.run_count(&body), 1);
 }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -9,12 +9,12 @@
 use yare::parameterized;
 
 use site::TestSite;
-use site::answer_to;
 use site::call;
 use site::completion;
+use site::completion_text;
+use site::expected_answer;
 use site::get;
 use site::outcome;
-use site::text_of;
 
 #[tokio::test]
 async fn a_caller_gets_the_whole_answer_to_its_own_request() {
@@ -25,8 +25,8 @@
         .unwrap();
     assert_eq!(res.status(), 200);
     assert_eq!(outcome(&res), "completed");
-    assert_eq!(text_of(&res), answer_to(&body, 24));
-    assert_eq!(site.runs_of(&body), 1);
+    assert_eq!(completion_text(&res), expected_answer(&body, 24));
+    assert_eq!(site.run_count(&body), 1);
 }
 
 #[tokio::test]
@@ -42,7 +42,7 @@
         .split("\"text\":\"")
         .skip(1)
         .filter_map(|rest| rest.split('"').next());
-    assert_eq!(texts.collect::<String>(), answer_to(&body, 12));
+    assert_eq!(texts.collect::<String>(), expected_answer(&body, 12));
 }
 
 #[tokio::test]
@@ -152,7 +152,7 @@
         .await
         .unwrap();
     assert_eq!(res.status(), 200, "{:?}", res.body());
-    assert_eq!(text_of(&res), answer_to(&body, 8));
+    assert_eq!(completion_text(&res), expected_answer(&body, 8));
     let hash = ContentHash::of(body.as_bytes());
     let gang: usize = site
         .engines
--- a/tests/site/callers.rs
+++ b/tests/site/callers.rs
@@ -52,5 +52,5 @@
 }
 
 pub(crate) async fn wait_until_running(site: &TestSite, body: &str) {
-    wait_until("a run at an engine", async || site.runs_of(body) > 0).await;
+    wait_until("a run at an engine", async || site.run_count(body) > 0).await;
 }
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -154,7 +154,7 @@
     }
 
     /// Enters an upstream as leaving.
-    pub(crate) async fn engine_leaves(&self, index: usize, domain: &str) {
+    pub(crate) async fn mark_engine_leaving(&self, index: usize, domain: &str) {
         let machine = self.machine(&format!("engine-{index}"), domain, "geet-model");
         machine
             .set_state(self.engines[index].addr(), "leaving")
@@ -237,14 +237,14 @@
     }
 
     /// All attempts that the engines ran for this body.
-    pub(crate) fn runs_of(&self, body: &str) -> usize {
+    pub(crate) fn run_count(&self, body: &str) -> usize {
         let hash = banyanarch::units::ContentHash::of(body.as_bytes());
         let records = self.engines.iter().flat_map(Engine::record);
         records.filter(|record| record.request_hash == hash).count()
     }
 
     /// All calls that the services ran for this body.
-    pub(crate) fn service_runs_of(&self, body: &str) -> usize {
+    pub(crate) fn service_run_count(&self, body: &str) -> usize {
         let hash = banyanarch::units::ContentHash::of(body.as_bytes());
         let records = self.services.iter().flat_map(Service::record);
         records.filter(|record| record.request_hash == hash).count()
@@ -315,7 +315,7 @@
 }
 
 /// The text of a whole completion.
-pub(crate) fn text_of(res: &Response<Bytes>) -> String {
+pub(crate) fn completion_text(res: &Response<Bytes>) -> String {
     let body: serde_json::Value = serde_json::from_slice(res.body()).unwrap();
     body["choices"][0]["text"]
         .as_str()
@@ -324,7 +324,7 @@
 }
 
 /// The answer that belongs to a body.
-pub(crate) fn answer_to(body: &str, max_tokens: u64) -> String {
+pub(crate) fn expected_answer(body: &str, max_tokens: u64) -> String {
     let hash = banyanarch::units::ContentHash::of(body.as_bytes());
     standin::answer::whole(hash, max_tokens)
 }
