--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -13,10 +13,10 @@
 use site::MANIFEST;
 use site::TestSite;
 use site::call;
-use site::callers::LONG_ANSWER;
+use site::callers::LONG_ANSWER_TOKENS;
 use site::callers::connect_and_send;
 use site::callers::send;
-use site::callers::send_later;
+use site::callers::spawn_send;
 use site::callers::wait_until_running;
 use site::completion;
 use site::completion_text;
@@ -50,8 +50,8 @@
 #[tokio::test]
 async fn a_dead_engine_costs_a_repeatable_request_nothing_but_time() {
     let site = TestSite::with(3, 1).await;
-    let body = completion("a quote whose engine dies", LONG_ANSWER, false);
-    let caller = send_later(site.hosts[0].callers, None, &body);
+    let body = completion("a quote whose engine dies", LONG_ANSWER_TOKENS, false);
+    let caller = spawn_send(site.hosts[0].callers, None, &body);
     wait_until_running(&site, &body).await;
     let engine = site.engine_running(&body);
     site.engines[engine].set_faults(EngineFaults {
@@ -60,7 +60,10 @@
     });
     let res = caller.await.unwrap().unwrap();
     assert_eq!((res.status().as_u16(), outcome(&res)), (200, "completed"));
-    assert_eq!(completion_text(&res), expected_answer(&body, LONG_ANSWER));
+    assert_eq!(
+        completion_text(&res),
+        expected_answer(&body, LONG_ANSWER_TOKENS)
+    );
     assert_eq!(site.run_count(&body), 2);
 }
 
@@ -70,8 +73,8 @@
 #[tokio::test]
 async fn a_frozen_engine_holds_no_repeatable_request_until_its_limit() {
     let site = TestSite::with(2, 1).await;
-    let body = completion("a quote whose engine freezes", LONG_ANSWER, false);
-    let caller = send_later(site.hosts[0].callers, None, &body);
+    let body = completion("a quote whose engine freezes", LONG_ANSWER_TOKENS, false);
+    let caller = spawn_send(site.hosts[0].callers, None, &body);
     wait_until_running(&site, &body).await;
     let engine = site.engine_running(&body);
     site.engines[engine].set_faults(EngineFaults {
@@ -85,7 +88,10 @@
         "{:?}",
         res.body()
     );
-    assert_eq!(completion_text(&res), expected_answer(&body, LONG_ANSWER));
+    assert_eq!(
+        completion_text(&res),
+        expected_answer(&body, LONG_ANSWER_TOKENS)
+    );
     site.engines[engine].set_faults(EngineFaults::default());
     site.wait_until_idle().await;
 }
@@ -151,8 +157,8 @@
     site.wait_until_joined().await;
     let home = site.home_of("geet-model").await;
     let other = (home + 1) % 3;
-    let body = completion("a stream beside a dying home", LONG_ANSWER, true);
-    let caller = send_later(site.hosts[other].callers, None, &body);
+    let body = completion("a stream beside a dying home", LONG_ANSWER_TOKENS, true);
+    let caller = spawn_send(site.hosts[other].callers, None, &body);
     wait_until_running(&site, &body).await;
     site.hosts[home].signal(Signal::SIGKILL);
     site.hosts[home].wait_for_exit().await;
@@ -168,8 +174,8 @@
 async fn a_shutdown_cuts_off_no_request() {
     let mut site = TestSite::with(2, 2).await;
     site.wait_until_joined().await;
-    let body = completion("an answer during a shutdown", LONG_ANSWER, true);
-    let caller = send_later(site.hosts[0].callers, None, &body);
+    let body = completion("an answer during a shutdown", LONG_ANSWER_TOKENS, true);
+    let caller = spawn_send(site.hosts[0].callers, None, &body);
     wait_until_running(&site, &body).await;
     site.hosts[0].signal(Signal::SIGTERM);
     wait_until("readiness to fail", async || {
@@ -305,7 +311,7 @@
     let callers: Vec<_> = (0..20)
         .map(|number| {
             let body = completion(&format!("question {number} of many"), 16, false);
-            (send_later(site.hosts[0].callers, None, &body), body)
+            (spawn_send(site.hosts[0].callers, None, &body), body)
         })
         .collect();
     for (caller, body) in callers {
@@ -400,7 +406,7 @@
     site.wait_until_joined().await;
     let prompt = "an archive of verses, ".repeat(1_200_000 / 22);
     let body = completion(&prompt, 64, false);
-    let _caller = send_later(site.hosts[1].callers, None, &body);
+    let _caller = spawn_send(site.hosts[1].callers, None, &body);
     wait_until_running(&site, &body).await;
     site.hosts[1].signal(Signal::SIGKILL);
     site.hosts[1].wait_for_exit().await;
--- a/tests/faults_claims.rs
+++ b/tests/faults_claims.rs
@@ -9,11 +9,11 @@
 
 use site::BlackholeProxy;
 use site::TestSite;
-use site::callers::LONG_ANSWER;
+use site::callers::LONG_ANSWER_TOKENS;
 use site::callers::connect_and_send;
-use site::callers::keyed;
+use site::callers::idempotency_headers;
 use site::callers::send;
-use site::callers::send_later;
+use site::callers::spawn_send;
 use site::callers::wait_until_running;
 use site::completion;
 use site::completion_text;
@@ -26,8 +26,8 @@
 #[tokio::test]
 async fn a_dead_engine_leaves_what_must_not_repeat_in_doubt() {
     let site = TestSite::with(3, 1).await;
-    let body = completion("a letter whose engine dies", LONG_ANSWER, false);
-    let caller = send_later(site.hosts[0].callers, Some("letter-1"), &body);
+    let body = completion("a letter whose engine dies", LONG_ANSWER_TOKENS, false);
+    let caller = spawn_send(site.hosts[0].callers, Some("letter-1"), &body);
     wait_until_running(&site, &body).await;
     let engine = site.engine_running(&body);
     site.engines[engine].set_faults(EngineFaults {
@@ -50,8 +50,8 @@
 async fn a_key_sent_again_through_another_host_gets_the_running_answer() {
     let mut site = TestSite::with(3, 3).await;
     site.wait_until_joined().await;
-    let body = completion("a licence grant", LONG_ANSWER, false);
-    let _caller = send_later(site.hosts[0].callers, Some("grant-7"), &body);
+    let body = completion("a licence grant", LONG_ANSWER_TOKENS, false);
+    let _caller = spawn_send(site.hosts[0].callers, Some("grant-7"), &body);
     wait_until_running(&site, &body).await;
     site.hosts[0].signal(Signal::SIGKILL);
     site.hosts[0].wait_for_exit().await;
@@ -59,7 +59,10 @@
         .await
         .unwrap();
     assert_eq!((res.status().as_u16(), outcome(&res)), (200, "completed"));
-    assert_eq!(completion_text(&res), expected_answer(&body, LONG_ANSWER));
+    assert_eq!(
+        completion_text(&res),
+        expected_answer(&body, LONG_ANSWER_TOKENS)
+    );
     assert_eq!(site.run_count(&body), 1);
 }
 
@@ -68,8 +71,13 @@
 #[tokio::test]
 async fn a_caller_that_hangs_up_gets_its_answer_when_it_calls_again() {
     let site = TestSite::with(2, 1).await;
-    let body = completion("a grant whose caller hangs up", LONG_ANSWER, true);
-    let caller = connect_and_send(site.hosts[0].callers, &keyed("hung-up"), &body).await;
+    let body = completion("a grant whose caller hangs up", LONG_ANSWER_TOKENS, true);
+    let caller = connect_and_send(
+        site.hosts[0].callers,
+        &idempotency_headers("hung-up"),
+        &body,
+    )
+    .await;
     wait_until_running(&site, &body).await;
     drop(caller);
     let res = send(site.hosts[0].callers, Some("hung-up"), &body)
@@ -92,8 +100,8 @@
     for round in 0..10 {
         let body = completion(&format!("a race, round {round}"), 20, false);
         let key = format!("race-{round}");
-        let first = send_later(site.hosts[0].callers, Some(&key), &body);
-        let second = send_later(site.hosts[1].callers, Some(&key), &body);
+        let first = spawn_send(site.hosts[0].callers, Some(&key), &body);
+        let second = spawn_send(site.hosts[1].callers, Some(&key), &body);
         for caller in [first, second] {
             let res = caller.await.unwrap().unwrap();
             assert_eq!(
--- a/tests/site/callers.rs
+++ b/tests/site/callers.rs
@@ -15,9 +15,9 @@
 pub(crate) type Answered = Result<Response<Bytes>, banyanarch::http::HttpError>;
 
 /// Answers that take about two seconds: 4 ms a token.
-pub(crate) const LONG_ANSWER: u64 = 500;
+pub(crate) const LONG_ANSWER_TOKENS: u64 = 500;
 
-pub(crate) fn send_later(addr: SocketAddr, key: Option<&str>, body: &str) -> JoinHandle<Answered> {
+pub(crate) fn spawn_send(addr: SocketAddr, key: Option<&str>, body: &str) -> JoinHandle<Answered> {
     let key = key.map(str::to_owned);
     let body = body.to_owned();
     tokio::spawn(async move { send(addr, key.as_deref(), &body).await })
@@ -35,7 +35,7 @@
 }
 
 /// The headers of a sending that must not run twice.
-pub(crate) fn keyed(key: &str) -> String {
+pub(crate) fn idempotency_headers(key: &str) -> String {
     format!("Idempotency-Key: {key}\r\nBanyanarch-Repeatable: false\r\n")
 }
 
