--- a/benches/drills.rs
+++ b/benches/drills.rs
@@ -39,7 +39,7 @@
             let body = completion(&format!("take-over {run}, request {number}"), 1, false);
             let sent = Instant::now();
             let answered = call(
-                site.hosts[number % 2].callers,
+                site.hosts[number % 2].callers_addr,
                 "/v1/completions",
                 &[],
                 &body,
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -33,7 +33,7 @@
     let mut site = TestSite::with(2, 3).await;
     site.wait_until_joined().await;
     let body = completion("an audit whose host dies", 20_000, false);
-    let addr = site.hosts[2].callers;
+    let addr = site.hosts[2].callers_addr;
     let audit = body.clone();
     let _caller = tokio::spawn(async move {
         let headers = [("Banyanarch-Timeout-Ms", "3600000")];
@@ -51,7 +51,7 @@
 async fn a_dead_engine_costs_a_repeatable_request_nothing_but_time() {
     let site = TestSite::with(3, 1).await;
     let body = completion("a quote whose engine dies", LONG_ANSWER_TOKENS, false);
-    let caller = spawn_send(site.hosts[0].callers, None, &body);
+    let caller = spawn_send(site.hosts[0].callers_addr, None, &body);
     wait_until_running(&site, &body).await;
     let engine = site.engine_running(&body);
     site.engines[engine].set_faults(EngineFaults {
@@ -74,7 +74,7 @@
 async fn a_frozen_engine_holds_no_repeatable_request_until_its_limit() {
     let site = TestSite::with(2, 1).await;
     let body = completion("a quote whose engine freezes", LONG_ANSWER_TOKENS, false);
-    let caller = spawn_send(site.hosts[0].callers, None, &body);
+    let caller = spawn_send(site.hosts[0].callers_addr, None, &body);
     wait_until_running(&site, &body).await;
     let engine = site.engine_running(&body);
     site.engines[engine].set_faults(EngineFaults {
@@ -102,7 +102,7 @@
 async fn a_caller_that_hangs_up_leaves_no_memory_behind() {
     let site = TestSite::with(1, 1).await;
     let body = completion("a question whose caller hangs up", 5_000, true);
-    let caller = connect_and_send(site.hosts[0].callers, "", &body).await;
+    let caller = connect_and_send(site.hosts[0].callers_addr, "", &body).await;
     wait_until_running(&site, &body).await;
     drop(caller);
     wait_until("the end of the run", async || {
@@ -125,7 +125,9 @@
     for round in 0..30 {
         let body = completion(&format!("a lookup beside a frozen home, {round}"), 4, false);
         let host = others[round % others.len()];
-        let res = send(site.hosts[host].callers, None, &body).await.unwrap();
+        let res = send(site.hosts[host].callers_addr, None, &body)
+            .await
+            .unwrap();
         assert_eq!(
             completion_text(&res),
             expected_answer(&body, 4),
@@ -138,7 +140,9 @@
     site.wait_until_joined().await;
     for host in 0..3 {
         let body = completion(&format!("a lookup after the thaw, {host}"), 4, false);
-        let res = send(site.hosts[host].callers, None, &body).await.unwrap();
+        let res = send(site.hosts[host].callers_addr, None, &body)
+            .await
+            .unwrap();
         assert_eq!(
             completion_text(&res),
             expected_answer(&body, 4),
@@ -158,7 +162,7 @@
     let home = site.home_of("geet-model").await;
     let other = (home + 1) % 3;
     let body = completion("a stream beside a dying home", LONG_ANSWER_TOKENS, true);
-    let caller = spawn_send(site.hosts[other].callers, None, &body);
+    let caller = spawn_send(site.hosts[other].callers_addr, None, &body);
     wait_until_running(&site, &body).await;
     site.hosts[home].signal(Signal::SIGKILL);
     site.hosts[home].wait_for_exit().await;
@@ -175,11 +179,11 @@
     let mut site = TestSite::with(2, 2).await;
     site.wait_until_joined().await;
     let body = completion("an answer during a shutdown", LONG_ANSWER_TOKENS, true);
-    let caller = spawn_send(site.hosts[0].callers, None, &body);
+    let caller = spawn_send(site.hosts[0].callers_addr, None, &body);
     wait_until_running(&site, &body).await;
     site.hosts[0].signal(Signal::SIGTERM);
     wait_until("readiness to fail", async || {
-        get(site.hosts[0].status, "/readyz")
+        get(site.hosts[0].status_addr, "/readyz")
             .await
             .is_ok_and(|res| res.status() == 503)
     })
@@ -273,7 +277,7 @@
     let mut last = None;
     for round in 0..6 {
         let host = &site.hosts[round % 2];
-        last = Some(send(host.callers, None, &body).await.unwrap());
+        last = Some(send(host.callers_addr, None, &body).await.unwrap());
         sleep(Duration::from_millis(700)).await;
     }
     let last = last.unwrap();
@@ -311,7 +315,7 @@
     let callers: Vec<_> = (0..20)
         .map(|number| {
             let body = completion(&format!("question {number} of many"), 16, false);
-            (spawn_send(site.hosts[0].callers, None, &body), body)
+            (spawn_send(site.hosts[0].callers_addr, None, &body), body)
         })
         .collect();
     for (caller, body) in callers {
@@ -337,7 +341,7 @@
     }
     for number in 0..10 {
         let body = completion(&format!("a cut answer, {number}"), 40, number % 2 == 0);
-        let res = send(site.hosts[0].callers, None, &body).await.unwrap();
+        let res = send(site.hosts[0].callers_addr, None, &body).await.unwrap();
         assert_eq!(res.status(), 200);
         if number % 2 == 0 {
             assert!(res.body().ends_with(b"data: [DONE]\n\n"));
@@ -375,9 +379,14 @@
     let site = TestSite::with(1, 1).await;
     let body = completion("longer than its limit", 100_000, false);
     let headers = [("Banyanarch-Timeout-Ms", "1000")];
-    let res = call(site.hosts[0].callers, "/v1/completions", &headers, &body)
-        .await
-        .unwrap();
+    let res = call(
+        site.hosts[0].callers_addr,
+        "/v1/completions",
+        &headers,
+        &body,
+    )
+    .await
+    .unwrap();
     assert!(
         matches!(res.status().as_u16(), 503 | 504),
         "{:?}",
@@ -406,7 +415,7 @@
     site.wait_until_joined().await;
     let prompt = "an archive of verses, ".repeat(1_200_000 / 22);
     let body = completion(&prompt, 64, false);
-    let _caller = spawn_send(site.hosts[1].callers, None, &body);
+    let _caller = spawn_send(site.hosts[1].callers_addr, None, &body);
     wait_until_running(&site, &body).await;
     site.hosts[1].signal(Signal::SIGKILL);
     site.hosts[1].wait_for_exit().await;
--- a/tests/faults_claims.rs
+++ b/tests/faults_claims.rs
@@ -27,7 +27,7 @@
 async fn a_dead_engine_leaves_what_must_not_repeat_in_doubt() {
     let site = TestSite::with(3, 1).await;
     let body = completion("a letter whose engine dies", LONG_ANSWER_TOKENS, false);
-    let caller = spawn_send(site.hosts[0].callers, Some("letter-1"), &body);
+    let caller = spawn_send(site.hosts[0].callers_addr, Some("letter-1"), &body);
     wait_until_running(&site, &body).await;
     let engine = site.engine_running(&body);
     site.engines[engine].set_faults(EngineFaults {
@@ -36,7 +36,7 @@
     });
     let res = caller.await.unwrap().unwrap();
     assert_eq!(outcome(&res), "may-have-run", "{:?}", res.body());
-    let again = send(site.hosts[0].callers, Some("letter-1"), &body)
+    let again = send(site.hosts[0].callers_addr, Some("letter-1"), &body)
         .await
         .unwrap();
     assert_eq!(outcome(&again), "may-have-run", "{:?}", again.body());
@@ -51,11 +51,11 @@
     let mut site = TestSite::with(3, 3).await;
     site.wait_until_joined().await;
     let body = completion("a licence grant", LONG_ANSWER_TOKENS, false);
-    let _caller = spawn_send(site.hosts[0].callers, Some("grant-7"), &body);
+    let _caller = spawn_send(site.hosts[0].callers_addr, Some("grant-7"), &body);
     wait_until_running(&site, &body).await;
     site.hosts[0].signal(Signal::SIGKILL);
     site.hosts[0].wait_for_exit().await;
-    let res = send(site.hosts[1].callers, Some("grant-7"), &body)
+    let res = send(site.hosts[1].callers_addr, Some("grant-7"), &body)
         .await
         .unwrap();
     assert_eq!((res.status().as_u16(), outcome(&res)), (200, "completed"));
@@ -73,14 +73,14 @@
     let site = TestSite::with(2, 1).await;
     let body = completion("a grant whose caller hangs up", LONG_ANSWER_TOKENS, true);
     let caller = connect_and_send(
-        site.hosts[0].callers,
+        site.hosts[0].callers_addr,
         &idempotency_headers("hung-up"),
         &body,
     )
     .await;
     wait_until_running(&site, &body).await;
     drop(caller);
-    let res = send(site.hosts[0].callers, Some("hung-up"), &body)
+    let res = send(site.hosts[0].callers_addr, Some("hung-up"), &body)
         .await
         .unwrap();
     assert!(
@@ -100,8 +100,8 @@
     for round in 0..10 {
         let body = completion(&format!("a race, round {round}"), 20, false);
         let key = format!("race-{round}");
-        let first = spawn_send(site.hosts[0].callers, Some(&key), &body);
-        let second = spawn_send(site.hosts[1].callers, Some(&key), &body);
+        let first = spawn_send(site.hosts[0].callers_addr, Some(&key), &body);
+        let second = spawn_send(site.hosts[1].callers_addr, Some(&key), &body);
         for caller in [first, second] {
             let res = caller.await.unwrap().unwrap();
             assert_eq!(
@@ -120,7 +120,7 @@
 #[tokio::test]
 async fn a_key_used_for_another_request_is_refused() {
     let site = TestSite::with(1, 1).await;
-    let addr = site.hosts[0].callers;
+    let addr = site.hosts[0].callers_addr;
     let first = completion("one letter", 4, false);
     let other = completion("another letter", 4, false);
     assert_eq!(
@@ -143,7 +143,7 @@
         ..Default::default()
     });
     let grant = completion("a grant in an outage", 4, false);
-    let res = send(site.hosts[0].callers, Some("outage-1"), &grant)
+    let res = send(site.hosts[0].callers_addr, Some("outage-1"), &grant)
         .await
         .unwrap();
     assert_eq!((res.status().as_u16(), outcome(&res)), (503, "not-run"));
@@ -151,7 +151,7 @@
     assert_eq!(site.run_count(&grant), 0);
     let lookup = completion("a lookup in an outage", 4, false);
     assert_eq!(
-        send(site.hosts[1].callers, None, &lookup)
+        send(site.hosts[1].callers_addr, None, &lookup)
             .await
             .unwrap()
             .status(),
@@ -159,7 +159,7 @@
     );
     site.platform.set_faults(PlatformFaults::default());
     wait_until("the grant after the outage", async || {
-        let res = send(site.hosts[1].callers, Some("outage-1"), &grant)
+        let res = send(site.hosts[1].callers_addr, Some("outage-1"), &grant)
             .await
             .unwrap();
         res.status() == 200
@@ -183,7 +183,7 @@
         let key = format!("lost-{round}");
         let mut outcomes = Vec::new();
         for host in [0, 1, 0] {
-            let res = send(site.hosts[host].callers, Some(&key), &body)
+            let res = send(site.hosts[host].callers_addr, Some(&key), &body)
                 .await
                 .unwrap();
             outcomes.push(outcome(&res).to_owned());
@@ -213,7 +213,7 @@
     gate.set_blackhole(true);
     let body = completion("a grant through a peer", 4, false);
     wait_until("a claim through a peer", async || {
-        let res = send(site.hosts[2].callers, Some("relayed"), &body)
+        let res = send(site.hosts[2].callers_addr, Some("relayed"), &body)
             .await
             .unwrap();
         res.status() == 200
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -20,7 +20,7 @@
 async fn a_caller_gets_the_whole_answer_to_its_own_request() {
     let site = TestSite::with(2, 1).await;
     let body = completion("which verses are free to license?", 24, false);
-    let res = call(site.hosts[0].callers, "/v1/completions", &[], &body)
+    let res = call(site.hosts[0].callers_addr, "/v1/completions", &[], &body)
         .await
         .unwrap();
     assert_eq!(res.status(), 200);
@@ -33,7 +33,7 @@
 async fn a_streamed_answer_ends_with_its_end_mark() {
     let site = TestSite::with(1, 1).await;
     let body = completion("stream this", 12, true);
-    let res = call(site.hosts[0].callers, "/v1/completions", &[], &body)
+    let res = call(site.hosts[0].callers_addr, "/v1/completions", &[], &body)
         .await
         .unwrap();
     let events = String::from_utf8(res.body().to_vec()).unwrap();
@@ -50,9 +50,14 @@
     let site = TestSite::with(1, 1).await;
     let host = &site.hosts[0];
     let headers = [("Banyanarch-Repeatable", "true")];
-    let res = call(host.callers, "/adhikar-app/quotes", &headers, "verse 7")
-        .await
-        .unwrap();
+    let res = call(
+        host.callers_addr,
+        "/adhikar-app/quotes",
+        &headers,
+        "verse 7",
+    )
+    .await
+    .unwrap();
     assert_eq!(
         (res.status().as_u16(), &res.body()[..]),
         (200, &b"verse 7"[..])
@@ -61,12 +66,14 @@
         .to_str()
         .unwrap()
         .to_owned();
-    let page = get(host.status, &format!("/explain/{id}")).await.unwrap();
+    let page = get(host.status_addr, &format!("/explain/{id}"))
+        .await
+        .unwrap();
     let page = String::from_utf8(page.body().to_vec()).unwrap();
     for step in ["received", "granted", "dispatched", "ended"] {
         assert!(page.contains(step), "{step} is missing in {page}");
     }
-    let metrics = get(host.status, "/metrics").await.unwrap();
+    let metrics = get(host.status_addr, "/metrics").await.unwrap();
     let metrics = String::from_utf8(metrics.body().to_vec()).unwrap();
     assert!(metrics.contains("banyanarch_"), "{metrics}");
 }
@@ -81,7 +88,9 @@
 #[test_macro(tokio::test)]
 async fn a_wrong_request_is_told_what_is_wrong(path: &str, body: &str, status: u16, reason: &str) {
     let site = TestSite::with(1, 1).await;
-    let res = call(site.hosts[0].callers, path, &[], body).await.unwrap();
+    let res = call(site.hosts[0].callers_addr, path, &[], body)
+        .await
+        .unwrap();
     let text = String::from_utf8(res.body().to_vec()).unwrap();
     assert_eq!(res.status(), status, "{text}");
     assert_eq!(outcome(&res), "not-run");
@@ -101,7 +110,7 @@
 async fn garbage_closes_its_own_connection_only(bytes: &[u8]) {
     let site = TestSite::with(1, 1).await;
     let host = &site.hosts[0];
-    for port in [host.callers, host.status, host.peers] {
+    for port in [host.callers_addr, host.status_addr, host.peers_addr] {
         let mut stream = TcpStream::connect(port).await.unwrap();
         stream.write_all(bytes).await.unwrap();
         stream.shutdown().await.unwrap();
@@ -120,7 +129,13 @@
     let site = TestSite::with(1, 1).await;
     let long = "x".repeat(100 << 10);
     let headers = [("X-Long", long.as_str())];
-    let res = call(site.hosts[0].callers, "/v1/completions", &headers, "{}").await;
+    let res = call(
+        site.hosts[0].callers_addr,
+        "/v1/completions",
+        &headers,
+        "{}",
+    )
+    .await;
     let refused = res.map_or(true, |res| res.status() == 431);
     assert!(refused);
     assert_eq!(
@@ -148,7 +163,7 @@
     site.wait_until_ready().await;
     let prompt = "a verse of the whole catalogue; ".repeat(3_990_000 / 32);
     let body = completion(&prompt, 8, false);
-    let res = call(site.hosts[0].callers, "/v1/completions", &[], &body)
+    let res = call(site.hosts[0].callers_addr, "/v1/completions", &[], &body)
         .await
         .unwrap();
     assert_eq!(res.status(), 200, "{:?}", res.body());
--- a/tests/site/host.rs
+++ b/tests/site/host.rs
@@ -51,7 +51,7 @@
             .map(|seed| {
                 format!(
                     "    - host: {}\n      failure_domain: {}\n      address: {}\n",
-                    seed.name, seed.domain, seed.peers
+                    seed.name, seed.domain, seed.peers_addr
                 )
             })
             .collect();
@@ -110,9 +110,9 @@
         })
         .await;
         let log = host.log();
-        host.callers = addr_after(&log, "serves callers on ");
-        host.peers = addr_after(&log, "peers on ");
-        host.status = addr_after(&log, "status on ");
+        host.callers_addr = addr_after(&log, "serves callers on ");
+        host.peers_addr = addr_after(&log, "peers on ");
+        host.status_addr = addr_after(&log, "status on ");
         host
     }
 
@@ -121,7 +121,7 @@
         let spec = serde_json::json!({
             "role": "entry",
             "domain": self.domain,
-            "address": self.peers,
+            "address": self.peers_addr,
             "state": state,
         });
         machine::put(platform, machine::PATH, &self.name, &spec)
@@ -132,7 +132,7 @@
     /// Waits until the balancer may send work.
     pub(crate) async fn wait_until_ready(&self) {
         wait_until("readiness", async || {
-            get(self.status, "/readyz")
+            get(self.status_addr, "/readyz")
                 .await
                 .is_ok_and(|res| res.status() == 200)
         })
@@ -146,7 +146,7 @@
         max_tokens: u64,
     ) -> Result<Response<Bytes>, HttpError> {
         call(
-            self.callers,
+            self.callers_addr,
             "/v1/completions",
             &[],
             &completion(prompt, max_tokens, false),
@@ -156,7 +156,7 @@
 
     /// The page of its status.
     pub(crate) async fn status(&self) -> serde_json::Value {
-        match get(self.status, "/status").await {
+        match get(self.status_addr, "/status").await {
             Ok(res) => serde_json::from_slice(res.body()).unwrap_or_default(),
             Err(_) => serde_json::Value::Null,
         }
