--- a/tests/site/host.rs
+++ b/tests/site/host.rs
@@ -26,9 +26,9 @@
 pub(crate) struct Host {
     pub(crate) name: String,
     pub(crate) domain: String,
-    pub(crate) callers: SocketAddr,
-    pub(crate) peers: SocketAddr,
-    pub(crate) status: SocketAddr,
+    pub(crate) callers_addr: SocketAddr,
+    pub(crate) peers_addr: SocketAddr,
+    pub(crate) status_addr: SocketAddr,
     child: Child,
     dir: PathBuf,
 }
@@ -99,9 +99,9 @@
         let mut host = Self {
             name: name.to_owned(),
             domain: domain.to_owned(),
-            callers: unknown,
-            peers: unknown,
-            status: unknown,
+            callers_addr: unknown,
+            peers_addr: unknown,
+            status_addr: unknown,
             child,
             dir,
         };
