--- a/tests/site/host.rs
+++ b/tests/site/host.rs
@@ -23,7 +23,7 @@
 use crate::site::wait_until;
 
 /// A running `banyanarchd`. It is killed when it is dropped.
-pub(crate) struct Host {
+pub(crate) struct HostProcess {
     pub(crate) name: String,
     pub(crate) domain: String,
     pub(crate) callers_addr: SocketAddr,
@@ -33,7 +33,7 @@
     dir: PathBuf,
 }
 
-impl Host {
+impl HostProcess {
     /// Starts a host on ports of the machine's choice, and waits until it tells which.
     pub(crate) async fn start(name: &str, domain: &str, platform: SocketAddr) -> Self {
         Self::start_seeded(name, domain, platform, &[]).await
@@ -44,7 +44,7 @@
         name: &str,
         domain: &str,
         platform: SocketAddr,
-        seeds: &[Host],
+        seeds: &[HostProcess],
     ) -> Self {
         let seeds: String = seeds
             .iter()
@@ -190,7 +190,7 @@
     }
 }
 
-impl Drop for Host {
+impl Drop for HostProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -29,7 +29,7 @@
     reason = "only some test files cut the way to the platform"
 )]
 pub(crate) use gate::BlackholeProxy;
-pub(crate) use host::Host;
+pub(crate) use host::HostProcess;
 
 /// Long against everything that a test waits for, short against a CI run that hangs.
 const PATIENCE: Duration = Duration::from_secs(30);
@@ -73,7 +73,7 @@
     pub(crate) platform: PlatformFake,
     pub(crate) engines: Vec<Engine>,
     pub(crate) services: Vec<Service>,
-    pub(crate) hosts: Vec<Host>,
+    pub(crate) hosts: Vec<HostProcess>,
 }
 
 impl TestSite {
@@ -138,7 +138,7 @@
     /// Adds a host that reaches the platform by another address.
     pub(crate) async fn add_host_at(&mut self, domain: &str, platform: SocketAddr) -> usize {
         let index = self.hosts.len();
-        let host = Host::start(&format!("host-{index}"), domain, platform).await;
+        let host = HostProcess::start(&format!("host-{index}"), domain, platform).await;
         host.register(self.platform.addr(), "live").await;
         self.hosts.push(host);
         index
@@ -148,7 +148,7 @@
     pub(crate) async fn add_seeded_host(&mut self, domain: &str, platform: SocketAddr) -> usize {
         let index = self.hosts.len();
         let name = format!("host-{index}");
-        let host = Host::start_seeded(&name, domain, platform, &self.hosts).await;
+        let host = HostProcess::start_seeded(&name, domain, platform, &self.hosts).await;
         self.hosts.push(host);
         index
     }
