--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and of pooled answers.
+//! Bodies of requests and of responses on pooled connections.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -16,14 +16,14 @@
 
 use crate::http::client::IdleConnections;
 
-/// A request body whose length is known, so that it is sent with a content length.
+/// A request body in chunks. Its length is known, so the request is sent with a content length.
 #[derive(Clone, Debug, Default)]
 pub struct ChunksBody {
     chunks: VecDeque<Bytes>,
 }
 
 impl ChunksBody {
-    /// A body of these pieces.
+    /// Creates a body of `chunks`; empty chunks are dropped.
     pub fn new(chunks: impl IntoIterator<Item = Bytes>) -> Self {
         Self {
             chunks: chunks
@@ -33,7 +33,7 @@
         }
     }
 
-    /// A body of one piece.
+    /// Creates a body of one chunk.
     pub fn single(chunk: impl Into<Bytes>) -> Self {
         Self::new([chunk.into()])
     }
@@ -59,7 +59,8 @@
     }
 }
 
-/// An answer's body. Read to its end it gives its connection back; dropped before, it closes it.
+/// The body of a response. At its end the connection returns to the pool. A body that is dropped
+/// before its end closes the connection.
 #[derive(Debug)]
 pub struct PooledBody {
     incoming: Incoming,
@@ -99,7 +100,7 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        // Says no until the end was polled, since only then the connection is given back.
+        // False until the end has been polled, since only that returns the connection to the pool.
         self.sender.is_none()
     }
 
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,4 +1,4 @@
-//! Connections to one address.
+//! An HTTP client of one address with a pool of idle connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,14 +23,15 @@
 use crate::http::HttpError;
 use crate::http::PooledBody;
 
-/// More than an upstream batches; beyond it connections are closed after use.
+/// Number of idle connections that are kept; further ones are closed after use. More than an
+/// upstream has requests in one batch.
 const IDLE_MAX: usize = 128;
 
-/// Inside a site a connection takes a few milliseconds. A host that is cut off does not answer at
-/// all; this is how long it can hold a request up.
+/// Inside a site a connection takes a few milliseconds. A host that cannot be reached does not
+/// respond at all, and delays a request by this much.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// Connections that wait for a request.
+/// Idle connections to one address.
 #[derive(Debug, Default)]
 pub(crate) struct IdleConnections {
     senders: Mutex<Vec<SendRequest<ChunksBody>>>,
@@ -55,16 +56,16 @@
     }
 }
 
-/// What came of handing a request to one connection.
-enum Handed {
-    Answered(Box<Response<PooledBody>>),
-    /// The connection was closed before it took the request, which comes back untouched.
-    Returned(Box<Request<ChunksBody>>),
+/// Result of sending a request on one connection.
+enum ConnectionSend {
+    Response(Box<Response<PooledBody>>),
+    /// The connection was closed before it accepted the request, which is returned unchanged.
+    NotAccepted(Box<Request<ChunksBody>>),
 }
 
-/// A client of one address. It never sends a request twice: a library that repeats a request by
-/// itself on another connection would make an upstream run it twice, unseen by the ledger and by
-/// the claims. Only a request that no connection has taken is handed to a second one.
+/// A client of one address. The client never sends a request twice: if it repeated a request on
+/// another connection, an upstream could run the request twice without the ledger and the claims
+/// knowing. Only a request that no connection has accepted is sent on a second one.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     addr: SocketAddr,
@@ -73,7 +74,7 @@
 }
 
 impl HttpClient {
-    /// A client of `addr`; it connects when it has something to send.
+    /// Creates a client of `addr`. It connects when the first request is sent.
     pub fn new(addr: SocketAddr) -> Self {
         let host_header = HeaderValue::try_from(addr.to_string());
         let host_header = host_header.unwrap_or_else(|_| HeaderValue::from_static("upstream"));
@@ -84,12 +85,12 @@
         }
     }
 
-    /// The address.
+    /// The address of the server.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Sends a request and returns the answer's head with its body still to be read.
+    /// Sends a request and returns the head of the response with the body still to be read.
     pub async fn send(
         &self,
         mut req: Request<ChunksBody>,
@@ -98,33 +99,37 @@
             .entry(HOST)
             .or_insert_with(|| self.host_header.clone());
         while let Some(sender) = self.idle.take() {
-            match self.hand_over(sender, req).await? {
-                Handed::Answered(res) => return Ok(*res),
-                Handed::Returned(back) => req = *back,
+            match self.send_on(sender, req).await? {
+                ConnectionSend::Response(res) => return Ok(*res),
+                ConnectionSend::NotAccepted(unsent) => req = *unsent,
             }
         }
         let sender = self.connect().await?;
-        match self.hand_over(sender, req).await? {
-            Handed::Answered(res) => Ok(*res),
-            Handed::Returned(_) => Err(HttpError::NotSent("connection closed at once".to_owned())),
+        match self.send_on(sender, req).await? {
+            ConnectionSend::Response(res) => Ok(*res),
+            ConnectionSend::NotAccepted(_) => Err(HttpError::NotSent(
+                "the connection was closed at once".to_owned(),
+            )),
         }
     }
 
-    /// Sends a request and reads the whole answer, at most `len_max` bytes, within `limit`.
+    /// Sends a request and reads the complete response, with a body of at most `len_max` bytes,
+    /// within `time_limit`.
     pub async fn call(
         &self,
         req: Request<ChunksBody>,
         len_max: usize,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<Response<Bytes>, HttpError> {
-        let whole = async {
+        let exchange = async {
             let (head, body) = self.send(req).await?.into_parts();
             let body = Limited::new(body, len_max).collect().await;
             let body = body.map_err(|err| HttpError::Interrupted(err.to_string()))?;
             Ok(Response::from_parts(head, body.to_bytes()))
         };
-        let timed_out = |_| HttpError::Interrupted(format!("no answer within {limit:?}"));
-        timeout(limit, whole).await.map_err(timed_out)?
+        let timed_out =
+            |_| HttpError::Interrupted(format!("no complete response within {time_limit:?}"));
+        timeout(time_limit, exchange).await.map_err(timed_out)?
     }
 
     async fn connect(&self) -> Result<SendRequest<ChunksBody>, HttpError> {
@@ -141,22 +146,22 @@
         Ok(sender)
     }
 
-    async fn hand_over(
+    async fn send_on(
         &self,
         mut sender: SendRequest<ChunksBody>,
         req: Request<ChunksBody>,
-    ) -> Result<Handed, HttpError> {
+    ) -> Result<ConnectionSend, HttpError> {
         if sender.ready().await.is_err() {
-            return Ok(Handed::Returned(Box::new(req)));
+            return Ok(ConnectionSend::NotAccepted(Box::new(req)));
         }
         match sender.try_send_request(req).await {
             Ok(res) => {
                 let idle = Arc::clone(&self.idle);
                 let res = res.map(|incoming| PooledBody::new(incoming, sender, idle));
-                Ok(Handed::Answered(Box::new(res)))
+                Ok(ConnectionSend::Response(Box::new(res)))
             }
             Err(mut err) => match err.take_message() {
-                Some(req) => Ok(Handed::Returned(Box::new(req))),
+                Some(req) => Ok(ConnectionSend::NotAccepted(Box::new(req))),
                 None => Err(HttpError::Interrupted(err.into_error().to_string())),
             },
         }
--- a/src/http/connection_headers.rs
+++ b/src/http/connection_headers.rs
@@ -1,4 +1,4 @@
-//! Headers that concern only the connection that a message came on.
+//! Hop-by-hop headers, which concern only the connection that a message arrived on.
 
 use hyper::HeaderMap;
 use hyper::header::CONNECTION;
@@ -8,7 +8,7 @@
 use hyper::header::TRANSFER_ENCODING;
 use hyper::header::UPGRADE;
 
-/// Removes them, those that the message itself names as such included.
+/// Removes the hop-by-hop headers, including those that the message names in `Connection`.
 pub fn remove_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/src/http/error.rs
+++ b/src/http/error.rs
@@ -1,14 +1,15 @@
-//! What can come of an HTTP call.
+//! Errors of HTTP calls.
 
 use std::error::Error;
 use std::fmt;
 
-/// Why an HTTP call gave no whole answer.
+/// Why an HTTP call has no complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HttpError {
     /// No byte of the request left this host.
     NotSent(String),
-    /// The connection broke, timed out or carried no HTTP after bytes may have left.
+    /// The connection broke, timed out or carried something other than HTTP after bytes of the
+    /// request may have left.
     Interrupted(String),
 }
 
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 client over hyper that says whether a request may have left.
+//! A small HTTP/1.1 client over hyper. Its errors say whether a request may have left this host.
 
 mod body;
 mod client;
--- a/src/http/one_shot.rs
+++ b/src/http/one_shot.rs
@@ -1,9 +1,9 @@
-//! One request on a connection of its own.
+//! An HTTP client that uses a new connection for each request.
 //!
-//! A kept connection may have been closed by the other end in the moment of the request, may carry
-//! a second answer to an earlier request, or may have gone silent without a sign. In all three cases
-//! nobody can tell whether the request ran. A fresh connection costs one way there and back, about
-//! a millisecond, and leaves none of these doubts.
+//! A connection that is reused may be closed by the other end at the moment of the request, may
+//! carry a second response to an earlier request, or may have stopped working without a sign. In
+//! all three cases it is unknown whether the request ran. A new connection costs one round trip,
+//! about a millisecond, and has none of these problems.
 
 use std::fmt;
 use std::io;
@@ -32,28 +32,29 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long bytes may stay unacknowledged, in ms, and how long a silent connection may stay without
-/// an answer to a probe: a host that lost power or is cut off answers neither.
+/// How long sent data and keepalive probes may stay unacknowledged, in ms. A host that has lost
+/// power or cannot be reached acknowledges neither.
 const UNACKNOWLEDGED_MAX_MS: u32 = 3_000;
-/// Seconds of silence before a connection is probed, and between probes.
-const PROBE_INTERVAL_S: u32 = 1;
-/// Probes without an answer before the connection counts as broken.
-const PROBES_MAX: u32 = 3;
+/// Seconds without traffic before the first keepalive probe, and between probes.
+const KEEPALIVE_INTERVAL_S: u32 = 1;
+/// Unacknowledged keepalive probes after which the connection counts as broken.
+const KEEPALIVE_PROBES_MAX: u32 = 3;
 
 type Conn = Connection<TokioIo<TcpStream>, Full<Bytes>>;
 
-/// Why there is no answer. The kinds differ in what may have happened at the other end.
+/// Why a request has no complete response. The kinds differ in whether the request may have been
+/// received.
 #[derive(Debug)]
 pub enum OneShotError {
-    /// No connection came about in time; nothing was sent.
+    /// The connection was not established in time; nothing was sent.
     ConnectTimeout,
-    /// The connection was refused or failed at once; nothing was sent.
+    /// The connection was refused or could not be set up; nothing was sent.
     ConnectFailed(io::Error),
-    /// The connection broke before the request was handed to it; nothing was sent.
+    /// The connection broke before it accepted the request; nothing was sent.
     NotSent(String),
-    /// The connection broke after the request may have left.
+    /// The connection broke after the request may have been sent.
     ConnectionBroken(String),
-    /// No whole answer came in time.
+    /// The complete response did not arrive in time.
     Timeout,
 }
 
@@ -63,15 +64,15 @@
             Self::ConnectTimeout => f.write_str("connecting timed out"),
             Self::ConnectFailed(err) => write!(f, "cannot connect: {err}"),
             Self::NotSent(why) => write!(f, "not sent: {why}"),
-            Self::ConnectionBroken(why) => write!(f, "broke off: {why}"),
-            Self::Timeout => f.write_str("no answer in time"),
+            Self::ConnectionBroken(why) => write!(f, "connection broken: {why}"),
+            Self::Timeout => f.write_str("no complete response in time"),
         }
     }
 }
 
 impl std::error::Error for OneShotError {}
 
-/// Sends a request and returns the answer with its body still to be read.
+/// Sends a request and returns the head of the response with the body still to be read.
 pub async fn send(
     addr: SocketAddr,
     req: Request<Full<Bytes>>,
@@ -81,14 +82,15 @@
     let stream = connected
         .map_err(|_| OneShotError::ConnectTimeout)?
         .map_err(OneShotError::ConnectFailed)?;
-    detect_silence(&stream).map_err(OneShotError::ConnectFailed)?;
+    enable_keepalive(&stream).map_err(OneShotError::ConnectFailed)?;
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (mut sender, conn) = handshake.map_err(|err| OneShotError::NotSent(err.to_string()))?;
     let mut conn = Some(Box::pin(conn));
     let mut sending = Box::pin(sender.try_send_request(req));
-    // The connection is driven by whoever waits for it and needs no task of its own.
+    // The connection is polled by the future that waits for the response, without a task of its
+    // own.
     let sent = std::future::poll_fn(|cx| {
-        drive(&mut conn, cx);
+        poll_connection(&mut conn, cx);
         sending.as_mut().poll(cx)
     });
     match sent.await {
@@ -100,33 +102,35 @@
     }
 }
 
-/// Sends a request and reads the whole answer, at most `len_max` bytes, within `limit`.
+/// Sends a request and reads the complete response, with a body of at most `len_max` bytes, within
+/// `time_limit`.
 pub async fn call(
     addr: SocketAddr,
     req: Request<Full<Bytes>>,
     len_max: usize,
-    limit: Duration,
+    time_limit: Duration,
 ) -> Result<Response<Bytes>, OneShotError> {
-    let whole = call_with_idle_timeout(addr, req, len_max, limit);
-    timeout(limit, whole)
+    let exchange = call_with_idle_timeout(addr, req, len_max, time_limit);
+    timeout(time_limit, exchange)
         .await
         .map_err(|_| OneShotError::Timeout)?
 }
 
-/// Sends a request and reads the whole answer, at most `len_max` bytes. Its head has to come within
-/// `silence_max`, and each further part of it within as long after the one before.
+/// Sends a request and reads the complete response, with a body of at most `len_max` bytes. The
+/// head has to arrive within `idle_timeout`, and each further frame within `idle_timeout` of the
+/// previous one.
 pub async fn call_with_idle_timeout(
     addr: SocketAddr,
     req: Request<Full<Bytes>>,
     len_max: usize,
-    silence_max: Duration,
+    idle_timeout: Duration,
 ) -> Result<Response<Bytes>, OneShotError> {
-    let sent = timeout(silence_max, send(addr, req, silence_max)).await;
+    let sent = timeout(idle_timeout, send(addr, req, idle_timeout)).await;
     let (head, body) = sent.map_err(|_| OneShotError::Timeout)??.into_parts();
     let mut body = Limited::new(body, len_max);
     let mut bytes = BytesMut::new();
     loop {
-        let frame = timeout(silence_max, body.frame()).await;
+        let frame = timeout(idle_timeout, body.frame()).await;
         match frame.map_err(|_| OneShotError::Timeout)? {
             None => return Ok(Response::from_parts(head, bytes.freeze())),
             Some(Err(err)) => return Err(OneShotError::ConnectionBroken(err.to_string())),
@@ -135,28 +139,28 @@
     }
 }
 
-fn drive(conn: &mut Option<Pin<Box<Conn>>>, cx: &mut Context<'_>) {
+fn poll_connection(conn: &mut Option<Pin<Box<Conn>>>, cx: &mut Context<'_>) {
     let is_done = conn
         .as_mut()
         .is_some_and(|conn| conn.as_mut().poll(cx).is_ready());
     if is_done {
-        // Its error reaches whoever waits for the answer or its body.
+        // Its error is also returned to the reader of the response or of the body.
         *conn = None;
     }
 }
 
-fn detect_silence(stream: &TcpStream) -> io::Result<()> {
+fn enable_keepalive(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     setsockopt(stream, sockopt::TcpUserTimeout, &UNACKNOWLEDGED_MAX_MS)?;
     setsockopt(stream, sockopt::KeepAlive, &true)?;
-    setsockopt(stream, sockopt::TcpKeepIdle, &PROBE_INTERVAL_S)?;
-    setsockopt(stream, sockopt::TcpKeepInterval, &PROBE_INTERVAL_S)?;
-    setsockopt(stream, sockopt::TcpKeepCount, &PROBES_MAX)?;
+    setsockopt(stream, sockopt::TcpKeepIdle, &KEEPALIVE_INTERVAL_S)?;
+    setsockopt(stream, sockopt::TcpKeepInterval, &KEEPALIVE_INTERVAL_S)?;
+    setsockopt(stream, sockopt::TcpKeepCount, &KEEPALIVE_PROBES_MAX)?;
     Ok(())
 }
 
-/// The body of an answer. Dropped before its end it closes the connection, by which the other end
-/// sees that nobody waits any more.
+/// The body of a response. A body that is dropped before its end closes the connection, which tells
+/// the other end that nobody waits for the rest.
 #[derive(Debug)]
 pub struct OneShotBody {
     conn: Option<Pin<Box<Conn>>>,
@@ -172,7 +176,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         let this = self.get_mut();
-        drive(&mut this.conn, cx);
+        poll_connection(&mut this.conn, cx);
         Pin::new(&mut this.incoming).poll_frame(cx)
     }
 
--- a/src/http/sse.rs
+++ b/src/http/sse.rs
@@ -1,20 +1,20 @@
-//! Server-sent events.
+//! A parser of server-sent events.
 
 use bytes::BytesMut;
 
-/// An event longer than this is not an answer of a model.
+/// Length limit of an event, in bytes. A longer event is not part of the response of a model.
 const EVENT_LEN_MAX: usize = 1 << 20;
 
-/// One event.
+/// A server-sent event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SseEvent {
-    /// Its id, empty if none was given.
+    /// The id; empty if the event has none.
     pub id: String,
-    /// Its data.
+    /// The data, with lines separated by line feeds.
     pub data: String,
 }
 
-/// Cuts a stream of bytes into events.
+/// Splits a stream of bytes into events.
 #[derive(Debug, Default)]
 pub struct SseParser {
     pending: BytesMut,
@@ -23,7 +23,7 @@
 }
 
 impl SseParser {
-    /// Takes in bytes as they come.
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), String> {
         self.pending.extend_from_slice(bytes);
         if self.pending.len() + self.data.len() > EVENT_LEN_MAX + bytes.len() {
@@ -32,7 +32,7 @@
         Ok(())
     }
 
-    /// The next whole event.
+    /// Returns the next complete event, if there is one.
     pub fn next_event(&mut self) -> Result<Option<SseEvent>, String> {
         while let Some(end) = self.pending.iter().position(|byte| *byte == b'\n') {
             let line = self.pending.split_to(end + 1);
@@ -40,7 +40,7 @@
             let line = line.strip_suffix(b"\r").unwrap_or(line);
             let line = std::str::from_utf8(line).map_err(|err| err.to_string())?;
             if !line.is_empty() {
-                self.field(line);
+                self.process_field(line);
             } else if !self.data.is_empty() {
                 let id = std::mem::take(&mut self.id);
                 let data = std::mem::take(&mut self.data);
@@ -50,7 +50,7 @@
         Ok(None)
     }
 
-    fn field(&mut self, line: &str) {
+    fn process_field(&mut self, line: &str) {
         let (name, value) = line.split_once(':').unwrap_or((line, ""));
         let value = value.strip_prefix(' ').unwrap_or(value);
         match name {
--- a/src/upstream/dispatch.rs
+++ b/src/upstream/dispatch.rs
@@ -1,4 +1,4 @@
-//! What is sent to an upstream.
+//! Requests to upstreams.
 
 use std::time::Duration;
 
@@ -9,31 +9,31 @@
 use crate::units::Priority;
 use crate::units::UpstreamId;
 
-/// A request body in the pieces it arrived in; a clone costs reference counts only.
+/// A request body in the chunks in which it was received. Cloning copies no bytes.
 #[derive(Clone, Debug, Default)]
 pub struct RequestBody {
-    /// The pieces in order.
+    /// The chunks in order.
     pub chunks: Vec<Bytes>,
 }
 
 impl RequestBody {
-    /// The length of all pieces.
+    /// The length of the body, in bytes.
     pub fn len(&self) -> usize {
         self.chunks.iter().map(Bytes::len).sum()
     }
 
-    /// Whether there is nothing in it.
+    /// Whether the body has no bytes.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// One attempt, ready to be sent.
+/// An attempt to be sent to an upstream.
 #[derive(Clone, Debug)]
 pub struct Dispatch {
-    /// The id that the upstream knows the attempt by: the number of the grant it uses up.
+    /// The id of the attempt at the upstream: the number of the grant that the attempt consumes.
     pub attempt: AttemptId,
-    /// The host that dispatches and reads the answer.
+    /// The host that sends the attempt and reads the response.
     pub host: HostId,
     /// The HTTP method.
     pub method: String,
@@ -43,12 +43,12 @@
     pub content_type: Option<String>,
     /// The body as the caller sent it.
     pub body: RequestBody,
-    /// The rank at the engine.
+    /// The priority at the engine.
     pub priority: Priority,
-    /// The time that remains, which the engine ends the attempt by.
+    /// The remaining time, after which the engine ends the attempt.
     pub remaining: Duration,
-    /// The engines that hold the prompt together, this one first; empty for a single engine.
+    /// The engines that hold the prompt together, the receiver first; empty for a single engine.
     pub gang: Vec<UpstreamId>,
-    /// Whether the body is a model call whose answer is a stream of tokens.
+    /// Whether the request is a model call, whose response is a stream of tokens.
     pub is_model: bool,
 }
--- a/src/upstream/error.rs
+++ b/src/upstream/error.rs
@@ -1,4 +1,4 @@
-//! What can come of a call to an upstream.
+//! Errors of calls to upstreams.
 
 use std::error::Error;
 use std::fmt;
@@ -7,22 +7,22 @@
 /// Why a call to an upstream failed. The kinds differ in whether the request may have run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpstreamError {
-    /// No byte of the request left for the upstream: it did not run.
+    /// No byte of the request was sent to the upstream: the request did not run.
     NotSent(String),
-    /// The upstream itself refused before running it.
+    /// The upstream refused the request before running it.
     Refused {
         /// The HTTP status.
         status: u16,
-        /// The upstream's reason.
+        /// The reason that the upstream gave.
         why: String,
-        /// When it wants to be asked again.
+        /// How long to wait before a retry, if the upstream says so.
         retry_after: Option<Duration>,
     },
-    /// The connection broke or timed out after bytes had left: it may have run.
+    /// The connection broke or timed out after bytes were sent: the request may have run.
     Interrupted(String),
-    /// The answer breaks the protocol, or is not the answer of this attempt: it may have run.
+    /// The response violates the protocol or belongs to another attempt: the request may have run.
     InvalidResponse(String),
-    /// The upstream ran it and reported a failure.
+    /// The upstream ran the request and reported a failure.
     Failed(String),
     /// The upstream does not know the attempt.
     UnknownAttempt,
@@ -40,8 +40,8 @@
         match self {
             Self::NotSent(why) => write!(f, "upstream not reached: {why}"),
             Self::Refused { status, why, .. } => write!(f, "upstream refused ({status}): {why}"),
-            Self::Interrupted(why) => write!(f, "upstream cut off: {why}"),
-            Self::InvalidResponse(why) => write!(f, "upstream answered wrongly: {why}"),
+            Self::Interrupted(why) => write!(f, "connection to upstream interrupted: {why}"),
+            Self::InvalidResponse(why) => write!(f, "invalid response from upstream: {why}"),
             Self::Failed(why) => write!(f, "upstream failed: {why}"),
             Self::UnknownAttempt => f.write_str("upstream does not know the attempt"),
         }
--- a/src/upstream/http/mod.rs
+++ b/src/upstream/http/mod.rs
@@ -1,7 +1,7 @@
-//! Upstreams over HTTP.
+//! The HTTP client of upstreams.
 
-mod answer_reader;
 mod model_event;
+mod response_reader;
 
 use std::time::Duration;
 
@@ -36,23 +36,25 @@
 use crate::upstream::UpstreamClient;
 use crate::upstream::UpstreamError;
 
-/// How long a call beside the answers may take. A frozen engine costs a controller this much.
+/// Timeout of control calls, and of the head of a resumed response. A frozen engine delays a
+/// controller by this much.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An export of key and value cache is the largest control answer.
+/// Length limit of the response to a control call, in bytes. An exported key-value cache is the
+/// largest.
 const CONTROL_LEN_MAX: usize = 64 << 20;
 
-/// The longest error text that is read from an upstream.
+/// Length limit of an error response that is read from an upstream, in bytes.
 const ERROR_LEN_MAX: usize = 64 << 10;
 
-/// A client of one upstream.
+/// An HTTP client of one upstream.
 #[derive(Clone, Debug)]
 pub struct HttpUpstreamClient {
     client: HttpClient,
 }
 
 impl HttpUpstreamClient {
-    /// A client of the upstream behind `client`.
+    /// Creates a client of the upstream at the address of `client`.
     pub fn new(client: HttpClient) -> Self {
         Self { client }
     }
@@ -62,15 +64,15 @@
         let attempt = dispatch.attempt;
         let res = self.client.send(dispatch_request(dispatch)?).await?;
         if is_refusal(&res) {
-            return Err(refusal(res).await);
+            return Err(refusal_error(res).await);
         }
         if !is_model {
-            return Ok(answer_reader::service_answer(res));
+            return Ok(response_reader::service_response(res));
         }
         if res.status() != StatusCode::OK {
             return Err(UpstreamError::Failed(error_text(res).await));
         }
-        Ok(answer_reader::model_answer(res.into_body(), attempt))
+        Ok(response_reader::model_response(res.into_body(), attempt))
     }
 
     async fn resume_attempt(
@@ -80,17 +82,17 @@
     ) -> Result<ResponseStream, UpstreamError> {
         let req = Request::get(format!("/v1/attempts/{attempt}/stream"))
             .header("Last-Event-ID", format!("{attempt}:{offset_tokens}"));
-        let sent = self.client.send(finish(req, ChunksBody::default())?);
+        let sent = self.client.send(build_request(req, ChunksBody::default())?);
         let res = tokio::time::timeout(CONTROL_TIMEOUT, sent).await;
         let res = res.map_err(|_| UpstreamError::Interrupted("resume timed out".to_owned()))??;
         match res.status() {
-            StatusCode::OK => Ok(answer_reader::model_answer(res.into_body(), attempt)),
+            StatusCode::OK => Ok(response_reader::model_response(res.into_body(), attempt)),
             StatusCode::NOT_FOUND => Err(UpstreamError::UnknownAttempt),
             _ => Err(UpstreamError::Failed(error_text(res).await)),
         }
     }
 
-    async fn control(
+    async fn control_call(
         &self,
         method: Method,
         path: &str,
@@ -101,7 +103,7 @@
         let body = body.map(ChunksBody::single).unwrap_or_default();
         let res = self
             .client
-            .call(finish(req, body)?, CONTROL_LEN_MAX, CONTROL_TIMEOUT)
+            .call(build_request(req, body)?, CONTROL_LEN_MAX, CONTROL_TIMEOUT)
             .await?;
         let why = || {
             String::from_utf8_lossy(res.body())
@@ -121,8 +123,8 @@
         }
     }
 
-    async fn read<T: DeserializeOwned>(&self, path: &str) -> Result<T, UpstreamError> {
-        let body = self.control(Method::GET, path, None).await?;
+    async fn get_json<T: DeserializeOwned>(&self, path: &str) -> Result<T, UpstreamError> {
+        let body = self.control_call(Method::GET, path, None).await?;
         let parsed = serde_json::from_slice(&body);
         parsed.map_err(|err| UpstreamError::InvalidResponse(format!("{path}: {err}")))
     }
@@ -144,7 +146,7 @@
     fn cancel(&self, attempt: AttemptId) -> BoxFuture<'_, Result<(), UpstreamError>> {
         async move {
             let path = format!("/v1/attempts/{attempt}");
-            match self.control(Method::DELETE, &path, None).await {
+            match self.control_call(Method::DELETE, &path, None).await {
                 Ok(_) | Err(UpstreamError::UnknownAttempt) => Ok(()),
                 Err(err) => Err(err),
             }
@@ -153,11 +155,11 @@
     }
 
     fn list_running(&self) -> BoxFuture<'_, Result<Vec<RunningAttempt>, UpstreamError>> {
-        self.read("/v1/attempts").boxed()
+        self.get_json("/v1/attempts").boxed()
     }
 
     fn load(&self) -> BoxFuture<'_, Result<LoadReport, UpstreamError>> {
-        self.read("/load").boxed()
+        self.get_json("/load").boxed()
     }
 
     fn cache_events(
@@ -165,7 +167,7 @@
         after_seq: u64,
     ) -> BoxFuture<'_, Result<Vec<CacheEvent>, UpstreamError>> {
         async move {
-            self.read(&format!("/v1/cache/events?after={after_seq}"))
+            self.get_json(&format!("/v1/cache/events?after={after_seq}"))
                 .await
         }
         .boxed()
@@ -173,8 +175,8 @@
 
     fn order(&self, order: Order) -> BoxFuture<'_, Result<(), UpstreamError>> {
         async move {
-            let body = json(&order)?;
-            self.control(Method::PUT, "/v1/state", Some(body))
+            let body = to_json(&order)?;
+            self.control_call(Method::PUT, "/v1/state", Some(body))
                 .await
                 .map(drop)
         }
@@ -182,7 +184,7 @@
     }
 
     fn state(&self) -> BoxFuture<'_, Result<EngineState, UpstreamError>> {
-        self.read("/v1/state").boxed()
+        self.get_json("/v1/state").boxed()
     }
 
     fn hold_gang(
@@ -194,13 +196,13 @@
     ) -> BoxFuture<'_, Result<(), UpstreamError>> {
         async move {
             let hold_ms = u64::try_from(hold.as_millis()).unwrap_or(u64::MAX);
-            let body = json(&GangHold {
+            let body = to_json(&GangHold {
                 tokens,
                 hold_ms,
                 host,
             })?;
             let path = format!("/v1/gang/{attempt}");
-            self.control(Method::POST, &path, Some(body))
+            self.control_call(Method::POST, &path, Some(body))
                 .await
                 .map(drop)
         }
@@ -210,7 +212,7 @@
     fn release_gang(&self, attempt: AttemptId) -> BoxFuture<'_, Result<(), UpstreamError>> {
         async move {
             match self
-                .control(Method::DELETE, &format!("/v1/gang/{attempt}"), None)
+                .control_call(Method::DELETE, &format!("/v1/gang/{attempt}"), None)
                 .await
             {
                 Ok(_) | Err(UpstreamError::UnknownAttempt) => Ok(()),
@@ -222,7 +224,7 @@
 
     fn export_kv(&self, prefix: ContentHash) -> BoxFuture<'_, Result<Bytes, UpstreamError>> {
         async move {
-            self.control(Method::GET, &format!("/v1/kv/{prefix}"), None)
+            self.control_call(Method::GET, &format!("/v1/kv/{prefix}"), None)
                 .await
         }
         .boxed()
@@ -235,7 +237,9 @@
     ) -> BoxFuture<'_, Result<(), UpstreamError>> {
         async move {
             let path = format!("/v1/kv/{prefix}");
-            self.control(Method::PUT, &path, Some(kv)).await.map(drop)
+            self.control_call(Method::PUT, &path, Some(kv))
+                .await
+                .map(drop)
         }
         .boxed()
     }
@@ -276,28 +280,28 @@
         let names: Vec<&str> = dispatch.gang.iter().map(UpstreamId::as_str).collect();
         req = req.header("X-Gang", names.join(","));
     }
-    finish(req, ChunksBody::new(dispatch.body.chunks))
+    build_request(req, ChunksBody::new(dispatch.body.chunks))
 }
 
-fn finish(req: Builder, body: ChunksBody) -> Result<Request<ChunksBody>, UpstreamError> {
+fn build_request(req: Builder, body: ChunksBody) -> Result<Request<ChunksBody>, UpstreamError> {
     req.body(body)
         .map_err(|err| UpstreamError::NotSent(err.to_string()))
 }
 
-fn json<T: serde::Serialize>(value: &T) -> Result<Bytes, UpstreamError> {
+fn to_json<T: serde::Serialize>(value: &T) -> Result<Bytes, UpstreamError> {
     let text = serde_json::to_vec(value).map_err(|err| UpstreamError::NotSent(err.to_string()))?;
     Ok(Bytes::from(text))
 }
 
-/// An upstream may refuse only with the header that says so: a plain 503 can also come from an
-/// upstream that broke down in the middle of the work.
+/// Whether an upstream refused a request without running it, which only the header `X-Not-Run`
+/// says: a 503 alone can also come from an upstream that failed while it ran the request.
 fn is_refusal(res: &Response<PooledBody>) -> bool {
     res.headers()
         .get("X-Not-Run")
         .is_some_and(|value| value.as_bytes() == b"true")
 }
 
-async fn refusal(res: Response<PooledBody>) -> UpstreamError {
+async fn refusal_error(res: Response<PooledBody>) -> UpstreamError {
     let status = res.status().as_u16();
     let retry_after = res
         .headers()
--- a/src/upstream/http/model_event.rs
+++ b/src/upstream/http/model_event.rs
@@ -1,4 +1,4 @@
-//! The JSON of a model's answer.
+//! JSON events of a model's response.
 
 use serde::Deserialize;
 
@@ -6,20 +6,20 @@
 use crate::upstream::ResponseEvent;
 use crate::upstream::UpstreamError;
 
-/// What one event's data says.
+/// The parsed data of one event.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ModelEvent {
-    /// A piece of the answer.
+    /// Generated tokens.
     Tokens(ResponseEvent),
-    /// The model has stopped; the stream's end mark has yet to come.
+    /// The model has stopped; the end marker of the stream is still to come.
     Stopped {
-        /// The last event's tokens. There may be none; its offset still tells whether tokens are
-        /// missing before it.
+        /// The tokens of the last event. There may be none; the offset still shows whether tokens
+        /// are missing before it.
         tokens: ResponseEvent,
-        /// What to hand on once the end mark has come.
+        /// The end event, to be forwarded once the end marker has arrived.
         end: ResponseEvent,
     },
-    /// The end mark.
+    /// The end marker.
     Done,
 }
 
@@ -53,22 +53,22 @@
 }
 
 impl ModelEvent {
-    /// Reads the data of one event.
+    /// Parses the data of one event.
     pub(crate) fn parse(data: &str) -> Result<Self, UpstreamError> {
         if data == "[DONE]" {
             return Ok(Self::Done);
         }
-        let garbled = |why: String| UpstreamError::InvalidResponse(why);
-        let body: EventBody = serde_json::from_str(data).map_err(|err| garbled(err.to_string()))?;
+        let invalid = |why: String| UpstreamError::InvalidResponse(why);
+        let body: EventBody = serde_json::from_str(data).map_err(|err| invalid(err.to_string()))?;
         if let Some(error) = body.error {
             return Err(UpstreamError::Failed(error.to_string()));
         }
         let attempt: AttemptId = body
             .id
             .parse()
-            .map_err(|err| garbled(format!("id: {err}")))?;
+            .map_err(|err| invalid(format!("id: {err}")))?;
         let choice = body.choices.into_iter().next();
-        let choice = choice.ok_or_else(|| garbled("an event without choices".to_owned()))?;
+        let choice = choice.ok_or_else(|| invalid("an event without choices".to_owned()))?;
         let tokens = ResponseEvent::Tokens {
             attempt,
             offset_tokens: body.offset,
--- a/src/upstream/http/answer_reader.rs
+++ b/src/upstream/http/response_reader.rs
@@ -1,4 +1,4 @@
-//! Reads answers from upstreams' bodies.
+//! Reads response events from the bodies of upstreams' responses.
 
 use std::collections::VecDeque;
 
@@ -17,15 +17,15 @@
 use crate::upstream::UpstreamError;
 use crate::upstream::http::model_event::ModelEvent;
 
-/// A model's answer: events until the end mark.
-pub(crate) fn model_answer(body: PooledBody, attempt: AttemptId) -> ResponseStream {
+/// Returns the events of a model's response, up to the end marker.
+pub(crate) fn model_response(body: PooledBody, attempt: AttemptId) -> ResponseStream {
     let reader = ModelReader {
         body,
         attempt,
         parser: SseParser::default(),
-        ready: VecDeque::new(),
+        parsed: VecDeque::new(),
         end: None,
-        is_over: false,
+        is_ended: false,
     };
     stream::unfold(reader, async |mut reader| {
         let event = reader.next().await?;
@@ -34,8 +34,9 @@
     .boxed()
 }
 
-/// A plain service's answer: its head, its bytes, and an end when the body was whole.
-pub(crate) fn service_answer(res: Response<PooledBody>) -> ResponseStream {
+/// Returns the events of a plain service's response: the head, the bytes, and an end if the body is
+/// complete.
+pub(crate) fn service_response(res: Response<PooledBody>) -> ResponseStream {
     let content_type = res
         .headers()
         .get(CONTENT_TYPE)
@@ -81,36 +82,36 @@
     body: PooledBody,
     attempt: AttemptId,
     parser: SseParser,
-    ready: VecDeque<ResponseEvent>,
+    parsed: VecDeque<ResponseEvent>,
     end: Option<ResponseEvent>,
-    is_over: bool,
+    is_ended: bool,
 }
 
 impl ModelReader {
     async fn next(&mut self) -> Option<Result<ResponseEvent, UpstreamError>> {
         loop {
-            if let Some(event) = self.ready.pop_front() {
+            if let Some(event) = self.parsed.pop_front() {
                 return Some(Ok(event));
             }
-            if self.is_over {
+            if self.is_ended {
                 return None;
             }
-            if let Err(err) = self.fill().await {
-                self.is_over = true;
+            if let Err(err) = self.read_events().await {
+                self.is_ended = true;
                 return Some(Err(err));
             }
         }
     }
 
-    async fn fill(&mut self) -> Result<(), UpstreamError> {
+    async fn read_events(&mut self) -> Result<(), UpstreamError> {
         while let Some(event) = self
             .parser
             .next_event()
             .map_err(UpstreamError::InvalidResponse)?
         {
-            self.take(&event.data)?;
+            self.process_event(&event.data)?;
         }
-        if !self.ready.is_empty() || self.is_over {
+        if !self.parsed.is_empty() || self.is_ended {
             return Ok(());
         }
         match next_bytes(&mut self.body).await {
@@ -119,25 +120,28 @@
                 .push(&bytes?)
                 .map_err(UpstreamError::InvalidResponse),
             None => Err(UpstreamError::Interrupted(format!(
-                "the answer of attempt {} ended without its end mark",
+                "the response of attempt {} ended without an end marker",
                 self.attempt
             ))),
         }
     }
 
-    fn take(&mut self, data: &str) -> Result<(), UpstreamError> {
+    fn process_event(&mut self, data: &str) -> Result<(), UpstreamError> {
         match ModelEvent::parse(data)? {
-            ModelEvent::Tokens(tokens) => self.ready.push_back(tokens),
+            ModelEvent::Tokens(tokens) => self.parsed.push_back(tokens),
             ModelEvent::Stopped { tokens, end } => {
-                self.ready.push_back(tokens);
+                self.parsed.push_back(tokens);
                 self.end = Some(end);
             }
             ModelEvent::Done => {
                 let end = self.end.take();
-                let missing =
-                    || UpstreamError::InvalidResponse("an end mark before the end".to_owned());
-                self.ready.push_back(end.ok_or_else(missing)?);
-                self.is_over = true;
+                let missing = || {
+                    UpstreamError::InvalidResponse(
+                        "the end marker came before the finish reason".to_owned(),
+                    )
+                };
+                self.parsed.push_back(end.ok_or_else(missing)?);
+                self.is_ended = true;
             }
         }
         Ok(())
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,22 +1,20 @@
-//! Upstreams (model engines and plain services) as an interface.
+//! The interface to upstreams, which are model engines and plain services.
 //!
-//! The wire form is the OpenAI completion API with server-sent events, with a few headers and paths
-//! beside it. docs/PROTOCOLS.md gives the details.
+//! The wire protocol is the OpenAI completion API with server-sent events and a few additional
+//! headers and paths. docs/PROTOCOLS.md describes the details.
 
-mod answer;
 mod dispatch;
 mod error;
 mod http;
 mod order;
 mod report;
+mod response;
 
 use std::time::Duration;
 
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
 
-pub use answer::ResponseEvent;
-pub use answer::ResponseStream;
 pub use dispatch::Dispatch;
 pub use dispatch::RequestBody;
 pub use error::UpstreamError;
@@ -27,46 +25,48 @@
 pub use report::CacheEventKind;
 pub use report::LoadReport;
 pub use report::RunningAttempt;
+pub use response::ResponseEvent;
+pub use response::ResponseStream;
 
 use crate::units::AttemptId;
 use crate::units::ContentHash;
 use crate::units::HostId;
 use crate::units::Tokens;
 
-/// One upstream. Model engines answer all of these calls, plain services only `start`.
+/// A client of one upstream. Model engines support all calls, plain services only `start`.
 pub trait UpstreamClient: Send + Sync {
-    /// Starts an attempt and returns its answer as a stream. The implementation sends the request
-    /// once: it never repeats it by itself on another connection.
+    /// Starts an attempt and returns the events of its response. The implementation sends the
+    /// request once and never repeats it on another connection.
     fn start(&self, dispatch: Dispatch) -> BoxFuture<'_, Result<ResponseStream, UpstreamError>>;
 
-    /// Reads the answer of a running or lately finished attempt from a token offset on.
+    /// Reads the response of a running or recently finished attempt from a token offset on.
     fn resume(
         &self,
         attempt: AttemptId,
         offset_tokens: u64,
     ) -> BoxFuture<'_, Result<ResponseStream, UpstreamError>>;
 
-    /// Ends an attempt. `Ok` means that the engine has given back its memory.
+    /// Cancels an attempt. `Ok` means that the engine has freed the memory of the attempt.
     fn cancel(&self, attempt: AttemptId) -> BoxFuture<'_, Result<(), UpstreamError>>;
 
-    /// The attempts that hold memory now.
+    /// Returns the attempts that currently hold memory.
     fn list_running(&self) -> BoxFuture<'_, Result<Vec<RunningAttempt>, UpstreamError>>;
 
-    /// The load as the engine reports it, which lags.
+    /// Returns the load report of the engine, which lags behind the actual load.
     fn load(&self) -> BoxFuture<'_, Result<LoadReport, UpstreamError>>;
 
-    /// Cache events after a sequence number; they come late and with gaps.
+    /// Returns the cache events after a sequence number. They arrive late and with gaps.
     fn cache_events(&self, after_seq: u64)
     -> BoxFuture<'_, Result<Vec<CacheEvent>, UpstreamError>>;
 
-    /// Gives an order. Repeating one is harmless, since it states the wanted end state.
+    /// Sends an order. Orders are idempotent, since an order states the desired state.
     fn order(&self, order: Order) -> BoxFuture<'_, Result<(), UpstreamError>>;
 
-    /// What the engine has loaded now.
+    /// Returns what the engine has loaded.
     fn state(&self) -> BoxFuture<'_, Result<EngineState, UpstreamError>>;
 
-    /// Holds memory of a gang member for an attempt that another engine leads. The hold ends by
-    /// itself after `hold`, so that a gang whose host died gives everything back.
+    /// Reserves memory of a gang member for an attempt that another engine leads. The reservation
+    /// expires after `hold`, so that a gang whose host crashed frees its memory.
     fn hold_gang(
         &self,
         attempt: AttemptId,
@@ -75,13 +75,13 @@
         hold: Duration,
     ) -> BoxFuture<'_, Result<(), UpstreamError>>;
 
-    /// Gives a gang member's memory back.
+    /// Releases the memory that is reserved at a gang member.
     fn release_gang(&self, attempt: AttemptId) -> BoxFuture<'_, Result<(), UpstreamError>>;
 
-    /// The key and value cache of a prompt prefix, for another engine to import.
+    /// Exports the key-value cache of a prompt prefix, for another engine to import.
     fn export_kv(&self, prefix: ContentHash) -> BoxFuture<'_, Result<Bytes, UpstreamError>>;
 
-    /// Takes in what another engine exported.
+    /// Imports a key-value cache that another engine exported.
     fn import_kv(&self, prefix: ContentHash, kv: Bytes)
     -> BoxFuture<'_, Result<(), UpstreamError>>;
 }
--- a/src/upstream/order.rs
+++ b/src/upstream/order.rs
@@ -2,29 +2,29 @@
 
 use crate::units::FencingNumber;
 
-/// An order: the end state wanted of an engine.
+/// The desired state of an engine, sent by the controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Order {
-    /// The number that engines which check it compare with the highest seen.
+    /// The fencing number. Engines that check it compare it with the highest number seen so far.
     pub fencing: FencingNumber,
-    /// The wanted state.
+    /// The desired state.
     pub state: EngineState,
 }
 
-/// What an engine has, or should have, loaded.
+/// What an engine has loaded, or should load.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct EngineState {
-    /// The model's name.
+    /// The name of the model.
     pub model: String,
-    /// The model's version.
+    /// The version of the model.
     pub version: String,
-    /// The adapters on top of it, sorted by name.
+    /// The adapters on top of the model, sorted by name.
     pub adapters: Vec<String>,
-    /// The engine's role, such as `mixed`, `prefill` or `decode`.
+    /// The role of the engine, such as `mixed`, `prefill` or `decode`.
     pub role: String,
-    /// Whether a load is going on; never set in an order.
+    /// Whether the engine is currently loading; never set in an order.
     #[serde(default)]
     pub loading: bool,
 }
--- a/src/upstream/report.rs
+++ b/src/upstream/report.rs
@@ -1,25 +1,25 @@
-//! What engines report of themselves.
+//! Reports of engines about themselves.
 
 use crate::units::AttemptId;
 use crate::units::ContentHash;
 use crate::units::HostId;
 use crate::units::Tokens;
 
-/// An engine's load, as old as the engine's reporting interval.
+/// The load of an engine. A report can be as old as the reporting interval of the engine.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct LoadReport {
-    /// Attempts that are being worked on.
+    /// Number of attempts in progress.
     pub running: u64,
-    /// Attempts that wait inside the engine.
+    /// Number of attempts in the queue of the engine.
     pub waiting: u64,
-    /// Memory held.
+    /// Memory in use, in tokens.
     pub used_tokens: Tokens,
-    /// Memory in all.
+    /// Total memory, in tokens.
     pub capacity_tokens: Tokens,
-    /// Prompt tokens that still have to be read in.
+    /// Number of prompt tokens that still have to be processed.
     pub prefill_backlog_tokens: Tokens,
-    /// The engine's own prefill speed when it has only that to do.
+    /// Prefill speed of the engine while it does nothing else, in tokens per second.
     pub prefill_tokens_per_second: f64,
 }
 
@@ -27,25 +27,25 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct RunningAttempt {
-    /// The attempt.
+    /// The id of the attempt.
     pub attempt: AttemptId,
     /// The host that dispatched it.
     pub host: HostId,
-    /// The memory it holds.
+    /// Memory that the attempt holds, in tokens.
     pub held_tokens: Tokens,
 }
 
-/// A change of an engine's prefix cache.
+/// A change of the prefix cache of an engine.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct CacheEvent {
-    /// The event's number; numbers may be missing.
+    /// The sequence number of the event. Numbers may be missing.
     pub seq: u64,
     /// What happened.
     pub kind: CacheEventKind,
-    /// The prefix.
+    /// The hash of the prefix.
     pub prefix: ContentHash,
-    /// Its length.
+    /// Length of the prefix, in tokens.
     pub tokens: Tokens,
 }
 
@@ -54,8 +54,8 @@
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheEventKind {
-    /// It was stored.
+    /// The prefix was stored.
     Stored,
-    /// It was evicted.
+    /// The prefix was evicted.
     Evicted,
 }
