--- a/tests/site/blackhole_proxy.rs
+++ b/tests/site/blackhole_proxy.rs
@@ -11,7 +11,8 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Passes connections on to one address. Cut, it swallows them without an answer, as a network does.
+/// Passes connections on to one address. Cut, it swallows them without an answer, as a network
+/// does.
 pub(crate) struct BlackholeProxy {
     pub(crate) addr: SocketAddr,
     is_cut: Arc<AtomicBool>,
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -3,9 +3,9 @@
 // Each test file uses a part of it.
 #![allow(dead_code)]
 
+mod blackhole_proxy;
 pub(crate) mod callers;
-mod gate;
-mod host;
+mod host_process;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,8 +28,8 @@
     unused_imports,
     reason = "only some test files cut the way to the platform"
 )]
-pub(crate) use gate::BlackholeProxy;
-pub(crate) use host::HostProcess;
+pub(crate) use blackhole_proxy::BlackholeProxy;
+pub(crate) use host_process::HostProcess;
 
 /// Long against everything that a test waits for, short against a CI run that hangs.
 const PATIENCE: Duration = Duration::from_secs(30);
