--- a/src/decide/engines/short.rs
+++ b/src/decide/engines/short.rs
@@ -44,8 +44,8 @@
         engine.time_to_first_event(model, part_time) <= request.objective_left
             && engine.fits_part(model, part_time)
     };
-    let best_near = best_engine(model, short_side, part_time, request);
-    let leader = match best_near {
+    let best_on_short_side = best_engine(model, short_side, part_time, request);
+    let leader = match best_on_short_side {
         Some(engine) if is_acceptable(engine) => Some(engine),
         _ => best_engine(model, engines, part_time, request),
     };
--- a/tests/engine_world/world.rs
+++ b/tests/engine_world/world.rs
@@ -191,10 +191,10 @@
                 let pause = class.pause;
                 self.runs[request].request_loads =
                     plan.request_loads(&self.site.model, &engine_request, Some(pause), now);
-                let has_reserves = !plan.reservations.is_empty();
+                let has_reservations = !plan.reservations.is_empty();
                 self.runs[request].plan = Some(plan);
                 self.runs[request].sent_at = self.now;
-                let delay = if has_reserves {
+                let delay = if has_reservations {
                     NETWORK_DELAY
                 } else {
                     Duration::ZERO
@@ -213,17 +213,17 @@
     fn reserve(&mut self, request: usize) {
         let plan = self.runs[request].plan.clone().unwrap();
         let limit = self.site.model.memory_tokens.0;
-        let is_full = plan.reservations.iter().any(|reserve| {
-            let engine = &self.engines[self.index(&reserve.engine)];
-            engine.reserved_tokens + reserve.tokens.0 > limit
+        let is_full = plan.reservations.iter().any(|reservation| {
+            let engine = &self.engines[self.index(&reservation.engine)];
+            engine.reserved_tokens + reservation.tokens.0 > limit
         });
         if is_full {
             self.push(self.now + RESERVE_RETRY_DELAY, Event::Decide(request));
             return;
         }
-        for reserve in &plan.reservations {
-            let index = self.index(&reserve.engine);
-            self.engines[index].reserved_tokens += reserve.tokens.0;
+        for reservation in &plan.reservations {
+            let index = self.index(&reservation.engine);
+            self.engines[index].reserved_tokens += reservation.tokens.0;
         }
         let now = self.instant();
         let host = self.runs[request].host;
@@ -352,9 +352,9 @@
             self.hosts[host].ledger.end_request(&engine, &load);
         }
         let plan = self.runs[request].plan.clone().unwrap();
-        for reserve in &plan.reservations {
-            let index = self.index(&reserve.engine);
-            self.engines[index].reserved_tokens -= reserve.tokens.0;
+        for reservation in &plan.reservations {
+            let index = self.index(&reservation.engine);
+            self.engines[index].reserved_tokens -= reservation.tokens.0;
         }
         for engine in std::mem::take(&mut self.runs[request].helpers_until_end) {
             self.engines[engine].helping -= 1;
@@ -380,8 +380,8 @@
         let class = &self.site.classes[spec.class];
         let time_left = class.timeout.saturating_sub(self.now - spec.arrives);
         self.runs[request].refusals += 1;
-        let comes_back = self.runs[request].refusals == 1;
-        if comes_back && retry_after < time_left {
+        let is_first_refusal = self.runs[request].refusals == 1;
+        if is_first_refusal && retry_after < time_left {
             let after = retry_after.min(time_left / 3);
             self.push(self.now + after, Event::Arrive(request));
         } else {
