--- a/soak/src/store.rs
+++ b/soak/src/store.rs
@@ -146,7 +146,7 @@
                     let (store, seen_as) = (store.clone(), Arc::clone(&seen_as));
                     async move {
                         let mut res = store.answer(req, &seen_as).await?;
-                        stand_in::name_era(res.headers_mut(), store.lock().era);
+                        stand_in::set_store_era(res.headers_mut(), store.lock().era);
                         Ok::<_, Infallible>(res)
                     }
                 });
@@ -168,7 +168,7 @@
             .await
             .map(http_body_util::Collected::to_bytes);
         let body = body.unwrap_or_default();
-        let Some(call) = StoreCall::read(&head.method, head.uri.path(), &body) else {
+        let Some(call) = StoreCall::parse(&head.method, head.uri.path(), &body) else {
             return Ok(response(StatusCode::BAD_REQUEST, &Value::Null));
         };
         let state = self.lock().state;
@@ -226,7 +226,7 @@
         let object = |name: &str, revision: u64, spec: &Value| {
             let mut spec = spec.clone();
             let moved = |addr| seen_as.get(&addr).copied().unwrap_or(addr);
-            stand_in::move_addresses(&mut spec, moved);
+            stand_in::rewrite_addresses(&mut spec, moved);
             stand_in::object_json(name, revision, &spec)
         };
         let found = |kind: &str, name: &str| {
--- a/src/entry/driver/dispatching.rs
+++ b/src/entry/driver/dispatching.rs
@@ -27,10 +27,10 @@
 use crate::settings::PolicyName;
 use crate::units::Priority;
 use crate::units::UpstreamId;
-use crate::upstream::AnswerStream;
 use crate::upstream::Dispatch;
 use crate::upstream::RequestBody;
-use crate::upstream::Upstream;
+use crate::upstream::ResponseStream;
+use crate::upstream::UpstreamClient;
 use crate::upstream::UpstreamError;
 
 /// How long to wait before an answer is read on: long enough for an upstream to notice that the
@@ -206,10 +206,10 @@
     /// between.
     async fn resume_started(
         &self,
-        upstream: &dyn Upstream,
+        upstream: &dyn UpstreamClient,
         claim: &Claim,
         offset_tokens: u64,
-    ) -> Result<AnswerStream, UpstreamError> {
+    ) -> Result<ResponseStream, UpstreamError> {
         let clock = &self.parts.clock;
         let give_up = (clock.now() + DISPATCH_MAX).min(self.job.work.deadline);
         loop {
--- a/src/entry/driver/mod.rs
+++ b/src/entry/driver/mod.rs
@@ -44,7 +44,7 @@
 use crate::units::AttemptId;
 use crate::units::RequestId;
 use crate::units::UpstreamId;
-use crate::upstream::Upstream;
+use crate::upstream::UpstreamClient;
 use crate::upstream::UpstreamError;
 
 /// When a request that failed not run may come back where nothing better is known.
@@ -126,11 +126,11 @@
     fn note(&self, what: StepKind, place: &str, why: impl Into<Cow<'static, str>>) {
         self.parts
             .explanations
-            .note(self.job.request, what, place, why);
+            .record(self.job.request, what, place, why);
     }
 
     /// The engine of the current attempt; none for a plain service.
-    fn engine(&self) -> Option<Arc<dyn Upstream>> {
+    fn engine(&self) -> Option<Arc<dyn UpstreamClient>> {
         let leader = self.attempt.as_ref().and_then(Attempt::leader);
         let leader = leader.filter(|_| self.job.is_model());
         leader.and_then(|id| self.parts.upstreams.upstream(id))
@@ -211,7 +211,7 @@
         let work = &held.work;
         self.parts
             .metrics
-            .queue_wait(&work.customer, work.class(), held.waited);
+            .record_queue_wait(&work.customer, work.class(), held.waited);
     }
 
     pub(super) async fn broken(&mut self, err: UpstreamError) -> LifeEvent {
@@ -303,7 +303,7 @@
             .with_budget(&self.job.target, |budget| budget.decide(&failed, now))
         {
             RetryDecision::Retry { after } => {
-                self.parts.metrics.retry(self.last_reason());
+                self.parts.metrics.count_retry(self.last_reason());
                 self.reply.restart();
                 // Homes answer a request that is asked again with the grant it has. If the end of the
                 // failed attempt got lost on its way, that would be the same grant, and its attempt
@@ -327,7 +327,7 @@
         match &self.last_error {
             Some(UpstreamError::NotSent(_)) => "not_sent",
             Some(UpstreamError::Refused { .. }) => "refused",
-            Some(UpstreamError::Garbled(_)) => "garbled",
+            Some(UpstreamError::InvalidResponse(_)) => "garbled",
             _ => "failed",
         }
     }
--- a/src/entry/driver/pumping.rs
+++ b/src/entry/driver/pumping.rs
@@ -19,14 +19,14 @@
 use crate::entry::driver::frozen::frozen_error;
 use crate::entry::driver::gone;
 use crate::observe::StepKind;
-use crate::upstream::AnswerStream;
+use crate::upstream::ResponseStream;
 use crate::upstream::UpstreamError;
 
 impl Driver<'_> {
     /// Hands an answer on until it ends, whichever way.
     pub(super) async fn pump(
         &mut self,
-        mut answer: AnswerStream,
+        mut answer: ResponseStream,
         life: &mut StateMachine<Life>,
     ) -> LifeEvent {
         let deadline = self.job.work.deadline;
@@ -104,11 +104,11 @@
         let work = &self.job.work;
         let metrics = &self.parts.metrics;
         match gap {
-            Some(gap) => metrics.between_tokens(&work.customer, work.class(), gap),
+            Some(gap) => metrics.record_token_gap(&work.customer, work.class(), gap),
             None => {
                 let now = self.parts.clock.now();
                 let took = now.saturating_duration_since(self.job.received);
-                metrics.first_token(&work.customer, work.class(), took);
+                metrics.record_first_token(&work.customer, work.class(), took);
                 self.note(StepKind::FirstToken, self.leader(), "");
             }
         }
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -32,7 +32,7 @@
 use crate::entry::Route;
 use crate::entry::Verdict;
 use crate::entry::driver::Driver;
-use crate::manifest::InForce;
+use crate::manifest::ManifestInForce;
 use crate::units::RequestId;
 
 /// A caller that has not sent its whole head by then holds a connection for nothing.
@@ -143,15 +143,17 @@
         Ok((job, _body)) => {
             reply.set_shape(job.shape, &job.model);
             let (customer, class) = (job.work.customer.clone(), job.work.class());
-            parts.metrics.in_flight(class, 1);
+            parts.metrics.add_in_flight(class, 1);
             let verdict = Driver::new(parts, job, reply).run().await;
-            parts.metrics.in_flight(class, -1);
+            parts.metrics.add_in_flight(class, -1);
             // A caller that went away before the end did not see whether it ran.
             let (outcome, reason) = verdict
                 .map_or((Outcome::MayHaveRun, "caller_gone"), |verdict| {
                     (verdict.outcome(), verdict.reason())
                 });
-            parts.metrics.outcome(&customer, class, outcome, reason);
+            parts
+                .metrics
+                .count_outcome(&customer, class, outcome, reason);
             debug!(request:% = request; "entry: {outcome} {reason}");
         }
         Err(rejection) => reject(reply, rejection).await,
@@ -178,7 +180,7 @@
     parts: &Arc<EntryParts>,
     request: RequestId,
     req: Request<Incoming>,
-    in_force: &Arc<InForce>,
+    in_force: &Arc<ManifestInForce>,
 ) -> Result<(Job, crate::entry::HeldBody), Rejection> {
     let manifest = &in_force.manifest;
     let (head, body) = req.into_parts();
@@ -247,7 +249,7 @@
 async fn parse_job(
     head: JobHead,
     route: Route,
-    in_force: &Arc<InForce>,
+    in_force: &Arc<ManifestInForce>,
     body: bytes::Bytes,
 ) -> Result<Job, Rejection> {
     if body.len() <= PARSE_INLINE_MAX {
--- a/src/manifest/mod.rs
+++ b/src/manifest/mod.rs
@@ -1,17 +1,17 @@
 //! The manifest: models, services, customers, priorities and limits that operators publish.
 
-mod clashes;
+mod conflicts;
 mod errors;
-mod in_force;
 mod lookup;
+mod manifest_in_force;
 mod parse;
 mod published;
 mod spec;
 mod target;
 
 pub use errors::ManifestErrors;
-pub use in_force::InForce;
-pub use published::CURRENT;
+pub use manifest_in_force::ManifestInForce;
+pub use published::MANIFEST_OBJECT_NAME;
 pub use published::PublishedManifest;
 pub use spec::CustomerSpec;
 pub use spec::FencingSupport;
--- a/src/manifest/published.rs
+++ b/src/manifest/published.rs
@@ -7,7 +7,7 @@
 use crate::units::Generation;
 
 /// The name of the one object of the kind `manifests`.
-pub const CURRENT: &str = "current";
+pub const MANIFEST_OBJECT_NAME: &str = "current";
 
 /// The `spec` of the object that holds the manifest. Fields that a later version adds are ignored.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -25,9 +25,9 @@
 
 impl PublishedManifest {
     /// A text as the generation that follows `after`.
-    pub fn following(after: Generation, publish_id: u128, text: &str) -> Self {
+    pub fn next_after(generation: Generation, publish_id: u128, text: &str) -> Self {
         Self {
-            generation: after.next(),
+            generation: generation.next(),
             publish_id: format!("{publish_id:032x}"),
             hash: ContentHash::of(text.as_bytes()),
             text: text.to_owned(),
--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -28,10 +28,10 @@
 use crate::manifest::Manifest;
 use crate::observe::HostCounts;
 use crate::observe::ObserveError;
-use crate::observe::board_totals::BoardTotals;
 use crate::observe::gauges;
-use crate::observe::instruments::exporter;
-use crate::observe::instruments::seconds;
+use crate::observe::instruments::prometheus_exporter;
+use crate::observe::instruments::seconds_histogram;
+use crate::observe::latest_counts::LatestCounts;
 use crate::units::CustomerId;
 
 /// 670 customers in 4 classes and 3 outcomes are 8,040 series of one metric.
@@ -57,7 +57,7 @@
     // The instruments go quiet when their provider is dropped.
     _provider: SdkMeterProvider,
     customers: RwLock<IndexMap<CustomerId, StringValue>>,
-    board: Arc<BoardTotals>,
+    board: Arc<LatestCounts>,
     first_token: Histogram<f64>,
     between_tokens: Histogram<f64>,
     queue_wait: Histogram<f64>,
@@ -71,23 +71,27 @@
     /// Sets up all metrics in a registry of their own.
     pub fn new() -> Result<Self, ObserveError> {
         let registry = Registry::new();
-        let exporter = exporter(&registry)?;
+        let exporter = prometheus_exporter(&registry)?;
         let provider = SdkMeterProvider::builder()
             .with_reader(exporter)
             .with_view(series_bound)
             .build();
         let meter = provider.meter("banyanarch");
-        let board = Arc::new(BoardTotals::default());
-        gauges::observe_board(&meter, &board);
-        gauges::observe_counts(&meter, &board);
-        gauges::observe_pools(&meter, &board);
+        let board = Arc::new(LatestCounts::default());
+        gauges::register_cluster_gauges(&meter, &board);
+        gauges::register_host_instruments(&meter, &board);
+        gauges::register_pool_gauges(&meter, &board);
         let metrics = Self {
             registry,
             customers: RwLock::default(),
             board,
-            first_token: seconds(&meter, "time_to_first_token", &FIRST_TOKEN_BOUNDS),
-            between_tokens: seconds(&meter, "time_between_tokens", &BETWEEN_TOKENS_BOUNDS),
-            queue_wait: seconds(&meter, "queue_wait", &QUEUE_WAIT_BOUNDS),
+            first_token: seconds_histogram(&meter, "time_to_first_token", &FIRST_TOKEN_BOUNDS),
+            between_tokens: seconds_histogram(
+                &meter,
+                "time_between_tokens",
+                &BETWEEN_TOKENS_BOUNDS,
+            ),
+            queue_wait: seconds_histogram(&meter, "queue_wait", &QUEUE_WAIT_BOUNDS),
             requests: meter.u64_counter("requests").build(),
             failures: meter.u64_counter("failures").build(),
             retries: meter.u64_counter("retries").build(),
@@ -99,7 +103,7 @@
 
     /// Takes in what the cluster view holds: the customers of the manifest in force, which get series, and
     /// the counts of hosts and upstreams. To be called often, such as each second.
-    pub fn see_board(&self, board: &ClusterView) {
+    pub fn update_cluster_counts(&self, board: &ClusterView) {
         let before = self.board.latest().generation;
         self.board.count(board);
         if let Some(in_force) = board.manifest()
@@ -110,7 +114,7 @@
     }
 
     /// Takes in what the host's parts count, right before metrics are rendered.
-    pub fn see_host(&self, counts: HostCounts) {
+    pub fn update_host_counts(&self, counts: HostCounts) {
         self.board.set_counts(counts);
     }
 
@@ -127,26 +131,26 @@
     }
 
     /// From a request's first byte to the first token of its answer.
-    pub fn first_token(&self, customer: &CustomerId, class: LengthClass, took: Duration) {
+    pub fn record_first_token(&self, customer: &CustomerId, class: LengthClass, took: Duration) {
         self.first_token
             .record(took.as_secs_f64(), &self.labels(customer, class));
     }
 
     /// Between two tokens of an answer.
-    pub fn between_tokens(&self, customer: &CustomerId, class: LengthClass, took: Duration) {
+    pub fn record_token_gap(&self, customer: &CustomerId, class: LengthClass, took: Duration) {
         self.between_tokens
             .record(took.as_secs_f64(), &self.labels(customer, class));
     }
 
     /// How long a granted request waited at its home.
-    pub fn queue_wait(&self, customer: &CustomerId, class: LengthClass, took: Duration) {
+    pub fn record_queue_wait(&self, customer: &CustomerId, class: LengthClass, took: Duration) {
         self.queue_wait
             .record(took.as_secs_f64(), &self.labels(customer, class));
     }
 
     /// The end of a request, with the reason as one word. Reasons are counted apart from customers,
     /// or the series would multiply.
-    pub fn outcome(
+    pub fn count_outcome(
         &self,
         customer: &CustomerId,
         class: LengthClass,
@@ -164,12 +168,12 @@
     }
 
     /// An attempt after the first, with what the earlier one failed of.
-    pub fn retry(&self, reason: &'static str) {
+    pub fn count_retry(&self, reason: &'static str) {
         self.retries.add(1, &[KeyValue::new("reason", reason)]);
     }
 
     /// A change of the number of requests that have not ended: +1 or -1.
-    pub fn in_flight(&self, class: LengthClass, change: i64) {
+    pub fn add_in_flight(&self, class: LengthClass, change: i64) {
         self.in_flight
             .add(change, &[KeyValue::new("class", class.name())]);
     }
--- a/src/observe/mod.rs
+++ b/src/observe/mod.rs
@@ -1,18 +1,18 @@
 //! Metrics, logs and explanations of what was decided.
 
-mod board_totals;
 mod error;
 mod explanations;
 mod gauges;
 mod host_counts;
 pub(crate) mod instruments;
+mod latest_counts;
 pub mod logs;
 mod metrics;
 mod step;
 
 pub use crate::control::outcome::Outcome;
 pub use error::ObserveError;
-pub use explanations::Bounds;
+pub use explanations::ExplanationLimits;
 pub use explanations::Explanations;
 pub use host_counts::HostCounts;
 pub use metrics::Metrics;
--- a/src/upstream/http/answer_reader.rs
+++ b/src/upstream/http/response_reader.rs
@@ -1,4 +1,4 @@
-//! Reads answers from upstreams' bodies.
+//! Reads response events from the bodies of upstreams' responses.
 
 use std::collections::VecDeque;
 
@@ -12,20 +12,20 @@
 use crate::http::PooledBody;
 use crate::http::SseParser;
 use crate::units::AttemptId;
-use crate::upstream::AnswerEvent;
-use crate::upstream::AnswerStream;
+use crate::upstream::ResponseEvent;
+use crate::upstream::ResponseStream;
 use crate::upstream::UpstreamError;
 use crate::upstream::http::model_event::ModelEvent;
 
-/// A model's answer: events until the end mark.
-pub(crate) fn model_answer(body: PooledBody, attempt: AttemptId) -> AnswerStream {
+/// Returns the events of a model's response, up to the end marker.
+pub(crate) fn model_response(body: PooledBody, attempt: AttemptId) -> ResponseStream {
     let reader = ModelReader {
         body,
         attempt,
         parser: SseParser::default(),
-        ready: VecDeque::new(),
+        parsed: VecDeque::new(),
         end: None,
-        is_over: false,
+        is_ended: false,
     };
     stream::unfold(reader, async |mut reader| {
         let event = reader.next().await?;
@@ -34,20 +34,21 @@
     .boxed()
 }
 
-/// A plain service's answer: its head, its bytes, and an end when the body was whole.
-pub(crate) fn service_answer(res: Response<PooledBody>) -> AnswerStream {
+/// Returns the events of a plain service's response: the head, the bytes, and an end if the body is
+/// complete.
+pub(crate) fn service_response(res: Response<PooledBody>) -> ResponseStream {
     let content_type = res
         .headers()
         .get(CONTENT_TYPE)
         .and_then(|value| value.to_str().ok());
-    let head = AnswerEvent::Head {
+    let head = ResponseEvent::Head {
         status: res.status().as_u16(),
         content_type: content_type.map(str::to_owned),
     };
     let rest = stream::unfold(Some(res.into_body()), async |body| {
         let mut body = body?;
         match next_bytes(&mut body).await {
-            Some(Ok(bytes)) => Some((Ok(AnswerEvent::Data(bytes)), Some(body))),
+            Some(Ok(bytes)) => Some((Ok(ResponseEvent::Data(bytes)), Some(body))),
             Some(Err(err)) => Some((Err(err), None)),
             None => Some((Ok(service_end()), None)),
         }
@@ -55,8 +56,8 @@
     stream::iter([Ok(head)]).chain(rest).boxed()
 }
 
-fn service_end() -> AnswerEvent {
-    AnswerEvent::End {
+fn service_end() -> ResponseEvent {
+    ResponseEvent::End {
         attempt: None,
         finish_reason: String::new(),
         prompt_tokens: 0,
@@ -81,55 +82,66 @@
     body: PooledBody,
     attempt: AttemptId,
     parser: SseParser,
-    ready: VecDeque<AnswerEvent>,
-    end: Option<AnswerEvent>,
-    is_over: bool,
+    parsed: VecDeque<ResponseEvent>,
+    end: Option<ResponseEvent>,
+    is_ended: bool,
 }
 
 impl ModelReader {
-    async fn next(&mut self) -> Option<Result<AnswerEvent, UpstreamError>> {
+    async fn next(&mut self) -> Option<Result<ResponseEvent, UpstreamError>> {
         loop {
-            if let Some(event) = self.ready.pop_front() {
+            if let Some(event) = self.parsed.pop_front() {
                 return Some(Ok(event));
             }
-            if self.is_over {
+            if self.is_ended {
                 return None;
             }
-            if let Err(err) = self.fill().await {
-                self.is_over = true;
+            if let Err(err) = self.read_events().await {
+                self.is_ended = true;
                 return Some(Err(err));
             }
         }
     }
 
-    async fn fill(&mut self) -> Result<(), UpstreamError> {
-        while let Some(event) = self.parser.next_event().map_err(UpstreamError::Garbled)? {
-            self.take(&event.data)?;
+    async fn read_events(&mut self) -> Result<(), UpstreamError> {
+        while let Some(event) = self
+            .parser
+            .next_event()
+            .map_err(UpstreamError::InvalidResponse)?
+        {
+            self.process_event(&event.data)?;
         }
-        if !self.ready.is_empty() || self.is_over {
+        if !self.parsed.is_empty() || self.is_ended {
             return Ok(());
         }
         match next_bytes(&mut self.body).await {
-            Some(bytes) => self.parser.push(&bytes?).map_err(UpstreamError::Garbled),
+            Some(bytes) => self
+                .parser
+                .push(&bytes?)
+                .map_err(UpstreamError::InvalidResponse),
             None => Err(UpstreamError::Interrupted(format!(
-                "the answer of attempt {} ended without its end mark",
+                "the response of attempt {} ended without an end marker",
                 self.attempt
             ))),
         }
     }
 
-    fn take(&mut self, data: &str) -> Result<(), UpstreamError> {
+    fn process_event(&mut self, data: &str) -> Result<(), UpstreamError> {
         match ModelEvent::parse(data)? {
-            ModelEvent::Tokens(tokens) => self.ready.push_back(tokens),
+            ModelEvent::Tokens(tokens) => self.parsed.push_back(tokens),
             ModelEvent::Stopped { tokens, end } => {
-                self.ready.push_back(tokens);
+                self.parsed.push_back(tokens);
                 self.end = Some(end);
             }
             ModelEvent::Done => {
                 let end = self.end.take();
-                let missing = || UpstreamError::Garbled("an end mark before the end".to_owned());
-                self.ready.push_back(end.ok_or_else(missing)?);
-                self.is_over = true;
+                let missing = || {
+                    UpstreamError::InvalidResponse(
+                        "the end marker came before the finish reason".to_owned(),
+                    )
+                };
+                self.parsed.push_back(end.ok_or_else(missing)?);
+                self.is_ended = true;
             }
         }
         Ok(())
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -9,50 +9,50 @@
 use standin::engine::EngineOptions;
 use tokio::time::sleep;
 
-use site::Gate;
+use site::BlackholeProxy;
 use site::MANIFEST;
-use site::Site;
-use site::answer_to;
+use site::TestSite;
 use site::call;
-use site::callers::LONG_ANSWER;
+use site::callers::LONG_ANSWER_TOKENS;
 use site::callers::connect_and_send;
 use site::callers::send;
-use site::callers::send_later;
-use site::callers::until_running;
+use site::callers::spawn_send;
+use site::callers::wait_until_running;
 use site::completion;
+use site::completion_text;
+use site::expected_answer;
 use site::get;
 use site::outcome;
-use site::text_of;
-use site::until;
+use site::wait_until;
 
 /// A studio's audit is half done when the entry host that serves it is killed. The studio is gone,
 /// but the engine goes on holding the audit's memory until its time limit, an hour later, and after
 /// a few such days the fleet is full of nothing. The home must find the attempt and end it.
 #[tokio::test]
 async fn a_killed_host_leaves_no_memory_behind() {
-    let mut site = Site::with(2, 3).await;
-    site.joined().await;
+    let mut site = TestSite::with(2, 3).await;
+    site.wait_until_joined().await;
     let body = completion("an audit whose host dies", 20_000, false);
-    let addr = site.hosts[2].callers;
+    let addr = site.hosts[2].callers_addr;
     let audit = body.clone();
     let _caller = tokio::spawn(async move {
         let headers = [("Banyanarch-Timeout-Ms", "3600000")];
         call(addr, "/v1/completions", &headers, &audit).await
     });
-    until_running(&site, &body).await;
+    wait_until_running(&site, &body).await;
     site.hosts[2].signal(Signal::SIGKILL);
-    site.hosts[2].ended().await;
-    site.at_rest().await;
+    site.hosts[2].wait_for_exit().await;
+    site.wait_until_idle().await;
 }
 
 /// A caller waits for a quote, its engine dies, and the caller gets an error although three other
 /// engines idle. A request that may be repeated is run again elsewhere, within its time.
 #[tokio::test]
 async fn a_dead_engine_costs_a_repeatable_request_nothing_but_time() {
-    let site = Site::with(3, 1).await;
-    let body = completion("a quote whose engine dies", LONG_ANSWER, false);
-    let caller = send_later(site.hosts[0].callers, None, &body);
-    until_running(&site, &body).await;
+    let site = TestSite::with(3, 1).await;
+    let body = completion("a quote whose engine dies", LONG_ANSWER_TOKENS, false);
+    let caller = spawn_send(site.hosts[0].callers_addr, None, &body);
+    wait_until_running(&site, &body).await;
     let engine = site.engine_running(&body);
     site.engines[engine].set_faults(EngineFaults {
         die: true,
@@ -60,8 +60,11 @@
     });
     let res = caller.await.unwrap().unwrap();
     assert_eq!((res.status().as_u16(), outcome(&res)), (200, "completed"));
-    assert_eq!(text_of(&res), answer_to(&body, LONG_ANSWER));
-    assert_eq!(site.runs_of(&body), 2);
+    assert_eq!(
+        completion_text(&res),
+        expected_answer(&body, LONG_ANSWER_TOKENS)
+    );
+    assert_eq!(site.run_count(&body), 2);
 }
 
 /// An engine stands still: its connections stay open and nothing comes. A caller on the line would wait
@@ -69,10 +72,10 @@
 /// there, and the request is run elsewhere.
 #[tokio::test]
 async fn a_frozen_engine_holds_no_repeatable_request_until_its_limit() {
-    let site = Site::with(2, 1).await;
-    let body = completion("a quote whose engine freezes", LONG_ANSWER, false);
-    let caller = send_later(site.hosts[0].callers, None, &body);
-    until_running(&site, &body).await;
+    let site = TestSite::with(2, 1).await;
+    let body = completion("a quote whose engine freezes", LONG_ANSWER_TOKENS, false);
+    let caller = spawn_send(site.hosts[0].callers_addr, None, &body);
+    wait_until_running(&site, &body).await;
     let engine = site.engine_running(&body);
     site.engines[engine].set_faults(EngineFaults {
         freeze: true,
@@ -85,25 +88,28 @@
         "{:?}",
         res.body()
     );
-    assert_eq!(text_of(&res), answer_to(&body, LONG_ANSWER));
+    assert_eq!(
+        completion_text(&res),
+        expected_answer(&body, LONG_ANSWER_TOKENS)
+    );
     site.engines[engine].set_faults(EngineFaults::default());
-    site.at_rest().await;
+    site.wait_until_idle().await;
 }
 
 /// A caller hangs up and nothing was claimed: nobody will ask for the answer again, and the engine's
 /// memory must not wait for the time limit.
 #[tokio::test]
 async fn a_caller_that_hangs_up_leaves_no_memory_behind() {
-    let site = Site::with(1, 1).await;
+    let site = TestSite::with(1, 1).await;
     let body = completion("a question whose caller hangs up", 5_000, true);
-    let caller = connect_and_send(site.hosts[0].callers, "", &body).await;
-    until_running(&site, &body).await;
+    let caller = connect_and_send(site.hosts[0].callers_addr, "", &body).await;
+    wait_until_running(&site, &body).await;
     drop(caller);
-    until("the end of the run", async || {
+    wait_until("the end of the run", async || {
         site.engines[0].record().iter().all(|run| run.end.is_some())
     })
     .await;
-    site.at_rest().await;
+    site.wait_until_idle().await;
 }
 
 /// The home of the pool is frozen, and nobody has noticed yet. Lookups through the other hosts must
@@ -111,66 +117,80 @@
 /// nothing is lost or cut.
 #[tokio::test]
 async fn a_frozen_home_holds_nobody_up_and_wakes_up_harmless() {
-    let site = Site::with(2, 3).await;
-    site.joined().await;
+    let site = TestSite::with(2, 3).await;
+    site.wait_until_joined().await;
     let home = site.home_of("geet-model").await;
     site.hosts[home].signal(Signal::SIGSTOP);
     let others: Vec<usize> = (0..3).filter(|host| *host != home).collect();
     for round in 0..30 {
         let body = completion(&format!("a lookup beside a frozen home, {round}"), 4, false);
         let host = others[round % others.len()];
-        let res = send(site.hosts[host].callers, None, &body).await.unwrap();
-        assert_eq!(text_of(&res), answer_to(&body, 4), "{:?}", res.body());
+        let res = send(site.hosts[host].callers_addr, None, &body)
+            .await
+            .unwrap();
+        assert_eq!(
+            completion_text(&res),
+            expected_answer(&body, 4),
+            "{:?}",
+            res.body()
+        );
         sleep(Duration::from_millis(100)).await;
     }
     site.hosts[home].signal(Signal::SIGCONT);
-    site.joined().await;
+    site.wait_until_joined().await;
     for host in 0..3 {
         let body = completion(&format!("a lookup after the thaw, {host}"), 4, false);
-        let res = send(site.hosts[host].callers, None, &body).await.unwrap();
-        assert_eq!(text_of(&res), answer_to(&body, 4), "{:?}", res.body());
+        let res = send(site.hosts[host].callers_addr, None, &body)
+            .await
+            .unwrap();
+        assert_eq!(
+            completion_text(&res),
+            expected_answer(&body, 4),
+            "{:?}",
+            res.body()
+        );
     }
-    site.at_rest().await;
+    site.wait_until_idle().await;
 }
 
 /// The home is killed with a stream running that it granted to another host. The stream goes on,
 /// since nothing of it passes through the home.
 #[tokio::test]
 async fn a_dead_home_cuts_no_stream() {
-    let mut site = Site::with(2, 3).await;
-    site.joined().await;
+    let mut site = TestSite::with(2, 3).await;
+    site.wait_until_joined().await;
     let home = site.home_of("geet-model").await;
     let other = (home + 1) % 3;
-    let body = completion("a stream beside a dying home", LONG_ANSWER, true);
-    let caller = send_later(site.hosts[other].callers, None, &body);
-    until_running(&site, &body).await;
+    let body = completion("a stream beside a dying home", LONG_ANSWER_TOKENS, true);
+    let caller = spawn_send(site.hosts[other].callers_addr, None, &body);
+    wait_until_running(&site, &body).await;
     site.hosts[home].signal(Signal::SIGKILL);
-    site.hosts[home].ended().await;
+    site.hosts[home].wait_for_exit().await;
     let res = caller.await.unwrap().unwrap();
     assert!(res.body().ends_with(b"data: [DONE]\n\n"));
-    assert_eq!(site.runs_of(&body), 1);
-    site.at_rest().await;
+    assert_eq!(site.run_count(&body), 1);
+    site.wait_until_idle().await;
 }
 
 /// A host is replaced while a parent waits for an answer. SIGTERM must not cut it off, the balancer
 /// must learn that the host goes, and the process must end by itself once all is done.
 #[tokio::test]
 async fn a_shutdown_cuts_off_no_request() {
-    let mut site = Site::with(2, 2).await;
-    site.joined().await;
-    let body = completion("an answer during a shutdown", LONG_ANSWER, true);
-    let caller = send_later(site.hosts[0].callers, None, &body);
-    until_running(&site, &body).await;
+    let mut site = TestSite::with(2, 2).await;
+    site.wait_until_joined().await;
+    let body = completion("an answer during a shutdown", LONG_ANSWER_TOKENS, true);
+    let caller = spawn_send(site.hosts[0].callers_addr, None, &body);
+    wait_until_running(&site, &body).await;
     site.hosts[0].signal(Signal::SIGTERM);
-    until("readiness to fail", async || {
-        get(site.hosts[0].status, "/readyz")
+    wait_until("readiness to fail", async || {
+        get(site.hosts[0].status_addr, "/readyz")
             .await
             .is_ok_and(|res| res.status() == 503)
     })
     .await;
     let res = caller.await.unwrap().unwrap();
     assert!(res.body().ends_with(b"data: [DONE]\n\n"));
-    assert!(site.hosts[0].ended().await.success());
+    assert!(site.hosts[0].wait_for_exit().await.success());
     assert_eq!(
         site.hosts[1]
             .complete("and after it?", 2)
@@ -185,9 +205,9 @@
 /// after the platform's list says so, nothing new may go there.
 #[tokio::test]
 async fn a_leaving_upstream_gets_no_new_work() {
-    let site = Site::with(2, 2).await;
-    site.joined().await;
-    site.engine_leaves(0, "a").await;
+    let site = TestSite::with(2, 2).await;
+    site.wait_until_joined().await;
+    site.mark_engine_leaving(0, "a").await;
     sleep(Duration::from_secs(3)).await;
     let before = site.engines[0].record().len();
     for round in 0..40 {
@@ -205,11 +225,11 @@
 /// yesterday's customers and limits back in force.
 #[tokio::test]
 async fn a_manifest_never_reverts() {
-    let mut site = Site::with(1, 2).await;
-    site.joined().await;
+    let mut site = TestSite::with(1, 2).await;
+    site.wait_until_joined().await;
     site.publish(7, MANIFEST).await;
     for host in &site.hosts {
-        until("generation 7", async || {
+        wait_until("generation 7", async || {
             host.status().await["generation"] == 7
         })
         .await;
@@ -221,7 +241,7 @@
     }
     // A host that starts now is told of 7 by its neighbours, and of 3 by the platform.
     let late = site.add_host("a").await;
-    until("the newest on a fresh host", async || {
+    wait_until("the newest on a fresh host", async || {
         site.hosts[late].status().await["generation"] == 7
     })
     .await;
@@ -231,12 +251,12 @@
 /// from them and serves.
 #[tokio::test]
 async fn a_fresh_host_learns_the_manifest_from_its_neighbours() {
-    let mut site = Site::with(1, 2).await;
-    site.joined().await;
-    let gate = Gate::to(site.platform.addr()).await;
-    gate.cut(true);
+    let mut site = TestSite::with(1, 2).await;
+    site.wait_until_joined().await;
+    let gate = BlackholeProxy::start(site.platform.addr()).await;
+    gate.set_blackhole(true);
     let fresh = site.add_seeded_host("a", gate.addr).await;
-    site.hosts[fresh].ready().await;
+    site.hosts[fresh].wait_until_ready().await;
     assert_eq!(site.hosts[fresh].status().await["generation"], 1);
 }
 
@@ -244,8 +264,8 @@
 /// crashes it must be known for what it is at every host, or it takes down the whole fleet.
 #[tokio::test]
 async fn a_request_that_crashes_engines_is_refused_after_two() {
-    let site = Site::with(4, 2).await;
-    site.joined().await;
+    let site = TestSite::with(4, 2).await;
+    site.wait_until_joined().await;
     for engine in &site.engines {
         let crash_marker = Some("the verse that breaks it".to_owned());
         engine.set_faults(EngineFaults {
@@ -257,7 +277,7 @@
     let mut last = None;
     for round in 0..6 {
         let host = &site.hosts[round % 2];
-        last = Some(send(host.callers, None, &body).await.unwrap());
+        last = Some(send(host.callers_addr, None, &body).await.unwrap());
         sleep(Duration::from_millis(700)).await;
     }
     let last = last.unwrap();
@@ -268,9 +288,9 @@
         last.body()
     );
     assert!(
-        site.runs_of(&body) <= 2,
+        site.run_count(&body) <= 2,
         "it ran {} times",
-        site.runs_of(&body)
+        site.run_count(&body)
     );
     assert_eq!(
         site.hosts[0]
@@ -286,7 +306,7 @@
 /// child. No crossed byte may pass; the request fails, or gets its own answer elsewhere.
 #[tokio::test]
 async fn crossed_answers_reach_nobody() {
-    let site = Site::with(2, 1).await;
+    let site = TestSite::with(2, 1).await;
     let faults = EngineFaults {
         cross_answers: true,
         ..Default::default()
@@ -295,24 +315,24 @@
     let callers: Vec<_> = (0..20)
         .map(|number| {
             let body = completion(&format!("question {number} of many"), 16, false);
-            (send_later(site.hosts[0].callers, None, &body), body)
+            (spawn_send(site.hosts[0].callers_addr, None, &body), body)
         })
         .collect();
     for (caller, body) in callers {
         let res = caller.await.unwrap().unwrap();
         if res.status() == 200 {
-            assert_eq!(text_of(&res), answer_to(&body, 16));
+            assert_eq!(completion_text(&res), expected_answer(&body, 16));
         }
     }
     site.engines[0].set_faults(EngineFaults::default());
-    site.at_rest().await;
+    site.wait_until_idle().await;
 }
 
 /// Connections to engines break in the middle of answers while the engines go on. The answers are
 /// read on from where they were cut: whole, once, and without a second run.
 #[tokio::test]
 async fn cut_answers_are_read_on() {
-    let site = Site::with(2, 1).await;
+    let site = TestSite::with(2, 1).await;
     for engine in &site.engines {
         engine.set_faults(EngineFaults {
             cut_one_in: 2,
@@ -321,14 +341,14 @@
     }
     for number in 0..10 {
         let body = completion(&format!("a cut answer, {number}"), 40, number % 2 == 0);
-        let res = send(site.hosts[0].callers, None, &body).await.unwrap();
+        let res = send(site.hosts[0].callers_addr, None, &body).await.unwrap();
         assert_eq!(res.status(), 200);
         if number % 2 == 0 {
             assert!(res.body().ends_with(b"data: [DONE]\n\n"));
         } else {
-            assert_eq!(text_of(&res), answer_to(&body, 40));
+            assert_eq!(completion_text(&res), expected_answer(&body, 40));
         }
-        assert_eq!(site.runs_of(&body), 1);
+        assert_eq!(site.run_count(&body), 1);
     }
 }
 
@@ -336,7 +356,7 @@
 /// The homes compare with what engines list, and cancel what nobody holds.
 #[tokio::test]
 async fn leaked_engine_memory_is_given_back() {
-    let site = Site::with(1, 1).await;
+    let site = TestSite::with(1, 1).await;
     site.engines[0].set_faults(EngineFaults {
         leak_one_in: 2,
         ..Default::default()
@@ -349,34 +369,39 @@
         assert_eq!(res.status(), 200);
     }
     site.engines[0].set_faults(EngineFaults::default());
-    site.at_rest().await;
+    site.wait_until_idle().await;
 }
 
 /// A request that takes longer than its limit. It must fail within the limit, truthfully, and give
 /// the engine's memory back.
 #[tokio::test]
 async fn a_request_ends_within_its_time_limit() {
-    let site = Site::with(1, 1).await;
+    let site = TestSite::with(1, 1).await;
     let body = completion("longer than its limit", 100_000, false);
     let headers = [("Banyanarch-Timeout-Ms", "1000")];
-    let res = call(site.hosts[0].callers, "/v1/completions", &headers, &body)
-        .await
-        .unwrap();
+    let res = call(
+        site.hosts[0].callers_addr,
+        "/v1/completions",
+        &headers,
+        &body,
+    )
+    .await
+    .unwrap();
     assert!(
         matches!(res.status().as_u16(), 503 | 504),
         "{:?}",
         res.body()
     );
-    let ran = site.runs_of(&body) > 0;
+    let ran = site.run_count(&body) > 0;
     assert!(!ran || outcome(&res) == "may-have-run", "{:?}", res.body());
-    site.at_rest().await;
+    site.wait_until_idle().await;
 }
 
 /// An archive larger than one engine needs several at once. Its host is killed while they hold it.
 /// All of them must give their part back.
 #[tokio::test]
 async fn a_gang_whose_host_dies_gives_everything_back() {
-    let mut site = Site::start().await;
+    let mut site = TestSite::start().await;
     for _ in 0..3 {
         let options = EngineOptions {
             prefill_tokens_per_second: 50_000.0,
@@ -386,15 +411,15 @@
     }
     site.add_host("a").await;
     site.add_host("a").await;
-    site.ready().await;
-    site.joined().await;
+    site.wait_until_ready().await;
+    site.wait_until_joined().await;
     let prompt = "an archive of verses, ".repeat(1_200_000 / 22);
     let body = completion(&prompt, 64, false);
-    let _caller = send_later(site.hosts[1].callers, None, &body);
-    until_running(&site, &body).await;
+    let _caller = spawn_send(site.hosts[1].callers_addr, None, &body);
+    wait_until_running(&site, &body).await;
     site.hosts[1].signal(Signal::SIGKILL);
-    site.hosts[1].ended().await;
-    site.at_rest().await;
+    site.hosts[1].wait_for_exit().await;
+    site.wait_until_idle().await;
 }
 
 /// A new version of the model is published while callers work. If all engines load it at once, nobody
@@ -402,7 +427,7 @@
 /// engines stay loaded, and all of them get there.
 #[tokio::test]
 async fn a_new_version_is_loaded_while_callers_are_served() {
-    let mut site = Site::start().await;
+    let mut site = TestSite::start().await;
     for _ in 0..4 {
         let options = EngineOptions {
             load_ms: 500,
@@ -413,15 +438,15 @@
     }
     site.add_host("a").await;
     site.add_host("a").await;
-    site.ready().await;
-    site.joined().await;
+    site.wait_until_ready().await;
+    site.wait_until_joined().await;
     site.publish(
         2,
         &MANIFEST.replace("version: \"1\"", "version: \"2\"\n    fencing: checked"),
     )
     .await;
     let mut round = 0;
-    until("version 2 on all engines", async || {
+    wait_until("version 2 on all engines", async || {
         round += 1;
         let res = site.hosts[round % 2]
             .complete(&format!("during a load, {round}"), 2)
--- a/tests/observe.rs
+++ b/tests/observe.rs
@@ -14,9 +14,9 @@
 use banyanarch::decide::LengthClass;
 use banyanarch::decide::PoolLoad;
 use banyanarch::decide::UpstreamHealth;
-use banyanarch::manifest::InForce;
 use banyanarch::manifest::Manifest;
-use banyanarch::observe::Bounds;
+use banyanarch::manifest::ManifestInForce;
+use banyanarch::observe::ExplanationLimits;
 use banyanarch::observe::Explanations;
 use banyanarch::observe::HostCounts;
 use banyanarch::observe::Metrics;
@@ -50,13 +50,13 @@
 fn histograms_tell_the_aims_apart_by_customer_and_class() {
     let metrics = metrics();
     let films = customer("sabarmati-films");
-    metrics.first_token(&films, LengthClass::Huge, Duration::from_millis(1_800));
-    metrics.between_tokens(&films, LengthClass::Short, Duration::from_millis(48));
-    metrics.queue_wait(&films, LengthClass::Short, Duration::from_millis(3));
-    metrics.outcome(&films, LengthClass::Short, Outcome::NotRun, "deadline");
-    metrics.retry("refused");
-    metrics.in_flight(LengthClass::Long, 2);
-    metrics.in_flight(LengthClass::Long, -1);
+    metrics.record_first_token(&films, LengthClass::Huge, Duration::from_millis(1_800));
+    metrics.record_token_gap(&films, LengthClass::Short, Duration::from_millis(48));
+    metrics.record_queue_wait(&films, LengthClass::Short, Duration::from_millis(3));
+    metrics.count_outcome(&films, LengthClass::Short, Outcome::NotRun, "deadline");
+    metrics.count_retry("refused");
+    metrics.add_in_flight(LengthClass::Long, 2);
+    metrics.add_in_flight(LengthClass::Long, -1);
     let text = metrics.render().unwrap();
     let labels = "class=\"huge\",customer=\"sabarmati-films\"";
     for line in [
@@ -88,14 +88,14 @@
     let page = include_str!("../docs/OPERATIONS.md");
     let metrics = metrics();
     let films = customer("sabarmati-films");
-    metrics.first_token(&films, LengthClass::Short, Duration::ZERO);
-    metrics.between_tokens(&films, LengthClass::Short, Duration::ZERO);
-    metrics.queue_wait(&films, LengthClass::Short, Duration::ZERO);
-    metrics.outcome(&films, LengthClass::Short, Outcome::NotRun, "deadline");
-    metrics.retry("refused");
-    metrics.in_flight(LengthClass::Short, 1);
-    metrics.see_host(counts());
-    metrics.see_board(&cluster_view());
+    metrics.record_first_token(&films, LengthClass::Short, Duration::ZERO);
+    metrics.record_token_gap(&films, LengthClass::Short, Duration::ZERO);
+    metrics.record_queue_wait(&films, LengthClass::Short, Duration::ZERO);
+    metrics.count_outcome(&films, LengthClass::Short, Outcome::NotRun, "deadline");
+    metrics.count_retry("refused");
+    metrics.add_in_flight(LengthClass::Short, 1);
+    metrics.update_host_counts(counts());
+    metrics.update_cluster_counts(&cluster_view());
     let text = metrics.render().unwrap();
     let names = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
     let names: Vec<&str> = names.filter_map(|rest| rest.split(' ').next()).collect();
@@ -132,7 +132,7 @@
 
 fn cluster_view() -> ClusterView {
     let cluster_view = ClusterView::new();
-    cluster_view.advance_manifest(InForce {
+    cluster_view.advance_manifest(ManifestInForce {
         generation: Generation(4),
         hash: ContentHash::of(DESAI.as_bytes()),
         manifest: Manifest::parse(DESAI, "m.yaml").unwrap(),
@@ -164,8 +164,8 @@
 fn the_board_is_counted_anew_each_time() {
     let metrics = Metrics::new().unwrap();
     let cluster_view = cluster_view();
-    metrics.see_board(&cluster_view);
-    metrics.first_token(
+    metrics.update_cluster_counts(&cluster_view);
+    metrics.record_first_token(
         &customer("garba-karaoke"),
         LengthClass::Short,
         Duration::ZERO,
@@ -177,7 +177,7 @@
     assert!(text.contains(&format!("{live} 1")));
     assert!(text.contains("customer=\"garba-karaoke\""));
     cluster_view.upstreams.retain(|_, _| false);
-    metrics.see_board(&cluster_view);
+    metrics.update_cluster_counts(&cluster_view);
     assert!(!metrics.render().unwrap().contains(live));
 }
 
@@ -188,7 +188,7 @@
     let metrics = metrics();
     for n in 0..500 {
         let name = customer(&format!("made-up-{n}"));
-        metrics.first_token(&name, LengthClass::Short, Duration::from_millis(9));
+        metrics.record_first_token(&name, LengthClass::Short, Duration::from_millis(9));
     }
     let text = metrics.render().unwrap();
     assert!(!text.contains("made-up"));
@@ -203,11 +203,11 @@
 #[test]
 fn a_pool_that_was_handed_over_is_shown_no_more() {
     let metrics = metrics();
-    metrics.see_host(counts());
+    metrics.update_host_counts(counts());
     let text = metrics.render().unwrap();
     assert!(text.contains("banyanarch_ledger_free_tokens{pool=\"hall-a/llm-advisor/0\"} 700"));
     assert!(text.contains("banyanarch_peer_bytes_total{purpose=\"control\"} 120"));
-    metrics.see_host(HostCounts::default());
+    metrics.update_host_counts(HostCounts::default());
     assert!(!metrics.render().unwrap().contains("hall-a"));
 }
 
@@ -224,18 +224,18 @@
     }
 }
 
-fn explanations(bounds: Bounds) -> (Arc<ManualClock>, Explanations) {
+fn explanations(bounds: ExplanationLimits) -> (Arc<ManualClock>, Explanations) {
     let clock = Arc::new(ManualClock::new());
     (clock.clone(), Explanations::new(clock, bounds))
 }
 
 #[test]
 fn an_explanation_is_told_as_json() {
-    let (clock, explanations) = explanations(Bounds::default());
+    let (clock, explanations) = explanations(ExplanationLimits::default());
     let request = RequestId(7);
-    explanations.note(request, StepKind::Received, "", "42 tokens");
+    explanations.record(request, StepKind::Received, "", "42 tokens");
     clock.advance(Duration::from_millis(30));
-    explanations.note(
+    explanations.record(
         request,
         StepKind::Granted,
         "engine-3",
@@ -259,7 +259,7 @@
 /// would take the memory that prompts need.
 #[test]
 fn explanations_are_bounded_and_the_oldest_go_first() {
-    let bounds = Bounds {
+    let bounds = ExplanationLimits {
         requests: 160,
         bytes: 100_000,
         steps: 6,
@@ -269,7 +269,7 @@
     for id in 0..10_000 {
         for n in 0..20 {
             let why = format!("step {n} of it"); // the eighth byte on is clipped away at n > 9
-            explanations.note(RequestId(id), StepKind::Retried, "ગીત-model", why);
+            explanations.record(RequestId(id), StepKind::Retried, "ગીત-model", why);
         }
     }
     let (requests, bytes) = explanations.size();
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -8,32 +8,32 @@
 use tokio::net::TcpStream;
 use yare::parameterized;
 
-use site::Site;
-use site::answer_to;
+use site::TestSite;
 use site::call;
 use site::completion;
+use site::completion_text;
+use site::expected_answer;
 use site::get;
 use site::outcome;
-use site::text_of;
 
 #[tokio::test]
 async fn a_caller_gets_the_whole_answer_to_its_own_request() {
-    let site = Site::with(2, 1).await;
+    let site = TestSite::with(2, 1).await;
     let body = completion("which verses are free to license?", 24, false);
-    let res = call(site.hosts[0].callers, "/v1/completions", &[], &body)
+    let res = call(site.hosts[0].callers_addr, "/v1/completions", &[], &body)
         .await
         .unwrap();
     assert_eq!(res.status(), 200);
     assert_eq!(outcome(&res), "completed");
-    assert_eq!(text_of(&res), answer_to(&body, 24));
-    assert_eq!(site.runs_of(&body), 1);
+    assert_eq!(completion_text(&res), expected_answer(&body, 24));
+    assert_eq!(site.run_count(&body), 1);
 }
 
 #[tokio::test]
 async fn a_streamed_answer_ends_with_its_end_mark() {
-    let site = Site::with(1, 1).await;
+    let site = TestSite::with(1, 1).await;
     let body = completion("stream this", 12, true);
-    let res = call(site.hosts[0].callers, "/v1/completions", &[], &body)
+    let res = call(site.hosts[0].callers_addr, "/v1/completions", &[], &body)
         .await
         .unwrap();
     let events = String::from_utf8(res.body().to_vec()).unwrap();
@@ -42,17 +42,22 @@
         .split("\"text\":\"")
         .skip(1)
         .filter_map(|rest| rest.split('"').next());
-    assert_eq!(texts.collect::<String>(), answer_to(&body, 12));
+    assert_eq!(texts.collect::<String>(), expected_answer(&body, 12));
 }
 
 #[tokio::test]
 async fn a_service_call_is_answered_and_explained() {
-    let site = Site::with(1, 1).await;
+    let site = TestSite::with(1, 1).await;
     let host = &site.hosts[0];
     let headers = [("Banyanarch-Repeatable", "true")];
-    let res = call(host.callers, "/adhikar-app/quotes", &headers, "verse 7")
-        .await
-        .unwrap();
+    let res = call(
+        host.callers_addr,
+        "/adhikar-app/quotes",
+        &headers,
+        "verse 7",
+    )
+    .await
+    .unwrap();
     assert_eq!(
         (res.status().as_u16(), &res.body()[..]),
         (200, &b"verse 7"[..])
@@ -61,12 +66,14 @@
         .to_str()
         .unwrap()
         .to_owned();
-    let page = get(host.status, &format!("/explain/{id}")).await.unwrap();
+    let page = get(host.status_addr, &format!("/explain/{id}"))
+        .await
+        .unwrap();
     let page = String::from_utf8(page.body().to_vec()).unwrap();
     for step in ["received", "granted", "dispatched", "ended"] {
         assert!(page.contains(step), "{step} is missing in {page}");
     }
-    let metrics = get(host.status, "/metrics").await.unwrap();
+    let metrics = get(host.status_addr, "/metrics").await.unwrap();
     let metrics = String::from_utf8(metrics.body().to_vec()).unwrap();
     assert!(metrics.contains("banyanarch_"), "{metrics}");
 }
@@ -80,8 +87,10 @@
 )]
 #[test_macro(tokio::test)]
 async fn a_wrong_request_is_told_what_is_wrong(path: &str, body: &str, status: u16, reason: &str) {
-    let site = Site::with(1, 1).await;
-    let res = call(site.hosts[0].callers, path, &[], body).await.unwrap();
+    let site = TestSite::with(1, 1).await;
+    let res = call(site.hosts[0].callers_addr, path, &[], body)
+        .await
+        .unwrap();
     let text = String::from_utf8(res.body().to_vec()).unwrap();
     assert_eq!(res.status(), status, "{text}");
     assert_eq!(outcome(&res), "not-run");
@@ -99,9 +108,9 @@
 )]
 #[test_macro(tokio::test)]
 async fn garbage_closes_its_own_connection_only(bytes: &[u8]) {
-    let site = Site::with(1, 1).await;
+    let site = TestSite::with(1, 1).await;
     let host = &site.hosts[0];
-    for port in [host.callers, host.status, host.peers] {
+    for port in [host.callers_addr, host.status_addr, host.peers_addr] {
         let mut stream = TcpStream::connect(port).await.unwrap();
         stream.write_all(bytes).await.unwrap();
         stream.shutdown().await.unwrap();
@@ -117,10 +126,16 @@
 
 #[tokio::test]
 async fn an_oversized_head_is_refused() {
-    let site = Site::with(1, 1).await;
+    let site = TestSite::with(1, 1).await;
     let long = "x".repeat(100 << 10);
     let headers = [("X-Long", long.as_str())];
-    let res = call(site.hosts[0].callers, "/v1/completions", &headers, "{}").await;
+    let res = call(
+        site.hosts[0].callers_addr,
+        "/v1/completions",
+        &headers,
+        "{}",
+    )
+    .await;
     let refused = res.map_or(true, |res| res.status() == 431);
     assert!(refused);
     assert_eq!(
@@ -135,7 +150,7 @@
 
 #[tokio::test]
 async fn a_prompt_of_a_million_tokens_passes_as_it_was_sent() {
-    let mut site = Site::start().await;
+    let mut site = TestSite::start().await;
     for _ in 0..6 {
         let options = standin::engine::EngineOptions {
             prefill_tokens_per_second: 4_000_000.0,
@@ -145,14 +160,14 @@
         site.add_engine("a", options).await;
     }
     site.add_host("a").await;
-    site.ready().await;
+    site.wait_until_ready().await;
     let prompt = "a verse of the whole catalogue; ".repeat(3_990_000 / 32);
     let body = completion(&prompt, 8, false);
-    let res = call(site.hosts[0].callers, "/v1/completions", &[], &body)
+    let res = call(site.hosts[0].callers_addr, "/v1/completions", &[], &body)
         .await
         .unwrap();
     assert_eq!(res.status(), 200, "{:?}", res.body());
-    assert_eq!(text_of(&res), answer_to(&body, 8));
+    assert_eq!(completion_text(&res), expected_answer(&body, 8));
     let hash = ContentHash::of(body.as_bytes());
     let gang: usize = site
         .engines
--- a/tests/site/gate.rs
+++ b/tests/site/blackhole_proxy.rs
@@ -11,14 +11,15 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Passes connections on to one address. Cut, it swallows them without an answer, as a network does.
-pub(crate) struct Gate {
+/// Passes connections on to one address. Cut, it swallows them without an answer, as a network
+/// does.
+pub(crate) struct BlackholeProxy {
     pub(crate) addr: SocketAddr,
     is_cut: Arc<AtomicBool>,
 }
 
-impl Gate {
-    pub(crate) async fn to(target: SocketAddr) -> Self {
+impl BlackholeProxy {
+    pub(crate) async fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
         let is_cut = Arc::new(AtomicBool::new(false));
@@ -31,7 +32,7 @@
         Self { addr, is_cut }
     }
 
-    pub(crate) fn cut(&self, is_cut: bool) {
+    pub(crate) fn set_blackhole(&self, is_cut: bool) {
         self.is_cut.store(is_cut, Ordering::SeqCst);
     }
 }
--- a/tests/site/host.rs
+++ b/tests/site/host_process.rs
@@ -20,20 +20,20 @@
 use crate::site::call;
 use crate::site::completion;
 use crate::site::get;
-use crate::site::until;
+use crate::site::wait_until;
 
 /// A running `banyanarchd`. It is killed when it is dropped.
-pub(crate) struct Host {
+pub(crate) struct HostProcess {
     pub(crate) name: String,
     pub(crate) domain: String,
-    pub(crate) callers: SocketAddr,
-    pub(crate) peers: SocketAddr,
-    pub(crate) status: SocketAddr,
+    pub(crate) callers_addr: SocketAddr,
+    pub(crate) peers_addr: SocketAddr,
+    pub(crate) status_addr: SocketAddr,
     child: Child,
     dir: PathBuf,
 }
 
-impl Host {
+impl HostProcess {
     /// Starts a host on ports of the machine's choice, and waits until it tells which.
     pub(crate) async fn start(name: &str, domain: &str, platform: SocketAddr) -> Self {
         Self::start_seeded(name, domain, platform, &[]).await
@@ -44,14 +44,14 @@
         name: &str,
         domain: &str,
         platform: SocketAddr,
-        seeds: &[Host],
+        seeds: &[HostProcess],
     ) -> Self {
         let seeds: String = seeds
             .iter()
             .map(|seed| {
                 format!(
                     "    - host: {}\n      failure_domain: {}\n      address: {}\n",
-                    seed.name, seed.domain, seed.peers
+                    seed.name, seed.domain, seed.peers_addr
                 )
             })
             .collect();
@@ -99,20 +99,20 @@
         let mut host = Self {
             name: name.to_owned(),
             domain: domain.to_owned(),
-            callers: unknown,
-            peers: unknown,
-            status: unknown,
+            callers_addr: unknown,
+            peers_addr: unknown,
+            status_addr: unknown,
             child,
             dir,
         };
-        until("the addresses of a host", async || {
+        wait_until("the addresses of a host", async || {
             host.log().contains("status on ")
         })
         .await;
         let log = host.log();
-        host.callers = addr_after(&log, "serves callers on ");
-        host.peers = addr_after(&log, "peers on ");
-        host.status = addr_after(&log, "status on ");
+        host.callers_addr = addr_after(&log, "serves callers on ");
+        host.peers_addr = addr_after(&log, "peers on ");
+        host.status_addr = addr_after(&log, "status on ");
         host
     }
 
@@ -121,7 +121,7 @@
         let spec = serde_json::json!({
             "role": "entry",
             "domain": self.domain,
-            "address": self.peers,
+            "address": self.peers_addr,
             "state": state,
         });
         machine::put(platform, machine::PATH, &self.name, &spec)
@@ -130,9 +130,9 @@
     }
 
     /// Waits until the balancer may send work.
-    pub(crate) async fn ready(&self) {
-        until("readiness", async || {
-            get(self.status, "/readyz")
+    pub(crate) async fn wait_until_ready(&self) {
+        wait_until("readiness", async || {
+            get(self.status_addr, "/readyz")
                 .await
                 .is_ok_and(|res| res.status() == 200)
         })
@@ -146,7 +146,7 @@
         max_tokens: u64,
     ) -> Result<Response<Bytes>, HttpError> {
         call(
-            self.callers,
+            self.callers_addr,
             "/v1/completions",
             &[],
             &completion(prompt, max_tokens, false),
@@ -156,7 +156,7 @@
 
     /// The page of its status.
     pub(crate) async fn status(&self) -> serde_json::Value {
-        match get(self.status, "/status").await {
+        match get(self.status_addr, "/status").await {
             Ok(res) => serde_json::from_slice(res.body()).unwrap_or_default(),
             Err(_) => serde_json::Value::Null,
         }
@@ -174,9 +174,9 @@
     }
 
     /// Waits until the process has ended.
-    pub(crate) async fn ended(&mut self) -> ExitStatus {
+    pub(crate) async fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        until("the end of a host", async || {
+        wait_until("the end of a host", async || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         })
@@ -190,7 +190,7 @@
     }
 }
 
-impl Drop for Host {
+impl Drop for HostProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -3,9 +3,9 @@
 // Each test file uses a part of it.
 #![allow(dead_code)]
 
+mod blackhole_proxy;
 pub(crate) mod callers;
-mod gate;
-mod host;
+mod host_process;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,8 +28,8 @@
     unused_imports,
     reason = "only some test files cut the way to the platform"
 )]
-pub(crate) use gate::Gate;
-pub(crate) use host::Host;
+pub(crate) use blackhole_proxy::BlackholeProxy;
+pub(crate) use host_process::HostProcess;
 
 /// Long against everything that a test waits for, short against a CI run that hangs.
 const PATIENCE: Duration = Duration::from_secs(30);
@@ -69,14 +69,14 @@
 ";
 
 /// The stand-ins around the hosts of a test.
-pub(crate) struct Site {
+pub(crate) struct TestSite {
     pub(crate) platform: PlatformFake,
     pub(crate) engines: Vec<Engine>,
     pub(crate) services: Vec<Service>,
-    pub(crate) hosts: Vec<Host>,
+    pub(crate) hosts: Vec<HostProcess>,
 }
 
-impl Site {
+impl TestSite {
     /// A platform with the manifest, and nothing else yet.
     pub(crate) async fn start() -> Self {
         let platform = PlatformFake::start(loopback()).await.unwrap();
@@ -100,7 +100,7 @@
         for _ in 0..hosts {
             site.add_host("a").await;
         }
-        site.ready().await;
+        site.wait_until_ready().await;
         site
     }
 
@@ -138,7 +138,7 @@
     /// Adds a host that reaches the platform by another address.
     pub(crate) async fn add_host_at(&mut self, domain: &str, platform: SocketAddr) -> usize {
         let index = self.hosts.len();
-        let host = Host::start(&format!("host-{index}"), domain, platform).await;
+        let host = HostProcess::start(&format!("host-{index}"), domain, platform).await;
         host.register(self.platform.addr(), "live").await;
         self.hosts.push(host);
         index
@@ -148,13 +148,13 @@
     pub(crate) async fn add_seeded_host(&mut self, domain: &str, platform: SocketAddr) -> usize {
         let index = self.hosts.len();
         let name = format!("host-{index}");
-        let host = Host::start_seeded(&name, domain, platform, &self.hosts).await;
+        let host = HostProcess::start_seeded(&name, domain, platform, &self.hosts).await;
         self.hosts.push(host);
         index
     }
 
     /// Enters an upstream as leaving.
-    pub(crate) async fn engine_leaves(&self, index: usize, domain: &str) {
+    pub(crate) async fn mark_engine_leaving(&self, index: usize, domain: &str) {
         let machine = self.machine(&format!("engine-{index}"), domain, "geet-model");
         machine
             .set_state(self.engines[index].addr(), "leaving")
@@ -177,10 +177,10 @@
     }
 
     /// Waits until every host is ready and serves the model.
-    pub(crate) async fn ready(&self) {
+    pub(crate) async fn wait_until_ready(&self) {
         for host in &self.hosts {
-            host.ready().await;
-            until("a host that serves", async || {
+            host.wait_until_ready().await;
+            wait_until("a host that serves", async || {
                 let res = host.complete("ready?", 1).await;
                 res.is_ok_and(|res| res.status() == 200)
             })
@@ -189,9 +189,9 @@
     }
 
     /// Waits until every host knows all others as alive.
-    pub(crate) async fn joined(&self) {
+    pub(crate) async fn wait_until_joined(&self) {
         for host in &self.hosts {
-            until("a host that knows all others", async || {
+            wait_until("a host that knows all others", async || {
                 let status = host.status().await;
                 let hosts = status["hosts"].as_array().cloned().unwrap_or_default();
                 hosts.iter().filter(|view| view["state"] == "alive").count() == self.hosts.len()
@@ -227,8 +227,8 @@
     }
 
     /// Waits until no engine holds memory for anyone.
-    pub(crate) async fn at_rest(&self) {
-        until("engines that hold nothing", async || {
+    pub(crate) async fn wait_until_idle(&self) {
+        wait_until("engines that hold nothing", async || {
             self.engines
                 .iter()
                 .all(|engine| engine.free_tokens() == ENGINE_MEMORY_TOKENS)
@@ -237,14 +237,14 @@
     }
 
     /// All attempts that the engines ran for this body.
-    pub(crate) fn runs_of(&self, body: &str) -> usize {
+    pub(crate) fn run_count(&self, body: &str) -> usize {
         let hash = banyanarch::units::ContentHash::of(body.as_bytes());
         let records = self.engines.iter().flat_map(Engine::record);
         records.filter(|record| record.request_hash == hash).count()
     }
 
     /// All calls that the services ran for this body.
-    pub(crate) fn service_runs_of(&self, body: &str) -> usize {
+    pub(crate) fn service_run_count(&self, body: &str) -> usize {
         let hash = banyanarch::units::ContentHash::of(body.as_bytes());
         let records = self.services.iter().flat_map(Service::record);
         records.filter(|record| record.request_hash == hash).count()
@@ -261,7 +261,7 @@
 }
 
 /// Waits until a condition holds.
-pub(crate) async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+pub(crate) async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let deadline = tokio::time::Instant::now() + PATIENCE;
     while !holds().await {
         assert!(
@@ -294,7 +294,7 @@
     for (name, value) in headers {
         req = req.header(*name, *value);
     }
-    let req = req.body(ChunksBody::one(body.to_owned())).unwrap();
+    let req = req.body(ChunksBody::single(body.to_owned())).unwrap();
     HttpClient::new(addr)
         .call(req, BODY_LEN_MAX, PATIENCE)
         .await
@@ -315,7 +315,7 @@
 }
 
 /// The text of a whole completion.
-pub(crate) fn text_of(res: &Response<Bytes>) -> String {
+pub(crate) fn completion_text(res: &Response<Bytes>) -> String {
     let body: serde_json::Value = serde_json::from_slice(res.body()).unwrap();
     body["choices"][0]["text"]
         .as_str()
@@ -324,7 +324,7 @@
 }
 
 /// The answer that belongs to a body.
-pub(crate) fn answer_to(body: &str, max_tokens: u64) -> String {
+pub(crate) fn expected_answer(body: &str, max_tokens: u64) -> String {
     let hash = banyanarch::units::ContentHash::of(body.as_bytes());
     standin::answer::whole(hash, max_tokens)
 }
