--- a/src/decide/engine_fleet.rs
+++ b/src/decide/engine_fleet.rs
@@ -141,7 +141,7 @@
             if let Some(upstream) = self.upstreams.get_mut(id) {
                 upstream.on_grant(now);
                 upstream.ledger.advance(now);
-                let read_at = now + upstream.ledger.first_token_time(prefill, hold.rank);
+                let read_at = now + upstream.ledger.first_token_time(prefill, hold.priority);
                 upstream.prefix.on_grant(&grant.work, read_at);
                 upstream.ledger.hold(grant.id, hold.clone(), prefill);
             }
--- a/src/decide/grant_hold.rs
+++ b/src/decide/grant_hold.rs
@@ -15,7 +15,7 @@
     /// The expected prefill, less what is probably cached.
     pub prefill_tokens: Tokens,
     /// The priority that was passed to the engine.
-    pub rank: Priority,
+    pub priority: Priority,
     /// The lane of the prefill.
     pub lane: Lane,
     /// Whether another upstream failed the request before.
--- a/src/decide/ledger.rs
+++ b/src/decide/ledger.rs
@@ -115,7 +115,7 @@
     /// Adds a grant with its `prefill` tokens.
     pub fn hold(&mut self, grant: GrantId, mut hold: GrantHold, prefill: f64) {
         self.release(&grant);
-        let ahead = |p: &&Prefill| p.priority <= hold.rank;
+        let ahead = |p: &&Prefill| p.priority <= hold.priority;
         let prefill_ahead: f64 = self
             .prefills
             .iter()
@@ -123,13 +123,15 @@
             .map(|p| p.tokens_left)
             .sum();
         hold.prefill_ahead = prefill_ahead + self.unexplained_prefill;
-        hold.higher_prefill_mark = self.granted_with_higher_priority(hold.rank);
-        *self.granted_prefill.entry(hold.rank).or_default() += prefill;
+        hold.higher_prefill_mark = self.granted_with_higher_priority(hold.priority);
+        *self.granted_prefill.entry(hold.priority).or_default() += prefill;
         if prefill > 0.0 {
-            let position = self.prefills.partition_point(|p| p.priority <= hold.rank);
+            let position = self
+                .prefills
+                .partition_point(|p| p.priority <= hold.priority);
             let prefill = Prefill {
                 grant,
-                priority: hold.rank,
+                priority: hold.priority,
                 lane: hold.lane,
                 is_heavy: is_heavy(hold.prefill_tokens),
                 tokens_left: prefill + self.start_overhead_tokens(),
@@ -167,7 +169,7 @@
     /// The prefill of other grants, in tokens, that the engine does before the prefill of `hold` is
     /// done: what was there before it and what came later with a higher priority.
     pub fn prefill_ahead_of(&self, hold: &GrantHold) -> f64 {
-        let higher = self.granted_with_higher_priority(hold.rank) - hold.higher_prefill_mark;
+        let higher = self.granted_with_higher_priority(hold.priority) - hold.higher_prefill_mark;
         hold.prefill_ahead + higher.max(0.0)
     }
 
--- a/src/decide/shipped/engines.rs
+++ b/src/decide/shipped/engines.rs
@@ -323,7 +323,7 @@
         let hold = GrantHold {
             memory_tokens: gang_share(waiting.memory_tokens(), grant.upstreams.len()),
             prefill_tokens: tokens_from_f64(prefill),
-            rank: engine_priority(&waiting.work),
+            priority: engine_priority(&waiting.work),
             lane: self.fleet.tuning.lane(tokens_from_f64(prefill)),
             is_suspect: waiting.is_suspect(),
             has_waited: now.saturating_duration_since(waiting.since) > self.fleet.tuning.headroom,
