--- a/src/decide/engine_fleet.rs
+++ b/src/decide/engine_fleet.rs
@@ -1,4 +1,4 @@
-//! The engines of one pool: which of them may get work, and what work each has been given.
+//! The engines of one pool, with the grants, speed and health of each.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -26,7 +26,7 @@
 use crate::units::UpstreamId;
 
 /// New upstreams are warmed up in steps only if they are at most this fraction of the pool, since
-/// the other upstreams have to carry the load meanwhile.
+/// the other upstreams have to serve the load meanwhile.
 const COLD_FRACTION_MAX: f64 = 0.5;
 /// Number of speed samples that are accepted even under load, so that a wrong initial speed is
 /// corrected.
@@ -38,25 +38,28 @@
 /// Interval between checks for stalled engines.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The engines of one pool.
+/// The engines of one pool, with the grants, speed and health of each.
 #[derive(Debug)]
 pub(crate) struct EngineFleet {
     pub(crate) upstreams: IndexMap<UpstreamId, EngineUpstream>,
     pub(crate) split: LaneSplit,
     pub(crate) tuning: Tuning,
-    first_speed: TokensPerSecond,
-    /// Medians over the engines that may get work, as of the last change.
+    /// The assumed speed of engines while the pool has none.
+    initial_speed: TokensPerSecond,
+    /// Medians over the engines that may get work, as of the last change of the list or end of a
+    /// grant.
     median: PoolMedian,
     stalls_checked_at: Option<Instant>,
 }
 
 impl EngineFleet {
-    pub(crate) fn new(tuning: Tuning, first_speed: TokensPerSecond) -> Self {
+    /// Creates a pool without engines.
+    pub(crate) fn new(tuning: Tuning, initial_speed: TokensPerSecond) -> Self {
         Self {
             upstreams: IndexMap::new(),
             split: LaneSplit::new(),
             tuning,
-            first_speed,
+            initial_speed,
             median: PoolMedian::default(),
             stalls_checked_at: None,
         }
@@ -64,35 +67,36 @@
 
     /// Replaces the list of upstreams. An upstream that is no longer listed gets no new work and is
     /// removed when its grants have ended.
-    pub(crate) fn set_upstreams(&mut self, seen: &[UpstreamInfo], now: Instant) {
-        let is_new = |seen: &&UpstreamInfo| !self.upstreams.contains_key(&seen.id);
-        let new = seen.iter().filter(is_new).count();
+    pub(crate) fn set_upstreams(&mut self, listed: &[UpstreamInfo], now: Instant) {
+        let is_new = |info: &&UpstreamInfo| !self.upstreams.contains_key(&info.id);
+        let new = listed.iter().filter(is_new).count();
         let is_cold =
-            (new as f64) <= COLD_FRACTION_MAX * seen.len() as f64 && !self.upstreams.is_empty();
-        let speed = self.first_estimate();
+            (new as f64) <= COLD_FRACTION_MAX * listed.len() as f64 && !self.upstreams.is_empty();
+        let speed = self.initial_estimate();
         for upstream in self.upstreams.values_mut() {
             upstream.info.health = UpstreamHealth::Leaving;
         }
-        for seen in seen {
+        for info in listed {
             let warm_up = if is_cold {
                 WarmUp::cold(now)
             } else {
                 WarmUp::warm(now)
             };
-            let new = || EngineUpstream::new(seen.clone(), speed, warm_up, now);
-            let upstream = self.upstreams.entry(seen.id.clone()).or_insert_with(new);
-            upstream.info = seen.clone();
+            let new = || EngineUpstream::new(info.clone(), speed, warm_up, now);
+            let upstream = self.upstreams.entry(info.id.clone()).or_insert_with(new);
+            upstream.info = info.clone();
         }
-        self.remove_gone();
+        self.remove_drained();
         self.upstreams.sort_unstable_keys();
         self.update_median(now);
     }
 
-    /// Advances the prefill of all engines to `now`, ejects stalled engines and updates the split
-    /// between the lanes.
+    /// Advances the estimated prefill of all engines to `now`, ejects stalled engines and updates
+    /// the split between the lanes. `long_head_wait` is how long the first request of the long lane
+    /// has waited; `None` if the lane is empty.
     pub(crate) fn advance(
         &mut self,
-        long_waited: Option<Duration>,
+        long_head_wait: Option<Duration>,
         now: Instant,
         rng: &mut StdRng,
     ) {
@@ -110,12 +114,12 @@
         let input = SplitInput {
             upstreams: self.open_upstreams(now).count(),
             speed: self.median_speed(),
-            long_waited,
+            long_waited: long_head_wait,
         };
         self.split.update(&input, &self.tuning, now);
     }
 
-    /// The engines that may get work as usual.
+    /// The engines that may get any work: those that are neither leaving nor ejected.
     pub(crate) fn open_upstreams(&self, now: Instant) -> impl Iterator<Item = &EngineUpstream> {
         self.upstreams
             .values()
@@ -129,7 +133,7 @@
             .filter(|upstream| upstream.is_live())
     }
 
-    /// Records a grant at each of its engines.
+    /// Records a grant at each of its engines, with `prefill` tokens of prefill at each.
     pub(crate) fn record_grant(
         &mut self,
         grant: &LiveGrant,
@@ -148,11 +152,15 @@
         }
     }
 
-    /// Ends a grant at each of its engines, and updates their speed, health and prefix estimates.
+    /// Ends a grant at each of its engines, updates their speed, prefix and health estimates, and
+    /// ejects or reinstates them accordingly. A grant of a gang changes none of these estimates.
+    ///
+    /// `hinted_tokens` is the length of the prefix that the first engine was expected to have
+    /// cached.
     pub(crate) fn finish_grant(
         &mut self,
         grant: &LiveGrant,
-        hinted: Tokens,
+        hinted_tokens: Tokens,
         done: &AttemptSummary,
         now: Instant,
         rng: &mut StdRng,
@@ -169,7 +177,7 @@
                 continue;
             }
             upstream.on_progress(token_gap_seconds(done), now);
-            upstream.prefix.on_done(&grant.work, hinted, done);
+            upstream.prefix.on_done(&grant.work, hinted_tokens, done);
             if let (Some(hold), Some(first_token)) = (hold, done.first_token) {
                 let ahead = upstream.ledger.prefill_ahead_of(&hold);
                 let own = prefill_done(&hold, done);
@@ -182,7 +190,7 @@
             }
             self.update_ejection(id, done.ended, now, rng);
         }
-        self.remove_gone();
+        self.remove_drained();
     }
 
     /// The memory of the largest engine that is not leaving.
@@ -193,12 +201,13 @@
         memory.max().unwrap_or_default()
     }
 
-    /// The medians over the engines that may get work.
+    /// The medians over the engines that may get work, as of the last change of the list or end of
+    /// a grant.
     pub(crate) fn median(&self) -> PoolMedian {
         self.median
     }
 
-    /// The median prefill speed, in tokens per second; never 0.
+    /// The median prefill speed of the engines that may get work, in tokens per second; at least 1.
     pub(crate) fn median_speed(&self) -> f64 {
         self.median.speed.max(1.0)
     }
@@ -210,11 +219,11 @@
             .sum()
     }
 
-    /// Recomputes the medians. Engines without samples are expected to be as fast as the others,
-    /// not as their settings say.
+    /// Recomputes the medians and limits the estimated speeds by them. Engines without samples are
+    /// expected to be as fast as the median, not as their settings say.
     fn update_median(&mut self, now: Instant) {
-        let is_seen = |upstream: &&EngineUpstream| upstream.ledger.speed.samples() > 0;
-        self.median = PoolMedian::of(self.open_upstreams(now).filter(is_seen));
+        let has_samples = |upstream: &&EngineUpstream| upstream.ledger.speed.samples() > 0;
+        self.median = PoolMedian::of(self.open_upstreams(now).filter(has_samples));
         if self.median.speed <= 0.0 {
             self.median = PoolMedian::of(self.open_upstreams(now));
         }
@@ -230,11 +239,11 @@
         }
     }
 
-    /// Ejects or readmits an engine after an attempt that ended as `ended`.
+    /// Ejects or reinstates an engine after an attempt there has ended with `outcome`.
     fn update_ejection(
         &mut self,
         id: &UpstreamId,
-        ended: AttemptOutcome,
+        outcome: AttemptOutcome,
         now: Instant,
         rng: &mut StdRng,
     ) {
@@ -245,11 +254,11 @@
         };
         let is_slow = upstream.is_slow(&median, self.tuning.slow_fraction);
         let was_ejected = upstream.ejection.is_ejected();
-        let step = upstream.ejection.on_end(ended);
-        if ended == AttemptOutcome::Completed {
+        let action = upstream.ejection.on_end(outcome);
+        if outcome == AttemptOutcome::Completed {
             upstream.warm_up.on_success(now);
         }
-        match step {
+        match action {
             EjectionAction::Reinstate if is_slow => upstream.ejection.eject(now, rng),
             EjectionAction::Reinstate => upstream.warm_up = WarmUp::cold(now),
             EjectionAction::Eject => self.eject(id, now, rng),
@@ -273,6 +282,7 @@
         }
     }
 
+    /// Ejects the engines on which an attempt is long overdue and none has ended meanwhile.
     fn eject_stalled(&mut self, now: Instant, rng: &mut StdRng) {
         let is_stalled = |u: &&EngineUpstream| u.is_stalled(now) && !u.ejection.is_ejected();
         let stalled: Vec<UpstreamId> = self
@@ -285,18 +295,20 @@
         }
     }
 
-    /// The initial speed estimate of a new engine: the median of the known engines.
-    fn first_estimate(&self) -> SpeedEstimate {
+    /// The speed estimate of a new engine: the median of the known engines, or the initial speed if
+    /// there are none.
+    fn initial_estimate(&self) -> SpeedEstimate {
         let median = PoolMedian::of(self.upstreams.values()).speed;
         let speed = if median > 0.0 {
             TokensPerSecond(median)
         } else {
-            self.first_speed
+            self.initial_speed
         };
         SpeedEstimate::new(speed)
     }
 
-    fn remove_gone(&mut self) {
+    /// Removes the engines that are leaving and have no grants left.
+    fn remove_drained(&mut self) {
         self.upstreams
             .retain(|_, upstream| upstream.is_live() || upstream.running() > 0);
     }
@@ -311,7 +323,7 @@
     !hold.has_waited || speed.samples() < LOADED_SAMPLES_MAX
 }
 
-/// The prefill that the engine did for a grant: as reported by the engine, or else as expected.
+/// The prefill that the engine did for a grant, as reported by the engine or else as expected.
 fn prefill_done(hold: &GrantHold, done: &AttemptSummary) -> Tokens {
     if done.prompt_tokens == Tokens::ZERO {
         hold.prefill_tokens
--- a/src/decide/grant_hold.rs
+++ b/src/decide/grant_hold.rs
@@ -1,4 +1,4 @@
-//! The resources of one upstream that one grant occupies.
+//! What one grant occupies of one upstream.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,20 +7,20 @@
 use crate::units::Priority;
 use crate::units::Tokens;
 
-/// The resources of one upstream that one grant occupies, with what is expected of it.
+/// The memory and prefill that one grant occupies at one upstream, with its expected duration.
 #[derive(Clone, Debug)]
 pub struct GrantHold {
     /// Engine memory, in tokens.
     pub memory_tokens: Tokens,
-    /// The expected prefill, less what is probably cached.
+    /// The expected prefill, in tokens, without what is probably cached.
     pub prefill_tokens: Tokens,
     /// The priority that was passed to the engine.
     pub priority: Priority,
     /// The lane of the prefill.
     pub lane: Lane,
-    /// Whether another upstream failed the request before.
+    /// Whether the request failed on another upstream before, so that it may cause a failure here.
     pub is_suspect: bool,
-    /// Whether the request waited in the home's queue, so that its engine was probably full.
+    /// Whether the request waited in its home's queue, so that its engine was probably busy.
     pub has_waited: bool,
     /// Time of the grant.
     pub since: Instant,
--- a/src/decide/host_load.rs
+++ b/src/decide/host_load.rs
@@ -1,25 +1,27 @@
-//! The work of one host at one upstream.
+//! The load of one host at one upstream.
 
 use std::time::Duration;
 
 use crate::decide::PrefillSent;
 use crate::units::Tokens;
 
-/// The work of one host at one upstream, as reported to the other hosts.
+/// The load at one upstream of the requests that one host has sent, as reported to the other hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HostLoad {
     /// Requests that were sent to the upstream and have not ended.
     pub in_flight: u32,
     /// Requests in flight whose prompt is short.
     pub short_in_flight: u32,
-    /// Prompts of other engines that the upstream helps to read or holds a part of.
+    /// Prompts answered by other engines that the upstream helps to read or holds a part of.
     pub helping: u32,
-    /// The shortest pause between two events that a caller of these requests accepts.
+    /// The shortest pause between two events that the callers of these requests accept; none if no
+    /// caller states one.
     pub strictest_pause: Option<Duration>,
     /// Memory that these requests occupy, in tokens.
     pub held_tokens: Tokens,
-    /// Reading time of the prompts that were sent to the upstream.
+    /// Prefill time of the prompts that were sent to the upstream.
     pub prefill: PrefillSent,
-    /// Time until the earliest due time of a first event among the prompts that are being read.
+    /// Time until the first event of one of the prompts being read is due, the earliest of them;
+    /// none if no first event is due any more.
     pub prefill_due: Option<Duration>,
 }
--- a/src/decide/load_source.rs
+++ b/src/decide/load_source.rs
@@ -2,15 +2,15 @@
 
 use crate::units::HostId;
 
-/// The sender of a report about work at upstreams.
+/// The sender of a report about load at upstreams.
 ///
 /// A host that collects the reports of its failure domain sends in two roles: as a host inside its
 /// domain, and as the collector for all hosts of its domain in other domains.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LoadSource {
-    /// A host that reports its own work.
+    /// A host that reports its own load.
     Host(HostId),
-    /// A host that reports the work of all hosts in its failure domain.
+    /// A host that reports the load of all hosts in its failure domain.
     Collector(HostId),
 }
 
--- a/src/decide/own_load.rs
+++ b/src/decide/own_load.rs
@@ -1,4 +1,4 @@
-//! This host's own work at one upstream.
+//! This host's own load at one upstream.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,29 +11,31 @@
 use crate::decide::RequestLoad;
 use crate::units::Tokens;
 
-/// How long a host goes on reporting the reading time that it has sent to an upstream when it has
-/// no other work there. The time covers several reports, so that a lost one is made up for.
-const SENT_REPORTED_FOR: Duration = Duration::from_secs(1);
+/// How long a host goes on reporting the prefill that it has sent to an upstream when it has no
+/// other load there. The time covers several reports, so that a lost one is made up for.
+const PREFILL_REPORTED_FOR: Duration = Duration::from_secs(1);
 
-/// This host's own work at one upstream.
+/// The load at one upstream of the requests that this host has sent there.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnLoad {
     in_flight: u32,
     short_in_flight: u32,
     helping: u32,
-    /// Accepted pauses, each with the number of requests that accept it.
+    /// The longest pauses that callers accept, each with the number of requests that accept it.
     pauses: IndexMap<Duration, u32>,
     held_tokens: Tokens,
+    /// Total prefill time of all prompts that were sent, including those that have ended.
     prefill_total: Duration,
-    /// When the last of the sent prompts will have been read.
+    /// When the last of the sent prompts is expected to have been read.
     prefill_until: Instant,
-    sent_at: Instant,
-    /// When the first events of the prompts being read are due.
+    /// When the last prompt was sent.
+    prefill_sent_at: Instant,
+    /// The times at which the first events of the prompts being read are due.
     due_times: Vec<Instant>,
 }
 
 impl OwnLoad {
-    /// An account without work.
+    /// Creates a record without load. To peers it is reported like one that has just sent a prompt.
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             in_flight: 0,
@@ -43,13 +45,13 @@
             held_tokens: Tokens::ZERO,
             prefill_total: Duration::ZERO,
             prefill_until: now,
-            sent_at: now,
+            prefill_sent_at: now,
             due_times: Vec::new(),
         }
     }
 
-    /// Adds a request that was sent. `prefill_until` is when the upstream will have read the prompt;
-    /// none if there is nothing to read.
+    /// Adds the load of a request that was sent. `prefill_until` is when the upstream is expected
+    /// to have read the prompt; `None` if it has nothing to read.
     pub(crate) fn start_request(
         &mut self,
         load: &RequestLoad,
@@ -65,14 +67,14 @@
         if let Some(prefill_until) = prefill_until {
             self.prefill_total += load.prefill_time;
             self.prefill_until = prefill_until;
-            self.sent_at = now;
+            self.prefill_sent_at = now;
             self.due_times.extend(load.prefill_due);
         }
         self.held_tokens += load.held_tokens;
     }
 
-    /// Records that the prompt of a request has been read, and clears the fields of `load` that end
-    /// with that.
+    /// Records that the prompt of a request has been read. Subtracts the load that ends with that,
+    /// and clears it in `load` so that [`OwnLoad::end_request`] does not subtract it again.
     pub(crate) fn finish_prefill(&mut self, load: &mut RequestLoad) {
         self.remove_due(load.prefill_due.take());
         if load.helper_release == Some(HelperRelease::PromptRead) {
@@ -81,6 +83,7 @@
         }
     }
 
+    /// Removes one entry of this due time, if there is one.
     fn remove_due(&mut self, due: Option<Instant>) {
         let index = self.due_times.iter().position(|known| Some(*known) == due);
         if let Some(index) = index {
@@ -88,7 +91,7 @@
         }
     }
 
-    /// Subtracts a request that has ended.
+    /// Subtracts the load of a request that has ended. The running total of prefill time stays.
     pub(crate) fn end_request(&mut self, load: &RequestLoad) {
         self.remove_due(load.prefill_due);
         self.helping = self
@@ -110,7 +113,7 @@
         self.held_tokens = self.held_tokens.saturating_sub(load.held_tokens);
     }
 
-    /// The work at `now`, as it is reported to other hosts.
+    /// The load at `now`, as it is reported to other hosts.
     pub(crate) fn snapshot(&self, now: Instant) -> HostLoad {
         HostLoad {
             in_flight: self.in_flight,
@@ -126,17 +129,17 @@
         }
     }
 
-    /// Time until the earliest due time that has not passed.
+    /// Time until the earliest due time that has not passed; `None` if there is none.
     fn next_due(&self, now: Instant) -> Option<Duration> {
         let open = self.due_times.iter().filter(|due| **due > now);
         open.min().map(|due| due.saturating_duration_since(now))
     }
 
-    /// Whether there is work to report to other hosts.
+    /// Whether there is load, or recently sent prefill, to report to other hosts.
     pub(crate) fn is_reported(&self, now: Instant) -> bool {
         self.in_flight > 0
             || self.helping > 0
             || self.held_tokens > Tokens::ZERO
-            || now.saturating_duration_since(self.sent_at) < SENT_REPORTED_FOR
+            || now.saturating_duration_since(self.prefill_sent_at) < PREFILL_REPORTED_FOR
     }
 }
--- a/src/decide/peer_load_sum.rs
+++ b/src/decide/peer_load_sum.rs
@@ -1,4 +1,4 @@
-//! The work of all other hosts at one upstream.
+//! The load of all peers at one upstream.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,26 +7,27 @@
 use crate::decide::UpstreamLoad;
 use crate::units::Tokens;
 
-/// The sum of the work of all live peers, updated with each of their reports.
+/// The sum of the load of all peers at one upstream, updated with each of their reports.
 ///
 /// Without sums, a choice among 195 engines would look up 38,000 entries, one for each engine and
-/// each of 194 peers; with sums it reads 195. A minimum cannot be subtracted again, so pauses and
-/// due times are kept in lists. The lists are short, since few hosts have a prompt being read at
-/// the same engine.
+/// each of 194 peers; with sums it reads 195. A minimum cannot be subtracted again, so all pauses
+/// and due times are kept in lists. The lists are short, since few hosts have a prompt being read
+/// at the same engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct PeerLoadSum {
     in_flight: u32,
     short_in_flight: u32,
     helping: u32,
     held_tokens: Tokens,
-    /// The shortest accepted pauses, each with the number of hosts that report it.
+    /// The strictest pause of each host: each distinct value with the number of hosts that report
+    /// it.
     pauses: Vec<(Duration, u32)>,
-    /// For each host, the earliest due time of a first event among the prompts being read.
+    /// For each host, the earliest time at which the first event of a prompt being read is due.
     due_times: Vec<Instant>,
 }
 
 impl PeerLoadSum {
-    /// Adds the work that one host reported at `received_at`.
+    /// Adds the load from the report of one host that was received at `received_at`.
     pub(crate) fn add(&mut self, load: &HostLoad, received_at: Instant) {
         self.in_flight += load.in_flight;
         self.short_in_flight += load.short_in_flight;
@@ -41,7 +42,8 @@
         self.due_times.extend(due_at(load, received_at));
     }
 
-    /// Subtracts what [`PeerLoadSum::add`] added.
+    /// Subtracts a report that was added before. Both arguments must be those of the call of
+    /// [`PeerLoadSum::add`].
     pub(crate) fn remove(&mut self, load: &HostLoad, received_at: Instant) {
         self.in_flight = self.in_flight.saturating_sub(load.in_flight);
         self.short_in_flight = self.short_in_flight.saturating_sub(load.short_in_flight);
@@ -62,7 +64,8 @@
         }
     }
 
-    /// The sum at `now`. A prompt that is overdue at another host counts as due now until that host
+    /// The sum at `now`, without the prefill backlog and refused memory, which sums do not hold. A
+    /// prompt whose first event is overdue at another host counts as due now until that host
     /// reports otherwise.
     pub(crate) fn snapshot(&self, now: Instant) -> UpstreamLoad {
         let due = self.due_times.iter().min();
@@ -79,6 +82,7 @@
     }
 }
 
+/// The time at which the earliest first event of the reported prompts is due.
 fn due_at(load: &HostLoad, received_at: Instant) -> Option<Instant> {
     load.prefill_due.map(|due| received_at + due)
 }
--- a/src/decide/shipped/engines.rs
+++ b/src/decide/shipped/engines.rs
@@ -40,23 +40,28 @@
 use crate::upstream::CacheEvent;
 use crate::upstream::LoadReport;
 
-/// The most requests that wait, over all queues; they take about ten megabytes.
-const WAITING_MAX: usize = 10_000;
-/// Requests that are tried from the head of a queue, so that one that waits for a certain upstream
-/// does not block the others.
-const HEADS_TRIED_MAX: usize = 8;
+/// The largest number of requests in all queues together, which take about ten megabytes. Further
+/// requests are refused.
+const QUEUED_MAX: usize = 10_000;
+/// Number of requests at the head of a queue that are tried in one round, so that a request that
+/// waits for a certain upstream does not block the others.
+const CANDIDATES_MAX: usize = 8;
 /// Drain time beyond which the short lane is loaded and customers over their rate are refused.
 const SHORT_LOADED_DRAIN: Duration = Duration::from_millis(250);
 /// Drain time beyond which the long lane is loaded and customers over their rate are refused.
 const LONG_LOADED_DRAIN: Duration = Duration::from_secs(5);
-/// Upper bound of the expected duration of a grant. Anything longer is as good as never.
+/// Upper bound of the expected duration of a grant. A longer forecast counts as never.
 const EXPECTED_TIME_MAX: Duration = Duration::from_secs(86_400);
-/// The shortest time between two polls while requests wait. The headroom of placement covers it.
+/// The shortest time between two polls while requests wait. An engine that becomes ready in the
+/// meantime is still busy with the backlog that [`Tuning::headroom`](crate::decide::Tuning) allows.
 const WAKE_MIN: Duration = Duration::from_millis(2);
 /// The longest time between two polls while requests wait, so that time-dependent state advances.
 const WAKE_MAX: Duration = Duration::from_millis(100);
 
 /// The shipped policy for a pool of model engines.
+///
+/// Requests wait in the queue of their lane, or in that for gangs if no engine can hold them alone,
+/// until an engine has room for them.
 #[derive(Debug)]
 pub struct EnginePolicy {
     intake: Intake,
@@ -69,21 +74,27 @@
 
 /// The result of an attempt to place a request.
 enum PlaceOutcome {
+    /// The request was granted and is no longer queued.
     Granted,
+    /// The request would end after its deadline. It was refused and is no longer queued.
     Refused,
+    /// The request stays in its queue, since no upstream has room for it now.
     Blocked,
 }
 
-/// The upstreams of a request, and what is expected of them.
+/// The upstreams that a request is granted, leader first, with the forecast for the grant.
 struct Assignment {
     upstreams: Vec<UpstreamId>,
+    /// Expected prefill at each upstream, in tokens.
     prefill_tokens: f64,
+    /// Expected time from the grant to the end of the answer.
     expected: Duration,
     why: &'static str,
 }
 
 impl EnginePolicy {
-    /// Creates a policy without upstreams.
+    /// Creates a policy without upstreams. `speed` is the assumed prefill speed of engines of which
+    /// nothing is known yet.
     pub fn new(conf: PolicyConfig, speed: TokensPerSecond, seed: u64) -> Self {
         let fleet = EngineFleet::new(conf.tuning.clone(), speed);
         Self {
@@ -100,7 +111,9 @@
         self.fleet.tuning.lane(waiting.prompt_tokens)
     }
 
-    fn estimate(&self, work: Work, now: Instant) -> QueuedRequest {
+    /// The request as it is queued: with its account and the estimated lengths of prompt and
+    /// answer.
+    fn queued_request(&self, work: Work, now: Instant) -> QueuedRequest {
         let (account, share) = self.intake.account(&work.customer);
         let prompt_tokens = self.estimator.prompt_tokens(&work, &account);
         QueuedRequest {
@@ -113,7 +126,8 @@
         }
     }
 
-    /// Decides whether to admit a request. A refusal has a reason and the drain time of the lane.
+    /// Decides whether to queue a request, and charges the customer's rate. An error holds the
+    /// reason of the refusal and the time that the queue of the lane takes to drain.
     fn admit(
         &mut self,
         waiting: &QueuedRequest,
@@ -127,7 +141,7 @@
         }
         let lane = self.lane_of(waiting);
         let drain = self.drain_time(lane, now);
-        if self.queues.len() >= WAITING_MAX {
+        if self.queues.len() >= QUEUED_MAX {
             return Err((RefuseReason::QueueFull, drain));
         }
         let (account, share) = self.intake.account(&waiting.work.customer);
@@ -150,6 +164,7 @@
         }
     }
 
+    /// The forecast of a request that enters the queue of its lane now.
     fn forecast(&self, waiting: &QueuedRequest, lane: Lane, now: Instant) -> Forecast {
         let cached = self.cached_tokens(&waiting.work, now);
         let prefill = (waiting.prompt_tokens.as_f64() - cached).max(0.0);
@@ -158,13 +173,13 @@
             wait: self
                 .queues
                 .get(lane)
-                .wait(waiting, self.nominal_drain(lane, now), now),
+                .wait_time(waiting, self.nominal_drain(lane, now), now),
             prefill: duration_from_secs(prefill / speed),
             output: self.estimator.output_time(waiting.output_tokens),
         }
     }
 
-    /// Length of the longest prefix that some engine has probably cached, in tokens.
+    /// Length of the longest prefix of the prompt that any engine has probably cached, in tokens.
     fn cached_tokens(&self, work: &Work, now: Instant) -> f64 {
         if work.prefixes.is_empty() {
             return 0.0;
@@ -176,6 +191,7 @@
         cached.fold(0.0, f64::max)
     }
 
+    /// The time until the queue of a lane has drained.
     fn drain_time(&self, lane: Lane, now: Instant) -> Duration {
         self.queues
             .get(lane)
@@ -192,27 +208,32 @@
         }
     }
 
+    /// The number of engines that have to hold the request together; 1 if one engine can hold it.
     fn gang_size(&self, waiting: &QueuedRequest) -> usize {
         let largest = self.fleet.largest_memory().0.max(1);
         let size = waiting.memory_tokens().0.div_ceil(largest);
         usize::try_from(size).unwrap_or(usize::MAX).max(1)
     }
 
+    /// Refuses a request that is no longer queued.
     fn refuse(&mut self, waiting: &QueuedRequest, reason: RefuseReason, now: Instant) {
         let drain = self.drain_time(self.lane_of(waiting), now);
         self.intake.refuse(waiting.work.request, reason, drain);
     }
 
-    fn expire(&mut self, now: Instant) {
+    /// Removes the requests whose deadline has passed from the queues and refuses them.
+    fn refuse_expired(&mut self, now: Instant) {
         let expired = self.queues.take_expired(now);
         for waiting in expired {
             self.refuse(&waiting, RefuseReason::Expired, now);
         }
     }
 
+    /// Places the requests at the head of a lane's queue until no upstream has room for any of
+    /// them.
     fn dispatch_lane(&mut self, lane: Lane, now: Instant) {
-        while self.places(now).has_room(lane) {
-            let heads = self.queues.get(lane).queue.heads(HEADS_TRIED_MAX);
+        while self.placement_view(now).has_room(lane) {
+            let heads = self.queues.get(lane).queue.heads(CANDIDATES_MAX);
             let requests: Vec<RequestId> = heads.iter().map(|head| head.work.request).collect();
             let mut outcomes = requests
                 .iter()
@@ -221,10 +242,11 @@
                 break;
             }
         }
-        self.queues.get_mut(lane).on_blocked(now);
+        self.queues.get_mut(lane).on_dispatch_end(now);
     }
 
-    fn places(&self, now: Instant) -> PlacementView<'_> {
+    /// The state of the pool that placement decides on.
+    fn placement_view(&self, now: Instant) -> PlacementView<'_> {
         PlacementView {
             upstreams: &self.fleet.upstreams,
             tuning: &self.fleet.tuning,
@@ -234,6 +256,8 @@
         }
     }
 
+    /// Grants a queued request if an upstream has room for it, or refuses it if it would then end
+    /// after its deadline.
     fn try_place(&mut self, request: &RequestId, lane: Lane, now: Instant) -> PlaceOutcome {
         let Some(waiting) = self.queues.get(lane).queue.get(request) else {
             return PlaceOutcome::Blocked;
@@ -243,11 +267,11 @@
             first_token,
             prefill_tokens,
             why,
-        } = self.places(now).choose(waiting, lane)
+        } = self.placement_view(now).choose(waiting, lane)
         else {
             return PlaceOutcome::Blocked;
         };
-        let forecast = self.run_forecast(waiting, first_token);
+        let forecast = self.dispatch_forecast(waiting, first_token);
         if self.is_too_late(waiting, forecast, now) {
             if let Some(waiting) = self.queues.get_mut(lane).queue.remove(request) {
                 self.refuse(&waiting, RefuseReason::Deadline, now);
@@ -272,7 +296,9 @@
         PlaceOutcome::Granted
     }
 
-    fn run_forecast(&self, waiting: &QueuedRequest, first_token: Duration) -> Forecast {
+    /// The forecast of a request that is dispatched now and gets its first token after
+    /// `first_token`.
+    fn dispatch_forecast(&self, waiting: &QueuedRequest, first_token: Duration) -> Forecast {
         Forecast {
             wait: Duration::ZERO,
             prefill: first_token,
@@ -280,12 +306,14 @@
         }
     }
 
-    /// Whether a request that is placed now would end after its deadline.
+    /// Whether the request would end after its deadline according to the forecast. Never true while
+    /// the pool has no grants, since only a run can correct a wrong forecast.
     fn is_too_late(&self, waiting: &QueuedRequest, forecast: Forecast, now: Instant) -> bool {
         let remaining = waiting.work.deadline.saturating_duration_since(now);
         forecast.admission(remaining, self.grants.is_empty()) == Admission::TooLate
     }
 
+    /// Grants a request that was taken out of its queue: adds the decision and records the grant.
     fn grant(&mut self, waiting: &QueuedRequest, assignment: Assignment, now: Instant) {
         let id = self
             .intake
@@ -311,7 +339,8 @@
         );
     }
 
-    /// Records a grant in the ledger, with its expected prefill and duration.
+    /// Records a grant in the ledgers of its engines and among the live grants. The pair holds the
+    /// expected prefill at each engine in tokens and the expected duration of the grant.
     fn record_grant(
         &mut self,
         grant: LiveGrant,
@@ -341,9 +370,10 @@
         self.grants.insert(record.grant.id, record);
     }
 
+    /// Grants or refuses the requests that wait for a gang, until the first has to wait.
     fn dispatch_gangs(&mut self, now: Instant) {
         loop {
-            match self.queues.gangs.next(&mut self.fleet, now) {
+            match self.queues.gangs.next_step(&mut self.fleet, now) {
                 GangStep::Nothing => return,
                 GangStep::TooLarge(waiting) => self.refuse(&waiting, RefuseReason::TooLarge, now),
                 GangStep::Grant(waiting, members) => self.grant_gang(&waiting, members, now),
@@ -351,10 +381,12 @@
         }
     }
 
+    /// Grants a request on the engines of a gang, or refuses it if it would end after its deadline.
+    /// The request was taken out of the queue.
     fn grant_gang(&mut self, waiting: &QueuedRequest, members: Vec<UpstreamId>, now: Instant) {
         let prefill_tokens = waiting.prompt_tokens.as_f64() / members.len().max(1) as f64;
         let first_token = duration_from_secs(prefill_tokens / self.fleet.median_speed());
-        let forecast = self.run_forecast(waiting, first_token);
+        let forecast = self.dispatch_forecast(waiting, first_token);
         if self.is_too_late(waiting, forecast, now) {
             self.refuse(waiting, RefuseReason::Deadline, now);
             return;
@@ -368,7 +400,8 @@
         self.grant(waiting, assignment, now);
     }
 
-    fn long_waited(&self, now: Instant) -> Option<Duration> {
+    /// How long the first request of the long lane has waited; `None` if the lane is empty.
+    fn long_head_wait(&self, now: Instant) -> Option<Duration> {
         let head = self.queues.long.queue.heads(1).first().copied()?;
         Some(now.saturating_duration_since(head.since))
     }
@@ -403,7 +436,7 @@
     }
 
     fn offer(&mut self, work: Work, now: Instant) {
-        let waiting = self.estimate(work, now);
+        let waiting = self.queued_request(work, now);
         if let Err((reason, drain)) = self.admit(&waiting, now) {
             self.intake.refuse(waiting.work.request, reason, drain);
             return;
@@ -425,9 +458,10 @@
     }
 
     fn poll(&mut self, now: Instant) -> Vec<Decision> {
-        let long_waited = self.long_waited(now);
-        self.fleet.advance(long_waited, now, &mut self.intake.rng);
-        self.expire(now);
+        let long_head_wait = self.long_head_wait(now);
+        self.fleet
+            .advance(long_head_wait, now, &mut self.intake.rng);
+        self.refuse_expired(now);
         self.dispatch_gangs(now);
         self.dispatch_lane(Lane::Short, now);
         self.dispatch_lane(Lane::Long, now);
@@ -454,7 +488,7 @@
         if self.grants.contains_key(&grant.id) {
             return;
         }
-        let waiting = self.estimate(grant.work.clone(), now);
+        let waiting = self.queued_request(grant.work.clone(), now);
         // The progress of the grant is unknown. A short prefill is over by now; a long one may not
         // be, and the engine's next reports correct it.
         let prefill = match self.lane_of(&waiting) {
@@ -462,7 +496,7 @@
             Lane::Long => waiting.prompt_tokens.as_f64() / grant.upstreams.len().max(1) as f64,
         };
         let first_token = duration_from_secs(prefill / self.fleet.median_speed());
-        let expected = self.run_forecast(&waiting, first_token).total();
+        let expected = self.dispatch_forecast(&waiting, first_token).total();
         self.record_grant(grant, &waiting, Tokens::ZERO, (prefill, expected), now);
     }
 
--- a/src/decide/shipped/pool_queues.rs
+++ b/src/decide/shipped/pool_queues.rs
@@ -1,4 +1,4 @@
-//! The queues of a pool: one per lane and one for gangs.
+//! The queues of a pool: one for each lane and one for requests that need a gang of engines.
 
 use std::time::Instant;
 
@@ -18,6 +18,7 @@
 }
 
 impl PoolQueues {
+    /// The queue of a lane.
     pub(crate) fn get(&self, lane: Lane) -> &LaneQueue {
         match lane {
             Lane::Short => &self.short,
@@ -25,6 +26,7 @@
         }
     }
 
+    /// The queue of a lane, for changes.
     pub(crate) fn get_mut(&mut self, lane: Lane) -> &mut LaneQueue {
         match lane {
             Lane::Short => &mut self.short,
@@ -32,20 +34,24 @@
         }
     }
 
+    /// The queues of both lanes and of the gangs.
     pub(crate) fn all(&self) -> impl Iterator<Item = &FairQueue> {
         [&self.short.queue, &self.long.queue, &self.gangs.queue].into_iter()
     }
 
+    /// The number of requests in all queues.
     pub(crate) fn len(&self) -> usize {
         self.all().map(FairQueue::len).sum()
     }
 
+    /// Removes a request that is not served, from whichever queue holds it.
     pub(crate) fn remove(&mut self, request: &RequestId) {
         self.short.queue.remove(request);
         self.long.queue.remove(request);
         self.gangs.queue.remove(request);
     }
 
+    /// Removes and returns the requests whose deadline has passed.
     pub(crate) fn take_expired(&mut self, now: Instant) -> Vec<QueuedRequest> {
         let mut expired = self.short.queue.take_expired(now);
         expired.extend(self.long.queue.take_expired(now));
--- a/src/decide/shipped/services.rs
+++ b/src/decide/shipped/services.rs
@@ -35,18 +35,20 @@
 use crate::upstream::CacheEvent;
 use crate::upstream::LoadReport;
 
-/// The most calls that wait.
-const WAITING_MAX: usize = 10_000;
-/// Drain time beyond which customers over their rate are refused.
+/// The largest number of queued calls. Further calls are refused.
+const QUEUED_MAX: usize = 10_000;
+/// Drain time of the queue beyond which calls of customers over their rate are refused.
 const LOADED_DRAIN: Duration = Duration::from_millis(250);
-/// Calls that are tried from the head of the queue when the first cannot be placed.
-const HEADS_TRIED_MAX: usize = 4;
-/// The largest fraction of the instances that is ejected at the same time.
+/// Number of calls at the head of the queue that are tried in one search for a call to dispatch.
+const CANDIDATES_MAX: usize = 4;
+/// The largest fraction of the instances that may be ejected at the same time.
 const EJECTED_FRACTION_MAX: f64 = 0.5;
-/// Interval between polls while calls wait and no other event triggers one.
+/// The longest time between two polls while calls wait.
 const WAKE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The shipped policy for a pool of a plain service.
+/// The shipped policy for a pool of a plain service, whose upstreams are equivalent instances.
+///
+/// Calls wait in one queue. Each is dispatched to the instance with the least cost that has room.
 #[derive(Debug)]
 pub struct ServicePolicy {
     intake: Intake,
@@ -70,6 +72,8 @@
         }
     }
 
+    /// Decides whether to queue a call, and charges the customer's rate. An error holds the reason
+    /// of the refusal and the time that the queue takes to drain.
     fn admit(
         &mut self,
         waiting: &QueuedRequest,
@@ -82,7 +86,7 @@
             return Err((RefuseReason::NoUpstream, Duration::ZERO));
         }
         let drain = self.wait_time(self.queue.cost(), now);
-        if self.queue.len() >= WAITING_MAX {
+        if self.queue.len() >= QUEUED_MAX {
             return Err((RefuseReason::QueueFull, drain));
         }
         let (account, share) = self.intake.account(&waiting.work.customer);
@@ -90,12 +94,14 @@
         if !is_within_rate && drain > LOADED_DRAIN {
             return Err((RefuseReason::CustomerLimit, drain));
         }
-        let rank = waiting.work.priority;
-        let ahead = self.queue.cost_ahead(rank, &waiting.account, waiting.share);
+        let priority = waiting.work.priority;
+        let ahead = self
+            .queue
+            .cost_ahead(priority, &waiting.account, waiting.share);
         let forecast = Forecast {
             wait: self.wait_time(ahead, now),
             prefill: Duration::ZERO,
-            output: self.latency(),
+            output: self.expected_latency(),
         };
         let remaining = waiting.work.deadline.saturating_duration_since(now);
         match forecast.admission(remaining, self.grants.is_empty()) {
@@ -104,24 +110,33 @@
         }
     }
 
-    /// The expected latency: the best of all instances.
-    fn latency(&self) -> Duration {
-        let seen = self.upstreams.values().filter_map(|u| u.limit.latency());
-        seen.min().unwrap_or_default()
+    /// The expected latency of a call: the lowest expected latency of all instances, or 0 while no
+    /// call has been observed.
+    fn expected_latency(&self) -> Duration {
+        let latencies = self.upstreams.values().filter_map(|u| u.limit.latency());
+        latencies.min().unwrap_or_default()
     }
 
+    /// The time until queued calls of this total cost have been dispatched, at the measured rate
+    /// or, while there is none, at the rate that follows from the limits and the latency.
     fn wait_time(&self, cost: f64, now: Instant) -> Duration {
         if cost <= 0.0 {
             return Duration::ZERO;
         }
         let calls: u32 = self.upstreams.values().map(|u| u.limit.get()).sum();
-        let latency = self.latency().as_secs_f64().max(0.001);
+        let latency = self.expected_latency().as_secs_f64().max(0.001);
         let nominal = f64::from(calls.max(1)) / latency;
         duration_from_secs(cost / self.drain.per_second(nominal, now))
     }
 
-    /// Chooses the upstream for a call and the reason to log; none if all are full.
-    fn choose(&self, waiting: &QueuedRequest, now: Instant) -> Option<(UpstreamId, &'static str)> {
+    /// Chooses the instance for a call and the reason to log. An instance that is due for a probe
+    /// comes first, unless the call may have caused a failure. Instances on which the call failed
+    /// are used only if no other instance is open. `None` if no instance has room.
+    fn choose_instance(
+        &self,
+        waiting: &QueuedRequest,
+        now: Instant,
+    ) -> Option<(UpstreamId, &'static str)> {
         let is_suspect = waiting.is_suspect();
         let mut probes = self.upstreams.values().filter(|_| !is_suspect);
         if let Some(probe) = probes.find(|u| u.access(now) == Access::Probe) {
@@ -142,8 +157,9 @@
             .map(|upstream| (upstream.info.id.clone(), "least cost"))
     }
 
+    /// Dispatches queued calls until none of those at the head can be placed.
     fn dispatch(&mut self, now: Instant) {
-        while let Some((request, upstream, why)) = self.next_call(now) {
+        while let Some((request, upstream, why)) = self.first_placeable(now) {
             let Some(waiting) = self.queue.take(&request) else {
                 break;
             };
@@ -153,16 +169,20 @@
         self.drain.observe(0.0, !self.queue.is_empty(), now);
     }
 
-    fn next_call(&self, now: Instant) -> Option<(RequestId, UpstreamId, &'static str)> {
+    /// The first of the next [`CANDIDATES_MAX`] calls in the queue that an instance has room for,
+    /// with that instance and the reason to log. `None` if none of these calls can be placed. The
+    /// call stays in the queue.
+    fn first_placeable(&self, now: Instant) -> Option<(RequestId, UpstreamId, &'static str)> {
         self.queue
-            .heads(HEADS_TRIED_MAX)
+            .heads(CANDIDATES_MAX)
             .into_iter()
             .find_map(|waiting| {
-                let (upstream, why) = self.choose(waiting, now)?;
+                let (upstream, why) = self.choose_instance(waiting, now)?;
                 Some((waiting.work.request, upstream, why))
             })
     }
 
+    /// Grants a call that was taken out of the queue, and adds the decision.
     fn grant(
         &mut self,
         waiting: &QueuedRequest,
@@ -179,6 +199,7 @@
         self.record_grant(grant, waiting, now);
     }
 
+    /// Records a grant at its instances and among the live grants.
     fn record_grant(&mut self, grant: LiveGrant, waiting: &QueuedRequest, now: Instant) {
         for id in &grant.upstreams {
             if let Some(upstream) = self.upstreams.get_mut(id) {
@@ -195,7 +216,8 @@
         );
     }
 
-    fn estimate(&self, work: Work, now: Instant) -> QueuedRequest {
+    /// The call as it is queued: with its account, and with the same cost as all other calls.
+    fn queued_request(&self, work: Work, now: Instant) -> QueuedRequest {
         let (account, share) = self.intake.account(&work.customer);
         QueuedRequest {
             work,
@@ -207,15 +229,17 @@
         }
     }
 
-    fn update_ejection(&mut self, id: &UpstreamId, ended: AttemptOutcome, now: Instant) {
+    /// Ejects or reinstates an instance after an attempt there has ended. No instance is ejected if
+    /// more than [`EJECTED_FRACTION_MAX`] of the instances would be.
+    fn update_ejection(&mut self, id: &UpstreamId, outcome: AttemptOutcome, now: Instant) {
         let live = self.upstreams.values().filter(|u| u.is_live()).count();
-        let is_other_out = |u: &&ServiceUpstream| u.ejection.is_ejected() && u.info.id != *id;
-        let out = self.upstreams.values().filter(is_other_out).count();
-        let may_eject = (out + 1) as f64 <= live as f64 * EJECTED_FRACTION_MAX;
+        let is_other_ejected = |u: &&ServiceUpstream| u.ejection.is_ejected() && u.info.id != *id;
+        let other_ejected = self.upstreams.values().filter(is_other_ejected).count();
+        let may_eject = (other_ejected + 1) as f64 <= live as f64 * EJECTED_FRACTION_MAX;
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        match upstream.ejection.on_end(ended) {
+        match upstream.ejection.on_end(outcome) {
             EjectionAction::Reinstate => upstream.warm_up = WarmUp::cold(now),
             EjectionAction::Eject if may_eject => {
                 upstream.ejection.eject(now, &mut self.intake.rng);
@@ -231,15 +255,15 @@
         for upstream in self.upstreams.values_mut() {
             upstream.info.health = UpstreamHealth::Leaving;
         }
-        for seen in upstreams {
+        for listed in upstreams {
             let warm_up = if is_first {
                 WarmUp::warm(now)
             } else {
                 WarmUp::cold(now)
             };
-            let new = || ServiceUpstream::new(seen.clone(), warm_up);
-            let upstream = self.upstreams.entry(seen.id.clone()).or_insert_with(new);
-            upstream.info = seen.clone();
+            let new = || ServiceUpstream::new(listed.clone(), warm_up);
+            let upstream = self.upstreams.entry(listed.id.clone()).or_insert_with(new);
+            upstream.info = listed.clone();
         }
         self.upstreams
             .retain(|_, upstream| upstream.is_live() || upstream.running > 0);
@@ -250,7 +274,7 @@
     }
 
     fn offer(&mut self, work: Work, now: Instant) {
-        let waiting = self.estimate(work, now);
+        let waiting = self.queued_request(work, now);
         match self.admit(&waiting, now) {
             Ok(()) => self.queue.push(waiting),
             Err((reason, drain)) => self.intake.refuse(waiting.work.request, reason, drain),
@@ -296,7 +320,7 @@
         if self.grants.contains_key(&grant.id) {
             return;
         }
-        let waiting = self.estimate(grant.work.clone(), now);
+        let waiting = self.queued_request(grant.work.clone(), now);
         self.record_grant(grant, &waiting, now);
     }
 
