--- a/src/decide/engine_model.rs
+++ b/src/decide/engine_model.rs
@@ -1,8 +1,8 @@
-//! Speed model of an engine, as given in the manifest.
+//! The speed model of an engine, as given in the manifest.
 //!
 //! An engine works in passes. A pass that writes answers consists of `stride` token steps, and
-//! every prompt that is read in the same pass lengthens it. A long prompt therefore causes a pause
-//! in each answer that the engine is writing.
+//! every prompt that is read (prefill) in the same pass lengthens it. A long prompt therefore
+//! causes a pause in each answer that the engine is writing (decode).
 
 use std::time::Duration;
 
@@ -20,18 +20,19 @@
     pub stride: u32,
     /// Base time of a step, in ms.
     pub step_ms: f64,
-    /// Time that each answer being written adds to a step, in ms.
+    /// Time that each answer that is being written adds to a step, in ms.
     pub step_per_sequence_ms: f64,
-    /// Time that each 1,000 tokens of context of the answers being written add to a step, in ms.
+    /// Time that each 1,000 tokens of context add to a step, in ms. The context is that of all
+    /// answers that are being written: their prompts and the tokens written so far.
     pub step_per_kilotoken_ms: f64,
     /// Prompt tokens read per millisecond.
     pub prefill_tokens_per_ms: f64,
-    /// Time that each million pairs of a prompt token and an earlier one add to reading, in ms.
+    /// Time that each million pairs of a prompt token and an earlier one add to the prefill, in ms.
     pub prefill_per_megapair_ms: f64,
 }
 
 impl EngineModel {
-    /// Total engine time to read a prompt, independent of the number of engines that share it.
+    /// Engine time to read a whole prompt. Several engines that read equal parts divide this time.
     pub fn prefill_time(&self, prompt: Tokens) -> Duration {
         let tokens = prompt.as_f64();
         let megapairs = tokens * tokens / 2.0 / 1e6;
@@ -47,8 +48,8 @@
         millis(step_ms * f64::from(self.stride.max(1)))
     }
 
-    /// Time to write an answer of `output` tokens on an engine that writes `writers` answers. Their
-    /// prompts and answers together have `context` tokens.
+    /// Time to write an answer of `output` tokens on an engine that writes `writers` answers, this
+    /// one included. Their prompts and answers together have `context` tokens.
     pub fn write_time(&self, output: Tokens, writers: u32, context: Tokens) -> Duration {
         let passes = output.0.div_ceil(u64::from(self.stride.max(1)));
         let passes = u32::try_from(passes).unwrap_or(u32::MAX);
--- a/src/decide/engine_priority.rs
+++ b/src/decide/engine_priority.rs
@@ -4,11 +4,11 @@
 use crate::decide::Work;
 use crate::units::Priority;
 
-/// Engine priorities per priority of the manifest, one for each length class.
+/// The number of length classes, and so of engine priorities for each priority of the manifest.
 const CLASSES: u8 = 4;
 
-/// The value of `X-Priority`, ordered by the manifest's priority and then by length class, the
-/// shortest first.
+/// The value of the header `X-Priority` for an engine; 0 is served first. Requests are ordered by
+/// the manifest's priority and then by length class, the shortest first.
 ///
 /// Engines that honour priorities then read a short prompt between two chunks of a long prefill
 /// instead of alongside all of its chunks.
--- a/src/decide/engines/boundary.rs
+++ b/src/decide/engines/boundary.rs
@@ -9,10 +9,11 @@
 /// Fraction of all engines that is always kept for long prompts.
 const LONG_ENGINES_FRACTION_MIN: f64 = 0.1;
 
-/// The number of engines, counted from the front, that are for short prompts now.
+/// The number of engines, counted from the front, that are for short prompts now. The engines after
+/// them are for long prompts.
 ///
-/// The number follows the short prompts in flight, so within the time of one answer it adapts to
-/// rising as well as falling load.
+/// The number follows the short prompts in flight, so it adapts to rising as well as falling load
+/// within the time of one answer.
 pub fn short_engine_count(model: &EngineModel, engines: &[EngineView]) -> usize {
     let count = engines.len();
     if count < 2 {
--- a/src/decide/engines/engine_counts.rs
+++ b/src/decide/engines/engine_counts.rs
@@ -15,9 +15,9 @@
 pub struct EngineCounts {
     /// All engines.
     pub engines: usize,
-    /// Engines before the boundary between short and long prompts.
+    /// Engines for short prompts, before the boundary in the order of the engines.
     pub short_side: usize,
-    /// Engines with a free slot for one more answer.
+    /// Engines with a free slot, which could write one more answer.
     pub with_place: usize,
     /// Engines that may be named as a helper of one more prompt.
     pub can_help: usize,
@@ -25,7 +25,7 @@
     pub with_memory: usize,
     /// Engines that can read the smallest part without lengthening the pauses of an answer too far.
     pub with_room: usize,
-    /// Engines counted in `with_room` that have no backlog.
+    /// Engines counted in `with_room` that have no read backlog.
     pub idle: usize,
     /// The best group that can be formed now; none if no group has the slots and the memory.
     pub best: Option<BestGroup>,
@@ -40,7 +40,7 @@
     pub forecast: Duration,
     /// Engine time of one part.
     pub part_time: Duration,
-    /// The longest read backlog among the engines.
+    /// The longest read backlog among the engines of the group.
     pub backlog: Duration,
     /// Number of answers whose pauses would become too long.
     pub stretched: u32,
--- a/src/decide/engines/engine_request.rs
+++ b/src/decide/engines/engine_request.rs
@@ -1,4 +1,4 @@
-//! A request that needs engines, with what the choice depends on.
+//! The properties of a request that the choice of its engines depends on.
 
 use std::time::Duration;
 
@@ -6,9 +6,9 @@
 use crate::decide::engines::view::PLANNED_PAUSE_FRACTION;
 use crate::units::Tokens;
 
-/// Longest reading time of a short prompt where no caller states which pause it accepts.
+/// Longest prefill time of a short prompt where no caller states which pause it accepts.
 const SHORT_PREFILL_TIME_DEFAULT: Duration = Duration::from_millis(120);
-/// Lower bound of the longest reading time of a short prompt. Where a pass of a full engine is
+/// Lower bound of the longest prefill time of a short prompt. Where a pass of a full engine is
 /// longer than the accepted pause, no prompt would be short without it, and all of them would wait
 /// for engines like long ones.
 const SHORT_PREFILL_TIME_MIN: Duration = Duration::from_millis(60);
@@ -16,48 +16,55 @@
 /// ones, so their answers are written on the engines for long prompts.
 const LONG_MEMORY_FRACTION: f64 = 0.25;
 
-/// The class of a prompt, which determines the engines that read and answer it.
+/// The class of a prompt by its prefill time and memory, which determines the engines that read and
+/// answer it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PromptClass {
-    /// Read by one or two engines for short prompts, and answered there.
+    /// The prompt can be read on a full engine without exceeding the shortest accepted pause. It is
+    /// read by one or two engines for short prompts, and answered by one of them.
     Short,
-    /// Read by several engines, and answered by an engine for short prompts.
+    /// The prompt takes longer to read, but not much memory. It is read by several engines, and
+    /// answered by an engine for short prompts.
     Medium,
-    /// Read and answered by the engines for long prompts.
+    /// The prompt needs a large fraction of an engine's memory. It is read and answered by the
+    /// engines for long prompts.
     Long,
 }
 
-/// A request that needs engines.
+/// The properties of a request that the choice of its engines depends on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineRequest {
-    /// Length of the prompt.
+    /// Length of the prompt, in tokens.
     pub prompt: Tokens,
-    /// Length of the longest answer.
+    /// Length of the longest answer that the caller allows, in tokens.
     pub output: Tokens,
-    /// Whether the choice is among the engines of all failure domains, so that the hosts that
-    /// choose know of each other's work late.
+    /// Whether the choice is among the engines of several failure domains, whose hosts learn late
+    /// of each other's requests. Callers of the choice set false; the choice itself sets it as
+    /// needed.
     pub spans_domains: bool,
-    /// Remaining time in which the first event is on time.
+    /// Remaining time until the first event is due; zero once it is late.
     pub objective_left: Duration,
-    /// How much longer the caller waits for a first event.
+    /// Remaining time until the caller stops waiting for a first event.
     pub patience_left: Duration,
     /// Remaining time until the deadline of the whole answer.
     pub time_left: Duration,
     /// The shortest pause between two events that any caller of the service accepts; none if no
     /// caller states one.
     pub strictest_pause: Option<Duration>,
-    /// Greatest age of what this host knows of the work of other hosts in its failure domain.
+    /// Greatest age of what this host knows of the load of other hosts in its failure domain.
     pub local_load_age_max: Duration,
-    /// Greatest age of what this host knows of the work of hosts in other domains.
+    /// Greatest age of what this host knows of the load of hosts in other domains.
     pub remote_load_age_max: Duration,
     /// Random number of this choice, uniform over all `u32`, that decides between engines that are
-    /// about equally good. Hosts know of each other's work with a delay; if all of them chose the
-    /// very best engine, that engine would get the work of all hosts.
+    /// about equally good. Hosts learn of each other's requests with a delay; if all of them chose
+    /// the very best engine, that engine would get the requests of all hosts.
     pub shuffle_seed: u32,
 }
 
 impl EngineRequest {
-    /// The class of the prompt on engines of `model`.
+    /// The class of the prompt on engines of `model`. A prompt is short if its prefill time fits
+    /// into the strictest pause, and otherwise medium or long by its memory. Cached prefixes do not
+    /// count.
     pub fn class(&self, model: &EngineModel) -> PromptClass {
         if model.prefill_time(self.prompt) <= self.short_prefill_time(model) {
             PromptClass::Short
@@ -68,7 +75,7 @@
         }
     }
 
-    /// The longest reading time of a short prompt. A prompt that takes this long can be read on a
+    /// The longest prefill time of a short prompt. A prompt that takes this long can be read on a
     /// full engine without exceeding the shortest accepted pause.
     fn short_prefill_time(&self, model: &EngineModel) -> Duration {
         let full_pass = model.pass_time(model.slots, Tokens::ZERO);
@@ -81,8 +88,8 @@
             })
     }
 
-    /// Sort key of the engine at index `engine` among equally good ones; it differs for each
-    /// choice.
+    /// Sort key that puts equally good engines into a random order, different for each choice.
+    /// `engine` is the index of the engine among them.
     pub(super) fn shuffle_key(&self, engine: usize) -> u32 {
         let index = u32::try_from(engine).unwrap_or(u32::MAX);
         // Multiplication by an odd number permutes all u32, so the resulting order is uniform.
@@ -106,7 +113,7 @@
         f64::from(short_in_flight) * self.local_load_age_max.as_secs_f64() / answer_time
     }
 
-    /// Memory for the prompt and the longest answer.
+    /// Memory for the prompt and the longest answer, in tokens.
     pub fn memory_needed(&self) -> Tokens {
         self.prompt + self.output
     }
--- a/src/decide/engines/group.rs
+++ b/src/decide/engines/group.rs
@@ -16,8 +16,9 @@
 /// Cost of making a prompt late that a helper is already reading, expressed as read backlog. The
 /// value is the time of a part of medium length.
 const LATENESS_COST: Duration = Duration::from_millis(200);
-/// Helpers are ordered by their cost in steps of this size; costs in the same step count as equal.
-const HELPER_COST_STEP: Duration = Duration::from_millis(20);
+/// Resolution of the cost by which helpers are ordered. Costs that are equal after rounding down to
+/// multiples of it count as equal.
+const HELPER_COST_RESOLUTION: Duration = Duration::from_millis(20);
 /// Cost of making the pauses of one answer too long, expressed as time to the first event.
 ///
 /// The cost only serves to compare groups, since no prompt is sent to a group that makes a pause
@@ -27,16 +28,18 @@
 /// A group of engines that could read a prompt together.
 pub(super) struct Group<'a> {
     pub(super) leader: &'a EngineView,
-    /// The engines that read a part, without the leader.
+    /// The engines that read a part, without the leader, which reads one as well.
     pub(super) helpers: Vec<&'a EngineView>,
     pub(super) reservations: Vec<MemoryReservation>,
+    /// Engine time of one part.
     pub(super) part_time: Duration,
+    /// Expected time until the first event.
     pub(super) forecast: Duration,
-    /// The longest read backlog among the engines.
+    /// The longest read backlog among the engines of the group.
     pub(super) backlog: Duration,
     /// Number of answers whose pauses would become too long.
     pub(super) stretched: u32,
-    /// Whether the group would make prompts late that are already being read.
+    /// Whether the group would make another prompt late that a helper is already reading.
     pub(super) makes_late: bool,
 }
 
@@ -53,7 +56,7 @@
         self.forecast + LONG_PAUSE_COST * self.stretched
     }
 
-    /// The figures of the group, for logs.
+    /// The summary of the group, for logs.
     pub(super) fn summary(&self) -> BestGroup {
         BestGroup {
             engines: self.helpers.len() + 1,
@@ -78,15 +81,16 @@
     request: &EngineRequest,
 ) -> Option<Group<'a>> {
     let prefill_time = model.prefill_time(request.prompt);
-    let most = parts_wanted(prefill_time, readers.len() + 1);
-    (1..=most)
-        .filter_map(|parts| group_of(model, leaders, readers, request, parts))
+    let parts_max = parts_wanted(prefill_time, readers.len() + 1);
+    (1..=parts_max)
+        .filter_map(|parts| best_group_of_size(model, leaders, readers, request, parts))
         .min_by_key(Group::cost)
 }
 
-/// The best group of `parts` engines: helpers with the least backlog, where each answer that would
-/// be disturbed and each prompt that would be late adds to the backlog.
-fn group_of<'a>(
+/// The best group of `parts` engines; `None` if too few engines qualify. The helpers are those with
+/// the least backlog, where each answer whose pauses would become too long and each prompt that
+/// would be late adds to the backlog. Helpers that reserve memory take precedence.
+fn best_group_of_size<'a>(
     model: &EngineModel,
     leaders: &'a [EngineView],
     readers: &'a [EngineView],
@@ -106,7 +110,7 @@
             + LATENESS_COST * makes_late;
         (
             is_last,
-            cost.as_millis() / HELPER_COST_STEP.as_millis(),
+            cost.as_millis() / HELPER_COST_RESOLUTION.as_millis(),
             request.shuffle_key(*index),
         )
     });
@@ -122,18 +126,18 @@
     // Engines that reserve memory come first. The sort is stable, so the order is kept otherwise.
     others.sort_by_key(|engine| !is_reserved(engine));
     others.truncate(parts - 1);
-    let all = || others.iter().copied().chain([leader]);
-    let helped = others
+    let members = || others.iter().copied().chain([leader]);
+    let helper_forecasts = others
         .iter()
         .map(|engine| engine.time_to_read_as_helper(model, part_time));
-    let forecasts = helped.chain([leader.time_to_first_event(model, part_time)]);
-    let backlogs = all().map(EngineView::backlog);
+    let forecasts = helper_forecasts.chain([leader.time_to_first_event(model, part_time)]);
+    let backlogs = members().map(EngineView::backlog);
     Some(Group {
         leader,
         part_time,
         forecast: forecasts.max().unwrap_or_default(),
         backlog: backlogs.max().unwrap_or_default(),
-        stretched: all()
+        stretched: members()
             .map(|engine| answers_with_long_pauses(model, engine, part_time))
             .sum(),
         makes_late: others
--- a/src/decide/engines/leader.rs
+++ b/src/decide/engines/leader.rs
@@ -9,7 +9,7 @@
 use crate::decide::engines::memory_reservation::reservation_share;
 use crate::decide::engines::parts::accepts_part;
 
-/// Chooses the leader among the `engines` with a free slot; none if no engine qualifies.
+/// Chooses the leader among the `engines` with a free slot; `None` if no engine qualifies.
 ///
 /// For a long prompt the leader is the first engine that has the memory for its share and accepts
 /// its part, so that the answers to long prompts gather on few engines. A choice that spans domains
@@ -29,7 +29,7 @@
         let with_memory = || with_slot().filter(|engine| engine.free_tokens(model) >= share);
         let accepts_part = |engine: &&EngineView| accepts_part(model, engine, part_time, request);
         let first = if request.spans_domains {
-            first_shuffled(with_memory().filter(accepts_part), request)
+            pick_random(with_memory().filter(accepts_part), request)
         } else {
             with_memory().find(accepts_part)
         };
@@ -48,7 +48,7 @@
 
 /// One of `engines` at random. If hosts that learn of each other's work late all took the first
 /// engine, they would reserve the same memory, and all but one would be refused.
-fn first_shuffled<'a>(
+fn pick_random<'a>(
     engines: impl Iterator<Item = &'a EngineView>,
     request: &EngineRequest,
 ) -> Option<&'a EngineView> {
--- a/src/decide/engines/locality.rs
+++ b/src/decide/engines/locality.rs
@@ -13,16 +13,18 @@
 use crate::decide::engines::EnginePlan;
 use crate::decide::engines::EngineRequest;
 use crate::decide::engines::EngineView;
-use crate::decide::engines::choose_among;
+use crate::decide::engines::choose_from;
 use crate::decide::engines::parts::needs_idle_engines;
 
 /// The fewest near engines to choose among. A long prompt is read by up to sixteen engines.
 const NEAR_ENGINES_MIN: usize = 12;
-/// How much sooner the first event must be on a far engine for the host to choose it: the time to
-/// read three short prompts, which hosts of other domains may have sent there in the meantime.
-const FAR_GAIN_MIN: Duration = Duration::from_millis(60);
+/// How much sooner the first event must be on a far engine for the host to choose it. The value is
+/// the time to read three short prompts, which hosts of other domains may have sent there in the
+/// meantime.
+const FAR_ADVANTAGE_MIN: Duration = Duration::from_millis(60);
 
-/// A prompt that waits for near engines tries all engines at one choice in this many.
+/// A prompt that waits for near engines considers all engines in one of this many choices, which
+/// hosts repeat while the prompt waits.
 ///
 /// If every waiting prompt goes to the same far engines at once, one in three is late under a load
 /// that alternates between long and short prompts. If none does, a quarter of the callers are late
@@ -36,25 +38,25 @@
     engines: &[EngineView],
     request: &EngineRequest,
 ) -> EngineChoice {
-    let far_request = spanning_domains(request);
+    let far_request = request_across_domains(request);
     if !far_request.spans_domains {
-        return choose_among(model, engines, &far_request);
+        return choose_from(model, engines, &far_request);
     }
     let near = near_engines(engines);
     if near.len() < NEAR_ENGINES_MIN || near.len() == engines.len() {
-        return choose_among(model, engines, &far_request);
+        return choose_from(model, engines, &far_request);
     }
-    let near = choose_among(model, &near, request);
+    let near = choose_from(model, &near, request);
     // A domain seldom has as many idle engines as one of the longest prompts needs. When late ones
     // waited for near engines, two thirds of the longest tenth were refused at their deadline.
     // Those that can still be on time do wait: sent anywhere at once, they would take the engines
     // of other long prompts.
-    let tries_all_engines = needs_idle_engines(model, request)
+    let may_use_all_engines = needs_idle_engines(model, request)
         || request.shuffle_seed.is_multiple_of(FAR_CHOICE_INTERVAL);
-    if matches!(near, EngineChoice::Wait(_)) && !tries_all_engines {
+    if matches!(near, EngineChoice::Wait(_)) && !may_use_all_engines {
         return near;
     }
-    match (near, choose_among(model, engines, &far_request)) {
+    match (near, choose_from(model, engines, &far_request)) {
         (EngineChoice::Send(near), EngineChoice::Send(any)) => {
             EngineChoice::Send(better_plan(model, engines, near, any))
         }
@@ -65,7 +67,7 @@
     }
 }
 
-/// Counts the near engines, and all engines.
+/// Counts the near engines and then all engines by what they could do for the request.
 pub(super) fn count_engines(
     model: &EngineModel,
     engines: &[EngineView],
@@ -74,16 +76,18 @@
     let near = EngineCounts::of(model, &near_engines(engines), request);
     (
         near,
-        EngineCounts::of(model, engines, &spanning_domains(request)),
+        EngineCounts::of(model, engines, &request_across_domains(request)),
     )
 }
 
+/// Copies of the engines in the host's own failure domain.
 fn near_engines(engines: &[EngineView]) -> Vec<EngineView> {
     engines.iter().filter(|e| e.is_near).cloned().collect()
 }
 
-/// The same request, for a choice among the engines of all domains.
-fn spanning_domains(request: &EngineRequest) -> EngineRequest {
+/// The same request, for a choice among the engines of all domains. The choice spans domains only
+/// if reports from other domains are older than those from the own domain.
+fn request_across_domains(request: &EngineRequest) -> EngineRequest {
     EngineRequest {
         local_load_age_max: request.remote_load_age_max,
         spans_domains: request.local_load_age_max < request.remote_load_age_max,
@@ -91,6 +95,8 @@
     }
 }
 
+/// The plan for near engines, unless the plan for any engines is clearly sooner or is the only one
+/// that makes no pauses too long.
 fn better_plan(
     model: &EngineModel,
     engines: &[EngineView],
@@ -101,7 +107,7 @@
         let leader = engines.iter().find(|engine| engine.id == plan.leader);
         leader.is_some_and(|leader| !leader.fits_part(model, plan.part_time))
     };
-    let is_sooner = any.forecast + FAR_GAIN_MIN < near.forecast;
+    let is_sooner = any.forecast + FAR_ADVANTAGE_MIN < near.forecast;
     if is_sooner || (lengthens_pauses(&near) && !lengthens_pauses(&any)) {
         any
     } else {
--- a/src/decide/engines/long.rs
+++ b/src/decide/engines/long.rs
@@ -1,9 +1,10 @@
 //! Choice of engines for a medium or long prompt, which several engines read together.
 //!
-//! Of the engines for long prompts, the last few write the answers and the others only help. An
-//! engine that only helps writes no answers whose pauses could become too long. Engines also read
-//! the parts that they help with before their own prompts: a leader that helped as well would delay
-//! its own prompt as long as others arrive, although all other parts of that prompt have been read.
+//! Of the engines for long prompts, the last few lead: they write the answers. The others only
+//! help: they read parts of prompts. An engine that only helps writes no answers whose pauses could
+//! become too long. Engines also read the parts that they help with before their own prompts: a
+//! leader that helped as well would delay its own prompt as long as others arrive, although all
+//! other parts of that prompt have been read.
 
 use std::time::Duration;
 
@@ -27,10 +28,11 @@
 /// Fraction of the engines for long prompts that write the answers. These engines read parts only
 /// of the prompts that they answer.
 const LEADER_FRACTION: f64 = 0.12;
-/// A prompt goes on waiting only while the time left beyond its forecast exceeds this fraction of
-/// the time in which it may wait. Forecasts are too short by up to a tenth of a second per second
-/// of backlog. Of prompts that were sent with no time left, a quarter were late by some hundred ms
-/// and kept engines from other prompts.
+/// A prompt that can be on time goes on waiting for idle engines only while the slack, the time
+/// left beyond its forecast, exceeds this fraction of the time that it could wait for idle engines.
+/// Forecasts are too short by up to a tenth of a second per second of backlog. Of prompts that were
+/// sent with no time left, a quarter were late by some hundred ms and kept engines from other
+/// prompts.
 const SLACK_FRACTION: f64 = 0.25;
 
 /// Sends the prompt to the best group, keeps it waiting, or refuses it.
@@ -46,7 +48,8 @@
     }
 }
 
-/// The best group out of the first set of engines that has one.
+/// The best group out of the first set of candidates that has one; `None` if no set has the slots
+/// and the memory.
 ///
 /// A prompt that needs idle engines tries the other sets as well until a group is idle: few engines
 /// write the answers to long prompts, and each of them usually is writing one. If no group is idle,
@@ -59,15 +62,16 @@
 ) -> Option<Group<'a>> {
     let (short_side, long_side) = match engines.split_at(short_engines) {
         (short_side, []) => (short_side, engines),
-        sides => sides,
+        candidates => candidates,
     };
     let (helpers, long_leaders) = split_long_side(long_side);
     let needs_idle = needs_idle_engines(model, request);
+    // Pairs of the engines that may lead and the engines that may help, in the order of preference.
     // Parts of a medium prompt are small enough for the engines for short prompts, where they do
     // not wait behind long ones.
-    let sides = match request.class(model) {
-        // Each domain has a boundary of its own, so far engines anywhere in the order may write
-        // short answers.
+    let candidates = match request.class(model) {
+        // Each domain has a boundary of its own, so engines of other domains may write short
+        // answers wherever they are in the order.
         PromptClass::Long if request.spans_domains && needs_idle => vec![(engines, engines)],
         PromptClass::Long => vec![
             (long_leaders, helpers),
@@ -77,7 +81,7 @@
         _ => vec![(short_side, engines), (engines, engines)],
     };
     let mut best: Option<Group<'a>> = None;
-    for (leaders, readers) in sides {
+    for (leaders, readers) in candidates {
         let Some(group) = cheapest_group(model, leaders, readers, request) else {
             continue;
         };
@@ -104,6 +108,10 @@
 }
 
 /// Sends the prompt to the group `best`, lets it wait behind more urgent prompts, or refuses it.
+///
+/// The prompt is sent at once if the group is idle and makes no other prompt late. It waits for
+/// that while it has slack, and is then sent if it can still be on time without long pauses in
+/// answers.
 fn send_wait_or_refuse(
     model: &EngineModel,
     engines: &[EngineView],
@@ -115,31 +123,31 @@
         return refuse_or_wait(model, engines, request);
     }
     if needs_idle_engines(model, request) {
-        return decide_late(best, request);
+        return choose_for_late_prompt(best, request);
     }
     if best.is_idle(BACKLOG_MAX) && !best.makes_late {
         return EngineChoice::Send(plan_of(best));
     }
-    let waits_for = best.backlog.saturating_sub(BACKLOG_MAX);
-    let time_to_wait = request.objective_left.saturating_sub(best.part_time);
+    let time_until_idle = best.backlog.saturating_sub(BACKLOG_MAX);
+    let wait_limit = request.objective_left.saturating_sub(best.part_time);
     let slack = request.objective_left.saturating_sub(best.forecast);
-    if slack > time_to_wait.mul_f64(SLACK_FRACTION) {
-        return EngineChoice::wait(waits_for);
+    if slack > wait_limit.mul_f64(SLACK_FRACTION) {
+        return EngineChoice::wait(time_until_idle);
     }
     if best.stretched == 0 && best.forecast <= request.objective_left.mul_f64(IN_TIME_FRACTION) {
         return EngineChoice::Send(plan_of(best));
     }
-    decide_late(best, request)
+    choose_for_late_prompt(best, request)
 }
 
-/// Lets a prompt that can no longer be on time wait until engines have almost no backlog, behind
-/// all prompts that can still be on time.
+/// Decides on a prompt that can no longer be on time. The prompt waits until engines have almost no
+/// backlog, behind all prompts that can still be on time.
 ///
 /// When engines got more long prompts for some seconds than they could read, refused prompts came
 /// back as new ones and were refused again, the longest first. Half of the longest tenth were never
 /// served, although most callers wait long enough for engines to become free. A prompt that cannot
 /// be read before its caller leaves is refused at once.
-fn decide_late(best: Group<'_>, request: &EngineRequest) -> EngineChoice {
+fn choose_for_late_prompt(best: Group<'_>, request: &EngineRequest) -> EngineChoice {
     if best.forecast > request.patience_left {
         return EngineChoice::refuse(RefuseReason::QueueFull, best.backlog);
     }
@@ -149,8 +157,8 @@
     EngineChoice::wait(best.backlog.saturating_sub(LATE_BACKLOG_MAX))
 }
 
-/// Handles a prompt that no group can serve now. The prompt waits as long as a group of the largest
-/// size could serve it in time if its engines were idle, and is refused otherwise.
+/// Decides on a prompt that no group can serve now. The prompt waits as long as a group of the
+/// largest size could serve it in time if its engines were idle, and is refused otherwise.
 fn refuse_or_wait(
     model: &EngineModel,
     engines: &[EngineView],
@@ -168,6 +176,7 @@
     EngineChoice::wait(Duration::MAX)
 }
 
+/// The plan that sends the prompt to the group.
 fn plan_of(group: Group<'_>) -> EnginePlan {
     EnginePlan {
         leader: group.leader.id.clone(),
--- a/src/decide/engines/memory_reservation.rs
+++ b/src/decide/engines/memory_reservation.rs
@@ -1,4 +1,4 @@
-//! Memory reservations of a long prompt.
+//! Planning of the memory reservations for a long prompt.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 ///
 /// If the leader alone held the prompt, the few leaders would run out of memory with two prompts
 /// each. Every further engine is one more whose failure ends the answer, and costs three more
-/// orders to engines.
+/// requests to engines.
 const RESERVING_ENGINES: u64 = 3;
 
 /// Memory that one engine reserves for a prompt.
@@ -27,8 +27,10 @@
     pub tokens: Tokens,
 }
 
-/// Plans the reservations of a long prompt: a share at the leader and the rest at helpers. Returns
-/// none if the engines do not have enough memory together.
+/// Plans the reservations for a long prompt: a share at the leader and the rest at helpers. Prompts
+/// of other classes get an empty list. `None` if the engines do not have enough memory together.
+///
+/// If shares of equal size do not suffice, each engine reserves as much as it has free.
 ///
 /// Engines grant reservations themselves. Otherwise two hosts that choose the same engine at the
 /// same moment could send it more than it can hold, and the later prompt would wait inside the
@@ -44,23 +46,23 @@
     if request.class(model) != PromptClass::Long {
         return Some(Vec::new());
     }
-    let mut by_room: Vec<&EngineView> = others.to_vec();
-    by_room.sort_by_key(|engine| {
+    let mut by_preference: Vec<&EngineView> = others.to_vec();
+    by_preference.sort_by_key(|engine| {
         let accepts_part = accepts_part(model, engine, part_time, request);
         (!accepts_part, engine.load.held_tokens)
     });
-    reserve_up_to(
+    split_memory(
         model,
         leader,
-        &by_room,
+        &by_preference,
         request.memory_needed(),
         reservation_share(request),
     )
     .or_else(|| {
-        reserve_up_to(
+        split_memory(
             model,
             leader,
-            &by_room,
+            &by_preference,
             request.memory_needed(),
             request.memory_needed(),
         )
@@ -72,21 +74,21 @@
     Tokens(request.memory_needed().0.div_ceil(RESERVING_ENGINES))
 }
 
-/// Reserves at most `each` per engine, starting with the leader, until `needed` is covered. Returns
-/// none if it cannot be.
-fn reserve_up_to(
+/// Splits `needed` into reservations of at most `max_per_engine`, the leader's first. `None` if the
+/// engines do not have that much memory together.
+fn split_memory(
     model: &EngineModel,
     leader: &EngineView,
     others: &[&EngineView],
     needed: Tokens,
-    each: Tokens,
+    max_per_engine: Tokens,
 ) -> Option<Vec<MemoryReservation>> {
     let mut missing = needed;
     let mut reservations = Vec::new();
     let engines = [leader].into_iter().chain(others.iter().copied());
     for engine in engines.take(GROUP_SIZE_MAX) {
         let free = engine.free_tokens(model);
-        let tokens = missing.min(free).min(each);
+        let tokens = missing.min(free).min(max_per_engine);
         if tokens == Tokens::ZERO {
             break;
         }
--- a/src/decide/engines/mod.rs
+++ b/src/decide/engines/mod.rs
@@ -33,10 +33,11 @@
 use crate::decide::EngineModel;
 use crate::decide::RefuseReason;
 
-/// Chooses the engines for a request, or decides that the request waits or is refused.
+/// Chooses the engines for a request, or decides that the request waits or is refused. Changes no
+/// state: the caller reserves, sends and records.
 ///
 /// `engines` holds the engines that may get work. The order must be the same on every host, because
-/// the boundary between short and long prompts is an index into it.
+/// the boundary between engines for short and for long prompts is an index into it.
 pub fn choose_engines(
     model: &EngineModel,
     engines: &[EngineView],
@@ -48,8 +49,8 @@
     locality::choose(model, engines, request)
 }
 
-/// Counts the engines that a choice would be made from now: first those in the host's own failure
-/// domain, then all.
+/// Counts, for logs, the engines that a choice would be made from now. The first result counts
+/// those in the host's own failure domain, the second all.
 pub fn count_engines(
     model: &EngineModel,
     engines: &[EngineView],
@@ -58,7 +59,8 @@
     locality::count_engines(model, engines, request)
 }
 
-fn choose_among(
+/// Chooses among exactly these engines, without regard to failure domains.
+fn choose_from(
     model: &EngineModel,
     engines: &[EngineView],
     request: &EngineRequest,
--- a/src/decide/engines/parts.rs
+++ b/src/decide/engines/parts.rs
@@ -1,4 +1,5 @@
-//! Division of a prompt into parts, and the check whether an engine can take a part now.
+//! The number and size of the parts of a prompt, and the check whether an engine can take a part
+//! now.
 
 use std::time::Duration;
 
@@ -40,7 +41,8 @@
     model.prefill_time(request.prompt) / parts
 }
 
-/// The largest read backlog that an engine may have to get a part of `part_time`.
+/// The largest read backlog that an engine may have and still get a part of `part_time`: that for
+/// late prompts if the request could not be on time even without a backlog.
 fn backlog_max(request: &EngineRequest, part_time: Duration) -> Duration {
     let is_late = request.objective_left.mul_f64(IN_TIME_FRACTION) < part_time;
     if is_late {
@@ -50,8 +52,9 @@
     }
 }
 
-/// Whether an engine can take a part of `part_time` now: no pause becomes too long, and the backlog
-/// is small. Groups are judged by the same two conditions, so their engines are chosen by them.
+/// Whether an engine can take a part of `part_time` now: no pause becomes too long, and the read
+/// backlog is small. Whether a prompt is sent to a group depends on the same two conditions, so its
+/// engines are chosen by them.
 pub(super) fn accepts_part(
     model: &EngineModel,
     engine: &EngineView,
@@ -61,7 +64,8 @@
     engine.fits_part(model, part_time) && engine.backlog() <= backlog_max(request, part_time)
 }
 
-/// The number of engines, out of `available`, that should read a prompt together.
+/// The number of engines, out of `available`, that should read a prompt of this total prefill time
+/// together; at least 1.
 pub(super) fn parts_wanted(prefill_time: Duration, available: usize) -> usize {
     let wanted = ceil(prefill_time.as_secs_f64() / PART_TIME_TARGET.as_secs_f64());
     wanted.clamp(1, available.clamp(1, GROUP_SIZE_MAX))
--- a/src/decide/engines/plan.rs
+++ b/src/decide/engines/plan.rs
@@ -15,15 +15,15 @@
 
 /// The shortest wait before a choice is repeated. Shorter waits cost more wake-ups than they gain.
 const WAIT_MIN: Duration = Duration::from_millis(15);
-/// The longest wait before a choice is repeated, since the work of other hosts changes meanwhile.
+/// The longest wait before a choice is repeated, since the load of other hosts changes meanwhile.
 const WAIT_MAX: Duration = Duration::from_millis(120);
 /// The shortest time after which a caller is asked to retry.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(500);
 
-/// The engines for one request and their tasks.
+/// The engines for one request, with what each of them does.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EnginePlan {
-    /// The engine that gets the request and writes the answer.
+    /// The engine that gets the request, reads the first part of the prompt and writes the answer.
     pub leader: UpstreamId,
     /// The engines that read the other parts of the prompt.
     pub helpers: Vec<UpstreamId>,
@@ -36,11 +36,11 @@
 }
 
 impl EnginePlan {
-    /// The reservation at `engine`; none if that engine reserves no memory.
+    /// The reservation at `engine`; `None` if that engine reserves no memory.
     pub fn reservation(&self, engine: &UpstreamId) -> Option<&MemoryReservation> {
         self.reservations
             .iter()
-            .find(|reserve| reserve.engine == *engine)
+            .find(|reservation| reservation.engine == *engine)
     }
 
     /// The load that the request adds to each engine, the leader's first. `pause` is the longest
@@ -52,32 +52,35 @@
         pause: Option<Duration>,
         now: Instant,
     ) -> Vec<(UpstreamId, RequestLoad)> {
-        let held = |engine| self.reservation(engine).map(|reserve| reserve.tokens);
+        let reserved = |engine| {
+            self.reservation(engine)
+                .map(|reservation| reservation.tokens)
+        };
         let leader = RequestLoad {
             takes_slot: true,
             is_short: request.class(model) == PromptClass::Short,
             pause,
             prefill_time: self.part_time,
-            held_tokens: held(&self.leader).unwrap_or_else(|| request.memory_needed()),
+            held_tokens: reserved(&self.leader).unwrap_or_else(|| request.memory_needed()),
             helper_release: None,
             prefill_due: (request.class(model) != PromptClass::Short)
                 .then(|| now + request.objective_left),
         };
         let helpers = self.helpers.iter().map(|id| {
-            let share = RequestLoad {
+            let load = RequestLoad {
                 takes_slot: false,
-                held_tokens: held(id).unwrap_or(Tokens::ZERO),
-                helper_release: Some(match held(id) {
+                held_tokens: reserved(id).unwrap_or(Tokens::ZERO),
+                helper_release: Some(match reserved(id) {
                     Some(_) => HelperRelease::AnswerEnded,
                     None => HelperRelease::PromptRead,
                 }),
                 ..leader
             };
-            (id.clone(), share)
+            (id.clone(), load)
         });
-        let mut shares = vec![(self.leader.clone(), leader)];
-        shares.extend(helpers);
-        shares
+        let mut loads = vec![(self.leader.clone(), leader)];
+        loads.extend(helpers);
+        loads
     }
 }
 
@@ -88,7 +91,7 @@
     Send(EnginePlan),
     /// Repeat the choice after this time.
     Wait(Duration),
-    /// Refuse the request, which has not run.
+    /// Refuse the request, which has not been sent to any engine.
     Refuse {
         /// The reason for the refusal.
         reason: RefuseReason,
@@ -98,10 +101,13 @@
 }
 
 impl EngineChoice {
+    /// Waits for `wanted`, limited to the range from [`WAIT_MIN`] to [`WAIT_MAX`].
     pub(super) fn wait(wanted: Duration) -> Self {
         Self::Wait(wanted.clamp(WAIT_MIN, WAIT_MAX))
     }
 
+    /// Refuses the request. The caller retries after `retry_after`, but at the earliest after
+    /// [`RETRY_AFTER_MIN`].
     pub(super) fn refuse(reason: RefuseReason, retry_after: Duration) -> Self {
         Self::Refuse {
             reason,
@@ -109,6 +115,7 @@
         }
     }
 
+    /// Refuses the request. The caller retries after [`RETRY_AFTER_MIN`].
     pub(super) fn refuse_soon(reason: RefuseReason) -> Self {
         Self::refuse(reason, RETRY_AFTER_MIN)
     }
--- a/src/decide/engines/short.rs
+++ b/src/decide/engines/short.rs
@@ -12,9 +12,9 @@
 use crate::decide::engines::parts::parts_wanted;
 use crate::units::UpstreamId;
 
-/// Times to the first event that differ by less than this count as equal. The value is the time to
+/// Times to the first event that differ by at most this count as equal. The value is the time to
 /// read two short prompts, which other hosts may already have sent.
-const EQUAL_FIRST_EVENTS: Duration = Duration::from_millis(40);
+const FIRST_EVENT_TOLERANCE: Duration = Duration::from_millis(40);
 
 /// Number of engines that are picked at random, of which the one with the fewest requests in flight
 /// is chosen. A single pick fills some engines beyond their slots while others have free ones; the
@@ -29,8 +29,10 @@
 /// of them until the longest of these answers ends.
 const FILL_FRACTION: f64 = 0.9;
 
-/// Chooses the engine with the earliest first event among those for short prompts. If that engine
-/// would be late or make pauses too long, all engines are candidates.
+/// Chooses an engine with about the earliest first event among those for short prompts, and helpers
+/// if the prompt is to be read in several parts. If the engine would be late or make pauses too
+/// long, all engines are candidates. If no engine has a slot and memory free, the request waits or
+/// is refused.
 pub(super) fn choose(
     model: &EngineModel,
     engines: &[EngineView],
@@ -50,7 +52,7 @@
         _ => best_engine(model, engines, part_time, request),
     };
     let Some(leader) = leader else {
-        return wait_for_slot(model, engines, request);
+        return wait_or_refuse(model, engines, request);
     };
     let helpers = choose_helpers(model, short_side, &leader.id, part_time, parts - 1);
     let parts = u32::try_from(helpers.len() + 1).unwrap_or(1);
@@ -64,6 +66,9 @@
     })
 }
 
+/// One of the engines with a free slot, enough memory and about the earliest first event,
+/// preferably one whose pauses do not become too long; `None` if no engine has a slot and the
+/// memory.
 fn best_engine<'a>(
     model: &EngineModel,
     engines: &'a [EngineView],
@@ -73,7 +78,7 @@
     let candidates = engines.iter().filter(|engine| {
         engine.has_free_slot(model) && engine.free_tokens(model) >= request.memory_needed()
     });
-    let rank = |engine: &EngineView| {
+    let sort_key = |engine: &EngineView| {
         let lengthens_pauses = !engine.fits_part(model, part_time);
         (
             lengthens_pauses,
@@ -81,10 +86,10 @@
         )
     };
     let candidates: Vec<&EngineView> = candidates.collect();
-    let (lengthens_pauses, soonest) = candidates.iter().map(|engine| rank(engine)).min()?;
+    let (lengthens_pauses, soonest) = candidates.iter().map(|engine| sort_key(engine)).min()?;
     let is_about_equal = |engine: &&EngineView| {
-        let (own_lengthens, first_event) = rank(engine);
-        own_lengthens == lengthens_pauses && first_event <= soonest + EQUAL_FIRST_EVENTS
+        let (own_lengthens, first_event) = sort_key(engine);
+        own_lengthens == lengthens_pauses && first_event <= soonest + FIRST_EVENT_TOLERANCE
     };
     let about_equal: Vec<&EngineView> = candidates.into_iter().filter(is_about_equal).collect();
     let to_fill = engines_to_fill(model, &about_equal, request);
@@ -97,11 +102,12 @@
     compared.min_by_key(|engine| engine.load.in_flight)
 }
 
-/// The first engines that are not yet filled; all engines if all are filled.
+/// The first engines that are not filled up to [`FILL_FRACTION`] yet; all engines if all are
+/// filled.
 ///
 /// The hosts of a large fleet learn of each other's requests late and would all fill the same
-/// engine beyond its slots. So the more requests may not be reported yet, the more engines are
-/// returned.
+/// engine beyond its slots. So the more requests are probably in flight that no report includes
+/// yet, the more engines are returned.
 fn engines_to_fill<'a>(
     model: &EngineModel,
     engines: &[&'a EngineView],
@@ -115,13 +121,14 @@
     }
     let in_flight = engines.iter().map(|e| e.load.short_in_flight).sum();
     let kept_free = (slots * (1.0 - FILL_FRACTION)).max(1.0);
-    let further = ceil(request.unreported_short_prompts(model, in_flight) / kept_free);
-    open.into_iter().take(1 + further).collect()
+    let additional = ceil(request.unreported_short_prompts(model, in_flight) / kept_free);
+    open.into_iter().take(1 + additional).collect()
 }
 
-/// Handles a request when all slots are taken. The request waits for a slot while it is on time and
-/// has the time for its answer; otherwise the caller is asked to retry.
-fn wait_for_slot(
+/// Decides on a request for which no engine has a slot and memory free. The request waits about as
+/// long as a slot takes to become free. It is refused, with a time to retry after, if its first
+/// event is already late or the time left is too short for its answer.
+fn wait_or_refuse(
     model: &EngineModel,
     engines: &[EngineView],
     request: &EngineRequest,
@@ -138,8 +145,8 @@
     EngineChoice::wait(next_free_slot)
 }
 
-/// The engines other than `leader` that read a part soonest. Engines whose answers would pause too
-/// long come last.
+/// Up to `count` engines other than `leader` that can help, those that would read a part soonest
+/// first. Engines whose answers would pause too long come last.
 fn choose_helpers(
     model: &EngineModel,
     engines: &[EngineView],
--- a/src/decide/engines/view.rs
+++ b/src/decide/engines/view.rs
@@ -1,4 +1,4 @@
-//! What a host knows about one engine when it chooses.
+//! The state of one engine as known to the host that chooses engines.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 /// Fraction of an engine's memory that is handed out. The rest covers errors in estimated answer
 /// lengths.
 const USABLE_MEMORY_FRACTION: f64 = 0.97;
-/// Fraction of an accepted pause that a host plans with. The rest is for work that other hosts send
-/// at the same moment.
+/// Fraction of an accepted pause that a host plans with. The rest is for prompts that other hosts
+/// send at the same moment.
 pub(super) const PLANNED_PAUSE_FRACTION: f64 = 0.9;
-/// Helper slots that a host leaves free for prompts that other hosts may send to an engine at the
-/// same moment; at most half of the engine's slots.
+/// Number of helper slots that a host leaves free for prompts that other hosts may send to an
+/// engine at the same moment. Engines with few slots keep only half of them free.
 const HELPER_SLOTS_KEPT_FREE: u32 = 5;
 /// Passes from a request's arrival to its first event, not counting the time to read the prompt:
 /// half of the current pass, the pass that reads the prompt, and the pass that writes the event's
@@ -28,7 +28,7 @@
 pub struct EngineView {
     /// The id of the engine.
     pub id: UpstreamId,
-    /// The work of all hosts on the engine.
+    /// The load of all hosts on the engine.
     pub load: UpstreamLoad,
     /// Whether the engine is in the failure domain of the host that chooses.
     pub is_near: bool,
@@ -54,10 +54,10 @@
         self.limit == LimitState::Unlimited && self.load.helping + kept_free < model.slots
     }
 
-    /// The memory that is not yet assigned, in tokens.
+    /// The memory that no request holds, in tokens.
     ///
-    /// The result is less than the engine has refused recently: reservations of hosts that died are
-    /// in no live host's account.
+    /// The result is below any amount that the engine has recently refused to reserve, because the
+    /// engine may hold reservations of dead hosts, which no live host reports.
     pub fn free_tokens(&self, model: &EngineModel) -> Tokens {
         let usable = model.memory_tokens.as_f64() * USABLE_MEMORY_FRACTION;
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
@@ -67,13 +67,13 @@
         refused.map_or(free, |refused| free.min(refused.saturating_sub(Tokens(1))))
     }
 
-    /// Time of a pass in which no prompt is read.
+    /// Time of a pass that writes the present answers and one more, and reads no prompt.
     pub fn pass_time(&self, model: &EngineModel) -> Duration {
         let pass_time = model.pass_time(self.load.in_flight + 1, self.load.held_tokens);
         self.slowdown.scale(pass_time)
     }
 
-    /// Time until the engine has read all prompts that wait there.
+    /// Time until the engine has read all prompts and parts that were sent there.
     pub fn backlog(&self) -> Duration {
         self.slowdown.scale(self.load.prefill_backlog)
     }
@@ -83,7 +83,7 @@
         self.slowdown.scale(part_time) <= self.prefill_headroom(model)
     }
 
-    /// Reading time that can be added to the backlog before the pauses of the engine's answers
+    /// Prefill time that can be added to the backlog before the pauses of the engine's answers
     /// become too long; unbounded if the engine writes no answers.
     ///
     /// Without this limit, a long prompt read among short ones would stall every answer on the
@@ -106,8 +106,8 @@
         prefill_time + self.pass_time(model).mul_f64(PASSES_TO_FIRST_EVENT)
     }
 
-    /// Whether a part that is read first would make a prompt late that this engine is already
-    /// reading.
+    /// Whether a part that this engine reads ahead of its backlog would make a prompt late that the
+    /// engine is already reading.
     pub fn makes_late(&self, model: &EngineModel, part_time: Duration) -> bool {
         let ready = self.backlog() + self.slowdown.scale(part_time) + self.pass_time(model);
         self.load.prefill_due.is_some_and(|due| ready > due)
