--- a/tests/site/blackhole_proxy.rs
+++ b/tests/site/blackhole_proxy.rs
@@ -1,4 +1,4 @@
-//! A way between a host and the platform that can be cut.
+//! A TCP proxy between a host and the platform that can drop all traffic.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,47 +11,49 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Passes connections on to one address. Cut, it swallows them without an answer, as a network
-/// does.
+/// Forwards connections to one address. While it is a blackhole, it accepts connections but neither
+/// responds nor closes them, as an unreachable network does.
 pub(crate) struct BlackholeProxy {
     pub(crate) addr: SocketAddr,
-    is_cut: Arc<AtomicBool>,
+    is_blackhole: Arc<AtomicBool>,
 }
 
 impl BlackholeProxy {
+    /// Starts a proxy that forwards connections to `target`.
     pub(crate) async fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
-        let is_cut = Arc::new(AtomicBool::new(false));
-        let cut = Arc::clone(&is_cut);
+        let is_blackhole = Arc::new(AtomicBool::new(false));
+        let blackhole = Arc::clone(&is_blackhole);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(pass(stream, target, Arc::clone(&cut)));
+                tokio::spawn(forward(stream, target, Arc::clone(&blackhole)));
             }
         });
-        Self { addr, is_cut }
+        Self { addr, is_blackhole }
     }
 
-    pub(crate) fn set_blackhole(&self, is_cut: bool) {
-        self.is_cut.store(is_cut, Ordering::SeqCst);
+    /// Starts or stops dropping traffic.
+    pub(crate) fn set_blackhole(&self, is_blackhole: bool) {
+        self.is_blackhole.store(is_blackhole, Ordering::SeqCst);
     }
 }
 
-async fn pass(mut near: TcpStream, target: SocketAddr, cut: Arc<AtomicBool>) {
-    let becomes_cut = async {
-        while !cut.load(Ordering::SeqCst) {
+async fn forward(mut client: TcpStream, target: SocketAddr, blackhole: Arc<AtomicBool>) {
+    let becomes_blackhole = async {
+        while !blackhole.load(Ordering::SeqCst) {
             sleep(Duration::from_millis(10)).await;
         }
     };
-    let Ok(mut far) = TcpStream::connect(target).await else {
+    let Ok(mut server) = TcpStream::connect(target).await else {
         return;
     };
     tokio::select! {
-        _ = copy_bidirectional(&mut near, &mut far) => return,
-        () = becomes_cut => {}
+        _ = copy_bidirectional(&mut client, &mut server) => return,
+        () = becomes_blackhole => {}
     }
-    drop(far);
-    while cut.load(Ordering::SeqCst) {
+    drop(server);
+    while blackhole.load(Ordering::SeqCst) {
         sleep(Duration::from_millis(50)).await;
     }
 }
--- a/tests/site/callers.rs
+++ b/tests/site/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of a test.
+//! Calls that tests send to hosts.
 
 use std::net::SocketAddr;
 
@@ -12,19 +12,25 @@
 use crate::site::call;
 use crate::site::wait_until;
 
-pub(crate) type Answered = Result<Response<Bytes>, banyanarch::http::HttpError>;
+/// Result of a call.
+pub(crate) type CallResult = Result<Response<Bytes>, banyanarch::http::HttpError>;
 
-/// Answers that take about two seconds: 4 ms a token.
+/// Length of a completion that takes about two seconds, at 4 ms per token.
 pub(crate) const LONG_ANSWER_TOKENS: u64 = 500;
 
-pub(crate) fn spawn_send(addr: SocketAddr, key: Option<&str>, body: &str) -> JoinHandle<Answered> {
+/// Sends a completion call in a task of its own.
+pub(crate) fn spawn_send(
+    addr: SocketAddr,
+    key: Option<&str>,
+    body: &str,
+) -> JoinHandle<CallResult> {
     let key = key.map(str::to_owned);
     let body = body.to_owned();
     tokio::spawn(async move { send(addr, key.as_deref(), &body).await })
 }
 
-/// Sends a completion; with a key as one that must not run twice.
-pub(crate) async fn send(addr: SocketAddr, key: Option<&str>, body: &str) -> Answered {
+/// Sends a completion call. With an idempotency key, the call must not run twice.
+pub(crate) async fn send(addr: SocketAddr, key: Option<&str>, body: &str) -> CallResult {
     match key {
         Some(key) => {
             let headers = [("Idempotency-Key", key), ("Banyanarch-Repeatable", "false")];
@@ -34,12 +40,12 @@
     }
 }
 
-/// The headers of a sending that must not run twice.
+/// Returns the headers of a call that must not run twice.
 pub(crate) fn idempotency_headers(key: &str) -> String {
     format!("Idempotency-Key: {key}\r\nBanyanarch-Repeatable: false\r\n")
 }
 
-/// Sends a completion on a connection that the caller can close at any moment.
+/// Sends a completion call on a connection that the test can close at any moment.
 pub(crate) async fn connect_and_send(addr: SocketAddr, headers: &str, body: &str) -> TcpStream {
     let mut caller = TcpStream::connect(addr).await.unwrap();
     let len = body.len();
@@ -51,6 +57,7 @@
     caller
 }
 
+/// Waits until an engine has started a run for this body.
 pub(crate) async fn wait_until_running(site: &TestSite, body: &str) {
     wait_until("a run at an engine", async || site.run_count(body) > 0).await;
 }
--- a/tests/site/host_process.rs
+++ b/tests/site/host_process.rs
@@ -1,4 +1,4 @@
-//! A host as a process of its own.
+//! A host in a process of its own.
 
 use std::fs;
 use std::fs::File;
@@ -22,7 +22,7 @@
 use crate::site::get;
 use crate::site::wait_until;
 
-/// A running `banyanarchd`. It is killed when it is dropped.
+/// A running `banyanarchd`. The process is killed when the value is dropped.
 pub(crate) struct HostProcess {
     pub(crate) name: String,
     pub(crate) domain: String,
@@ -34,12 +34,12 @@
 }
 
 impl HostProcess {
-    /// Starts a host on ports of the machine's choice, and waits until it tells which.
+    /// Starts a host on ports that the system assigns, and waits until the host logs them.
     pub(crate) async fn start(name: &str, domain: &str, platform: SocketAddr) -> Self {
         Self::start_seeded(name, domain, platform, &[]).await
     }
 
-    /// Starts a host whose settings name others.
+    /// Starts a host whose settings list `seeds`.
     pub(crate) async fn start_seeded(
         name: &str,
         domain: &str,
@@ -95,13 +95,13 @@
             .stderr(log)
             .spawn()
             .unwrap();
-        let unknown = SocketAddr::from(([0, 0, 0, 0], 0));
+        let unassigned = SocketAddr::from(([0, 0, 0, 0], 0));
         let mut host = Self {
             name: name.to_owned(),
             domain: domain.to_owned(),
-            callers_addr: unknown,
-            peers_addr: unknown,
-            status_addr: unknown,
+            callers_addr: unassigned,
+            peers_addr: unassigned,
+            status_addr: unassigned,
             child,
             dir,
         };
@@ -116,7 +116,7 @@
         host
     }
 
-    /// Enters it in the platform's list.
+    /// Registers the host at the platform.
     pub(crate) async fn register(&self, platform: SocketAddr, state: &str) {
         let spec = serde_json::json!({
             "role": "entry",
@@ -129,9 +129,9 @@
             .unwrap();
     }
 
-    /// Waits until the balancer may send work.
+    /// Waits until the host reports that it is ready.
     pub(crate) async fn wait_until_ready(&self) {
-        wait_until("readiness", async || {
+        wait_until("a host to be ready", async || {
             get(self.status_addr, "/readyz")
                 .await
                 .is_ok_and(|res| res.status() == 200)
@@ -139,7 +139,7 @@
         .await;
     }
 
-    /// Sends a whole completion call.
+    /// Sends a completion call and reads the complete response.
     pub(crate) async fn complete(
         &self,
         prompt: &str,
@@ -154,7 +154,7 @@
         .await
     }
 
-    /// The page of its status.
+    /// Returns the status of the host; null if it does not respond.
     pub(crate) async fn status(&self) -> serde_json::Value {
         match get(self.status_addr, "/status").await {
             Ok(res) => serde_json::from_slice(res.body()).unwrap_or_default(),
@@ -162,12 +162,12 @@
         }
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub(crate) fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     pub(crate) fn signal(&self, signal: Signal) {
         let pid = Pid::from_raw(i32::try_from(self.child.id()).unwrap());
         kill(pid, signal).unwrap();
@@ -176,7 +176,7 @@
     /// Waits until the process has ended.
     pub(crate) async fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        wait_until("the end of a host", async || {
+        wait_until("a host to exit", async || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         })
@@ -184,7 +184,7 @@
         status.unwrap()
     }
 
-    /// What it has logged.
+    /// Returns the log of the host.
     pub(crate) fn log(&self) -> String {
         fs::read_to_string(self.dir.join("log")).unwrap_or_default()
     }
@@ -207,8 +207,8 @@
     &log[start.unwrap_or(0)..]
 }
 
-fn addr_after(log: &str, mark: &str) -> SocketAddr {
-    let rest = log.split(mark).nth(1).unwrap();
+fn addr_after(log: &str, prefix: &str) -> SocketAddr {
+    let rest = log.split(prefix).nth(1).unwrap();
     let end = rest.find([',', '\n', ' ']).unwrap_or(rest.len());
     rest[..end].trim().parse().unwrap()
 }
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -1,6 +1,6 @@
-//! A small site: the stand-ins in this process, and hosts as processes of their own.
+//! A test site: stand-ins in the process of the test, and hosts as separate processes.
 
-// Each test file uses a part of it.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 mod blackhole_proxy;
@@ -26,19 +26,22 @@
 
 #[allow(
     unused_imports,
-    reason = "only some test files cut the way to the platform"
+    reason = "only some test files disconnect hosts from the platform"
 )]
 pub(crate) use blackhole_proxy::BlackholeProxy;
 pub(crate) use host_process::HostProcess;
 
-/// Long against everything that a test waits for, short against a CI run that hangs.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// What each engine of a test and the manifest agree on.
+/// Timeout of every wait in a test: longer than everything that a test waits for, shorter than a
+/// hung CI run.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Memory of each engine of a test, equal to `engine_memory_tokens` in the manifest.
 const ENGINE_MEMORY_TOKENS: u64 = 200_000;
-const PAUSE: Duration = Duration::from_millis(20);
+/// Interval between checks of a condition that a test waits for.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Length limit of a response, in bytes.
 const BODY_LEN_MAX: usize = 16 << 20;
 
-/// The manifest of every test; `generation` only tells publications apart.
+/// The manifest of every test. Publications of it differ only in their generation.
 pub(crate) const MANIFEST: &str = "
 deployment: test
 models:
@@ -68,7 +71,7 @@
     rank: 2
 ";
 
-/// The stand-ins around the hosts of a test.
+/// The hosts and the stand-ins of a test.
 pub(crate) struct TestSite {
     pub(crate) platform: PlatformFake,
     pub(crate) engines: Vec<Engine>,
@@ -77,7 +80,7 @@
 }
 
 impl TestSite {
-    /// A platform with the manifest, and nothing else yet.
+    /// Starts a platform with the manifest, without engines, services and hosts.
     pub(crate) async fn start() -> Self {
         let platform = PlatformFake::start(loopback()).await.unwrap();
         let site = Self {
@@ -90,7 +93,7 @@
         site
     }
 
-    /// A platform, some engines in failure domain `a`, one service and some hosts there.
+    /// Starts a platform, `engines` engines, one service and `hosts` hosts in failure domain `a`.
     pub(crate) async fn with(engines: usize, hosts: usize) -> Self {
         let mut site = Self::start().await;
         for _ in 0..engines {
@@ -104,9 +107,9 @@
         site
     }
 
-    /// Adds an engine.
+    /// Adds an engine. Returns its index.
     pub(crate) async fn add_engine(&mut self, domain: &str, mut options: EngineOptions) -> usize {
-        // Loaded as the manifest wants it, so that no test begins with a load.
+        // The model of the manifest is loaded already, so that no test begins with a load.
         options.state.model = "geet-model".to_owned();
         let engine = Engine::start(options).await.unwrap();
         let index = self.engines.len();
@@ -118,7 +121,7 @@
         index
     }
 
-    /// Adds a service instance.
+    /// Adds an instance of the service. Returns its index.
     pub(crate) async fn add_service(&mut self, domain: &str) -> usize {
         let service = Service::start(ServiceOptions::default()).await.unwrap();
         let index = self.services.len();
@@ -130,12 +133,12 @@
         index
     }
 
-    /// Adds a host and enters it in the platform's list.
+    /// Adds a host and registers it at the platform. Returns its index.
     pub(crate) async fn add_host(&mut self, domain: &str) -> usize {
         self.add_host_at(domain, self.platform.addr()).await
     }
 
-    /// Adds a host that reaches the platform by another address.
+    /// Adds a host that connects to the platform at the address `platform`. Returns its index.
     pub(crate) async fn add_host_at(&mut self, domain: &str, platform: SocketAddr) -> usize {
         let index = self.hosts.len();
         let host = HostProcess::start(&format!("host-{index}"), domain, platform).await;
@@ -144,7 +147,8 @@
         index
     }
 
-    /// Adds a host that knows its neighbours from its settings and may not reach the platform.
+    /// Adds a host whose settings list the other hosts, so that it works without the platform.
+    /// Returns its index.
     pub(crate) async fn add_seeded_host(&mut self, domain: &str, platform: SocketAddr) -> usize {
         let index = self.hosts.len();
         let name = format!("host-{index}");
@@ -153,7 +157,7 @@
         index
     }
 
-    /// Enters an upstream as leaving.
+    /// Registers an engine as leaving.
     pub(crate) async fn mark_engine_leaving(&self, index: usize, domain: &str) {
         let machine = self.machine(&format!("engine-{index}"), domain, "geet-model");
         machine
@@ -162,7 +166,7 @@
             .unwrap();
     }
 
-    /// Publishes a manifest whatever is there.
+    /// Publishes a manifest, whatever generation the platform has.
     pub(crate) async fn publish(&self, generation: u64, text: &str) {
         let spec = serde_json::json!({
             "generation": generation,
@@ -180,7 +184,7 @@
     pub(crate) async fn wait_until_ready(&self) {
         for host in &self.hosts {
             host.wait_until_ready().await;
-            wait_until("a host that serves", async || {
+            wait_until("a host to serve calls", async || {
                 let res = host.complete("ready?", 1).await;
                 res.is_ok_and(|res| res.status() == 200)
             })
@@ -188,10 +192,10 @@
         }
     }
 
-    /// Waits until every host knows all others as alive.
+    /// Waits until every host sees all other hosts as alive.
     pub(crate) async fn wait_until_joined(&self) {
         for host in &self.hosts {
-            wait_until("a host that knows all others", async || {
+            wait_until("a host to see all others", async || {
                 let status = host.status().await;
                 let hosts = status["hosts"].as_array().cloned().unwrap_or_default();
                 hosts.iter().filter(|view| view["state"] == "alive").count() == self.hosts.len()
@@ -200,7 +204,7 @@
         }
     }
 
-    /// The engine that runs this body now.
+    /// Returns the index of the engine that currently runs the request with this body.
     pub(crate) fn engine_running(&self, body: &str) -> usize {
         let hash = banyanarch::units::ContentHash::of(body.as_bytes());
         let runs = |engine: &Engine| {
@@ -212,7 +216,7 @@
         self.engines.iter().position(runs).unwrap()
     }
 
-    /// The host that is the home of a target's pool.
+    /// Returns the index of the host that is the home of a target's pool.
     pub(crate) async fn home_of(&self, target: &str) -> usize {
         let status = self.hosts[0].status().await;
         let homes = status["pools"].as_array().cloned().unwrap_or_default();
@@ -226,9 +230,9 @@
             .unwrap()
     }
 
-    /// Waits until no engine holds memory for anyone.
+    /// Waits until the memory of all engines is free.
     pub(crate) async fn wait_until_idle(&self) {
-        wait_until("engines that hold nothing", async || {
+        wait_until("engines to free their memory", async || {
             self.engines
                 .iter()
                 .all(|engine| engine.free_tokens() == ENGINE_MEMORY_TOKENS)
@@ -236,14 +240,14 @@
         .await;
     }
 
-    /// All attempts that the engines ran for this body.
+    /// Returns the number of attempts that the engines ran for this body.
     pub(crate) fn run_count(&self, body: &str) -> usize {
         let hash = banyanarch::units::ContentHash::of(body.as_bytes());
         let records = self.engines.iter().flat_map(Engine::record);
         records.filter(|record| record.request_hash == hash).count()
     }
 
-    /// All calls that the services ran for this body.
+    /// Returns the number of calls that the services ran for this body.
     pub(crate) fn service_run_count(&self, body: &str) -> usize {
         let hash = banyanarch::units::ContentHash::of(body.as_bytes());
         let records = self.services.iter().flat_map(Service::record);
@@ -260,19 +264,19 @@
     }
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds. The test fails if it does not hold in time.
 pub(crate) async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let deadline = tokio::time::Instant::now() + PATIENCE;
+    let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
         assert!(
             tokio::time::Instant::now() < deadline,
-            "waited in vain for {what}"
+            "timed out waiting for {what}"
         );
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// A completion call's body.
+/// Returns the body of a completion call.
 pub(crate) fn completion(prompt: &str, max_tokens: u64, stream: bool) -> String {
     serde_json::json!({
         "model": "geet-model",
@@ -283,7 +287,7 @@
     .to_string()
 }
 
-/// Sends one call and reads its whole answer.
+/// Sends a call and reads the complete response.
 pub(crate) async fn call(
     addr: SocketAddr,
     path: &str,
@@ -296,25 +300,25 @@
     }
     let req = req.body(ChunksBody::single(body.to_owned())).unwrap();
     HttpClient::new(addr)
-        .call(req, BODY_LEN_MAX, PATIENCE)
+        .call(req, BODY_LEN_MAX, WAIT_TIMEOUT)
         .await
 }
 
-/// Reads a page.
+/// Sends a GET request and reads the complete response.
 pub(crate) async fn get(addr: SocketAddr, path: &str) -> Result<Response<Bytes>, HttpError> {
     let req = Request::get(path).body(ChunksBody::default()).unwrap();
     HttpClient::new(addr)
-        .call(req, BODY_LEN_MAX, PATIENCE)
+        .call(req, BODY_LEN_MAX, WAIT_TIMEOUT)
         .await
 }
 
-/// The outcome header of an answer.
+/// Returns the outcome header of a response; empty if there is none.
 pub(crate) fn outcome(res: &Response<Bytes>) -> &str {
     let header = res.headers().get("banyanarch-outcome");
     header.map_or("", |value| value.to_str().unwrap())
 }
 
-/// The text of a whole completion.
+/// Returns the text of a completion that is not streamed.
 pub(crate) fn completion_text(res: &Response<Bytes>) -> String {
     let body: serde_json::Value = serde_json::from_slice(res.body()).unwrap();
     body["choices"][0]["text"]
@@ -323,7 +327,7 @@
         .to_owned()
 }
 
-/// The answer that belongs to a body.
+/// Returns the text that an engine generates for a body.
 pub(crate) fn expected_answer(body: &str, max_tokens: u64) -> String {
     let hash = banyanarch::units::ContentHash::of(body.as_bytes());
     standin::answer::whole(hash, max_tokens)
