--- a/src/http/one_shot.rs
+++ b/src/http/one_shot.rs
@@ -144,7 +144,7 @@
         .as_mut()
         .is_some_and(|conn| conn.as_mut().poll(cx).is_ready());
     if is_done {
-        // Its error is also returned to the reader of the response or of the body.
+        // The error reaches the reader of the response or of its body.
         *conn = None;
     }
 }
--- a/src/upstream/http/model_event.rs
+++ b/src/upstream/http/model_event.rs
@@ -28,24 +28,24 @@
     #[serde(default)]
     id: String,
     #[serde(default)]
-    choices: Vec<Choice>,
+    choices: Vec<ChoiceBody>,
     #[serde(default)]
     offset: u64,
     #[serde(default)]
     count: u64,
-    usage: Option<Usage>,
+    usage: Option<UsageBody>,
     error: Option<serde_json::Value>,
 }
 
 #[derive(Deserialize)]
-struct Choice {
+struct ChoiceBody {
     #[serde(default)]
     text: String,
     finish_reason: Option<String>,
 }
 
 #[derive(Deserialize)]
-struct Usage {
+struct UsageBody {
     #[serde(default)]
     prompt_tokens: u64,
     #[serde(default)]
@@ -78,7 +78,7 @@
         let Some(finish_reason) = choice.finish_reason else {
             return Ok(Self::Tokens(tokens));
         };
-        let usage = body.usage.unwrap_or(Usage {
+        let usage = body.usage.unwrap_or(UsageBody {
             prompt_tokens: 0,
             cached_tokens: 0,
         });
