--- a/src/gateway/call_dispatcher.rs
+++ b/src/gateway/call_dispatcher.rs
@@ -295,7 +295,7 @@
             self.gateway.health_changed.notify_one();
             self.gateway.broadcast_now.notify_one();
         }
-        self.gateway.metrics.fault(fault.name());
+        self.gateway.metrics.record_fault(fault.name());
         self.gateway.log.record(DecisionEvent::UpstreamFault {
             request: self.call.head.request.clone(),
             upstream: upstream.id.to_string(),
@@ -338,7 +338,7 @@
     fn sends(&self) -> SendHistory<'_> {
         SendHistory {
             tried: &self.tried,
-            has_run: self.runs > 0,
+            may_have_run: self.runs > 0,
             waits_for_limit: self.limit_wait.is_some(),
         }
     }
@@ -403,7 +403,7 @@
     }
 
     fn log_send(&self, placement: &SendPlan, now: Instant) {
-        self.gateway.metrics.sent(self.arrivals > 0);
+        self.gateway.metrics.record_send(self.arrivals > 0);
         self.gateway.log.record(DecisionEvent::Sent {
             request: self.call.head.request.clone(),
             upstream: placement.upstream.id.to_string(),
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -19,11 +19,11 @@
 use crate::decide::RequestFingerprint;
 use crate::exchange::ExchangeHandler;
 use crate::exchange::HostUpdate;
-use crate::exchange::LimitEntry;
 use crate::exchange::ListedHost;
 use crate::exchange::LoadEntry;
 use crate::exchange::MessageScope;
 use crate::exchange::PoisonEntry;
+use crate::exchange::RateLimitEntry;
 use crate::exchange::SlowdownEntry;
 use crate::exchange::UpdateRoute;
 use crate::exchange::UpstreamHash;
@@ -303,8 +303,8 @@
     Slowdown::new(f64::from(entry.slowdown_percent) / 100.0)
 }
 
-fn limit_entry((upstream, report): (&UpstreamId, LimitReport)) -> LimitEntry {
-    LimitEntry {
+fn limit_entry((upstream, report): (&UpstreamId, LimitReport)) -> RateLimitEntry {
+    RateLimitEntry {
         upstream_hash: UpstreamHash::from(upstream).0,
         limit_per_s: report.limit.map(|limit| limit.0),
         age_ms: whole_millis_u32(report.age),
@@ -313,7 +313,7 @@
     }
 }
 
-fn decode_limit(entry: &LimitEntry) -> LimitReport {
+fn decode_limit(entry: &RateLimitEntry) -> LimitReport {
     LimitReport {
         limit: entry.limit_per_s.map(RequestsPerSecond),
         age: Duration::from_millis(entry.age_ms.into()),
@@ -331,7 +331,7 @@
 fn poison_entry(poison: &PoisonReport) -> PoisonEntry {
     let (RequestFingerprint::Content(hash) | RequestFingerprint::Key(hash)) = poison.fingerprint;
     PoisonEntry {
-        content: hash.0.to_be_bytes().to_vec(),
+        content_hash: hash.0.to_be_bytes().to_vec(),
         attempts: poison
             .attempts
             .iter()
@@ -344,7 +344,7 @@
     let number = |bytes: &Vec<u8>| Some(u128::from_be_bytes(bytes.as_slice().try_into().ok()?));
     let attempts = entry.attempts.iter().filter_map(number).map(AttemptId);
     Some(PoisonReport {
-        fingerprint: RequestFingerprint::of_content(ContentHash(number(&entry.content)?)),
+        fingerprint: RequestFingerprint::of_content(ContentHash(number(&entry.content_hash)?)),
         attempts: attempts.collect(),
     })
 }
--- a/tests/manifests.rs
+++ b/tests/manifests.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use banyanarch::cmd::PublishVerdict;
-use banyanarch::cmd::publish;
+use banyanarch::cmd::PublishOutcome;
+use banyanarch::cmd::publish_manifest;
 use banyanarch::control::homes::Member;
 use banyanarch::control::manifests::CheckManifest;
 use banyanarch::control::manifests::ManifestAction;
@@ -480,7 +480,7 @@
     platform: &FakePlatform,
     history: &Recorded,
     process: usize,
-    told: &Mutex<Vec<(u128, PublishVerdict)>>,
+    told: &Mutex<Vec<(u128, PublishOutcome)>>,
 ) {
     for round in 0..3 {
         let publish_id = (process * 100 + round) as u128;
@@ -488,7 +488,7 @@
         history.lock().unwrap().push(call);
         let text = format!("text {publish_id}");
         let pauses = [Duration::ZERO; 4];
-        let verdict = publish(platform, &text, publish_id, None, &pauses)
+        let verdict = publish_manifest(platform, &text, publish_id, None, &pauses)
             .await
             .unwrap();
         // What the operator was not told is taken from the platform's own record.
@@ -496,9 +496,9 @@
         let id = format!("{publish_id:032x}");
         let written = state.1.iter().find(|held| held.publish_id == id);
         let generation = match &verdict {
-            PublishVerdict::Accepted(generation) => Some(generation.0),
-            PublishVerdict::Unknown(_) => written.map(|held| held.generation.0),
-            PublishVerdict::Refused(_) | PublishVerdict::Unreachable(_) => None,
+            PublishOutcome::Accepted(generation) => Some(generation.0),
+            PublishOutcome::Unknown(_) => written.map(|held| held.generation.0),
+            PublishOutcome::Refused(_) | PublishOutcome::Unreachable(_) => None,
         };
         let response = (process, Action::Response(Op::Publish(generation)));
         history.lock().unwrap().push(response);
@@ -560,16 +560,16 @@
     }
 }
 
-fn check_told(log: &[PublishedManifest], told: &[(u128, PublishVerdict)], seed: u64) {
+fn check_told(log: &[PublishedManifest], told: &[(u128, PublishOutcome)], seed: u64) {
     for (publish_id, verdict) in told {
         let id = format!("{publish_id:032x}");
         let times = log.iter().filter(|held| held.publish_id == id).count();
         match verdict {
-            PublishVerdict::Accepted(_) => assert_eq!(times, 1, "seed {seed}: {verdict}"),
-            PublishVerdict::Refused(_) | PublishVerdict::Unreachable(_) => {
+            PublishOutcome::Accepted(_) => assert_eq!(times, 1, "seed {seed}: {verdict}"),
+            PublishOutcome::Refused(_) | PublishOutcome::Unreachable(_) => {
                 assert_eq!(times, 0, "seed {seed}: {verdict}");
             }
-            PublishVerdict::Unknown(_) => assert!(times <= 1, "seed {seed}"),
+            PublishOutcome::Unknown(_) => assert!(times <= 1, "seed {seed}"),
         }
     }
 }
