--- a/src/control/drain/controller.rs
+++ b/src/control/drain/controller.rs
@@ -15,14 +15,14 @@
     /// How long to wait, when nothing is in flight any more, for claims to be given back or ended in
     /// the platform. A claim left behind makes a resend "may have run", which is no harm worth
     /// staying for while the platform is away.
-    pub claims_wait: Duration,
+    pub claims_timeout: Duration,
 }
 
 impl From<&DrainSettings> for DrainConf {
     fn from(settings: &DrainSettings) -> Self {
         Self {
             notice: Duration::from_millis(settings.notice_ms),
-            claims_wait: Duration::from_secs(10),
+            claims_timeout: Duration::from_secs(10),
         }
     }
 }
@@ -113,7 +113,7 @@
 
     /// Whether new work is taken. Where not, it is told "not run", with Retry-After: the balancer
     /// will have chosen another host by then.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         matches!(self.phase, DrainPhase::Serving | DrainPhase::Notice)
     }
 
@@ -121,7 +121,7 @@
     pub fn next_wake(&self) -> Option<Instant> {
         match self.phase {
             DrainPhase::Notice => Some(self.since + self.conf.notice),
-            DrainPhase::Settling => Some(self.since + self.conf.claims_wait),
+            DrainPhase::Settling => Some(self.since + self.conf.claims_timeout),
             DrainPhase::Serving | DrainPhase::Draining | DrainPhase::Done => None,
         }
     }
@@ -131,7 +131,7 @@
         let mut actions = Vec::new();
         match event {
             DrainEvent::Signal => self.signal(now, &mut actions),
-            DrainEvent::Left { in_flight, claims } => {
+            DrainEvent::Remaining { in_flight, claims } => {
                 self.in_flight = in_flight;
                 self.claims = claims;
             }
@@ -167,7 +167,7 @@
         if self.phase == DrainPhase::Draining && self.in_flight == 0 {
             self.enter(DrainPhase::Settling, now);
         }
-        let waited = now.duration_since(self.since) >= self.conf.claims_wait;
+        let waited = now.duration_since(self.since) >= self.conf.claims_timeout;
         if self.phase == DrainPhase::Settling && (self.claims == 0 || waited) {
             log::info!("drain: done, {} claims left", self.claims);
             self.enter(DrainPhase::Done, now);
--- a/src/daemon/drain.rs
+++ b/src/daemon/drain.rs
@@ -45,7 +45,7 @@
         }
         loop {
             sleep(LOOK_PAUSE).await;
-            let left = DrainEvent::Left {
+            let left = DrainEvent::Remaining {
                 in_flight: host.parts.in_flight.count(),
                 claims: host.parts.claims.pending(),
             };
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -24,11 +24,11 @@
         let clock = ManualClock::new();
         let conf = DrainConf {
             notice: NOTICE,
-            claims_wait: Duration::from_secs(10),
+            claims_timeout: Duration::from_secs(10),
         };
         let drain = DrainController::new(conf, clock.now());
         let mut host = Self { clock, drain };
-        host.hear(DrainEvent::Left { in_flight, claims });
+        host.hear(DrainEvent::Remaining { in_flight, claims });
         host
     }
 
@@ -52,14 +52,14 @@
         host.hear(DrainEvent::Signal),
         [DrainAction::AnnounceLeaving]
     );
-    assert!(!host.drain.is_ready() && host.drain.takes_work());
+    assert!(!host.drain.is_ready() && host.drain.accepts_work());
     assert_eq!(host.pass(NOTICE / 2), []);
-    assert!(host.drain.takes_work());
+    assert!(host.drain.accepts_work());
     let stop = [DrainAction::HandOverHomes, DrainAction::StopAccepting];
     assert_eq!(host.pass(NOTICE / 2), stop);
-    assert!(!host.drain.takes_work());
+    assert!(!host.drain.accepts_work());
     assert_eq!(host.pass(HOUR), []);
-    let ended = DrainEvent::Left {
+    let ended = DrainEvent::Remaining {
         in_flight: 0,
         claims: 1,
     };
@@ -68,7 +68,7 @@
         [],
         "a claim's end is not in the platform yet"
     );
-    let settled = DrainEvent::Left {
+    let settled = DrainEvent::Remaining {
         in_flight: 0,
         claims: 0,
     };
--- a/tests/worlds/drain_world.rs
+++ b/tests/worlds/drain_world.rs
@@ -53,7 +53,7 @@
         let clock = ManualClock::new();
         let conf = DrainConf {
             notice: NOTICE,
-            claims_wait: CLAIMS_WAIT,
+            claims_timeout: CLAIMS_WAIT,
         };
         Self {
             drain: DrainController::new(conf, clock.now()),
@@ -84,7 +84,7 @@
             Step::Pass { ms } => self.clock.advance(Duration::from_millis(ms)),
         }
         let (in_flight, claims) = (self.in_flight, self.claims);
-        self.hear(DrainEvent::Left { in_flight, claims });
+        self.hear(DrainEvent::Remaining { in_flight, claims });
     }
 
     /// The balancer has seen that readiness fails when the notice is over, and sends nothing more.
@@ -92,10 +92,10 @@
         let now = self.clock.now();
         let is_late = self.signals.first().is_some_and(|at| now >= *at + NOTICE);
         assert!(
-            is_late || self.drain.takes_work(),
+            is_late || self.drain.accepts_work(),
             "a caller is turned away"
         );
-        if self.drain.takes_work() {
+        if self.drain.accepts_work() {
             self.in_flight += 1;
         }
     }
