--- a/src/control/drain/controller.rs
+++ b/src/control/drain/controller.rs
@@ -48,7 +48,7 @@
     /// SIGTERM or SIGINT.
     Signal,
     /// How much is left.
-    Left {
+    Remaining {
         /// Requests of callers that have not ended, queued ones included.
         in_flight: usize,
         /// Claims that the platform does not know the end of.
