--- a/benches/control.rs
+++ b/benches/control.rs
@@ -17,7 +17,7 @@
 use banyanarch::control::homes::HomeTable;
 use banyanarch::control::homes::pools_of;
 use banyanarch::control::manifests::ManifestAction;
-use banyanarch::control::manifests::Manifests;
+use banyanarch::control::manifests::ManifestController;
 use banyanarch::control::manifests::PlatformWord;
 use banyanarch::control::manifests::watchers;
 use banyanarch::control::membership::Membership;
@@ -60,7 +60,7 @@
 struct Host {
     seed: PeerSeed,
     membership: Membership,
-    manifests: Manifests,
+    manifests: ManifestController,
     is_running: bool,
 }
 
@@ -118,7 +118,7 @@
         let check = Box::new(move |_: &str| Ok(manifest.clone()));
         let host = Host {
             membership: Membership::new(conf, rng.clone(), self.now),
-            manifests: Manifests::new(check, BYTES_PER_SECOND, rng, self.now),
+            manifests: ManifestController::new(check, BYTES_PER_SECOND, rng, self.now),
             is_running: true,
             seed: seed.clone(),
         };
--- a/src/control/manifests/machine.rs
+++ b/src/control/manifests/machine.rs
@@ -71,7 +71,7 @@
 
 /// The manifests of one host. It does no I/O: words of the platform and of hosts go in, actions
 /// come out. Forward only: a generation is taken only if it is above the one in force.
-pub struct Manifests {
+pub struct ManifestController {
     check: CheckManifest,
     rng: StdRng,
     budget: TokenBucket,
@@ -112,7 +112,7 @@
     }
 }
 
-impl Manifests {
+impl ManifestController {
     /// A host that knows nothing.
     pub fn new(check: CheckManifest, bytes_per_second: u64, rng: StdRng, now: Instant) -> Self {
         Self {
--- a/src/control/manifests/mod.rs
+++ b/src/control/manifests/mod.rs
@@ -15,7 +15,7 @@
 pub use knowledge::Knowledge;
 pub use knowledge::Refusal;
 pub use machine::CheckManifest;
-pub use machine::Manifests;
+pub use machine::ManifestController;
 pub use machine::PlatformWord;
 pub use parts::split;
 pub use watchers::watchers;
--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -18,7 +18,7 @@
 use crate::cluster_view::ClusterView;
 use crate::control::claims::ClaimConf;
 use crate::control::claims::ClaimStore;
-use crate::control::manifests::Manifests;
+use crate::control::manifests::ManifestController;
 use crate::control::membership::Membership;
 use crate::control::membership::MembershipConf;
 use crate::control::status::Events;
@@ -219,7 +219,7 @@
                 host: settings.host.clone(),
                 domain: settings.failure_domain.clone(),
             },
-            Manifests::new(
+            ManifestController::new(
                 manifest_loop::check_for(settings.deployment.clone()),
                 settings.peers.control_bytes_per_second,
                 StdRng::from_os_rng(),
--- a/src/fleet/manifest_desk.rs
+++ b/src/fleet/manifest_desk.rs
@@ -15,7 +15,7 @@
 use crate::cluster_view::HostState;
 use crate::control::manifests::Knowledge;
 use crate::control::manifests::ManifestAction;
-use crate::control::manifests::Manifests;
+use crate::control::manifests::ManifestController;
 use crate::control::manifests::PlatformWord;
 use crate::control::status::Events;
 use crate::observe::Metrics;
@@ -33,7 +33,7 @@
     metrics: Arc<Metrics>,
     host: HostId,
     domain: FailureDomainId,
-    manifests: Mutex<Manifests>,
+    manifests: Mutex<ManifestController>,
     read_platform: Notify,
     seen_hosts: AtomicU64,
 }
@@ -58,7 +58,7 @@
 
 impl ManifestDesk {
     /// A desk around a state machine.
-    pub fn new(parts: ManifestDeskParts, manifests: Manifests) -> Self {
+    pub fn new(parts: ManifestDeskParts, manifests: ManifestController) -> Self {
         Self {
             clock: parts.clock,
             cluster_view: parts.cluster_view,
@@ -138,7 +138,7 @@
             .collect()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Manifests> {
+    fn lock(&self) -> MutexGuard<'_, ManifestController> {
         self.manifests
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/tests/manifests.rs
+++ b/tests/manifests.rs
@@ -10,7 +10,7 @@
 use banyanarch::control::homes::Member;
 use banyanarch::control::manifests::CheckManifest;
 use banyanarch::control::manifests::ManifestAction;
-use banyanarch::control::manifests::Manifests;
+use banyanarch::control::manifests::ManifestController;
 use banyanarch::control::manifests::PlatformWord;
 use banyanarch::control::manifests::split;
 use banyanarch::control::manifests::watchers;
@@ -67,7 +67,7 @@
 
 struct Domain {
     now: Instant,
-    hosts: IndexMap<HostId, Manifests>,
+    hosts: IndexMap<HostId, ManifestController>,
     in_flight: Vec<(HostId, HostId, Message)>,
     stopped: Vec<HostId>,
     taken: Vec<(HostId, Generation)>,
@@ -99,11 +99,14 @@
     /// Starts a process that knows nothing, in place of an earlier one of that name.
     fn start(&mut self, host: &HostId) {
         self.seed += 1;
-        let generations = self.hosts.values().filter_map(Manifests::generation);
+        let generations = self
+            .hosts
+            .values()
+            .filter_map(ManifestController::generation);
         let newest = generations.max().unwrap_or_default();
         self.started_at.insert(host.clone(), newest);
         let rng = StdRng::seed_from_u64(self.seed);
-        let manifests = Manifests::new(check(), 2_048, rng, self.now);
+        let manifests = ManifestController::new(check(), 2_048, rng, self.now);
         self.hosts.insert(host.clone(), manifests);
         self.meet();
     }
--- a/tests/worlds/manifest_world.rs
+++ b/tests/worlds/manifest_world.rs
@@ -7,7 +7,7 @@
 use banyanarch::clock::ManualClock;
 use banyanarch::cluster_view::ClusterView;
 use banyanarch::control::manifests::ManifestAction;
-use banyanarch::control::manifests::Manifests;
+use banyanarch::control::manifests::ManifestController;
 use banyanarch::control::manifests::PlatformWord;
 use banyanarch::manifest::Manifest;
 use banyanarch::manifest::PublishedManifest;
@@ -58,7 +58,7 @@
 }
 
 struct Host {
-    manifests: Manifests,
+    manifests: ManifestController,
     cluster_view: ClusterView,
 }
 
@@ -91,7 +91,7 @@
         let check = |_: &str| Ok(MANIFEST.clone());
         let rng = StdRng::seed_from_u64(self.tick);
         let now = self.clock.now();
-        let mut manifests = Manifests::new(Box::new(check), BYTES_PER_SECOND, rng, now);
+        let mut manifests = ManifestController::new(Box::new(check), BYTES_PER_SECOND, rng, now);
         let others = (0..HOSTS).filter(|n| *n != number).map(name);
         manifests.set_hosts(others.collect(), Vec::new());
         Host {
