--- a/benches/control.rs
+++ b/benches/control.rs
@@ -18,7 +18,7 @@
 use banyanarch::control::homes::pools_of;
 use banyanarch::control::manifests::ManifestAction;
 use banyanarch::control::manifests::ManifestController;
-use banyanarch::control::manifests::PlatformWord;
+use banyanarch::control::manifests::ManifestRead;
 use banyanarch::control::manifests::watchers;
 use banyanarch::control::membership::Membership;
 use banyanarch::control::membership::MembershipAction;
@@ -229,7 +229,7 @@
     /// Tells a host what the platform holds.
     fn tell(&mut self, id: &HostId) {
         if let Some(published) = self.published.clone() {
-            let word = PlatformWord::Published(published);
+            let word = ManifestRead::Published(published);
             let actions = self.hosts[id].manifests.platform(word, self.now);
             self.spread(id, actions);
         }
--- a/src/control/manifests/machine.rs
+++ b/src/control/manifests/machine.rs
@@ -60,7 +60,7 @@
 
 /// What the platform said.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PlatformWord {
+pub enum ManifestRead {
     /// This manifest is published.
     Published(PublishedManifest),
     /// Nothing was published after what this host heard from the platform last.
@@ -140,17 +140,17 @@
     }
 
     /// Takes in what the platform said.
-    pub fn platform(&mut self, word: PlatformWord, now: Instant) -> Vec<ManifestAction> {
+    pub fn platform(&mut self, word: ManifestRead, now: Instant) -> Vec<ManifestAction> {
         let mut actions = Vec::new();
         self.confirmed_at = Some(now);
         match word {
-            PlatformWord::Published(published) => {
+            ManifestRead::Published(published) => {
                 // An earlier read may be told later.
                 self.platform_says = self.platform_says.max(Some(published.generation));
                 self.take(published.generation, &published.text, &mut actions);
             }
-            PlatformWord::Unchanged => {}
-            PlatformWord::Absent => {
+            ManifestRead::Unchanged => {}
+            ManifestRead::Absent => {
                 self.platform_says = self.platform_says.max(Some(Generation::default()));
             }
         }
--- a/src/control/manifests/mod.rs
+++ b/src/control/manifests/mod.rs
@@ -16,6 +16,6 @@
 pub use knowledge::Refusal;
 pub use machine::CheckManifest;
 pub use machine::ManifestController;
-pub use machine::PlatformWord;
+pub use machine::ManifestRead;
 pub use parts::split;
 pub use watchers::watchers;
--- a/src/daemon/manifest_loop.rs
+++ b/src/daemon/manifest_loop.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 
 use crate::control::manifests::CheckManifest;
-use crate::control::manifests::PlatformWord;
+use crate::control::manifests::ManifestRead;
 use crate::control::manifests::watchers;
 use crate::daemon::host::Host;
 use crate::manifest::Manifest;
@@ -65,7 +65,7 @@
         .watch(Kind::Manifests, after, WATCH_WAIT)
         .await?;
     if changes.items.is_empty() {
-        host.manifests.platform(PlatformWord::Unchanged);
+        host.manifests.platform(ManifestRead::Unchanged);
     }
     take_in(host, &changes);
     Ok(Some(changes.version))
@@ -89,7 +89,7 @@
     let _ = host.manifests.wants_platform().now_or_never();
     let list = host.platform.list(Kind::Manifests).await?;
     if list.items.is_empty() {
-        host.manifests.platform(PlatformWord::Absent);
+        host.manifests.platform(ManifestRead::Absent);
     }
     take_in(host, &list);
     Ok(Some(list.version))
@@ -104,7 +104,7 @@
 fn take_in(host: &Host, list: &ObjectList) {
     for object in &list.items {
         match PublishedManifest::deserialize(&object.value) {
-            Ok(published) => host.manifests.platform(PlatformWord::Published(published)),
+            Ok(published) => host.manifests.platform(ManifestRead::Published(published)),
             Err(err) => warn!("manifests: {} is not understood: {err}", object.key),
         }
     }
--- a/src/fleet/manifest_desk.rs
+++ b/src/fleet/manifest_desk.rs
@@ -16,7 +16,7 @@
 use crate::control::manifests::Knowledge;
 use crate::control::manifests::ManifestAction;
 use crate::control::manifests::ManifestController;
-use crate::control::manifests::PlatformWord;
+use crate::control::manifests::ManifestRead;
 use crate::control::status::Events;
 use crate::observe::Metrics;
 use crate::peer::Message;
@@ -88,7 +88,7 @@
     }
 
     /// Takes in what the platform said.
-    pub fn platform(&self, word: PlatformWord) {
+    pub fn platform(&self, word: ManifestRead) {
         let actions = self.lock().platform(word, self.clock.now());
         self.perform(actions);
     }
--- a/tests/manifests.rs
+++ b/tests/manifests.rs
@@ -11,7 +11,7 @@
 use banyanarch::control::manifests::CheckManifest;
 use banyanarch::control::manifests::ManifestAction;
 use banyanarch::control::manifests::ManifestController;
-use banyanarch::control::manifests::PlatformWord;
+use banyanarch::control::manifests::ManifestRead;
 use banyanarch::control::manifests::split;
 use banyanarch::control::manifests::watchers;
 use banyanarch::manifest::Manifest;
@@ -119,7 +119,7 @@
         }
     }
 
-    fn tell(&mut self, host: &HostId, word: PlatformWord) {
+    fn tell(&mut self, host: &HostId, word: ManifestRead) {
         let actions = self.hosts[host].platform(word, self.now);
         self.act(host, actions);
     }
@@ -216,7 +216,7 @@
 fn only_what_changed_travels() {
     let mut domain = Domain::new(20);
     for n in 0..20 {
-        let word = PlatformWord::Published(published(1, &large_text(1)));
+        let word = ManifestRead::Published(published(1, &large_text(1)));
         domain.tell(&host(&format!("h{n}")), word);
     }
     domain.run(Duration::from_secs(5));
@@ -225,7 +225,7 @@
     let before = domain.now;
     domain.tell(
         &host("h0"),
-        PlatformWord::Published(published(2, &large_text(2))),
+        ManifestRead::Published(published(2, &large_text(2))),
     );
     while !domain.all_have(2) {
         domain.step();
@@ -242,11 +242,11 @@
     for n in 0..10 {
         domain.tell(
             &host(&format!("h{n}")),
-            PlatformWord::Published(published(1, "one")),
+            ManifestRead::Published(published(1, "one")),
         );
     }
     for n in 0..2 {
-        let word = PlatformWord::Published(published(2, "two"));
+        let word = ManifestRead::Published(published(2, "two"));
         domain.tell(&host(&format!("h{n}")), word);
     }
     domain.step();
@@ -260,7 +260,7 @@
 #[test]
 fn a_whole_new_manifest_gets_through_the_budget() {
     let mut domain = Domain::new(12);
-    let word = PlatformWord::Published(published(1, &large_text(1)));
+    let word = ManifestRead::Published(published(1, &large_text(1)));
     domain.tell(&host("h0"), word);
     domain.run(Duration::from_secs(60));
     assert!(domain.all_have(1));
@@ -273,7 +273,7 @@
     let mut domain = Domain::new(5);
     for n in 1..5 {
         let generation = if n == 1 { 1 } else { 2 };
-        let word = PlatformWord::Published(published(generation, &format!("text {generation}")));
+        let word = ManifestRead::Published(published(generation, &format!("text {generation}")));
         domain.tell(&host(&format!("h{n}")), word);
     }
     domain.in_flight.clear();
@@ -301,7 +301,7 @@
     assert!(!knowledge.is_ready);
     let why = knowledge.why_not_ready.unwrap();
     assert!(why.contains("neither the platform nor a host"), "{why}");
-    domain.tell(&host("h0"), PlatformWord::Published(published(7, "seven")));
+    domain.tell(&host("h0"), ManifestRead::Published(published(7, "seven")));
     domain.run(Duration::from_secs(2));
     assert!(domain.hosts.keys().all(|host| domain.is_ready(host)));
 }
@@ -311,8 +311,8 @@
 #[test]
 fn a_wrong_manifest_is_refused_and_shown() {
     let mut domain = Domain::new(3);
-    domain.tell(&host("h0"), PlatformWord::Published(published(1, "right")));
-    domain.tell(&host("h0"), PlatformWord::Published(published(2, "wrong")));
+    domain.tell(&host("h0"), ManifestRead::Published(published(1, "right")));
+    domain.tell(&host("h0"), ManifestRead::Published(published(2, "wrong")));
     domain.run(Duration::from_secs(2));
     assert!(domain.all_have(1));
     let knowledge = domain.hosts[&host("h0")].knowledge(domain.now);
@@ -320,7 +320,7 @@
     assert_eq!(knowledge.refused.unwrap().generation, Generation(2));
     domain.tell(
         &host("h0"),
-        PlatformWord::Published(published(3, "right again")),
+        ManifestRead::Published(published(3, "right again")),
     );
     domain.run(Duration::from_secs(2));
     assert!(domain.all_have(3));
@@ -330,9 +330,9 @@
 #[test]
 fn the_age_of_the_knowledge_spreads_and_grows() {
     let mut domain = Domain::new(4);
-    domain.tell(&host("h0"), PlatformWord::Published(published(1, "one")));
+    domain.tell(&host("h0"), ManifestRead::Published(published(1, "one")));
     domain.run(Duration::from_secs(20));
-    domain.tell(&host("h0"), PlatformWord::Unchanged);
+    domain.tell(&host("h0"), ManifestRead::Unchanged);
     domain.run(Duration::from_secs(30));
     for manifests in domain.hosts.values() {
         let ago = manifests.knowledge(domain.now).confirmed_ago.unwrap();
@@ -590,7 +590,7 @@
         let told = host(&format!("h{}", rng.random_range(0..5)));
         // A process reads after it has started, and the platform never goes back.
         if word.generation >= domain.started_at[&told] {
-            domain.tell(&told, PlatformWord::Published(word));
+            domain.tell(&told, ManifestRead::Published(word));
         }
         domain.in_flight.retain(|_| rng.random_ratio(9, 10));
         domain.run(STEP * rng.random_range(0..40));
@@ -621,7 +621,7 @@
         let before = last.insert(host.clone(), *generation);
         assert!(before < Some(*generation), "seed {seed}: {host}");
     }
-    domain.tell(&host("h0"), PlatformWord::Published(newest.clone()));
+    domain.tell(&host("h0"), ManifestRead::Published(newest.clone()));
     domain.run(Duration::from_secs(10));
     assert!(domain.all_have(newest.generation.0), "seed {seed}");
 }
--- a/tests/worlds/manifest_world.rs
+++ b/tests/worlds/manifest_world.rs
@@ -8,7 +8,7 @@
 use banyanarch::cluster_view::ClusterView;
 use banyanarch::control::manifests::ManifestAction;
 use banyanarch::control::manifests::ManifestController;
-use banyanarch::control::manifests::PlatformWord;
+use banyanarch::control::manifests::ManifestRead;
 use banyanarch::manifest::Manifest;
 use banyanarch::manifest::PublishedManifest;
 use banyanarch::peer::Message;
@@ -121,7 +121,7 @@
             return;
         };
         let published = self.published[index].clone();
-        let word = PlatformWord::Published(published);
+        let word = ManifestRead::Published(published);
         let actions = self.hosts[at].manifests.platform(word, self.clock.now());
         self.act(at, actions);
     }
