--- a/src/control/manifests/machine.rs
+++ b/src/control/manifests/machine.rs
@@ -32,7 +32,7 @@
 use crate::units::HostId;
 
 /// Reads and checks a manifest's text, and says why it is refused.
-pub type CheckManifest = Box<dyn Fn(&str) -> Result<Manifest, String> + Send + Sync>;
+pub type ManifestValidator = Box<dyn Fn(&str) -> Result<Manifest, String> + Send + Sync>;
 
 /// Hosts that are told of a new generation at once, by each that has just taken it. Three reach a
 /// failure domain of 67 hosts in four hops, with so many words to spare that few are missed.
@@ -72,7 +72,7 @@
 /// The manifests of one host. It does no I/O: words of the platform and of hosts go in, actions
 /// come out. Forward only: a generation is taken only if it is above the one in force.
 pub struct ManifestController {
-    check: CheckManifest,
+    check: ManifestValidator,
     rng: StdRng,
     budget: TokenBucket,
     neighbours: Vec<HostId>,
@@ -114,7 +114,7 @@
 
 impl ManifestController {
     /// A host that knows nothing.
-    pub fn new(check: CheckManifest, bytes_per_second: u64, rng: StdRng, now: Instant) -> Self {
+    pub fn new(check: ManifestValidator, bytes_per_second: u64, rng: StdRng, now: Instant) -> Self {
         Self {
             check,
             rng,
--- a/src/daemon/manifest_loop.rs
+++ b/src/daemon/manifest_loop.rs
@@ -8,8 +8,8 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-use crate::control::manifests::CheckManifest;
 use crate::control::manifests::ManifestRead;
+use crate::control::manifests::ManifestValidator;
 use crate::control::manifests::watchers;
 use crate::daemon::host::Host;
 use crate::manifest::Manifest;
@@ -27,7 +27,7 @@
 const PAUSE: Duration = Duration::from_secs(1);
 
 /// What a published manifest must be for this host to take it.
-pub(crate) fn check_for(deployment: String) -> CheckManifest {
+pub(crate) fn check_for(deployment: String) -> ManifestValidator {
     Box::new(move |text| {
         let manifest = Manifest::parse(text, "manifest").map_err(|errors| errors.to_string())?;
         if manifest.deployment == deployment {
--- a/tests/manifests.rs
+++ b/tests/manifests.rs
@@ -8,10 +8,10 @@
 use banyanarch::cmd::PublishOutcome;
 use banyanarch::cmd::publish_manifest;
 use banyanarch::control::homes::Member;
-use banyanarch::control::manifests::CheckManifest;
 use banyanarch::control::manifests::ManifestAction;
 use banyanarch::control::manifests::ManifestController;
 use banyanarch::control::manifests::ManifestRead;
+use banyanarch::control::manifests::ManifestValidator;
 use banyanarch::control::manifests::split;
 use banyanarch::control::manifests::watchers;
 use banyanarch::manifest::Manifest;
@@ -53,7 +53,7 @@
 }
 
 /// Takes every text but `wrong`.
-fn check() -> CheckManifest {
+fn check() -> ManifestValidator {
     let manifest = manifest();
     Box::new(move |text| match text {
         "wrong" => Err("line 1: not a manifest".to_owned()),
