--- a/src/control/manifests/knowledge.rs
+++ b/src/control/manifests/knowledge.rs
@@ -7,7 +7,7 @@
 /// What a host knows of manifests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
-pub struct Knowledge {
+pub struct ManifestStatus {
     /// The generation in force, if any.
     pub generation: Option<Generation>,
     /// How long ago the platform said, to this host or to one that told it, that there is no newer
--- a/src/control/manifests/machine.rs
+++ b/src/control/manifests/machine.rs
@@ -7,8 +7,8 @@
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 
-use crate::control::manifests::Knowledge;
 use crate::control::manifests::ManifestAction;
+use crate::control::manifests::ManifestStatus;
 use crate::control::manifests::Refusal;
 use crate::control::manifests::fetch::Fetch;
 use crate::control::manifests::fetch::FetchStep;
@@ -45,7 +45,7 @@
 /// A host without a manifest asks all at this interval.
 const FRESH_QUERY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Knowledge this old means that no watcher of the failure domain reaches the platform. Then hosts
+/// ManifestStatus this old means that no watcher of the failure domain reaches the platform. Then hosts
 /// of other failure domains, which may reach it, are asked too.
 const CONFIRMED_OLD: Duration = Duration::from_secs(30);
 
@@ -216,9 +216,9 @@
     }
 
     /// What this host knows.
-    pub fn knowledge(&self, now: Instant) -> Knowledge {
+    pub fn knowledge(&self, now: Instant) -> ManifestStatus {
         let why_not_ready = self.why_not_ready();
-        Knowledge {
+        ManifestStatus {
             generation: self.generation(),
             confirmed_ago: self.confirmed_ago(now),
             is_ready: why_not_ready.is_none(),
--- a/src/control/manifests/mod.rs
+++ b/src/control/manifests/mod.rs
@@ -12,7 +12,7 @@
 mod watchers;
 
 pub use action::ManifestAction;
-pub use knowledge::Knowledge;
+pub use knowledge::ManifestStatus;
 pub use knowledge::Refusal;
 pub use machine::ManifestController;
 pub use machine::ManifestRead;
--- a/src/control/status/report.rs
+++ b/src/control/status/report.rs
@@ -5,7 +5,7 @@
 use crate::cluster_view::ClusterView;
 use crate::cluster_view::HostState;
 use crate::cluster_view::HostView;
-use crate::control::manifests::Knowledge;
+use crate::control::manifests::ManifestStatus;
 use crate::control::status::EventReport;
 use crate::control::status::Events;
 use crate::decide::PoolLoad;
@@ -34,7 +34,7 @@
     /// Hosts and upstreams.
     pub cluster_view: &'a ClusterView,
     /// What it knows of manifests.
-    pub manifest: Knowledge,
+    pub manifest: ManifestStatus,
     /// The homes on this host.
     pub homes: Vec<(PoolId, PoolLoad)>,
     /// Failure domains that are suspected to be cut off.
--- a/src/fleet/manifest_desk.rs
+++ b/src/fleet/manifest_desk.rs
@@ -13,10 +13,10 @@
 use crate::clock::Clock;
 use crate::cluster_view::ClusterView;
 use crate::cluster_view::HostState;
-use crate::control::manifests::Knowledge;
 use crate::control::manifests::ManifestAction;
 use crate::control::manifests::ManifestController;
 use crate::control::manifests::ManifestRead;
+use crate::control::manifests::ManifestStatus;
 use crate::control::status::Events;
 use crate::observe::Metrics;
 use crate::peer::Message;
@@ -94,7 +94,7 @@
     }
 
     /// What this host knows.
-    pub fn knowledge(&self) -> Knowledge {
+    pub fn knowledge(&self) -> ManifestStatus {
         self.lock().knowledge(self.clock.now())
     }
 
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -8,7 +8,7 @@
 use banyanarch::cluster_view::ClusterView;
 use banyanarch::cluster_view::HostState;
 use banyanarch::cluster_view::HostView;
-use banyanarch::control::manifests::Knowledge;
+use banyanarch::control::manifests::ManifestStatus;
 use banyanarch::control::manifests::Refusal;
 use banyanarch::control::status::Events;
 use banyanarch::control::status::Reporter;
@@ -51,7 +51,7 @@
         host: &"host-0".parse().unwrap(),
         domain: &"domain-0".parse().unwrap(),
         cluster_view,
-        manifest: Knowledge {
+        manifest: ManifestStatus {
             generation: Some(Generation(5)),
             confirmed_ago: Some(Duration::from_secs(90)),
             is_ready: true,
