--- a/src/control/manifests/knowledge.rs
+++ b/src/control/manifests/knowledge.rs
@@ -19,13 +19,13 @@
     /// Why not, where it may not.
     pub why_not_ready: Option<&'static str>,
     /// The published manifest that this host refused, if there is one.
-    pub refused: Option<Refusal>,
+    pub refused: Option<ManifestRefusal>,
 }
 
 /// A published manifest that a host refused; the one before stays in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
-pub struct Refusal {
+pub struct ManifestRefusal {
     /// Its generation.
     pub generation: Generation,
     /// Why.
--- a/src/control/manifests/machine.rs
+++ b/src/control/manifests/machine.rs
@@ -8,8 +8,8 @@
 use rand::seq::IndexedRandom;
 
 use crate::control::manifests::ManifestAction;
+use crate::control::manifests::ManifestRefusal;
 use crate::control::manifests::ManifestStatus;
-use crate::control::manifests::Refusal;
 use crate::control::manifests::fetch::Fetch;
 use crate::control::manifests::fetch::FetchStep;
 use crate::control::manifests::parts::from_bytes;
@@ -78,7 +78,7 @@
     neighbours: Vec<HostId>,
     strangers: Vec<HostId>,
     in_force: Option<Held>,
-    refused: Option<Refusal>,
+    refused: Option<ManifestRefusal>,
     confirmed_at: Option<Instant>,
     platform_says: Option<Generation>,
     answers: IndexMap<HostId, Generation>,
@@ -265,7 +265,7 @@
             Ok(manifest) => manifest,
             Err(why) => {
                 log::warn!("manifests: refused generation {generation}: {why}");
-                self.refused = Some(Refusal { generation, why });
+                self.refused = Some(ManifestRefusal { generation, why });
                 return;
             }
         };
--- a/src/control/manifests/mod.rs
+++ b/src/control/manifests/mod.rs
@@ -12,8 +12,8 @@
 mod watchers;
 
 pub use action::ManifestAction;
+pub use knowledge::ManifestRefusal;
 pub use knowledge::ManifestStatus;
-pub use knowledge::Refusal;
 pub use machine::ManifestController;
 pub use machine::ManifestRead;
 pub use machine::ManifestValidator;
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -8,8 +8,8 @@
 use banyanarch::cluster_view::ClusterView;
 use banyanarch::cluster_view::HostState;
 use banyanarch::cluster_view::HostView;
+use banyanarch::control::manifests::ManifestRefusal;
 use banyanarch::control::manifests::ManifestStatus;
-use banyanarch::control::manifests::Refusal;
 use banyanarch::control::status::Events;
 use banyanarch::control::status::Reporter;
 use banyanarch::control::status::ReporterAction;
@@ -56,7 +56,7 @@
             confirmed_ago: Some(Duration::from_secs(90)),
             is_ready: true,
             why_not_ready: None,
-            refused: Some(Refusal {
+            refused: Some(ManifestRefusal {
                 generation: Generation(6),
                 why: "line 3: unknown key".to_owned(),
             }),
