--- a/src/fleet/manifest_desk.rs
+++ b/src/fleet/manifest_desk.rs
@@ -89,13 +89,13 @@
 
     /// Takes in what the platform said.
     pub fn platform(&self, word: ManifestRead) {
-        let actions = self.lock().platform(word, self.clock.now());
+        let actions = self.lock().on_platform_read(word, self.clock.now());
         self.perform(actions);
     }
 
     /// What this host knows.
     pub fn knowledge(&self) -> ManifestStatus {
-        self.lock().knowledge(self.clock.now())
+        self.lock().status(self.clock.now())
     }
 
     /// Comes back when the platform should be read.
@@ -113,7 +113,7 @@
         let heard = self.generations();
         let mut manifests = self.lock();
         manifests.set_hosts(neighbours, strangers);
-        let hear = |(host, generation)| manifests.heard(&host, generation, now);
+        let hear = |(host, generation)| manifests.on_peer_generation(&host, generation, now);
         heard.into_iter().flat_map(hear).collect()
     }
 
