--- a/benches/control.rs
+++ b/benches/control.rs
@@ -230,7 +230,7 @@
     fn tell(&mut self, id: &HostId) {
         if let Some(published) = self.published.clone() {
             let word = ManifestRead::Published(published);
-            let actions = self.hosts[id].manifests.platform(word, self.now);
+            let actions = self.hosts[id].manifests.on_platform_read(word, self.now);
             self.spread(id, actions);
         }
     }
--- a/tests/manifests.rs
+++ b/tests/manifests.rs
@@ -120,7 +120,7 @@
     }
 
     fn tell(&mut self, host: &HostId, word: ManifestRead) {
-        let actions = self.hosts[host].platform(word, self.now);
+        let actions = self.hosts[host].on_platform_read(word, self.now);
         self.act(host, actions);
     }
 
@@ -169,7 +169,7 @@
     }
 
     fn is_ready(&self, host: &HostId) -> bool {
-        self.hosts[host].knowledge(self.now).is_ready
+        self.hosts[host].status(self.now).is_ready
     }
 }
 
@@ -297,7 +297,7 @@
     let mut domain = Domain::new(4);
     domain.run(Duration::from_secs(10));
     let fresh = host("h2");
-    let knowledge = domain.hosts[&fresh].knowledge(domain.now);
+    let knowledge = domain.hosts[&fresh].status(domain.now);
     assert!(!knowledge.is_ready);
     let why = knowledge.why_not_ready.unwrap();
     assert!(why.contains("neither the platform nor a host"), "{why}");
@@ -315,7 +315,7 @@
     domain.tell(&host("h0"), ManifestRead::Published(published(2, "wrong")));
     domain.run(Duration::from_secs(2));
     assert!(domain.all_have(1));
-    let knowledge = domain.hosts[&host("h0")].knowledge(domain.now);
+    let knowledge = domain.hosts[&host("h0")].status(domain.now);
     assert!(knowledge.is_ready);
     assert_eq!(knowledge.refused.unwrap().generation, Generation(2));
     domain.tell(
@@ -335,7 +335,7 @@
     domain.tell(&host("h0"), ManifestRead::Unchanged);
     domain.run(Duration::from_secs(30));
     for manifests in domain.hosts.values() {
-        let ago = manifests.knowledge(domain.now).confirmed_ago.unwrap();
+        let ago = manifests.status(domain.now).confirmed_ago.unwrap();
         assert!((29..=31).contains(&ago.as_secs()), "{ago:?}");
     }
 }
--- a/tests/worlds/manifest_world.rs
+++ b/tests/worlds/manifest_world.rs
@@ -122,7 +122,9 @@
         };
         let published = self.published[index].clone();
         let word = ManifestRead::Published(published);
-        let actions = self.hosts[at].manifests.platform(word, self.clock.now());
+        let actions = self.hosts[at]
+            .manifests
+            .on_platform_read(word, self.clock.now());
         self.act(at, actions);
     }
 
