--- a/src/control/manifests/machine.rs
+++ b/src/control/manifests/machine.rs
@@ -140,7 +140,7 @@
     }
 
     /// Takes in what the platform said.
-    pub fn platform(&mut self, word: ManifestRead, now: Instant) -> Vec<ManifestAction> {
+    pub fn on_platform_read(&mut self, word: ManifestRead, now: Instant) -> Vec<ManifestAction> {
         let mut actions = Vec::new();
         self.confirmed_at = Some(now);
         match word {
@@ -158,7 +158,7 @@
     }
 
     /// Takes in that a host has a generation in force, as the membership heard.
-    pub fn heard(
+    pub fn on_peer_generation(
         &mut self,
         host: &HostId,
         generation: Generation,
@@ -216,7 +216,7 @@
     }
 
     /// What this host knows.
-    pub fn knowledge(&self, now: Instant) -> ManifestStatus {
+    pub fn status(&self, now: Instant) -> ManifestStatus {
         let why_not_ready = self.why_not_ready();
         ManifestStatus {
             generation: self.generation(),
