--- a/src/control/membership/machine/mod.rs
+++ b/src/control/membership/machine/mod.rs
@@ -270,7 +270,8 @@
             return;
         }
         log::warn!("membership: this process was paused for {paused:?}");
-        self.outbox.act(MembershipAction::Woke { paused });
+        self.outbox
+            .act(MembershipAction::ResumedAfterPause { paused });
         self.probes.clear();
         for suspicion in self.suspicions.values_mut() {
             suspicion.restart(now);
@@ -395,7 +396,7 @@
             return;
         };
         for host in self.roster.forget_dead(before) {
-            self.outbox.act(MembershipAction::HostForgotten { host });
+            self.outbox.act(MembershipAction::HostRemoved { host });
         }
     }
 
--- a/src/fleet/membership_desk.rs
+++ b/src/fleet/membership_desk.rs
@@ -164,11 +164,11 @@
                 None
             }
             MembershipAction::HostChanged { view } => self.host_changed(view),
-            MembershipAction::HostForgotten { host } => {
+            MembershipAction::HostRemoved { host } => {
                 self.cluster_view.hosts.remove(&host);
                 None
             }
-            MembershipAction::Woke { paused } => {
+            MembershipAction::ResumedAfterPause { paused } => {
                 self.events
                     .record("membership", "dropped what it held", "it was paused");
                 warn!("membership: this process was paused for {paused:?}, drops what it held");
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -228,12 +228,12 @@
     });
     assert!(
         fleet
-            .saw(|action| matches!(action, MembershipAction::Woke { .. }))
+            .saw(|action| matches!(action, MembershipAction::ResumedAfterPause { .. }))
             .is_empty()
     );
     fleet.stopped.clear();
     fleet.step();
-    let woke = fleet.saw(|action| matches!(action, MembershipAction::Woke { .. }));
+    let woke = fleet.saw(|action| matches!(action, MembershipAction::ResumedAfterPause { .. }));
     assert_eq!(woke, std::slice::from_ref(&paused));
     fleet.run_until(Duration::from_secs(5), Fleet::has_settled);
 }
