--- a/src/control/membership/action.rs
+++ b/src/control/membership/action.rs
@@ -25,12 +25,12 @@
         view: HostView,
     },
     /// A dead host is forgotten.
-    HostForgotten {
+    HostRemoved {
         /// The host.
         host: HostId,
     },
     /// This process was paused. Others may have taken over what it held: drop it.
-    Woke {
+    ResumedAfterPause {
         /// For how long.
         paused: Duration,
     },
