--- a/src/fleet/membership_desk.rs
+++ b/src/fleet/membership_desk.rs
@@ -96,12 +96,12 @@
 
     /// Takes in hosts of the platform's lagging list.
     pub fn seed(&self, seeds: &[PeerSeed]) {
-        self.lock().seed(seeds);
+        self.lock().add_seeds(seeds);
     }
 
     /// A host did not answer when it was asked for a grant.
     pub fn suspect(&self, host: &HostId) {
-        let actions = self.lock().suspect_hint(host, self.clock.now());
+        let actions = self.lock().probe_after_failed_call(host, self.clock.now());
         self.perform(actions);
     }
 
@@ -113,12 +113,12 @@
 
     /// Spreads that an upstream is leaving.
     pub fn note_leaving(&self, upstream: &UpstreamId, version: ObjectVersion) {
-        self.lock().note_leaving(upstream, version);
+        self.lock().announce_leaving_upstream(upstream, version);
     }
 
     /// Spreads that a request crashed an upstream.
     pub fn note_poison(&self, notice: PoisonNotice) {
-        self.lock().note_poison(notice);
+        self.lock().announce_poison(notice);
     }
 
     /// The hosts of a failure domain as possible homes.
