--- a/src/control/membership/machine/mod.rs
+++ b/src/control/membership/machine/mod.rs
@@ -117,13 +117,13 @@
             next_join: now,
             next_reach: now + conf::REACH_INTERVAL + offset,
         };
-        membership.seed(&conf.seeds);
+        membership.add_seeds(&conf.seeds);
         membership.spread_self(now);
         membership
     }
 
     /// Takes in hosts that may be there, from the settings or from the platform's lagging list.
-    pub fn seed(&mut self, seeds: &[PeerSeed]) {
+    pub fn add_seeds(&mut self, seeds: &[PeerSeed]) {
         for seed in seeds.iter().filter(|seed| seed.host != self.me.id) {
             self.seeds.insert(seed.host.clone(), seed.clone());
         }
@@ -176,7 +176,11 @@
 
     /// Probes a host at once, because a call to it failed. The others are told only if the probe
     /// fails too.
-    pub fn suspect_hint(&mut self, host: &HostId, now: Instant) -> Vec<MembershipAction> {
+    pub fn probe_after_failed_call(
+        &mut self,
+        host: &HostId,
+        now: Instant,
+    ) -> Vec<MembershipAction> {
         let is_neighbour = |view: &HostView| {
             view.domain == self.me.domain && view.state != HostState::Dead && view.id != self.me.id
         };
@@ -205,7 +209,7 @@
     }
 
     /// Spreads that an upstream is leaving, as of a version of its object in the platform.
-    pub fn note_leaving(&mut self, upstream: &UpstreamId, version: ObjectVersion) {
+    pub fn announce_leaving_upstream(&mut self, upstream: &UpstreamId, version: ObjectVersion) {
         let leaving = LeavingUpstream {
             upstream: upstream.to_string(),
             version: version.0,
@@ -216,7 +220,7 @@
     }
 
     /// Spreads that a request crashed upstreams.
-    pub fn note_poison(&mut self, notice: PoisonNotice) {
+    pub fn announce_poison(&mut self, notice: PoisonNotice) {
         if let Some(merged) = self.notices.merge(notice) {
             self.outbox.spread(News::Poison(merged));
         }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -200,7 +200,7 @@
     let (dead, caller) = (host("d0-h1"), host("d0-h2"));
     fleet.stopped.push(dead.clone());
     let now = fleet.now;
-    let actions = fleet.hosts[&caller].suspect_hint(&dead, now);
+    let actions = fleet.hosts[&caller].probe_after_failed_call(&dead, now);
     fleet.act(&caller, actions);
     let first = |fleet: &Fleet| fleet.state(&caller, &dead) == Some(HostState::Dead);
     let caller_saw = fleet.run_until(Duration::from_secs(3), first);
@@ -352,8 +352,8 @@
         attempts: vec![vec![2; 16]],
     };
     let membership = &mut fleet.hosts[&first];
-    membership.note_leaving(&"engine-7".parse().unwrap(), ObjectVersion(9));
-    membership.note_poison(notice);
+    membership.announce_leaving_upstream(&"engine-7".parse().unwrap(), ObjectVersion(9));
+    membership.announce_poison(notice);
     membership.set_generation(Generation(4), now);
     let actions = membership.leave(now);
     fleet.act(&first, actions);
@@ -381,7 +381,7 @@
     let start = fleet.now;
     for n in 0..1_000_u64 {
         let first = &mut fleet.hosts[0];
-        first.note_leaving(&format!("engine-{n}").parse().unwrap(), ObjectVersion(n));
+        first.announce_leaving_upstream(&format!("engine-{n}").parse().unwrap(), ObjectVersion(n));
     }
     let record = HostRecord {
         host: "d0-h1".to_owned(),
