--- a/src/control/orders/machine.rs
+++ b/src/control/orders/machine.rs
@@ -34,7 +34,7 @@
 
 /// What a reconciler starts from.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OrdersConf {
+pub struct ReconcilerConf {
     /// This host.
     pub host: HostId,
     /// This process of it.
@@ -49,7 +49,7 @@
 
 /// What a reconciler wants done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OrderAction {
+pub enum ReconcilerAction {
     /// Something about the lease.
     Lease(LeaseAction),
     /// Read what an engine has loaded, and pass on the result with this moment.
@@ -72,7 +72,7 @@
 /// The reconciling of one pool's engines, without I/O. The home of the pool runs it.
 #[derive(Debug)]
 pub struct Orders {
-    conf: OrdersConf,
+    conf: ReconcilerConf,
     lease: Lease,
     loads: TokenBucket,
     wanted: Option<Wanted>,
@@ -94,7 +94,7 @@
 
 impl Orders {
     /// A reconciler without engines.
-    pub fn new(conf: OrdersConf, now: Instant) -> Self {
+    pub fn new(conf: ReconcilerConf, now: Instant) -> Self {
         let lease = Lease::new(conf.host.clone(), conf.incarnation, now);
         // It begins with nothing: a holder before may just have used up the rate.
         let loads = empty_bucket(&conf, now);
@@ -151,7 +151,7 @@
     }
 
     /// What to do now; call it every second or so.
-    pub fn tick(&mut self, now: Instant) -> Vec<OrderAction> {
+    pub fn tick(&mut self, now: Instant) -> Vec<ReconcilerAction> {
         let mut actions = Vec::new();
         self.read_engines(now, &mut actions);
         let to_order = self.to_order();
@@ -160,7 +160,7 @@
         // time would write 15 times a second for nothing.
         let is_busy = !to_order.is_empty() || self.is_changing();
         let lease = settled.or_else(|| self.lease.tick(is_busy, now));
-        actions.extend(lease.map(OrderAction::Lease));
+        actions.extend(lease.map(ReconcilerAction::Lease));
         for id in to_order {
             match self.order(&id, now) {
                 Some(action) => actions.push(action),
@@ -192,7 +192,7 @@
         })
     }
 
-    fn order(&mut self, id: &UpstreamId, now: Instant) -> Option<OrderAction> {
+    fn order(&mut self, id: &UpstreamId, now: Instant) -> Option<ReconcilerAction> {
         let (fencing, not_after) = self.may_order(now)?;
         let state = self.wanted.as_ref()?.state.clone();
         if !self.loads.take(self.conf.weight_size.0 as f64, now) {
@@ -204,7 +204,7 @@
             sent_at: now,
         });
         log::info!("orders: {id} is to have {} {}", state.model, state.version);
-        Some(OrderAction::SendOrder {
+        Some(ReconcilerAction::SendOrder {
             id: id.clone(),
             order: Order { fencing, state },
             not_after,
@@ -220,7 +220,7 @@
         is_quiet.then_some((fencing, self.lease.valid_until()?))
     }
 
-    fn read_engines(&mut self, now: Instant, actions: &mut Vec<OrderAction>) {
+    fn read_engines(&mut self, now: Instant, actions: &mut Vec<ReconcilerAction>) {
         let wanted = self.wanted.as_ref();
         for (id, engine) in &mut self.engines {
             let is_done = wanted.is_some_and(|wanted| engine.seen(id).is_done(wanted));
@@ -231,7 +231,7 @@
             let is_due = engine.read_at.is_none_or(|at| now >= at + interval);
             if is_due {
                 engine.read_at = Some(now);
-                actions.push(OrderAction::ReadEngine { id: id.clone() });
+                actions.push(ReconcilerAction::ReadEngine { id: id.clone() });
             }
         }
     }
@@ -252,7 +252,7 @@
     }
 }
 
-fn empty_bucket(conf: &OrdersConf, now: Instant) -> TokenBucket {
+fn empty_bucket(conf: &ReconcilerConf, now: Instant) -> TokenBucket {
     let rate = conf.load_size_per_second.0 as f64;
     // Room for one engine's weights at least, or no load could ever begin.
     let burst = rate.max(conf.weight_size.0 as f64);
--- a/src/fleet/order_desk.rs
+++ b/src/fleet/order_desk.rs
@@ -13,9 +13,9 @@
 use crate::clock::Clock;
 use crate::cluster_view::ClusterView;
 use crate::control::orders::LeaseAction;
-use crate::control::orders::OrderAction;
 use crate::control::orders::Orders;
-use crate::control::orders::OrdersConf;
+use crate::control::orders::ReconcilerAction;
+use crate::control::orders::ReconcilerConf;
 use crate::control::orders::Wanted;
 use crate::control::status::Events;
 use crate::entry::UpstreamDirectory;
@@ -38,7 +38,7 @@
 /// order, and serving goes on.
 pub struct OrderDesk {
     parts: OrderDeskParts,
-    pools: Mutex<IndexMap<PoolId, (OrdersConf, Orders)>>,
+    pools: Mutex<IndexMap<PoolId, (ReconcilerConf, Orders)>>,
 }
 
 /// What a desk works with.
@@ -115,9 +115,9 @@
             .collect()
     }
 
-    fn conf(&self, manifest: &Manifest, model: &ModelSpec) -> OrdersConf {
+    fn conf(&self, manifest: &Manifest, model: &ModelSpec) -> ReconcilerConf {
         let pools = manifest.models.len().max(1) as u64;
-        OrdersConf {
+        ReconcilerConf {
             host: self.parts.host.clone(),
             incarnation: self.parts.incarnation,
             fencing: model.fencing,
@@ -126,14 +126,14 @@
         }
     }
 
-    fn perform(self: &Arc<Self>, pool: &PoolId, action: OrderAction) {
+    fn perform(self: &Arc<Self>, pool: &PoolId, action: ReconcilerAction) {
         let desk = Arc::clone(self);
         let pool = pool.clone();
         tokio::spawn(async move {
             match action {
-                OrderAction::Lease(action) => desk.lease(&pool, action).await,
-                OrderAction::ReadEngine { id } => desk.read_engine(&pool, id).await,
-                OrderAction::SendOrder {
+                ReconcilerAction::Lease(action) => desk.lease(&pool, action).await,
+                ReconcilerAction::ReadEngine { id } => desk.read_engine(&pool, id).await,
+                ReconcilerAction::SendOrder {
                     id,
                     order,
                     not_after,
@@ -208,7 +208,7 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, IndexMap<PoolId, (OrdersConf, Orders)>> {
+    fn lock(&self) -> MutexGuard<'_, IndexMap<PoolId, (ReconcilerConf, Orders)>> {
         self.pools.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -5,9 +5,9 @@
 
 use banyanarch::control::orders::EngineSeen;
 use banyanarch::control::orders::LeaseAction;
-use banyanarch::control::orders::OrderAction;
 use banyanarch::control::orders::Orders;
-use banyanarch::control::orders::OrdersConf;
+use banyanarch::control::orders::ReconcilerAction;
+use banyanarch::control::orders::ReconcilerConf;
 use banyanarch::control::orders::Wanted;
 use banyanarch::control::orders::plan;
 use banyanarch::manifest::FencingSupport;
@@ -82,7 +82,7 @@
         let now = Instant::now();
         let ids: Vec<UpstreamId> = (0..engine_count).map(engine).collect();
         let host = |n| {
-            let conf = OrdersConf {
+            let conf = ReconcilerConf {
                 host: format!("h{n}").parse().unwrap(),
                 incarnation: Incarnation(1),
                 fencing: FencingSupport::Ignored,
@@ -146,7 +146,7 @@
             }
             for action in self.hosts[host].tick(self.now) {
                 // Failure: the process is paused between the decision and what it does of it.
-                let is_send = matches!(action, OrderAction::SendOrder { .. });
+                let is_send = matches!(action, ReconcilerAction::SendOrder { .. });
                 let one_in = if is_send { 8 } else { 100 };
                 if self.has_faults && self.rng.random_ratio(1, one_in) {
                     let pause = Duration::from_secs(self.rng.random_range(1..90));
@@ -182,16 +182,16 @@
         }
     }
 
-    fn act(&mut self, host: usize, action: OrderAction) {
+    fn act(&mut self, host: usize, action: ReconcilerAction) {
         // What a paused process does, it does when it wakes.
         let at = self.now.max(self.paused_until[host]);
         match action {
-            OrderAction::Lease(action) => self.lease_call(host, action),
-            OrderAction::ReadEngine { id } => {
+            ReconcilerAction::Lease(action) => self.lease_call(host, action),
+            ReconcilerAction::ReadEngine { id } => {
                 let state = self.engines[&id].state.clone();
                 self.hosts[host].engine_read(&id, state, self.now);
             }
-            OrderAction::SendOrder {
+            ReconcilerAction::SendOrder {
                 id,
                 order,
                 not_after,
@@ -332,7 +332,7 @@
         let mut sent = None;
         for action in site.hosts[0].tick(now) {
             match action {
-                OrderAction::SendOrder { not_after, .. } => sent = Some(not_after),
+                ReconcilerAction::SendOrder { not_after, .. } => sent = Some(not_after),
                 action => site.act(0, action),
             }
         }
@@ -344,7 +344,7 @@
     site.now += Duration::from_secs(60);
     let now = site.now;
     let actions = site.hosts[0].tick(now);
-    let sends = |action: &OrderAction| matches!(action, OrderAction::SendOrder { .. });
+    let sends = |action: &ReconcilerAction| matches!(action, ReconcilerAction::SendOrder { .. });
     assert!(!actions.iter().any(sends));
 }
 
