--- a/src/control/orders/machine.rs
+++ b/src/control/orders/machine.rs
@@ -71,7 +71,7 @@
 
 /// The reconciling of one pool's engines, without I/O. The home of the pool runs it.
 #[derive(Debug)]
-pub struct Orders {
+pub struct EngineReconciler {
     conf: ReconcilerConf,
     lease: Lease,
     loads: TokenBucket,
@@ -92,7 +92,7 @@
     sent_at: Instant,
 }
 
-impl Orders {
+impl EngineReconciler {
     /// A reconciler without engines.
     pub fn new(conf: ReconcilerConf, now: Instant) -> Self {
         let lease = Lease::new(conf.host.clone(), conf.incarnation, now);
--- a/src/control/orders/mod.rs
+++ b/src/control/orders/mod.rs
@@ -12,7 +12,7 @@
 pub use lease::Lease;
 pub use lease::LeaseAction;
 pub use lease::LeaseSpec;
-pub use machine::Orders;
+pub use machine::EngineReconciler;
 pub use machine::ReconcilerAction;
 pub use machine::ReconcilerConf;
 pub use plan::EngineSeen;
--- a/src/fleet/order_desk.rs
+++ b/src/fleet/order_desk.rs
@@ -12,8 +12,8 @@
 
 use crate::clock::Clock;
 use crate::cluster_view::ClusterView;
+use crate::control::orders::EngineReconciler;
 use crate::control::orders::LeaseAction;
-use crate::control::orders::Orders;
 use crate::control::orders::ReconcilerAction;
 use crate::control::orders::ReconcilerConf;
 use crate::control::orders::Wanted;
@@ -38,7 +38,7 @@
 /// order, and serving goes on.
 pub struct OrderDesk {
     parts: OrderDeskParts,
-    pools: Mutex<IndexMap<PoolId, (ReconcilerConf, Orders)>>,
+    pools: Mutex<IndexMap<PoolId, (ReconcilerConf, EngineReconciler)>>,
 }
 
 /// What a desk works with.
@@ -86,7 +86,7 @@
                     continue;
                 };
                 let conf = self.conf(&in_force.manifest, model);
-                let fresh = || (conf.clone(), Orders::new(conf.clone(), now));
+                let fresh = || (conf.clone(), EngineReconciler::new(conf.clone(), now));
                 let entry = pools.entry(pool.clone()).or_insert_with(fresh);
                 // A manifest that says otherwise of fencing or weights starts the pool anew, which
                 // costs the wait for its own lease and nothing else.
@@ -202,13 +202,13 @@
         }
     }
 
-    fn with_orders(&self, pool: &PoolId, work: impl FnOnce(&mut Orders)) {
+    fn with_orders(&self, pool: &PoolId, work: impl FnOnce(&mut EngineReconciler)) {
         if let Some((_, orders)) = self.lock().get_mut(pool) {
             work(orders);
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, IndexMap<PoolId, (ReconcilerConf, Orders)>> {
+    fn lock(&self) -> MutexGuard<'_, IndexMap<PoolId, (ReconcilerConf, EngineReconciler)>> {
         self.pools.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use banyanarch::control::orders::EngineReconciler;
 use banyanarch::control::orders::EngineSeen;
 use banyanarch::control::orders::LeaseAction;
-use banyanarch::control::orders::Orders;
 use banyanarch::control::orders::ReconcilerAction;
 use banyanarch::control::orders::ReconcilerConf;
 use banyanarch::control::orders::Wanted;
@@ -66,7 +66,7 @@
 struct Site {
     now: Instant,
     rng: StdRng,
-    hosts: Vec<Orders>,
+    hosts: Vec<EngineReconciler>,
     paused_until: Vec<Instant>,
     away_until: Vec<Instant>,
     engines: IndexMap<UpstreamId, FakeEngine>,
@@ -89,7 +89,7 @@
                 weight_size: ByteSize(GIB),
                 load_size_per_second: ByteSize(load_gib_per_second * GIB),
             };
-            let mut orders = Orders::new(conf, now);
+            let mut orders = EngineReconciler::new(conf, now);
             orders.set_engines(&ids);
             orders
         };
