--- a/src/control/orders/machine.rs
+++ b/src/control/orders/machine.rs
@@ -5,10 +5,10 @@
 
 use indexmap::IndexMap;
 
+use crate::control::orders::DesiredEngines;
 use crate::control::orders::EngineSeen;
 use crate::control::orders::Lease;
 use crate::control::orders::LeaseAction;
-use crate::control::orders::Wanted;
 use crate::control::orders::plan;
 use crate::manifest::FencingSupport;
 use crate::objects::Object;
@@ -75,7 +75,7 @@
     conf: ReconcilerConf,
     lease: Lease,
     loads: TokenBucket,
-    wanted: Option<Wanted>,
+    wanted: Option<DesiredEngines>,
     engines: IndexMap<UpstreamId, Engine>,
 }
 
@@ -108,7 +108,7 @@
     }
 
     /// Sets what the manifest in force wants.
-    pub fn set_wanted(&mut self, wanted: Wanted) {
+    pub fn set_wanted(&mut self, wanted: DesiredEngines) {
         self.wanted = Some(wanted);
     }
 
--- a/src/control/orders/mod.rs
+++ b/src/control/orders/mod.rs
@@ -15,6 +15,6 @@
 pub use machine::EngineReconciler;
 pub use machine::ReconcilerAction;
 pub use machine::ReconcilerConf;
+pub use plan::DesiredEngines;
 pub use plan::EngineSeen;
-pub use plan::Wanted;
 pub use plan::plan;
--- a/src/control/orders/plan.rs
+++ b/src/control/orders/plan.rs
@@ -5,7 +5,7 @@
 
 /// What the manifest wants of the engines of a pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wanted {
+pub struct DesiredEngines {
     /// The state of each.
     pub state: EngineState,
     /// How many loaded engines a change must leave, in percent, rounded down: a pool of one engine
@@ -25,7 +25,7 @@
 }
 
 impl EngineSeen {
-    fn is_loaded(&self, wanted: &Wanted) -> bool {
+    fn is_loaded(&self, wanted: &DesiredEngines) -> bool {
         let reported = self.reported.as_ref();
         !self.is_ordered
             && reported.is_some_and(|state| !state.loading && state.model == wanted.state.model)
@@ -36,7 +36,7 @@
     }
 
     /// Whether it has what is wanted.
-    pub fn is_done(&self, wanted: &Wanted) -> bool {
+    pub fn is_done(&self, wanted: &DesiredEngines) -> bool {
         !self.is_ordered && self.reported.as_ref() == Some(&wanted.state)
     }
 }
@@ -48,7 +48,7 @@
 /// earlier version follow only as far as enough others stay loaded. An engine in the middle of a load
 /// is left alone, also if what is wanted has changed meanwhile: its load has been paid for, and what
 /// it reports then is compared again. An engine that never reported is not touched.
-pub fn plan(wanted: &Wanted, engines: &[EngineSeen]) -> Vec<UpstreamId> {
+pub fn plan(wanted: &DesiredEngines, engines: &[EngineSeen]) -> Vec<UpstreamId> {
     let loaded_min = engines.len() * usize::from(wanted.loaded_percent_min) / 100;
     let loaded = engines.iter().filter(|engine| engine.is_loaded(wanted));
     let mut spare = loaded.count().saturating_sub(loaded_min);
--- a/src/fleet/order_desk.rs
+++ b/src/fleet/order_desk.rs
@@ -12,11 +12,11 @@
 
 use crate::clock::Clock;
 use crate::cluster_view::ClusterView;
+use crate::control::orders::DesiredEngines;
 use crate::control::orders::EngineReconciler;
 use crate::control::orders::LeaseAction;
 use crate::control::orders::ReconcilerAction;
 use crate::control::orders::ReconcilerConf;
-use crate::control::orders::Wanted;
 use crate::control::status::Events;
 use crate::entry::UpstreamDirectory;
 use crate::fleet::HomeMap;
@@ -218,10 +218,10 @@
     manifest.models.iter().find(|model| model.name == target)
 }
 
-fn wanted_of(model: &ModelSpec) -> Wanted {
+fn wanted_of(model: &ModelSpec) -> DesiredEngines {
     let mut adapters = model.adapters.clone();
     adapters.sort();
-    Wanted {
+    DesiredEngines {
         state: EngineState {
             model: model.name.to_string(),
             version: model.version.clone(),
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use banyanarch::control::orders::DesiredEngines;
 use banyanarch::control::orders::EngineReconciler;
 use banyanarch::control::orders::EngineSeen;
 use banyanarch::control::orders::LeaseAction;
 use banyanarch::control::orders::ReconcilerAction;
 use banyanarch::control::orders::ReconcilerConf;
-use banyanarch::control::orders::Wanted;
 use banyanarch::control::orders::plan;
 use banyanarch::manifest::FencingSupport;
 use banyanarch::objects::Expected;
@@ -43,8 +43,8 @@
     }
 }
 
-fn wanted(version: &str, loaded_percent_min: u8) -> Wanted {
-    Wanted {
+fn wanted(version: &str, loaded_percent_min: u8) -> DesiredEngines {
+    DesiredEngines {
         state: state(version),
         loaded_percent_min,
     }
