--- a/src/control/orders/machine.rs
+++ b/src/control/orders/machine.rs
@@ -108,7 +108,7 @@
     }
 
     /// Sets what the manifest in force wants.
-    pub fn set_wanted(&mut self, wanted: DesiredEngines) {
+    pub fn set_desired(&mut self, wanted: DesiredEngines) {
         self.wanted = Some(wanted);
     }
 
@@ -122,7 +122,7 @@
 
     /// Takes in what an engine reported to a call that began at `asked_at`. A call that failed is
     /// not passed on: it says nothing of the engine's state.
-    pub fn engine_read(&mut self, id: &UpstreamId, state: EngineState, asked_at: Instant) {
+    pub fn on_engine_state(&mut self, id: &UpstreamId, state: EngineState, asked_at: Instant) {
         let Some(engine) = self.engines.get_mut(id) else {
             return;
         };
@@ -141,12 +141,12 @@
     }
 
     /// Takes in what a reading of the lease gave.
-    pub fn lease_read(&mut self, result: Result<Object, PlatformError>, now: Instant) {
+    pub fn on_lease_read(&mut self, result: Result<Object, PlatformError>, now: Instant) {
         self.lease.read(result, now);
     }
 
     /// Takes in what a writing of the lease gave.
-    pub fn lease_written(&mut self, result: Result<ObjectVersion, PlatformError>, now: Instant) {
+    pub fn on_lease_written(&mut self, result: Result<ObjectVersion, PlatformError>, now: Instant) {
         self.lease.written(result, now);
     }
 
--- a/src/fleet/order_desk.rs
+++ b/src/fleet/order_desk.rs
@@ -94,7 +94,7 @@
                     *entry = fresh();
                 }
                 let orders = &mut entry.1;
-                orders.set_wanted(wanted_of(model));
+                orders.set_desired(wanted_of(model));
                 orders.set_engines(&self.parts.map.upstreams_of(&pool));
                 due.push((pool, orders.tick(now)));
             }
@@ -151,7 +151,7 @@
             LeaseAction::Read => {
                 let result = self.parts.platform.get(key).await;
                 let now = self.parts.clock.now();
-                self.with_orders(pool, |orders| orders.lease_read(result, now));
+                self.with_orders(pool, |orders| orders.on_lease_read(result, now));
             }
             LeaseAction::Write { spec, expected } => {
                 let written = match serde_json::to_value(&spec) {
@@ -159,7 +159,7 @@
                     Err(err) => Err(PlatformError::Refused(err.to_string())),
                 };
                 let now = self.parts.clock.now();
-                self.with_orders(pool, |orders| orders.lease_written(written, now));
+                self.with_orders(pool, |orders| orders.on_lease_written(written, now));
             }
         }
     }
@@ -171,7 +171,7 @@
         };
         match upstream.state().await {
             Ok(state) => {
-                self.with_orders(pool, |orders| orders.engine_read(&id, state, asked_at));
+                self.with_orders(pool, |orders| orders.on_engine_state(&id, state, asked_at));
             }
             Err(err) => debug!("orders: can't read {id}: {err}"),
         }
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -119,7 +119,7 @@
 
     fn want(&mut self, version: &str, loaded_percent_min: u8) {
         for host in &mut self.hosts {
-            host.set_wanted(wanted(version, loaded_percent_min));
+            host.set_desired(wanted(version, loaded_percent_min));
         }
     }
 
@@ -189,7 +189,7 @@
             ReconcilerAction::Lease(action) => self.lease_call(host, action),
             ReconcilerAction::ReadEngine { id } => {
                 let state = self.engines[&id].state.clone();
-                self.hosts[host].engine_read(&id, state, self.now);
+                self.hosts[host].on_engine_state(&id, state, self.now);
             }
             ReconcilerAction::SendOrder {
                 id,
@@ -229,7 +229,7 @@
                     true => Err(PlatformError::Unavailable("busy".to_owned())),
                     false => read.ok_or(PlatformError::Absent),
                 };
-                self.hosts[host].lease_read(result, self.now);
+                self.hosts[host].on_lease_read(result, self.now);
             }
             LeaseAction::Write { spec, expected } => {
                 let result = match fault {
@@ -241,7 +241,7 @@
                     2 | 3 => Err(PlatformError::Unknown("lost".to_owned())),
                     _ => result,
                 };
-                self.hosts[host].lease_written(result, self.now);
+                self.hosts[host].on_lease_written(result, self.now);
             }
         }
     }
