--- a/src/control/outcome/run_record.rs
+++ b/src/control/outcome/run_record.rs
@@ -19,14 +19,14 @@
 /// upstream's error proves the contrary, and what was once uncertain never becomes certain again: a
 /// task that ends in between leaves "may have run" behind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RunRecord {
+pub struct RunTracker {
     is_repeatable: bool,
     is_in_flight: bool,
     may_have_run: bool,
     is_whole: bool,
 }
 
-impl RunRecord {
+impl RunTracker {
     /// A request that was not sent to any upstream yet.
     pub fn new(is_repeatable: bool) -> Self {
         Self {
--- a/src/entry/life.rs
+++ b/src/entry/life.rs
@@ -4,7 +4,7 @@
 
 use crate::control::outcome::AfterFailure;
 use crate::control::outcome::Outcome as RunOutcome;
-use crate::control::outcome::RunRecord;
+use crate::control::outcome::RunTracker;
 use crate::decide::RefuseReason;
 use crate::entry::FailReason;
 use crate::entry::Verdict;
@@ -98,7 +98,7 @@
 #[derive(Debug)]
 pub struct Life {
     rules: LifeRules,
-    record: RunRecord,
+    record: RunTracker,
     delivered: bool,
     resumes: u8,
     last_break: Option<Break>,
@@ -109,7 +109,7 @@
     pub fn new(rules: LifeRules) -> Self {
         Self {
             rules,
-            record: RunRecord::new(rules.repeatable),
+            record: RunTracker::new(rules.repeatable),
             delivered: false,
             resumes: 0,
             last_break: None,
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -5,7 +5,7 @@
 use banyanarch::control::outcome::AnswerFault;
 use banyanarch::control::outcome::AnswerStep;
 use banyanarch::control::outcome::Outcome;
-use banyanarch::control::outcome::RunRecord;
+use banyanarch::control::outcome::RunTracker;
 use banyanarch::units::AttemptId;
 use banyanarch::upstream::ResponseEvent;
 use banyanarch::upstream::UpstreamError;
@@ -135,7 +135,7 @@
     unknown = { UpstreamError::UnknownAttempt, Outcome::MayHaveRun },
 )]
 fn not_run_is_said_only_when_certain(error: UpstreamError, outcome: Outcome) {
-    let mut record = RunRecord::new(false);
+    let mut record = RunTracker::new(false);
     assert_eq!(record.outcome(), Outcome::NotRun);
     record.sending();
     assert_eq!(
@@ -156,7 +156,7 @@
 /// one may have run. The refusal is certain, but not about the first attempt.
 #[test]
 fn later_refusal_does_not_undo_an_earlier_doubt() {
-    let mut record = RunRecord::new(true);
+    let mut record = RunTracker::new(true);
     record.sending();
     record.failed(&UpstreamError::Interrupted(String::new()));
     record.failed(&refused());
@@ -164,7 +164,7 @@
     record.sending();
     assert_eq!(record.failed(&refused()), AfterFailure::MayTryAgain);
     assert_eq!(record.outcome(), Outcome::MayHaveRun);
-    let mut resumed = RunRecord::new(false);
+    let mut resumed = RunTracker::new(false);
     resumed.sending();
     resumed.answered();
     assert_eq!(resumed.failed(&refused()), AfterFailure::MustStop);
--- a/tests/worlds/claim_world.rs
+++ b/tests/worlds/claim_world.rs
@@ -11,7 +11,7 @@
 use banyanarch::control::claims::ClaimVerdict;
 use banyanarch::control::claims::ShardAction;
 use banyanarch::control::outcome::Outcome;
-use banyanarch::control::outcome::RunRecord;
+use banyanarch::control::outcome::RunTracker;
 use banyanarch::objects::Object;
 use banyanarch::objects::PlatformError;
 use banyanarch::units::AttemptId;
@@ -250,7 +250,7 @@
             return;
         }
         let sending = self.hosts[at].claimed.remove(0);
-        let mut record = RunRecord::new(false);
+        let mut record = RunTracker::new(false);
         record.sending();
         if !matches!(fate, Fate::Refuses | Fate::CrashesBefore) {
             self.ran[sending.key].push(sending.attempt);
