--- a/src/control/outcome/run_record.rs
+++ b/src/control/outcome/run_record.rs
@@ -67,9 +67,9 @@
         }
         self.is_in_flight = false;
         if self.is_repeatable || !self.may_have_run {
-            AfterFailure::MayTryAgain
+            AfterFailure::RetryAllowed
         } else {
-            AfterFailure::MustStop
+            AfterFailure::RetryForbidden
         }
     }
 
--- a/src/entry/life.rs
+++ b/src/entry/life.rs
@@ -136,7 +136,7 @@
             return NextAfterBreak::Resume;
         }
         match self.record.ended(broke == Break::DidNotRun) {
-            AfterFailure::MayTryAgain if !self.delivered => NextAfterBreak::ConsiderRetry,
+            AfterFailure::RetryAllowed if !self.delivered => NextAfterBreak::ConsiderRetry,
             _ => NextAfterBreak::Fail,
         }
     }
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -146,7 +146,7 @@
     let after = record.failed(&error);
     assert_eq!(record.outcome(), outcome);
     assert_eq!(
-        after == AfterFailure::MayTryAgain,
+        after == AfterFailure::RetryAllowed,
         outcome == Outcome::NotRun
     );
     assert_eq!(outcome.name().parse(), Ok(outcome));
@@ -162,11 +162,11 @@
     record.failed(&refused());
     assert_eq!(record.outcome(), Outcome::MayHaveRun);
     record.sending();
-    assert_eq!(record.failed(&refused()), AfterFailure::MayTryAgain);
+    assert_eq!(record.failed(&refused()), AfterFailure::RetryAllowed);
     assert_eq!(record.outcome(), Outcome::MayHaveRun);
     let mut resumed = RunTracker::new(false);
     resumed.sending();
     resumed.answered();
-    assert_eq!(resumed.failed(&refused()), AfterFailure::MustStop);
+    assert_eq!(resumed.failed(&refused()), AfterFailure::RetryForbidden);
     assert_eq!(resumed.outcome(), Outcome::MayHaveRun);
 }
