--- a/src/control/outcome/run_record.rs
+++ b/src/control/outcome/run_record.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterFailure {
     /// Another attempt does not run the request a second time, or may do so.
-    MayTryAgain,
+    RetryAllowed,
     /// The request may have run and must not run twice: tell the caller.
-    MustStop,
+    RetryForbidden,
 }
 
 /// Remembers whether one request may have run, over all its attempts.
