--- a/src/entry/life.rs
+++ b/src/entry/life.rs
@@ -124,7 +124,7 @@
     }
 
     fn dispatch(&mut self) -> LifeStep {
-        self.record.sending();
+        self.record.on_send();
         self.resumes = 0;
         LifeStep::Dispatch
     }
@@ -135,7 +135,7 @@
             self.resumes += 1;
             return NextAfterBreak::Resume;
         }
-        match self.record.ended(broke == Break::DidNotRun) {
+        match self.record.on_attempt_ended(broke == Break::DidNotRun) {
             AfterFailure::RetryAllowed if !self.delivered => NextAfterBreak::ConsiderRetry,
             _ => NextAfterBreak::Fail,
         }
@@ -200,12 +200,12 @@
             }
             LifeEvent::ClaimHeld => {
                 // The key's earlier sending has run or runs: "not run" would be wrong from here on.
-                self.record.answered();
+                self.record.on_response_start();
                 *context = LifeStep::Follow;
                 Transition(State::following())
             }
             LifeEvent::ClaimFailed(FailReason::KeyMayHaveRun) => {
-                self.record.answered();
+                self.record.on_response_start();
                 *context = self.failed(FailReason::KeyMayHaveRun);
                 Transition(State::closed())
             }
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -137,7 +137,7 @@
 fn not_run_is_said_only_when_certain(error: UpstreamError, outcome: Outcome) {
     let mut record = RunTracker::new(false);
     assert_eq!(record.outcome(), Outcome::NotRun);
-    record.sending();
+    record.on_send();
     assert_eq!(
         record.outcome(),
         Outcome::MayHaveRun,
@@ -157,16 +157,16 @@
 #[test]
 fn later_refusal_does_not_undo_an_earlier_doubt() {
     let mut record = RunTracker::new(true);
-    record.sending();
+    record.on_send();
     record.failed(&UpstreamError::Interrupted(String::new()));
     record.failed(&refused());
     assert_eq!(record.outcome(), Outcome::MayHaveRun);
-    record.sending();
+    record.on_send();
     assert_eq!(record.failed(&refused()), AfterFailure::RetryAllowed);
     assert_eq!(record.outcome(), Outcome::MayHaveRun);
     let mut resumed = RunTracker::new(false);
-    resumed.sending();
-    resumed.answered();
+    resumed.on_send();
+    resumed.on_response_start();
     assert_eq!(resumed.failed(&refused()), AfterFailure::RetryForbidden);
     assert_eq!(resumed.outcome(), Outcome::MayHaveRun);
 }
--- a/tests/worlds/claim_world.rs
+++ b/tests/worlds/claim_world.rs
@@ -251,7 +251,7 @@
         }
         let sending = self.hosts[at].claimed.remove(0);
         let mut record = RunTracker::new(false);
-        record.sending();
+        record.on_send();
         if !matches!(fate, Fate::Refuses | Fate::CrashesBefore) {
             self.ran[sending.key].push(sending.attempt);
         }
