--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -143,7 +143,7 @@
         Outcome::MayHaveRun,
         "the task may end here"
     );
-    let after = record.failed(&error);
+    let after = record.on_failure(&error);
     assert_eq!(record.outcome(), outcome);
     assert_eq!(
         after == AfterFailure::RetryAllowed,
@@ -158,15 +158,15 @@
 fn later_refusal_does_not_undo_an_earlier_doubt() {
     let mut record = RunTracker::new(true);
     record.on_send();
-    record.failed(&UpstreamError::Interrupted(String::new()));
-    record.failed(&refused());
+    record.on_failure(&UpstreamError::Interrupted(String::new()));
+    record.on_failure(&refused());
     assert_eq!(record.outcome(), Outcome::MayHaveRun);
     record.on_send();
-    assert_eq!(record.failed(&refused()), AfterFailure::RetryAllowed);
+    assert_eq!(record.on_failure(&refused()), AfterFailure::RetryAllowed);
     assert_eq!(record.outcome(), Outcome::MayHaveRun);
     let mut resumed = RunTracker::new(false);
     resumed.on_send();
     resumed.on_response_start();
-    assert_eq!(resumed.failed(&refused()), AfterFailure::RetryForbidden);
+    assert_eq!(resumed.on_failure(&refused()), AfterFailure::RetryForbidden);
     assert_eq!(resumed.outcome(), Outcome::MayHaveRun);
 }
--- a/tests/worlds/claim_world.rs
+++ b/tests/worlds/claim_world.rs
@@ -256,12 +256,12 @@
             self.ran[sending.key].push(sending.attempt);
         }
         match fate {
-            Fate::Completes => record.completed(),
+            Fate::Completes => record.on_completed(),
             Fate::Refuses => {
-                record.failed(&UpstreamError::NotSent("refused".to_owned()));
+                record.on_failure(&UpstreamError::NotSent("refused".to_owned()));
             }
             Fate::CrashesBefore | Fate::CrashesAfter => {
-                record.failed(&UpstreamError::Interrupted("crash".to_owned()));
+                record.on_failure(&UpstreamError::Interrupted("crash".to_owned()));
             }
         }
         let outcome = record.outcome();
