--- a/src/control/outcome/run_record.rs
+++ b/src/control/outcome/run_record.rs
@@ -38,17 +38,17 @@
     }
 
     /// To be called right before an attempt is given to an upstream.
-    pub fn sending(&mut self) {
+    pub fn on_send(&mut self) {
         self.is_in_flight = true;
     }
 
     /// The upstream has begun to answer, so it is running the request.
-    pub fn answered(&mut self) {
+    pub fn on_response_start(&mut self) {
         self.may_have_run = true;
     }
 
     /// The whole answer has gone to the caller.
-    pub fn completed(&mut self) {
+    pub fn on_completed(&mut self) {
         self.is_in_flight = false;
         self.may_have_run = true;
         self.is_whole = true;
@@ -56,12 +56,12 @@
 
     /// An attempt, or resuming one, failed. An error that shows that nothing ran says so of this
     /// sending only: what was in doubt before stays in doubt.
-    pub fn failed(&mut self, error: &UpstreamError) -> AfterFailure {
-        self.ended(error.did_not_run())
+    pub fn on_failure(&mut self, error: &UpstreamError) -> AfterFailure {
+        self.on_attempt_ended(error.did_not_run())
     }
 
     /// An attempt ended without its whole answer.
-    pub fn ended(&mut self, did_not_run: bool) -> AfterFailure {
+    pub fn on_attempt_ended(&mut self, did_not_run: bool) -> AfterFailure {
         if !did_not_run {
             self.may_have_run = true;
         }
