--- a/src/control/outcome/answer_check.rs
+++ b/src/control/outcome/answer_check.rs
@@ -92,7 +92,7 @@
         if self.is_whole() {
             return Ok(());
         }
-        Err(AnswerFault::Cut {
+        Err(AnswerFault::Truncated {
             wanted_offset_tokens: self.offset_tokens,
         })
     }
@@ -161,9 +161,9 @@
 }
 
 fn crossed(got: AttemptId) -> AnswerStep {
-    AnswerStep::Fault(AnswerFault::Crossed { got })
+    AnswerStep::Fault(AnswerFault::WrongAttempt { got })
 }
 
 fn out_of_place(what: &'static str) -> AnswerStep {
-    AnswerStep::Fault(AnswerFault::OutOfPlace(what))
+    AnswerStep::Fault(AnswerFault::Unexpected(what))
 }
--- a/src/control/outcome/answer_fault.rs
+++ b/src/control/outcome/answer_fault.rs
@@ -74,7 +74,7 @@
 impl From<AnswerFault> for UpstreamError {
     fn from(fault: AnswerFault) -> Self {
         match fault {
-            AnswerFault::Cut { .. } => Self::Interrupted(fault.to_string()),
+            AnswerFault::Truncated { .. } => Self::Interrupted(fault.to_string()),
             _ => Self::InvalidResponse(fault.to_string()),
         }
     }
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -70,9 +70,9 @@
             first_token: None,
             last_token: None,
             check: if is_model {
-                AnswerCheck::model(id)
+                AnswerCheck::for_model(id)
             } else {
-                AnswerCheck::service()
+                AnswerCheck::for_service()
             },
             prompt_tokens: 0,
             cached_tokens: 0,
@@ -135,7 +135,7 @@
             ..
         } = event
         else {
-            return Piece::Wrong(AnswerFault::OutOfPlace("an end"));
+            return Piece::Wrong(AnswerFault::Unexpected("an end"));
         };
         self.prompt_tokens = prompt_tokens;
         self.cached_tokens = cached_tokens;
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -56,17 +56,17 @@
 /// Two connections to an engine are mixed up, or one repeats or loses a piece. The caller would read
 /// words of another customer's case, or a letter with a hole in it.
 #[parameterized(
-    crossed = { tokens(OTHER, 3, 1), AnswerFault::Crossed { got: OTHER } },
-    crossed_at_the_same_offset_as_a_repeat = { tokens(OTHER, 0, 3), AnswerFault::Crossed { got: OTHER } },
-    crossed_end = { end(Some(OTHER)), AnswerFault::Crossed { got: OTHER } },
-    end_without_id = { end(None), AnswerFault::OutOfPlace("an end without an id") },
+    crossed = { tokens(OTHER, 3, 1), AnswerFault::WrongAttempt { got: OTHER } },
+    crossed_at_the_same_offset_as_a_repeat = { tokens(OTHER, 0, 3), AnswerFault::WrongAttempt { got: OTHER } },
+    crossed_end = { end(Some(OTHER)), AnswerFault::WrongAttempt { got: OTHER } },
+    end_without_id = { end(None), AnswerFault::Unexpected("an end without an id") },
     hole = { tokens(OURS, 4, 1), gap(3, 4) },
     missing_tail = { tokens(OURS, 9, 0), gap(3, 9) },
     overlapping = { tokens(OURS, 2, 2), overlap(3, 2) },
-    bytes = { ResponseEvent::Data("x".into()), AnswerFault::OutOfPlace("bytes") },
+    bytes = { ResponseEvent::Data("x".into()), AnswerFault::Unexpected("bytes") },
 )]
 fn wrong_pieces_do_not_pass(event: ResponseEvent, fault: AnswerFault) {
-    let mut check = AnswerCheck::model(OURS);
+    let mut check = AnswerCheck::for_model(OURS);
     let first = tokens(OURS, 0, 3);
     assert_eq!(check.take(first.clone()), AnswerStep::Forward(first));
     assert_eq!(check.take(event), AnswerStep::Fault(fault));
@@ -78,9 +78,9 @@
 /// must get each token once, and the end only after all of them.
 #[test]
 fn resumed_streams_repeat_nothing() {
-    let mut check = AnswerCheck::model(OURS);
+    let mut check = AnswerCheck::for_model(OURS);
     check.take(tokens(OURS, 0, 3));
-    let cut = AnswerFault::Cut {
+    let cut = AnswerFault::Truncated {
         wanted_offset_tokens: 3,
     };
     assert_eq!(check.stopped(), Err(cut));
@@ -103,11 +103,11 @@
 /// a whole one, and there is no way to resume it.
 #[test]
 fn service_answers_are_whole_or_cut() {
-    let mut check = AnswerCheck::service();
+    let mut check = AnswerCheck::for_service();
     let early = check.take(ResponseEvent::Data("x".into()));
     assert!(matches!(
         early,
-        AnswerStep::Fault(AnswerFault::OutOfPlace(_))
+        AnswerStep::Fault(AnswerFault::Unexpected(_))
     ));
     assert_eq!(check.take(head()), AnswerStep::Forward(head()));
     check.take(ResponseEvent::Data("x".into()));
--- a/tests/worlds/answer_world.rs
+++ b/tests/worlds/answer_world.rs
@@ -49,7 +49,7 @@
 
 impl AnswerWorld {
     pub(crate) fn new() -> Self {
-        let check = |attempt: u64| AnswerCheck::model(AttemptId(attempt.into()));
+        let check = |attempt: u64| AnswerCheck::for_model(AttemptId(attempt.into()));
         Self {
             checks: (0..ATTEMPTS).map(check).collect(),
             sent_tokens: vec![0; 2],
