--- a/src/control/outcome/answer_check.rs
+++ b/src/control/outcome/answer_check.rs
@@ -44,7 +44,7 @@
 
 impl AnswerCheck {
     /// For a model's answer to an attempt, from its first token on.
-    pub fn model(attempt: AttemptId) -> Self {
+    pub fn for_model(attempt: AttemptId) -> Self {
         Self::resumed(attempt, 0)
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// For a plain service's answer.
-    pub fn service() -> Self {
+    pub fn for_service() -> Self {
         Self {
             attempt: None,
             offset_tokens: 0,
--- a/src/control/outcome/answer_fault.rs
+++ b/src/control/outcome/answer_fault.rs
@@ -25,26 +25,26 @@
         got_offset_tokens: u64,
     },
     /// It is the answer of another attempt.
-    Crossed {
+    WrongAttempt {
         /// The attempt that the upstream says it answers.
         got: AttemptId,
     },
     /// It stopped without the end mark.
-    Cut {
+    Truncated {
         /// The next token that the caller needs.
         wanted_offset_tokens: u64,
     },
     /// Something came after the end mark.
     AfterEnd,
     /// A piece that has no place there, such as bytes in a model's answer.
-    OutOfPlace(&'static str),
+    Unexpected(&'static str),
 }
 
 impl AnswerFault {
     /// Whether the same attempt's answer can be read on from where the caller is. After a crossed
     /// answer it can, too: nothing of it went to the caller, and resuming names the attempt.
     pub fn can_resume(self) -> bool {
-        !matches!(self, Self::AfterEnd | Self::OutOfPlace(_))
+        !matches!(self, Self::AfterEnd | Self::Unexpected(_))
     }
 }
 
@@ -59,12 +59,12 @@
                 wanted_offset_tokens: wanted,
                 got_offset_tokens: got,
             } => write!(f, "a piece from token {got} reaches beyond token {wanted}"),
-            Self::Crossed { got } => write!(f, "the answer belongs to attempt {got}"),
-            Self::Cut {
+            Self::WrongAttempt { got } => write!(f, "the answer belongs to attempt {got}"),
+            Self::Truncated {
                 wanted_offset_tokens: wanted,
             } => write!(f, "the answer stopped at token {wanted} without an end"),
             Self::AfterEnd => f.write_str("the answer went on after its end"),
-            Self::OutOfPlace(what) => write!(f, "the answer has {what} out of place"),
+            Self::Unexpected(what) => write!(f, "the answer has {what} out of place"),
         }
     }
 }
