--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -97,7 +97,7 @@
     /// Checks a piece before a byte of it reaches the caller. Answers can be late, crossed, cut or
     /// repeated; only the next tokens of this very attempt may pass.
     pub fn take(&mut self, event: ResponseEvent, now: Instant) -> Piece {
-        match self.check.take(event) {
+        match self.check.on_event(event) {
             AnswerStep::Skip => Piece::Repeated,
             AnswerStep::Fault(fault) => Piece::Wrong(fault),
             AnswerStep::Forward(event) => self.forward(event, now),
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -68,10 +68,10 @@
 fn wrong_pieces_do_not_pass(event: ResponseEvent, fault: AnswerFault) {
     let mut check = AnswerCheck::for_model(OURS);
     let first = tokens(OURS, 0, 3);
-    assert_eq!(check.take(first.clone()), AnswerStep::Forward(first));
-    assert_eq!(check.take(event), AnswerStep::Fault(fault));
+    assert_eq!(check.on_event(first.clone()), AnswerStep::Forward(first));
+    assert_eq!(check.on_event(event), AnswerStep::Fault(fault));
     let next = tokens(OURS, 3, 1);
-    assert_eq!(check.take(next.clone()), AnswerStep::Forward(next));
+    assert_eq!(check.on_event(next.clone()), AnswerStep::Forward(next));
 }
 
 /// A connection breaks, the stream is resumed, and the engine sends some of it again. The caller
@@ -79,22 +79,22 @@
 #[test]
 fn resumed_streams_repeat_nothing() {
     let mut check = AnswerCheck::for_model(OURS);
-    check.take(tokens(OURS, 0, 3));
+    check.on_event(tokens(OURS, 0, 3));
     let cut = AnswerFault::Truncated {
         wanted_offset_tokens: 3,
     };
-    assert_eq!(check.stopped(), Err(cut));
+    assert_eq!(check.on_stream_end(), Err(cut));
     assert!(cut.can_resume());
     assert_eq!(check.offset_tokens(), 3);
-    assert_eq!(check.take(tokens(OURS, 0, 2)), AnswerStep::Skip);
-    assert_eq!(check.take(tokens(OURS, 2, 1)), AnswerStep::Skip);
+    assert_eq!(check.on_event(tokens(OURS, 0, 2)), AnswerStep::Skip);
+    assert_eq!(check.on_event(tokens(OURS, 2, 1)), AnswerStep::Skip);
     let rest = tokens(OURS, 3, 2);
-    assert_eq!(check.take(rest.clone()), AnswerStep::Forward(rest));
+    assert_eq!(check.on_event(rest.clone()), AnswerStep::Forward(rest));
     let last = end(Some(OURS));
-    assert_eq!(check.take(last.clone()), AnswerStep::End(last));
-    assert_eq!(check.stopped(), Ok(()));
+    assert_eq!(check.on_event(last.clone()), AnswerStep::End(last));
+    assert_eq!(check.on_stream_end(), Ok(()));
     assert_eq!(
-        check.take(tokens(OURS, 5, 1)),
+        check.on_event(tokens(OURS, 5, 1)),
         AnswerStep::Fault(AnswerFault::AfterEnd)
     );
 }
@@ -104,16 +104,16 @@
 #[test]
 fn service_answers_are_whole_or_cut() {
     let mut check = AnswerCheck::for_service();
-    let early = check.take(ResponseEvent::Data("x".into()));
+    let early = check.on_event(ResponseEvent::Data("x".into()));
     assert!(matches!(
         early,
         AnswerStep::Fault(AnswerFault::Unexpected(_))
     ));
-    assert_eq!(check.take(head()), AnswerStep::Forward(head()));
-    check.take(ResponseEvent::Data("x".into()));
-    assert!(check.stopped().is_err());
-    assert_eq!(check.take(end(None)), AnswerStep::End(end(None)));
-    assert_eq!(check.stopped(), Ok(()));
+    assert_eq!(check.on_event(head()), AnswerStep::Forward(head()));
+    check.on_event(ResponseEvent::Data("x".into()));
+    assert!(check.on_stream_end().is_err());
+    assert_eq!(check.on_event(end(None)), AnswerStep::End(end(None)));
+    assert_eq!(check.on_stream_end(), Ok(()));
 }
 
 fn refused() -> UpstreamError {
--- a/tests/worlds/answer_world.rs
+++ b/tests/worlds/answer_world.rs
@@ -90,7 +90,7 @@
 
     /// Returns whether the stream goes on. After a fault it is resumed.
     fn take(&mut self, at: usize, event: ResponseEvent) -> bool {
-        match self.checks[at].take(event) {
+        match self.checks[at].on_event(event) {
             AnswerStep::Forward(ResponseEvent::Tokens { text, .. }) => self.got[at].push_str(&text),
             AnswerStep::Forward(other) => panic!("{other:?} is no part of a model's answer"),
             AnswerStep::Skip => (),
@@ -117,7 +117,7 @@
                 !self.is_whole[at] || self.got[at] == whole,
                 "{attempt} is short"
             );
-            assert_eq!(self.checks[at].stopped().is_ok(), self.is_whole[at]);
+            assert_eq!(self.checks[at].on_stream_end().is_ok(), self.is_whole[at]);
         }
     }
 }
