--- a/src/control/outcome/answer_check.rs
+++ b/src/control/outcome/answer_check.rs
@@ -77,7 +77,7 @@
     }
 
     /// Takes in a piece.
-    pub fn take(&mut self, event: ResponseEvent) -> AnswerStep {
+    pub fn on_event(&mut self, event: ResponseEvent) -> AnswerStep {
         if self.is_whole() {
             return AnswerStep::Fault(AnswerFault::AfterEnd);
         }
@@ -88,7 +88,7 @@
     }
 
     /// Takes in that the stream has stopped.
-    pub fn stopped(&self) -> Result<(), AnswerFault> {
+    pub fn on_stream_end(&self) -> Result<(), AnswerFault> {
         if self.is_whole() {
             return Ok(());
         }
