--- a/src/control/status/events.rs
+++ b/src/control/status/events.rs
@@ -16,7 +16,7 @@
 const TEXT_LEN_MAX: usize = 200;
 
 /// The last things that this host did by itself. Any part writes to it; memory is bounded.
-pub struct Events {
+pub struct EventLog {
     clock: Arc<dyn Clock>,
     ring: Mutex<VecDeque<Event>>,
 }
@@ -46,7 +46,7 @@
     pub times: u64,
 }
 
-impl Events {
+impl EventLog {
     /// Nothing yet.
     pub fn new(clock: Arc<dyn Clock>) -> Self {
         Self {
--- a/src/control/status/mod.rs
+++ b/src/control/status/mod.rs
@@ -4,8 +4,8 @@
 mod report;
 mod reporter;
 
+pub use events::EventLog;
 pub use events::EventReport;
-pub use events::Events;
 pub use report::DomainReport;
 pub use report::HomeReport;
 pub use report::HostReport;
--- a/src/control/status/report.rs
+++ b/src/control/status/report.rs
@@ -6,8 +6,8 @@
 use crate::cluster_view::HostState;
 use crate::cluster_view::HostView;
 use crate::control::manifests::ManifestStatus;
+use crate::control::status::EventLog;
 use crate::control::status::EventReport;
-use crate::control::status::Events;
 use crate::decide::PoolLoad;
 use crate::decide::UpstreamHealth;
 use crate::units::FailureDomainId;
@@ -40,7 +40,7 @@
     /// Failure domains that are suspected to be cut off.
     pub silent_domains: Vec<FailureDomainId>,
     /// What it did lately.
-    pub events: &'a Events,
+    pub events: &'a EventLog,
 }
 
 /// How one host sees the fleet, and what it did lately.
--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -21,7 +21,7 @@
 use crate::control::manifests::ManifestController;
 use crate::control::membership::Membership;
 use crate::control::membership::MembershipConf;
-use crate::control::status::Events;
+use crate::control::status::EventLog;
 use crate::daemon::DaemonError;
 use crate::daemon::drain::Drain;
 use crate::daemon::loops;
@@ -78,7 +78,7 @@
     pub(crate) membership: Arc<MembershipDesk>,
     pub(crate) manifests: Arc<ManifestDesk>,
     pub(crate) orders: Arc<OrderDesk>,
-    pub(crate) events: Arc<Events>,
+    pub(crate) events: Arc<EventLog>,
     pub(crate) platform: Arc<dyn Platform>,
     pub(crate) addrs: Arc<SeededAddrs>,
     pub(crate) traffic: Arc<Traffic>,
@@ -107,7 +107,7 @@
         );
         let clock: Arc<dyn Clock> = Arc::new(SystemClock);
         let cluster_view = Arc::new(ClusterView::new());
-        let events = Arc::new(Events::new(Arc::clone(&clock)));
+        let events = Arc::new(EventLog::new(Arc::clone(&clock)));
         let traffic = Arc::new(Traffic::new(
             Arc::clone(&clock),
             settings.peers.control_bytes_per_second,
--- a/src/fleet/home_desk/mod.rs
+++ b/src/fleet/home_desk/mod.rs
@@ -24,7 +24,7 @@
 use crate::control::home::HomeController;
 use crate::control::home::HomeEvent;
 use crate::control::home::Verdict;
-use crate::control::status::Events;
+use crate::control::status::EventLog;
 use crate::decide::PoolKind;
 use crate::decide::PoolLoad;
 use crate::decide::UpstreamInfo;
@@ -69,7 +69,7 @@
     clock: Arc<dyn Clock>,
     host: HostId,
     cluster_view: Arc<ClusterView>,
-    events: Arc<Events>,
+    events: Arc<EventLog>,
     peers: Arc<dyn Peers>,
     map: Arc<dyn HomeMap>,
     upstreams: Arc<dyn UpstreamDirectory>,
@@ -89,7 +89,7 @@
     /// The blackboard.
     pub cluster_view: Arc<ClusterView>,
     /// What this host did lately.
-    pub events: Arc<Events>,
+    pub events: Arc<EventLog>,
     /// Other hosts.
     pub peers: Arc<dyn Peers>,
     /// Which hosts are homes.
--- a/src/fleet/manifest_desk.rs
+++ b/src/fleet/manifest_desk.rs
@@ -17,7 +17,7 @@
 use crate::control::manifests::ManifestController;
 use crate::control::manifests::ManifestRead;
 use crate::control::manifests::ManifestStatus;
-use crate::control::status::Events;
+use crate::control::status::EventLog;
 use crate::observe::Metrics;
 use crate::peer::Message;
 use crate::peer::Peers;
@@ -28,7 +28,7 @@
 pub struct ManifestDesk {
     clock: Arc<dyn Clock>,
     cluster_view: Arc<ClusterView>,
-    events: Arc<Events>,
+    events: Arc<EventLog>,
     peers: Arc<dyn Peers>,
     metrics: Arc<Metrics>,
     host: HostId,
@@ -45,7 +45,7 @@
     /// The blackboard.
     pub cluster_view: Arc<ClusterView>,
     /// What this host did lately.
-    pub events: Arc<Events>,
+    pub events: Arc<EventLog>,
     /// Other hosts.
     pub peers: Arc<dyn Peers>,
     /// Metrics, which follow the manifest's customers.
--- a/src/fleet/membership_desk.rs
+++ b/src/fleet/membership_desk.rs
@@ -16,7 +16,7 @@
 use crate::control::homes::Member;
 use crate::control::membership::Membership;
 use crate::control::membership::MembershipAction;
-use crate::control::status::Events;
+use crate::control::status::EventLog;
 use crate::decide::PoisonReport;
 use crate::decide::UpstreamHealth;
 use crate::entry::PoisonSpread;
@@ -49,7 +49,7 @@
     clock: Arc<dyn Clock>,
     cluster_view: Arc<ClusterView>,
     peers: Arc<dyn Peers>,
-    events: Arc<Events>,
+    events: Arc<EventLog>,
     host: HostId,
     membership: Mutex<Membership>,
 }
@@ -60,7 +60,7 @@
         clock: Arc<dyn Clock>,
         cluster_view: Arc<ClusterView>,
         peers: Arc<dyn Peers>,
-        events: Arc<Events>,
+        events: Arc<EventLog>,
         host: HostId,
         membership: Membership,
     ) -> Self {
--- a/src/fleet/order_desk.rs
+++ b/src/fleet/order_desk.rs
@@ -17,7 +17,7 @@
 use crate::control::orders::LeaseAction;
 use crate::control::orders::ReconcilerAction;
 use crate::control::orders::ReconcilerConf;
-use crate::control::status::Events;
+use crate::control::status::EventLog;
 use crate::entry::UpstreamDirectory;
 use crate::fleet::HomeMap;
 use crate::manifest::Manifest;
@@ -48,7 +48,7 @@
     /// The blackboard.
     pub cluster_view: Arc<ClusterView>,
     /// What this host did lately.
-    pub events: Arc<Events>,
+    pub events: Arc<EventLog>,
     /// Which pools have their home here.
     pub map: Arc<dyn HomeMap>,
     /// The platform, for leases.
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -10,7 +10,7 @@
 use banyanarch::cluster_view::HostView;
 use banyanarch::control::manifests::ManifestRefusal;
 use banyanarch::control::manifests::ManifestStatus;
-use banyanarch::control::status::Events;
+use banyanarch::control::status::EventLog;
 use banyanarch::control::status::Reporter;
 use banyanarch::control::status::ReporterAction;
 use banyanarch::control::status::StatusParts;
@@ -46,7 +46,7 @@
     cluster_view
 }
 
-fn report(cluster_view: &ClusterView, events: &Events) -> StatusReport {
+fn report(cluster_view: &ClusterView, events: &EventLog) -> StatusReport {
     StatusReport::new(StatusParts {
         host: &"host-0".parse().unwrap(),
         domain: &"domain-0".parse().unwrap(),
@@ -72,7 +72,7 @@
 #[test]
 fn a_report_stays_small_and_keeps_earlier_events() {
     let clock = Arc::new(ManualClock::new());
-    let events = Events::new(clock.clone());
+    let events = EventLog::new(clock.clone());
     events.record("homes", "took over pool a", "host-7 is dead");
     clock.advance(Duration::from_secs(60));
     for _ in 0..1_000 {
@@ -86,7 +86,7 @@
     assert_eq!(latest.len(), 256);
     assert!(latest.iter().all(|event| event.why.len() <= 200));
 
-    let events = Events::new(clock.clone());
+    let events = EventLog::new(clock.clone());
     events.record("homes", "took over pool a", "host-7 is dead");
     clock.advance(Duration::from_secs(60));
     for _ in 0..1_000 {
