--- a/src/control/status/mod.rs
+++ b/src/control/status/mod.rs
@@ -9,7 +9,7 @@
 pub use report::DomainReport;
 pub use report::HomeReport;
 pub use report::HostReport;
-pub use report::StatusParts;
+pub use report::StatusInputs;
 pub use report::StatusReport;
 pub use report::TargetReport;
 pub use reporter::Reporter;
--- a/src/control/status/report.rs
+++ b/src/control/status/report.rs
@@ -26,7 +26,7 @@
 const EVENTS_TO_PLATFORM: usize = 10;
 
 /// What a report is made of.
-pub struct StatusParts<'a> {
+pub struct StatusInputs<'a> {
     /// This host.
     pub host: &'a HostId,
     /// Its failure domain.
@@ -140,7 +140,7 @@
 
 impl StatusReport {
     /// The report as it is now.
-    pub fn new(parts: StatusParts<'_>) -> Self {
+    pub fn new(parts: StatusInputs<'_>) -> Self {
         let mut views: Vec<HostView> = parts
             .cluster_view
             .hosts
--- a/src/daemon/status_loop.rs
+++ b/src/daemon/status_loop.rs
@@ -11,7 +11,7 @@
 
 use crate::control::status::Reporter;
 use crate::control::status::ReporterAction;
-use crate::control::status::StatusParts;
+use crate::control::status::StatusInputs;
 use crate::control::status::StatusReport;
 use crate::daemon::host::Host;
 use crate::objects::Expected;
@@ -25,7 +25,7 @@
 
 /// The report of a host as it is now.
 pub(crate) fn report(host: &Host) -> StatusReport {
-    StatusReport::new(StatusParts {
+    StatusReport::new(StatusInputs {
         host: &host.settings.host,
         domain: &host.settings.failure_domain,
         cluster_view: &host.cluster_view,
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -13,7 +13,7 @@
 use banyanarch::control::status::EventLog;
 use banyanarch::control::status::Reporter;
 use banyanarch::control::status::ReporterAction;
-use banyanarch::control::status::StatusParts;
+use banyanarch::control::status::StatusInputs;
 use banyanarch::control::status::StatusReport;
 use banyanarch::objects::Expected;
 use banyanarch::objects::PlatformError;
@@ -47,7 +47,7 @@
 }
 
 fn report(cluster_view: &ClusterView, events: &EventLog) -> StatusReport {
-    StatusReport::new(StatusParts {
+    StatusReport::new(StatusInputs {
         host: &"host-0".parse().unwrap(),
         domain: &"domain-0".parse().unwrap(),
         cluster_view,
