--- a/src/daemon/status_loop.rs
+++ b/src/daemon/status_loop.rs
@@ -46,14 +46,14 @@
         match reporter.tick(hash_without_ages(&report), host.clock.now()) {
             Some(ReporterAction::Read) => {
                 let read = host.platform.get(key.clone()).await;
-                reporter.read(&read, host.clock.now());
+                reporter.on_read(&read, host.clock.now());
             }
             Some(ReporterAction::Write(expected)) => {
                 let written = write(&host, key.clone(), &report, expected).await;
                 if let Err(err) = &written {
                     debug!("status: the report was not written: {err}");
                 }
-                reporter.written(&written, host.clock.now());
+                reporter.on_written(&written, host.clock.now());
             }
             None => {}
         }
