--- a/src/control/status/reporter.rs
+++ b/src/control/status/reporter.rs
@@ -74,7 +74,7 @@
     }
 
     /// Takes in what a read gave; the write follows at the next tick.
-    pub fn read(&mut self, result: &Result<Object, PlatformError>, now: Instant) {
+    pub fn on_read(&mut self, result: &Result<Object, PlatformError>, now: Instant) {
         self.is_busy = false;
         match result {
             Ok(object) => self.expected = Some(Expected::Version(object.version)),
@@ -84,7 +84,7 @@
     }
 
     /// Takes in what a write gave.
-    pub fn written(&mut self, result: &Result<ObjectVersion, PlatformError>, now: Instant) {
+    pub fn on_written(&mut self, result: &Result<ObjectVersion, PlatformError>, now: Instant) {
         self.is_busy = false;
         match result {
             Ok(version) => {
