--- a/tests/broken/mod.rs
+++ b/tests/broken/mod.rs
@@ -1,7 +1,7 @@
 //! Texts that are broken on purpose, for parsers that must name the place.
 
 /// Pieces that mean something in YAML.
-pub(crate) const NOISE: &[&str] = &[
+pub(crate) const YAML_FRAGMENTS: &[&str] = &[
     "\n",
     " ",
     "\t",
@@ -28,7 +28,7 @@
 ];
 
 /// A text with a part cut out and some noise in its place.
-pub(crate) fn broken(text: &str, at: usize, cut: usize, noise: &[&str]) -> String {
+pub(crate) fn corrupt(text: &str, at: usize, cut: usize, noise: &[&str]) -> String {
     let end = (at + cut).min(text.len());
     format!("{}{}{}", &text[..at], noise.concat(), &text[end..])
 }
--- a/tests/manifest.rs
+++ b/tests/manifest.rs
@@ -31,8 +31,8 @@
 use proptest::test_runner::RngSeed;
 use yare::parameterized;
 
-use broken::NOISE;
-use broken::broken;
+use broken::YAML_FRAGMENTS;
+use broken::corrupt;
 use broken::names_file_and_line;
 
 const DESAI: &str = include_str!("../examples/desai/manifest.yaml");
@@ -288,9 +288,9 @@
     fn broken_manifests_never_panic_and_name_file_and_line(
         at in 0..DESAI.len(),
         cut in 0_usize..60,
-        noise in prop::collection::vec(prop::sample::select(NOISE), 0..6),
+        noise in prop::collection::vec(prop::sample::select(YAML_FRAGMENTS), 0..6),
     ) {
-        let text = broken(DESAI, at, cut, &noise);
+        let text = corrupt(DESAI, at, cut, &noise);
         for line in problems(&text) {
             prop_assert!(names_file_and_line(&line, "m.yaml"), "{}", line);
         }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -15,8 +15,8 @@
 use proptest::test_runner::RngSeed;
 use yare::parameterized;
 
-use broken::NOISE;
-use broken::broken;
+use broken::YAML_FRAGMENTS;
+use broken::corrupt;
 use broken::names_file_and_line;
 
 const EXAMPLE: &str = include_str!("../examples/desai/desai-navrangpura-1.yaml");
@@ -134,9 +134,9 @@
     fn broken_settings_never_panic_and_name_file_and_line(
         at in 0..EXAMPLE.len(),
         cut in 0_usize..40,
-        noise in prop::collection::vec(prop::sample::select(NOISE), 0..6),
+        noise in prop::collection::vec(prop::sample::select(YAML_FRAGMENTS), 0..6),
     ) {
-        let text = broken(EXAMPLE, at, cut, &noise);
+        let text = corrupt(EXAMPLE, at, cut, &noise);
         for line in problems(&text) {
             prop_assert!(names_file_and_line(&line, "host.yaml"), "{}", line);
         }
