--- a/src/control/drain/controller.rs
+++ b/src/control/drain/controller.rs
@@ -37,9 +37,9 @@
     /// New work is turned away, not run; what is in flight goes on.
     Draining,
     /// Nothing is in flight; claims are being brought to the platform.
-    Settling,
+    ReleasingClaims,
     /// The process ends.
-    Done,
+    Exiting,
 }
 
 /// What a shutdown hears.
@@ -72,7 +72,7 @@
 }
 
 /// A second signal ends the process as one that was not shut down in an orderly way.
-const EXIT_CUT: i32 = 1;
+const EXIT_CODE_FORCED: i32 = 1;
 
 /// Shuts a host down: it fails readiness, goes on taking work until the balancer has seen it, hands
 /// its homes over, and ends when nothing is in flight.
@@ -84,7 +84,7 @@
 pub struct DrainController {
     conf: DrainConf,
     phase: DrainPhase,
-    since: Instant,
+    phase_started_at: Instant,
     in_flight: usize,
     claims: usize,
 }
@@ -95,7 +95,7 @@
         Self {
             conf,
             phase: DrainPhase::Serving,
-            since: now,
+            phase_started_at: now,
             in_flight: 0,
             claims: 0,
         }
@@ -120,9 +120,9 @@
     /// When [`DrainEvent::Tick`] is due.
     pub fn next_wake(&self) -> Option<Instant> {
         match self.phase {
-            DrainPhase::Notice => Some(self.since + self.conf.notice),
-            DrainPhase::Settling => Some(self.since + self.conf.claims_timeout),
-            DrainPhase::Serving | DrainPhase::Draining | DrainPhase::Done => None,
+            DrainPhase::Notice => Some(self.phase_started_at + self.conf.notice),
+            DrainPhase::ReleasingClaims => Some(self.phase_started_at + self.conf.claims_timeout),
+            DrainPhase::Serving | DrainPhase::Draining | DrainPhase::Exiting => None,
         }
     }
 
@@ -130,7 +130,7 @@
     pub fn handle(&mut self, event: DrainEvent, now: Instant) -> Vec<DrainAction> {
         let mut actions = Vec::new();
         match event {
-            DrainEvent::Signal => self.signal(now, &mut actions),
+            DrainEvent::Signal => self.on_signal(now, &mut actions),
             DrainEvent::Remaining { in_flight, claims } => {
                 self.in_flight = in_flight;
                 self.claims = claims;
@@ -141,42 +141,42 @@
         actions
     }
 
-    fn signal(&mut self, now: Instant, actions: &mut Vec<DrainAction>) {
+    fn on_signal(&mut self, now: Instant, actions: &mut Vec<DrainAction>) {
         match self.phase {
             DrainPhase::Serving => {
                 log::info!("drain: readiness fails, {} in flight", self.in_flight);
                 self.enter(DrainPhase::Notice, now);
                 actions.push(DrainAction::AnnounceLeaving);
             }
-            DrainPhase::Done => (),
-            DrainPhase::Notice | DrainPhase::Draining | DrainPhase::Settling => {
+            DrainPhase::Exiting => (),
+            DrainPhase::Notice | DrainPhase::Draining | DrainPhase::ReleasingClaims => {
                 log::warn!("drain: second signal, {} cut off", self.in_flight);
-                self.enter(DrainPhase::Done, now);
-                actions.push(DrainAction::Exit(EXIT_CUT));
+                self.enter(DrainPhase::Exiting, now);
+                actions.push(DrainAction::Exit(EXIT_CODE_FORCED));
             }
         }
     }
 
     fn advance(&mut self, now: Instant, actions: &mut Vec<DrainAction>) {
-        let waited = |limit: Duration| now.duration_since(self.since) >= limit;
+        let waited = |limit: Duration| now.duration_since(self.phase_started_at) >= limit;
         if self.phase == DrainPhase::Notice && waited(self.conf.notice) {
             self.enter(DrainPhase::Draining, now);
             actions.push(DrainAction::HandOverHomes);
             actions.push(DrainAction::StopAccepting);
         }
         if self.phase == DrainPhase::Draining && self.in_flight == 0 {
-            self.enter(DrainPhase::Settling, now);
+            self.enter(DrainPhase::ReleasingClaims, now);
         }
-        let waited = now.duration_since(self.since) >= self.conf.claims_timeout;
-        if self.phase == DrainPhase::Settling && (self.claims == 0 || waited) {
+        let waited = now.duration_since(self.phase_started_at) >= self.conf.claims_timeout;
+        if self.phase == DrainPhase::ReleasingClaims && (self.claims == 0 || waited) {
             log::info!("drain: done, {} claims left", self.claims);
-            self.enter(DrainPhase::Done, now);
+            self.enter(DrainPhase::Exiting, now);
             actions.push(DrainAction::Exit(0));
         }
     }
 
     fn enter(&mut self, phase: DrainPhase, now: Instant) {
         self.phase = phase;
-        self.since = now;
+        self.phase_started_at = now;
     }
 }
--- a/src/control/manifests/machine.rs
+++ b/src/control/manifests/controller.rs
@@ -12,10 +12,10 @@
 use crate::control::manifests::ManifestStatus;
 use crate::control::manifests::fetch::Fetch;
 use crate::control::manifests::fetch::FetchStep;
-use crate::control::manifests::parts::from_bytes;
+use crate::control::manifests::parts::hashes_from_bytes;
+use crate::control::manifests::parts::hashes_to_bytes;
 use crate::control::manifests::parts::pages;
-use crate::control::manifests::parts::split;
-use crate::control::manifests::parts::to_bytes;
+use crate::control::manifests::parts::split_into_parts;
 use crate::manifest::Manifest;
 use crate::manifest::ManifestInForce;
 use crate::manifest::PublishedManifest;
@@ -36,18 +36,18 @@
 
 /// Hosts that are told of a new generation at once, by each that has just taken it. Three reach a
 /// failure domain of 67 hosts in four hops, with so many words to spare that few are missed.
-const NOTICES: usize = 3;
+const NOTICE_FANOUT: usize = 3;
 
 /// Between questions to one random host: finds what a lost notice left behind, and keeps the age of
 /// the knowledge up to date.
 const QUERY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// A host without a manifest asks all at this interval.
-const FRESH_QUERY_INTERVAL: Duration = Duration::from_millis(500);
+const QUERY_INTERVAL_NOT_READY: Duration = Duration::from_millis(500);
 
 /// ManifestStatus this old means that no watcher of the failure domain reaches the platform. Then hosts
 /// of other failure domains, which may reach it, are asked too.
-const CONFIRMED_OLD: Duration = Duration::from_secs(30);
+const CONFIRMED_AGE_MAX: Duration = Duration::from_secs(30);
 
 /// The burst: a whole manifest, for a host that joins while the platform is away.
 const BURST_BYTES: f64 = 1_250_000.0;
@@ -56,7 +56,7 @@
 const BULK_PARTS: usize = 64;
 
 /// A host that has asked for nothing for this long has what it wanted.
-const BULK_PAUSE: Duration = Duration::from_millis(300);
+const BULK_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// What the platform said.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -72,23 +72,23 @@
 /// The manifests of one host. It does no I/O: words of the platform and of hosts go in, actions
 /// come out. Forward only: a generation is taken only if it is above the one in force.
 pub struct ManifestController {
-    check: ManifestValidator,
+    validate: ManifestValidator,
     rng: StdRng,
     budget: TokenBucket,
-    neighbours: Vec<HostId>,
-    strangers: Vec<HostId>,
-    in_force: Option<Held>,
+    local_peers: Vec<HostId>,
+    remote_peers: Vec<HostId>,
+    in_force: Option<StoredManifest>,
     refused: Option<ManifestRefusal>,
     confirmed_at: Option<Instant>,
-    platform_says: Option<Generation>,
-    answers: IndexMap<HostId, Generation>,
+    platform_generation: Option<Generation>,
+    peer_generations: IndexMap<HostId, Generation>,
     fetch: Option<Fetch>,
-    bulk: Option<(HostId, Instant)>,
+    bulk_receiver: Option<(HostId, Instant)>,
     next_query: Instant,
 }
 
 /// A manifest in force, in parts.
-struct Held {
+struct StoredManifest {
     generation: Generation,
     hash: ContentHash,
     /// Parts and pages by hash.
@@ -96,10 +96,13 @@
     pages: Vec<ContentHash>,
 }
 
-impl Held {
+impl StoredManifest {
     fn new(generation: Generation, text: &str) -> Self {
         let by_hash = |part: String| (ContentHash::of(part.as_bytes()), part);
-        let parts = split(text).into_iter().map(str::to_owned).map(by_hash);
+        let parts = split_into_parts(text)
+            .into_iter()
+            .map(str::to_owned)
+            .map(by_hash);
         let parts: Vec<(ContentHash, String)> = parts.collect();
         let order: Vec<ContentHash> = parts.iter().map(|(hash, _)| *hash).collect();
         let pages: Vec<(ContentHash, String)> = pages(&order).into_iter().map(by_hash).collect();
@@ -114,44 +117,51 @@
 
 impl ManifestController {
     /// A host that knows nothing.
-    pub fn new(check: ManifestValidator, bytes_per_second: u64, rng: StdRng, now: Instant) -> Self {
+    pub fn new(
+        validate: ManifestValidator,
+        bytes_per_second: u64,
+        rng: StdRng,
+        now: Instant,
+    ) -> Self {
         Self {
-            check,
+            validate,
             rng,
             budget: TokenBucket::new(bytes_per_second as f64, BURST_BYTES, now),
-            neighbours: Vec::new(),
-            strangers: Vec::new(),
+            local_peers: Vec::new(),
+            remote_peers: Vec::new(),
             in_force: None,
             refused: None,
             confirmed_at: None,
-            platform_says: None,
-            answers: IndexMap::new(),
+            platform_generation: None,
+            peer_generations: IndexMap::new(),
             fetch: None,
-            bulk: None,
+            bulk_receiver: None,
             next_query: now,
         }
     }
 
-    /// Sets the other live hosts: `neighbours` in this failure domain, `strangers` in others.
-    pub fn set_hosts(&mut self, neighbours: Vec<HostId>, strangers: Vec<HostId>) {
-        self.answers.retain(|host, _| neighbours.contains(host));
-        self.neighbours = neighbours;
-        self.strangers = strangers;
+    /// Sets the other live hosts: `local_peers` in this failure domain, `remote_peers` in others.
+    pub fn set_hosts(&mut self, local_peers: Vec<HostId>, remote_peers: Vec<HostId>) {
+        self.peer_generations
+            .retain(|host, _| local_peers.contains(host));
+        self.local_peers = local_peers;
+        self.remote_peers = remote_peers;
     }
 
     /// Takes in what the platform said.
-    pub fn on_platform_read(&mut self, word: ManifestRead, now: Instant) -> Vec<ManifestAction> {
+    pub fn on_platform_read(&mut self, read: ManifestRead, now: Instant) -> Vec<ManifestAction> {
         let mut actions = Vec::new();
         self.confirmed_at = Some(now);
-        match word {
+        match read {
             ManifestRead::Published(published) => {
                 // An earlier read may be told later.
-                self.platform_says = self.platform_says.max(Some(published.generation));
-                self.take(published.generation, &published.text, &mut actions);
+                self.platform_generation = self.platform_generation.max(Some(published.generation));
+                self.accept(published.generation, &published.text, &mut actions);
             }
             ManifestRead::Unchanged => {}
             ManifestRead::Absent => {
-                self.platform_says = self.platform_says.max(Some(Generation::default()));
+                self.platform_generation =
+                    self.platform_generation.max(Some(Generation::default()));
             }
         }
         actions
@@ -165,7 +175,7 @@
         now: Instant,
     ) -> Vec<ManifestAction> {
         let mut actions = Vec::new();
-        if self.is_wanted(generation) {
+        if self.is_newer(generation) {
             self.fetch_from(host, generation);
             self.step_fetch(now, &mut actions);
         }
@@ -176,27 +186,27 @@
     pub fn handle(&mut self, from: &HostId, message: Message, now: Instant) -> Vec<ManifestAction> {
         let mut actions = Vec::new();
         match message {
-            Message::ManifestNotice(notice) => self.hear_notice(from, &notice, now),
+            Message::ManifestNotice(notice) => self.on_notice(from, &notice, now),
             Message::ManifestQuery(query) => {
                 let generation = Generation(query.generation);
-                let notice = Message::ManifestNotice(self.notice(now));
+                let notice = Message::ManifestNotice(self.notice_message(now));
                 self.send(from, notice, now, &mut actions);
-                if self.is_wanted(generation) {
+                if self.is_newer(generation) {
                     self.fetch_from(from, generation);
                 }
             }
-            Message::IndexRequest(asked) => {
-                if let Some(index) = self.index(Generation(asked.generation)) {
+            Message::IndexRequest(request) => {
+                if let Some(index) = self.index_message(Generation(request.generation)) {
                     self.send(from, Message::ManifestIndex(index), now, &mut actions);
                 }
             }
-            Message::ManifestIndex(index) => self.take_index(&index),
-            Message::PartsRequest(asked) => {
-                self.answer_parts(from, &asked, now, &mut actions);
+            Message::ManifestIndex(index) => self.on_index(&index),
+            Message::PartsRequest(request) => {
+                self.on_parts_request(from, &request, now, &mut actions);
             }
             Message::ManifestParts(parts) => {
                 if let Some(fetch) = &mut self.fetch {
-                    fetch.take_parts(parts.parts);
+                    fetch.on_parts(parts.parts);
                 }
             }
             _ => {}
@@ -210,7 +220,7 @@
         let mut actions = Vec::new();
         self.step_fetch(now, &mut actions);
         if now >= self.next_query {
-            self.query(now, &mut actions);
+            self.send_queries(now, &mut actions);
         }
         actions
     }
@@ -229,7 +239,7 @@
 
     /// The generation in force.
     pub fn generation(&self) -> Option<Generation> {
-        self.in_force.as_ref().map(|held| held.generation)
+        self.in_force.as_ref().map(|stored| stored.generation)
     }
 
     /// Failure: a fresh host takes an old manifest for the newest one, and its callers get limits
@@ -237,7 +247,7 @@
     /// or what the newest of most hosts of its failure domain has.
     fn why_not_ready(&self) -> Option<&'static str> {
         let Some(in_force) = self.generation() else {
-            return Some(match self.platform_says {
+            return Some(match self.platform_generation {
                 Some(Generation(0)) => "no manifest is published",
                 Some(_) => "the published manifest was refused and no host had an earlier one",
                 None => "neither the platform nor a host of this failure domain told of a manifest",
@@ -245,23 +255,23 @@
         };
         let refused = self.refused.as_ref().map(|refusal| refusal.generation);
         let is_current = |newest: Generation| in_force >= newest || refused == Some(newest);
-        if self.platform_says.is_some_and(is_current) {
+        if self.platform_generation.is_some_and(is_current) {
             return None;
         }
-        let answers_min = (self.neighbours.len() / 2 + 1).min(self.neighbours.len());
-        let newest = self.answers.values().max().copied();
-        if self.answers.len() < answers_min.max(1) {
+        let reports_min = (self.local_peers.len() / 2 + 1).min(self.local_peers.len());
+        let newest = self.peer_generations.values().max().copied();
+        if self.peer_generations.len() < reports_min.max(1) {
             return Some("too few hosts of this failure domain told which manifest is the newest");
         }
         let is_behind = !newest.is_some_and(is_current);
         is_behind.then_some("a newer manifest is being fetched")
     }
 
-    fn take(&mut self, generation: Generation, text: &str, actions: &mut Vec<ManifestAction>) {
-        if !self.is_wanted(generation) {
+    fn accept(&mut self, generation: Generation, text: &str, actions: &mut Vec<ManifestAction>) {
+        if !self.is_newer(generation) {
             return;
         }
-        let manifest = match (self.check)(text) {
+        let manifest = match (self.validate)(text) {
             Ok(manifest) => manifest,
             Err(why) => {
                 log::warn!("manifests: refused generation {generation}: {why}");
@@ -269,9 +279,9 @@
                 return;
             }
         };
-        let held = Held::new(generation, text);
-        let hash = held.hash;
-        self.in_force = Some(held);
+        let stored = StoredManifest::new(generation, text);
+        let hash = stored.hash;
+        self.in_force = Some(stored);
         self.refused = None;
         self.fetch = None;
         log::info!("manifests: generation {generation} is in force");
@@ -281,12 +291,12 @@
             manifest,
         }));
         // A new generation is told at once, out of turn.
-        let told: Vec<HostId> = self
-            .neighbours
-            .choose_multiple(&mut self.rng, NOTICES)
+        let receivers: Vec<HostId> = self
+            .local_peers
+            .choose_multiple(&mut self.rng, NOTICE_FANOUT)
             .cloned()
             .collect();
-        for to in told {
+        for to in receivers {
             let message = Message::ManifestNotice(ManifestNotice {
                 generation: generation.0,
                 confirmed_ago_ms: None,
@@ -296,23 +306,23 @@
     }
 
     /// Whether a generation is newer than what is in force and was not refused.
-    fn is_wanted(&self, generation: Generation) -> bool {
+    fn is_newer(&self, generation: Generation) -> bool {
         let refused = self.refused.as_ref().map(|refusal| refusal.generation);
         Some(generation) > self.generation().or(Some(Generation::default()))
             && refused != Some(generation)
     }
 
-    fn hear_notice(&mut self, from: &HostId, notice: &ManifestNotice, now: Instant) {
+    fn on_notice(&mut self, from: &HostId, notice: &ManifestNotice, now: Instant) {
         let generation = Generation(notice.generation);
-        if self.neighbours.contains(from) {
-            self.answers.insert(from.clone(), generation);
+        if self.local_peers.contains(from) {
+            self.peer_generations.insert(from.clone(), generation);
         }
         let ago = notice.confirmed_ago_ms.map(Duration::from_millis);
         let confirmed_at = ago.and_then(|ago| now.checked_sub(ago));
         if Some(generation) == self.generation() && confirmed_at > self.confirmed_at {
             self.confirmed_at = confirmed_at;
         }
-        if self.is_wanted(generation) {
+        if self.is_newer(generation) {
             self.fetch_from(from, generation);
         }
     }
@@ -326,10 +336,10 @@
             }
             return;
         }
-        let held = self.in_force.as_ref().map(|held| held.parts.clone());
-        let mut have = held.unwrap_or_default();
-        have.extend(self.fetch.take().into_iter().flat_map(Fetch::into_parts));
-        let mut fetch = Fetch::new(generation, have);
+        let stored = self.in_force.as_ref().map(|stored| stored.parts.clone());
+        let mut known_parts = stored.unwrap_or_default();
+        known_parts.extend(self.fetch.take().into_iter().flat_map(Fetch::into_parts));
+        let mut fetch = Fetch::new(generation, known_parts);
         fetch.add_holder(host.clone());
         self.fetch = Some(fetch);
     }
@@ -340,40 +350,40 @@
         };
         match fetch.step(now) {
             FetchStep::Wait => {}
-            FetchStep::Ask { to, message } => self.send(&to, message, now, actions),
+            FetchStep::Request { to, message } => self.send(&to, message, now, actions),
             FetchStep::ReadPlatform => actions.push(ManifestAction::ReadPlatform),
-            FetchStep::Whole { generation, text } => {
+            FetchStep::Complete { generation, text } => {
                 self.fetch = None;
-                self.take(generation, &text, actions);
+                self.accept(generation, &text, actions);
             }
-            FetchStep::Broken => self.fetch = None,
+            FetchStep::HashMismatch => self.fetch = None,
         }
     }
 
-    fn query(&mut self, now: Instant, actions: &mut Vec<ManifestAction>) {
-        let is_fresh = self.why_not_ready().is_some();
-        let interval = match is_fresh {
-            true => FRESH_QUERY_INTERVAL,
+    fn send_queries(&mut self, now: Instant, actions: &mut Vec<ManifestAction>) {
+        let is_not_ready = self.why_not_ready().is_some();
+        let interval = match is_not_ready {
+            true => QUERY_INTERVAL_NOT_READY,
             false => QUERY_INTERVAL,
         };
         self.next_query = now + interval;
-        let count = match is_fresh {
-            true => self.neighbours.len(),
+        let count = match is_not_ready {
+            true => self.local_peers.len(),
             false => 1,
         };
-        let mut asked: Vec<HostId> = self
-            .neighbours
+        let mut receivers: Vec<HostId> = self
+            .local_peers
             .choose_multiple(&mut self.rng, count)
             .cloned()
             .collect();
-        let is_cut_off = self
+        let is_isolated = self
             .confirmed_ago(now)
-            .is_none_or(|ago| ago > CONFIRMED_OLD);
-        if is_cut_off && self.in_force.is_some() {
-            asked.extend(self.strangers.choose(&mut self.rng).cloned());
+            .is_none_or(|ago| ago > CONFIRMED_AGE_MAX);
+        if is_isolated && self.in_force.is_some() {
+            receivers.extend(self.remote_peers.choose(&mut self.rng).cloned());
         }
         let generation = self.generation().unwrap_or_default().0;
-        for to in asked {
+        for to in receivers {
             let message = Message::ManifestQuery(ManifestQuery { generation });
             self.send(&to, message, now, actions);
         }
@@ -384,7 +394,7 @@
             .map(|at| now.saturating_duration_since(at))
     }
 
-    fn notice(&self, now: Instant) -> ManifestNotice {
+    fn notice_message(&self, now: Instant) -> ManifestNotice {
         let ago = self.confirmed_ago(now);
         ManifestNotice {
             generation: self.generation().unwrap_or_default().0,
@@ -392,46 +402,47 @@
         }
     }
 
-    fn index(&self, wanted: Generation) -> Option<ManifestIndex> {
-        let held = self
+    fn index_message(&self, generation_min: Generation) -> Option<ManifestIndex> {
+        let stored = self
             .in_force
             .as_ref()
-            .filter(|held| held.generation >= wanted)?;
+            .filter(|stored| stored.generation >= generation_min)?;
         Some(ManifestIndex {
-            generation: held.generation.0,
-            hash: held.hash.0.to_be_bytes().to_vec(),
-            pages: to_bytes(held.pages.iter()),
+            generation: stored.generation.0,
+            hash: stored.hash.0.to_be_bytes().to_vec(),
+            pages: hashes_to_bytes(stored.pages.iter()),
         })
     }
 
-    fn take_index(&mut self, index: &ManifestIndex) {
-        let hash = from_bytes(&index.hash).and_then(|hashes| hashes.first().copied());
-        let pages = from_bytes(&index.pages);
+    fn on_index(&mut self, index: &ManifestIndex) {
+        let hash = hashes_from_bytes(&index.hash).and_then(|hashes| hashes.first().copied());
+        let pages = hashes_from_bytes(&index.pages);
         if let (Some(hash), Some(pages), Some(fetch)) = (hash, pages, &mut self.fetch) {
-            fetch.take_index(Generation(index.generation), hash, pages);
+            fetch.on_index(Generation(index.generation), hash, pages);
         }
     }
 
     /// Sends parts. Who asks for some that this host has no more hears which generation it has.
-    fn answer_parts(
+    fn on_parts_request(
         &mut self,
         from: &HostId,
-        asked: &PartsRequest,
+        request: &PartsRequest,
         now: Instant,
         actions: &mut Vec<ManifestAction>,
     ) {
-        let (Some(held), Some(asked)) = (&self.in_force, from_bytes(&asked.parts)) else {
+        let (Some(stored), Some(request)) = (&self.in_force, hashes_from_bytes(&request.parts))
+        else {
             return;
         };
-        let found = asked
+        let found = request
             .iter()
-            .filter_map(|hash| held.parts.get(hash).cloned());
+            .filter_map(|hash| stored.parts.get(hash).cloned());
         let parts: Vec<String> = found.collect();
-        if parts.len() < asked.len() {
-            let notice = Message::ManifestNotice(self.notice(now));
+        if parts.len() < request.len() {
+            let notice = Message::ManifestNotice(self.notice_message(now));
             self.send(from, notice, now, actions);
         }
-        if asked.len() >= BULK_PARTS && !self.begin_bulk(from, now) {
+        if request.len() >= BULK_PARTS && !self.reserve_bulk(from, now) {
             return;
         }
         if !parts.is_empty() {
@@ -443,14 +454,14 @@
     /// Failure: many hosts fetch a large manifest from the few that have it. If the budget were
     /// shared among them, each would get a piece and none the whole; one after the other, each that
     /// has it all can pass it on.
-    fn begin_bulk(&mut self, to: &HostId, now: Instant) -> bool {
+    fn reserve_bulk(&mut self, to: &HostId, now: Instant) -> bool {
         let is_other = |(host, at): &(HostId, Instant)| {
-            host != to && now.saturating_duration_since(*at) < BULK_PAUSE
+            host != to && now.saturating_duration_since(*at) < BULK_IDLE_TIMEOUT
         };
-        if self.bulk.as_ref().is_some_and(is_other) {
+        if self.bulk_receiver.as_ref().is_some_and(is_other) {
             return false;
         }
-        self.bulk = Some((to.clone(), now));
+        self.bulk_receiver = Some((to.clone(), now));
         true
     }
 
--- a/src/control/manifests/fetch.rs
+++ b/src/control/manifests/fetch.rs
@@ -6,8 +6,8 @@
 use indexmap::IndexMap;
 use indexmap::IndexSet;
 
+use crate::control::manifests::parts::hashes_to_bytes;
 use crate::control::manifests::parts::page_hashes;
-use crate::control::manifests::parts::to_bytes;
 use crate::peer::Message;
 use crate::peer::message::IndexRequest;
 use crate::peer::message::PartsRequest;
@@ -19,10 +19,10 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Parts in one request: about 256 KiB, well inside a frame.
-const PARTS_ASKED_MAX: usize = 256;
+const PARTS_PER_REQUEST_MAX: usize = 256;
 
 /// Where this much is missing, about 64 KiB, the platform is asked.
-const PLATFORM_PARTS: usize = 64;
+const PEER_FETCH_PARTS_MAX: usize = 64;
 
 /// How long to wait for the platform before a large manifest is taken from other hosts after all.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
@@ -34,8 +34,8 @@
     pub(crate) generation: Generation,
     /// Who is known to have it, the latest word last.
     holders: IndexSet<HostId>,
-    asked: Option<(HostId, Instant)>,
-    asked_platform_at: Option<Instant>,
+    pending_request: Option<(HostId, Instant)>,
+    platform_requested_at: Option<Instant>,
     index: Option<Index>,
     parts: IndexMap<ContentHash, String>,
 }
@@ -50,30 +50,30 @@
 /// What a fetch has come to.
 pub(crate) enum FetchStep {
     /// Ask a host.
-    Ask { to: HostId, message: Message },
+    Request { to: HostId, message: Message },
     /// Read it from the platform: too much is missing for what hosts may send each other.
     ReadPlatform,
     /// Wait for an answer.
     Wait,
     /// The text is whole.
-    Whole {
+    Complete {
         generation: Generation,
         text: String,
     },
     /// The parts do not give the text that the index names: begin again.
-    Broken,
+    HashMismatch,
 }
 
 impl Fetch {
     /// Begins to fetch. `have` are the parts of the manifest in force.
-    pub(crate) fn new(generation: Generation, have: IndexMap<ContentHash, String>) -> Self {
+    pub(crate) fn new(generation: Generation, known_parts: IndexMap<ContentHash, String>) -> Self {
         Self {
             generation,
             holders: IndexSet::new(),
-            asked: None,
-            asked_platform_at: None,
+            pending_request: None,
+            platform_requested_at: None,
             index: None,
-            parts: have,
+            parts: known_parts,
         }
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// Takes in an index, if it is of a generation that is wanted.
-    pub(crate) fn take_index(
+    pub(crate) fn on_index(
         &mut self,
         generation: Generation,
         hash: ContentHash,
@@ -102,12 +102,12 @@
             hash,
             pages,
         });
-        self.asked = None;
+        self.pending_request = None;
     }
 
     /// Takes in parts and pages. What is not missing is dropped, so that nobody can fill this
     /// memory.
-    pub(crate) fn take_parts(&mut self, parts: Vec<String>) {
+    pub(crate) fn on_parts(&mut self, parts: Vec<String>) {
         let missing = self.missing();
         for part in parts {
             let hash = ContentHash::of(part.as_bytes());
@@ -115,7 +115,7 @@
                 self.parts.insert(hash, part);
             }
         }
-        self.asked = None;
+        self.pending_request = None;
     }
 
     /// What to do now.
@@ -126,17 +126,17 @@
         {
             return self.assemble(index);
         }
-        if missing.len() > PLATFORM_PARTS {
-            let asked_at = *self.asked_platform_at.get_or_insert(now);
-            if asked_at == now {
+        if missing.len() > PEER_FETCH_PARTS_MAX {
+            let requested_at = *self.platform_requested_at.get_or_insert(now);
+            if requested_at == now {
                 return FetchStep::ReadPlatform;
             }
-            if now.saturating_duration_since(asked_at) < PLATFORM_TIMEOUT {
+            if now.saturating_duration_since(requested_at) < PLATFORM_TIMEOUT {
                 return FetchStep::Wait;
             }
         }
-        if let Some((host, asked_at)) = &self.asked {
-            if now.saturating_duration_since(*asked_at) < ANSWER_TIMEOUT {
+        if let Some((host, requested_at)) = &self.pending_request {
+            if now.saturating_duration_since(*requested_at) < ANSWER_TIMEOUT {
                 return FetchStep::Wait;
             }
             // It goes to the end of the line.
@@ -147,16 +147,16 @@
         let Some(to) = self.holders.first().cloned() else {
             return FetchStep::Wait;
         };
-        self.asked = Some((to.clone(), now));
+        self.pending_request = Some((to.clone(), now));
         let message = match &self.index {
             None => Message::IndexRequest(IndexRequest {
                 generation: self.generation.0,
             }),
             Some(_) => Message::PartsRequest(PartsRequest {
-                parts: to_bytes(missing.iter().take(PARTS_ASKED_MAX)),
+                parts: hashes_to_bytes(missing.iter().take(PARTS_PER_REQUEST_MAX)),
             }),
         };
-        FetchStep::Ask { to, message }
+        FetchStep::Request { to, message }
     }
 
     /// Pages that are not there, and parts of the pages that are.
@@ -183,9 +183,9 @@
             .filter_map(|hash| self.parts.get(&hash).map(String::as_str))
             .collect();
         if ContentHash::of(text.as_bytes()) != index.hash {
-            return FetchStep::Broken;
+            return FetchStep::HashMismatch;
         }
-        FetchStep::Whole {
+        FetchStep::Complete {
             generation: index.generation,
             text,
         }
--- a/src/control/manifests/mod.rs
+++ b/src/control/manifests/mod.rs
@@ -5,17 +5,17 @@
 //! it is above the one that it has, and is ready only when it knows the newest.
 
 mod action;
+mod controller;
 mod fetch;
-mod knowledge;
-mod machine;
+mod manifest_status;
 mod parts;
 mod watchers;
 
 pub use action::ManifestAction;
-pub use knowledge::ManifestRefusal;
-pub use knowledge::ManifestStatus;
-pub use machine::ManifestController;
-pub use machine::ManifestRead;
-pub use machine::ManifestValidator;
-pub use parts::split;
+pub use controller::ManifestController;
+pub use controller::ManifestRead;
+pub use controller::ManifestValidator;
+pub use manifest_status::ManifestRefusal;
+pub use manifest_status::ManifestStatus;
+pub use parts::split_into_parts;
 pub use watchers::watchers;
--- a/src/control/manifests/parts.rs
+++ b/src/control/manifests/parts.rs
@@ -7,7 +7,7 @@
 /// A part ends behind a line where the hash of the last lines says so, on average one in this many.
 /// Where it ends depends on the text around it alone, so that a change in one place leaves all other
 /// parts as they were.
-const LINES_A_CUT: u64 = 16;
+const LINES_PER_PART: u64 = 16;
 
 /// Lines that go into such a hash. Manifests are generated and full of lines that stand in every
 /// entry; a few of them together hold something that tells the entries apart.
@@ -20,7 +20,7 @@
 const PART_LEN_MAX: usize = 4 << 10;
 
 /// A page of hashes ends behind a hash that says so, on average one in this many.
-const HASHES_A_CUT: u128 = 16;
+const HASHES_PER_PAGE: u128 = 16;
 
 /// No page holds more hashes.
 const PAGE_HASHES_MAX: usize = 64;
@@ -29,12 +29,12 @@
 const PAGE_HASH_LEN: usize = 32;
 
 /// The parts of a text, in order.
-pub fn split(text: &str) -> Vec<&str> {
+pub fn split_into_parts(text: &str) -> Vec<&str> {
     let mut parts = Vec::new();
     let mut window: Vec<&str> = Vec::new();
     let mut start = 0;
     let mut end = 0;
-    for line in text.split_inclusive('\n').flat_map(pieces) {
+    for line in text.split_inclusive('\n').flat_map(split_long_line) {
         if end + line.len() - start > PART_LEN_MAX {
             parts.push(&text[start..end]);
             start = end;
@@ -44,7 +44,7 @@
             window.remove(0);
         }
         window.push(line);
-        if end - start >= PART_LEN_MIN && is_cut(&window) {
+        if end - start >= PART_LEN_MIN && is_boundary(&window) {
             parts.push(&text[start..end]);
             start = end;
         }
@@ -55,16 +55,16 @@
     parts
 }
 
-fn is_cut(window: &[&str]) -> bool {
+fn is_boundary(window: &[&str]) -> bool {
     let mut hasher = Xxh3::new();
     for line in window {
         hasher.update(line.as_bytes());
     }
-    hasher.digest().is_multiple_of(LINES_A_CUT)
+    hasher.digest().is_multiple_of(LINES_PER_PART)
 }
 
 /// A line, cut where it is longer than a part.
-fn pieces(line: &str) -> impl Iterator<Item = &str> {
+fn split_long_line(line: &str) -> impl Iterator<Item = &str> {
     let mut rest = line;
     std::iter::from_fn(move || {
         let (piece, after) = rest.split_at(char_boundary(rest, PART_LEN_MAX));
@@ -81,7 +81,7 @@
     for hash in parts {
         page.push_str(&hash.to_string());
         let is_full = page.len() >= PAGE_HASH_LEN * PAGE_HASHES_MAX;
-        if is_full || hash.0.is_multiple_of(HASHES_A_CUT) {
+        if is_full || hash.0.is_multiple_of(HASHES_PER_PAGE) {
             pages.push(std::mem::take(&mut page));
         }
     }
@@ -106,12 +106,12 @@
 }
 
 /// The hashes in one field, 16 bytes each.
-pub(crate) fn to_bytes<'a>(hashes: impl Iterator<Item = &'a ContentHash>) -> Vec<u8> {
+pub(crate) fn hashes_to_bytes<'a>(hashes: impl Iterator<Item = &'a ContentHash>) -> Vec<u8> {
     hashes.flat_map(|hash| hash.0.to_be_bytes()).collect()
 }
 
 /// The hashes of one field; none if its length is not a multiple of 16.
-pub(crate) fn from_bytes(bytes: &[u8]) -> Option<Vec<ContentHash>> {
+pub(crate) fn hashes_from_bytes(bytes: &[u8]) -> Option<Vec<ContentHash>> {
     let (hashes, rest) = bytes.as_chunks::<16>();
     let hash = |bytes: &[u8; 16]| ContentHash(u128::from_be_bytes(*bytes));
     rest.is_empty().then(|| hashes.iter().map(hash).collect())
--- a/src/control/manifests/watchers.rs
+++ b/src/control/manifests/watchers.rs
@@ -7,7 +7,7 @@
 
 /// Hosts of a failure domain that watch. Every watch counts at the platform, so not all may; with
 /// three, two can die at once and the others still hear of a new generation at once.
-const WATCHERS: usize = 3;
+const WATCHER_COUNT: usize = 3;
 
 /// The hosts of a failure domain that watch the platform's manifest, the same for all who see the
 /// same members.
@@ -18,15 +18,15 @@
         .map(|member| member.host.as_str())
         .collect();
     let ranked = rank(&format!("{domain} watches manifests"), &eligible);
-    let is_chosen = |member: &&Member| {
+    let is_watcher = |member: &&Member| {
         ranked
             .iter()
-            .take(WATCHERS)
+            .take(WATCHER_COUNT)
             .any(|name| *name == member.host.as_str())
     };
     members
         .iter()
-        .filter(is_chosen)
+        .filter(is_watcher)
         .map(|member| member.host.clone())
         .collect()
 }
--- /dev/null
+++ b/src/control/membership/broadcast_queue.rs
@@ -0,0 +1,78 @@
+//! News that is passed on a few times.
+
+use indexmap::IndexMap;
+
+use crate::control::membership::conf::BROADCASTS_PER_MESSAGE_MAX;
+use crate::peer::message::Gossip;
+use crate::peer::message::HostRecord;
+use crate::peer::message::LeavingUpstream;
+use crate::peer::message::PoisonNotice;
+
+/// More news than this at once is cut off at the oldest; what is lost is found by comparing
+/// hashes, or comes again from the platform.
+const QUEUE_MAX: usize = 1_024;
+
+/// What a piece of news is about. A later word about it replaces the earlier one.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+enum BroadcastKey {
+    Host(String),
+    Upstream(String),
+    Poison(Vec<u8>),
+}
+
+/// A piece of news.
+#[derive(Clone, Debug)]
+pub(crate) enum Broadcast {
+    /// A host.
+    Host(HostRecord),
+    /// An upstream that leaves.
+    Leaving(LeavingUpstream),
+    /// A request that crashed upstreams.
+    Poison(PoisonNotice),
+}
+
+impl Broadcast {
+    fn key(&self) -> BroadcastKey {
+        match self {
+            Self::Host(record) => BroadcastKey::Host(record.host.clone()),
+            Self::Leaving(leaving) => BroadcastKey::Upstream(leaving.upstream.clone()),
+            Self::Poison(notice) => BroadcastKey::Poison(notice.content.clone()),
+        }
+    }
+}
+
+/// News that is still passed on, the newest last.
+#[derive(Debug, Default)]
+pub(crate) struct BroadcastQueue {
+    entries: IndexMap<BroadcastKey, (Broadcast, usize)>,
+}
+
+impl BroadcastQueue {
+    /// Begins to pass on a piece of news.
+    pub(crate) fn push(&mut self, broadcast: Broadcast) {
+        let key = broadcast.key();
+        self.entries.shift_remove(&key);
+        self.entries.insert(key, (broadcast, 0));
+        if self.entries.len() > QUEUE_MAX {
+            self.entries.shift_remove_index(0);
+        }
+    }
+
+    /// Puts news on a message: what was sent least often first, and of it the newest first. A
+    /// piece is dropped after `transmissions_max` times.
+    pub(crate) fn attach_to(&mut self, gossip: &mut Gossip, transmissions_max: usize) {
+        let mut indices: Vec<usize> = (0..self.entries.len()).rev().collect();
+        indices.sort_by_key(|index| self.entries[*index].1);
+        for index in indices.into_iter().take(BROADCASTS_PER_MESSAGE_MAX) {
+            let (broadcast, transmissions) = &mut self.entries[index];
+            *transmissions += 1;
+            match broadcast {
+                Broadcast::Host(record) => gossip.hosts.push(record.clone()),
+                Broadcast::Leaving(leaving) => gossip.leaving.push(leaving.clone()),
+                Broadcast::Poison(notice) => gossip.poison.push(notice.clone()),
+            }
+        }
+        self.entries
+            .retain(|_, (_, transmissions)| *transmissions < transmissions_max);
+    }
+}
--- a/src/control/membership/roster.rs
+++ b/src/control/membership/host_table.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Applied {
     /// Nothing: the word is old.
-    Old,
+    Stale,
     /// Only the generation that the host has in force.
     Generation,
     /// Its state, incarnation or address.
@@ -30,7 +30,7 @@
 
 /// All hosts that are known.
 #[derive(Debug, Default)]
-pub(crate) struct Roster {
+pub(crate) struct HostTable {
     hosts: IndexMap<HostId, Entry>,
     hashes: IndexMap<FailureDomainId, u64>,
 }
@@ -41,7 +41,7 @@
     changed_at: Instant,
 }
 
-impl Roster {
+impl HostTable {
     /// Takes in a word about a host, true since `since`. The larger incarnation wins; within one,
     /// the later state.
     pub(crate) fn apply(&mut self, view: HostView, since: Instant) -> Applied {
@@ -68,11 +68,11 @@
         generation: Generation,
     ) -> Applied {
         let Some(entry) = self.hosts.get_mut(host) else {
-            return Applied::Old;
+            return Applied::Stale;
         };
         let is_later = entry.view.incarnation <= incarnation && entry.view.generation < generation;
         if !is_later {
-            return Applied::Old;
+            return Applied::Stale;
         }
         entry.view.generation = generation;
         Applied::Generation
@@ -122,7 +122,7 @@
     }
 
     /// Removes hosts that have been dead since before `before`, and names them.
-    pub(crate) fn forget_dead(&mut self, before: Instant) -> Vec<HostId> {
+    pub(crate) fn remove_expired_dead(&mut self, before: Instant) -> Vec<HostId> {
         let is_old =
             |entry: &Entry| entry.view.state == HostState::Dead && entry.changed_at < before;
         let old: Vec<HostId> = self
--- a/src/control/membership/machine/mod.rs
+++ b/src/control/membership/machine/mod.rs
@@ -1,7 +1,7 @@
 //! The membership's state machine: what it does by itself.
 
 mod digests;
-mod hearing;
+mod inbound;
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,16 +17,16 @@
 use crate::control::homes::Member;
 use crate::control::membership::MembershipAction;
 use crate::control::membership::MembershipConf;
+use crate::control::membership::broadcast_queue::Broadcast;
 use crate::control::membership::conf;
-use crate::control::membership::conf::NEAR_JOIN_TRIES;
-use crate::control::membership::notices::Notices;
+use crate::control::membership::conf::LOCAL_JOIN_ATTEMPTS;
+use crate::control::membership::host_table::Applied;
+use crate::control::membership::host_table::HostTable;
 use crate::control::membership::outbox::Outbox;
 use crate::control::membership::probes::ProbeStep;
 use crate::control::membership::probes::Probes;
 use crate::control::membership::record::to_record;
-use crate::control::membership::roster::Applied;
-use crate::control::membership::roster::Roster;
-use crate::control::membership::rumours::News;
+use crate::control::membership::seen_notices::SeenNotices;
 use crate::control::membership::suspicion::Suspicion;
 use crate::peer::message::Gossip;
 use crate::peer::message::GossipBody;
@@ -46,33 +46,33 @@
 /// [`Membership::tick`] should be called every 100 ms or more often.
 #[derive(Debug)]
 pub struct Membership {
-    me: HostView,
+    local_host: HostView,
     rng: StdRng,
-    roster: Roster,
+    host_table: HostTable,
     probes: Probes,
     suspicions: IndexMap<HostId, Suspicion>,
-    notices: Notices,
+    seen_notices: SeenNotices,
     outbox: Outbox,
     seeds: IndexMap<HostId, PeerSeed>,
-    heard_domains: IndexMap<FailureDomainId, Instant>,
-    ring: Vec<HostId>,
-    digest_turn: usize,
+    domain_heard_at: IndexMap<FailureDomainId, Instant>,
+    probe_order: Vec<HostId>,
+    digest_round: usize,
     has_joined: bool,
     has_agreed: bool,
-    join_tries: usize,
-    differing: Option<Differing>,
-    pulled_at: Option<Instant>,
+    join_attempts: usize,
+    view_mismatch: Option<ViewMismatch>,
+    last_pull_at: Option<Instant>,
     started_at: Instant,
     last_active: Instant,
-    next_round: Instant,
+    next_probe: Instant,
     next_digest: Instant,
     next_join: Instant,
-    next_reach: Instant,
+    next_reconnect: Instant,
 }
 
 /// A difference of views that goes on.
 #[derive(Clone, Copy, Debug)]
-struct Differing {
+struct ViewMismatch {
     since: Instant,
     last: Instant,
     /// The view of this host meanwhile.
@@ -82,7 +82,7 @@
 impl Membership {
     /// A membership that knows only this host and its seeds.
     pub fn new(conf: MembershipConf, mut rng: StdRng, now: Instant) -> Self {
-        let me = HostView {
+        let local_host = HostView {
             id: conf.host,
             domain: conf.domain,
             peer_addr: conf.peer_addr,
@@ -91,87 +91,87 @@
             generation: Generation::default(),
         };
         // Hosts that are started together must not probe together ever after.
-        let offset = conf::ROUND.mul_f64(rng.random());
-        let digest_turn = rng.random_range(0..60);
+        let offset = conf::PROBE_INTERVAL.mul_f64(rng.random());
+        let digest_round = rng.random_range(0..60);
         let mut membership = Self {
-            me,
+            local_host,
             rng,
-            roster: Roster::default(),
+            host_table: HostTable::default(),
             probes: Probes::default(),
             suspicions: IndexMap::new(),
-            notices: Notices::default(),
+            seen_notices: SeenNotices::default(),
             outbox: Outbox::new(conf.bytes_per_second, now),
             seeds: IndexMap::new(),
-            heard_domains: IndexMap::new(),
-            ring: Vec::new(),
-            digest_turn,
+            domain_heard_at: IndexMap::new(),
+            probe_order: Vec::new(),
+            digest_round,
             has_joined: false,
             has_agreed: false,
-            join_tries: 0,
-            differing: None,
-            pulled_at: None,
+            join_attempts: 0,
+            view_mismatch: None,
+            last_pull_at: None,
             started_at: now,
             last_active: now,
-            next_round: now + offset,
+            next_probe: now + offset,
             next_digest: now + offset,
             next_join: now,
-            next_reach: now + conf::REACH_INTERVAL + offset,
+            next_reconnect: now + conf::RECONNECT_INTERVAL + offset,
         };
         membership.add_seeds(&conf.seeds);
-        membership.spread_self(now);
+        membership.broadcast_self(now);
         membership
     }
 
     /// Takes in hosts that may be there, from the settings or from the platform's lagging list.
     pub fn add_seeds(&mut self, seeds: &[PeerSeed]) {
-        for seed in seeds.iter().filter(|seed| seed.host != self.me.id) {
+        for seed in seeds.iter().filter(|seed| seed.host != self.local_host.id) {
             self.seeds.insert(seed.host.clone(), seed.clone());
         }
     }
 
     /// Does what is due now.
     pub fn tick(&mut self, now: Instant) -> Vec<MembershipAction> {
-        self.notice_pause(now);
-        self.end_suspicions(now);
+        self.detect_pause(now);
+        self.expire_suspicions(now);
         for step in self.probes.due(now) {
-            self.step_probe(step, now);
+            self.on_probe_step(step, now);
         }
-        if is_due(&mut self.next_round, conf::ROUND, now) {
+        if is_due(&mut self.next_probe, conf::PROBE_INTERVAL, now) {
             self.probe_next(now);
-            self.forget_dead(now);
+            self.remove_expired_dead(now);
         }
         if !self.has_joined && is_due(&mut self.next_join, conf::JOIN_INTERVAL, now) {
             self.join_seeds(now);
         }
-        if is_due(&mut self.next_reach, conf::REACH_INTERVAL, now) {
-            self.reach_one(now);
+        if is_due(&mut self.next_reconnect, conf::RECONNECT_INTERVAL, now) {
+            self.reconnect_one(now);
         }
-        if is_due(&mut self.next_digest, conf::DIGEST_INTERVAL, now) && self.is_bridge() {
+        if is_due(&mut self.next_digest, conf::DIGEST_INTERVAL, now) && self.is_digest_host() {
             self.send_digest(now);
         }
-        self.outbox.take()
+        self.outbox.take_actions()
     }
 
     /// Takes in a message of another host.
     pub fn handle(&mut self, from: &HostId, gossip: Gossip, now: Instant) -> Vec<MembershipAction> {
-        self.notice_pause(now);
-        self.hear_sender(from, &gossip, now);
+        self.detect_pause(now);
+        self.on_sender(from, &gossip, now);
         let is_list = matches!(gossip.body, Some(GossipBody::Members(())));
         // A host that has just come hears of all others, which is news to nobody else.
-        let passes_on = !is_list || self.has_agreed;
+        let rebroadcasts = !is_list || self.has_agreed;
         for record in &gossip.hosts {
-            self.hear_host(record, passes_on, now);
+            self.on_host_record(record, rebroadcasts, now);
         }
         for leaving in gossip.leaving {
-            self.hear_leaving(leaving);
+            self.on_leaving_upstream(leaving);
         }
         for notice in gossip.poison {
-            self.hear_poison(notice);
+            self.on_poison(notice);
         }
         if let Some(body) = gossip.body {
-            self.handle_body(from, body, now);
+            self.on_body(from, body, now);
         }
-        self.outbox.take()
+        self.outbox.take_actions()
     }
 
     /// Probes a host at once, because a call to it failed. The others are told only if the probe
@@ -182,30 +182,33 @@
         now: Instant,
     ) -> Vec<MembershipAction> {
         let is_neighbour = |view: &HostView| {
-            view.domain == self.me.domain && view.state != HostState::Dead && view.id != self.me.id
+            view.domain == self.local_host.domain
+                && view.state != HostState::Dead
+                && view.id != self.local_host.id
         };
-        if self.roster.get(host).is_some_and(is_neighbour) {
+        if self.host_table.get(host).is_some_and(is_neighbour) {
             self.probe(host, now);
         }
-        self.outbox.take()
+        self.outbox.take_actions()
     }
 
     /// Tells the others that this host drains and takes no home from now on.
     pub fn leave(&mut self, now: Instant) -> Vec<MembershipAction> {
-        self.me.state = HostState::Leaving;
-        self.me.incarnation = self.me.incarnation.next();
-        self.spread_self(now);
-        for host in self.neighbours(conf::INDIRECT_PROBES) {
+        self.local_host.state = HostState::Leaving;
+        self.local_host.incarnation = self.local_host.incarnation.next();
+        self.broadcast_self(now);
+        for host in self.local_peers(conf::INDIRECT_PROBES) {
             self.probe(&host, now);
         }
-        self.outbox.take()
+        self.outbox.take_actions()
     }
 
     /// Sets the generation that this host has in force.
     pub fn set_generation(&mut self, generation: Generation, now: Instant) {
-        self.me.generation = generation;
-        self.roster.set(self.me.clone(), now);
-        self.outbox.set_sender(self.me.incarnation, generation);
+        self.local_host.generation = generation;
+        self.host_table.set(self.local_host.clone(), now);
+        self.outbox
+            .set_sender(self.local_host.incarnation, generation);
     }
 
     /// Spreads that an upstream is leaving, as of a version of its object in the platform.
@@ -214,15 +217,15 @@
             upstream: upstream.to_string(),
             version: version.0,
         };
-        if self.notices.is_news(&leaving) {
-            self.outbox.spread(News::Leaving(leaving));
+        if self.seen_notices.is_new_leaving(&leaving) {
+            self.outbox.broadcast(Broadcast::Leaving(leaving));
         }
     }
 
     /// Spreads that a request crashed upstreams.
     pub fn announce_poison(&mut self, notice: PoisonNotice) {
-        if let Some(merged) = self.notices.merge(notice) {
-            self.outbox.spread(News::Poison(merged));
+        if let Some(merged) = self.seen_notices.merge(notice) {
+            self.outbox.broadcast(Broadcast::Poison(merged));
         }
     }
 
@@ -234,7 +237,7 @@
 
     /// All hosts that are known, this one among them.
     pub fn hosts(&self) -> impl Iterator<Item = &HostView> {
-        self.roster.iter()
+        self.host_table.iter()
     }
 
     /// The hosts of a failure domain as possible homes. A suspect stays eligible: its pools move
@@ -242,7 +245,7 @@
     pub fn members(&self, domain: &FailureDomainId) -> Vec<Member> {
         let is_eligible =
             |view: &HostView| matches!(view.state, HostState::Alive | HostState::Suspect);
-        self.roster
+        self.host_table
             .iter()
             .filter(|view| view.domain == *domain)
             .map(|view| Member {
@@ -255,11 +258,12 @@
     /// Failure domains that sent no digest for a while, as one of the hosts that exchange digests
     /// sees it; the others hear none and name none.
     pub fn silent_domains(&self, now: Instant) -> Vec<FailureDomainId> {
-        let is_silent =
-            |heard_at: &Instant| now.saturating_duration_since(*heard_at) > conf::DOMAIN_SILENCE;
-        self.heard_domains
+        let is_silent = |heard_at: &Instant| {
+            now.saturating_duration_since(*heard_at) > conf::DOMAIN_SILENCE_MAX
+        };
+        self.domain_heard_at
             .iter()
-            .filter(|(_, heard_at)| self.is_bridge() && is_silent(heard_at))
+            .filter(|(_, heard_at)| self.is_digest_host() && is_silent(heard_at))
             .map(|(domain, _)| domain.clone())
             .collect()
     }
@@ -267,7 +271,7 @@
     /// Failure: the process was stopped for a while (SIGSTOP, a frozen machine) and does not know.
     /// It shows as a gap between calls. All that it held may have been taken over, and answers to
     /// its probes are late through no fault of the others.
-    fn notice_pause(&mut self, now: Instant) {
+    fn detect_pause(&mut self, now: Instant) {
         let paused = now.saturating_duration_since(self.last_active);
         self.last_active = now;
         if paused < conf::PAUSE_MIN {
@@ -275,23 +279,23 @@
         }
         log::warn!("membership: this process was paused for {paused:?}");
         self.outbox
-            .act(MembershipAction::ResumedAfterPause { paused });
+            .push(MembershipAction::ResumedAfterPause { paused });
         self.probes.clear();
         for suspicion in self.suspicions.values_mut() {
             suspicion.restart(now);
         }
-        self.me.incarnation = self.me.incarnation.next();
-        self.spread_self(now);
-        for host in self.neighbours(conf::INDIRECT_PROBES) {
+        self.local_host.incarnation = self.local_host.incarnation.next();
+        self.broadcast_self(now);
+        for host in self.local_peers(conf::INDIRECT_PROBES) {
             self.probe(&host, now);
         }
     }
 
-    fn end_suspicions(&mut self, now: Instant) {
+    fn expire_suspicions(&mut self, now: Instant) {
         if self.suspicions.is_empty() {
             return;
         }
-        let host_count = self.neighbour_count();
+        let host_count = self.local_host_count();
         let over: Vec<HostId> = self
             .suspicions
             .iter()
@@ -306,10 +310,10 @@
         }
     }
 
-    fn step_probe(&mut self, step: ProbeStep, now: Instant) {
+    fn on_probe_step(&mut self, step: ProbeStep, now: Instant) {
         match step {
-            ProbeStep::AskOthers { seq, target } => {
-                for helper in self.neighbours(conf::INDIRECT_PROBES + 1) {
+            ProbeStep::RequestIndirect { seq, target } => {
+                for helper in self.local_peers(conf::INDIRECT_PROBES + 1) {
                     if helper != target {
                         let body = ProbeFor {
                             seq,
@@ -321,7 +325,7 @@
             }
             ProbeStep::Failed { target } => {
                 let is_dead = |view: &HostView| view.state == HostState::Dead;
-                if self.roster.get(&target).is_none_or(is_dead) {
+                if self.host_table.get(&target).is_none_or(is_dead) {
                     return;
                 }
                 self.suspicion(&target, now).confirm_by_self();
@@ -332,14 +336,14 @@
 
     fn probe_next(&mut self, now: Instant) {
         loop {
-            if self.ring.is_empty() {
-                self.ring = self.neighbours(usize::MAX);
+            if self.probe_order.is_empty() {
+                self.probe_order = self.local_peers(usize::MAX);
             }
-            let Some(host) = self.ring.pop() else {
+            let Some(host) = self.probe_order.pop() else {
                 return;
             };
             let is_gone = |view: &HostView| view.state == HostState::Dead;
-            if !self.roster.get(&host).is_none_or(is_gone) {
+            if !self.host_table.get(&host).is_none_or(is_gone) {
                 self.probe(&host, now);
                 return;
             }
@@ -351,7 +355,7 @@
             return;
         }
         let seq = self.probes.begin(host.clone(), now);
-        let view_hash = self.roster.view_hash();
+        let view_hash = self.host_table.view_hash();
         self.send(host, GossipBody::Probe(Probe { seq, view_hash }), now);
     }
 
@@ -359,26 +363,26 @@
         let (near, far): (Vec<&PeerSeed>, Vec<&PeerSeed>) = self
             .seeds
             .values()
-            .partition(|seed| seed.failure_domain == self.me.domain);
+            .partition(|seed| seed.failure_domain == self.local_host.domain);
         // Seeds of other failure domains only where none here may be left.
-        self.join_tries += 1;
-        let far_count = usize::from(near.is_empty() || self.join_tries > NEAR_JOIN_TRIES);
+        self.join_attempts += 1;
+        let far_count = usize::from(near.is_empty() || self.join_attempts > LOCAL_JOIN_ATTEMPTS);
         let near = near.choose_multiple(&mut self.rng, 2);
         let mut chosen: Vec<HostId> = near.map(|seed| seed.host.clone()).collect();
         let far = far.choose_multiple(&mut self.rng, far_count);
         chosen.extend(far.map(|seed| seed.host.clone()));
         for host in chosen {
-            self.send(&host, GossipBody::Join(to_record(&self.me)), now);
+            self.send(&host, GossipBody::Join(to_record(&self.local_host)), now);
         }
     }
 
     /// Failure: a cut lasted so long that both sides declared each other dead; after it heals
     /// nobody would probe the other side. One try at a time finds it again.
-    fn reach_one(&mut self, now: Instant) {
+    fn reconnect_one(&mut self, now: Instant) {
         let dead: Vec<HostId> = self
-            .roster
+            .host_table
             .iter()
-            .filter(|view| view.state == HostState::Dead && view.domain == self.me.domain)
+            .filter(|view| view.state == HostState::Dead && view.domain == self.local_host.domain)
             .map(|view| view.id.clone())
             .collect();
         if let Some(host) = dead.choose(&mut self.rng) {
@@ -387,51 +391,52 @@
         let unknown: Vec<HostId> = self
             .seeds
             .keys()
-            .filter(|host| self.roster.get(host).is_none())
+            .filter(|host| self.host_table.get(host).is_none())
             .cloned()
             .collect();
         if let Some(host) = unknown.choose(&mut self.rng).cloned() {
-            self.send(&host, GossipBody::Join(to_record(&self.me)), now);
+            self.send(&host, GossipBody::Join(to_record(&self.local_host)), now);
         }
     }
 
-    fn forget_dead(&mut self, now: Instant) {
-        let Some(before) = now.checked_sub(conf::DEAD_KEPT) else {
+    fn remove_expired_dead(&mut self, now: Instant) {
+        let Some(before) = now.checked_sub(conf::DEAD_RETENTION) else {
             return;
         };
-        for host in self.roster.forget_dead(before) {
-            self.outbox.act(MembershipAction::HostRemoved { host });
+        for host in self.host_table.remove_expired_dead(before) {
+            self.outbox.push(MembershipAction::HostRemoved { host });
         }
     }
 
-    fn spread_self(&mut self, now: Instant) {
-        self.roster.set(self.me.clone(), now);
+    fn broadcast_self(&mut self, now: Instant) {
+        self.host_table.set(self.local_host.clone(), now);
+        self.outbox
+            .set_sender(self.local_host.incarnation, self.local_host.generation);
         self.outbox
-            .set_sender(self.me.incarnation, self.me.generation);
-        self.outbox.spread(News::Host(to_record(&self.me)));
-        let id = self.me.id.clone();
-        self.tell_changed(&id);
+            .broadcast(Broadcast::Host(to_record(&self.local_host)));
+        let id = self.local_host.id.clone();
+        self.report_change(&id);
     }
 
     /// Sets a host's state within its incarnation; whether that was news.
     fn set_state(&mut self, host: &HostId, state: HostState, now: Instant) -> bool {
-        let Some(view) = self.roster.get(host).cloned() else {
+        let Some(view) = self.host_table.get(host).cloned() else {
             return false;
         };
-        if self.roster.apply(HostView { state, ..view }, now) != Applied::Changed {
+        if self.host_table.apply(HostView { state, ..view }, now) != Applied::Changed {
             return false;
         }
-        self.tell_changed(host);
-        if let Some(record) = self.roster.record(host, now) {
-            self.outbox.spread(News::Host(record));
+        self.report_change(host);
+        if let Some(record) = self.host_table.record(host, now) {
+            self.outbox.broadcast(Broadcast::Host(record));
         }
         true
     }
 
-    fn tell_changed(&mut self, host: &HostId) {
-        self.outbox.set_host_count(self.neighbour_count());
-        if let Some(view) = self.roster.get(host).cloned() {
-            self.outbox.act(MembershipAction::HostChanged { view });
+    fn report_change(&mut self, host: &HostId) {
+        self.outbox.set_host_count(self.local_host_count());
+        if let Some(view) = self.host_table.get(host).cloned() {
+            self.outbox.push(MembershipAction::HostChanged { view });
         }
     }
 
@@ -439,7 +444,7 @@
     fn send(&mut self, to: &HostId, body: GossipBody, now: Instant) {
         let is_doubted =
             |view: &&HostView| matches!(view.state, HostState::Suspect | HostState::Dead);
-        let doubt = self.roster.get(to).filter(is_doubted).map(to_record);
+        let doubt = self.host_table.get(to).filter(is_doubted).map(to_record);
         self.outbox.send(to, body, doubt, now);
     }
 
@@ -449,16 +454,16 @@
             .or_insert_with(|| Suspicion::new(now))
     }
 
-    fn neighbour_count(&self) -> usize {
-        self.roster.present(&self.me.domain).count()
+    fn local_host_count(&self) -> usize {
+        self.host_table.present(&self.local_host.domain).count()
     }
 
     /// Up to `count` other hosts of the failure domain that are not dead, in random order.
-    fn neighbours(&mut self, count: usize) -> Vec<HostId> {
+    fn local_peers(&mut self, count: usize) -> Vec<HostId> {
         let mut hosts: Vec<HostId> = self
-            .roster
-            .present(&self.me.domain)
-            .filter(|view| view.id != self.me.id)
+            .host_table
+            .present(&self.local_host.domain)
+            .filter(|view| view.id != self.local_host.id)
             .map(|view| view.id.clone())
             .collect();
         hosts.shuffle(&mut self.rng);
--- a/src/control/membership/mod.rs
+++ b/src/control/membership/mod.rs
@@ -6,14 +6,14 @@
 //! byte budget, so what a host sends does not grow with the fleet.
 
 mod action;
+mod broadcast_queue;
 mod conf;
+mod host_table;
 mod machine;
-mod notices;
 mod outbox;
 mod probes;
 mod record;
-mod roster;
-mod rumours;
+mod seen_notices;
 mod suspicion;
 
 pub use action::MembershipAction;
--- a/src/control/membership/outbox.rs
+++ b/src/control/membership/outbox.rs
@@ -3,11 +3,11 @@
 use std::time::Instant;
 
 use crate::control::membership::MembershipAction;
+use crate::control::membership::broadcast_queue::Broadcast;
+use crate::control::membership::broadcast_queue::BroadcastQueue;
 use crate::control::membership::conf::BURST_BYTES;
-use crate::control::membership::conf::LIST_MAX;
-use crate::control::membership::conf::RESERVE_BYTES;
-use crate::control::membership::rumours::News;
-use crate::control::membership::rumours::Rumours;
+use crate::control::membership::conf::PROBE_RESERVE_BYTES;
+use crate::control::membership::conf::RECORDS_PER_MESSAGE_MAX;
 use crate::peer::Message;
 use crate::peer::TokenBucket;
 use crate::peer::message::Gossip;
@@ -23,8 +23,8 @@
 pub(crate) struct Outbox {
     actions: Vec<MembershipAction>,
     budget: TokenBucket,
-    rumours: Rumours,
-    sends_max: usize,
+    broadcasts: BroadcastQueue,
+    transmissions_max: usize,
     incarnation: Incarnation,
     generation: Generation,
 }
@@ -34,8 +34,8 @@
         Self {
             actions: Vec::new(),
             budget: TokenBucket::new(bytes_per_second as f64, BURST_BYTES, now),
-            rumours: Rumours::default(),
-            sends_max: 1,
+            broadcasts: BroadcastQueue::default(),
+            transmissions_max: 1,
             incarnation: Incarnation::default(),
             generation: Generation::default(),
         }
@@ -51,16 +51,16 @@
     /// doubling.
     pub(crate) fn set_host_count(&mut self, host_count: usize) {
         let doublings = usize::BITS - host_count.leading_zeros();
-        self.sends_max = 2 * usize::try_from(doublings).unwrap_or(1).max(1);
+        self.transmissions_max = 2 * usize::try_from(doublings).unwrap_or(1).max(1);
     }
 
-    pub(crate) fn act(&mut self, action: MembershipAction) {
+    pub(crate) fn push(&mut self, action: MembershipAction) {
         self.actions.push(action);
     }
 
     /// Begins to pass on a piece of news.
-    pub(crate) fn spread(&mut self, news: News) {
-        self.rumours.add(news);
+    pub(crate) fn broadcast(&mut self, broadcast: Broadcast) {
+        self.broadcasts.push(broadcast);
     }
 
     /// Sends one step with news on it. `about_receiver` is what the receiver must know of itself.
@@ -73,25 +73,26 @@
     ) {
         let mut gossip = self.gossip(body);
         gossip.hosts.extend(about_receiver);
-        if self.budget.available(now) > RESERVE_BYTES {
-            self.rumours.fill(&mut gossip, self.sends_max);
+        if self.budget.available(now) > PROBE_RESERVE_BYTES {
+            self.broadcasts
+                .attach_to(&mut gossip, self.transmissions_max);
         }
-        self.take_and_push(to, gossip, now);
+        self.send_within_budget(to, gossip, now);
     }
 
     /// Sends a list of hosts in parts, as far as the budget reaches.
     pub(crate) fn send_list(&mut self, to: &HostId, records: &[HostRecord], now: Instant) {
-        for part in records.chunks(LIST_MAX) {
+        for part in records.chunks(RECORDS_PER_MESSAGE_MAX) {
             let mut gossip = self.gossip(GossipBody::Members(()));
             gossip.hosts = part.to_vec();
-            if self.budget.available(now) > RESERVE_BYTES {
-                self.take_and_push(to, gossip, now);
+            if self.budget.available(now) > PROBE_RESERVE_BYTES {
+                self.send_within_budget(to, gossip, now);
             }
         }
     }
 
     /// All actions since the last time.
-    pub(crate) fn take(&mut self) -> Vec<MembershipAction> {
+    pub(crate) fn take_actions(&mut self) -> Vec<MembershipAction> {
         std::mem::take(&mut self.actions)
     }
 
@@ -105,7 +106,7 @@
     }
 
     /// A message that the budget doesn't cover is dropped: every step is repeated in some form.
-    fn take_and_push(&mut self, to: &HostId, gossip: Gossip, now: Instant) {
+    fn send_within_budget(&mut self, to: &HostId, gossip: Gossip, now: Instant) {
         let message = Message::Gossip(gossip);
         if self.budget.take(wire_len(&message) as f64, now) {
             self.actions.push(MembershipAction::Send {
--- a/src/control/membership/probes.rs
+++ b/src/control/membership/probes.rs
@@ -4,15 +4,15 @@
 
 use indexmap::IndexMap;
 
-use crate::control::membership::conf::DIRECT_TIMEOUT;
-use crate::control::membership::conf::ROUND;
+use crate::control::membership::conf::DIRECT_PROBE_TIMEOUT;
+use crate::control::membership::conf::PROBE_INTERVAL;
 use crate::units::HostId;
 
 /// What is due for a probe.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ProbeStep {
     /// Ask others to probe this host.
-    AskOthers { seq: u64, target: HostId },
+    RequestIndirect { seq: u64, target: HostId },
     /// Nobody got an answer from this host.
     Failed { target: HostId },
 }
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Probes {
     own: IndexMap<u64, OwnProbe>,
-    for_others: IndexMap<u64, ProbeForOther>,
+    delegated: IndexMap<u64, DelegatedProbe>,
     last_seq: u64,
 }
 
@@ -29,13 +29,13 @@
 struct OwnProbe {
     target: HostId,
     sent_at: Instant,
-    has_asked_others: bool,
+    has_requested_indirect: bool,
 }
 
 #[derive(Debug)]
-struct ProbeForOther {
-    asked_by: HostId,
-    asked_seq: u64,
+struct DelegatedProbe {
+    requester: HostId,
+    requester_seq: u64,
     sent_at: Instant,
 }
 
@@ -46,29 +46,34 @@
         let probe = OwnProbe {
             target,
             sent_at: now,
-            has_asked_others: false,
+            has_requested_indirect: false,
         };
         self.own.insert(seq, probe);
         seq
     }
 
     /// Begins a probe for another host and returns its number.
-    pub(crate) fn begin_for(&mut self, asked_by: HostId, asked_seq: u64, now: Instant) -> u64 {
+    pub(crate) fn begin_delegated(
+        &mut self,
+        requester: HostId,
+        requester_seq: u64,
+        now: Instant,
+    ) -> u64 {
         let seq = self.next_seq();
-        let probe = ProbeForOther {
-            asked_by,
-            asked_seq,
+        let probe = DelegatedProbe {
+            requester,
+            requester_seq,
             sent_at: now,
         };
-        self.for_others.insert(seq, probe);
+        self.delegated.insert(seq, probe);
         seq
     }
 
     /// Takes in an answer; the host that asked for the probe and its number, if another did.
-    pub(crate) fn acked(&mut self, seq: u64) -> Option<(HostId, u64)> {
+    pub(crate) fn on_ack(&mut self, seq: u64) -> Option<(HostId, u64)> {
         self.own.swap_remove(&seq);
-        let probe = self.for_others.swap_remove(&seq)?;
-        Some((probe.asked_by, probe.asked_seq))
+        let probe = self.delegated.swap_remove(&seq)?;
+        Some((probe.requester, probe.requester_seq))
     }
 
     /// Whether a probe of this host is going on.
@@ -79,18 +84,18 @@
     /// What is due now.
     pub(crate) fn due(&mut self, now: Instant) -> Vec<ProbeStep> {
         let mut steps = Vec::new();
-        self.for_others
-            .retain(|_, probe| now.saturating_duration_since(probe.sent_at) < ROUND);
+        self.delegated
+            .retain(|_, probe| now.saturating_duration_since(probe.sent_at) < PROBE_INTERVAL);
         self.own.retain(|seq, probe| {
             let elapsed = now.saturating_duration_since(probe.sent_at);
             let target = probe.target.clone();
-            if elapsed >= ROUND {
+            if elapsed >= PROBE_INTERVAL {
                 steps.push(ProbeStep::Failed { target });
                 return false;
             }
-            if elapsed >= DIRECT_TIMEOUT && !probe.has_asked_others {
-                probe.has_asked_others = true;
-                steps.push(ProbeStep::AskOthers { seq: *seq, target });
+            if elapsed >= DIRECT_PROBE_TIMEOUT && !probe.has_requested_indirect {
+                probe.has_requested_indirect = true;
+                steps.push(ProbeStep::RequestIndirect { seq: *seq, target });
             }
             true
         });
@@ -100,7 +105,7 @@
     /// Forgets all probes, whose answers were missed while this process was paused.
     pub(crate) fn clear(&mut self) {
         self.own.clear();
-        self.for_others.clear();
+        self.delegated.clear();
     }
 
     fn next_seq(&mut self) -> u64 {
--- a/src/control/membership/notices.rs
+++ b/src/control/membership/seen_notices.rs
@@ -11,14 +11,14 @@
 
 /// What was already heard, so that each word is acted on and passed on once.
 #[derive(Debug, Default)]
-pub(crate) struct Notices {
+pub(crate) struct SeenNotices {
     leaving: IndexMap<String, u64>,
     poison: IndexMap<Vec<u8>, IndexSet<Vec<u8>>>,
 }
 
-impl Notices {
+impl SeenNotices {
     /// Whether this word of a leaving upstream is new.
-    pub(crate) fn is_news(&mut self, leaving: &LeavingUpstream) -> bool {
+    pub(crate) fn is_new_leaving(&mut self, leaving: &LeavingUpstream) -> bool {
         let is_old = self
             .leaving
             .get(&leaving.upstream)
--- a/src/control/membership/suspicion.rs
+++ b/src/control/membership/suspicion.rs
@@ -2,8 +2,8 @@
 
 use std::time::Instant;
 
-use crate::control::membership::conf::SUSPICION_BY_DOUBLING;
 use crate::control::membership::conf::SUSPICION_MIN;
+use crate::control::membership::conf::SUSPICION_PER_DOUBLING;
 
 /// A suspicion of one host.
 #[derive(Clone, Debug)]
@@ -40,7 +40,7 @@
     /// Whether the time is over, in a failure domain of `host_count` hosts. Two independent words
     /// halve it: a single one may come from the suspecting host's own bad connection.
     pub(crate) fn is_over(&self, host_count: usize, now: Instant) -> bool {
-        let whole = SUSPICION_BY_DOUBLING.mul_f64((host_count as f64 + 1.0).log2());
+        let whole = SUSPICION_PER_DOUBLING.mul_f64((host_count as f64 + 1.0).log2());
         let wait = match self.by_self && self.by_others {
             true => whole / 2,
             false => whole,
--- a/src/control/orders/mod.rs
+++ b/src/control/orders/mod.rs
@@ -6,15 +6,15 @@
 //! ordered, and serving goes on.
 
 mod lease;
-mod machine;
 mod plan;
+mod reconciler;
 
 pub use lease::Lease;
 pub use lease::LeaseAction;
 pub use lease::LeaseSpec;
-pub use machine::EngineReconciler;
-pub use machine::ReconcilerAction;
-pub use machine::ReconcilerConf;
 pub use plan::DesiredEngines;
-pub use plan::EngineSeen;
-pub use plan::plan;
+pub use plan::ObservedEngine;
+pub use plan::engines_to_order;
+pub use reconciler::EngineReconciler;
+pub use reconciler::ReconcilerAction;
+pub use reconciler::ReconcilerConf;
--- a/src/control/orders/plan.rs
+++ b/src/control/orders/plan.rs
@@ -15,29 +15,29 @@
 
 /// An engine as it is seen.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EngineSeen {
+pub struct ObservedEngine {
     /// Its name.
     pub id: UpstreamId,
     /// What it reported last; none if it never did.
     pub reported: Option<EngineState>,
     /// Whether an order to it may still be on its way or at work.
-    pub is_ordered: bool,
+    pub has_pending_order: bool,
 }
 
-impl EngineSeen {
-    fn is_loaded(&self, wanted: &DesiredEngines) -> bool {
+impl ObservedEngine {
+    fn is_loaded(&self, desired: &DesiredEngines) -> bool {
         let reported = self.reported.as_ref();
-        !self.is_ordered
-            && reported.is_some_and(|state| !state.loading && state.model == wanted.state.model)
+        !self.has_pending_order
+            && reported.is_some_and(|state| !state.loading && state.model == desired.state.model)
     }
 
     fn is_settled(&self) -> bool {
-        !self.is_ordered && self.reported.as_ref().is_some_and(|state| !state.loading)
+        !self.has_pending_order && self.reported.as_ref().is_some_and(|state| !state.loading)
     }
 
     /// Whether it has what is wanted.
-    pub fn is_done(&self, wanted: &DesiredEngines) -> bool {
-        !self.is_ordered && self.reported.as_ref() == Some(&wanted.state)
+    pub fn has_desired_state(&self, desired: &DesiredEngines) -> bool {
+        !self.has_pending_order && self.reported.as_ref() == Some(&desired.state)
     }
 }
 
@@ -48,16 +48,16 @@
 /// earlier version follow only as far as enough others stay loaded. An engine in the middle of a load
 /// is left alone, also if what is wanted has changed meanwhile: its load has been paid for, and what
 /// it reports then is compared again. An engine that never reported is not touched.
-pub fn plan(wanted: &DesiredEngines, engines: &[EngineSeen]) -> Vec<UpstreamId> {
-    let loaded_min = engines.len() * usize::from(wanted.loaded_percent_min) / 100;
-    let loaded = engines.iter().filter(|engine| engine.is_loaded(wanted));
+pub fn engines_to_order(desired: &DesiredEngines, engines: &[ObservedEngine]) -> Vec<UpstreamId> {
+    let loaded_min = engines.len() * usize::from(desired.loaded_percent_min) / 100;
+    let loaded = engines.iter().filter(|engine| engine.is_loaded(desired));
     let mut spare = loaded.count().saturating_sub(loaded_min);
     let mut to_order = Vec::new();
     let to_change = engines
         .iter()
-        .filter(|engine| engine.is_settled() && !engine.is_done(wanted));
-    let (serving, idle): (Vec<&EngineSeen>, Vec<&EngineSeen>) =
-        to_change.partition(|engine| engine.is_loaded(wanted));
+        .filter(|engine| engine.is_settled() && !engine.has_desired_state(desired));
+    let (serving, idle): (Vec<&ObservedEngine>, Vec<&ObservedEngine>) =
+        to_change.partition(|engine| engine.is_loaded(desired));
     to_order.extend(idle.into_iter().map(|engine| engine.id.clone()));
     for engine in serving {
         if spare == 0 {
--- a/src/control/orders/machine.rs
+++ b/src/control/orders/reconciler.rs
@@ -6,10 +6,10 @@
 use indexmap::IndexMap;
 
 use crate::control::orders::DesiredEngines;
-use crate::control::orders::EngineSeen;
 use crate::control::orders::Lease;
 use crate::control::orders::LeaseAction;
-use crate::control::orders::plan;
+use crate::control::orders::ObservedEngine;
+use crate::control::orders::engines_to_order;
 use crate::manifest::FencingSupport;
 use crate::objects::Object;
 use crate::objects::PlatformError;
@@ -30,7 +30,7 @@
 const READ_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Between two readings of an engine that is being changed.
-const READ_INTERVAL_CHANGING: Duration = Duration::from_secs(1);
+const READ_INTERVAL_PENDING: Duration = Duration::from_secs(1);
 
 /// What a reconciler starts from.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -74,20 +74,20 @@
 pub struct EngineReconciler {
     conf: ReconcilerConf,
     lease: Lease,
-    loads: TokenBucket,
-    wanted: Option<DesiredEngines>,
+    load_budget: TokenBucket,
+    desired: Option<DesiredEngines>,
     engines: IndexMap<UpstreamId, Engine>,
 }
 
 #[derive(Debug, Default)]
 struct Engine {
     reported: Option<EngineState>,
-    ordered: Option<Ordered>,
+    pending_order: Option<PendingOrder>,
     read_at: Option<Instant>,
 }
 
 #[derive(Debug)]
-struct Ordered {
+struct PendingOrder {
     state: EngineState,
     sent_at: Instant,
 }
@@ -97,19 +97,19 @@
     pub fn new(conf: ReconcilerConf, now: Instant) -> Self {
         let lease = Lease::new(conf.host.clone(), conf.incarnation, now);
         // It begins with nothing: a holder before may just have used up the rate.
-        let loads = empty_bucket(&conf, now);
+        let load_budget = empty_load_budget(&conf, now);
         Self {
             conf,
             lease,
-            loads,
-            wanted: None,
+            load_budget,
+            desired: None,
             engines: IndexMap::new(),
         }
     }
 
     /// Sets what the manifest in force wants.
-    pub fn set_desired(&mut self, wanted: DesiredEngines) {
-        self.wanted = Some(wanted);
+    pub fn set_desired(&mut self, desired: DesiredEngines) {
+        self.desired = Some(desired);
     }
 
     /// Sets the engines of the pool.
@@ -120,49 +120,49 @@
         }
     }
 
-    /// Takes in what an engine reported to a call that began at `asked_at`. A call that failed is
+    /// Takes in what an engine reported to a call that began at `requested_at`. A call that failed is
     /// not passed on: it says nothing of the engine's state.
-    pub fn on_engine_state(&mut self, id: &UpstreamId, state: EngineState, asked_at: Instant) {
+    pub fn on_engine_state(&mut self, id: &UpstreamId, state: EngineState, requested_at: Instant) {
         let Some(engine) = self.engines.get_mut(id) else {
             return;
         };
         // Failure: the answer to an order was lost. The order may have arrived, or may still; so
         // it counts as at work until a reading that began after its longest flight says what came
         // of it, or an earlier one shows that it was taken.
-        let is_over = engine.ordered.as_ref().is_none_or(|ordered| {
-            let has_landed = asked_at >= ordered.sent_at + FLIGHT_MAX;
-            let was_taken = asked_at > ordered.sent_at && state == ordered.state;
-            has_landed || was_taken
+        let is_resolved = engine.pending_order.as_ref().is_none_or(|order| {
+            let has_arrived = requested_at >= order.sent_at + FLIGHT_MAX;
+            let was_accepted = requested_at > order.sent_at && state == order.state;
+            has_arrived || was_accepted
         });
-        if is_over {
-            engine.ordered = None;
+        if is_resolved {
+            engine.pending_order = None;
         }
         engine.reported = Some(state);
     }
 
     /// Takes in what a reading of the lease gave.
     pub fn on_lease_read(&mut self, result: Result<Object, PlatformError>, now: Instant) {
-        self.lease.read(result, now);
+        self.lease.on_read(result, now);
     }
 
     /// Takes in what a writing of the lease gave.
     pub fn on_lease_written(&mut self, result: Result<ObjectVersion, PlatformError>, now: Instant) {
-        self.lease.written(result, now);
+        self.lease.on_written(result, now);
     }
 
     /// What to do now; call it every second or so.
     pub fn tick(&mut self, now: Instant) -> Vec<ReconcilerAction> {
         let mut actions = Vec::new();
         self.read_engines(now, &mut actions);
-        let to_order = self.to_order();
-        let settled = self.lease.settle(now);
+        let to_order = self.engines_due();
+        let resolve_read = self.lease.resolve_pending_write(now);
         // A lease is held only while there is something to change: 75 pools that renewed it all the
         // time would write 15 times a second for nothing.
-        let is_busy = !to_order.is_empty() || self.is_changing();
-        let lease = settled.or_else(|| self.lease.tick(is_busy, now));
+        let is_busy = !to_order.is_empty() || self.has_pending_changes();
+        let lease = resolve_read.or_else(|| self.lease.tick(is_busy, now));
         actions.extend(lease.map(ReconcilerAction::Lease));
         for id in to_order {
-            match self.order(&id, now) {
+            match self.send_order(&id, now) {
                 Some(action) => actions.push(action),
                 None => break,
             }
@@ -172,34 +172,38 @@
 
     /// How many engines have what is wanted, and how many there are.
     pub fn progress(&self) -> (usize, usize) {
-        let Some(wanted) = &self.wanted else {
+        let Some(desired) = &self.desired else {
             return (0, self.engines.len());
         };
-        let seen = self.seen();
-        let done = seen.iter().filter(|engine| engine.is_done(wanted));
-        (done.count(), seen.len())
+        let observed = self.observed();
+        let done = observed
+            .iter()
+            .filter(|engine| engine.has_desired_state(desired));
+        (done.count(), observed.len())
     }
 
-    fn to_order(&self) -> Vec<UpstreamId> {
-        let wanted = self.wanted.as_ref();
-        wanted.map_or_else(Vec::new, |wanted| plan(wanted, &self.seen()))
+    fn engines_due(&self) -> Vec<UpstreamId> {
+        let desired = self.desired.as_ref();
+        desired.map_or_else(Vec::new, |desired| {
+            engines_to_order(desired, &self.observed())
+        })
     }
 
-    fn is_changing(&self) -> bool {
+    fn has_pending_changes(&self) -> bool {
         self.engines.values().any(|engine| {
             let is_loading = engine.reported.as_ref().is_some_and(|state| state.loading);
-            engine.ordered.is_some() || is_loading
+            engine.pending_order.is_some() || is_loading
         })
     }
 
-    fn order(&mut self, id: &UpstreamId, now: Instant) -> Option<ReconcilerAction> {
-        let (fencing, not_after) = self.may_order(now)?;
-        let state = self.wanted.as_ref()?.state.clone();
-        if !self.loads.take(self.conf.weight_size.0 as f64, now) {
+    fn send_order(&mut self, id: &UpstreamId, now: Instant) -> Option<ReconcilerAction> {
+        let (fencing, not_after) = self.order_permission(now)?;
+        let state = self.desired.as_ref()?.state.clone();
+        if !self.load_budget.take(self.conf.weight_size.0 as f64, now) {
             return None;
         }
         let engine = self.engines.get_mut(id)?;
-        engine.ordered = Some(Ordered {
+        engine.pending_order = Some(PendingOrder {
             state: state.clone(),
             sent_at: now,
         });
@@ -211,22 +215,23 @@
         })
     }
 
-    fn may_order(&self, now: Instant) -> Option<(FencingNumber, Instant)> {
+    fn order_permission(&self, now: Instant) -> Option<(FencingNumber, Instant)> {
         let fencing = self.lease.fencing(now)?;
-        let is_quiet = match self.conf.fencing {
+        let is_exclusive = match self.conf.fencing {
             FencingSupport::Checked => true,
-            FencingSupport::Ignored => now >= self.lease.quiet_from(FLIGHT_MAX)?,
+            FencingSupport::Ignored => now >= self.lease.exclusive_from(FLIGHT_MAX)?,
         };
-        is_quiet.then_some((fencing, self.lease.valid_until()?))
+        is_exclusive.then_some((fencing, self.lease.valid_until()?))
     }
 
     fn read_engines(&mut self, now: Instant, actions: &mut Vec<ReconcilerAction>) {
-        let wanted = self.wanted.as_ref();
+        let desired = self.desired.as_ref();
         for (id, engine) in &mut self.engines {
-            let is_done = wanted.is_some_and(|wanted| engine.seen(id).is_done(wanted));
-            let interval = match is_done {
+            let has_desired_state =
+                desired.is_some_and(|desired| engine.observed(id).has_desired_state(desired));
+            let interval = match has_desired_state {
                 true => READ_INTERVAL,
-                false => READ_INTERVAL_CHANGING,
+                false => READ_INTERVAL_PENDING,
             };
             let is_due = engine.read_at.is_none_or(|at| now >= at + interval);
             if is_due {
@@ -236,23 +241,23 @@
         }
     }
 
-    fn seen(&self) -> Vec<EngineSeen> {
+    fn observed(&self) -> Vec<ObservedEngine> {
         let engines = self.engines.iter();
-        engines.map(|(id, engine)| engine.seen(id)).collect()
+        engines.map(|(id, engine)| engine.observed(id)).collect()
     }
 }
 
 impl Engine {
-    fn seen(&self, id: &UpstreamId) -> EngineSeen {
-        EngineSeen {
+    fn observed(&self, id: &UpstreamId) -> ObservedEngine {
+        ObservedEngine {
             id: id.clone(),
             reported: self.reported.clone(),
-            is_ordered: self.ordered.is_some(),
+            has_pending_order: self.pending_order.is_some(),
         }
     }
 }
 
-fn empty_bucket(conf: &ReconcilerConf, now: Instant) -> TokenBucket {
+fn empty_load_budget(conf: &ReconcilerConf, now: Instant) -> TokenBucket {
     let rate = conf.load_size_per_second.0 as f64;
     // Room for one engine's weights at least, or no load could ever begin.
     let burst = rate.max(conf.weight_size.0 as f64);
--- a/src/control/outcome/answer_check.rs
+++ b/src/control/outcome/answer_check.rs
@@ -18,7 +18,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Expecting {
+enum ExpectedEvent {
     /// The status of a plain service's answer.
     Head,
     Body,
@@ -39,7 +39,7 @@
     /// None for plain services, whose answers have no ids: there the connection is the match.
     attempt: Option<AttemptId>,
     offset_tokens: u64,
-    expecting: Expecting,
+    expected: ExpectedEvent,
 }
 
 impl AnswerCheck {
@@ -53,7 +53,7 @@
         Self {
             attempt: Some(attempt),
             offset_tokens,
-            expecting: Expecting::Body,
+            expected: ExpectedEvent::Body,
         }
     }
 
@@ -62,7 +62,7 @@
         Self {
             attempt: None,
             offset_tokens: 0,
-            expecting: Expecting::Head,
+            expected: ExpectedEvent::Head,
         }
     }
 
@@ -72,24 +72,24 @@
     }
 
     /// Whether the end mark has come.
-    pub fn is_whole(&self) -> bool {
-        self.expecting == Expecting::Nothing
+    pub fn is_complete(&self) -> bool {
+        self.expected == ExpectedEvent::Nothing
     }
 
     /// Takes in a piece.
     pub fn on_event(&mut self, event: ResponseEvent) -> AnswerStep {
-        if self.is_whole() {
+        if self.is_complete() {
             return AnswerStep::Fault(AnswerFault::AfterEnd);
         }
         match self.attempt {
-            Some(attempt) => self.take_model(attempt, event),
-            None => self.take_service(event),
+            Some(attempt) => self.on_model_event(attempt, event),
+            None => self.on_service_event(event),
         }
     }
 
     /// Takes in that the stream has stopped.
     pub fn on_stream_end(&self) -> Result<(), AnswerFault> {
-        if self.is_whole() {
+        if self.is_complete() {
             return Ok(());
         }
         Err(AnswerFault::Truncated {
@@ -97,28 +97,28 @@
         })
     }
 
-    fn take_model(&mut self, attempt: AttemptId, event: ResponseEvent) -> AnswerStep {
+    fn on_model_event(&mut self, attempt: AttemptId, event: ResponseEvent) -> AnswerStep {
         match event {
-            ResponseEvent::Tokens { attempt: got, .. } if got != attempt => crossed(got),
+            ResponseEvent::Tokens { attempt: got, .. } if got != attempt => wrong_attempt(got),
             ResponseEvent::Tokens {
                 offset_tokens,
                 count,
                 ..
-            } => self.take_tokens(offset_tokens, count, event),
+            } => self.on_tokens(offset_tokens, count, event),
             ResponseEvent::End {
                 attempt: Some(got), ..
-            } if got != attempt => crossed(got),
-            ResponseEvent::End { attempt: None, .. } => out_of_place("an end without an id"),
+            } if got != attempt => wrong_attempt(got),
+            ResponseEvent::End { attempt: None, .. } => unexpected("an end without an id"),
             ResponseEvent::End { .. } => {
-                self.expecting = Expecting::Nothing;
+                self.expected = ExpectedEvent::Nothing;
                 AnswerStep::End(event)
             }
-            ResponseEvent::Head { .. } => out_of_place("a status"),
-            ResponseEvent::Data(_) => out_of_place("bytes"),
+            ResponseEvent::Head { .. } => unexpected("a status"),
+            ResponseEvent::Data(_) => unexpected("bytes"),
         }
     }
 
-    fn take_tokens(&mut self, offset: u64, count: u64, event: ResponseEvent) -> AnswerStep {
+    fn on_tokens(&mut self, offset: u64, count: u64, event: ResponseEvent) -> AnswerStep {
         let wanted = self.offset_tokens;
         let end = offset.saturating_add(count);
         if offset == wanted {
@@ -142,28 +142,28 @@
         AnswerStep::Fault(fault)
     }
 
-    fn take_service(&mut self, event: ResponseEvent) -> AnswerStep {
-        match (self.expecting, &event) {
-            (Expecting::Head, ResponseEvent::Head { .. }) => {
-                self.expecting = Expecting::Body;
+    fn on_service_event(&mut self, event: ResponseEvent) -> AnswerStep {
+        match (self.expected, &event) {
+            (ExpectedEvent::Head, ResponseEvent::Head { .. }) => {
+                self.expected = ExpectedEvent::Body;
                 AnswerStep::Forward(event)
             }
-            (Expecting::Body, ResponseEvent::Data(_)) => AnswerStep::Forward(event),
-            (Expecting::Body, ResponseEvent::End { .. }) => {
-                self.expecting = Expecting::Nothing;
+            (ExpectedEvent::Body, ResponseEvent::Data(_)) => AnswerStep::Forward(event),
+            (ExpectedEvent::Body, ResponseEvent::End { .. }) => {
+                self.expected = ExpectedEvent::Nothing;
                 AnswerStep::End(event)
             }
-            (_, ResponseEvent::Tokens { .. }) => out_of_place("tokens"),
-            (_, ResponseEvent::Head { .. }) => out_of_place("a second status"),
-            _ => out_of_place("a body before its status"),
+            (_, ResponseEvent::Tokens { .. }) => unexpected("tokens"),
+            (_, ResponseEvent::Head { .. }) => unexpected("a second status"),
+            _ => unexpected("a body before its status"),
         }
     }
 }
 
-fn crossed(got: AttemptId) -> AnswerStep {
+fn wrong_attempt(got: AttemptId) -> AnswerStep {
     AnswerStep::Fault(AnswerFault::WrongAttempt { got })
 }
 
-fn out_of_place(what: &'static str) -> AnswerStep {
+fn unexpected(what: &'static str) -> AnswerStep {
     AnswerStep::Fault(AnswerFault::Unexpected(what))
 }
--- a/src/control/outcome/mod.rs
+++ b/src/control/outcome/mod.rs
@@ -5,12 +5,12 @@
 
 mod answer_check;
 mod answer_fault;
-mod run_record;
-mod told;
+mod request_outcome;
+mod run_tracker;
 
 pub use answer_check::AnswerCheck;
 pub use answer_check::AnswerStep;
 pub use answer_fault::AnswerFault;
-pub use run_record::AfterFailure;
-pub use run_record::RunTracker;
-pub use told::Outcome;
+pub use request_outcome::Outcome;
+pub use run_tracker::AfterFailure;
+pub use run_tracker::RunTracker;
--- a/src/control/outcome/run_record.rs
+++ b/src/control/outcome/run_tracker.rs
@@ -23,7 +23,7 @@
     is_repeatable: bool,
     is_in_flight: bool,
     may_have_run: bool,
-    is_whole: bool,
+    is_complete: bool,
 }
 
 impl RunTracker {
@@ -33,7 +33,7 @@
             is_repeatable,
             is_in_flight: false,
             may_have_run: false,
-            is_whole: false,
+            is_complete: false,
         }
     }
 
@@ -51,7 +51,7 @@
     pub fn on_completed(&mut self) {
         self.is_in_flight = false;
         self.may_have_run = true;
-        self.is_whole = true;
+        self.is_complete = true;
     }
 
     /// An attempt, or resuming one, failed. An error that shows that nothing ran says so of this
@@ -75,7 +75,7 @@
 
     /// What the caller is to be told if the request ended now.
     pub fn outcome(&self) -> Outcome {
-        match (self.is_whole, self.may_have_run || self.is_in_flight) {
+        match (self.is_complete, self.may_have_run || self.is_in_flight) {
             (true, _) => Outcome::Completed,
             (false, true) => Outcome::MayHaveRun,
             (false, false) => Outcome::NotRun,
--- a/src/control/status/events.rs
+++ b/src/control/status/event_log.rs
@@ -18,7 +18,7 @@
 /// The last things that this host did by itself. Any part writes to it; memory is bounded.
 pub struct EventLog {
     clock: Arc<dyn Clock>,
-    ring: Mutex<VecDeque<Event>>,
+    entries: Mutex<VecDeque<Event>>,
 }
 
 #[derive(Clone, Debug)]
@@ -51,7 +51,7 @@
     pub fn new(clock: Arc<dyn Clock>) -> Self {
         Self {
             clock,
-            ring: Mutex::new(VecDeque::new()),
+            entries: Mutex::new(VecDeque::new()),
         }
     }
 
@@ -61,22 +61,22 @@
         let event = Event {
             last_at: self.clock.now(),
             part,
-            what: clip(what),
-            why: clip(why),
+            what: truncate(what),
+            why: truncate(why),
             times: 1,
         };
-        let mut ring = self.lock();
-        if let Some(last) = ring.back_mut()
+        let mut entries = self.lock();
+        if let Some(last) = entries.back_mut()
             && last.is_same(&event)
         {
             last.times += 1;
             last.last_at = event.last_at;
             return;
         }
-        if ring.len() == EVENTS_MAX {
-            ring.pop_front();
+        if entries.len() == EVENTS_MAX {
+            entries.pop_front();
         }
-        ring.push_back(event);
+        entries.push_back(event);
     }
 
     /// The latest events, the newest first.
@@ -93,7 +93,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, VecDeque<Event>> {
-        self.ring.lock().unwrap_or_else(PoisonError::into_inner)
+        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -103,6 +103,6 @@
     }
 }
 
-fn clip(text: &str) -> String {
+fn truncate(text: &str) -> String {
     text.chars().take(TEXT_LEN_MAX).collect()
 }
--- a/src/control/status/mod.rs
+++ b/src/control/status/mod.rs
@@ -1,11 +1,11 @@
 //! Reports of this host, bounded in size and rate.
 
-mod events;
+mod event_log;
 mod report;
 mod reporter;
 
-pub use events::EventLog;
-pub use events::EventReport;
+pub use event_log::EventLog;
+pub use event_log::EventReport;
 pub use report::DomainReport;
 pub use report::HomeReport;
 pub use report::HostReport;
--- a/src/control/status/report.rs
+++ b/src/control/status/report.rs
@@ -20,10 +20,10 @@
 const LIST_MAX: usize = 1_024;
 
 /// Events in a report.
-const EVENTS: usize = 50;
+const EVENTS_MAX: usize = 50;
 
 /// Events in a report to the platform.
-const EVENTS_TO_PLATFORM: usize = 10;
+const EVENTS_TO_PLATFORM_MAX: usize = 10;
 
 /// What a report is made of.
 pub struct StatusInputs<'a> {
@@ -140,8 +140,8 @@
 
 impl StatusReport {
     /// The report as it is now.
-    pub fn new(parts: StatusInputs<'_>) -> Self {
-        let mut views: Vec<HostView> = parts
+    pub fn new(inputs: StatusInputs<'_>) -> Self {
+        let mut views: Vec<HostView> = inputs
             .cluster_view
             .hosts
             .snapshot()
@@ -149,25 +149,25 @@
             .map(|(_, view)| view)
             .collect();
         views.sort_by(|a, b| (&a.domain, &a.id).cmp(&(&b.domain, &b.id)));
-        let knowledge = parts.manifest;
-        let refused = knowledge.refused.as_ref();
-        let mut homes: Vec<HomeReport> = parts.homes.iter().map(home_report).collect();
+        let manifest_status = inputs.manifest;
+        let refused = manifest_status.refused.as_ref();
+        let mut homes: Vec<HomeReport> = inputs.homes.iter().map(home_report).collect();
         homes.sort_by(|a, b| a.pool.cmp(&b.pool));
         homes.truncate(LIST_MAX);
         Self {
-            host: parts.host.clone(),
-            domain: parts.domain.clone(),
-            generation: knowledge.generation,
-            generation_confirmed_ago_s: knowledge.confirmed_ago.map(|ago| ago.as_secs()),
-            not_ready: knowledge.why_not_ready,
+            host: inputs.host.clone(),
+            domain: inputs.domain.clone(),
+            generation: manifest_status.generation,
+            generation_confirmed_ago_s: manifest_status.confirmed_ago.map(|ago| ago.as_secs()),
+            not_ready: manifest_status.why_not_ready,
             manifest_refused: refused
                 .map(|refused| format!("generation {}: {}", refused.generation, refused.why)),
-            suspected_partitions: parts.silent_domains,
+            suspected_partitions: inputs.silent_domains,
             domains: domain_reports(&views),
             homes,
-            upstreams: target_reports(parts.cluster_view),
+            upstreams: target_reports(inputs.cluster_view),
             hosts: views.iter().take(LIST_MAX).map(host_report).collect(),
-            lately: parts.events.latest(EVENTS),
+            lately: inputs.events.latest(EVENTS_MAX),
         }
     }
 
@@ -175,7 +175,7 @@
     /// fleet: 400 hosts that each list 400 would be 160,000 entries.
     pub fn for_platform(mut self) -> Self {
         self.hosts.clear();
-        self.lately.truncate(EVENTS_TO_PLATFORM);
+        self.lately.truncate(EVENTS_TO_PLATFORM_MAX);
         self
     }
 }
--- a/src/control/status/reporter.rs
+++ b/src/control/status/reporter.rs
@@ -13,14 +13,14 @@
 
 /// The least time between two writes. At 400 hosts whose reports all change all the time, this is
 /// 14 writes a second at most, of the several hundred that the platform takes.
-const INTERVAL: Duration = Duration::from_secs(30);
+const WRITE_INTERVAL: Duration = Duration::from_secs(30);
 
 /// A report that stays the same is still written this often, so that its age shows a dead host.
-const INTERVAL_UNCHANGED: Duration = Duration::from_secs(300);
+const REFRESH_INTERVAL: Duration = Duration::from_secs(300);
 
 /// After an error. Jittered like all the others: when the platform comes back after an outage, all
 /// hosts have something to write.
-const RETRY: Duration = Duration::from_secs(30);
+const RETRY_INTERVAL: Duration = Duration::from_secs(30);
 
 /// What the reporter wants done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,21 +39,21 @@
     written_hash: Option<u64>,
     hash: u64,
     next_at: Instant,
-    unchanged_at: Instant,
+    refresh_at: Instant,
     is_busy: bool,
 }
 
 impl Reporter {
     /// A reporter that has written nothing; its first write comes within the first interval.
     pub fn new(mut rng: StdRng, now: Instant) -> Self {
-        let next_at = now + INTERVAL.mul_f64(rng.random());
+        let next_at = now + WRITE_INTERVAL.mul_f64(rng.random());
         Self {
             rng,
             expected: None,
             written_hash: None,
             hash: 0,
             next_at,
-            unchanged_at: next_at,
+            refresh_at: next_at,
             is_busy: false,
         }
     }
@@ -62,7 +62,7 @@
     pub fn tick(&mut self, hash: u64, now: Instant) -> Option<ReporterAction> {
         self.hash = hash;
         let has_changed = self.written_hash != Some(hash);
-        let is_due = now >= self.next_at && (has_changed || now >= self.unchanged_at);
+        let is_due = now >= self.next_at && (has_changed || now >= self.refresh_at);
         if self.is_busy || !is_due {
             return None;
         }
@@ -79,7 +79,7 @@
         match result {
             Ok(object) => self.expected = Some(Expected::Version(object.version)),
             Err(PlatformError::Absent) => self.expected = Some(Expected::Absent),
-            Err(_) => self.next_at = now + self.jittered(RETRY),
+            Err(_) => self.next_at = now + self.jittered(RETRY_INTERVAL),
         }
     }
 
@@ -90,15 +90,15 @@
             Ok(version) => {
                 self.expected = Some(Expected::Version(*version));
                 self.written_hash = Some(self.hash);
-                self.next_at = now + self.jittered(INTERVAL);
-                self.unchanged_at = now + self.jittered(INTERVAL_UNCHANGED);
+                self.next_at = now + self.jittered(WRITE_INTERVAL);
+                self.refresh_at = now + self.jittered(REFRESH_INTERVAL);
             }
             // An earlier process of this host, or a write whose answer was lost.
             Err(PlatformError::Conflict | PlatformError::Absent | PlatformError::Unknown(_)) => {
                 self.expected = None;
-                self.next_at = now + self.jittered(RETRY);
+                self.next_at = now + self.jittered(RETRY_INTERVAL);
             }
-            Err(_) => self.next_at = now + self.jittered(RETRY),
+            Err(_) => self.next_at = now + self.jittered(RETRY_INTERVAL),
         }
     }
 
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -73,7 +73,7 @@
         claims: 0,
     };
     assert_eq!(host.hear(settled), [DrainAction::Exit(0)]);
-    assert_eq!(host.drain.phase(), DrainPhase::Done);
+    assert_eq!(host.drain.phase(), DrainPhase::Exiting);
 }
 
 /// Nothing is in flight when the signal comes, and the balancer does not know yet: the next caller's
--- a/tests/manifests.rs
+++ b/tests/manifests.rs
@@ -12,7 +12,7 @@
 use banyanarch::control::manifests::ManifestController;
 use banyanarch::control::manifests::ManifestRead;
 use banyanarch::control::manifests::ManifestValidator;
-use banyanarch::control::manifests::split;
+use banyanarch::control::manifests::split_into_parts;
 use banyanarch::control::manifests::watchers;
 use banyanarch::manifest::Manifest;
 use banyanarch::manifest::PublishedManifest;
@@ -202,12 +202,12 @@
     runner()
         .run(&input, |texts| {
             let text = texts.concat();
-            assert_eq!(split(&text).concat(), text);
+            assert_eq!(split_into_parts(&text).concat(), text);
             Ok(())
         })
         .unwrap();
     let endless_line = "x".repeat(100_000);
-    assert_eq!(split(&endless_line).concat(), endless_line);
+    assert_eq!(split_into_parts(&endless_line).concat(), endless_line);
 }
 
 /// 1,100 times a day a manifest of a megabyte is published with a small change. Sent whole, it would
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -5,11 +5,11 @@
 
 use banyanarch::control::orders::DesiredEngines;
 use banyanarch::control::orders::EngineReconciler;
-use banyanarch::control::orders::EngineSeen;
 use banyanarch::control::orders::LeaseAction;
+use banyanarch::control::orders::ObservedEngine;
 use banyanarch::control::orders::ReconcilerAction;
 use banyanarch::control::orders::ReconcilerConf;
-use banyanarch::control::orders::plan;
+use banyanarch::control::orders::engines_to_order;
 use banyanarch::manifest::FencingSupport;
 use banyanarch::objects::Expected;
 use banyanarch::objects::Kind;
@@ -395,14 +395,17 @@
 /// An engine whose state nobody could read yet may be serving: it is left alone.
 #[test]
 fn unknown_engines_are_left_alone() {
-    let seen = |reported: Option<EngineState>, is_ordered| EngineSeen {
+    let seen = |reported: Option<EngineState>, has_pending_order| ObservedEngine {
         id: engine(0),
         reported,
-        is_ordered,
+        has_pending_order,
     };
     let wanted = wanted("2", 0);
-    assert!(plan(&wanted, &[seen(None, false)]).is_empty());
-    assert!(plan(&wanted, &[seen(Some(state("1")), true)]).is_empty());
-    assert!(plan(&wanted, &[seen(Some(state("2")), false)]).is_empty());
-    assert_eq!(plan(&wanted, &[seen(Some(state("1")), false)]).len(), 1);
+    assert!(engines_to_order(&wanted, &[seen(None, false)]).is_empty());
+    assert!(engines_to_order(&wanted, &[seen(Some(state("1")), true)]).is_empty());
+    assert!(engines_to_order(&wanted, &[seen(Some(state("2")), false)]).is_empty());
+    assert_eq!(
+        engines_to_order(&wanted, &[seen(Some(state("1")), false)]).len(),
+        1
+    );
 }
