--- a/src/control/drain/controller.rs
+++ b/src/control/drain/controller.rs
@@ -1,20 +1,21 @@
-//! The state machine of a shutdown.
+//! The state machine of a graceful shutdown.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::settings::DrainSettings;
 
-/// The times of a shutdown.
+/// Durations of the phases of a shutdown.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DrainConf {
-    /// How long new work is still taken after readiness fails. The balancer asks for readiness every
-    /// few seconds; until it has seen that it fails, it goes on sending, and what it sends must not
-    /// be turned away.
+    /// How long new work is still accepted after readiness fails. The load balancer polls readiness
+    /// every few seconds and goes on sending requests until it has seen the failure; these requests
+    /// must not be refused.
     pub notice: Duration,
-    /// How long to wait, when nothing is in flight any more, for claims to be given back or ended in
-    /// the platform. A claim left behind makes a resend "may have run", which is no harm worth
-    /// staying for while the platform is away.
+    /// How long to wait, once no request is in flight, until the platform has recorded that all
+    /// claims of this host were released or have ended. A claim that is left behind makes a resend
+    /// of its request report "may have run", which does not justify waiting longer while the
+    /// platform is unavailable.
     pub claims_timeout: Duration,
 }
 
@@ -27,59 +28,61 @@
     }
 }
 
-/// How far a shutdown is.
+/// The phase of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainPhase {
-    /// There is none.
+    /// No shutdown was requested.
     Serving,
-    /// Readiness fails, and new work is still taken.
+    /// Readiness fails, and new work is still accepted.
     Notice,
-    /// New work is turned away, not run; what is in flight goes on.
+    /// New work is refused with "not run"; requests in flight continue.
     Draining,
-    /// Nothing is in flight; claims are being brought to the platform.
+    /// No request is in flight; the platform is being told which claims are released or have ended.
     ReleasingClaims,
-    /// The process ends.
+    /// The process exits.
     Exiting,
 }
 
-/// What a shutdown hears.
+/// Input of the shutdown state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainEvent {
-    /// SIGTERM or SIGINT.
+    /// The process received SIGTERM or SIGINT.
     Signal,
-    /// How much is left.
+    /// How much work remains.
     Remaining {
-        /// Requests of callers that have not ended, queued ones included.
+        /// Requests that have not ended, including queued ones.
         in_flight: usize,
-        /// Claims that the platform does not know the end of.
+        /// Claims whose release or end the platform has not recorded yet.
         claims: usize,
     },
-    /// Time has passed.
+    /// Time has passed; see [`DrainController::next_wake`].
     Tick,
 }
 
-/// What a shutdown wants done.
+/// An action that the shutdown state machine requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainAction {
-    /// Tell membership that this host is leaving, so that no home is given to it.
+    /// Announce through the membership that this host is leaving, so that it becomes the home of no
+    /// further pool.
     AnnounceLeaving,
-    /// Hand over all homes of this host.
+    /// Hand over all homes of this host to other hosts.
     HandOverHomes,
     /// Stop accepting callers' connections, and close idle ones.
     StopAccepting,
-    /// End the process with this code.
+    /// Exit the process with this code.
     Exit(i32),
 }
 
-/// A second signal ends the process as one that was not shut down in an orderly way.
+/// Exit code after a second signal, which ends the process without waiting for the requests in
+/// flight.
 const EXIT_CODE_FORCED: i32 = 1;
 
-/// Shuts a host down: it fails readiness, goes on taking work until the balancer has seen it, hands
-/// its homes over, and ends when nothing is in flight.
+/// Shuts a host down: readiness fails, work is still accepted until the load balancer has noticed,
+/// the homes are handed over, and the process exits once no request is in flight.
 ///
-/// The failure this guards against: a request is cut off, or turned away by a closed port, because
-/// the host went faster than the balancer looks. No phase after `Notice` ends by time as long as a
-/// caller waits: each request has a limit of its own.
+/// The failure this guards against: a request is interrupted or its connection refused because the
+/// host closed its port before the load balancer noticed. [`DrainPhase::Draining`] has no time
+/// limit of its own, since each request in flight has one.
 #[derive(Clone, Debug)]
 pub struct DrainController {
     conf: DrainConf,
@@ -90,7 +93,7 @@
 }
 
 impl DrainController {
-    /// A host that serves.
+    /// A controller in the phase [`DrainPhase::Serving`].
     pub fn new(conf: DrainConf, now: Instant) -> Self {
         Self {
             conf,
@@ -101,23 +104,23 @@
         }
     }
 
-    /// How far it is.
+    /// The current phase.
     pub fn phase(&self) -> DrainPhase {
         self.phase
     }
 
-    /// Whether the balancer may send work, as far as the shutdown is concerned.
+    /// Whether the load balancer may send work to this host, as far as the shutdown is concerned.
     pub fn is_ready(&self) -> bool {
         self.phase == DrainPhase::Serving
     }
 
-    /// Whether new work is taken. Where not, it is told "not run", with Retry-After: the balancer
-    /// will have chosen another host by then.
+    /// Whether new work is accepted. Where it is not, callers get "not run" with a Retry-After
+    /// header; by the time they retry, the load balancer has chosen another host.
     pub fn accepts_work(&self) -> bool {
         matches!(self.phase, DrainPhase::Serving | DrainPhase::Notice)
     }
 
-    /// When [`DrainEvent::Tick`] is due.
+    /// When the next [`DrainEvent::Tick`] is due.
     pub fn next_wake(&self) -> Option<Instant> {
         match self.phase {
             DrainPhase::Notice => Some(self.phase_started_at + self.conf.notice),
@@ -126,7 +129,7 @@
         }
     }
 
-    /// Takes in an event and returns what is to be done.
+    /// Handles an event and returns the resulting actions.
     pub fn handle(&mut self, event: DrainEvent, now: Instant) -> Vec<DrainAction> {
         let mut actions = Vec::new();
         match event {
@@ -144,13 +147,16 @@
     fn on_signal(&mut self, now: Instant, actions: &mut Vec<DrainAction>) {
         match self.phase {
             DrainPhase::Serving => {
-                log::info!("drain: readiness fails, {} in flight", self.in_flight);
+                log::info!(
+                    "drain: started, readiness fails, {} requests in flight",
+                    self.in_flight
+                );
                 self.enter(DrainPhase::Notice, now);
                 actions.push(DrainAction::AnnounceLeaving);
             }
             DrainPhase::Exiting => (),
             DrainPhase::Notice | DrainPhase::Draining | DrainPhase::ReleasingClaims => {
-                log::warn!("drain: second signal, {} cut off", self.in_flight);
+                log::warn!("drain: second signal, {} requests cut off", self.in_flight);
                 self.enter(DrainPhase::Exiting, now);
                 actions.push(DrainAction::Exit(EXIT_CODE_FORCED));
             }
@@ -169,7 +175,10 @@
         }
         let waited = now.duration_since(self.phase_started_at) >= self.conf.claims_timeout;
         if self.phase == DrainPhase::ReleasingClaims && (self.claims == 0 || waited) {
-            log::info!("drain: done, {} claims left", self.claims);
+            log::info!(
+                "drain: finished, {} claims not recorded by the platform",
+                self.claims
+            );
             self.enter(DrainPhase::Exiting, now);
             actions.push(DrainAction::Exit(0));
         }
--- a/src/control/drain/mod.rs
+++ b/src/control/drain/mod.rs
@@ -1,4 +1,4 @@
-//! How a host shuts down without cutting off a request.
+//! Graceful shutdown of a host, without cutting off a request.
 
 mod controller;
 
--- a/src/control/manifests/action.rs
+++ b/src/control/manifests/action.rs
@@ -1,20 +1,21 @@
-//! What the spreading of manifests wants done.
+//! Actions of the manifest controller.
 
 use crate::manifest::ManifestInForce;
 use crate::peer::Message;
 use crate::units::HostId;
 
-/// What the spreading of manifests wants done.
+/// An action that the manifest controller requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ManifestAction {
     /// Send a message without waiting; it may be lost.
     Send {
-        /// To whom.
+        /// The receiver.
         to: HostId,
         /// The message.
         message: Message,
     },
-    /// Read the manifest from the platform after a short random wait, and tell what it says.
+    /// Read the manifest from the platform after a short random delay, and pass the result to the
+    /// controller.
     ReadPlatform,
     /// Put a manifest in force on this host.
     PutInForce(ManifestInForce),
--- a/src/control/manifests/controller.rs
+++ b/src/control/manifests/controller.rs
@@ -1,4 +1,4 @@
-//! The state machine that spreads manifests.
+//! The state machine that distributes manifests.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -31,46 +31,48 @@
 use crate::units::Generation;
 use crate::units::HostId;
 
-/// Reads and checks a manifest's text, and says why it is refused.
+/// Parses and validates the text of a manifest; an error is the reason for refusing it.
 pub type ManifestValidator = Box<dyn Fn(&str) -> Result<Manifest, String> + Send + Sync>;
 
-/// Hosts that are told of a new generation at once, by each that has just taken it. Three reach a
-/// failure domain of 67 hosts in four hops, with so many words to spare that few are missed.
+/// Hosts that each host notifies at once when it accepts a new generation. Three reach a failure
+/// domain of 67 hosts in four hops, with enough redundant notices that few hosts are missed.
 const NOTICE_FANOUT: usize = 3;
 
-/// Between questions to one random host: finds what a lost notice left behind, and keeps the age of
-/// the knowledge up to date.
+/// Time between queries to one random host. They repair lost notices and refresh the age of the
+/// last confirmation.
 const QUERY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A host without a manifest asks all at this interval.
+/// Time between queries to all hosts of the failure domain while this host is not ready.
 const QUERY_INTERVAL_NOT_READY: Duration = Duration::from_millis(500);
 
-/// ManifestStatus this old means that no watcher of the failure domain reaches the platform. Then hosts
-/// of other failure domains, which may reach it, are asked too.
+/// A last confirmation older than this means that no watcher of the failure domain reaches the
+/// platform. Hosts of other failure domains, which may reach the platform, are then asked too.
 const CONFIRMED_AGE_MAX: Duration = Duration::from_secs(30);
 
-/// The burst: a whole manifest, for a host that joins while the platform is away.
+/// Byte budget for a burst: one whole manifest, for a host that joins while the platform is
+/// unavailable.
 const BURST_BYTES: f64 = 1_250_000.0;
 
-/// Parts in a request that count as a large one.
+/// Number of parts from which on a request counts as a bulk request.
 const BULK_PARTS: usize = 64;
 
-/// A host that has asked for nothing for this long has what it wanted.
+/// A host that sent no bulk request for this long has received what it needs.
 const BULK_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What the platform said.
+/// The result of reading or watching the manifest at the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ManifestRead {
-    /// This manifest is published.
+    /// This manifest is the published one.
     Published(PublishedManifest),
-    /// Nothing was published after what this host heard from the platform last.
+    /// Nothing was published since this host last read the platform.
     Unchanged,
     /// No manifest has ever been published.
     Absent,
 }
 
-/// The manifests of one host. It does no I/O: words of the platform and of hosts go in, actions
-/// come out. Forward only: a generation is taken only if it is above the one in force.
+/// Distributes manifests on behalf of one host. The controller does no I/O: reads of the platform
+/// and messages of other hosts go in, actions come out. Generations only increase: a generation is
+/// accepted only if it is above the one in force.
 pub struct ManifestController {
     validate: ManifestValidator,
     rng: StdRng,
@@ -87,11 +89,11 @@
     next_query: Instant,
 }
 
-/// A manifest in force, in parts.
+/// The manifest in force, split into parts.
 struct StoredManifest {
     generation: Generation,
     hash: ContentHash,
-    /// Parts and pages by hash.
+    /// Parts and pages by their hash.
     parts: IndexMap<ContentHash, String>,
     pages: Vec<ContentHash>,
 }
@@ -116,7 +118,7 @@
 }
 
 impl ManifestController {
-    /// A host that knows nothing.
+    /// A controller without a manifest.
     pub fn new(
         validate: ManifestValidator,
         bytes_per_second: u64,
@@ -148,13 +150,13 @@
         self.remote_peers = remote_peers;
     }
 
-    /// Takes in what the platform said.
+    /// Handles the result of a read or watch of the platform.
     pub fn on_platform_read(&mut self, read: ManifestRead, now: Instant) -> Vec<ManifestAction> {
         let mut actions = Vec::new();
         self.confirmed_at = Some(now);
         match read {
             ManifestRead::Published(published) => {
-                // An earlier read may be told later.
+                // Reads can be delivered out of order.
                 self.platform_generation = self.platform_generation.max(Some(published.generation));
                 self.accept(published.generation, &published.text, &mut actions);
             }
@@ -167,7 +169,7 @@
         actions
     }
 
-    /// Takes in that a host has a generation in force, as the membership heard.
+    /// Handles that a host has a generation in force, as the membership learned.
     pub fn on_peer_generation(
         &mut self,
         host: &HostId,
@@ -182,7 +184,7 @@
         actions
     }
 
-    /// Takes in a message of another host; those of other parts are ignored.
+    /// Handles a message of another host. Messages that do not concern manifests are ignored.
     pub fn handle(&mut self, from: &HostId, message: Message, now: Instant) -> Vec<ManifestAction> {
         let mut actions = Vec::new();
         match message {
@@ -215,7 +217,7 @@
         actions
     }
 
-    /// Does what is due now; call it every 100 ms or so.
+    /// Performs the work that is due. To be called about every 100 ms.
     pub fn tick(&mut self, now: Instant) -> Vec<ManifestAction> {
         let mut actions = Vec::new();
         self.step_fetch(now, &mut actions);
@@ -225,7 +227,7 @@
         actions
     }
 
-    /// What this host knows.
+    /// The state of the manifest on this host.
     pub fn status(&self, now: Instant) -> ManifestStatus {
         let why_not_ready = self.why_not_ready();
         ManifestStatus {
@@ -242,15 +244,20 @@
         self.in_force.as_ref().map(|stored| stored.generation)
     }
 
-    /// Failure: a fresh host takes an old manifest for the newest one, and its callers get limits
-    /// and models that were changed long ago. So it serves only when it has what the platform names,
-    /// or what the newest of most hosts of its failure domain has.
+    /// Why this host is not ready, or `None` if it is.
+    ///
+    /// The failure this guards against: a new host takes an old manifest for the newest one and
+    /// applies limits and models that were changed long ago. A host therefore serves only with the
+    /// generation that the platform names, or with the newest generation among most hosts of its
+    /// failure domain.
     fn why_not_ready(&self) -> Option<&'static str> {
         let Some(in_force) = self.generation() else {
             return Some(match self.platform_generation {
                 Some(Generation(0)) => "no manifest is published",
                 Some(_) => "the published manifest was refused and no host had an earlier one",
-                None => "neither the platform nor a host of this failure domain told of a manifest",
+                None => {
+                    "neither the platform nor a host of this failure domain has reported a manifest"
+                }
             });
         };
         let refused = self.refused.as_ref().map(|refusal| refusal.generation);
@@ -261,7 +268,9 @@
         let reports_min = (self.local_peers.len() / 2 + 1).min(self.local_peers.len());
         let newest = self.peer_generations.values().max().copied();
         if self.peer_generations.len() < reports_min.max(1) {
-            return Some("too few hosts of this failure domain told which manifest is the newest");
+            return Some(
+                "too few hosts of this failure domain have reported their manifest generation",
+            );
         }
         let is_behind = !newest.is_some_and(is_current);
         is_behind.then_some("a newer manifest is being fetched")
@@ -290,7 +299,7 @@
             hash,
             manifest,
         }));
-        // A new generation is told at once, out of turn.
+        // Announces a new generation at once instead of at the next query.
         let receivers: Vec<HostId> = self
             .local_peers
             .choose_multiple(&mut self.rng, NOTICE_FANOUT)
@@ -305,7 +314,7 @@
         }
     }
 
-    /// Whether a generation is newer than what is in force and was not refused.
+    /// Whether a generation is newer than the one in force and was not refused.
     fn is_newer(&self, generation: Generation) -> bool {
         let refused = self.refused.as_ref().map(|refusal| refusal.generation);
         Some(generation) > self.generation().or(Some(Generation::default()))
@@ -422,7 +431,8 @@
         }
     }
 
-    /// Sends parts. Who asks for some that this host has no more hears which generation it has.
+    /// Sends the requested parts. If some are no longer there, the requester is also told which
+    /// generation this host has.
     fn on_parts_request(
         &mut self,
         from: &HostId,
@@ -451,9 +461,12 @@
         }
     }
 
-    /// Failure: many hosts fetch a large manifest from the few that have it. If the budget were
-    /// shared among them, each would get a piece and none the whole; one after the other, each that
-    /// has it all can pass it on.
+    /// Reserves the byte budget for bulk answers to one host; returns whether `to` holds the
+    /// reservation.
+    ///
+    /// The failure this guards against: many hosts fetch a large manifest from the few that have
+    /// it. If these shared the budget among all requesters, none would get the whole manifest soon.
+    /// Served one after the other, each host that has the whole manifest can pass it on.
     fn reserve_bulk(&mut self, to: &HostId, now: Instant) -> bool {
         let is_other = |(host, at): &(HostId, Instant)| {
             host != to && now.saturating_duration_since(*at) < BULK_IDLE_TIMEOUT
@@ -465,7 +478,8 @@
         true
     }
 
-    /// What the budget does not cover is dropped: whoever asked asks another.
+    /// Sends a message within the byte budget. A message that exceeds the budget is dropped; its
+    /// receiver asks another host.
     fn send(
         &mut self,
         to: &HostId,
--- a/src/control/manifests/fetch.rs
+++ b/src/control/manifests/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetching one manifest from other hosts.
+//! Fetching one manifest from other hosts in parts.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,24 +15,26 @@
 use crate::units::Generation;
 use crate::units::HostId;
 
-/// A host that answers nothing for this long is dead, or has used up its budget: another is asked.
+/// A host that does not answer within this time is dead or has used up its byte budget, and another
+/// host is asked.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Parts in one request: about 256 KiB, well inside a frame.
+/// Parts in one request: about 256 KiB, well below the size limit of a frame.
 const PARTS_PER_REQUEST_MAX: usize = 256;
 
-/// Where this much is missing, about 64 KiB, the platform is asked.
+/// With more missing parts than this, about 64 KiB, the manifest is read from the platform.
 const PEER_FETCH_PARTS_MAX: usize = 64;
 
-/// How long to wait for the platform before a large manifest is taken from other hosts after all.
+/// How long to wait for the platform before a large manifest is fetched from other hosts after all.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A manifest that is being fetched.
 #[derive(Debug)]
 pub(crate) struct Fetch {
-    /// The least generation wanted.
+    /// The lowest generation that completes the fetch.
     pub(crate) generation: Generation,
-    /// Who is known to have it, the latest word last.
+    /// Hosts known to have the generation, in the order in which they are asked. A host that did
+    /// not answer moves to the end.
     holders: IndexSet<HostId>,
     pending_request: Option<(HostId, Instant)>,
     platform_requested_at: Option<Instant>,
@@ -40,6 +42,7 @@
     parts: IndexMap<ContentHash, String>,
 }
 
+/// The list of pages of one generation, as another host sent it.
 #[derive(Debug)]
 struct Index {
     generation: Generation,
@@ -47,25 +50,25 @@
     pages: Vec<ContentHash>,
 }
 
-/// What a fetch has come to.
+/// The next step of a fetch.
 pub(crate) enum FetchStep {
-    /// Ask a host.
+    /// Send a request to a host.
     Request { to: HostId, message: Message },
-    /// Read it from the platform: too much is missing for what hosts may send each other.
+    /// Read the manifest from the platform, because hosts cannot send each other this much.
     ReadPlatform,
     /// Wait for an answer.
     Wait,
-    /// The text is whole.
+    /// All parts are there.
     Complete {
         generation: Generation,
         text: String,
     },
-    /// The parts do not give the text that the index names: begin again.
+    /// The parts do not add up to the text whose hash the index names. The fetch has to start over.
     HashMismatch,
 }
 
 impl Fetch {
-    /// Begins to fetch. `have` are the parts of the manifest in force.
+    /// Starts a fetch. `known_parts` are the parts of the manifest in force.
     pub(crate) fn new(generation: Generation, known_parts: IndexMap<ContentHash, String>) -> Self {
         Self {
             generation,
@@ -81,12 +84,13 @@
         self.holders.insert(host);
     }
 
-    /// The parts that it has, for a fetch of a later generation.
+    /// The parts received so far, for the fetch of a later generation.
     pub(crate) fn into_parts(self) -> IndexMap<ContentHash, String> {
         self.parts
     }
 
-    /// Takes in an index, if it is of a generation that is wanted.
+    /// Accepts an index if its generation is at least the requested one and above that of an
+    /// earlier index.
     pub(crate) fn on_index(
         &mut self,
         generation: Generation,
@@ -105,8 +109,8 @@
         self.pending_request = None;
     }
 
-    /// Takes in parts and pages. What is not missing is dropped, so that nobody can fill this
-    /// memory.
+    /// Stores received parts and pages that are missing. Others are dropped, so that peers cannot
+    /// fill the memory of this host.
     pub(crate) fn on_parts(&mut self, parts: Vec<String>) {
         let missing = self.missing();
         for part in parts {
@@ -118,7 +122,7 @@
         self.pending_request = None;
     }
 
-    /// What to do now.
+    /// Returns the next step.
     pub(crate) fn step(&mut self, now: Instant) -> FetchStep {
         let missing = self.missing();
         if let Some(index) = &self.index
@@ -139,7 +143,7 @@
             if now.saturating_duration_since(*requested_at) < ANSWER_TIMEOUT {
                 return FetchStep::Wait;
             }
-            // It goes to the end of the line.
+            // A host that did not answer goes to the end of the queue.
             let host = host.clone();
             self.holders.shift_remove(&host);
             self.holders.insert(host);
@@ -159,7 +163,7 @@
         FetchStep::Request { to, message }
     }
 
-    /// Pages that are not there, and parts of the pages that are.
+    /// Hashes of the missing pages, and of the missing parts on the pages that are there.
     fn missing(&self) -> IndexSet<ContentHash> {
         let pages = self.index.iter().flat_map(|index| &index.pages);
         let mut missing = IndexSet::new();
--- a/src/control/manifests/manifest_status.rs
+++ b/src/control/manifests/manifest_status.rs
@@ -1,33 +1,33 @@
-//! What a host knows of manifests, for status and readiness.
+//! The state of the manifest on one host, for status and readiness.
 
 use std::time::Duration;
 
 use crate::units::Generation;
 
-/// What a host knows of manifests.
+/// The state of the manifest on one host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 pub struct ManifestStatus {
-    /// The generation in force, if any.
+    /// The generation in force, if there is one.
     pub generation: Option<Generation>,
-    /// How long ago the platform said, to this host or to one that told it, that there is no newer
-    /// one; none if it never did.
+    /// Time since the platform last confirmed, directly or through other hosts, that there is no
+    /// newer generation; `None` if it never did.
     pub confirmed_ago: Option<Duration>,
-    /// Whether this host may serve: it has the newest generation that the platform, or enough
-    /// hosts of its failure domain, told it of.
+    /// Whether this host may serve: it has the newest generation that the platform or enough hosts
+    /// of its failure domain reported.
     pub is_ready: bool,
-    /// Why not, where it may not.
+    /// Why this host may not serve; `None` if it may.
     pub why_not_ready: Option<&'static str>,
     /// The published manifest that this host refused, if there is one.
     pub refused: Option<ManifestRefusal>,
 }
 
-/// A published manifest that a host refused; the one before stays in force.
+/// A published manifest that a host refused. The earlier manifest stays in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 pub struct ManifestRefusal {
-    /// Its generation.
+    /// The refused generation.
     pub generation: Generation,
-    /// Why.
+    /// The reason for the refusal.
     pub why: String,
 }
--- a/src/control/manifests/mod.rs
+++ b/src/control/manifests/mod.rs
@@ -1,8 +1,9 @@
-//! How a manifest gets in force on every host.
+//! Distribution of manifests to all hosts.
 //!
-//! A few hosts of each failure domain watch the platform; the others hear of a new generation from
-//! them and from each other, and fetch the parts that they lack. A host takes a generation only if
-//! it is above the one that it has, and is ready only when it knows the newest.
+//! A few hosts of each failure domain watch the platform. The other hosts learn of a new generation
+//! from the watchers and from each other, and fetch the parts that they lack. A host accepts a
+//! generation only if it is above the one in force, and is ready only when it has the newest
+//! generation that it can learn of.
 
 mod action;
 mod controller;
--- a/src/control/manifests/parts.rs
+++ b/src/control/manifests/parts.rs
@@ -1,34 +1,35 @@
-//! A manifest's text in parts that are named by their content.
+//! Splitting the text of a manifest into parts that are identified by their content hash.
 
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::units::ContentHash;
 
-/// A part ends behind a line where the hash of the last lines says so, on average one in this many.
-/// Where it ends depends on the text around it alone, so that a change in one place leaves all other
-/// parts as they were.
+/// Average number of lines per part. A part ends after a line where the hash of the last lines is a
+/// multiple of this number. The boundary depends only on the text near it, so a change in one place
+/// leaves all other parts unchanged.
 const LINES_PER_PART: u64 = 16;
 
-/// Lines that go into such a hash. Manifests are generated and full of lines that stand in every
-/// entry; a few of them together hold something that tells the entries apart.
+/// Number of lines that go into the hash that decides on a boundary. Manifests are generated and
+/// repeat the same lines in every entry; a window of several lines usually includes one that
+/// identifies the entry.
 const WINDOW_LINES: usize = 8;
 
-/// No part is shorter, so that the list of parts stays short.
+/// Minimum length of a part in bytes, which keeps the list of parts short.
 const PART_LEN_MIN: usize = 512;
 
-/// No part is longer, also where one line is.
+/// Maximum length of a part in bytes; a longer line is split.
 const PART_LEN_MAX: usize = 4 << 10;
 
-/// A page of hashes ends behind a hash that says so, on average one in this many.
+/// Average number of hashes per page. A page ends after a hash that is a multiple of this number.
 const HASHES_PER_PAGE: u128 = 16;
 
-/// No page holds more hashes.
+/// Maximum number of hashes per page.
 const PAGE_HASHES_MAX: usize = 64;
 
-/// A hash as it stands on a page.
+/// Length of one hash on a page, in hexadecimal digits.
 const PAGE_HASH_LEN: usize = 32;
 
-/// The parts of a text, in order.
+/// Splits a text into its parts, in order.
 pub fn split_into_parts(text: &str) -> Vec<&str> {
     let mut parts = Vec::new();
     let mut window: Vec<&str> = Vec::new();
@@ -63,7 +64,7 @@
     hasher.digest().is_multiple_of(LINES_PER_PART)
 }
 
-/// A line, cut where it is longer than a part.
+/// Splits a line that is longer than a part.
 fn split_long_line(line: &str) -> impl Iterator<Item = &str> {
     let mut rest = line;
     std::iter::from_fn(move || {
@@ -73,8 +74,9 @@
     })
 }
 
-/// The hashes of parts on pages, cut by content like the text: a change of one part changes one
-/// page, so that the list of a megabyte's parts need not travel whole either.
+/// Groups the hashes of parts into pages with boundaries that depend on the content, as for the
+/// text: a change of one part changes one page, so the list of the parts of a megabyte need not be
+/// sent whole either.
 pub(crate) fn pages(parts: &[ContentHash]) -> Vec<String> {
     let mut pages = Vec::new();
     let mut page = String::new();
@@ -91,7 +93,8 @@
     pages
 }
 
-/// The hashes on a page; what is none is left out, and the whole text's hash then does not fit.
+/// The hashes on a page. Malformed ones are left out, and the hash of the whole text then does not
+/// match.
 pub(crate) fn page_hashes(page: &str) -> impl Iterator<Item = ContentHash> {
     let chunks = page.as_bytes().chunks(PAGE_HASH_LEN);
     chunks.filter_map(|hash| std::str::from_utf8(hash).ok()?.parse().ok())
@@ -105,12 +108,12 @@
     at
 }
 
-/// The hashes in one field, 16 bytes each.
+/// Encodes hashes as one field, 16 bytes each.
 pub(crate) fn hashes_to_bytes<'a>(hashes: impl Iterator<Item = &'a ContentHash>) -> Vec<u8> {
     hashes.flat_map(|hash| hash.0.to_be_bytes()).collect()
 }
 
-/// The hashes of one field; none if its length is not a multiple of 16.
+/// Decodes the hashes of one field; `None` if its length is not a multiple of 16.
 pub(crate) fn hashes_from_bytes(bytes: &[u8]) -> Option<Vec<ContentHash>> {
     let (hashes, rest) = bytes.as_chunks::<16>();
     let hash = |bytes: &[u8; 16]| ContentHash(u128::from_be_bytes(*bytes));
--- a/src/control/manifests/watchers.rs
+++ b/src/control/manifests/watchers.rs
@@ -1,16 +1,17 @@
-//! Which hosts watch the platform's manifest.
+//! Selection of the hosts that watch the manifest at the platform.
 
 use crate::control::homes::Member;
 use crate::control::homes::rank;
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
-/// Hosts of a failure domain that watch. Every watch counts at the platform, so not all may; with
-/// three, two can die at once and the others still hear of a new generation at once.
+/// Hosts of a failure domain that watch the manifest. Each watch is a load on the platform, so not
+/// all hosts may watch. With three watchers, two can fail at the same time without delaying a new
+/// generation.
 const WATCHER_COUNT: usize = 3;
 
-/// The hosts of a failure domain that watch the platform's manifest, the same for all who see the
-/// same members.
+/// The hosts of a failure domain that watch the manifest at the platform. All hosts with the same
+/// view of the members select the same watchers.
 pub fn watchers(domain: &FailureDomainId, members: &[Member]) -> Vec<HostId> {
     let eligible: Vec<&str> = members
         .iter()
--- a/src/control/membership/action.rs
+++ b/src/control/membership/action.rs
@@ -1,4 +1,4 @@
-//! What the membership wants done.
+//! Actions of the membership.
 
 use std::time::Duration;
 
@@ -9,43 +9,45 @@
 use crate::units::ObjectVersion;
 use crate::units::UpstreamId;
 
-/// What the membership wants done.
+/// An action that the membership requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipAction {
     /// Send a message without waiting; it may be lost.
     Send {
-        /// To whom.
+        /// The receiver.
         to: HostId,
         /// The message.
         message: Message,
     },
-    /// Something of a host has changed, or it is new.
+    /// A host is new, or its view has changed.
     HostChanged {
-        /// The host as it is seen now.
+        /// The current view of the host.
         view: HostView,
     },
-    /// A dead host is forgotten.
+    /// A dead host was removed from the list of known hosts.
     HostRemoved {
-        /// The host.
+        /// The removed host.
         host: HostId,
     },
-    /// This process was paused. Others may have taken over what it held: drop it.
+    /// This process resumed after a pause. Other hosts may have taken over the homes and grants
+    /// that it held, so it must drop them.
     ResumedAfterPause {
-        /// For how long.
+        /// The length of the pause.
         paused: Duration,
     },
-    /// The others took this host for dead and have taken over what it held: drop it.
+    /// Other hosts declared this host dead and have taken over the homes and grants that it held,
+    /// so it must drop them.
     DeclaredDead,
     /// An upstream is leaving, as of a version of its object in the platform.
     UpstreamLeaving {
         /// The upstream.
         upstream: UpstreamId,
-        /// The version.
+        /// The version of its object.
         version: ObjectVersion,
     },
     /// A request crashed an upstream.
     Poison {
-        /// What is known of it.
+        /// All attempts of the request that are known to have crashed an upstream.
         notice: PoisonNotice,
     },
 }
--- a/src/control/membership/broadcast_queue.rs
+++ b/src/control/membership/broadcast_queue.rs
@@ -1,4 +1,4 @@
-//! News that is passed on a few times.
+//! Broadcasts that are repeated on several outgoing messages.
 
 use indexmap::IndexMap;
 
@@ -8,11 +8,11 @@
 use crate::peer::message::LeavingUpstream;
 use crate::peer::message::PoisonNotice;
 
-/// More news than this at once is cut off at the oldest; what is lost is found by comparing
+/// Broadcasts in the queue. The oldest are dropped first; a dropped change is found by comparing
 /// hashes, or comes again from the platform.
 const QUEUE_MAX: usize = 1_024;
 
-/// What a piece of news is about. A later word about it replaces the earlier one.
+/// The subject of a broadcast. A later broadcast with the same key replaces the earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum BroadcastKey {
     Host(String),
@@ -20,12 +20,12 @@
     Poison(Vec<u8>),
 }
 
-/// A piece of news.
+/// A change that is broadcast to all hosts.
 #[derive(Clone, Debug)]
 pub(crate) enum Broadcast {
-    /// A host.
+    /// The record of a host.
     Host(HostRecord),
-    /// An upstream that leaves.
+    /// A leaving upstream.
     Leaving(LeavingUpstream),
     /// A request that crashed upstreams.
     Poison(PoisonNotice),
@@ -41,14 +41,14 @@
     }
 }
 
-/// News that is still passed on, the newest last.
+/// The broadcasts that are still sent, the newest last, each with the number of its transmissions.
 #[derive(Debug, Default)]
 pub(crate) struct BroadcastQueue {
     entries: IndexMap<BroadcastKey, (Broadcast, usize)>,
 }
 
 impl BroadcastQueue {
-    /// Begins to pass on a piece of news.
+    /// Adds a broadcast.
     pub(crate) fn push(&mut self, broadcast: Broadcast) {
         let key = broadcast.key();
         self.entries.shift_remove(&key);
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Puts news on a message: what was sent least often first, and of it the newest first. A
-    /// piece is dropped after `transmissions_max` times.
+    /// Attaches broadcasts to a message: those with the fewest transmissions first, and among these
+    /// the newest first. A broadcast is dropped after `transmissions_max` transmissions.
     pub(crate) fn attach_to(&mut self, gossip: &mut Gossip, transmissions_max: usize) {
         let mut indices: Vec<usize> = (0..self.entries.len()).rev().collect();
         indices.sort_by_key(|index| self.entries[*index].1);
--- a/src/control/membership/host_table.rs
+++ b/src/control/membership/host_table.rs
@@ -1,4 +1,4 @@
-//! All hosts that are known, with a hash of them.
+//! The table of all known hosts, with hashes for comparison.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,20 +15,20 @@
 use crate::units::HostId;
 use crate::units::Incarnation;
 
-/// What a word about a host changed.
+/// What an update of a host changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Applied {
-    /// Nothing: the word is old.
+    /// Nothing: the update is older than the known view.
     Stale,
-    /// Only the generation that the host has in force.
+    /// Only the manifest generation that the host has in force.
     Generation,
-    /// Its state, incarnation or address.
+    /// The state, incarnation or address of the host.
     Changed,
     /// The host was not known.
     New,
 }
 
-/// All hosts that are known.
+/// All known hosts by id, and a hash of each failure domain.
 #[derive(Debug, Default)]
 pub(crate) struct HostTable {
     hosts: IndexMap<HostId, Entry>,
@@ -42,8 +42,8 @@
 }
 
 impl HostTable {
-    /// Takes in a word about a host, true since `since`. The larger incarnation wins; within one,
-    /// the later state.
+    /// Applies a view of a host that has been valid since `since`. The higher incarnation wins;
+    /// within one incarnation, the later state.
     pub(crate) fn apply(&mut self, view: HostView, since: Instant) -> Applied {
         let Some(old) = self.hosts.get(&view.id).map(|entry| &entry.view) else {
             self.set(view, since);
@@ -60,7 +60,7 @@
         Applied::Changed
     }
 
-    /// Takes in which generation a host has in force, as one process of it says.
+    /// Applies the manifest generation that a process of a host reported.
     pub(crate) fn apply_generation(
         &mut self,
         host: &HostId,
@@ -78,7 +78,7 @@
         Applied::Generation
     }
 
-    /// Sets a host as it is seen, true since `since`.
+    /// Stores a view of a host that has been valid since `since`.
     pub(crate) fn set(&mut self, view: HostView, since: Instant) {
         if let Some(old) = self.hosts.get(&view.id) {
             *self.hashes.entry(old.view.domain.clone()).or_default() ^= hash(&old.view);
@@ -108,7 +108,7 @@
             .filter(move |view| view.domain == *domain && view.state != HostState::Dead)
     }
 
-    /// How a host is told to others.
+    /// The record of a host for messages, with the time since its death.
     pub(crate) fn record(&self, host: &HostId, now: Instant) -> Option<HostRecord> {
         let entry = self.hosts.get(host)?;
         let dead_for = match entry.view.state {
@@ -121,7 +121,7 @@
         })
     }
 
-    /// Removes hosts that have been dead since before `before`, and names them.
+    /// Removes hosts that died before `before`, and returns them.
     pub(crate) fn remove_expired_dead(&mut self, before: Instant) -> Vec<HostId> {
         let is_old =
             |entry: &Entry| entry.view.state == HostState::Dead && entry.changed_at < before;
@@ -155,7 +155,7 @@
 }
 
 /// The hash of one host. Suspicions come and go, dead hosts are forgotten at different times, and
-/// generations change too often: none of them makes a difference.
+/// generations change too often, so none of them affects the hash.
 fn hash(view: &HostView) -> u64 {
     let state = match view.state {
         HostState::Dead => return 0,
--- a/src/control/membership/machine/digests.rs
+++ b/src/control/membership/machine/digests.rs
@@ -1,4 +1,4 @@
-//! What the membership tells other failure domains.
+//! Digests for other failure domains.
 
 use std::time::Instant;
 
@@ -22,7 +22,7 @@
         domains.sort_unstable();
         domains.dedup();
         domains.retain(|domain| *domain != self.local_host.domain);
-        // In turn, so that each is asked within a known time.
+        // Other domains are asked in turn, so that each is asked within a known time.
         self.digest_round += 1;
         let Some(domain) = domains.get(self.digest_round % domains.len().max(1)) else {
             return;
@@ -37,8 +37,9 @@
         }
     }
 
-    /// One of the hosts that exchange digests there; now and then any host of that failure domain,
-    /// since all that are known may have been replaced during a cut.
+    /// Chooses the receiver of a digest: usually one of the hosts of that failure domain that
+    /// exchange digests, and in one case of four any known host there, since all known digest hosts
+    /// may have been replaced during a network partition.
     fn digest_receiver(&mut self, domain: &FailureDomainId) -> Option<HostId> {
         let digest_hosts = digest_hosts(&self.host_table, domain);
         if !digest_hosts.is_empty() && self.rng.random_ratio(3, 4) {
@@ -65,8 +66,8 @@
     }
 }
 
-/// The hosts of a failure domain that exchange digests with others: the same for all who see the
-/// same hosts there.
+/// The hosts of a failure domain that exchange digests with other domains. All hosts with the same
+/// view of that domain select the same hosts.
 fn digest_hosts(host_table: &HostTable, domain: &FailureDomainId) -> Vec<HostId> {
     let names: Vec<&str> = host_table
         .present(domain)
--- a/src/control/membership/machine/inbound.rs
+++ b/src/control/membership/machine/inbound.rs
@@ -1,4 +1,4 @@
-//! What the membership does with the messages of other hosts.
+//! Handling of messages from other hosts.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -37,9 +37,9 @@
                 self.compare_views(from, probe.view_hash, now);
             }
             GossipBody::Ack(ack) => self.on_ack(from, &ack, now),
-            GossipBody::ProbeFor(asked) => {
-                if let Ok(target) = asked.target.parse::<HostId>() {
-                    let seq = self.probes.begin_delegated(from.clone(), asked.seq, now);
+            GossipBody::ProbeFor(request) => {
+                if let Ok(target) = request.target.parse::<HostId>() {
+                    let seq = self.probes.begin_delegated(from.clone(), request.seq, now);
                     let view_hash = self.host_table.view_hash();
                     self.send(&target, GossipBody::Probe(Probe { seq, view_hash }), now);
                 }
@@ -58,23 +58,25 @@
         if let Some((requester, seq)) = self.probes.on_ack(ack.seq) {
             self.send(&requester, GossipBody::Ack(ProbeAck { seq }), now);
         }
-        // A suspect must refute to all; one whose state never said so is simply there.
+        // An answer to a probe ends only a suspicion that has not become the state of the host; a
+        // host in the suspect state must refute towards all hosts.
         let state = self.host_table.get(from).map(|view| view.state);
         if state != Some(HostState::Suspect) {
             self.suspicions.swap_remove(from);
         }
     }
 
-    /// Asks for hosts when the views have differed for longer than news takes to settle.
+    /// Compares the view of another host with the own one, and pulls a list when they have differed
+    /// for longer than broadcasts take to settle.
     fn compare_views(&mut self, from: &HostId, their_hash: u64, now: Instant) {
         if their_hash == self.host_table.view_hash() {
-            // Others may still see it differently, as where a few share a part of the truth.
+            // Agreement with one host is enough, although others may still have another view.
             self.has_agreed = true;
             return;
         }
-        let lasts = self.mismatch_duration(now) >= conf::MISMATCH_MIN;
-        // A host that has just come knows few others, and needs not wait.
-        if (lasts || self.is_new_host(now)) && self.may_pull(now) {
+        let is_lasting = self.mismatch_duration(now) >= conf::MISMATCH_MIN;
+        // A new host knows few others and need not wait.
+        if (is_lasting || self.is_new_host(now)) && self.may_pull(now) {
             let known = self.host_table.domains();
             let known = known.map(|domain| self.digest_of(domain)).collect();
             let only_known = false;
@@ -82,14 +84,14 @@
         }
     }
 
-    /// How long this host has seen the same and met others that see something else.
+    /// How long the own view has stayed the same while other hosts reported different ones.
     fn mismatch_duration(&mut self, now: Instant) -> Duration {
         let view_hash = self.host_table.view_hash();
-        let goes_on = |mismatch: &ViewMismatch| {
+        let continues = |mismatch: &ViewMismatch| {
             let since_last = now.saturating_duration_since(mismatch.last);
             mismatch.view_hash == view_hash && since_last < conf::MISMATCH_GAP_MAX
         };
-        let since = match self.view_mismatch.filter(goes_on) {
+        let since = match self.view_mismatch.filter(continues) {
             Some(mismatch) => mismatch.since,
             None => now,
         };
@@ -117,8 +119,8 @@
         }
     }
 
-    /// Whether this host has just come. Among hosts that all have just come, two that agree may
-    /// know as little as each other.
+    /// Whether this host is new. Among hosts that are all new, two that agree may both know only a
+    /// few hosts.
     fn is_new_host(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.started_at) < conf::NEW_HOST_PERIOD
     }
@@ -136,13 +138,15 @@
         true
     }
 
-    /// Tells a host that has come of some in its failure domain, or here if there are none. The rest
-    /// it pulls from whoever probes it, so that a restart of many does not fall on the few seeds.
+    /// Sends a joining host some hosts of its failure domain, or of this one if none are known
+    /// there. It pulls the rest from the hosts that probe it, so that the restart of many hosts
+    /// does not load the few seeds.
     fn send_join_list(&mut self, from: &HostId, record: &HostRecord, now: Instant) {
         let theirs = record.domain.parse().ok();
-        let is_there = |domain: &FailureDomainId| self.host_table.present(domain).nth(1).is_some();
+        let has_others =
+            |domain: &FailureDomainId| self.host_table.present(domain).nth(1).is_some();
         let domain = theirs
-            .filter(is_there)
+            .filter(has_others)
             .unwrap_or(self.local_host.domain.clone());
         let mut hosts: Vec<HostId> = self
             .host_table
@@ -172,7 +176,7 @@
             .filter(|view| is_wanted(&view.domain))
             .filter_map(|view| self.host_table.record(&view.id, now))
             .collect();
-        // The budget may cut the list short, and another pull must then bring others.
+        // The budget may truncate the list; in random order, another pull brings other hosts.
         records.shuffle(&mut self.rng);
         self.outbox.send_list(from, &records, now);
     }
@@ -220,7 +224,8 @@
         }
     }
 
-    /// A suspicion of a neighbour makes this host probe too: a second word, or none.
+    /// Handles a suspicion of a host of this failure domain: this host probes the suspect itself,
+    /// to confirm the suspicion or not.
     fn on_suspicion(&mut self, view: &HostView, now: Instant) {
         if view.state != HostState::Suspect || view.domain != self.local_host.domain {
             self.suspicions.swap_remove(&view.id);
@@ -240,15 +245,16 @@
         }
     }
 
-    /// Refutes: only this host itself may raise its incarnation, so its word is the last.
+    /// Refutes a wrong view of this host. Only the host itself may raise its incarnation, so its
+    /// refutation overrides the other views.
     fn refute(&mut self, view: &HostView, now: Instant) {
-        let is_wrong =
+        let is_refuted =
             (view.incarnation, view.state) > (self.local_host.incarnation, self.local_host.state);
-        if !is_wrong {
+        if !is_refuted {
             return;
         }
         if view.state == HostState::Dead {
-            log::warn!("membership: others took this host for dead");
+            log::warn!("membership: other hosts declared this host dead");
             self.outbox.push(MembershipAction::DeclaredDead);
         }
         self.local_host.incarnation = view.incarnation.next();
@@ -259,7 +265,7 @@
         let Ok(upstream) = leaving.upstream.parse() else {
             return;
         };
-        if self.seen_notices.is_new_leaving(&leaving) {
+        if self.seen_notices.record_leaving(&leaving) {
             self.outbox.push(MembershipAction::UpstreamLeaving {
                 upstream,
                 version: ObjectVersion(leaving.version),
--- a/src/control/membership/machine/mod.rs
+++ b/src/control/membership/machine/mod.rs
@@ -1,4 +1,4 @@
-//! The membership's state machine: what it does by itself.
+//! The state machine of the membership, with its timers.
 
 mod digests;
 mod inbound;
@@ -41,7 +41,8 @@
 use crate::units::ObjectVersion;
 use crate::units::UpstreamId;
 
-/// The membership of one host. It does no I/O: messages and time go in, actions come out.
+/// The membership of one host. The state machine does no I/O: messages and time go in, actions come
+/// out.
 ///
 /// [`Membership::tick`] should be called every 100 ms or more often.
 #[derive(Debug)]
@@ -70,12 +71,12 @@
     next_reconnect: Instant,
 }
 
-/// A difference of views that goes on.
+/// A difference between the view of this host and the views of others that has not ended yet.
 #[derive(Clone, Copy, Debug)]
 struct ViewMismatch {
     since: Instant,
     last: Instant,
-    /// The view of this host meanwhile.
+    /// The hash of the own view, which stays the same while the difference lasts.
     view_hash: u64,
 }
 
@@ -90,7 +91,7 @@
             state: HostState::Alive,
             generation: Generation::default(),
         };
-        // Hosts that are started together must not probe together ever after.
+        // A random offset keeps hosts that start together from probing in step.
         let offset = conf::PROBE_INTERVAL.mul_f64(rng.random());
         let digest_round = rng.random_range(0..60);
         let mut membership = Self {
@@ -122,14 +123,15 @@
         membership
     }
 
-    /// Takes in hosts that may be there, from the settings or from the platform's lagging list.
+    /// Adds seeds: hosts that may exist, from the settings or from the list in the platform, which
+    /// lags behind.
     pub fn add_seeds(&mut self, seeds: &[PeerSeed]) {
         for seed in seeds.iter().filter(|seed| seed.host != self.local_host.id) {
             self.seeds.insert(seed.host.clone(), seed.clone());
         }
     }
 
-    /// Does what is due now.
+    /// Performs the work that is due.
     pub fn tick(&mut self, now: Instant) -> Vec<MembershipAction> {
         self.detect_pause(now);
         self.expire_suspicions(now);
@@ -152,12 +154,12 @@
         self.outbox.take_actions()
     }
 
-    /// Takes in a message of another host.
+    /// Handles a message of another host.
     pub fn handle(&mut self, from: &HostId, gossip: Gossip, now: Instant) -> Vec<MembershipAction> {
         self.detect_pause(now);
         self.on_sender(from, &gossip, now);
         let is_list = matches!(gossip.body, Some(GossipBody::Members(())));
-        // A host that has just come hears of all others, which is news to nobody else.
+        // A new host receives a list of all others, which is news to no other host.
         let rebroadcasts = !is_list || self.has_agreed;
         for record in &gossip.hosts {
             self.on_host_record(record, rebroadcasts, now);
@@ -174,25 +176,25 @@
         self.outbox.take_actions()
     }
 
-    /// Probes a host at once, because a call to it failed. The others are told only if the probe
-    /// fails too.
+    /// Probes a host immediately after a call to it failed. A suspicion is broadcast only if the
+    /// probe fails too.
     pub fn probe_after_failed_call(
         &mut self,
         host: &HostId,
         now: Instant,
     ) -> Vec<MembershipAction> {
-        let is_neighbour = |view: &HostView| {
+        let is_local_peer = |view: &HostView| {
             view.domain == self.local_host.domain
                 && view.state != HostState::Dead
                 && view.id != self.local_host.id
         };
-        if self.host_table.get(host).is_some_and(is_neighbour) {
+        if self.host_table.get(host).is_some_and(is_local_peer) {
             self.probe(host, now);
         }
         self.outbox.take_actions()
     }
 
-    /// Tells the others that this host drains and takes no home from now on.
+    /// Announces that this host is draining and becomes the home of no further pool.
     pub fn leave(&mut self, now: Instant) -> Vec<MembershipAction> {
         self.local_host.state = HostState::Leaving;
         self.local_host.incarnation = self.local_host.incarnation.next();
@@ -203,7 +205,7 @@
         self.outbox.take_actions()
     }
 
-    /// Sets the generation that this host has in force.
+    /// Sets the manifest generation that this host has in force.
     pub fn set_generation(&mut self, generation: Generation, now: Instant) {
         self.local_host.generation = generation;
         self.host_table.set(self.local_host.clone(), now);
@@ -211,37 +213,37 @@
             .set_sender(self.local_host.incarnation, generation);
     }
 
-    /// Spreads that an upstream is leaving, as of a version of its object in the platform.
+    /// Broadcasts that an upstream is leaving, as of a version of its object in the platform.
     pub fn announce_leaving_upstream(&mut self, upstream: &UpstreamId, version: ObjectVersion) {
         let leaving = LeavingUpstream {
             upstream: upstream.to_string(),
             version: version.0,
         };
-        if self.seen_notices.is_new_leaving(&leaving) {
+        if self.seen_notices.record_leaving(&leaving) {
             self.outbox.broadcast(Broadcast::Leaving(leaving));
         }
     }
 
-    /// Spreads that a request crashed upstreams.
+    /// Broadcasts that a request crashed upstreams.
     pub fn announce_poison(&mut self, notice: PoisonNotice) {
         if let Some(merged) = self.seen_notices.merge(notice) {
             self.outbox.broadcast(Broadcast::Poison(merged));
         }
     }
 
-    /// Whether another host of this failure domain was found to see the same hosts. Until then this
-    /// one may know only some of them, and name other homes.
+    /// Whether another host of this failure domain was found to have the same view. Until then,
+    /// this host may know only some of the hosts and therefore compute other homes.
     pub fn has_agreed(&self) -> bool {
         self.has_agreed
     }
 
-    /// All hosts that are known, this one among them.
+    /// All known hosts, including this one.
     pub fn hosts(&self) -> impl Iterator<Item = &HostView> {
         self.host_table.iter()
     }
 
-    /// The hosts of a failure domain as possible homes. A suspect stays eligible: its pools move
-    /// when it is declared dead, not at each late answer.
+    /// The hosts of a failure domain as candidates for homes. A suspect stays eligible: its pools
+    /// move when it is declared dead, not after each late answer.
     pub fn members(&self, domain: &FailureDomainId) -> Vec<Member> {
         let is_eligible =
             |view: &HostView| matches!(view.state, HostState::Alive | HostState::Suspect);
@@ -255,8 +257,8 @@
             .collect()
     }
 
-    /// Failure domains that sent no digest for a while, as one of the hosts that exchange digests
-    /// sees it; the others hear none and name none.
+    /// Failure domains that have sent no digest for a while. Only hosts that exchange digests
+    /// report any; the others receive no digests.
     pub fn silent_domains(&self, now: Instant) -> Vec<FailureDomainId> {
         let is_silent = |heard_at: &Instant| {
             now.saturating_duration_since(*heard_at) > conf::DOMAIN_SILENCE_MAX
@@ -268,9 +270,12 @@
             .collect()
     }
 
-    /// Failure: the process was stopped for a while (SIGSTOP, a frozen machine) and does not know.
-    /// It shows as a gap between calls. All that it held may have been taken over, and answers to
-    /// its probes are late through no fault of the others.
+    /// Detects a pause of this process.
+    ///
+    /// The failure this guards against: the process was stopped for a while, by SIGSTOP or a frozen
+    /// machine, without noticing. A pause shows as a gap between calls. The homes and grants that
+    /// the process held may have been taken over, and unanswered probes say nothing about the other
+    /// hosts.
     fn detect_pause(&mut self, now: Instant) {
         let paused = now.saturating_duration_since(self.last_active);
         self.last_active = now;
@@ -296,16 +301,16 @@
             return;
         }
         let host_count = self.local_host_count();
-        let over: Vec<HostId> = self
+        let expired: Vec<HostId> = self
             .suspicions
             .iter()
-            .filter(|(_, suspicion)| suspicion.is_over(host_count, now))
+            .filter(|(_, suspicion)| suspicion.is_expired(host_count, now))
             .map(|(host, _)| host.clone())
             .collect();
-        for host in over {
+        for host in expired {
             self.suspicions.swap_remove(&host);
             if self.set_state(&host, HostState::Dead, now) {
-                log::info!("membership: {host} is dead");
+                log::info!("membership: host {host} declared dead");
             }
         }
     }
@@ -360,24 +365,27 @@
     }
 
     fn join_seeds(&mut self, now: Instant) {
-        let (near, far): (Vec<&PeerSeed>, Vec<&PeerSeed>) = self
+        let (local, remote): (Vec<&PeerSeed>, Vec<&PeerSeed>) = self
             .seeds
             .values()
             .partition(|seed| seed.failure_domain == self.local_host.domain);
-        // Seeds of other failure domains only where none here may be left.
+        // Asks a seed of another failure domain only if the own domain may have no other live host.
         self.join_attempts += 1;
-        let far_count = usize::from(near.is_empty() || self.join_attempts > LOCAL_JOIN_ATTEMPTS);
-        let near = near.choose_multiple(&mut self.rng, 2);
-        let mut chosen: Vec<HostId> = near.map(|seed| seed.host.clone()).collect();
-        let far = far.choose_multiple(&mut self.rng, far_count);
-        chosen.extend(far.map(|seed| seed.host.clone()));
+        let remote_count =
+            usize::from(local.is_empty() || self.join_attempts > LOCAL_JOIN_ATTEMPTS);
+        let local = local.choose_multiple(&mut self.rng, 2);
+        let mut chosen: Vec<HostId> = local.map(|seed| seed.host.clone()).collect();
+        let remote = remote.choose_multiple(&mut self.rng, remote_count);
+        chosen.extend(remote.map(|seed| seed.host.clone()));
         for host in chosen {
             self.send(&host, GossipBody::Join(to_record(&self.local_host)), now);
         }
     }
 
-    /// Failure: a cut lasted so long that both sides declared each other dead; after it heals
-    /// nobody would probe the other side. One try at a time finds it again.
+    /// Tries to reach one dead host and one unknown seed.
+    ///
+    /// The failure this guards against: a network partition lasted so long that both sides declared
+    /// each other dead, and after it healed, neither probes the other.
     fn reconnect_one(&mut self, now: Instant) {
         let dead: Vec<HostId> = self
             .host_table
@@ -418,7 +426,7 @@
         self.report_change(&id);
     }
 
-    /// Sets a host's state within its incarnation; whether that was news.
+    /// Sets the state of a host within its incarnation; returns whether the state changed.
     fn set_state(&mut self, host: &HostId, state: HostState, now: Instant) -> bool {
         let Some(view) = self.host_table.get(host).cloned() else {
             return false;
@@ -440,12 +448,13 @@
         }
     }
 
-    /// Sends one step. A host that is taken for gone hears so, and can refute at once.
+    /// Sends a message. A receiver that is suspected or dead in the view of this host is told so,
+    /// and can refute at once.
     fn send(&mut self, to: &HostId, body: GossipBody, now: Instant) {
-        let is_doubted =
+        let is_suspected =
             |view: &&HostView| matches!(view.state, HostState::Suspect | HostState::Dead);
-        let doubt = self.host_table.get(to).filter(is_doubted).map(to_record);
-        self.outbox.send(to, body, doubt, now);
+        let about_receiver = self.host_table.get(to).filter(is_suspected).map(to_record);
+        self.outbox.send(to, body, about_receiver, now);
     }
 
     fn suspicion(&mut self, host: &HostId, now: Instant) -> &mut Suspicion {
@@ -472,7 +481,7 @@
     }
 }
 
-/// Whether something is due, and when next: never twice to catch up.
+/// Whether a timer is due, and sets its next time. Missed intervals are not caught up.
 fn is_due(next: &mut Instant, interval: Duration, now: Instant) -> bool {
     if now < *next {
         return false;
--- a/src/control/membership/mod.rs
+++ b/src/control/membership/mod.rs
@@ -1,9 +1,10 @@
-//! Which hosts are there: gossip with suspicion and refutation.
+//! Membership: which hosts exist and which of them are alive, by gossip with suspicion and
+//! refutation.
 //!
-//! Inside a failure domain each host probes one other a round, asks others to probe it when no
-//! answer comes, and spreads what it suspects; the suspected host refutes with a higher
-//! incarnation. Between failure domains a few hosts of each compare hashes. Every message passes a
-//! byte budget, so what a host sends does not grow with the fleet.
+//! Within a failure domain, each host probes one other host per probe interval, asks others to
+//! probe a host that does not answer, and broadcasts its suspicions; a suspected host refutes with
+//! a higher incarnation. Between failure domains, a few hosts of each compare hashes of their
+//! views. All messages share a byte budget, so the traffic of a host does not grow with the fleet.
 
 mod action;
 mod broadcast_queue;
--- a/src/control/membership/outbox.rs
+++ b/src/control/membership/outbox.rs
@@ -1,4 +1,4 @@
-//! What the membership sends, within its byte budget.
+//! Outgoing messages of the membership, within its byte budget.
 
 use std::time::Instant;
 
@@ -18,7 +18,7 @@
 use crate::units::HostId;
 use crate::units::Incarnation;
 
-/// Actions that wait to be handed out, and the budget that messages are taken from.
+/// Actions that wait to be returned to the caller, and the byte budget for messages.
 #[derive(Debug)]
 pub(crate) struct Outbox {
     actions: Vec<MembershipAction>,
@@ -41,14 +41,14 @@
         }
     }
 
-    /// What stands on every message.
+    /// Sets the incarnation and generation that every message carries.
     pub(crate) fn set_sender(&mut self, incarnation: Incarnation, generation: Generation) {
         self.incarnation = incarnation;
         self.generation = generation;
     }
 
-    /// News reaches all of `host_count` hosts with high probability when each passes it on twice a
-    /// doubling.
+    /// Sets the number of transmissions of a broadcast. A broadcast reaches all of `host_count`
+    /// hosts with high probability when each host sends it twice per doubling of that number.
     pub(crate) fn set_host_count(&mut self, host_count: usize) {
         let doublings = usize::BITS - host_count.leading_zeros();
         self.transmissions_max = 2 * usize::try_from(doublings).unwrap_or(1).max(1);
@@ -58,12 +58,13 @@
         self.actions.push(action);
     }
 
-    /// Begins to pass on a piece of news.
+    /// Queues a broadcast, which is attached to the next messages.
     pub(crate) fn broadcast(&mut self, broadcast: Broadcast) {
         self.broadcasts.push(broadcast);
     }
 
-    /// Sends one step with news on it. `about_receiver` is what the receiver must know of itself.
+    /// Sends one message with broadcasts attached. `about_receiver` is a record that the receiver
+    /// must learn about itself.
     pub(crate) fn send(
         &mut self,
         to: &HostId,
@@ -80,18 +81,18 @@
         self.send_within_budget(to, gossip, now);
     }
 
-    /// Sends a list of hosts in parts, as far as the budget reaches.
+    /// Sends a list of hosts in several messages, as far as the budget allows.
     pub(crate) fn send_list(&mut self, to: &HostId, records: &[HostRecord], now: Instant) {
-        for part in records.chunks(RECORDS_PER_MESSAGE_MAX) {
+        for chunk in records.chunks(RECORDS_PER_MESSAGE_MAX) {
             let mut gossip = self.gossip(GossipBody::Members(()));
-            gossip.hosts = part.to_vec();
+            gossip.hosts = chunk.to_vec();
             if self.budget.available(now) > PROBE_RESERVE_BYTES {
                 self.send_within_budget(to, gossip, now);
             }
         }
     }
 
-    /// All actions since the last time.
+    /// Returns the actions since the last call.
     pub(crate) fn take_actions(&mut self) -> Vec<MembershipAction> {
         std::mem::take(&mut self.actions)
     }
@@ -105,7 +106,8 @@
         }
     }
 
-    /// A message that the budget doesn't cover is dropped: every step is repeated in some form.
+    /// Sends a message, or drops it if it exceeds the budget: every message of the protocol is
+    /// repeated in some form.
     fn send_within_budget(&mut self, to: &HostId, gossip: Gossip, now: Instant) {
         let message = Message::Gossip(gossip);
         if self.budget.take(wire_len(&message) as f64, now) {
--- a/src/control/membership/probes.rs
+++ b/src/control/membership/probes.rs
@@ -1,4 +1,4 @@
-//! Probes that wait for their answers.
+//! Probes that are waiting for an answer.
 
 use std::time::Instant;
 
@@ -8,16 +8,16 @@
 use crate::control::membership::conf::PROBE_INTERVAL;
 use crate::units::HostId;
 
-/// What is due for a probe.
+/// The next step of an unanswered probe.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ProbeStep {
-    /// Ask others to probe this host.
+    /// Ask other hosts to probe this host.
     RequestIndirect { seq: u64, target: HostId },
-    /// Nobody got an answer from this host.
+    /// Neither this host nor the others received an answer from the target.
     Failed { target: HostId },
 }
 
-/// Probes that wait for their answers.
+/// The probes that are waiting for an answer, by sequence number.
 #[derive(Debug, Default)]
 pub(crate) struct Probes {
     own: IndexMap<u64, OwnProbe>,
@@ -40,7 +40,7 @@
 }
 
 impl Probes {
-    /// Begins a probe and returns its number.
+    /// Starts a probe and returns its sequence number.
     pub(crate) fn begin(&mut self, target: HostId, now: Instant) -> u64 {
         let seq = self.next_seq();
         let probe = OwnProbe {
@@ -52,7 +52,7 @@
         seq
     }
 
-    /// Begins a probe for another host and returns its number.
+    /// Starts a probe on behalf of another host and returns its sequence number.
     pub(crate) fn begin_delegated(
         &mut self,
         requester: HostId,
@@ -69,19 +69,20 @@
         seq
     }
 
-    /// Takes in an answer; the host that asked for the probe and its number, if another did.
+    /// Handles an answer. If another host requested the probe, returns that host and its own
+    /// sequence number.
     pub(crate) fn on_ack(&mut self, seq: u64) -> Option<(HostId, u64)> {
         self.own.swap_remove(&seq);
         let probe = self.delegated.swap_remove(&seq)?;
         Some((probe.requester, probe.requester_seq))
     }
 
-    /// Whether a probe of this host is going on.
+    /// Whether a probe of this host is waiting for an answer.
     pub(crate) fn is_probing(&self, host: &HostId) -> bool {
         self.own.values().any(|probe| probe.target == *host)
     }
 
-    /// What is due now.
+    /// Returns the steps that are due, and drops the probes that have timed out.
     pub(crate) fn due(&mut self, now: Instant) -> Vec<ProbeStep> {
         let mut steps = Vec::new();
         self.delegated
@@ -102,7 +103,7 @@
         steps
     }
 
-    /// Forgets all probes, whose answers were missed while this process was paused.
+    /// Drops all probes, whose answers were missed while this process was paused.
     pub(crate) fn clear(&mut self) {
         self.own.clear();
         self.delegated.clear();
--- a/src/control/membership/record.rs
+++ b/src/control/membership/record.rs
@@ -1,4 +1,4 @@
-//! Hosts on the wire.
+//! Conversion between host views and their records in messages.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -9,6 +9,7 @@
 use crate::units::Generation;
 use crate::units::Incarnation;
 
+/// The record of a host, with a zero time since its death.
 pub(crate) fn to_record(view: &HostView) -> HostRecord {
     let ip = match view.peer_addr.ip() {
         IpAddr::V4(ip) => ip.octets().to_vec(),
@@ -31,7 +32,7 @@
     }
 }
 
-/// The host of a record; none if a field is not what it should be, as by a later version.
+/// Parses a record; `None` if a field is invalid, for instance from a later version.
 pub(crate) fn from_record(record: &HostRecord) -> Option<HostView> {
     let ip: IpAddr = match record.ip.len() {
         4 => <[u8; 4]>::try_from(&record.ip[..]).ok()?.into(),
--- a/src/control/membership/seen_notices.rs
+++ b/src/control/membership/seen_notices.rs
@@ -1,4 +1,4 @@
-//! What was already heard of leaving upstreams and poison requests.
+//! Duplicate detection for notices of leaving upstreams and poison requests.
 
 use indexmap::IndexMap;
 use indexmap::IndexSet;
@@ -6,10 +6,11 @@
 use crate::peer::message::LeavingUpstream;
 use crate::peer::message::PoisonNotice;
 
-/// More is forgotten, the oldest first; hearing it again only repeats an action.
+/// Notices of each kind that are remembered. The oldest are forgotten first; receiving one again
+/// only repeats an action.
 const NOTICES_MAX: usize = 1_024;
 
-/// What was already heard, so that each word is acted on and passed on once.
+/// The notices received so far, so that each is handled and broadcast once.
 #[derive(Debug, Default)]
 pub(crate) struct SeenNotices {
     leaving: IndexMap<String, u64>,
@@ -17,8 +18,8 @@
 }
 
 impl SeenNotices {
-    /// Whether this word of a leaving upstream is new.
-    pub(crate) fn is_new_leaving(&mut self, leaving: &LeavingUpstream) -> bool {
+    /// Records a notice of a leaving upstream; returns whether it is newer than earlier ones.
+    pub(crate) fn record_leaving(&mut self, leaving: &LeavingUpstream) -> bool {
         let is_old = self
             .leaving
             .get(&leaving.upstream)
@@ -33,7 +34,8 @@
         !is_old
     }
 
-    /// Adds a notice to what is known of its content; all of that if there was something new.
+    /// Merges a notice with earlier ones of the same content. Returns the merged notice if it
+    /// contains a new attempt.
     pub(crate) fn merge(&mut self, notice: PoisonNotice) -> Option<PoisonNotice> {
         let attempts = self.poison.entry(notice.content.clone()).or_default();
         let known = attempts.len();
--- a/src/control/membership/suspicion.rs
+++ b/src/control/membership/suspicion.rs
@@ -22,28 +22,29 @@
         }
     }
 
-    /// Takes in that this host's own probes failed.
+    /// Records that the probes of this host failed.
     pub(crate) fn confirm_by_self(&mut self) {
         self.by_self = true;
     }
 
-    /// Takes in that another host suspects it too.
+    /// Records that another host suspects the same host.
     pub(crate) fn confirm_by_others(&mut self) {
         self.by_others = true;
     }
 
-    /// Starts the time again.
+    /// Restarts the time to refute.
     pub(crate) fn restart(&mut self, now: Instant) {
         self.since = now;
     }
 
-    /// Whether the time is over, in a failure domain of `host_count` hosts. Two independent words
-    /// halve it: a single one may come from the suspecting host's own bad connection.
-    pub(crate) fn is_over(&self, host_count: usize, now: Instant) -> bool {
-        let whole = SUSPICION_PER_DOUBLING.mul_f64((host_count as f64 + 1.0).log2());
+    /// Whether the time to refute has expired, in a failure domain of `host_count` hosts.
+    /// Confirmation by both this host and another one halves the time; a single report may be due
+    /// to a bad connection of the reporting host.
+    pub(crate) fn is_expired(&self, host_count: usize, now: Instant) -> bool {
+        let timeout = SUSPICION_PER_DOUBLING.mul_f64((host_count as f64 + 1.0).log2());
         let wait = match self.by_self && self.by_others {
-            true => whole / 2,
-            false => whole,
+            true => timeout / 2,
+            false => timeout,
         };
         now.saturating_duration_since(self.since) >= wait.max(SUSPICION_MIN)
     }
--- a/src/control/orders/lease.rs
+++ b/src/control/orders/lease.rs
@@ -11,49 +11,50 @@
 use crate::units::Incarnation;
 use crate::units::ObjectVersion;
 
-/// How long a lease lasts. A holder that dies delays changes of engines by this much, and serving
-/// by nothing; a shorter one would cost the platform more writes.
+/// Duration of a lease. When a holder dies, changes of engines are delayed by this time, while
+/// serving is not affected; a shorter duration would cost more writes to the platform.
 const LEASE_DURATION: Duration = Duration::from_secs(15);
 
-/// A holder renews when a third of its time is gone, so that two writes may fail.
+/// Time from a write to the next renewal: a third of the duration, so that two writes may fail.
 const RENEW_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What the holder leaves unused of its time, and what a taker waits beyond it: hosts' monotonic
-/// clocks may differ in rate, but not by a tenth.
+/// Safety margin for clocks. A holder stops using the lease this much early, and another host waits
+/// this much longer before it takes over: the rates of monotonic clocks may differ between hosts,
+/// but not by a tenth.
 const CLOCK_MARGIN: Duration = Duration::from_millis(1_500);
 
-/// Between two tries.
+/// Time between two attempts to read or write the lease.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A lease as the platform holds it.
+/// The value of the lease object in the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Deserialize, serde::Serialize)]
 pub struct LeaseSpec {
-    /// Who holds it.
+    /// The host that holds the lease.
     pub holder: HostId,
-    /// Of which process of that host.
+    /// The incarnation of the process that holds the lease.
     pub incarnation: Incarnation,
-    /// For how long from the write on.
+    /// The duration of the lease from the write on, in milliseconds.
     pub duration_ms: u64,
-    /// How often it was written by this holder; tells its writes apart when answers are lost.
+    /// Number of writes by this holder. It identifies a write whose answer was lost.
     pub renewals: u64,
 }
 
-/// What a lease wants done.
+/// An action that the lease requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Read the object and pass on the result.
+    /// Read the lease object and pass the result to the lease.
     Read,
-    /// Write the object and pass on the result.
+    /// Write the lease object and pass the result to the lease.
     Write {
-        /// The value.
+        /// The value to write.
         spec: LeaseSpec,
-        /// What it must find.
+        /// The version that the write must find.
         expected: Expected,
     },
 }
 
-/// The lease of one pool, without I/O.
+/// The lease of one pool, as a state machine without I/O.
 #[derive(Debug)]
 pub struct Lease {
     host: HostId,
@@ -66,21 +67,22 @@
     next_try: Instant,
 }
 
-/// The object as it was last read or written.
+/// The version of the object that was last read or written.
 #[derive(Clone, Debug)]
 struct ObservedVersion {
     version: Option<ObjectVersion>,
     duration: Duration,
-    /// When this version was first seen here; other hosts' clocks are of no use.
+    /// When this host first saw this version. The clocks of other hosts cannot be compared with the
+    /// own one.
     since: Instant,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct HeldLease {
     fencing: FencingNumber,
-    /// Before the last successful write was sent.
+    /// Time right before the last successful write was sent.
     written_at: Instant,
-    /// When this holder took it, without a gap since.
+    /// When this process acquired the lease that it has held without a gap since.
     acquired_at: Instant,
 }
 
@@ -105,10 +107,11 @@
         }
     }
 
-    /// What to do to get or keep it. A lease that is not `wanted` is left to lapse.
+    /// Returns the action that acquires or renews the lease, if one is due. A lease that is not
+    /// `wanted` is left to expire.
     pub fn tick(&mut self, is_wanted: bool, now: Instant) -> Option<LeaseAction> {
         if self.held.is_some() && self.fencing(now).is_none() {
-            log::info!("orders: a lease of this host has lapsed");
+            log::info!("orders: a lease held by this host has expired");
             self.held = None;
         }
         let is_busy = self.is_reading || self.pending_write.is_some();
@@ -121,8 +124,8 @@
         }
         match &self.observed {
             Some(observed) if observed.version.is_none() => Some(self.write(now)),
-            // Unchanged for its whole time as this host's clock counts it: whoever holds it has
-            // counted from an earlier moment on, and has stopped.
+            // The version has not changed for the whole duration by the clock of this host. The
+            // holder started counting earlier, so it has stopped using the lease.
             Some(observed) if now >= observed.since + observed.duration + CLOCK_MARGIN => {
                 self.next_try = now + RETRY_INTERVAL;
                 Some(self.write(now))
@@ -135,36 +138,37 @@
         }
     }
 
-    /// Takes in what a read gave.
+    /// Handles the result of a read.
     pub fn on_read(&mut self, result: Result<Object, PlatformError>, now: Instant) {
         self.is_reading = false;
         match result {
             Ok(object) => self.on_object(&object, now),
             Err(PlatformError::Absent) => self.observe(None, Duration::ZERO, now),
-            Err(error) => log::debug!("orders: can't read a lease: {error}"),
+            Err(error) => log::debug!("orders: cannot read a lease: {error}"),
         }
     }
 
-    /// Takes in what a write gave. One whose answer was lost is settled by the next read.
+    /// Handles the result of a write. A write whose answer was lost is resolved by the next read.
     pub fn on_written(&mut self, result: Result<ObjectVersion, PlatformError>, now: Instant) {
-        let Some(writing) = self.pending_write.take() else {
+        let Some(pending) = self.pending_write.take() else {
             return;
         };
         match result {
             Ok(version) => {
                 self.observe(Some(version), LEASE_DURATION, now);
-                self.acquire(version, writing.sent_at);
+                self.acquire_or_renew(version, pending.sent_at);
             }
             Err(PlatformError::Unknown(why)) => {
-                log::debug!("orders: a lease's write has no answer: {why}");
-                self.pending_write = Some(writing);
+                log::debug!("orders: the outcome of a lease write is unknown: {why}");
+                self.pending_write = Some(pending);
                 self.next_try = now;
             }
             Err(_) => self.observed = None,
         }
     }
 
-    /// A read that settles a write whose answer was lost, if there is one.
+    /// Returns a read that resolves a write whose answer was lost, if there is one and a read is
+    /// due.
     pub fn resolve_pending_write(&mut self, now: Instant) -> Option<LeaseAction> {
         if self.pending_write.is_none() || self.is_reading || now < self.next_try {
             return None;
@@ -174,24 +178,26 @@
         Some(LeaseAction::Read)
     }
 
-    /// The fencing number for an order that is sent right now; none when the lease's time is over.
+    /// The fencing number for an order that is sent now; `None` if the lease is not held or has
+    /// expired.
     pub fn fencing(&self, now: Instant) -> Option<FencingNumber> {
         let held = self.held?;
         (now < held.written_at + LEASE_DURATION - CLOCK_MARGIN).then_some(held.fencing)
     }
 
-    /// Until when an order may be sent under it.
+    /// The time until which orders may be sent under the lease.
     pub fn valid_until(&self) -> Option<Instant> {
         self.held
             .map(|held| held.written_at + LEASE_DURATION - CLOCK_MARGIN)
     }
 
-    /// From when on orders may be sent to engines that ignore the fencing number, if one is on its
-    /// way for `flight` at most.
+    /// The time from which on orders may be sent to engines that ignore fencing numbers, if an
+    /// order takes at most `flight` to arrive.
     ///
-    /// Failure: the holder before was paused right before it sent an order, and sends it when it
-    /// wakes. It checks its time before it sends, but what it had handed to the network may arrive
-    /// later. Its time and the longest flight after the take-over, nothing of it is left.
+    /// The failure this guards against: the previous holder was paused right before it sent an
+    /// order. It checks its lease before it sends, but an order that it had already handed to the
+    /// network may arrive later. After the duration of its lease plus the longest time in flight,
+    /// counted from the takeover, no such order is left.
     pub fn exclusive_from(&self, flight: Duration) -> Option<Instant> {
         self.held
             .map(|held| held.acquired_at + LEASE_DURATION + flight)
@@ -217,18 +223,18 @@
 
     fn on_object(&mut self, object: &Object, now: Instant) {
         let Ok(spec) = serde_json::from_value::<LeaseSpec>(object.value.clone()) else {
-            log::warn!("orders: {} is not a lease", object.key);
+            log::warn!("orders: object {} is not a valid lease", object.key);
             self.observe(Some(object.version), LEASE_DURATION, now);
             return;
         };
         let duration = Duration::from_millis(spec.duration_ms);
         self.observe(Some(object.version), duration, now);
-        let Some(writing) = self.pending_write.take() else {
+        let Some(pending) = self.pending_write.take() else {
             return;
         };
         let is_own = spec.holder == self.host && spec.incarnation == self.incarnation;
-        if is_own && spec.renewals == writing.renewals {
-            self.acquire(object.version, writing.sent_at);
+        if is_own && spec.renewals == pending.renewals {
+            self.acquire_or_renew(object.version, pending.sent_at);
         }
     }
 
@@ -249,8 +255,9 @@
         }
     }
 
-    fn acquire(&mut self, version: ObjectVersion, written_at: Instant) {
-        // A lease that had lapsed before this write is a new one, also for the same process.
+    fn acquire_or_renew(&mut self, version: ObjectVersion, written_at: Instant) {
+        // A lease that had expired before this write is a newly acquired one, also for the same
+        // process.
         let before = self
             .held
             .filter(|held| written_at < held.written_at + LEASE_DURATION - CLOCK_MARGIN);
--- a/src/control/orders/mod.rs
+++ b/src/control/orders/mod.rs
@@ -1,9 +1,9 @@
 //! Orders to engines under a lease.
 //!
-//! Level-triggered: what the manifest wants is compared with what engines report, again and again;
-//! nothing depends on an order or its answer having arrived. Orders go out only under the pool's
-//! lease in the platform, whose object version is the fencing number. Without a lease nothing is
-//! ordered, and serving goes on.
+//! The reconciliation is level-triggered: the state that the manifest asks for is compared again
+//! and again with the state that the engines report, and nothing depends on the arrival of an order
+//! or its answer. Orders are sent only under the lease of the pool in the platform, whose object
+//! version is the fencing number. Without a lease no order is sent, and serving continues.
 
 mod lease;
 mod plan;
--- a/src/control/orders/plan.rs
+++ b/src/control/orders/plan.rs
@@ -1,26 +1,26 @@
-//! Which engines to change next.
+//! Selection of the engines to change next.
 
 use crate::units::UpstreamId;
 use crate::upstream::EngineState;
 
-/// What the manifest wants of the engines of a pool.
+/// The state that the manifest asks of the engines of a pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DesiredEngines {
-    /// The state of each.
+    /// The desired state of each engine.
     pub state: EngineState,
-    /// How many loaded engines a change must leave, in percent, rounded down: a pool of one engine
-    /// could otherwise never change.
+    /// Share of the engines that must stay loaded during a change, in percent. The number is
+    /// rounded down, since a pool of one engine could otherwise never change.
     pub loaded_percent_min: u8,
 }
 
-/// An engine as it is seen.
+/// The observed state of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObservedEngine {
-    /// Its name.
+    /// The id of the engine.
     pub id: UpstreamId,
-    /// What it reported last; none if it never did.
+    /// The state that the engine reported last; `None` if it never did.
     pub reported: Option<EngineState>,
-    /// Whether an order to it may still be on its way or at work.
+    /// Whether an order to the engine may still be on its way or in progress.
     pub has_pending_order: bool,
 }
 
@@ -35,19 +35,20 @@
         !self.has_pending_order && self.reported.as_ref().is_some_and(|state| !state.loading)
     }
 
-    /// Whether it has what is wanted.
+    /// Whether the engine is in the desired state and no order to it is pending.
     pub fn has_desired_state(&self, desired: &DesiredEngines) -> bool {
         !self.has_pending_order && self.reported.as_ref() == Some(&desired.state)
     }
 }
 
-/// The engines to order now, in order.
+/// Returns the engines to send an order to now, in order of precedence.
 ///
-/// Failure: a new version is ordered everywhere at once, and until it is loaded no engine serves.
-/// So engines that serve nothing of use go first, which takes nothing away; those that serve an
-/// earlier version follow only as far as enough others stay loaded. An engine in the middle of a load
-/// is left alone, also if what is wanted has changed meanwhile: its load has been paid for, and what
-/// it reports then is compared again. An engine that never reported is not touched.
+/// The failure this guards against: a new version is ordered everywhere at once, and no engine
+/// serves until it is loaded. Engines that serve nothing useful therefore go first, which takes
+/// away no capacity; engines that serve an earlier version follow only as far as enough others stay
+/// loaded. An engine that is loading is left alone, even if the desired state has changed
+/// meanwhile: the weights are already being transferred, and its next report is compared again. An
+/// engine that never reported gets no order.
 pub fn engines_to_order(desired: &DesiredEngines, engines: &[ObservedEngine]) -> Vec<UpstreamId> {
     let loaded_min = engines.len() * usize::from(desired.loaded_percent_min) / 100;
     let loaded = engines.iter().filter(|engine| engine.is_loaded(desired));
--- a/src/control/orders/reconciler.rs
+++ b/src/control/orders/reconciler.rs
@@ -23,48 +23,50 @@
 use crate::upstream::EngineState;
 use crate::upstream::Order;
 
-/// The longest that an order is on its way: the caller's timeout on the call, which then is closed.
+/// Longest time that an order is in flight: the timeout of the call, after which its connection is
+/// closed.
 const FLIGHT_MAX: Duration = Duration::from_secs(5);
 
-/// Between two readings of an engine that has what is wanted.
+/// Time between two reads of an engine that is in the desired state.
 const READ_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Between two readings of an engine that is being changed.
+/// Time between two reads of an engine that is not in the desired state.
 const READ_INTERVAL_PENDING: Duration = Duration::from_secs(1);
 
-/// What a reconciler starts from.
+/// The configuration of a reconciler.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReconcilerConf {
     /// This host.
     pub host: HostId,
-    /// This process of it.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// Whether the engines refuse old fencing numbers.
+    /// Whether the engines refuse outdated fencing numbers.
     pub fencing: FencingSupport,
     /// The size of the weights of one engine.
     pub weight_size: ByteSize,
-    /// This pool's part of the rate that the weight store gives to the failure domain.
+    /// The share of this pool in the rate at which the weight store serves the failure domain.
     pub load_size_per_second: ByteSize,
 }
 
-/// What a reconciler wants done.
+/// An action that the reconciler requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReconcilerAction {
-    /// Something about the lease.
+    /// Read or write the lease.
     Lease(LeaseAction),
-    /// Read what an engine has loaded, and pass on the result with this moment.
+    /// Read the state of an engine and pass it to the reconciler, with the time at which the call
+    /// began.
     ReadEngine {
         /// The engine.
         id: UpstreamId,
     },
-    /// Send an order, unless the clock has passed `not_after` when it is handed to the network:
-    /// this process may be paused until then. Its answer is of no use; the engine is read again.
+    /// Send an order, unless `not_after` has passed when it is handed to the network: this process
+    /// may be paused in between. The answer is not used; the engine is read again.
     SendOrder {
         /// The engine.
         id: UpstreamId,
         /// The order.
         order: Order,
-        /// The end of the lease.
+        /// The time until which the lease allows orders.
         not_after: Instant,
     },
 }
@@ -96,7 +98,7 @@
     /// A reconciler without engines.
     pub fn new(conf: ReconcilerConf, now: Instant) -> Self {
         let lease = Lease::new(conf.host.clone(), conf.incarnation, now);
-        // It begins with nothing: a holder before may just have used up the rate.
+        // The budget starts empty, since a previous holder may just have used up the rate.
         let load_budget = empty_load_budget(&conf, now);
         Self {
             conf,
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Sets what the manifest in force wants.
+    /// Sets the state that the manifest in force asks for.
     pub fn set_desired(&mut self, desired: DesiredEngines) {
         self.desired = Some(desired);
     }
@@ -120,15 +122,16 @@
         }
     }
 
-    /// Takes in what an engine reported to a call that began at `requested_at`. A call that failed is
-    /// not passed on: it says nothing of the engine's state.
+    /// Handles the state that an engine reported to a call that began at `requested_at`. Calls that
+    /// failed are not passed on, since they say nothing about the state of the engine.
     pub fn on_engine_state(&mut self, id: &UpstreamId, state: EngineState, requested_at: Instant) {
         let Some(engine) = self.engines.get_mut(id) else {
             return;
         };
-        // Failure: the answer to an order was lost. The order may have arrived, or may still; so
-        // it counts as at work until a reading that began after its longest flight says what came
-        // of it, or an earlier one shows that it was taken.
+        // The failure this guards against: the answer to an order was lost, and the order may have
+        // arrived or may still arrive. The order counts as pending until a read that began after
+        // its longest time in flight shows the outcome, or an earlier read shows that the engine
+        // accepted it.
         let is_resolved = engine.pending_order.as_ref().is_none_or(|order| {
             let has_arrived = requested_at >= order.sent_at + FLIGHT_MAX;
             let was_accepted = requested_at > order.sent_at && state == order.state;
@@ -140,29 +143,29 @@
         engine.reported = Some(state);
     }
 
-    /// Takes in what a reading of the lease gave.
+    /// Handles the result of a read of the lease.
     pub fn on_lease_read(&mut self, result: Result<Object, PlatformError>, now: Instant) {
         self.lease.on_read(result, now);
     }
 
-    /// Takes in what a writing of the lease gave.
+    /// Handles the result of a write of the lease.
     pub fn on_lease_written(&mut self, result: Result<ObjectVersion, PlatformError>, now: Instant) {
         self.lease.on_written(result, now);
     }
 
-    /// What to do now; call it every second or so.
+    /// Returns the actions that are due. To be called about once per second.
     pub fn tick(&mut self, now: Instant) -> Vec<ReconcilerAction> {
         let mut actions = Vec::new();
         self.read_engines(now, &mut actions);
-        let to_order = self.engines_due();
+        let engines_due = self.engines_due();
         let resolve_read = self.lease.resolve_pending_write(now);
-        // A lease is held only while there is something to change: 75 pools that renewed it all the
-        // time would write 15 times a second for nothing.
-        let is_busy = !to_order.is_empty() || self.has_pending_changes();
+        // The lease is held only while there is something to change: 75 pools that renew it all the
+        // time would make 15 useless writes per second.
+        let is_busy = !engines_due.is_empty() || self.has_pending_changes();
         let lease = resolve_read.or_else(|| self.lease.tick(is_busy, now));
         actions.extend(lease.map(ReconcilerAction::Lease));
-        for id in to_order {
-            match self.send_order(&id, now) {
+        for id in engines_due {
+            match self.order_engine(&id, now) {
                 Some(action) => actions.push(action),
                 None => break,
             }
@@ -170,7 +173,7 @@
         actions
     }
 
-    /// How many engines have what is wanted, and how many there are.
+    /// Number of engines in the desired state, and number of all engines.
     pub fn progress(&self) -> (usize, usize) {
         let Some(desired) = &self.desired else {
             return (0, self.engines.len());
@@ -196,7 +199,7 @@
         })
     }
 
-    fn send_order(&mut self, id: &UpstreamId, now: Instant) -> Option<ReconcilerAction> {
+    fn order_engine(&mut self, id: &UpstreamId, now: Instant) -> Option<ReconcilerAction> {
         let (fencing, not_after) = self.order_permission(now)?;
         let state = self.desired.as_ref()?.state.clone();
         if !self.load_budget.take(self.conf.weight_size.0 as f64, now) {
@@ -207,7 +210,11 @@
             state: state.clone(),
             sent_at: now,
         });
-        log::info!("orders: {id} is to have {} {}", state.model, state.version);
+        log::info!(
+            "orders: ordering {id} to load {} {}",
+            state.model,
+            state.version
+        );
         Some(ReconcilerAction::SendOrder {
             id: id.clone(),
             order: Order { fencing, state },
@@ -259,7 +266,7 @@
 
 fn empty_load_budget(conf: &ReconcilerConf, now: Instant) -> TokenBucket {
     let rate = conf.load_size_per_second.0 as f64;
-    // Room for one engine's weights at least, or no load could ever begin.
+    // The burst has to allow the weights of one engine, or no load could ever start.
     let burst = rate.max(conf.weight_size.0 as f64);
     let mut bucket = TokenBucket::new(rate, burst, now);
     bucket.take(burst, now);
--- a/src/control/outcome/answer_check.rs
+++ b/src/control/outcome/answer_check.rs
@@ -1,4 +1,4 @@
-//! Matches every piece of an answer before it goes to the caller.
+//! Verification of every piece of an answer before it goes to the caller.
 
 use crate::control::outcome::AnswerFault;
 use crate::units::AttemptId;
@@ -7,48 +7,48 @@
 /// What to do with a piece of an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AnswerStep {
-    /// It is the next piece: pass it on.
+    /// Pass the piece on: it is the next one.
     Forward(ResponseEvent),
-    /// The caller has all of it already.
+    /// Drop the piece: the caller already has all of it.
     Skip,
-    /// It is the end mark, and nothing is missing: the answer is whole.
+    /// Pass the end mark on: the answer is complete.
     End(ResponseEvent),
-    /// It must not reach the caller.
+    /// Do not pass the piece on: it shows a fault.
     Fault(AnswerFault),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ExpectedEvent {
-    /// The status of a plain service's answer.
+    /// The status of the answer of a plain service.
     Head,
     Body,
     Nothing,
 }
 
-/// Matches every piece of one request's answer by attempt and offset.
+/// Verifies every piece of the answer to one request by attempt and offset.
 ///
-/// The failure this guards against: an upstream or a connection gives a late, repeated or crossed
-/// piece, leaves one out, or stops; the caller would read another customer's words, or a letter
-/// that lacks its end. Each piece names its attempt and offset, and only the next one passes.
+/// The failure this guards against: an upstream or a connection delivers a late, repeated or
+/// foreign piece, leaves one out, or stops, and the caller reads the text of another customer or an
+/// answer without its end. Each piece names its attempt and offset, and only the next one passes.
 ///
-/// The same check goes on over resumed streams of the attempt, so that what comes again is skipped.
-/// An engine's last event has an offset too, also when it holds no token: its `Tokens` piece comes
+/// The check continues over resumed streams of the attempt, so that repeated pieces are skipped.
+/// The last event of an engine has an offset even if it contains no token: its `Tokens` piece comes
 /// before `End`, so that a missing tail shows as a gap.
 #[derive(Clone, Debug)]
 pub struct AnswerCheck {
-    /// None for plain services, whose answers have no ids: there the connection is the match.
+    /// `None` for plain services, whose answers carry no ids; the connection identifies the answer.
     attempt: Option<AttemptId>,
     offset_tokens: u64,
     expected: ExpectedEvent,
 }
 
 impl AnswerCheck {
-    /// For a model's answer to an attempt, from its first token on.
+    /// A check of the answer of a model to an attempt, from its first token on.
     pub fn for_model(attempt: AttemptId) -> Self {
         Self::resumed(attempt, 0)
     }
 
-    /// For a model's answer of which the caller already has `offset_tokens` tokens.
+    /// A check of the answer of a model of which the caller already has `offset_tokens` tokens.
     pub fn resumed(attempt: AttemptId, offset_tokens: u64) -> Self {
         Self {
             attempt: Some(attempt),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// For a plain service's answer.
+    /// A check of the answer of a plain service.
     pub fn for_service() -> Self {
         Self {
             attempt: None,
@@ -66,17 +66,17 @@
         }
     }
 
-    /// How many tokens the caller has: where to resume.
+    /// Number of tokens that the caller has, which is the offset to resume at.
     pub fn offset_tokens(&self) -> u64 {
         self.offset_tokens
     }
 
-    /// Whether the end mark has come.
+    /// Whether the end mark has arrived.
     pub fn is_complete(&self) -> bool {
         self.expected == ExpectedEvent::Nothing
     }
 
-    /// Takes in a piece.
+    /// Checks the next piece.
     pub fn on_event(&mut self, event: ResponseEvent) -> AnswerStep {
         if self.is_complete() {
             return AnswerStep::Fault(AnswerFault::AfterEnd);
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Takes in that the stream has stopped.
+    /// Checks whether the answer was complete when the stream stopped.
     pub fn on_stream_end(&self) -> Result<(), AnswerFault> {
         if self.is_complete() {
             return Ok(());
@@ -108,7 +108,9 @@
             ResponseEvent::End {
                 attempt: Some(got), ..
             } if got != attempt => wrong_attempt(got),
-            ResponseEvent::End { attempt: None, .. } => unexpected("an end without an id"),
+            ResponseEvent::End { attempt: None, .. } => {
+                unexpected("an end mark without an attempt id")
+            }
             ResponseEvent::End { .. } => {
                 self.expected = ExpectedEvent::Nothing;
                 AnswerStep::End(event)
--- a/src/control/outcome/answer_fault.rs
+++ b/src/control/outcome/answer_fault.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with an answer.
+//! Faults of an answer.
 
 use std::error::Error;
 use std::fmt;
@@ -6,43 +6,44 @@
 use crate::units::AttemptId;
 use crate::upstream::UpstreamError;
 
-/// What is wrong with an answer. None of the piece that shows it has gone to the caller.
+/// A fault of an answer. The piece that shows the fault has not gone to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerFault {
     /// A piece is missing.
     Gap {
         /// The next token that the caller needs.
         wanted_offset_tokens: u64,
-        /// The first token that came.
+        /// The first token of the received piece.
         got_offset_tokens: u64,
     },
-    /// A piece holds tokens that the caller has and tokens that it has not, which can't be told
-    /// apart in its text.
+    /// A piece contains both tokens that the caller has and tokens that it lacks, which cannot be
+    /// separated in its text.
     Overlap {
         /// The next token that the caller needs.
         wanted_offset_tokens: u64,
-        /// The first token that came.
+        /// The first token of the received piece.
         got_offset_tokens: u64,
     },
-    /// It is the answer of another attempt.
+    /// The piece belongs to the answer of another attempt.
     WrongAttempt {
-        /// The attempt that the upstream says it answers.
+        /// The attempt that the piece names.
         got: AttemptId,
     },
-    /// It stopped without the end mark.
+    /// The stream stopped without the end mark.
     Truncated {
         /// The next token that the caller needs.
         wanted_offset_tokens: u64,
     },
-    /// Something came after the end mark.
+    /// A piece arrived after the end mark.
     AfterEnd,
-    /// A piece that has no place there, such as bytes in a model's answer.
+    /// A piece of a kind that is not valid at this point, such as bytes in the answer of a model.
     Unexpected(&'static str),
 }
 
 impl AnswerFault {
-    /// Whether the same attempt's answer can be read on from where the caller is. After a crossed
-    /// answer it can, too: nothing of it went to the caller, and resuming names the attempt.
+    /// Whether the answer of the same attempt can be resumed at the next token that the caller
+    /// needs. This holds also after a piece of another attempt: none of it went to the caller, and
+    /// a resumption names the attempt.
     pub fn can_resume(self) -> bool {
         !matches!(self, Self::AfterEnd | Self::Unexpected(_))
     }
@@ -54,17 +55,23 @@
             Self::Gap {
                 wanted_offset_tokens: wanted,
                 got_offset_tokens: got,
-            } => write!(f, "the answer goes on at token {got} instead of {wanted}"),
+            } => write!(f, "the answer continues at token {got} instead of {wanted}"),
             Self::Overlap {
                 wanted_offset_tokens: wanted,
                 got_offset_tokens: got,
-            } => write!(f, "a piece from token {got} reaches beyond token {wanted}"),
+            } => write!(
+                f,
+                "a piece from token {got} overlaps tokens before {wanted}"
+            ),
             Self::WrongAttempt { got } => write!(f, "the answer belongs to attempt {got}"),
             Self::Truncated {
                 wanted_offset_tokens: wanted,
-            } => write!(f, "the answer stopped at token {wanted} without an end"),
-            Self::AfterEnd => f.write_str("the answer went on after its end"),
-            Self::Unexpected(what) => write!(f, "the answer has {what} out of place"),
+            } => write!(
+                f,
+                "the answer stopped at token {wanted} without an end mark"
+            ),
+            Self::AfterEnd => f.write_str("the answer continued after its end mark"),
+            Self::Unexpected(what) => write!(f, "the answer has {what} in an unexpected place"),
         }
     }
 }
--- a/src/control/outcome/mod.rs
+++ b/src/control/outcome/mod.rs
@@ -1,7 +1,7 @@
-//! What callers are told, truthfully: the three outcomes, and whose answer a piece is.
+//! What callers are told: the outcome of a request, and only pieces of its own answer.
 //!
-//! [`RunTracker`] remembers of one request whether it may have run, over all its attempts.
-//! [`AnswerCheck`] lets through only what is the next piece of the right answer.
+//! [`RunTracker`] tracks whether a request may have run, over all its attempts. [`AnswerCheck`]
+//! passes only the next piece of the right answer.
 
 mod answer_check;
 mod answer_fault;
--- a/src/control/outcome/request_outcome.rs
+++ b/src/control/outcome/request_outcome.rs
@@ -1,18 +1,18 @@
-//! The outcome of a request as its caller is told.
+//! The outcome of a request, as reported to its caller.
 
 use std::fmt;
 use std::str::FromStr;
 
 use crate::units::ParseUnitError;
 
-/// What became of a request: the value of the header `Banyanarch-Outcome`.
+/// The outcome of a request: the value of the header `Banyanarch-Outcome`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// The caller has got the whole answer.
+    /// The caller has received the whole answer.
     Completed,
-    /// It certainly did not run; sending it again is safe.
+    /// The request certainly did not run; sending it again is safe.
     NotRun,
-    /// It failed and may have run.
+    /// The request failed and may have run.
     MayHaveRun,
 }
 
@@ -20,7 +20,7 @@
     /// All outcomes.
     pub const ALL: [Self; 3] = [Self::Completed, Self::NotRun, Self::MayHaveRun];
 
-    /// The header's value.
+    /// The value of the header.
     pub fn name(self) -> &'static str {
         match self {
             Self::Completed => "completed",
--- a/src/control/outcome/run_tracker.rs
+++ b/src/control/outcome/run_tracker.rs
@@ -1,23 +1,25 @@
-//! Whether a request may have run.
+//! Tracking whether a request may have run.
 
 use crate::control::outcome::Outcome;
 use crate::upstream::UpstreamError;
 
-/// What may be done after an attempt failed.
+/// Whether a request may be retried after an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterFailure {
-    /// Another attempt does not run the request a second time, or may do so.
+    /// A retry is allowed: the request has certainly not run, or may run twice.
     RetryAllowed,
-    /// The request may have run and must not run twice: tell the caller.
+    /// A retry is forbidden: the request may have run and must not run twice. The caller has to be
+    /// told.
     RetryForbidden,
 }
 
-/// Remembers whether one request may have run, over all its attempts.
+/// Tracks whether one request may have run, over all its attempts.
 ///
 /// The failure this guards against: a caller is told "not run", sends its licence grant again, and
-/// two are issued. So a request counts as run from right before its first byte leaves until an
-/// upstream's error proves the contrary, and what was once uncertain never becomes certain again: a
-/// task that ends in between leaves "may have run" behind.
+/// two are issued. A request therefore counts as possibly run from right before its first byte is
+/// sent until an error of the upstream proves that it did not run, and uncertainty about an earlier
+/// attempt is never resolved by a later one. A task that is dropped in between leaves the outcome
+/// "may have run".
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunTracker {
     is_repeatable: bool,
@@ -37,30 +39,31 @@
         }
     }
 
-    /// To be called right before an attempt is given to an upstream.
+    /// Records that an attempt is sent. To be called right before the attempt is given to an
+    /// upstream.
     pub fn on_send(&mut self) {
         self.is_in_flight = true;
     }
 
-    /// The upstream has begun to answer, so it is running the request.
+    /// Records that the upstream has started to answer, so it is running the request.
     pub fn on_response_start(&mut self) {
         self.may_have_run = true;
     }
 
-    /// The whole answer has gone to the caller.
+    /// Records that the whole answer has gone to the caller.
     pub fn on_completed(&mut self) {
         self.is_in_flight = false;
         self.may_have_run = true;
         self.is_complete = true;
     }
 
-    /// An attempt, or resuming one, failed. An error that shows that nothing ran says so of this
-    /// sending only: what was in doubt before stays in doubt.
+    /// Records that an attempt, or resuming one, failed. An error that proves that nothing ran
+    /// holds for this attempt only; uncertainty about earlier ones remains.
     pub fn on_failure(&mut self, error: &UpstreamError) -> AfterFailure {
         self.on_attempt_ended(error.did_not_run())
     }
 
-    /// An attempt ended without its whole answer.
+    /// Records that an attempt ended without its whole answer.
     pub fn on_attempt_ended(&mut self, did_not_run: bool) -> AfterFailure {
         if !did_not_run {
             self.may_have_run = true;
@@ -73,7 +76,7 @@
         }
     }
 
-    /// What the caller is to be told if the request ended now.
+    /// The outcome to report if the request ended now.
     pub fn outcome(&self) -> Outcome {
         match (self.is_complete, self.may_have_run || self.is_in_flight) {
             (true, _) => Outcome::Completed,
--- a/src/control/status/event_log.rs
+++ b/src/control/status/event_log.rs
@@ -1,4 +1,4 @@
-//! What the system did lately, and why.
+//! Recent events of this host, with their reasons.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,10 +12,11 @@
 /// Events that are kept: some hours of an ordinary day, some minutes of a bad one.
 const EVENTS_MAX: usize = 256;
 
-/// The longest text that is kept of an event.
+/// Maximum length of each text of an event, in characters.
 const TEXT_LEN_MAX: usize = 200;
 
-/// The last things that this host did by itself. Any part writes to it; memory is bounded.
+/// The recent actions that this host took by itself. Any part of the process can add to the log;
+/// its memory is bounded.
 pub struct EventLog {
     clock: Arc<dyn Clock>,
     entries: Mutex<VecDeque<Event>>,
@@ -34,20 +35,20 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 pub struct EventReport {
-    /// How long ago it last happened.
+    /// Time since the event last happened, in seconds.
     pub ago_s: u64,
-    /// Which part of the system did it, as in the logs.
+    /// The part of the system that acted, as named in the logs.
     pub part: &'static str,
-    /// What it did.
+    /// The action.
     pub what: String,
-    /// Why.
+    /// The reason for the action.
     pub why: String,
-    /// How often in a row.
+    /// How many times in a row the event happened.
     pub times: u64,
 }
 
 impl EventLog {
-    /// Nothing yet.
+    /// An empty log.
     pub fn new(clock: Arc<dyn Clock>) -> Self {
         Self {
             clock,
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Records that a part did something. The same event again in a row only counts, so that
-    /// something that flaps does not push everything else out.
+    /// Records an event. Repeating the last event only increases its count, so that a flapping
+    /// condition does not push out all other events.
     pub fn record(&self, part: &'static str, what: &str, why: &str) {
         let event = Event {
             last_at: self.clock.now(),
@@ -79,7 +80,7 @@
         entries.push_back(event);
     }
 
-    /// The latest events, the newest first.
+    /// The latest `count` events, the newest first.
     pub fn latest(&self, count: usize) -> Vec<EventReport> {
         let now = self.clock.now();
         let report = |event: &Event| EventReport {
--- a/src/control/status/mod.rs
+++ b/src/control/status/mod.rs
@@ -1,4 +1,4 @@
-//! Reports of this host, bounded in size and rate.
+//! Status reports of this host, bounded in size and rate.
 
 mod event_log;
 mod report;
--- a/src/control/status/report.rs
+++ b/src/control/status/report.rs
@@ -1,4 +1,4 @@
-//! The report of one host.
+//! The status report of one host.
 
 use indexmap::IndexMap;
 
@@ -16,34 +16,35 @@
 use crate::units::PoolId;
 use crate::units::TargetId;
 
-/// Hosts, homes and targets that a report lists at most; their numbers are always told in full.
+/// Maximum number of hosts, homes and targets that a report lists. Their counts per failure domain
+/// are always complete.
 const LIST_MAX: usize = 1_024;
 
-/// Events in a report.
+/// Maximum number of events in a report.
 const EVENTS_MAX: usize = 50;
 
-/// Events in a report to the platform.
+/// Maximum number of events in a report to the platform.
 const EVENTS_TO_PLATFORM_MAX: usize = 10;
 
-/// What a report is made of.
+/// The inputs of a status report.
 pub struct StatusInputs<'a> {
     /// This host.
     pub host: &'a HostId,
     /// Its failure domain.
     pub domain: &'a FailureDomainId,
-    /// Hosts and upstreams.
+    /// The known hosts and upstreams.
     pub cluster_view: &'a ClusterView,
-    /// What it knows of manifests.
+    /// The state of the manifest on this host.
     pub manifest: ManifestStatus,
     /// The homes on this host.
     pub homes: Vec<(PoolId, PoolLoad)>,
-    /// Failure domains that are suspected to be cut off.
+    /// Failure domains that are suspected to be cut off from this one.
     pub silent_domains: Vec<FailureDomainId>,
-    /// What it did lately.
+    /// The recent events of this host.
     pub events: &'a EventLog,
 }
 
-/// How one host sees the fleet, and what it did lately.
+/// The view that one host has of the fleet, and its recent events.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(serde::Serialize)]
 pub struct StatusReport {
@@ -51,62 +52,63 @@
     pub host: HostId,
     /// Its failure domain.
     pub domain: FailureDomainId,
-    /// The generation in force.
+    /// The manifest generation in force.
     pub generation: Option<Generation>,
-    /// How long ago the platform last said, directly or through other hosts, that there is no
-    /// newer one; none if it never did.
+    /// Time since the platform last confirmed, directly or through other hosts, that there is no
+    /// newer generation, in seconds; `None` if it never did.
     pub generation_confirmed_ago_s: Option<u64>,
-    /// Why this host may not serve; none if it may.
+    /// Why this host may not serve; `None` if it may.
     pub not_ready: Option<&'static str>,
-    /// The published manifest that this host refused, and why.
+    /// The published manifest that this host refused, and the reason.
     pub manifest_refused: Option<String>,
     /// Failure domains that are suspected to be cut off from this one.
     pub suspected_partitions: Vec<FailureDomainId>,
-    /// The failure domains.
+    /// The hosts by failure domain.
     pub domains: Vec<DomainReport>,
     /// The homes on this host.
     pub homes: Vec<HomeReport>,
-    /// The upstreams by target.
+    /// The upstreams by target and failure domain.
     pub upstreams: Vec<TargetReport>,
-    /// The hosts, in a report to the platform none: each reports itself there.
+    /// The hosts. The list is empty in a report to the platform, where each host reports itself.
     pub hosts: Vec<HostReport>,
-    /// What this host did lately, the newest first.
+    /// The recent events of this host, the newest first.
     pub lately: Vec<EventReport>,
 }
 
-/// A failure domain.
+/// The hosts of a failure domain by state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 pub struct DomainReport {
-    /// Its name.
+    /// The id of the failure domain.
     pub domain: String,
-    /// Hosts that answer.
+    /// Number of hosts that are alive.
     pub alive: usize,
-    /// Hosts that may be gone.
+    /// Number of hosts that are suspected to be dead.
     pub suspect: usize,
-    /// Hosts that drain.
+    /// Number of hosts that are draining.
     pub leaving: usize,
-    /// Hosts that are gone.
+    /// Number of dead hosts that are not forgotten yet.
     pub dead: usize,
-    /// The least generation that a live host was heard to have in force.
+    /// The lowest manifest generation that a host which is not dead was last known to have in
+    /// force.
     pub generation_min: Option<Generation>,
 }
 
-/// A home.
+/// A home on this host: the state of one pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 pub struct HomeReport {
-    /// Its pool.
+    /// The pool.
     pub pool: PoolId,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u64,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u64,
-    /// How long a short request would wait now.
+    /// Time that a short request would have to wait now, in milliseconds.
     pub short_wait_ms: u64,
-    /// Memory that is not promised.
+    /// Memory that is not reserved, in tokens.
     pub free_tokens: u64,
-    /// Upstreams that may get work.
+    /// Number of upstreams that may get work.
     pub upstreams: u32,
 }
 
@@ -118,28 +120,28 @@
     pub target: TargetId,
     /// The failure domain.
     pub domain: FailureDomainId,
-    /// Upstreams that may get work.
+    /// Number of upstreams that may get work.
     pub live: usize,
-    /// Upstreams that leave.
+    /// Number of upstreams that are leaving.
     pub leaving: usize,
 }
 
-/// A host.
+/// The state of one host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 pub struct HostReport {
-    /// Its name.
+    /// The id of the host.
     pub host: HostId,
     /// Its failure domain.
     pub domain: FailureDomainId,
-    /// Its state.
+    /// The state of the host.
     pub state: &'static str,
-    /// The generation that it was last heard to have in force.
+    /// The manifest generation that the host was last known to have in force.
     pub generation: Generation,
 }
 
 impl StatusReport {
-    /// The report as it is now.
+    /// Builds the report of the current state.
     pub fn new(inputs: StatusInputs<'_>) -> Self {
         let mut views: Vec<HostView> = inputs
             .cluster_view
@@ -171,8 +173,8 @@
         }
     }
 
-    /// The part that goes to the platform. Without the list of hosts it does not grow with the
-    /// fleet: 400 hosts that each list 400 would be 160,000 entries.
+    /// The part of the report that goes to the platform. Without the list of hosts its size does
+    /// not grow with the fleet: 400 hosts that each list 400 would make 160,000 entries.
     pub fn for_platform(mut self) -> Self {
         self.hosts.clear();
         self.lately.truncate(EVENTS_TO_PLATFORM_MAX);
--- a/src/control/status/reporter.rs
+++ b/src/control/status/reporter.rs
@@ -1,4 +1,4 @@
-//! When a host's report is written to the platform.
+//! Scheduling of the writes of the status report to the platform.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,27 +11,28 @@
 use crate::objects::PlatformError;
 use crate::units::ObjectVersion;
 
-/// The least time between two writes. At 400 hosts whose reports all change all the time, this is
-/// 14 writes a second at most, of the several hundred that the platform takes.
+/// Minimum time between two writes. If the reports of 400 hosts change all the time, this gives at
+/// most 14 writes per second, of the several hundred that the platform can handle.
 const WRITE_INTERVAL: Duration = Duration::from_secs(30);
 
-/// A report that stays the same is still written this often, so that its age shows a dead host.
+/// Time after which an unchanged report is written again, so that its age shows a dead host.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(300);
 
-/// After an error. Jittered like all the others: when the platform comes back after an outage, all
-/// hosts have something to write.
+/// Time until the next attempt after an error. It is jittered like the other intervals: after an
+/// outage of the platform, all hosts have a report to write.
 const RETRY_INTERVAL: Duration = Duration::from_secs(30);
 
-/// What the reporter wants done.
+/// An action that the reporter requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReporterAction {
-    /// Read this host's report, whose version is not known, and pass on the result.
+    /// Read the stored report of this host, whose version is not known, and pass the result to the
+    /// reporter.
     Read,
-    /// Write the report and pass on the result.
+    /// Write the report, if the stored version is as expected, and pass the result to the reporter.
     Write(Expected),
 }
 
-/// When a host's report is written, without I/O.
+/// Decides when the report of a host is written, as a state machine without I/O.
 #[derive(Debug)]
 pub struct Reporter {
     rng: StdRng,
@@ -44,7 +45,8 @@
 }
 
 impl Reporter {
-    /// A reporter that has written nothing; its first write comes within the first interval.
+    /// A reporter that has written nothing. Its first write comes at a random time within the first
+    /// interval.
     pub fn new(mut rng: StdRng, now: Instant) -> Self {
         let next_at = now + WRITE_INTERVAL.mul_f64(rng.random());
         Self {
@@ -58,7 +60,7 @@
         }
     }
 
-    /// What to do now. `hash` is that of the report without its ages.
+    /// Returns the action that is due. `hash` is the hash of the report without its ages.
     pub fn tick(&mut self, hash: u64, now: Instant) -> Option<ReporterAction> {
         self.hash = hash;
         let has_changed = self.written_hash != Some(hash);
@@ -73,7 +75,7 @@
         })
     }
 
-    /// Takes in what a read gave; the write follows at the next tick.
+    /// Handles the result of a read; the write follows at the next tick.
     pub fn on_read(&mut self, result: &Result<Object, PlatformError>, now: Instant) {
         self.is_busy = false;
         match result {
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Takes in what a write gave.
+    /// Handles the result of a write.
     pub fn on_written(&mut self, result: &Result<ObjectVersion, PlatformError>, now: Instant) {
         self.is_busy = false;
         match result {
@@ -93,7 +95,8 @@
                 self.next_at = now + self.jittered(WRITE_INTERVAL);
                 self.refresh_at = now + self.jittered(REFRESH_INTERVAL);
             }
-            // An earlier process of this host, or a write whose answer was lost.
+            // The stored version is not known: an earlier process of this host wrote the report, or
+            // the answer to a write was lost.
             Err(PlatformError::Conflict | PlatformError::Absent | PlatformError::Unknown(_)) => {
                 self.expected = None;
                 self.next_at = now + self.jittered(RETRY_INTERVAL);
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -59,7 +59,7 @@
     crossed = { tokens(OTHER, 3, 1), AnswerFault::WrongAttempt { got: OTHER } },
     crossed_at_the_same_offset_as_a_repeat = { tokens(OTHER, 0, 3), AnswerFault::WrongAttempt { got: OTHER } },
     crossed_end = { end(Some(OTHER)), AnswerFault::WrongAttempt { got: OTHER } },
-    end_without_id = { end(None), AnswerFault::Unexpected("an end without an id") },
+    end_without_id = { end(None), AnswerFault::Unexpected("an end mark without an attempt id") },
     hole = { tokens(OURS, 4, 1), gap(3, 4) },
     missing_tail = { tokens(OURS, 9, 0), gap(3, 9) },
     overlapping = { tokens(OURS, 2, 2), overlap(3, 2) },
