--- a/src/control/membership/action.rs
+++ b/src/control/membership/action.rs
@@ -29,13 +29,13 @@
         /// The removed host.
         host: HostId,
     },
-    /// This process resumed after a pause. Other hosts may have taken over the homes and grants
+    /// This process resumed after a pause. Other hosts may have taken over the homes
     /// that it held, so it must drop them.
     ResumedAfterPause {
         /// The length of the pause.
         paused: Duration,
     },
-    /// Other hosts declared this host dead and have taken over the homes and grants that it held,
+    /// Other hosts declared this host dead and have taken over the homes that it held,
     /// so it must drop them.
     DeclaredDead,
     /// An upstream is leaving, as of a version of its object in the platform.
--- a/src/control/membership/machine/inbound.rs
+++ b/src/control/membership/machine/inbound.rs
@@ -70,7 +70,8 @@
     /// for longer than broadcasts take to settle.
     fn compare_views(&mut self, from: &HostId, their_hash: u64, now: Instant) {
         if their_hash == self.host_table.view_hash() {
-            // Agreement with one host is enough, although others may still have another view.
+            // Agreement with one host is enough, although others may have another view, for
+            // instance when a few hosts know the same part of the fleet.
             self.has_agreed = true;
             return;
         }
--- a/src/control/orders/reconciler.rs
+++ b/src/control/orders/reconciler.rs
@@ -1,4 +1,4 @@
-//! The reconciling of one pool's engines.
+//! The reconciler of the engines of one pool.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -71,7 +71,8 @@
     },
 }
 
-/// The reconciling of one pool's engines, without I/O. The home of the pool runs it.
+/// Brings the engines of one pool to the desired state, as a state machine without I/O. The home
+/// of the pool runs it.
 #[derive(Debug)]
 pub struct EngineReconciler {
     conf: ReconcilerConf,
--- a/tests/broken/mod.rs
+++ b/tests/broken/mod.rs
@@ -1,6 +1,6 @@
-//! Texts that are broken on purpose, for parsers that must name the place.
+//! Corrupted texts, for tests of parsers that must report the file and line of a problem.
 
-/// Pieces that mean something in YAML.
+/// Text fragments that are significant in YAML.
 pub(crate) const YAML_FRAGMENTS: &[&str] = &[
     "\n",
     " ",
@@ -27,13 +27,13 @@
     "~",
 ];
 
-/// A text with a part cut out and some noise in its place.
-pub(crate) fn corrupt(text: &str, at: usize, cut: usize, noise: &[&str]) -> String {
+/// Replaces `cut` bytes of a text from `at` on by the fragments.
+pub(crate) fn corrupt(text: &str, at: usize, cut: usize, fragments: &[&str]) -> String {
     let end = (at + cut).min(text.len());
-    format!("{}{}{}", &text[..at], noise.concat(), &text[end..])
+    format!("{}{}{}", &text[..at], fragments.concat(), &text[end..])
 }
 
-/// Whether a problem's line begins with the file and a line number.
+/// Whether a reported problem begins with the file and a line number.
 pub(crate) fn names_file_and_line(problem: &str, file: &str) -> bool {
     let rest = problem.strip_prefix(&format!("{file}:"));
     let number = rest.and_then(|rest| rest.split(": ").next());
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -1,4 +1,4 @@
-//! A graceful shutdown cuts off no request.
+//! Graceful shutdown of a host, without cutting off a request.
 
 use std::time::Duration;
 
@@ -14,12 +14,12 @@
 const NOTICE: Duration = Duration::from_secs(5);
 const HOUR: Duration = Duration::from_secs(3_600);
 
-struct Host {
+struct DrainingHost {
     clock: ManualClock,
     drain: DrainController,
 }
 
-impl Host {
+impl DrainingHost {
     fn new(in_flight: usize, claims: usize) -> Self {
         let clock = ManualClock::new();
         let conf = DrainConf {
@@ -28,75 +28,79 @@
         };
         let drain = DrainController::new(conf, clock.now());
         let mut host = Self { clock, drain };
-        host.hear(DrainEvent::Remaining { in_flight, claims });
+        host.handle(DrainEvent::Remaining { in_flight, claims });
         host
     }
 
-    fn hear(&mut self, event: DrainEvent) -> Vec<DrainAction> {
+    fn handle(&mut self, event: DrainEvent) -> Vec<DrainAction> {
         self.drain.handle(event, self.clock.now())
     }
 
-    fn pass(&mut self, time: Duration) -> Vec<DrainAction> {
+    fn advance(&mut self, time: Duration) -> Vec<DrainAction> {
         self.clock.advance(time);
-        self.hear(DrainEvent::Tick)
+        self.handle(DrainEvent::Tick)
     }
 }
 
-/// An operator replaces a host. The balancer sends to it until it has seen that readiness fails, and
-/// an audit runs on it for an hour. Neither the late callers nor the audit may be cut off.
+/// Guards against a shutdown that cuts off requests. The load balancer keeps sending requests until
+/// it has seen that readiness fails, and a request can run for an hour.
 #[test]
 fn shutdown_waits_for_balancer_and_requests() {
-    let mut host = Host::new(1, 1);
+    let mut host = DrainingHost::new(1, 1);
     assert!(host.drain.is_ready());
     assert_eq!(
-        host.hear(DrainEvent::Signal),
+        host.handle(DrainEvent::Signal),
         [DrainAction::AnnounceLeaving]
     );
     assert!(!host.drain.is_ready() && host.drain.accepts_work());
-    assert_eq!(host.pass(NOTICE / 2), []);
+    assert_eq!(host.advance(NOTICE / 2), []);
     assert!(host.drain.accepts_work());
     let stop = [DrainAction::HandOverHomes, DrainAction::StopAccepting];
-    assert_eq!(host.pass(NOTICE / 2), stop);
+    assert_eq!(host.advance(NOTICE / 2), stop);
     assert!(!host.drain.accepts_work());
-    assert_eq!(host.pass(HOUR), []);
+    assert_eq!(host.advance(HOUR), []);
     let ended = DrainEvent::Remaining {
         in_flight: 0,
         claims: 1,
     };
     assert_eq!(
-        host.hear(ended),
+        host.handle(ended),
         [],
-        "a claim's end is not in the platform yet"
+        "the end of a claim is not recorded in the platform yet"
     );
     let settled = DrainEvent::Remaining {
         in_flight: 0,
         claims: 0,
     };
-    assert_eq!(host.hear(settled), [DrainAction::Exit(0)]);
+    assert_eq!(host.handle(settled), [DrainAction::Exit(0)]);
     assert_eq!(host.drain.phase(), DrainPhase::Exiting);
 }
 
-/// Nothing is in flight when the signal comes, and the balancer does not know yet: the next caller's
-/// connection would be refused.
+/// Guards against refused connections when a host is idle at the signal: the load balancer does not
+/// know of the shutdown yet and sends the next request.
 #[test]
 fn idle_host_waits_for_the_balancer_too() {
-    let mut host = Host::new(0, 0);
+    let mut host = DrainingHost::new(0, 0);
     assert_eq!(
-        host.hear(DrainEvent::Signal),
+        host.handle(DrainEvent::Signal),
         [DrainAction::AnnounceLeaving]
     );
     assert_eq!(host.drain.phase(), DrainPhase::Notice);
-    let actions = host.pass(NOTICE);
+    let actions = host.advance(NOTICE);
     assert_eq!(actions.last(), Some(&DrainAction::Exit(0)));
 }
 
-/// The platform is away while a host drains. It must not stay for ever for the sake of claims.
+/// Guards against a shutdown that never ends because the platform is unavailable and cannot record
+/// the claims.
 #[test]
-fn absent_platform_does_not_hold_a_shutdown() {
-    let mut host = Host::new(0, 3);
-    host.hear(DrainEvent::Signal);
-    host.pass(NOTICE);
-    assert_eq!(host.pass(Duration::from_secs(10)), [DrainAction::Exit(0)]);
+fn unavailable_platform_does_not_block_shutdown() {
+    let mut host = DrainingHost::new(0, 3);
+    host.handle(DrainEvent::Signal);
+    host.advance(NOTICE);
+    assert_eq!(
+        host.advance(Duration::from_secs(10)),
+        [DrainAction::Exit(0)]
+    );
 }
 
 #[parameterized(
@@ -104,9 +108,9 @@
     while_draining = { NOTICE },
 )]
 fn second_signal_ends_at_once(after: Duration) {
-    let mut host = Host::new(1, 0);
-    host.hear(DrainEvent::Signal);
-    host.pass(after);
-    assert_eq!(host.hear(DrainEvent::Signal), [DrainAction::Exit(1)]);
-    assert_eq!(host.hear(DrainEvent::Signal), []);
+    let mut host = DrainingHost::new(1, 0);
+    host.handle(DrainEvent::Signal);
+    host.advance(after);
+    assert_eq!(host.handle(DrainEvent::Signal), [DrainAction::Exit(1)]);
+    assert_eq!(host.handle(DrainEvent::Signal), []);
 }
--- a/tests/event_queue/mod.rs
+++ b/tests/event_queue/mod.rs
@@ -1,4 +1,4 @@
-//! Events under a clock moved by hand.
+//! A queue of events for simulations with a manual clock.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -6,7 +6,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// Events in order of time; those of the same time in the order in which they came.
+/// Events ordered by time; events of the same time keep their order of insertion.
 pub struct EventQueue<E> {
     order: BinaryHeap<Reverse<(Duration, usize)>>,
     events: Vec<Option<E>>,
@@ -27,14 +27,14 @@
         self.events.push(Some(event));
     }
 
-    /// The next event up to `end`, and its time.
+    /// Removes and returns the next event that is due by `end`, with its time.
     pub fn pop_until(&mut self, end: Duration) -> Option<(Duration, E)> {
-        let Reverse((at, place)) = *self.order.peek()?;
+        let Reverse((at, index)) = *self.order.peek()?;
         if at > end {
             return None;
         }
         self.order.pop();
-        let event = self.events[place].take()?;
+        let event = self.events[index].take()?;
         Some((at, event))
     }
 }
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,4 +1,4 @@
-//! What must always hold, over real processes under kills, freezes, cuts and outages.
+//! Invariants of a fleet of real processes under kills, pauses, broken connections and outages.
 
 mod site;
 
@@ -25,19 +25,19 @@
 use site::outcome;
 use site::wait_until;
 
-/// A studio's audit is half done when the entry host that serves it is killed. The studio is gone,
-/// but the engine goes on holding the audit's memory until its time limit, an hour later, and after
-/// a few such days the fleet is full of nothing. The home must find the attempt and end it.
+/// Guards against memory of an engine that stays reserved when the host of a long request is
+/// killed: the engine would hold it until the time limit, an hour later. The home must find the
+/// attempt and end it.
 #[tokio::test]
-async fn a_killed_host_leaves_no_memory_behind() {
+async fn a_killed_host_leaves_no_memory_reserved() {
     let mut site = TestSite::with(2, 3).await;
     site.wait_until_joined().await;
     let body = completion("an audit whose host dies", 20_000, false);
     let addr = site.hosts[2].callers_addr;
-    let audit = body.clone();
+    let request_body = body.clone();
     let _caller = tokio::spawn(async move {
         let headers = [("Banyanarch-Timeout-Ms", "3600000")];
-        call(addr, "/v1/completions", &headers, &audit).await
+        call(addr, "/v1/completions", &headers, &request_body).await
     });
     wait_until_running(&site, &body).await;
     site.hosts[2].signal(Signal::SIGKILL);
@@ -45,10 +45,10 @@
     site.wait_until_idle().await;
 }
 
-/// A caller waits for a quote, its engine dies, and the caller gets an error although three other
-/// engines idle. A request that may be repeated is run again elsewhere, within its time.
+/// Guards against an error for a request that may be repeated when its engine dies while others are
+/// idle. The request must run again elsewhere, within its time.
 #[tokio::test]
-async fn a_dead_engine_costs_a_repeatable_request_nothing_but_time() {
+async fn a_repeatable_request_survives_a_dead_engine() {
     let site = TestSite::with(3, 1).await;
     let body = completion("a quote whose engine dies", LONG_ANSWER_TOKENS, false);
     let caller = spawn_send(site.hosts[0].callers_addr, None, &body);
@@ -67,11 +67,11 @@
     assert_eq!(site.run_count(&body), 2);
 }
 
-/// An engine stands still: its connections stay open and nothing comes. A caller on the line would wait
-/// until the time limit, a minute, while the other engine idles. The engine is asked whether it is
-/// there, and the request is run elsewhere.
+/// Guards against a caller who waits for the whole time limit of a minute on a frozen engine, whose
+/// connections stay open without data, while another engine is idle. The engine is probed, and the
+/// request runs elsewhere.
 #[tokio::test]
-async fn a_frozen_engine_holds_no_repeatable_request_until_its_limit() {
+async fn a_repeatable_request_leaves_a_frozen_engine_before_its_limit() {
     let site = TestSite::with(2, 1).await;
     let body = completion("a quote whose engine freezes", LONG_ANSWER_TOKENS, false);
     let caller = spawn_send(site.hosts[0].callers_addr, None, &body);
@@ -96,10 +96,10 @@
     site.wait_until_idle().await;
 }
 
-/// A caller hangs up and nothing was claimed: nobody will ask for the answer again, and the engine's
-/// memory must not wait for the time limit.
+/// Guards against memory of an engine that stays reserved until the time limit when a caller
+/// disconnects. Nothing was claimed, so no one will ask for the answer again.
 #[tokio::test]
-async fn a_caller_that_hangs_up_leaves_no_memory_behind() {
+async fn a_caller_that_disconnects_leaves_no_memory_reserved() {
     let site = TestSite::with(1, 1).await;
     let body = completion("a question whose caller hangs up", 5_000, true);
     let caller = connect_and_send(site.hosts[0].callers_addr, "", &body).await;
@@ -112,11 +112,11 @@
     site.wait_until_idle().await;
 }
 
-/// The home of the pool is frozen, and nobody has noticed yet. Lookups through the other hosts must
-/// not wait for it. When it wakes up, its view of the memory is old; it must give its pools up, and
-/// nothing is lost or cut.
+/// Guards against requests that wait for a frozen home before its failure is detected. When the
+/// home resumes, its view of the memory is outdated; it must give up its pools, and no request may
+/// be lost or cut off.
 #[tokio::test]
-async fn a_frozen_home_holds_nobody_up_and_wakes_up_harmless() {
+async fn a_frozen_home_delays_no_request_and_resumes_safely() {
     let site = TestSite::with(2, 3).await;
     site.wait_until_joined().await;
     let home = site.home_of("geet-model").await;
@@ -153,10 +153,10 @@
     site.wait_until_idle().await;
 }
 
-/// The home is killed with a stream running that it granted to another host. The stream goes on,
-/// since nothing of it passes through the home.
+/// Guards against an interrupted stream when the home that granted it to another host is killed. No
+/// data of the stream passes through the home.
 #[tokio::test]
-async fn a_dead_home_cuts_no_stream() {
+async fn a_dead_home_interrupts_no_stream() {
     let mut site = TestSite::with(2, 3).await;
     site.wait_until_joined().await;
     let home = site.home_of("geet-model").await;
@@ -172,8 +172,8 @@
     site.wait_until_idle().await;
 }
 
-/// A host is replaced while a parent waits for an answer. SIGTERM must not cut it off, the balancer
-/// must learn that the host goes, and the process must end by itself once all is done.
+/// Guards against a request that SIGTERM cuts off. The load balancer must learn that the host is
+/// leaving, and the process must exit by itself once all requests have ended.
 #[tokio::test]
 async fn a_shutdown_cuts_off_no_request() {
     let mut site = TestSite::with(2, 2).await;
@@ -201,8 +201,9 @@
     );
 }
 
-/// An engine is taken out of service. Work that still reaches it is lost with it. A few seconds
-/// after the platform's list says so, nothing new may go there.
+/// Guards against new work on an engine that is taken out of service, since that work would be lost
+/// with it. A few seconds after the list of the platform marks the engine as leaving, no new work
+/// may reach it.
 #[tokio::test]
 async fn a_leaving_upstream_gets_no_new_work() {
     let site = TestSite::with(2, 2).await;
@@ -221,8 +222,8 @@
     assert_eq!(site.engines[0].record().len(), before);
 }
 
-/// The platform is restored from a backup and shows an earlier manifest. Hosts that take it put
-/// yesterday's customers and limits back in force.
+/// Guards against customers and limits that revert when the platform is restored from a backup and
+/// returns an earlier manifest.
 #[tokio::test]
 async fn a_manifest_never_reverts() {
     let mut site = TestSite::with(1, 2).await;
@@ -239,7 +240,7 @@
     for host in &site.hosts {
         assert_eq!(host.status().await["generation"], 7);
     }
-    // A host that starts now is told of 7 by its neighbours, and of 3 by the platform.
+    // A host that starts now learns generation 7 from the other hosts, and 3 from the platform.
     let late = site.add_host("a").await;
     wait_until("the newest on a fresh host", async || {
         site.hosts[late].status().await["generation"] == 7
@@ -247,21 +248,21 @@
     .await;
 }
 
-/// A fresh host starts while the platform is away. Its neighbours know the manifest, so it gets it
-/// from them and serves.
+/// Guards against a new host that cannot serve while the platform is unavailable, although other
+/// hosts have the manifest.
 #[tokio::test]
-async fn a_fresh_host_learns_the_manifest_from_its_neighbours() {
+async fn a_new_host_learns_the_manifest_from_other_hosts() {
     let mut site = TestSite::with(1, 2).await;
     site.wait_until_joined().await;
-    let gate = BlackholeProxy::start(site.platform.addr()).await;
-    gate.set_blackhole(true);
-    let fresh = site.add_seeded_host("a", gate.addr).await;
-    site.hosts[fresh].wait_until_ready().await;
-    assert_eq!(site.hosts[fresh].status().await["generation"], 1);
+    let proxy = BlackholeProxy::start(site.platform.addr()).await;
+    proxy.set_blackhole(true);
+    let new_host = site.add_seeded_host("a", proxy.addr).await;
+    site.hosts[new_host].wait_until_ready().await;
+    assert_eq!(site.hosts[new_host].status().await["generation"], 1);
 }
 
-/// One request crashes every engine that runs it, and its caller sends it again and again. After two
-/// crashes it must be known for what it is at every host, or it takes down the whole fleet.
+/// Guards against one request that crashes every engine that runs it and is sent again and again.
+/// After two crashes, every host must refuse it.
 #[tokio::test]
 async fn a_request_that_crashes_engines_is_refused_after_two() {
     let site = TestSite::with(4, 2).await;
@@ -302,10 +303,10 @@
     );
 }
 
-/// Engines send pieces of one answer on the stream of another. A parent would hear of someone else's
-/// child. No crossed byte may pass; the request fails, or gets its own answer elsewhere.
+/// Guards against text of another caller in an answer, when engines send pieces of one answer on
+/// the stream of another. The request must fail or get its own answer elsewhere.
 #[tokio::test]
-async fn crossed_answers_reach_nobody() {
+async fn answers_of_other_attempts_reach_no_caller() {
     let site = TestSite::with(2, 1).await;
     let faults = EngineFaults {
         cross_answers: true,
@@ -328,10 +329,11 @@
     site.wait_until_idle().await;
 }
 
-/// Connections to engines break in the middle of answers while the engines go on. The answers are
-/// read on from where they were cut: whole, once, and without a second run.
+/// Guards against incomplete or repeated answers when connections to engines break while the
+/// engines continue. The answers must be resumed where they were interrupted: complete, and without
+/// a second run.
 #[tokio::test]
-async fn cut_answers_are_read_on() {
+async fn interrupted_answers_are_resumed() {
     let site = TestSite::with(2, 1).await;
     for engine in &site.engines {
         engine.set_faults(EngineFaults {
@@ -352,10 +354,10 @@
     }
 }
 
-/// Engines count wrongly and keep the memory of answers that have ended. Slowly the fleet fills up.
-/// The homes compare with what engines list, and cancel what nobody holds.
+/// Guards against a fleet that fills up because engines keep the memory of ended answers. The homes
+/// compare their ledgers with what the engines report, and cancel attempts that no host holds.
 #[tokio::test]
-async fn leaked_engine_memory_is_given_back() {
+async fn leaked_engine_memory_is_released() {
     let site = TestSite::with(1, 1).await;
     site.engines[0].set_faults(EngineFaults {
         leak_one_in: 2,
@@ -372,8 +374,8 @@
     site.wait_until_idle().await;
 }
 
-/// A request that takes longer than its limit. It must fail within the limit, truthfully, and give
-/// the engine's memory back.
+/// Guards against a request that runs beyond its time limit. It must fail within the limit with a
+/// correct outcome, and its memory at the engine must be released.
 #[tokio::test]
 async fn a_request_ends_within_its_time_limit() {
     let site = TestSite::with(1, 1).await;
@@ -397,10 +399,10 @@
     site.wait_until_idle().await;
 }
 
-/// An archive larger than one engine needs several at once. Its host is killed while they hold it.
-/// All of them must give their part back.
+/// Guards against memory that stays reserved when the host of a request that needs several engines
+/// at once is killed. All engines must release their part.
 #[tokio::test]
-async fn a_gang_whose_host_dies_gives_everything_back() {
+async fn a_gang_whose_host_dies_releases_all_memory() {
     let mut site = TestSite::start().await;
     for _ in 0..3 {
         let options = EngineOptions {
@@ -422,9 +424,9 @@
     site.wait_until_idle().await;
 }
 
-/// A new version of the model is published while callers work. If all engines load it at once, nobody
-/// is served until they have; if an order is lost, an engine keeps the old version for good. Enough
-/// engines stay loaded, and all of them get there.
+/// Guards against an outage while a new version is loaded, and against an engine that keeps the old
+/// version because an order was lost. Enough engines must stay loaded, and all must reach the new
+/// version.
 #[tokio::test]
 async fn a_new_version_is_loaded_while_callers_are_served() {
     let mut site = TestSite::start().await;
--- a/tests/manifests.rs
+++ b/tests/manifests.rs
@@ -1,4 +1,5 @@
-//! Manifests: forward only, everywhere soon, and ready only with the newest.
+//! Distribution of manifests: generations only increase, new ones reach all hosts soon, and a host
+//! is ready only with the newest.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -52,8 +53,8 @@
     Manifest::parse(text, "example").unwrap()
 }
 
-/// Takes every text but `wrong`.
-fn check() -> ManifestValidator {
+/// A validator that accepts every text except `wrong`.
+fn validator() -> ManifestValidator {
     let manifest = manifest();
     Box::new(move |text| match text {
         "wrong" => Err("line 1: not a manifest".to_owned()),
@@ -65,26 +66,26 @@
     PublishedManifest::next_after(Generation(generation - 1), generation.into(), text)
 }
 
-struct Domain {
+struct DomainSimulation {
     now: Instant,
     hosts: IndexMap<HostId, ManifestController>,
     in_flight: Vec<(HostId, HostId, Message)>,
     stopped: Vec<HostId>,
-    taken: Vec<(HostId, Generation)>,
-    /// What had been published when each process started.
+    applied: Vec<(HostId, Generation)>,
+    /// The newest generation in force on any host when each process started.
     started_at: IndexMap<HostId, Generation>,
     sent_bytes: u64,
     seed: u64,
 }
 
-impl Domain {
+impl DomainSimulation {
     fn new(host_count: usize) -> Self {
         let mut domain = Self {
             now: Instant::now() + Duration::from_secs(3_600),
             hosts: IndexMap::new(),
             in_flight: Vec::new(),
             stopped: Vec::new(),
-            taken: Vec::new(),
+            applied: Vec::new(),
             started_at: IndexMap::new(),
             sent_bytes: 0,
             seed: 0,
@@ -92,11 +93,11 @@
         for n in 0..host_count {
             domain.start(&format!("h{n}").parse().unwrap());
         }
-        domain.meet();
+        domain.update_peers();
         domain
     }
 
-    /// Starts a process that knows nothing, in place of an earlier one of that name.
+    /// Starts a process without a manifest, in place of an earlier one of that host.
     fn start(&mut self, host: &HostId) {
         self.seed += 1;
         let generations = self
@@ -106,12 +107,12 @@
         let newest = generations.max().unwrap_or_default();
         self.started_at.insert(host.clone(), newest);
         let rng = StdRng::seed_from_u64(self.seed);
-        let manifests = ManifestController::new(check(), 2_048, rng, self.now);
+        let manifests = ManifestController::new(validator(), 2_048, rng, self.now);
         self.hosts.insert(host.clone(), manifests);
-        self.meet();
+        self.update_peers();
     }
 
-    fn meet(&mut self) {
+    fn update_peers(&mut self) {
         let all: Vec<HostId> = self.hosts.keys().cloned().collect();
         for (host, manifests) in &mut self.hosts {
             let others = all.iter().filter(|other| *other != host);
@@ -119,9 +120,9 @@
         }
     }
 
-    fn tell(&mut self, host: &HostId, word: ManifestRead) {
-        let actions = self.hosts[host].on_platform_read(word, self.now);
-        self.act(host, actions);
+    fn deliver_read(&mut self, host: &HostId, read: ManifestRead) {
+        let actions = self.hosts[host].on_platform_read(read, self.now);
+        self.perform(host, actions);
     }
 
     fn run(&mut self, time: Duration) {
@@ -136,28 +137,29 @@
         for (from, to, message) in std::mem::take(&mut self.in_flight) {
             if !self.stopped.contains(&to) && self.hosts.contains_key(&to) {
                 let actions = self.hosts[&to].handle(&from, message, self.now);
-                self.act(&to, actions);
+                self.perform(&to, actions);
             }
         }
         for host in self.hosts.keys().cloned().collect::<Vec<_>>() {
             if !self.stopped.contains(&host) {
                 let actions = self.hosts[&host].tick(self.now);
-                self.act(&host, actions);
+                self.perform(&host, actions);
             }
         }
     }
 
-    fn act(&mut self, host: &HostId, actions: Vec<ManifestAction>) {
+    fn perform(&mut self, host: &HostId, actions: Vec<ManifestAction>) {
         for action in actions {
             match action {
                 ManifestAction::Send { to, message } => {
                     self.sent_bytes += wire_len(&message) as u64;
                     self.in_flight.push((host.clone(), to, message));
                 }
-                // The platform is away in these tests, but for what they tell.
+                // The platform is unavailable in these tests, except for the reads that they
+                // deliver.
                 ManifestAction::ReadPlatform => {}
                 ManifestAction::PutInForce(in_force) => {
-                    self.taken.push((host.clone(), in_force.generation));
+                    self.applied.push((host.clone(), in_force.generation));
                 }
             }
         }
@@ -177,7 +179,7 @@
     name.parse().unwrap()
 }
 
-/// A manifest of many customers, about a megabyte long; `changed` is one customer's rate.
+/// A manifest of many customers, about a megabyte long; `changed` is the rate of one customer.
 fn large_text(changed: u64) -> String {
     (0..9_000)
         .map(|n| {
@@ -197,7 +199,7 @@
 }
 
 #[test]
-fn parts_give_the_text_again() {
+fn parts_concatenate_to_the_text() {
     let input = proptest::collection::vec("[ -~\n\u{e9}]{0,4000}", 0..8);
     runner()
         .run(&input, |texts| {
@@ -206,48 +208,53 @@
             Ok(())
         })
         .unwrap();
-    let endless_line = "x".repeat(100_000);
-    assert_eq!(split_into_parts(&endless_line).concat(), endless_line);
+    let long_line = "x".repeat(100_000);
+    assert_eq!(split_into_parts(&long_line).concat(), long_line);
 }
 
-/// 1,100 times a day a manifest of a megabyte is published with a small change. Sent whole, it would
-/// take three times the budget of every host for control.
+/// Guards against control traffic that grows with the size of the manifest. A manifest of a
+/// megabyte is published 1,100 times per day with a small change; sent whole, it would take three
+/// times the control budget of every host.
 #[test]
-fn only_what_changed_travels() {
-    let mut domain = Domain::new(20);
+fn only_changed_parts_are_sent() {
+    let mut domain = DomainSimulation::new(20);
     for n in 0..20 {
-        let word = ManifestRead::Published(published(1, &large_text(1)));
-        domain.tell(&host(&format!("h{n}")), word);
+        let read = ManifestRead::Published(published(1, &large_text(1)));
+        domain.deliver_read(&host(&format!("h{n}")), read);
     }
     domain.run(Duration::from_secs(5));
-    let whole = large_text(1).len() as u64;
+    let text_len = large_text(1).len() as u64;
     domain.sent_bytes = 0;
-    let before = domain.now;
-    domain.tell(
+    let start = domain.now;
+    domain.deliver_read(
         &host("h0"),
         ManifestRead::Published(published(2, &large_text(2))),
     );
     while !domain.all_have(2) {
         domain.step();
-        assert!(domain.now - before < Duration::from_secs(6));
+        assert!(domain.now - start < Duration::from_secs(6));
     }
-    let sent_a_host = domain.sent_bytes / 20;
-    assert!(sent_a_host * 40 < whole, "{sent_a_host} of {whole}");
+    let sent_per_host = domain.sent_bytes / 20;
+    assert!(
+        sent_per_host * 40 < text_len,
+        "{sent_per_host} of {text_len}"
+    );
 }
 
-/// The host that all hear of the new generation from dies before it has passed on the parts.
+/// Guards against a stalled fetch: the host that announced the new generation dies before it has
+/// sent the parts.
 #[test]
-fn a_holder_that_dies_delays_nothing_for_long() {
-    let mut domain = Domain::new(10);
+fn a_holder_that_dies_delays_a_fetch_only_briefly() {
+    let mut domain = DomainSimulation::new(10);
     for n in 0..10 {
-        domain.tell(
+        domain.deliver_read(
             &host(&format!("h{n}")),
             ManifestRead::Published(published(1, "one")),
         );
     }
     for n in 0..2 {
-        let word = ManifestRead::Published(published(2, "two"));
-        domain.tell(&host(&format!("h{n}")), word);
+        let read = ManifestRead::Published(published(2, "two"));
+        domain.deliver_read(&host(&format!("h{n}")), read);
     }
     domain.step();
     domain.stopped.push(host("h0"));
@@ -255,26 +262,28 @@
     assert!(domain.all_have(2));
 }
 
-/// One host read a whole new manifest of a megabyte just before the platform went away. Each host's
-/// budget lets it pass on one copy; if several got pieces of it, none could pass anything on.
+/// Guards against a large manifest that never spreads. One host read a new manifest of a megabyte
+/// just before the platform became unavailable. The budget of each host allows one copy; if several
+/// hosts got pieces of it, none could pass anything on.
 #[test]
-fn a_whole_new_manifest_gets_through_the_budget() {
-    let mut domain = Domain::new(12);
-    let word = ManifestRead::Published(published(1, &large_text(1)));
-    domain.tell(&host("h0"), word);
+fn a_large_new_manifest_spreads_within_the_budget() {
+    let mut domain = DomainSimulation::new(12);
+    let read = ManifestRead::Published(published(1, &large_text(1)));
+    domain.deliver_read(&host("h0"), read);
     domain.run(Duration::from_secs(60));
     assert!(domain.all_have(1));
 }
 
-/// The platform is away. A fresh host hears from one that missed the newest generation; if it
-/// served with that, its callers would see the old limits come back.
+/// Guards against serving with an old manifest. The platform is unavailable, and a new host first
+/// hears from one that missed the newest generation; with that manifest, its callers would get
+/// outdated limits.
 #[test]
 fn a_fresh_host_waits_for_most_of_its_domain() {
-    let mut domain = Domain::new(5);
+    let mut domain = DomainSimulation::new(5);
     for n in 1..5 {
         let generation = if n == 1 { 1 } else { 2 };
-        let word = ManifestRead::Published(published(generation, &format!("text {generation}")));
-        domain.tell(&host(&format!("h{n}")), word);
+        let read = ManifestRead::Published(published(generation, &format!("text {generation}")));
+        domain.deliver_read(&host(&format!("h{n}")), read);
     }
     domain.in_flight.clear();
     for n in 2..5 {
@@ -290,35 +299,35 @@
     assert!(domain.is_ready(&fresh));
 }
 
-/// All hosts of a failure domain restart while the platform is away. None may serve, since nobody
-/// knows which manifest was in force, and the reason must be told.
+/// Guards against serving with an unknown manifest when all hosts of a failure domain restart while
+/// the platform is unavailable. None may be ready, and the reason must be reported.
 #[test]
-fn a_domain_that_restarted_whole_waits_for_the_platform() {
-    let mut domain = Domain::new(4);
+fn a_fully_restarted_domain_waits_for_the_platform() {
+    let mut domain = DomainSimulation::new(4);
     domain.run(Duration::from_secs(10));
     let fresh = host("h2");
     let knowledge = domain.hosts[&fresh].status(domain.now);
     assert!(!knowledge.is_ready);
     let why = knowledge.why_not_ready.unwrap();
     assert!(why.contains("neither the platform nor a host"), "{why}");
-    domain.tell(&host("h0"), ManifestRead::Published(published(7, "seven")));
+    domain.deliver_read(&host("h0"), ManifestRead::Published(published(7, "seven")));
     domain.run(Duration::from_secs(2));
     assert!(domain.hosts.keys().all(|host| domain.is_ready(host)));
 }
 
-/// Somebody writes a manifest past the command-line tool, and it is wrong. Hosts keep the one
-/// before, serve with it, and say what they refused.
+/// Guards against a wrong manifest that was written to the platform without the command-line tool.
+/// Hosts keep the earlier one, serve with it, and report the refused generation.
 #[test]
-fn a_wrong_manifest_is_refused_and_shown() {
-    let mut domain = Domain::new(3);
-    domain.tell(&host("h0"), ManifestRead::Published(published(1, "right")));
-    domain.tell(&host("h0"), ManifestRead::Published(published(2, "wrong")));
+fn a_wrong_manifest_is_refused_and_reported() {
+    let mut domain = DomainSimulation::new(3);
+    domain.deliver_read(&host("h0"), ManifestRead::Published(published(1, "right")));
+    domain.deliver_read(&host("h0"), ManifestRead::Published(published(2, "wrong")));
     domain.run(Duration::from_secs(2));
     assert!(domain.all_have(1));
     let knowledge = domain.hosts[&host("h0")].status(domain.now);
     assert!(knowledge.is_ready);
     assert_eq!(knowledge.refused.unwrap().generation, Generation(2));
-    domain.tell(
+    domain.deliver_read(
         &host("h0"),
         ManifestRead::Published(published(3, "right again")),
     );
@@ -326,13 +335,14 @@
     assert!(domain.all_have(3));
 }
 
-/// How old the knowledge is, is what an operator looks at when a domain is cut off.
+/// Guards against a wrong age of the last confirmation, by which an operator recognizes that a
+/// failure domain is cut off.
 #[test]
-fn the_age_of_the_knowledge_spreads_and_grows() {
-    let mut domain = Domain::new(4);
-    domain.tell(&host("h0"), ManifestRead::Published(published(1, "one")));
+fn the_age_of_the_confirmation_spreads_and_grows() {
+    let mut domain = DomainSimulation::new(4);
+    domain.deliver_read(&host("h0"), ManifestRead::Published(published(1, "one")));
     domain.run(Duration::from_secs(20));
-    domain.tell(&host("h0"), ManifestRead::Unchanged);
+    domain.deliver_read(&host("h0"), ManifestRead::Unchanged);
     domain.run(Duration::from_secs(30));
     for manifests in domain.hosts.values() {
         let ago = manifests.status(domain.now).confirmed_ago.unwrap();
@@ -361,7 +371,8 @@
     assert!(before[1..].iter().all(|host| after.contains(host)));
 }
 
-/// One object whose writes lose their answers, come late, or are turned away, as the seed says.
+/// A platform with one object. As determined by the seed, writes lose their answers, are delayed,
+/// or are refused.
 struct FakePlatform {
     state: Mutex<(Option<Object>, Vec<PublishedManifest>, StdRng)>,
 }
@@ -392,8 +403,8 @@
     }
 
     async fn pause(&self) {
-        let turns = self.state.lock().unwrap().2.random_range(0..4);
-        for _ in 0..turns {
+        let yields = self.state.lock().unwrap().2.random_range(0..4);
+        for _ in 0..yields {
             tokio::task::yield_now().await;
         }
     }
@@ -450,7 +461,7 @@
     }
 }
 
-/// The published generation as a register that moves forward by one.
+/// The published generation as a register that increases by one.
 #[derive(Clone, Debug)]
 enum Op {
     Read(Option<u64>),
@@ -471,19 +482,19 @@
         match op {
             Op::Read(read) => (*read == Some(*state), *state),
             Op::Publish(Some(generation)) => (*generation == state + 1, *generation),
-            // Refused: it must have no effect.
+            // A refused publish must have no effect.
             Op::Publish(None) => (true, *state),
         }
     }
 }
 
-type Recorded = Arc<Mutex<Vec<(usize, Action<Op>)>>>;
+type SharedHistory = Arc<Mutex<Vec<(usize, Action<Op>)>>>;
 
 async fn operator(
     platform: &FakePlatform,
-    history: &Recorded,
+    history: &SharedHistory,
     process: usize,
-    told: &Mutex<Vec<(u128, PublishOutcome)>>,
+    outcomes: &Mutex<Vec<(u128, PublishOutcome)>>,
 ) {
     for round in 0..3 {
         let publish_id = (process * 100 + round) as u128;
@@ -491,27 +502,27 @@
         history.lock().unwrap().push(call);
         let text = format!("text {publish_id}");
         let pauses = [Duration::ZERO; 4];
-        let verdict = publish_manifest(platform, &text, publish_id, None, &pauses)
+        let outcome = publish_manifest(platform, &text, publish_id, None, &pauses)
             .await
             .unwrap();
-        // What the operator was not told is taken from the platform's own record.
+        // An unknown outcome is resolved by the record of the platform.
         let state = platform.state.lock().unwrap();
         let id = format!("{publish_id:032x}");
         let written = state.1.iter().find(|held| held.publish_id == id);
-        let generation = match &verdict {
+        let generation = match &outcome {
             PublishOutcome::Accepted(generation) => Some(generation.0),
             PublishOutcome::Unknown(_) => written.map(|held| held.generation.0),
             PublishOutcome::Refused(_) | PublishOutcome::Unreachable(_) => None,
         };
         let response = (process, Action::Response(Op::Publish(generation)));
         history.lock().unwrap().push(response);
-        told.lock().unwrap().push((publish_id, verdict));
+        outcomes.lock().unwrap().push((publish_id, outcome));
     }
 }
 
 async fn reader(
     platform: &FakePlatform,
-    history: &Recorded,
+    history: &SharedHistory,
     process: usize,
     reads: &Mutex<Vec<PublishedManifest>>,
 ) {
@@ -531,12 +542,12 @@
     }
 }
 
-/// Three operators publish at the same moment while answers of the platform get lost; hosts read,
-/// some of it late and out of order, tell each other, lose messages, and restart. If any host went
-/// back, callers would see withdrawn limits in force again; if an operator were told the wrong
-/// outcome, it would publish twice or not at all.
+/// Guards against a host that reverts to an earlier generation and applies withdrawn limits again,
+/// and against a wrong outcome that makes an operator publish twice or not at all. Three operators
+/// publish at the same time while answers of the platform are lost; hosts read late and out of
+/// order, notify each other, lose messages, and restart.
 #[test]
-fn generations_only_move_forward() {
+fn generations_only_increase() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .build()
@@ -545,10 +556,10 @@
         let platform = FakePlatform {
             state: Mutex::new((None, Vec::new(), StdRng::seed_from_u64(seed))),
         };
-        let history = Recorded::default();
-        let (told, reads) = (Mutex::default(), Mutex::default());
+        let history = SharedHistory::default();
+        let (outcomes, reads) = (Mutex::default(), Mutex::default());
         runtime.block_on(async {
-            let operators = (0..3).map(|n| operator(&platform, &history, n, &told).boxed());
+            let operators = (0..3).map(|n| operator(&platform, &history, n, &outcomes).boxed());
             let readers = (3..6).map(|n| reader(&platform, &history, n, &reads).boxed());
             let all: Vec<_> = operators.chain(readers).collect();
             join_all(all).await;
@@ -558,19 +569,19 @@
             WGLChecker::<ForwardRegister>::is_linearizable(History::from_actions(history));
         assert!(is_linearizable, "seed {seed}");
         let log = platform.state.into_inner().unwrap().1;
-        check_told(&log, &told.into_inner().unwrap(), seed);
+        check_outcomes(&log, &outcomes.into_inner().unwrap(), seed);
         check_hosts(&log, reads.into_inner().unwrap(), seed);
     }
 }
 
-fn check_told(log: &[PublishedManifest], told: &[(u128, PublishOutcome)], seed: u64) {
-    for (publish_id, verdict) in told {
+fn check_outcomes(log: &[PublishedManifest], outcomes: &[(u128, PublishOutcome)], seed: u64) {
+    for (publish_id, outcome) in outcomes {
         let id = format!("{publish_id:032x}");
         let times = log.iter().filter(|held| held.publish_id == id).count();
-        match verdict {
-            PublishOutcome::Accepted(_) => assert_eq!(times, 1, "seed {seed}: {verdict}"),
+        match outcome {
+            PublishOutcome::Accepted(_) => assert_eq!(times, 1, "seed {seed}: {outcome}"),
             PublishOutcome::Refused(_) | PublishOutcome::Unreachable(_) => {
-                assert_eq!(times, 0, "seed {seed}: {verdict}");
+                assert_eq!(times, 0, "seed {seed}: {outcome}");
             }
             PublishOutcome::Unknown(_) => assert!(times <= 1, "seed {seed}"),
         }
@@ -582,15 +593,15 @@
         return;
     };
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut domain = Domain::new(5);
+    let mut domain = DomainSimulation::new(5);
     let mut newest_ready: IndexMap<HostId, Generation> = IndexMap::new();
     while !reads.is_empty() {
-        // What was read is told late and in any order, to whoever.
-        let word = reads.swap_remove(rng.random_range(0..reads.len()));
-        let told = host(&format!("h{}", rng.random_range(0..5)));
-        // A process reads after it has started, and the platform never goes back.
-        if word.generation >= domain.started_at[&told] {
-            domain.tell(&told, ManifestRead::Published(word));
+        // Reads are delivered late, in random order, to random hosts.
+        let read = reads.swap_remove(rng.random_range(0..reads.len()));
+        let receiver = host(&format!("h{}", rng.random_range(0..5)));
+        // A process reads only after its start, and the platform never reverts.
+        if read.generation >= domain.started_at[&receiver] {
+            domain.deliver_read(&receiver, ManifestRead::Published(read));
         }
         domain.in_flight.retain(|_| rng.random_ratio(9, 10));
         domain.run(STEP * rng.random_range(0..40));
@@ -600,28 +611,31 @@
             .hosts
             .iter()
             .filter(|(other, _)| **other != restarted);
-        let as_new = others.filter(|(_, other)| other.generation() >= generation);
-        if as_new.count() == 4 {
-            domain.taken.retain(|(host, _)| *host != restarted);
+        let up_to_date = others.filter(|(_, other)| other.generation() >= generation);
+        if up_to_date.count() == 4 {
+            domain.applied.retain(|(host, _)| *host != restarted);
             domain.start(&restarted);
         }
         domain.run(STEP * rng.random_range(0..40));
         for host in domain.hosts.keys() {
             let generation = domain.hosts[host].generation().unwrap_or_default();
             let before = newest_ready.entry(host.clone()).or_default();
-            let went_back = domain.is_ready(host) && generation < *before;
-            assert!(!went_back, "seed {seed}: {host} went back to {generation}");
+            let has_reverted = domain.is_ready(host) && generation < *before;
+            assert!(
+                !has_reverted,
+                "seed {seed}: {host} reverted to {generation}"
+            );
             if domain.is_ready(host) {
                 *before = generation;
             }
         }
     }
     let mut last: IndexMap<HostId, Generation> = IndexMap::new();
-    for (host, generation) in &domain.taken {
+    for (host, generation) in &domain.applied {
         let before = last.insert(host.clone(), *generation);
         assert!(before < Some(*generation), "seed {seed}: {host}");
     }
-    domain.tell(&host("h0"), ManifestRead::Published(newest.clone()));
+    domain.deliver_read(&host("h0"), ManifestRead::Published(newest.clone()));
     domain.run(Duration::from_secs(10));
     assert!(domain.all_have(newest.generation.0), "seed {seed}");
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,6 +1,7 @@
-//! Membership: deaths are seen, the living refute, news spreads, and the budget holds.
+//! Membership: dead hosts are detected, live ones refute, changes spread, and the byte budget
+//! holds.
 //!
-//! A plain loop hands messages over at the next step of 50 ms; there is no model of a network.
+//! A plain loop delivers messages at the next step of 50 ms; there is no model of a network.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -29,24 +30,24 @@
 const STEP: Duration = Duration::from_millis(50);
 const BYTES_PER_SECOND: u64 = 2_048;
 
-struct Fleet {
+struct FleetSimulation {
     now: Instant,
     hosts: IndexMap<HostId, Membership>,
     seeds: Vec<PeerSeed>,
-    /// Hosts whose process is gone or frozen.
+    /// Hosts whose process has exited or is paused.
     stopped: Vec<HostId>,
-    /// Hosts whose messages are lost on the way.
-    mute: Vec<HostId>,
+    /// Hosts whose outgoing messages are lost.
+    muted: Vec<HostId>,
     /// Two hosts whose messages to each other are lost.
-    parted: Option<[HostId; 2]>,
-    /// Failure domains that can't talk to others.
-    cut: Vec<FailureDomainId>,
+    disconnected: Option<[HostId; 2]>,
+    /// Failure domains that cannot communicate with other domains.
+    partitioned: Vec<FailureDomainId>,
     in_flight: Vec<(HostId, HostId, Gossip)>,
-    seen: Vec<(HostId, MembershipAction)>,
+    observed: Vec<(HostId, MembershipAction)>,
     sent_bytes: IndexMap<HostId, u64>,
 }
 
-impl Fleet {
+impl FleetSimulation {
     fn new(domains: usize, hosts_a_domain: usize) -> Self {
         let mut seeds = Vec::new();
         for domain in 0..domains {
@@ -63,11 +64,11 @@
             hosts: IndexMap::new(),
             seeds,
             stopped: Vec::new(),
-            mute: Vec::new(),
-            parted: None,
-            cut: Vec::new(),
+            muted: Vec::new(),
+            disconnected: None,
+            partitioned: Vec::new(),
             in_flight: Vec::new(),
-            seen: Vec::new(),
+            observed: Vec::new(),
             sent_bytes: IndexMap::new(),
         };
         for seed in fleet.seeds.clone() {
@@ -98,11 +99,11 @@
         }
     }
 
-    /// Runs until something holds, and tells how long that took.
-    fn run_until(&mut self, limit: Duration, holds: impl Fn(&Self) -> bool) -> Duration {
+    /// Runs until a condition holds, and returns the time that this took.
+    fn run_until(&mut self, timeout: Duration, holds: impl Fn(&Self) -> bool) -> Duration {
         let start = self.now;
         while !holds(self) {
-            assert!(self.now - start < limit, "not within {limit:?}");
+            assert!(self.now - start < timeout, "not within {timeout:?}");
             self.step();
         }
         self.now - start
@@ -113,18 +114,18 @@
         for (from, to, gossip) in std::mem::take(&mut self.in_flight) {
             if self.reaches(&from, &to) {
                 let actions = self.hosts[&to].handle(&from, gossip, self.now);
-                self.act(&to, actions);
+                self.perform(&to, actions);
             }
         }
         for host in self.hosts.keys().cloned().collect::<Vec<_>>() {
             if !self.stopped.contains(&host) {
                 let actions = self.hosts[&host].tick(self.now);
-                self.act(&host, actions);
+                self.perform(&host, actions);
             }
         }
     }
 
-    fn act(&mut self, host: &HostId, actions: Vec<MembershipAction>) {
+    fn perform(&mut self, host: &HostId, actions: Vec<MembershipAction>) {
         for action in actions {
             if let MembershipAction::Send { to, message } = action {
                 *self.sent_bytes.entry(host.clone()).or_default() += wire_len(&message) as u64;
@@ -133,7 +134,7 @@
                 };
                 self.in_flight.push((host.clone(), to, gossip));
             } else {
-                self.seen.push((host.clone(), action));
+                self.observed.push((host.clone(), action));
             }
         }
     }
@@ -143,11 +144,12 @@
             let seed = self.seeds.iter().find(|seed| seed.host == *host).unwrap();
             seed.failure_domain.clone()
         };
-        let is_cut = domain(from) != domain(to)
-            && (self.cut.contains(&domain(from)) || self.cut.contains(&domain(to)));
-        let parted = self.parted.as_ref();
-        let is_parted = parted.is_some_and(|pair| pair.contains(from) && pair.contains(to));
-        let is_lost = is_cut || is_parted || self.mute.contains(from);
+        let is_partitioned = domain(from) != domain(to)
+            && (self.partitioned.contains(&domain(from)) || self.partitioned.contains(&domain(to)));
+        let disconnected = self.disconnected.as_ref();
+        let is_disconnected =
+            disconnected.is_some_and(|pair| pair.contains(from) && pair.contains(to));
+        let is_lost = is_partitioned || is_disconnected || self.muted.contains(from);
         self.hosts.contains_key(to) && !self.stopped.contains(to) && !is_lost
     }
 
@@ -156,11 +158,11 @@
         hosts.find(|view| view.id == *of).map(|view| view.state)
     }
 
-    /// Whether all running hosts, or those of one failure domain, see a host in a state.
-    fn all_see(&self, domain: &str, of: &HostId, state: HostState) -> bool {
+    /// Whether all running hosts whose name starts with `prefix` see a host in a state.
+    fn all_see(&self, prefix: &str, of: &HostId, state: HostState) -> bool {
         let running = self.hosts.keys().filter(|at| !self.stopped.contains(at));
-        let mut asked = running.filter(|at| at.as_str().starts_with(domain));
-        asked.all(|at| self.state(at, of) == Some(state))
+        let mut observers = running.filter(|at| at.as_str().starts_with(prefix));
+        observers.all(|at| self.state(at, of) == Some(state))
     }
 
     fn has_settled(&self) -> bool {
@@ -169,9 +171,9 @@
             .all(|of| self.all_see("", of, HostState::Alive))
     }
 
-    fn saw(&self, wanted: impl Fn(&MembershipAction) -> bool) -> Vec<HostId> {
-        let seen = self.seen.iter().filter(|(_, action)| wanted(action));
-        seen.map(|(host, _)| host.clone()).collect()
+    fn hosts_that_observed(&self, is_match: impl Fn(&MembershipAction) -> bool) -> Vec<HostId> {
+        let observed = self.observed.iter().filter(|(_, action)| is_match(action));
+        observed.map(|(host, _)| host.clone()).collect()
     }
 }
 
@@ -179,33 +181,36 @@
     name.parse().unwrap()
 }
 
-fn settled(domains: usize, hosts_a_domain: usize) -> Fleet {
-    let mut fleet = Fleet::new(domains, hosts_a_domain);
-    fleet.run_until(Duration::from_secs(60), Fleet::has_settled);
+fn settled_fleet(domains: usize, hosts_a_domain: usize) -> FleetSimulation {
+    let mut fleet = FleetSimulation::new(domains, hosts_a_domain);
+    fleet.run_until(Duration::from_secs(60), FleetSimulation::has_settled);
     fleet.run(Duration::from_secs(10));
-    fleet.seen.clear();
+    fleet.observed.clear();
     fleet.sent_bytes.clear();
     fleet
 }
 
-/// A home is killed. Until the others declare it dead its pools have no queue, so callers wait. The
-/// first one to call it in vain gives a hint.
+/// Guards against slow detection of a killed home: until the others declare it dead, its pools have
+/// no queue and their callers wait. The first host whose call to it fails probes it at once.
 #[parameterized(
     three = { 3 },
     seven = { 7 },
     target_size = { 67 },
 )]
-fn a_killed_host_is_seen_as_dead_soon(hosts: usize) {
-    let mut fleet = settled(1, hosts);
+fn a_killed_host_is_soon_declared_dead(hosts: usize) {
+    let mut fleet = settled_fleet(1, hosts);
     let (dead, caller) = (host("d0-h1"), host("d0-h2"));
     fleet.stopped.push(dead.clone());
     let now = fleet.now;
     let actions = fleet.hosts[&caller].probe_after_failed_call(&dead, now);
-    fleet.act(&caller, actions);
-    let first = |fleet: &Fleet| fleet.state(&caller, &dead) == Some(HostState::Dead);
-    let caller_saw = fleet.run_until(Duration::from_secs(3), first);
-    assert!(caller_saw <= Duration::from_millis(2_000), "{caller_saw:?}");
-    let all = |fleet: &Fleet| fleet.all_see("", &dead, HostState::Dead);
+    fleet.perform(&caller, actions);
+    let first = |fleet: &FleetSimulation| fleet.state(&caller, &dead) == Some(HostState::Dead);
+    let detection_time = fleet.run_until(Duration::from_secs(3), first);
+    assert!(
+        detection_time <= Duration::from_millis(2_000),
+        "{detection_time:?}"
+    );
+    let all = |fleet: &FleetSimulation| fleet.all_see("", &dead, HostState::Dead);
     fleet.run_until(Duration::from_secs(4), all);
     assert!(
         fleet
@@ -215,12 +220,12 @@
     );
 }
 
-/// A host is stopped for a while and goes on. The others have taken over its pools; it still
-/// believes to be their home and would grant from an old ledger. It must be told, and the others
-/// must take it back.
+/// Guards against a paused host that goes on as the home of pools which others have taken over, and
+/// would grant from an outdated ledger. The host must notice its pause, and the others must see it
+/// as alive again.
 #[test]
-fn a_paused_host_is_told_and_comes_back() {
-    let mut fleet = settled(1, 7);
+fn a_paused_host_is_notified_and_rejoins() {
+    let mut fleet = settled_fleet(1, 7);
     let paused = host("d0-h3");
     fleet.stopped.push(paused.clone());
     fleet.run_until(Duration::from_secs(5), |fleet| {
@@ -228,54 +233,58 @@
     });
     assert!(
         fleet
-            .saw(|action| matches!(action, MembershipAction::ResumedAfterPause { .. }))
+            .hosts_that_observed(|action| matches!(
+                action,
+                MembershipAction::ResumedAfterPause { .. }
+            ))
             .is_empty()
     );
     fleet.stopped.clear();
     fleet.step();
-    let woke = fleet.saw(|action| matches!(action, MembershipAction::ResumedAfterPause { .. }));
-    assert_eq!(woke, std::slice::from_ref(&paused));
-    fleet.run_until(Duration::from_secs(5), Fleet::has_settled);
+    let resumed = fleet
+        .hosts_that_observed(|action| matches!(action, MembershipAction::ResumedAfterPause { .. }));
+    assert_eq!(resumed, std::slice::from_ref(&paused));
+    fleet.run_until(Duration::from_secs(5), FleetSimulation::has_settled);
 }
 
 fn is_dead(action: &MembershipAction) -> bool {
     matches!(action, MembershipAction::HostChanged { view } if view.state == HostState::Dead)
 }
 
-/// The connection between two hosts hangs; all others reach both. If either were suspected for
-/// that, its pools could move for a fault that concerns nobody else.
+/// Guards against a suspicion that is due to one broken connection between two hosts while all
+/// others reach both; the pools of a suspect could move for a fault that concerns no other host.
 #[test]
 fn a_lost_connection_between_two_hosts_makes_no_suspect() {
-    let mut fleet = settled(1, 7);
-    fleet.parted = Some([host("d0-h1"), host("d0-h2")]);
+    let mut fleet = settled_fleet(1, 7);
+    fleet.disconnected = Some([host("d0-h1"), host("d0-h2")]);
     fleet.run(Duration::from_secs(30));
     assert!(fleet.has_settled());
     let suspect = |action: &MembershipAction| matches!(action, MembershipAction::HostChanged { view } if view.state == HostState::Suspect);
-    assert_eq!(fleet.saw(suspect), []);
+    assert_eq!(fleet.hosts_that_observed(suspect), []);
 }
 
-/// A host's answers are lost for a moment, and the others suspect it. It hears so and refutes; if
-/// its word did not count, it would be declared dead while it works.
+/// Guards against declaring a working host dead whose answers were lost for a moment. The host
+/// learns of the suspicion and refutes it.
 #[test]
-fn a_suspect_that_lives_refutes() {
-    let mut fleet = settled(1, 7);
+fn a_live_suspect_refutes() {
+    let mut fleet = settled_fleet(1, 7);
     let slow = host("d0-h4");
-    fleet.mute.push(slow.clone());
+    fleet.muted.push(slow.clone());
     fleet.run_until(Duration::from_secs(5), |fleet| {
         let mut hosts = fleet.hosts.keys();
         hosts.any(|at| fleet.state(at, &slow) == Some(HostState::Suspect))
     });
-    fleet.mute.clear();
+    fleet.muted.clear();
     fleet.run(Duration::from_secs(5));
     assert!(fleet.has_settled());
-    assert_eq!(fleet.saw(is_dead), []);
+    assert_eq!(fleet.hosts_that_observed(is_dead), []);
 }
 
-/// A host is replaced under its name, on another port, while the others still know the old one.
-/// Requests for its pools would go to an address where nobody listens.
+/// Guards against requests to an outdated address after a host was replaced under the same name on
+/// another port.
 #[test]
-fn a_restarted_host_replaces_its_earlier_self() {
-    let mut fleet = settled(2, 5);
+fn a_restarted_host_replaces_its_earlier_process() {
+    let mut fleet = settled_fleet(2, 5);
     let mut seed = fleet.seeds[2].clone();
     seed.address.set_port(7_001);
     fleet.start(&seed, 2);
@@ -285,15 +294,15 @@
                 .any(|view| view.id == seed.host && view.peer_addr == seed.address)
         })
     });
-    fleet.run_until(Duration::from_secs(10), Fleet::has_settled);
+    fleet.run_until(Duration::from_secs(10), FleetSimulation::has_settled);
 }
 
-/// A failure domain is cut off and heals. Meanwhile a host died there and another came; the others
-/// must learn of it, and the cut must show while it lasts.
+/// Guards against a network partition that is not reported, or whose changes are not learned
+/// afterwards. While a failure domain is cut off, a host in it dies.
 #[test]
-fn a_cut_shows_and_heals() {
-    let mut fleet = settled(3, 5);
-    fleet.cut.push("d1".parse().unwrap());
+fn a_partition_is_reported_and_heals() {
+    let mut fleet = settled_fleet(3, 5);
+    fleet.partitioned.push("d1".parse().unwrap());
     let dead = host("d1-h4");
     fleet.stopped.push(dead.clone());
     fleet.run(Duration::from_secs(60));
@@ -304,48 +313,48 @@
     let d0_sees: Vec<_> = fleet.hosts.values().take(5).flat_map(silent).collect();
     assert!(d0_sees.contains(&"d1".parse().unwrap()), "{d0_sees:?}");
     assert!(!d0_sees.contains(&"d2".parse().unwrap()), "{d0_sees:?}");
-    fleet.cut.clear();
+    fleet.partitioned.clear();
     fleet.run_until(Duration::from_secs(60), |fleet| {
         fleet.all_see("", &dead, HostState::Dead)
     });
 }
 
-/// All hosts of a failure domain lose each other for minutes and declare each other dead. When they
-/// are back, nobody probes the dead; without a try at them the domain would stay in pieces.
+/// Guards against a failure domain that stays divided after a partition lasted so long that both
+/// sides declared each other dead.
 #[test]
 fn hosts_that_declared_each_other_dead_find_each_other() {
-    let mut fleet = settled(1, 4);
+    let mut fleet = settled_fleet(1, 4);
     let half = [host("d0-h0"), host("d0-h1")];
-    // Each half runs alone for a while, as on its own side of a switch.
+    // Each half runs alone for a while, as on its own side of a network switch.
     for _ in 0..200 {
         fleet.now += STEP;
         let in_flight = std::mem::take(&mut fleet.in_flight);
         for (from, to, gossip) in in_flight {
             if half.contains(&from) == half.contains(&to) {
                 let actions = fleet.hosts[&to].handle(&from, gossip, fleet.now);
-                fleet.act(&to, actions);
+                fleet.perform(&to, actions);
             }
         }
         for at in fleet.hosts.keys().cloned().collect::<Vec<_>>() {
             let actions = fleet.hosts[&at].tick(fleet.now);
-            fleet.act(&at, actions);
+            fleet.perform(&at, actions);
         }
     }
     assert_eq!(fleet.state(&half[0], &host("d0-h3")), Some(HostState::Dead));
     assert_eq!(fleet.state(&host("d0-h3"), &half[0]), Some(HostState::Dead));
-    fleet.run_until(Duration::from_secs(60), Fleet::has_settled);
+    fleet.run_until(Duration::from_secs(60), FleetSimulation::has_settled);
     assert!(
         !fleet
-            .saw(|action| *action == MembershipAction::DeclaredDead)
+            .hosts_that_observed(|action| *action == MembershipAction::DeclaredDead)
             .is_empty()
     );
 }
 
-/// The platform tells one host first that an upstream leaves; its list lags for the others. Work
-/// that they still send there would be cut off when it goes.
+/// Guards against work sent to a leaving upstream or host, or repeated for a poison request,
+/// because only one host knows. The list of the platform reaches the other hosts later.
 #[test]
-fn leaving_upstreams_poison_and_draining_hosts_are_spread() {
-    let mut fleet = settled(1, 20);
+fn leaving_upstreams_poison_and_draining_hosts_are_broadcast() {
+    let mut fleet = settled_fleet(1, 20);
     let (first, now) = (host("d0-h5"), fleet.now);
     let notice = PoisonNotice {
         content: vec![1; 16],
@@ -356,12 +365,12 @@
     membership.announce_poison(notice);
     membership.set_generation(Generation(4), now);
     let actions = membership.leave(now);
-    fleet.act(&first, actions);
+    fleet.perform(&first, actions);
     fleet.run(Duration::from_secs(4));
     let leaving = |action: &MembershipAction| matches!(action, MembershipAction::UpstreamLeaving { version, .. } if version.0 == 9);
-    assert_eq!(fleet.saw(leaving).len(), 19);
+    assert_eq!(fleet.hosts_that_observed(leaving).len(), 19);
     let poison = |action: &MembershipAction| matches!(action, MembershipAction::Poison { .. });
-    assert_eq!(fleet.saw(poison).len(), 19);
+    assert_eq!(fleet.hosts_that_observed(poison).len(), 19);
     assert!(fleet.all_see("", &first, HostState::Leaving));
     let domain = "d0".parse().unwrap();
     let members = fleet.hosts[&host("d0-h9")].members(&domain);
@@ -369,12 +378,12 @@
     assert_eq!(eligible.count(), 19);
 }
 
-/// Half of a failure domain dies at once, a thousand notices come, and a host that can't remember
-/// whom it asked joins ten times a second. A host that sent all that is asked for would take the
-/// share of the network that callers need; one that sent nothing more would be declared dead.
+/// Guards against traffic beyond the byte budget, and against live hosts that are declared dead
+/// because their budget is used up. Half of a failure domain dies at once, a thousand notices are
+/// sent, and one host joins ten times per second.
 #[test]
 fn the_byte_budget_holds_under_a_flood() {
-    let mut fleet = settled(1, 40);
+    let mut fleet = settled_fleet(1, 40);
     for n in 20..40 {
         fleet.stopped.push(host(&format!("d0-h{n}")));
     }
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -1,4 +1,5 @@
-//! Orders to engines: one holder at a time, enough copies stay up, and nothing depends on answers.
+//! Orders to engines: one holder of the lease at a time, enough engines stay loaded, and nothing
+//! depends on answers.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -43,7 +44,7 @@
     }
 }
 
-fn wanted(version: &str, loaded_percent_min: u8) -> DesiredEngines {
+fn desired(version: &str, loaded_percent_min: u8) -> DesiredEngines {
     DesiredEngines {
         state: state(version),
         loaded_percent_min,
@@ -58,17 +59,18 @@
     state: EngineState,
     loads_until: Option<Instant>,
     highest_fencing: u64,
-    /// Orders as they arrived: when, by whom, and their number.
+    /// The orders in order of arrival: time, sending host and fencing number.
     arrived: Vec<(Instant, usize, u64)>,
 }
 
-/// A few reconcilers of one pool before one lease and some engines, which ignore fencing numbers.
-struct Site {
+/// Simulates reconcilers of one pool on several hosts, their lease, and engines that ignore fencing
+/// numbers.
+struct PoolSimulation {
     now: Instant,
     rng: StdRng,
     hosts: Vec<EngineReconciler>,
     paused_until: Vec<Instant>,
-    away_until: Vec<Instant>,
+    unreachable_until: Vec<Instant>,
     engines: IndexMap<UpstreamId, FakeEngine>,
     lease: Option<(ObjectVersion, serde_json::Value)>,
     has_faults: bool,
@@ -77,11 +79,11 @@
     loads: usize,
 }
 
-impl Site {
+impl PoolSimulation {
     fn new(host_count: usize, engine_count: usize, load_gib_per_second: u64) -> Self {
         let now = Instant::now();
         let ids: Vec<UpstreamId> = (0..engine_count).map(engine).collect();
-        let host = |n| {
+        let reconciler = |n| {
             let conf = ReconcilerConf {
                 host: format!("h{n}").parse().unwrap(),
                 incarnation: Incarnation(1),
@@ -89,11 +91,11 @@
                 weight_size: ByteSize(GIB),
                 load_size_per_second: ByteSize(load_gib_per_second * GIB),
             };
-            let mut orders = EngineReconciler::new(conf, now);
-            orders.set_engines(&ids);
-            orders
+            let mut reconciler = EngineReconciler::new(conf, now);
+            reconciler.set_engines(&ids);
+            reconciler
         };
-        let fake = |id: UpstreamId| {
+        let fake_engine = |id: UpstreamId| {
             let engine = FakeEngine {
                 state: state("1"),
                 loads_until: None,
@@ -105,10 +107,10 @@
         Self {
             now,
             rng: StdRng::seed_from_u64(1),
-            hosts: (0..host_count).map(host).collect(),
+            hosts: (0..host_count).map(reconciler).collect(),
             paused_until: vec![now; host_count],
-            away_until: vec![now; host_count],
-            engines: ids.iter().cloned().map(fake).collect(),
+            unreachable_until: vec![now; host_count],
+            engines: ids.iter().cloned().map(fake_engine).collect(),
             lease: None,
             has_faults: false,
             orders_in_flight: Vec::new(),
@@ -117,9 +119,9 @@
         }
     }
 
-    fn want(&mut self, version: &str, loaded_percent_min: u8) {
+    fn set_desired(&mut self, version: &str, loaded_percent_min: u8) {
         for host in &mut self.hosts {
-            host.set_desired(wanted(version, loaded_percent_min));
+            host.set_desired(desired(version, loaded_percent_min));
         }
     }
 
@@ -137,7 +139,7 @@
 
     fn step(&mut self) {
         self.now += STEP;
-        self.arrive();
+        self.deliver_orders();
         let loaded = self.engines.values().filter(|engine| !engine.state.loading);
         self.loaded_min = self.loaded_min.min(loaded.count());
         for host in 0..self.hosts.len() {
@@ -145,19 +147,19 @@
                 continue;
             }
             for action in self.hosts[host].tick(self.now) {
-                // Failure: the process is paused between the decision and what it does of it.
+                // The process may be paused between a decision and the resulting action.
                 let is_send = matches!(action, ReconcilerAction::SendOrder { .. });
                 let one_in = if is_send { 8 } else { 100 };
                 if self.has_faults && self.rng.random_ratio(1, one_in) {
                     let pause = Duration::from_secs(self.rng.random_range(1..90));
                     self.paused_until[host] = self.now + pause;
                 }
-                self.act(host, action);
+                self.perform(host, action);
             }
         }
     }
 
-    fn arrive(&mut self) {
+    fn deliver_orders(&mut self) {
         let now = self.now;
         let (due, later) = std::mem::take(&mut self.orders_in_flight)
             .into_iter()
@@ -182,8 +184,8 @@
         }
     }
 
-    fn act(&mut self, host: usize, action: ReconcilerAction) {
-        // What a paused process does, it does when it wakes.
+    fn perform(&mut self, host: usize, action: ReconcilerAction) {
+        // A paused process performs its actions when it resumes.
         let at = self.now.max(self.paused_until[host]);
         match action {
             ReconcilerAction::Lease(action) => self.lease_call(host, action),
@@ -213,27 +215,28 @@
             true => self.rng.random_range(0..16),
             false => 15,
         };
-        // Now and then a host is cut from the platform for a while.
+        // Sometimes a host cannot reach the platform for a while.
         if fault == 0 {
-            self.away_until[host] = self.now + Duration::from_secs(self.rng.random_range(10..60));
+            self.unreachable_until[host] =
+                self.now + Duration::from_secs(self.rng.random_range(10..60));
         }
-        let is_away = self.now < self.away_until[host];
+        let is_unreachable = self.now < self.unreachable_until[host];
         match action {
             LeaseAction::Read => {
-                let read = self.lease.clone().map(|(version, value)| Object {
+                let object = self.lease.clone().map(|(version, value)| Object {
                     key: ObjectKey::new(Kind::Leases, "pool"),
                     version,
                     value,
                 });
-                let result = match is_away {
+                let result = match is_unreachable {
                     true => Err(PlatformError::Unavailable("busy".to_owned())),
-                    false => read.ok_or(PlatformError::Absent),
+                    false => object.ok_or(PlatformError::Absent),
                 };
                 self.hosts[host].on_lease_read(result, self.now);
             }
             LeaseAction::Write { spec, expected } => {
                 let result = match fault {
-                    _ if is_away => Err(PlatformError::Unavailable("busy".to_owned())),
+                    _ if is_unreachable => Err(PlatformError::Unavailable("busy".to_owned())),
                     1 => Err(PlatformError::Unknown("lost".to_owned())),
                     _ => self.write(serde_json::to_value(spec).unwrap(), expected),
                 };
@@ -254,7 +257,7 @@
         let version = self.lease.as_ref().map(|(version, _)| *version);
         let is_expected = match expected {
             Expected::Absent => version.is_none(),
-            Expected::Version(wanted) => version == Some(wanted),
+            Expected::Version(expected) => version == Some(expected),
         };
         if !is_expected {
             return Err(PlatformError::Conflict);
@@ -265,8 +268,8 @@
     }
 }
 
-/// A new version of a model is published. If all engines loaded it at once, callers would find
-/// none; if too many loaded at once, the weight store would turn them away.
+/// Guards against a new version that is loaded by too many engines at once: callers would find no
+/// loaded engine, and the weight store would refuse loads.
 #[parameterized(
     six = { 6, 75, 4 },
     three = { 3, 75, 2 },
@@ -274,100 +277,101 @@
     twenty = { 20, 75, 15 },
 )]
 fn enough_engines_stay_loaded(engine_count: usize, percent: u8, at_least: usize) {
-    let mut site = Site::new(2, engine_count, 1);
-    site.want("2", percent);
-    site.run(Duration::from_secs(400));
-    assert!(site.all_have("2"));
-    assert_eq!(site.loads, engine_count);
-    assert!(site.loaded_min >= at_least, "{}", site.loaded_min);
+    let mut pool = PoolSimulation::new(2, engine_count, 1);
+    pool.set_desired("2", percent);
+    pool.run(Duration::from_secs(400));
+    assert!(pool.all_have("2"));
+    assert_eq!(pool.loads, engine_count);
+    assert!(pool.loaded_min >= at_least, "{}", pool.loaded_min);
 }
 
-/// All engines come back empty after a power cut. The weight store gives one engine's weights a
-/// second; more loads than that would make it turn all away.
+/// Guards against more loads than the weight store can serve, here the weights of one engine per
+/// second, when all engines come back empty after a power failure.
 #[test]
-fn loads_keep_to_the_rate_of_the_weight_store() {
-    let mut site = Site::new(1, 30, 1);
-    for engine in site.engines.values_mut() {
+fn loads_stay_within_the_rate_of_the_weight_store() {
+    let mut pool = PoolSimulation::new(1, 30, 1);
+    for engine in pool.engines.values_mut() {
         engine.state = EngineState::default();
     }
-    site.want("2", 75);
-    let start = site.now;
-    while !site.all_have("2") {
-        site.step();
-        let elapsed = (site.now - start).as_secs();
+    pool.set_desired("2", 75);
+    let start = pool.now;
+    while !pool.all_have("2") {
+        pool.step();
+        let elapsed = (pool.now - start).as_secs();
         assert!(
-            site.loads as u64 <= elapsed,
-            "{} in {elapsed} s",
-            site.loads
+            pool.loads as u64 <= elapsed,
+            "{} loads in {elapsed} s",
+            pool.loads
         );
         assert!(elapsed < 120);
     }
 }
 
-/// A third version is published while the second one is being loaded.
+/// Guards against a stuck or repeated change when a third version is published while the second one
+/// is being loaded.
 #[test]
-fn a_change_in_the_middle_of_a_change_ends_at_the_last() {
-    let mut site = Site::new(2, 8, 1);
-    site.want("2", 50);
-    while site.loads < 3 {
-        site.step();
+fn a_change_during_a_change_ends_at_the_last_version() {
+    let mut pool = PoolSimulation::new(2, 8, 1);
+    pool.set_desired("2", 50);
+    while pool.loads < 3 {
+        pool.step();
     }
-    site.want("3", 50);
-    site.run(Duration::from_secs(200));
-    assert!(site.all_have("3"));
-    assert!(site.loads <= 3 + 8, "{}", site.loads);
-    assert!(site.loaded_min >= 4);
+    pool.set_desired("3", 50);
+    pool.run(Duration::from_secs(200));
+    assert!(pool.all_have("3"));
+    assert!(pool.loads <= 3 + 8, "{}", pool.loads);
+    assert!(pool.loaded_min >= 4);
 }
 
-/// The holder is stopped right after it decided on an order and wakes when another host has taken
-/// the lease and has ordered something newer. If it sent what it had decided, the engine would go
-/// back to the old version.
+/// Guards against an outdated order that puts an engine back to an old version. The holder of the
+/// lease is paused right after it decided on an order, and resumes after another host has taken the
+/// lease and has ordered a newer version.
 #[test]
-fn a_paused_holder_that_wakes_sends_nothing() {
-    let mut site = Site::new(1, 1, 100);
-    site.want("2", 0);
+fn a_paused_holder_sends_nothing_after_it_resumes() {
+    let mut pool = PoolSimulation::new(1, 1, 100);
+    pool.set_desired("2", 0);
     let not_after = loop {
-        site.now += STEP;
-        let now = site.now;
+        pool.now += STEP;
+        let now = pool.now;
         let mut sent = None;
-        for action in site.hosts[0].tick(now) {
+        for action in pool.hosts[0].tick(now) {
             match action {
                 ReconcilerAction::SendOrder { not_after, .. } => sent = Some(not_after),
-                action => site.act(0, action),
+                action => pool.perform(0, action),
             }
         }
         if let Some(not_after) = sent {
             break not_after;
         }
     };
-    assert!(not_after < site.now + Duration::from_secs(15));
-    site.now += Duration::from_secs(60);
-    let now = site.now;
-    let actions = site.hosts[0].tick(now);
+    assert!(not_after < pool.now + Duration::from_secs(15));
+    pool.now += Duration::from_secs(60);
+    let now = pool.now;
+    let actions = pool.hosts[0].tick(now);
     let sends = |action: &ReconcilerAction| matches!(action, ReconcilerAction::SendOrder { .. });
     assert!(!actions.iter().any(sends));
 }
 
-/// Several hosts believe to be the home of a pool whose engines obey every order. They are paused at
-/// any moment, also between decision and send; calls to the platform fail and their answers get
-/// lost; orders arrive up to five seconds late or never. If an order of an earlier holder arrived
-/// after one of a later holder, an engine would be turned back.
+/// Guards against an order of an earlier holder that arrives after one of a later holder and
+/// reverts an engine. Several hosts consider themselves the home of a pool whose engines obey every
+/// order. They are paused at any moment, also between decision and send; calls to the platform fail
+/// or lose their answers; orders arrive up to five seconds late or never.
 #[test]
 fn orders_of_earlier_holders_never_arrive_after_those_of_later_ones() {
     let mut orders = 0;
-    let mut changes_of_holder = 0;
+    let mut holder_changes = 0;
     for seed in 0..60 {
-        let mut site = Site::new(3, 4, 100);
-        site.rng = StdRng::seed_from_u64(seed);
-        site.has_faults = true;
+        let mut pool = PoolSimulation::new(3, 4, 100);
+        pool.rng = StdRng::seed_from_u64(seed);
+        pool.has_faults = true;
         for round in 0..80 {
-            site.want(&format!("{}", round + 2), 0);
-            let time = site.rng.random_range(2..30);
-            site.run(Duration::from_secs(time));
+            pool.set_desired(&format!("{}", round + 2), 0);
+            let time = pool.rng.random_range(2..30);
+            pool.run(Duration::from_secs(time));
         }
-        // Numbers grow with each write of the lease; a holder's own grow too.
+        // Fencing numbers increase with each write of the lease, also for the same holder.
         let mut arrived: Vec<(Instant, usize, u64)> = Vec::new();
-        for engine in site.engines.values() {
+        for engine in pool.engines.values() {
             arrived.extend(&engine.arrived);
         }
         arrived.sort();
@@ -375,37 +379,40 @@
         for pair in arrived.windows(2) {
             let ((_, first, number), (_, second, later)) = (pair[0], pair[1]);
             if first != second {
-                changes_of_holder += 1;
-                assert!(number < later, "seed {seed}: {number} before {later}");
+                holder_changes += 1;
+                assert!(
+                    number < later,
+                    "seed {seed}: order {number} arrived before {later}"
+                );
             }
         }
-        site.has_faults = false;
-        site.paused_until = vec![site.now; 3];
-        site.away_until = vec![site.now; 3];
-        site.want("last", 0);
-        site.run(Duration::from_secs(120));
-        assert!(site.all_have("last"), "seed {seed}");
+        pool.has_faults = false;
+        pool.paused_until = vec![pool.now; 3];
+        pool.unreachable_until = vec![pool.now; 3];
+        pool.set_desired("last", 0);
+        pool.run(Duration::from_secs(120));
+        assert!(pool.all_have("last"), "seed {seed}");
     }
     assert!(
-        orders > 500 && changes_of_holder > 20,
-        "{orders} {changes_of_holder}"
+        orders > 500 && holder_changes > 20,
+        "{orders} orders, {holder_changes} changes of the holder"
     );
 }
 
-/// An engine whose state nobody could read yet may be serving: it is left alone.
+/// Guards against an order to an engine whose state could not be read yet, since it may be serving.
 #[test]
-fn unknown_engines_are_left_alone() {
-    let seen = |reported: Option<EngineState>, has_pending_order| ObservedEngine {
+fn engines_in_an_unknown_state_get_no_orders() {
+    let observed = |reported: Option<EngineState>, has_pending_order| ObservedEngine {
         id: engine(0),
         reported,
         has_pending_order,
     };
-    let wanted = wanted("2", 0);
-    assert!(engines_to_order(&wanted, &[seen(None, false)]).is_empty());
-    assert!(engines_to_order(&wanted, &[seen(Some(state("1")), true)]).is_empty());
-    assert!(engines_to_order(&wanted, &[seen(Some(state("2")), false)]).is_empty());
+    let desired = desired("2", 0);
+    assert!(engines_to_order(&desired, &[observed(None, false)]).is_empty());
+    assert!(engines_to_order(&desired, &[observed(Some(state("1")), true)]).is_empty());
+    assert!(engines_to_order(&desired, &[observed(Some(state("2")), false)]).is_empty());
     assert_eq!(
-        engines_to_order(&wanted, &[seen(Some(state("1")), false)]).len(),
+        engines_to_order(&desired, &[observed(Some(state("1")), false)]).len(),
         1
     );
 }
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -1,4 +1,4 @@
-//! Callers are told the truth: whose answer it is, and whether a request may have run.
+//! Verification of answers, and the outcome that callers are told.
 
 use banyanarch::control::outcome::AfterFailure;
 use banyanarch::control::outcome::AnswerCheck;
@@ -53,8 +53,8 @@
     }
 }
 
-/// Two connections to an engine are mixed up, or one repeats or loses a piece. The caller would read
-/// words of another customer's case, or a letter with a hole in it.
+/// Guards against foreign or incomplete text in an answer when two connections to an engine are
+/// mixed up, or one repeats or loses a piece.
 #[parameterized(
     crossed = { tokens(OTHER, 3, 1), AnswerFault::WrongAttempt { got: OTHER } },
     crossed_at_the_same_offset_as_a_repeat = { tokens(OTHER, 0, 3), AnswerFault::WrongAttempt { got: OTHER } },
@@ -65,7 +65,7 @@
     overlapping = { tokens(OURS, 2, 2), overlap(3, 2) },
     bytes = { ResponseEvent::Data("x".into()), AnswerFault::Unexpected("bytes") },
 )]
-fn wrong_pieces_do_not_pass(event: ResponseEvent, fault: AnswerFault) {
+fn wrong_pieces_are_rejected(event: ResponseEvent, fault: AnswerFault) {
     let mut check = AnswerCheck::for_model(OURS);
     let first = tokens(OURS, 0, 3);
     assert_eq!(check.on_event(first.clone()), AnswerStep::Forward(first));
@@ -74,17 +74,18 @@
     assert_eq!(check.on_event(next.clone()), AnswerStep::Forward(next));
 }
 
-/// A connection breaks, the stream is resumed, and the engine sends some of it again. The caller
-/// must get each token once, and the end only after all of them.
+/// Guards against repeated tokens and an early end. A connection breaks, the stream is resumed, and
+/// the engine sends some of it again: the caller must get each token once, and the end mark only
+/// after all of them.
 #[test]
-fn resumed_streams_repeat_nothing() {
+fn resumed_streams_repeat_no_token() {
     let mut check = AnswerCheck::for_model(OURS);
     check.on_event(tokens(OURS, 0, 3));
-    let cut = AnswerFault::Truncated {
+    let truncated = AnswerFault::Truncated {
         wanted_offset_tokens: 3,
     };
-    assert_eq!(check.on_stream_end(), Err(cut));
-    assert!(cut.can_resume());
+    assert_eq!(check.on_stream_end(), Err(truncated));
+    assert!(truncated.can_resume());
     assert_eq!(check.offset_tokens(), 3);
     assert_eq!(check.on_event(tokens(OURS, 0, 2)), AnswerStep::Skip);
     assert_eq!(check.on_event(tokens(OURS, 2, 1)), AnswerStep::Skip);
@@ -99,10 +100,10 @@
     );
 }
 
-/// A plain service's connection breaks before its answer has ended. A short answer must not pass as
-/// a whole one, and there is no way to resume it.
+/// Guards against a truncated answer of a plain service that passes as complete when the connection
+/// breaks. Such an answer cannot be resumed.
 #[test]
-fn service_answers_are_whole_or_cut() {
+fn service_answers_are_complete_or_truncated() {
     let mut check = AnswerCheck::for_service();
     let early = check.on_event(ResponseEvent::Data("x".into()));
     assert!(matches!(
@@ -124,8 +125,8 @@
     }
 }
 
-/// An upstream fails after bytes of a licence grant have left. Told "not run", the caller would send
-/// it again, and two would be issued.
+/// Guards against a wrong "not run": when an upstream fails after bytes of a licence grant were
+/// sent, the caller would send the grant again, and two would be issued.
 #[parameterized(
     not_sent = { UpstreamError::NotSent(String::new()), Outcome::NotRun },
     turned_away = { refused(), Outcome::NotRun },
@@ -134,14 +135,14 @@
     failed = { UpstreamError::Failed(String::new()), Outcome::MayHaveRun },
     unknown = { UpstreamError::UnknownAttempt, Outcome::MayHaveRun },
 )]
-fn not_run_is_said_only_when_certain(error: UpstreamError, outcome: Outcome) {
+fn not_run_is_reported_only_when_certain(error: UpstreamError, outcome: Outcome) {
     let mut record = RunTracker::new(false);
     assert_eq!(record.outcome(), Outcome::NotRun);
     record.on_send();
     assert_eq!(
         record.outcome(),
         Outcome::MayHaveRun,
-        "the task may end here"
+        "the task may be dropped here"
     );
     let after = record.on_failure(&error);
     assert_eq!(record.outcome(), outcome);
@@ -152,10 +153,11 @@
     assert_eq!(outcome.name().parse(), Ok(outcome));
 }
 
-/// A stream breaks and the engine refuses to resume it, or a second attempt is refused after a first
-/// one may have run. The refusal is certain, but not about the first attempt.
+/// Guards against a refusal that hides an earlier attempt. A stream breaks and the engine refuses
+/// to resume it, or a second attempt is refused after a first one that may have run. The refusal is
+/// certain, but says nothing about the first attempt.
 #[test]
-fn later_refusal_does_not_undo_an_earlier_doubt() {
+fn later_refusal_does_not_resolve_an_earlier_uncertainty() {
     let mut record = RunTracker::new(true);
     record.on_send();
     record.on_failure(&UpstreamError::Interrupted(String::new()));
--- a/tests/worlds/answer_world.rs
+++ b/tests/worlds/answer_world.rs
@@ -1,4 +1,4 @@
-//! Engines whose answers get lost, repeated and crossed on their way.
+//! Simulated engines whose answers are lost, repeated and mixed up on their way to the caller.
 
 use banyanarch::control::outcome::AnswerCheck;
 use banyanarch::control::outcome::AnswerStep;
@@ -13,38 +13,38 @@
 /// What arrives next on the connection of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Arrival {
-    /// The next piece of `count` tokens.
+    /// The next piece, of `count` tokens.
     Next { count: u64 },
     /// A piece from anywhere in the answer: late, early or repeated.
-    Stray { offset: u64, count: u64 },
-    /// A piece of another attempt's answer.
-    Crossed { offset: u64, count: u64 },
-    /// The connection breaks, and the stream is resumed where the caller is.
+    AnyOffset { offset: u64, count: u64 },
+    /// A piece of the answer to another attempt.
+    OtherAttempt { offset: u64, count: u64 },
+    /// The connection breaks, and the stream is resumed at the offset of the caller.
     Resumed,
-    /// The last event: its offset and the end mark.
+    /// The last event with its offset, and the end mark.
     Last,
     /// The end mark of another attempt.
-    CrossedLast,
+    OtherAttemptLast,
 }
 
 pub(crate) fn arrival() -> impl Strategy<Value = (u64, Arrival)> {
     let arrival = prop_oneof![
         6 => (1..4_u64).prop_map(|count| Arrival::Next { count }),
-        2 => (0..TOKENS, 0..4_u64).prop_map(|(offset, count)| Arrival::Stray { offset, count }),
-        2 => (0..TOKENS, 0..4_u64).prop_map(|(offset, count)| Arrival::Crossed { offset, count }),
+        2 => (0..TOKENS, 0..4_u64).prop_map(|(offset, count)| Arrival::AnyOffset { offset, count }),
+        2 => (0..TOKENS, 0..4_u64).prop_map(|(offset, count)| Arrival::OtherAttempt { offset, count }),
         1 => proptest::strategy::Just(Arrival::Resumed),
         1 => proptest::strategy::Just(Arrival::Last),
-        1 => proptest::strategy::Just(Arrival::CrossedLast),
+        1 => proptest::strategy::Just(Arrival::OtherAttemptLast),
     ];
     (0..ATTEMPTS, arrival)
 }
 
-/// The answers of two callers.
+/// The answers to the attempts of two callers.
 pub(crate) struct AnswerWorld {
     checks: Vec<AnswerCheck>,
     sent_tokens: Vec<u64>,
-    got: Vec<String>,
-    is_whole: Vec<bool>,
+    received: Vec<String>,
+    is_complete: Vec<bool>,
 }
 
 impl AnswerWorld {
@@ -53,8 +53,8 @@
         Self {
             checks: (0..ATTEMPTS).map(check).collect(),
             sent_tokens: vec![0; 2],
-            got: vec![String::new(); 2],
-            is_whole: vec![false; 2],
+            received: vec![String::new(); 2],
+            is_complete: vec![false; 2],
         }
     }
 
@@ -66,35 +66,38 @@
                 let offset = self.sent_tokens[at];
                 let count = count.min(TOKENS - offset);
                 self.sent_tokens[at] += count;
-                self.take(at, tokens(attempt, offset, count));
+                self.deliver(at, tokens(attempt, offset, count));
             }
-            Arrival::Stray { offset, count } => {
-                self.take(at, tokens(attempt, offset, count.min(TOKENS - offset)));
+            Arrival::AnyOffset { offset, count } => {
+                self.deliver(at, tokens(attempt, offset, count.min(TOKENS - offset)));
             }
-            Arrival::Crossed { offset, count } => {
-                self.take(at, tokens(other, offset, count.min(TOKENS - offset)));
+            Arrival::OtherAttempt { offset, count } => {
+                self.deliver(at, tokens(other, offset, count.min(TOKENS - offset)));
             }
             Arrival::Resumed => self.sent_tokens[at] = self.checks[at].offset_tokens(),
-            Arrival::Last => self.take_last(at, attempt),
-            Arrival::CrossedLast => {
-                self.take(at, end(other));
+            Arrival::Last => self.deliver_last(at, attempt),
+            Arrival::OtherAttemptLast => {
+                self.deliver(at, end(other));
             }
         }
     }
 
-    fn take_last(&mut self, at: usize, attempt: u64) {
-        if self.take(at, tokens(attempt, TOKENS, 0)) {
-            self.take(at, end(attempt));
+    fn deliver_last(&mut self, at: usize, attempt: u64) {
+        if self.deliver(at, tokens(attempt, TOKENS, 0)) {
+            self.deliver(at, end(attempt));
         }
     }
 
-    /// Returns whether the stream goes on. After a fault it is resumed.
-    fn take(&mut self, at: usize, event: ResponseEvent) -> bool {
+    /// Delivers an event; returns whether the stream continues. After a fault the stream is
+    /// resumed.
+    fn deliver(&mut self, at: usize, event: ResponseEvent) -> bool {
         match self.checks[at].on_event(event) {
-            AnswerStep::Forward(ResponseEvent::Tokens { text, .. }) => self.got[at].push_str(&text),
-            AnswerStep::Forward(other) => panic!("{other:?} is no part of a model's answer"),
+            AnswerStep::Forward(ResponseEvent::Tokens { text, .. }) => {
+                self.received[at].push_str(&text)
+            }
+            AnswerStep::Forward(other) => panic!("{other:?} is not part of the answer of a model"),
             AnswerStep::Skip => (),
-            AnswerStep::End(_) => self.is_whole[at] = true,
+            AnswerStep::End(_) => self.is_complete[at] = true,
             AnswerStep::Fault(_) => {
                 self.sent_tokens[at] = self.checks[at].offset_tokens();
                 return false;
@@ -103,26 +106,30 @@
         true
     }
 
-    /// Every caller has the beginning of its own answer, and all of it if it was told so.
+    /// Checks that every caller has the beginning of its own answer, and all of it if the answer
+    /// was reported as complete.
     pub(crate) fn check(&self) {
         for attempt in 0..ATTEMPTS {
             let at = usize::try_from(attempt).unwrap();
-            let whole = text(attempt, 0, TOKENS);
+            let expected = text(attempt, 0, TOKENS);
             assert!(
-                whole.starts_with(&self.got[at]),
-                "{attempt} got {}",
-                self.got[at]
+                expected.starts_with(&self.received[at]),
+                "attempt {attempt} received {}",
+                self.received[at]
             );
             assert!(
-                !self.is_whole[at] || self.got[at] == whole,
-                "{attempt} is short"
+                !self.is_complete[at] || self.received[at] == expected,
+                "the answer to attempt {attempt} is incomplete"
+            );
+            assert_eq!(
+                self.checks[at].on_stream_end().is_ok(),
+                self.is_complete[at]
             );
-            assert_eq!(self.checks[at].on_stream_end().is_ok(), self.is_whole[at]);
         }
     }
 }
 
-/// Each token tells whose it is and where it stands.
+/// The text of some tokens; each token contains its attempt and its offset.
 fn text(attempt: u64, offset: u64, count: u64) -> String {
     (offset..offset + count)
         .map(|token| format!("{attempt}:{token} "))
--- a/tests/worlds/drain_world.rs
+++ b/tests/worlds/drain_world.rs
@@ -1,4 +1,4 @@
-//! A host that shuts down while callers come and go.
+//! A simulated host that shuts down while callers send requests.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,11 +19,11 @@
 pub(crate) enum Step {
     /// A caller sends a request.
     Begin,
-    /// A request ends, and leaves claims to be told to the platform.
+    /// A request ends and leaves claims to be recorded in the platform.
     End { claims: usize },
-    /// The platform has taken all claims.
-    Settle,
-    /// A signal.
+    /// The platform has recorded all claims.
+    RecordClaims,
+    /// The process receives a signal.
     Signal,
     /// Time passes.
     Pass { ms: u64 },
@@ -33,7 +33,7 @@
     prop_oneof![
         6 => proptest::strategy::Just(Step::Begin),
         6 => (0..2_usize).prop_map(|claims| Step::End { claims }),
-        2 => proptest::strategy::Just(Step::Settle),
+        2 => proptest::strategy::Just(Step::RecordClaims),
         1 => proptest::strategy::Just(Step::Signal),
         6 => (0..8_000_u64).prop_map(|ms| Step::Pass { ms }),
     ]
@@ -76,40 +76,41 @@
                 self.claims += claims;
             }
             Step::End { .. } => (),
-            Step::Settle => self.claims = 0,
+            Step::RecordClaims => self.claims = 0,
             Step::Signal => {
                 self.signals.push(self.clock.now());
-                self.hear(DrainEvent::Signal);
+                self.handle(DrainEvent::Signal);
             }
             Step::Pass { ms } => self.clock.advance(Duration::from_millis(ms)),
         }
         let (in_flight, claims) = (self.in_flight, self.claims);
-        self.hear(DrainEvent::Remaining { in_flight, claims });
+        self.handle(DrainEvent::Remaining { in_flight, claims });
     }
 
-    /// The balancer has seen that readiness fails when the notice is over, and sends nothing more.
+    /// Sends a request. By the end of the notice the load balancer has seen that readiness fails,
+    /// and sends nothing more.
     fn begin(&mut self) {
         let now = self.clock.now();
         let is_late = self.signals.first().is_some_and(|at| now >= *at + NOTICE);
         assert!(
             is_late || self.drain.accepts_work(),
-            "a caller is turned away"
+            "a request is refused during the notice"
         );
         if self.drain.accepts_work() {
             self.in_flight += 1;
         }
     }
 
-    fn hear(&mut self, event: DrainEvent) {
+    fn handle(&mut self, event: DrainEvent) {
         for action in self.drain.handle(event, self.clock.now()) {
             let DrainAction::Exit(code) = action else {
                 continue;
             };
-            assert_eq!(self.exit, None, "it ends once");
+            assert_eq!(self.exit, None, "the process exits twice");
             let is_orderly = self.in_flight == 0 && code == 0;
-            let is_cut = self.signals.len() > 1 && code != 0;
+            let is_forced = self.signals.len() > 1 && code != 0;
             assert!(
-                is_orderly || is_cut,
+                is_orderly || is_forced,
                 "{} requests are cut off",
                 self.in_flight
             );
@@ -117,7 +118,8 @@
         }
     }
 
-    /// All requests end and the platform stays away: it ends by itself if it was told to.
+    /// Checks that the process exits if it received a signal, when all requests end and the
+    /// platform is unavailable.
     pub(crate) fn check(mut self) {
         for _ in 0..self.in_flight {
             self.step(Step::End { claims: 1 });
--- a/tests/worlds/entry_host.rs
+++ b/tests/worlds/entry_host.rs
@@ -1,4 +1,5 @@
-//! An entry host as the grants see it: it asks, dispatches, announces and finishes.
+//! A simulated entry host: it requests grants, dispatches, announces its running attempts and
+//! finishes them.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -23,10 +24,11 @@
 use super::grant_world::finish;
 use crate::fakes::make::work;
 
-/// Time limit of a request: thirty seconds.
+/// Time limit of a request: thirty seconds in ticks of 250 ms.
 const LIMIT_TICKS: u64 = 120;
-/// A host asks again every 500 ms and announces every second.
-const ASK_TICKS: u64 = 2;
+/// A host repeats its waiting requests every 500 ms, and announces its running attempts every
+/// second.
+const REQUEST_TICKS: u64 = 2;
 const ANNOUNCE_TICKS: u64 = 4;
 
 enum State {
@@ -86,11 +88,11 @@
     }
 
     pub(crate) fn is_reading(&self, attempt: AttemptId) -> bool {
-        let reads = |request: &Request| match &request.state {
+        let is_running = |request: &Request| match &request.state {
             State::Running { granted, .. } => granted.attempt() == attempt,
             State::Waiting | State::Ended => false,
         };
-        self.requests.values().any(reads)
+        self.requests.values().any(is_running)
     }
 
     pub(crate) fn check_all_ended(&self) {
@@ -98,7 +100,7 @@
             let has_ended = matches!(request.state, State::Ended);
             assert!(
                 has_ended,
-                "{id} of {} goes on beyond its limit",
+                "request {id} of host {} runs beyond its time limit",
                 self.number
             );
         }
@@ -110,20 +112,20 @@
         }
         for (home, answer) in std::mem::take(&mut self.inbox) {
             match answer {
-                Some(answer) => self.answered(home, answer, around),
+                Some(answer) => self.on_answer(home, answer, around),
                 None => self.announce(home, around),
             }
         }
         self.read_answers(around);
-        if around.tick.is_multiple_of(ASK_TICKS) {
-            self.ask(around);
+        if around.tick.is_multiple_of(REQUEST_TICKS) {
+            self.send_requests(around);
         }
         if around.tick.is_multiple_of(ANNOUNCE_TICKS) {
             self.announce(self.home, around);
         }
     }
 
-    fn answered(&mut self, home: usize, answer: GrantAnswer, around: &mut Around<'_>) {
+    fn on_answer(&mut self, home: usize, answer: GrantAnswer, around: &mut Around<'_>) {
         let granted = match answer.verdict {
             Verdict::Queued => return,
             Verdict::NotHome => {
@@ -141,8 +143,8 @@
             Verdict::Granted(granted) => granted,
         };
         let attempt = granted.attempt();
-        // Only who knows that it did not use a grant may say so; an earlier process of this name
-        // may have.
+        // Only a process that knows that it did not use a grant may report that; an earlier process
+        // of this host may have used the grant.
         let request = self.requests.get_mut(&answer.request);
         let Some(request) = request.filter(|_| !self.used.contains(&attempt)) else {
             return;
@@ -191,7 +193,7 @@
         }
     }
 
-    fn ask(&mut self, around: &mut Around<'_>) {
+    fn send_requests(&mut self, around: &mut Around<'_>) {
         for (id, request) in &mut self.requests {
             if !matches!(request.state, State::Waiting) {
                 continue;
--- a/tests/worlds/manifest_world.rs
+++ b/tests/worlds/manifest_world.rs
@@ -1,4 +1,5 @@
-//! Hosts of a failure domain that spread manifests, while words come late, twice and not at all.
+//! Simulated hosts of a failure domain that distribute manifests while messages are delayed,
+//! reordered and lost.
 
 use std::sync::LazyLock;
 use std::time::Duration;
@@ -34,13 +35,13 @@
 pub(crate) enum Step {
     /// An operator publishes.
     Publish,
-    /// A host's watch says something, maybe of long ago.
-    Word { host: usize, age: u8 },
-    /// A process is replaced.
+    /// The watch of a host delivers a manifest, maybe an old one.
+    PlatformRead { host: usize, age: u8 },
+    /// The process of a host is replaced.
     Restart { host: usize },
     /// The next messages are lost.
-    Lose { messages: u32 },
-    /// Messages take this long from now on, so that later ones overtake.
+    DropMessages { count: u32 },
+    /// Messages take this long from now on, so that later ones can overtake them.
     Delay { ticks: u64 },
     /// Time passes.
     Pass { ticks: u64 },
@@ -49,9 +50,9 @@
 pub(crate) fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         2 => proptest::strategy::Just(Step::Publish),
-        3 => (0..HOSTS, any::<u8>()).prop_map(|(host, age)| Step::Word { host, age: age % 4 }),
+        3 => (0..HOSTS, any::<u8>()).prop_map(|(host, age)| Step::PlatformRead { host, age: age % 4 }),
         1 => (0..HOSTS).prop_map(|host| Step::Restart { host }),
-        1 => (1..8_u32).prop_map(|messages| Step::Lose { messages }),
+        1 => (1..8_u32).prop_map(|count| Step::DropMessages { count }),
         1 => (0..6_u64).prop_map(|ticks| Step::Delay { ticks }),
         4 => (1..20_u64).prop_map(|ticks| Step::Pass { ticks }),
     ]
@@ -67,9 +68,9 @@
     tick: u64,
     published: Vec<PublishedManifest>,
     hosts: Vec<Host>,
-    wire: Vec<(u64, usize, usize, Message)>,
+    in_flight: Vec<(u64, usize, usize, Message)>,
     delay_ticks: u64,
-    to_lose: u32,
+    messages_to_drop: u32,
 }
 
 impl ManifestWorld {
@@ -79,19 +80,19 @@
             tick: 0,
             published: Vec::new(),
             hosts: Vec::new(),
-            wire: Vec::new(),
+            in_flight: Vec::new(),
             delay_ticks: 0,
-            to_lose: 0,
+            messages_to_drop: 0,
         };
-        world.hosts = (0..HOSTS).map(|n| world.process(n)).collect();
+        world.hosts = (0..HOSTS).map(|n| world.new_process(n)).collect();
         world
     }
 
-    fn process(&self, number: usize) -> Host {
-        let check = |_: &str| Ok(MANIFEST.clone());
+    fn new_process(&self, number: usize) -> Host {
+        let validate = |_: &str| Ok(MANIFEST.clone());
         let rng = StdRng::seed_from_u64(self.tick);
         let now = self.clock.now();
-        let mut manifests = ManifestController::new(Box::new(check), BYTES_PER_SECOND, rng, now);
+        let mut manifests = ManifestController::new(Box::new(validate), BYTES_PER_SECOND, rng, now);
         let others = (0..HOSTS).filter(|n| *n != number).map(name);
         manifests.set_hosts(others.collect(), Vec::new());
         Host {
@@ -108,70 +109,75 @@
                 let next = PublishedManifest::next_after(after, 0, &text);
                 self.published.push(next);
             }
-            Step::Word { host, age } => self.word(host, age.into()),
-            Step::Restart { host } => self.hosts[host] = self.process(host),
-            Step::Lose { messages } => self.to_lose = messages,
+            Step::PlatformRead { host, age } => self.read_platform(host, age.into()),
+            Step::Restart { host } => self.hosts[host] = self.new_process(host),
+            Step::DropMessages { count } => self.messages_to_drop = count,
             Step::Delay { ticks } => self.delay_ticks = ticks,
-            Step::Pass { ticks } => (0..ticks).for_each(|_| self.pass()),
+            Step::Pass { ticks } => (0..ticks).for_each(|_| self.run_tick()),
         }
     }
 
-    fn word(&mut self, at: usize, age: usize) {
+    fn read_platform(&mut self, at: usize, age: usize) {
         let Some(index) = self.published.len().checked_sub(1 + age) else {
             return;
         };
         let published = self.published[index].clone();
-        let word = ManifestRead::Published(published);
+        let read = ManifestRead::Published(published);
         let actions = self.hosts[at]
             .manifests
-            .on_platform_read(word, self.clock.now());
-        self.act(at, actions);
+            .on_platform_read(read, self.clock.now());
+        self.perform(at, actions);
     }
 
-    fn pass(&mut self) {
+    fn run_tick(&mut self) {
         self.tick += 1;
         self.clock.advance(TICK);
         let now = self.clock.now();
         let tick = self.tick;
-        let due = self.wire.extract_if(.., |(at, ..)| *at <= tick);
+        let due = self.in_flight.extract_if(.., |(at, ..)| *at <= tick);
         for (_, from, to, message) in due.collect::<Vec<_>>() {
             let actions = self.hosts[to].manifests.handle(&name(from), message, now);
-            self.act(to, actions);
+            self.perform(to, actions);
         }
         for at in 0..HOSTS {
             let actions = self.hosts[at].manifests.tick(now);
-            self.act(at, actions);
+            self.perform(at, actions);
         }
     }
 
-    fn act(&mut self, at: usize, actions: Vec<ManifestAction>) {
+    fn perform(&mut self, at: usize, actions: Vec<ManifestAction>) {
         for action in actions {
             match action {
-                ManifestAction::Send { .. } if self.to_lose > 0 => self.to_lose -= 1,
+                ManifestAction::Send { .. } if self.messages_to_drop > 0 => {
+                    self.messages_to_drop -= 1
+                }
                 ManifestAction::Send { to, message } => {
                     let due = self.tick + self.delay_ticks;
-                    self.wire.push((due, at, number(&to), message));
+                    self.in_flight.push((due, at, number(&to), message));
                 }
                 ManifestAction::ReadPlatform => (),
                 ManifestAction::PutInForce(in_force) => {
                     let index = usize::try_from(in_force.generation.0 - 1).unwrap();
-                    assert_eq!(in_force.hash, self.published[index].hash, "another text");
+                    assert_eq!(
+                        in_force.hash, self.published[index].hash,
+                        "the hash is that of another text"
+                    );
                     let is_newer = self.hosts[at].cluster_view.advance_manifest(in_force);
-                    assert!(is_newer, "entry-{at} goes back to an earlier manifest");
+                    assert!(is_newer, "entry-{at} reverts to an earlier manifest");
                 }
             }
         }
     }
 
-    /// One host hears the newest; within six seconds all have it, and when its notices are lost, in
-    /// half a minute.
+    /// Checks that after one host has read the newest manifest, all hosts have it within six
+    /// seconds, and within half a minute if its notices are lost.
     pub(crate) fn check(mut self) {
-        (self.to_lose, self.delay_ticks) = (0, 0);
+        (self.messages_to_drop, self.delay_ticks) = (0, 0);
         self.step(Step::Pass { ticks: 10 });
-        for (to_lose, ticks) in [(0, 60), (HOSTS - 1, 300)] {
+        for (messages_to_drop, ticks) in [(0, 60), (HOSTS - 1, 300)] {
             self.step(Step::Publish);
-            self.to_lose = u32::try_from(to_lose).unwrap();
-            self.word(0, 0);
+            self.messages_to_drop = u32::try_from(messages_to_drop).unwrap();
+            self.read_platform(0, 0);
             self.step(Step::Pass { ticks });
             let newest = Some(Generation(self.published.len() as u64));
             for host in &self.hosts {
