--- a/src/control/manifests/controller.rs
+++ b/src/control/manifests/controller.rs
@@ -440,19 +440,19 @@
         now: Instant,
         actions: &mut Vec<ManifestAction>,
     ) {
-        let (Some(stored), Some(request)) = (&self.in_force, hashes_from_bytes(&request.parts))
+        let (Some(stored), Some(hashes)) = (&self.in_force, hashes_from_bytes(&request.parts))
         else {
             return;
         };
-        let found = request
+        let found = hashes
             .iter()
             .filter_map(|hash| stored.parts.get(hash).cloned());
         let parts: Vec<String> = found.collect();
-        if parts.len() < request.len() {
+        if parts.len() < hashes.len() {
             let notice = Message::ManifestNotice(self.notice_message(now));
             self.send(from, notice, now, actions);
         }
-        if request.len() >= BULK_PARTS && !self.reserve_bulk(from, now) {
+        if hashes.len() >= BULK_PARTS && !self.reserve_bulk(from, now) {
             return;
         }
         if !parts.is_empty() {
--- a/src/control/membership/host_table.rs
+++ b/src/control/membership/host_table.rs
@@ -49,7 +49,7 @@
             self.set(view, since);
             return Applied::New;
         };
-        if rank(&view) <= rank(old) {
+        if precedence(&view) <= precedence(old) {
             return self.apply_generation(&view.id, view.incarnation, view.generation);
         }
         let generation = match old.incarnation == view.incarnation {
@@ -100,7 +100,7 @@
     }
 
     /// The hosts of a failure domain that are not dead.
-    pub(crate) fn present<'a>(
+    pub(crate) fn live_hosts<'a>(
         &'a self,
         domain: &'a FailureDomainId,
     ) -> impl Iterator<Item = &'a HostView> {
@@ -150,7 +150,7 @@
     }
 }
 
-fn rank(view: &HostView) -> (Incarnation, HostState) {
+fn precedence(view: &HostView) -> (Incarnation, HostState) {
     (view.incarnation, view.state)
 }
 
--- a/src/control/membership/machine/digests.rs
+++ b/src/control/membership/machine/digests.rs
@@ -70,7 +70,7 @@
 /// view of that domain select the same hosts.
 fn digest_hosts(host_table: &HostTable, domain: &FailureDomainId) -> Vec<HostId> {
     let names: Vec<&str> = host_table
-        .present(domain)
+        .live_hosts(domain)
         .map(|view| view.id.as_str())
         .collect();
     rank(domain.as_str(), &names)
--- a/src/control/membership/machine/inbound.rs
+++ b/src/control/membership/machine/inbound.rs
@@ -145,13 +145,13 @@
     fn send_join_list(&mut self, from: &HostId, record: &HostRecord, now: Instant) {
         let theirs = record.domain.parse().ok();
         let has_others =
-            |domain: &FailureDomainId| self.host_table.present(domain).nth(1).is_some();
+            |domain: &FailureDomainId| self.host_table.live_hosts(domain).nth(1).is_some();
         let domain = theirs
             .filter(has_others)
             .unwrap_or(self.local_host.domain.clone());
         let mut hosts: Vec<HostId> = self
             .host_table
-            .present(&domain)
+            .live_hosts(&domain)
             .map(|view| view.id.clone())
             .collect();
         hosts.shuffle(&mut self.rng);
--- a/src/control/membership/machine/mod.rs
+++ b/src/control/membership/machine/mod.rs
@@ -464,14 +464,14 @@
     }
 
     fn local_host_count(&self) -> usize {
-        self.host_table.present(&self.local_host.domain).count()
+        self.host_table.live_hosts(&self.local_host.domain).count()
     }
 
     /// Up to `count` other hosts of the failure domain that are not dead, in random order.
     fn local_peers(&mut self, count: usize) -> Vec<HostId> {
         let mut hosts: Vec<HostId> = self
             .host_table
-            .present(&self.local_host.domain)
+            .live_hosts(&self.local_host.domain)
             .filter(|view| view.id != self.local_host.id)
             .map(|view| view.id.clone())
             .collect();
--- a/src/control/orders/plan.rs
+++ b/src/control/orders/plan.rs
@@ -57,9 +57,9 @@
     let to_change = engines
         .iter()
         .filter(|engine| engine.is_settled() && !engine.has_desired_state(desired));
-    let (serving, idle): (Vec<&ObservedEngine>, Vec<&ObservedEngine>) =
+    let (serving, not_serving): (Vec<&ObservedEngine>, Vec<&ObservedEngine>) =
         to_change.partition(|engine| engine.is_loaded(desired));
-    to_order.extend(idle.into_iter().map(|engine| engine.id.clone()));
+    to_order.extend(not_serving.into_iter().map(|engine| engine.id.clone()));
     for engine in serving {
         if spare == 0 {
             break;
--- a/src/control/status/report.rs
+++ b/src/control/status/report.rs
@@ -16,8 +16,8 @@
 use crate::units::PoolId;
 use crate::units::TargetId;
 
-/// Maximum number of hosts, homes and targets that a report lists. Their counts per failure domain
-/// are always complete.
+/// Maximum number of hosts, homes and targets that a report lists. The counts of hosts per failure
+/// domain are always complete.
 const LIST_MAX: usize = 1_024;
 
 /// Maximum number of events in a report.
--- a/tests/manifests.rs
+++ b/tests/manifests.rs
@@ -278,7 +278,7 @@
 /// hears from one that missed the newest generation; with that manifest, its callers would get
 /// outdated limits.
 #[test]
-fn a_fresh_host_waits_for_most_of_its_domain() {
+fn a_new_host_waits_for_most_of_its_domain() {
     let mut domain = DomainSimulation::new(5);
     for n in 1..5 {
         let generation = if n == 1 { 1 } else { 2 };
@@ -289,14 +289,14 @@
     for n in 2..5 {
         domain.stopped.push(host(&format!("h{n}")));
     }
-    let fresh = host("h0");
+    let new_host = host("h0");
     domain.run(Duration::from_secs(2));
-    assert_eq!(domain.hosts[&fresh].generation(), Some(Generation(1)));
-    assert!(!domain.is_ready(&fresh));
+    assert_eq!(domain.hosts[&new_host].generation(), Some(Generation(1)));
+    assert!(!domain.is_ready(&new_host));
     domain.stopped.clear();
     domain.run(Duration::from_secs(3));
-    assert_eq!(domain.hosts[&fresh].generation(), Some(Generation(2)));
-    assert!(domain.is_ready(&fresh));
+    assert_eq!(domain.hosts[&new_host].generation(), Some(Generation(2)));
+    assert!(domain.is_ready(&new_host));
 }
 
 /// Guards against serving with an unknown manifest when all hosts of a failure domain restart while
@@ -305,8 +305,8 @@
 fn a_fully_restarted_domain_waits_for_the_platform() {
     let mut domain = DomainSimulation::new(4);
     domain.run(Duration::from_secs(10));
-    let fresh = host("h2");
-    let knowledge = domain.hosts[&fresh].status(domain.now);
+    let new_host = host("h2");
+    let knowledge = domain.hosts[&new_host].status(domain.now);
     assert!(!knowledge.is_ready);
     let why = knowledge.why_not_ready.unwrap();
     assert!(why.contains("neither the platform nor a host"), "{why}");
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -83,7 +83,7 @@
     fn new(host_count: usize, engine_count: usize, load_gib_per_second: u64) -> Self {
         let now = Instant::now();
         let ids: Vec<UpstreamId> = (0..engine_count).map(engine).collect();
-        let reconciler = |n| {
+        let new_reconciler = |n| {
             let conf = ReconcilerConf {
                 host: format!("h{n}").parse().unwrap(),
                 incarnation: Incarnation(1),
@@ -107,7 +107,7 @@
         Self {
             now,
             rng: StdRng::seed_from_u64(1),
-            hosts: (0..host_count).map(reconciler).collect(),
+            hosts: (0..host_count).map(new_reconciler).collect(),
             paused_until: vec![now; host_count],
             unreachable_until: vec![now; host_count],
             engines: ids.iter().cloned().map(fake_engine).collect(),
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -56,11 +56,11 @@
 /// Guards against foreign or incomplete text in an answer when two connections to an engine are
 /// mixed up, or one repeats or loses a piece.
 #[parameterized(
-    crossed = { tokens(OTHER, 3, 1), AnswerFault::WrongAttempt { got: OTHER } },
-    crossed_at_the_same_offset_as_a_repeat = { tokens(OTHER, 0, 3), AnswerFault::WrongAttempt { got: OTHER } },
-    crossed_end = { end(Some(OTHER)), AnswerFault::WrongAttempt { got: OTHER } },
+    wrong_attempt = { tokens(OTHER, 3, 1), AnswerFault::WrongAttempt { got: OTHER } },
+    wrong_attempt_at_the_offset_of_a_repeat = { tokens(OTHER, 0, 3), AnswerFault::WrongAttempt { got: OTHER } },
+    end_of_wrong_attempt = { end(Some(OTHER)), AnswerFault::WrongAttempt { got: OTHER } },
     end_without_id = { end(None), AnswerFault::Unexpected("an end mark without an attempt id") },
-    hole = { tokens(OURS, 4, 1), gap(3, 4) },
+    missing_piece = { tokens(OURS, 4, 1), gap(3, 4) },
     missing_tail = { tokens(OURS, 9, 0), gap(3, 9) },
     overlapping = { tokens(OURS, 2, 2), overlap(3, 2) },
     bytes = { ResponseEvent::Data("x".into()), AnswerFault::Unexpected("bytes") },
@@ -129,9 +129,9 @@
 /// sent, the caller would send the grant again, and two would be issued.
 #[parameterized(
     not_sent = { UpstreamError::NotSent(String::new()), Outcome::NotRun },
-    turned_away = { refused(), Outcome::NotRun },
+    refused_by_upstream = { refused(), Outcome::NotRun },
     interrupted = { UpstreamError::Interrupted(String::new()), Outcome::MayHaveRun },
-    garbled = { UpstreamError::InvalidResponse(String::new()), Outcome::MayHaveRun },
+    invalid_response = { UpstreamError::InvalidResponse(String::new()), Outcome::MayHaveRun },
     failed = { UpstreamError::Failed(String::new()), Outcome::MayHaveRun },
     unknown = { UpstreamError::UnknownAttempt, Outcome::MayHaveRun },
 )]
--- a/tests/worlds/answer_world.rs
+++ b/tests/worlds/answer_world.rs
@@ -93,7 +93,7 @@
     fn deliver(&mut self, at: usize, event: ResponseEvent) -> bool {
         match self.checks[at].on_event(event) {
             AnswerStep::Forward(ResponseEvent::Tokens { text, .. }) => {
-                self.received[at].push_str(&text)
+                self.received[at].push_str(&text);
             }
             AnswerStep::Forward(other) => panic!("{other:?} is not part of the answer of a model"),
             AnswerStep::Skip => (),
--- a/tests/worlds/drain_world.rs
+++ b/tests/worlds/drain_world.rs
@@ -13,7 +13,7 @@
 use proptest::prop_oneof;
 
 const NOTICE: Duration = Duration::from_secs(5);
-const CLAIMS_WAIT: Duration = Duration::from_secs(10);
+const CLAIMS_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Step {
@@ -53,7 +53,7 @@
         let clock = ManualClock::new();
         let conf = DrainConf {
             notice: NOTICE,
-            claims_timeout: CLAIMS_WAIT,
+            claims_timeout: CLAIMS_TIMEOUT,
         };
         Self {
             drain: DrainController::new(conf, clock.now()),
--- a/tests/worlds/manifest_world.rs
+++ b/tests/worlds/manifest_world.rs
@@ -70,7 +70,7 @@
     hosts: Vec<Host>,
     in_flight: Vec<(u64, usize, usize, Message)>,
     delay_ticks: u64,
-    messages_to_drop: u32,
+    drop_count: u32,
 }
 
 impl ManifestWorld {
@@ -82,7 +82,7 @@
             hosts: Vec::new(),
             in_flight: Vec::new(),
             delay_ticks: 0,
-            messages_to_drop: 0,
+            drop_count: 0,
         };
         world.hosts = (0..HOSTS).map(|n| world.new_process(n)).collect();
         world
@@ -111,7 +111,7 @@
             }
             Step::PlatformRead { host, age } => self.read_platform(host, age.into()),
             Step::Restart { host } => self.hosts[host] = self.new_process(host),
-            Step::DropMessages { count } => self.messages_to_drop = count,
+            Step::DropMessages { count } => self.drop_count = count,
             Step::Delay { ticks } => self.delay_ticks = ticks,
             Step::Pass { ticks } => (0..ticks).for_each(|_| self.run_tick()),
         }
@@ -148,9 +148,7 @@
     fn perform(&mut self, at: usize, actions: Vec<ManifestAction>) {
         for action in actions {
             match action {
-                ManifestAction::Send { .. } if self.messages_to_drop > 0 => {
-                    self.messages_to_drop -= 1
-                }
+                ManifestAction::Send { .. } if self.drop_count > 0 => self.drop_count -= 1,
                 ManifestAction::Send { to, message } => {
                     let due = self.tick + self.delay_ticks;
                     self.in_flight.push((due, at, number(&to), message));
@@ -172,11 +170,11 @@
     /// Checks that after one host has read the newest manifest, all hosts have it within six
     /// seconds, and within half a minute if its notices are lost.
     pub(crate) fn check(mut self) {
-        (self.messages_to_drop, self.delay_ticks) = (0, 0);
+        (self.drop_count, self.delay_ticks) = (0, 0);
         self.step(Step::Pass { ticks: 10 });
-        for (messages_to_drop, ticks) in [(0, 60), (HOSTS - 1, 300)] {
+        for (drop_count, ticks) in [(0, 60), (HOSTS - 1, 300)] {
             self.step(Step::Publish);
-            self.messages_to_drop = u32::try_from(messages_to_drop).unwrap();
+            self.drop_count = u32::try_from(drop_count).unwrap();
             self.read_platform(0, 0);
             self.step(Step::Pass { ticks });
             let newest = Some(Generation(self.published.len() as u64));
