--- a/tests/worlds/entry_host.rs
+++ b/tests/worlds/entry_host.rs
@@ -49,7 +49,7 @@
     name: HostId,
     pub(crate) home: usize,
     pub(crate) paused_until: u64,
-    pub(crate) is_cut: bool,
+    pub(crate) is_disconnected: bool,
     pub(crate) inbox: Vec<(usize, Option<GrantAnswer>)>,
     requests: IndexMap<RequestId, Request>,
     used: IndexSet<AttemptId>,
@@ -62,7 +62,7 @@
             name,
             home: 0,
             paused_until: 0,
-            is_cut: false,
+            is_disconnected: false,
             inbox: Vec::new(),
             requests: IndexMap::new(),
             used: IndexSet::new(),
@@ -165,14 +165,14 @@
     }
 
     fn read_answers(&mut self, around: &mut Around<'_>) {
-        let is_cut = std::mem::take(&mut self.is_cut);
+        let is_disconnected = std::mem::take(&mut self.is_disconnected);
         for request in self.requests.values_mut() {
             let State::Running { granted, ends_at } = &request.state else {
                 continue;
             };
             let attempt = granted.attempt();
             let engine = &mut around.engines[&granted.upstreams[0]];
-            let ended = if is_cut || !engine.held.contains_key(&attempt) {
+            let ended = if is_disconnected || !engine.held.contains_key(&attempt) {
                 AttemptOutcome::Failed
             } else if *ends_at <= around.tick {
                 AttemptOutcome::Completed
--- a/tests/worlds/grant_world.rs
+++ b/tests/worlds/grant_world.rs
@@ -243,7 +243,7 @@
                     self.deaths.push((self.tick + DEAD_TICKS, host));
                 }
             }
-            Step::Cut { host } => self.hosts[host].is_cut = true,
+            Step::Cut { host } => self.hosts[host].is_disconnected = true,
             Step::Switch { host, home } => {
                 self.hosts[host].home = home;
                 self.have_homes_moved = true;
