--- a/tests/worlds/entry_host.rs
+++ b/tests/worlds/entry_host.rs
@@ -106,7 +106,7 @@
         }
     }
 
-    pub(crate) fn act(&mut self, around: &mut Around<'_>) {
+    pub(crate) fn run_tick(&mut self, around: &mut Around<'_>) {
         if around.tick < self.paused_until {
             return;
         }
--- a/tests/worlds/grant_world.rs
+++ b/tests/worlds/grant_world.rs
@@ -269,7 +269,7 @@
         let (now, tick) = (self.clock.now(), self.tick);
         let mut outbox = Vec::new();
         for host in &mut self.hosts {
-            host.act(&mut Around {
+            host.run_tick(&mut Around {
                 now,
                 tick,
                 engines: &mut self.engines,
