--- a/src/control/membership/action.rs
+++ b/src/control/membership/action.rs
@@ -29,14 +29,13 @@
         /// The removed host.
         host: HostId,
     },
-    /// This process resumed after a pause. Other hosts may have taken over the homes
-    /// that it held, so it must drop them.
+    /// This process resumed after a pause. Other hosts may have taken over its homes, so it must
+    /// drop them.
     ResumedAfterPause {
         /// The length of the pause.
         paused: Duration,
     },
-    /// Other hosts declared this host dead and have taken over the homes that it held,
-    /// so it must drop them.
+    /// Other hosts declared this host dead and have taken over its homes, so it must drop them.
     DeclaredDead,
     /// An upstream is leaving, as of a version of its object in the platform.
     UpstreamLeaving {
--- a/src/control/membership/machine/mod.rs
+++ b/src/control/membership/machine/mod.rs
@@ -273,9 +273,8 @@
     /// Detects a pause of this process.
     ///
     /// The failure this guards against: the process was stopped for a while, by SIGSTOP or a frozen
-    /// machine, without noticing. A pause shows as a gap between calls. The homes that
-    /// the process held may have been taken over, and unanswered probes say nothing about the other
-    /// hosts.
+    /// machine, without noticing. A pause shows as a gap between calls. The homes that the process
+    /// held may have been taken over, and unanswered probes say nothing about the other hosts.
     fn detect_pause(&mut self, now: Instant) {
         let paused = now.saturating_duration_since(self.last_active);
         self.last_active = now;
--- a/src/control/outcome/answer_check.rs
+++ b/src/control/outcome/answer_check.rs
@@ -93,21 +93,24 @@
             return Ok(());
         }
         Err(AnswerFault::Truncated {
-            wanted_offset_tokens: self.offset_tokens,
+            expected_offset_tokens: self.offset_tokens,
         })
     }
 
     fn on_model_event(&mut self, attempt: AttemptId, event: ResponseEvent) -> AnswerStep {
         match event {
-            ResponseEvent::Tokens { attempt: got, .. } if got != attempt => wrong_attempt(got),
+            ResponseEvent::Tokens {
+                attempt: received, ..
+            } if received != attempt => wrong_attempt(received),
             ResponseEvent::Tokens {
                 offset_tokens,
                 count,
                 ..
             } => self.on_tokens(offset_tokens, count, event),
             ResponseEvent::End {
-                attempt: Some(got), ..
-            } if got != attempt => wrong_attempt(got),
+                attempt: Some(received),
+                ..
+            } if received != attempt => wrong_attempt(received),
             ResponseEvent::End { attempt: None, .. } => {
                 unexpected("an end mark without an attempt id")
             }
@@ -121,24 +124,24 @@
     }
 
     fn on_tokens(&mut self, offset: u64, count: u64, event: ResponseEvent) -> AnswerStep {
-        let wanted = self.offset_tokens;
+        let expected_offset = self.offset_tokens;
         let end = offset.saturating_add(count);
-        if offset == wanted {
+        if offset == expected_offset {
             self.offset_tokens = end;
             return AnswerStep::Forward(event);
         }
-        if end <= wanted {
+        if end <= expected_offset {
             return AnswerStep::Skip;
         }
-        let fault = if offset > wanted {
+        let fault = if offset > expected_offset {
             AnswerFault::Gap {
-                wanted_offset_tokens: wanted,
-                got_offset_tokens: offset,
+                expected_offset_tokens: expected_offset,
+                received_offset_tokens: offset,
             }
         } else {
             AnswerFault::Overlap {
-                wanted_offset_tokens: wanted,
-                got_offset_tokens: offset,
+                expected_offset_tokens: expected_offset,
+                received_offset_tokens: offset,
             }
         };
         AnswerStep::Fault(fault)
@@ -162,8 +165,8 @@
     }
 }
 
-fn wrong_attempt(got: AttemptId) -> AnswerStep {
-    AnswerStep::Fault(AnswerFault::WrongAttempt { got })
+fn wrong_attempt(received: AttemptId) -> AnswerStep {
+    AnswerStep::Fault(AnswerFault::WrongAttempt { received })
 }
 
 fn unexpected(what: &'static str) -> AnswerStep {
--- a/src/control/outcome/answer_fault.rs
+++ b/src/control/outcome/answer_fault.rs
@@ -12,27 +12,27 @@
     /// A piece is missing.
     Gap {
         /// The next token that the caller needs.
-        wanted_offset_tokens: u64,
+        expected_offset_tokens: u64,
         /// The first token of the received piece.
-        got_offset_tokens: u64,
+        received_offset_tokens: u64,
     },
     /// A piece contains both tokens that the caller has and tokens that it lacks, which cannot be
     /// separated in its text.
     Overlap {
         /// The next token that the caller needs.
-        wanted_offset_tokens: u64,
+        expected_offset_tokens: u64,
         /// The first token of the received piece.
-        got_offset_tokens: u64,
+        received_offset_tokens: u64,
     },
     /// The piece belongs to the answer of another attempt.
     WrongAttempt {
         /// The attempt that the piece names.
-        got: AttemptId,
+        received: AttemptId,
     },
     /// The stream stopped without the end mark.
     Truncated {
         /// The next token that the caller needs.
-        wanted_offset_tokens: u64,
+        expected_offset_tokens: u64,
     },
     /// A piece arrived after the end mark.
     AfterEnd,
@@ -53,22 +53,27 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Gap {
-                wanted_offset_tokens: wanted,
-                got_offset_tokens: got,
-            } => write!(f, "the answer continues at token {got} instead of {wanted}"),
+                expected_offset_tokens: expected,
+                received_offset_tokens: received,
+            } => write!(
+                f,
+                "the answer continues at token {received} instead of {expected}"
+            ),
             Self::Overlap {
-                wanted_offset_tokens: wanted,
-                got_offset_tokens: got,
+                expected_offset_tokens: expected,
+                received_offset_tokens: received,
             } => write!(
                 f,
-                "a piece from token {got} overlaps tokens before {wanted}"
+                "a piece from token {received} overlaps tokens before {expected}"
             ),
-            Self::WrongAttempt { got } => write!(f, "the answer belongs to attempt {got}"),
+            Self::WrongAttempt { received } => {
+                write!(f, "the answer belongs to attempt {received}")
+            }
             Self::Truncated {
-                wanted_offset_tokens: wanted,
+                expected_offset_tokens: expected,
             } => write!(
                 f,
-                "the answer stopped at token {wanted} without an end mark"
+                "the answer stopped at token {expected} without an end mark"
             ),
             Self::AfterEnd => f.write_str("the answer continued after its end mark"),
             Self::Unexpected(what) => write!(f, "the answer has {what} in an unexpected place"),
--- a/tests/broken/mod.rs
+++ b/tests/broken/mod.rs
@@ -27,9 +27,9 @@
     "~",
 ];
 
-/// Replaces `cut` bytes of a text from `at` on by the fragments.
-pub(crate) fn corrupt(text: &str, at: usize, cut: usize, fragments: &[&str]) -> String {
-    let end = (at + cut).min(text.len());
+/// Replaces `removed_len` bytes of a text from `at` on by the fragments.
+pub(crate) fn corrupt(text: &str, at: usize, removed_len: usize, fragments: &[&str]) -> String {
+    let end = (at + removed_len).min(text.len());
     format!("{}{}{}", &text[..at], fragments.concat(), &text[end..])
 }
 
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -241,9 +241,9 @@
         assert_eq!(host.status().await["generation"], 7);
     }
     // A host that starts now learns generation 7 from the other hosts, and 3 from the platform.
-    let late = site.add_host("a").await;
-    wait_until("the newest on a fresh host", async || {
-        site.hosts[late].status().await["generation"] == 7
+    let late_host = site.add_host("a").await;
+    wait_until("the newest manifest on a new host", async || {
+        site.hosts[late_host].status().await["generation"] == 7
     })
     .await;
 }
--- a/tests/manifests.rs
+++ b/tests/manifests.rs
@@ -365,8 +365,8 @@
     let domain = "d".parse().unwrap();
     let before = watchers(&domain, &members);
     assert_eq!(before.len(), expected);
-    let gone = members.iter_mut().find(|member| member.host == before[0]);
-    gone.unwrap().is_eligible = false;
+    let failed = members.iter_mut().find(|member| member.host == before[0]);
+    failed.unwrap().is_eligible = false;
     let after = watchers(&domain, &members);
     assert!(before[1..].iter().all(|host| after.contains(host)));
 }
@@ -386,7 +386,7 @@
         let version = state.0.as_ref().map(|object| object.version);
         let is_expected = match expected {
             Expected::Absent => version.is_none(),
-            Expected::Version(wanted) => version == Some(wanted),
+            Expected::Version(required) => version == Some(required),
         };
         if !is_expected {
             return Err(PlatformError::Conflict);
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -48,10 +48,10 @@
 }
 
 impl FleetSimulation {
-    fn new(domains: usize, hosts_a_domain: usize) -> Self {
+    fn new(domains: usize, hosts_per_domain: usize) -> Self {
         let mut seeds = Vec::new();
         for domain in 0..domains {
-            for n in 0..hosts_a_domain {
+            for n in 0..hosts_per_domain {
                 seeds.push(PeerSeed {
                     host: format!("d{domain}-h{n}").parse().unwrap(),
                     failure_domain: format!("d{domain}").parse().unwrap(),
@@ -181,8 +181,8 @@
     name.parse().unwrap()
 }
 
-fn settled_fleet(domains: usize, hosts_a_domain: usize) -> FleetSimulation {
-    let mut fleet = FleetSimulation::new(domains, hosts_a_domain);
+fn settled_fleet(domains: usize, hosts_per_domain: usize) -> FleetSimulation {
+    let mut fleet = FleetSimulation::new(domains, hosts_per_domain);
     fleet.run_until(Duration::from_secs(60), FleetSimulation::has_settled);
     fleet.run(Duration::from_secs(10));
     fleet.observed.clear();
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -257,7 +257,7 @@
         let version = self.lease.as_ref().map(|(version, _)| *version);
         let is_expected = match expected {
             Expected::Absent => version.is_none(),
-            Expected::Version(expected) => version == Some(expected),
+            Expected::Version(required) => version == Some(required),
         };
         if !is_expected {
             return Err(PlatformError::Conflict);
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -39,26 +39,26 @@
     }
 }
 
-fn gap(wanted_offset_tokens: u64, got_offset_tokens: u64) -> AnswerFault {
+fn gap(expected_offset_tokens: u64, received_offset_tokens: u64) -> AnswerFault {
     AnswerFault::Gap {
-        wanted_offset_tokens,
-        got_offset_tokens,
+        expected_offset_tokens,
+        received_offset_tokens,
     }
 }
 
-fn overlap(wanted_offset_tokens: u64, got_offset_tokens: u64) -> AnswerFault {
+fn overlap(expected_offset_tokens: u64, received_offset_tokens: u64) -> AnswerFault {
     AnswerFault::Overlap {
-        wanted_offset_tokens,
-        got_offset_tokens,
+        expected_offset_tokens,
+        received_offset_tokens,
     }
 }
 
 /// Guards against foreign or incomplete text in an answer when two connections to an engine are
 /// mixed up, or one repeats or loses a piece.
 #[parameterized(
-    wrong_attempt = { tokens(OTHER, 3, 1), AnswerFault::WrongAttempt { got: OTHER } },
-    wrong_attempt_at_the_offset_of_a_repeat = { tokens(OTHER, 0, 3), AnswerFault::WrongAttempt { got: OTHER } },
-    end_of_wrong_attempt = { end(Some(OTHER)), AnswerFault::WrongAttempt { got: OTHER } },
+    wrong_attempt = { tokens(OTHER, 3, 1), AnswerFault::WrongAttempt { received: OTHER } },
+    wrong_attempt_at_the_offset_of_a_repeat = { tokens(OTHER, 0, 3), AnswerFault::WrongAttempt { received: OTHER } },
+    end_of_wrong_attempt = { end(Some(OTHER)), AnswerFault::WrongAttempt { received: OTHER } },
     end_without_id = { end(None), AnswerFault::Unexpected("an end mark without an attempt id") },
     missing_piece = { tokens(OURS, 4, 1), gap(3, 4) },
     missing_tail = { tokens(OURS, 9, 0), gap(3, 9) },
@@ -82,7 +82,7 @@
     let mut check = AnswerCheck::for_model(OURS);
     check.on_event(tokens(OURS, 0, 3));
     let truncated = AnswerFault::Truncated {
-        wanted_offset_tokens: 3,
+        expected_offset_tokens: 3,
     };
     assert_eq!(check.on_stream_end(), Err(truncated));
     assert!(truncated.can_resume());
