--- a/src/control/orders/reconciler.rs
+++ b/src/control/orders/reconciler.rs
@@ -79,16 +79,18 @@
     lease: Lease,
     load_budget: TokenBucket,
     desired: Option<DesiredEngines>,
-    engines: IndexMap<UpstreamId, Engine>,
+    engines: IndexMap<UpstreamId, ManagedEngine>,
 }
 
+/// An engine of the pool as the reconciler tracks it.
 #[derive(Debug, Default)]
-struct Engine {
+struct ManagedEngine {
     reported: Option<EngineState>,
     pending_order: Option<PendingOrder>,
     read_at: Option<Instant>,
 }
 
+/// An order that may still be in flight or in progress.
 #[derive(Debug)]
 struct PendingOrder {
     state: EngineState,
@@ -255,7 +257,7 @@
     }
 }
 
-impl Engine {
+impl ManagedEngine {
     fn observed(&self, id: &UpstreamId) -> ObservedEngine {
         ObservedEngine {
             id: id.clone(),
