--- a/benches/claims.rs
+++ b/benches/claims.rs
@@ -16,7 +16,7 @@
 use banyanarch::control::claims::ClaimState;
 use banyanarch::control::claims::ClaimStore;
 use banyanarch::control::claims::ClaimVerdict;
-use banyanarch::objects::Platform;
+use banyanarch::objects::PlatformClient;
 use banyanarch::units::AttemptId;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -91,7 +91,7 @@
 }
 
 fn store(platform: &Arc<FakePlatform>, number: usize) -> Arc<ClaimStore> {
-    let platform: Arc<dyn Platform> = Arc::<FakePlatform>::clone(platform);
+    let platform: Arc<dyn PlatformClient> = Arc::<FakePlatform>::clone(platform);
     let clock: Arc<dyn Clock> = Arc::new(SystemClock);
     let mut rng = StdRng::seed_from_u64(number as u64);
     Arc::new(ClaimStore::new(
--- a/src/cmd/publication.rs
+++ b/src/cmd/publication.rs
@@ -17,7 +17,7 @@
 use crate::objects::Expected;
 use crate::objects::Kind;
 use crate::objects::ObjectKey;
-use crate::objects::Platform;
+use crate::objects::PlatformClient;
 use crate::objects::PlatformError;
 use crate::units::Generation;
 use crate::units::ObjectVersion;
@@ -41,7 +41,7 @@
 /// operator named one. If the answer to the write is lost, each of `pauses` is followed by one more
 /// attempt to learn whether the write took effect.
 pub async fn publish_manifest(
-    platform: &dyn Platform,
+    platform: &dyn PlatformClient,
     text: &str,
     publish_id: u128,
     expect: Option<Generation>,
@@ -118,7 +118,7 @@
 }
 
 async fn put(
-    platform: &dyn Platform,
+    platform: &dyn PlatformClient,
     write: &ManifestWrite,
 ) -> Result<Result<ObjectVersion, PlatformError>, CmdError> {
     let key = ObjectKey::new(Kind::Manifests, MANIFEST_OBJECT_NAME);
@@ -128,7 +128,7 @@
 
 /// The outcome of a write that the platform answered with a conflict. Names the generation that was
 /// published instead, if the platform can be read.
-async fn conflict_outcome(platform: &dyn Platform, write: &ManifestWrite) -> PublishOutcome {
+async fn conflict_outcome(platform: &dyn PlatformClient, write: &ManifestWrite) -> PublishOutcome {
     match fetch_published(platform).await {
         Ok(Some((published, _))) => match outcome_by_manifest(&published, &write.manifest) {
             // The platform refused this write, so the manifest was never published.
@@ -142,7 +142,7 @@
 /// Finds out whether a write whose answer was lost took effect, and repeats the write if the object
 /// is unchanged.
 async fn resolve_unanswered(
-    platform: &dyn Platform,
+    platform: &dyn PlatformClient,
     write: &ManifestWrite,
     mut last_error: String,
     pauses: &[Duration],
--- a/src/cmd/remote.rs
+++ b/src/cmd/remote.rs
@@ -8,10 +8,10 @@
 use crate::http::HttpClient;
 use crate::manifest::MANIFEST_OBJECT_NAME;
 use crate::manifest::PublishedManifest;
-use crate::objects::HttpPlatform;
+use crate::objects::HttpPlatformClient;
 use crate::objects::Kind;
 use crate::objects::ObjectKey;
-use crate::objects::Platform;
+use crate::objects::PlatformClient;
 use crate::objects::PlatformError;
 use crate::units::ObjectVersion;
 
@@ -27,13 +27,13 @@
     Ok(runtime.map_err(CmdError::Runtime)?.block_on(work))
 }
 
-pub(crate) fn platform_client(addr: SocketAddr) -> HttpPlatform {
-    HttpPlatform::new(HttpClient::new(addr), CALL_TIMEOUT)
+pub(crate) fn platform_client(addr: SocketAddr) -> HttpPlatformClient {
+    HttpPlatformClient::new(HttpClient::new(addr), CALL_TIMEOUT)
 }
 
 /// Reads the published manifest and the version of its object; none if nothing is published.
 pub(crate) async fn fetch_published(
-    platform: &dyn Platform,
+    platform: &dyn PlatformClient,
 ) -> Result<Option<(PublishedManifest, ObjectVersion)>, CmdError> {
     match platform
         .get(ObjectKey::new(Kind::Manifests, MANIFEST_OBJECT_NAME))
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -17,7 +17,7 @@
 use crate::cmd::report_text;
 use crate::objects::Kind;
 use crate::objects::Object;
-use crate::objects::Platform;
+use crate::objects::PlatformClient;
 
 pub(crate) const USAGE: &str = "
 Shows the state of the fleet: as one host sees it, or from the reports in the platform. A host
@@ -83,7 +83,7 @@
     page.ok_or_else(|| CmdError::InvalidResponse(format!("{addr} has no status page")))
 }
 
-async fn read_platform_reports(platform: &dyn Platform) -> Result<Value, CmdError> {
+async fn read_platform_reports(platform: &dyn PlatformClient) -> Result<Value, CmdError> {
     let generation = match fetch_published(platform).await? {
         Some((published, _)) => Value::from(published.generation.0),
         None => Value::Null,
--- a/src/control/claims/store.rs
+++ b/src/control/claims/store.rs
@@ -23,7 +23,7 @@
 use crate::control::claims::ShardAction;
 use crate::objects::Kind;
 use crate::objects::ObjectKey;
-use crate::objects::Platform;
+use crate::objects::PlatformClient;
 use crate::units::AttemptId;
 
 /// All claims of this host. Needs a tokio runtime with time; each shard that has something to do is
@@ -38,7 +38,7 @@
 
 struct Slot {
     name: ObjectKey,
-    platform: Arc<dyn Platform>,
+    platform: Arc<dyn PlatformClient>,
     clock: Arc<dyn Clock>,
     state: Mutex<SlotState>,
     changed: Notify,
@@ -53,7 +53,7 @@
 impl ClaimStore {
     /// A store over `platform`, which may be a relay through peers.
     pub fn new(
-        platform: &Arc<dyn Platform>,
+        platform: &Arc<dyn PlatformClient>,
         clock: &Arc<dyn Clock>,
         conf: ClaimConf,
         rng: &mut StdRng,
--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -49,12 +49,12 @@
 use crate::fleet::OrderDesk;
 use crate::fleet::OrderDeskParts;
 use crate::fleet::PeerDesk;
-use crate::fleet::RelayPlatform;
-use crate::fleet::RelayPlatformParts;
+use crate::fleet::RelayPlatformClient;
+use crate::fleet::RelayPlatformClientParts;
 use crate::fleet::UpstreamRegistry;
 use crate::http::HttpClient;
-use crate::objects::HttpPlatform;
-use crate::objects::Platform;
+use crate::objects::HttpPlatformClient;
+use crate::objects::PlatformClient;
 use crate::observe::ExplanationLimits;
 use crate::observe::Explanations;
 use crate::observe::Metrics;
@@ -79,7 +79,7 @@
     pub(crate) manifests: Arc<ManifestDesk>,
     pub(crate) orders: Arc<OrderDesk>,
     pub(crate) events: Arc<Events>,
-    pub(crate) platform: Arc<dyn Platform>,
+    pub(crate) platform: Arc<dyn PlatformClient>,
     pub(crate) addrs: Arc<SeededAddrs>,
     pub(crate) traffic: Arc<Traffic>,
     pub(crate) news: Arc<News>,
@@ -173,17 +173,18 @@
             live,
             policy: settings.policy,
         }));
-        let direct: Arc<dyn Platform> = Arc::new(HttpPlatform::new(
+        let direct: Arc<dyn PlatformClient> = Arc::new(HttpPlatformClient::new(
             HttpClient::new(settings.platform.address),
             Duration::from_millis(settings.platform.timeout_ms),
         ));
-        let relayed: Arc<dyn Platform> = Arc::new(RelayPlatform::new(RelayPlatformParts {
-            direct: Arc::clone(&direct),
-            peers: Arc::clone(&peers) as _,
-            cluster_view: Arc::clone(&cluster_view),
-            host: settings.host.clone(),
-            domain: settings.failure_domain.clone(),
-        }));
+        let relayed: Arc<dyn PlatformClient> =
+            Arc::new(RelayPlatformClient::new(RelayPlatformClientParts {
+                direct: Arc::clone(&direct),
+                peers: Arc::clone(&peers) as _,
+                cluster_view: Arc::clone(&cluster_view),
+                host: settings.host.clone(),
+                domain: settings.failure_domain.clone(),
+            }));
         let claims = ClaimStore::new(
             &relayed,
             &clock,
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -31,6 +31,6 @@
 pub use order_desk::OrderDeskParts;
 pub use peer_desk::NewsSink;
 pub use peer_desk::PeerDesk;
-pub use relay_platform::RelayPlatform;
-pub use relay_platform::RelayPlatformParts;
+pub use relay_platform::RelayPlatformClient;
+pub use relay_platform::RelayPlatformClientParts;
 pub use upstream_registry::UpstreamRegistry;
--- a/src/fleet/order_desk.rs
+++ b/src/fleet/order_desk.rs
@@ -24,7 +24,7 @@
 use crate::manifest::ModelSpec;
 use crate::objects::Kind;
 use crate::objects::ObjectKey;
-use crate::objects::Platform;
+use crate::objects::PlatformClient;
 use crate::objects::PlatformError;
 use crate::units::ByteSize;
 use crate::units::HostId;
@@ -52,7 +52,7 @@
     /// Which pools have their home here.
     pub map: Arc<dyn HomeMap>,
     /// The platform, for leases.
-    pub platform: Arc<dyn Platform>,
+    pub platform: Arc<dyn PlatformClient>,
     /// Upstreams.
     pub upstreams: Arc<dyn UpstreamDirectory>,
     /// This host.
--- a/src/fleet/peer_desk.rs
+++ b/src/fleet/peer_desk.rs
@@ -17,7 +17,7 @@
 use crate::fleet::HomeGranter;
 use crate::fleet::ManifestDesk;
 use crate::fleet::MembershipDesk;
-use crate::objects::Platform;
+use crate::objects::PlatformClient;
 use crate::peer::Message;
 use crate::peer::PeerHandler;
 use crate::peer::message::Announce;
@@ -50,7 +50,7 @@
     /// Whoever acts on changes of the membership.
     pub news: Arc<dyn NewsSink>,
     /// The platform, as this host reaches it itself.
-    pub platform: Arc<dyn Platform>,
+    pub platform: Arc<dyn PlatformClient>,
 }
 
 impl PeerDesk {
--- a/src/fleet/relay_platform.rs
+++ b/src/fleet/relay_platform.rs
@@ -17,7 +17,7 @@
 use crate::objects::Object;
 use crate::objects::ObjectKey;
 use crate::objects::ObjectList;
-use crate::objects::Platform;
+use crate::objects::PlatformClient;
 use crate::objects::PlatformError;
 use crate::peer::Message;
 use crate::peer::PeerError;
@@ -40,8 +40,8 @@
 /// A network that swallows packets lets every write time out, and a write that timed out may have
 /// taken effect: it has to be read back before it is tried again. So the first failure counts, and
 /// from then on peers are asked first, until the host's regular reads get through again.
-pub struct RelayPlatform {
-    direct: Arc<dyn Platform>,
+pub struct RelayPlatformClient {
+    direct: Arc<dyn PlatformClient>,
     peers: Arc<dyn Peers>,
     cluster_view: Arc<ClusterView>,
     host: HostId,
@@ -50,9 +50,9 @@
 }
 
 /// What a relay works with.
-pub struct RelayPlatformParts {
+pub struct RelayPlatformClientParts {
     /// The platform as this host reaches it itself.
-    pub direct: Arc<dyn Platform>,
+    pub direct: Arc<dyn PlatformClient>,
     /// Other hosts.
     pub peers: Arc<dyn Peers>,
     /// Which hosts there are.
@@ -69,9 +69,9 @@
     Peer(HostId),
 }
 
-impl RelayPlatform {
+impl RelayPlatformClient {
     /// A relay that begins with the direct way.
-    pub fn new(parts: RelayPlatformParts) -> Self {
+    pub fn new(parts: RelayPlatformClientParts) -> Self {
         Self {
             direct: parts.direct,
             peers: parts.peers,
@@ -161,7 +161,7 @@
     PlatformError::Unavailable("there is no way to the platform".to_owned())
 }
 
-impl Platform for RelayPlatform {
+impl PlatformClient for RelayPlatformClient {
     fn get(&self, key: ObjectKey) -> BoxFuture<'_, Result<Object, PlatformError>> {
         async move {
             let mut result = Err(no_way());
--- a/src/objects/http/mod.rs
+++ b/src/objects/http/mod.rs
@@ -24,7 +24,7 @@
 use crate::objects::Object;
 use crate::objects::ObjectKey;
 use crate::objects::ObjectList;
-use crate::objects::Platform;
+use crate::objects::PlatformClient;
 use crate::objects::PlatformError;
 use crate::objects::http::wire::WireEvent;
 use crate::objects::http::wire::WireList;
@@ -41,12 +41,12 @@
 
 /// A client of the platform's object service.
 #[derive(Debug)]
-pub struct HttpPlatform {
+pub struct HttpPlatformClient {
     client: HttpClient,
     timeout: Duration,
 }
 
-impl HttpPlatform {
+impl HttpPlatformClient {
     /// A client that gives each call `timeout`.
     pub fn new(client: HttpClient, timeout: Duration) -> Self {
         Self { client, timeout }
@@ -136,7 +136,7 @@
     }
 }
 
-impl Platform for HttpPlatform {
+impl PlatformClient for HttpPlatformClient {
     fn get(&self, key: ObjectKey) -> BoxFuture<'_, Result<Object, PlatformError>> {
         async move {
             let path = format!("{BASE}/{}/{}", key.kind.plural(), key.name);
--- a/src/objects/mod.rs
+++ b/src/objects/mod.rs
@@ -13,7 +13,7 @@
 use futures_util::future::BoxFuture;
 
 pub use error::PlatformError;
-pub use http::HttpPlatform;
+pub use http::HttpPlatformClient;
 pub use object::Expected;
 pub use object::Kind;
 pub use object::Object;
@@ -23,7 +23,7 @@
 use crate::units::ObjectVersion;
 
 /// The platform's object service. Each call counts against its rates, a waiting watch as one.
-pub trait Platform: Send + Sync {
+pub trait PlatformClient: Send + Sync {
     /// Reads one object.
     fn get(&self, key: ObjectKey) -> BoxFuture<'_, Result<Object, PlatformError>>;
 
--- a/standin/tests/platform.rs
+++ b/standin/tests/platform.rs
@@ -4,10 +4,10 @@
 
 use banyanarch::http::HttpClient;
 use banyanarch::objects::Expected;
-use banyanarch::objects::HttpPlatform;
+use banyanarch::objects::HttpPlatformClient;
 use banyanarch::objects::Kind;
 use banyanarch::objects::ObjectKey;
-use banyanarch::objects::Platform;
+use banyanarch::objects::PlatformClient;
 use banyanarch::objects::PlatformError;
 use banyanarch::units::ObjectVersion;
 use serde_json::json;
@@ -18,11 +18,11 @@
 
 const WAIT: Duration = Duration::from_secs(2);
 
-async fn platform() -> (PlatformFake, HttpPlatform) {
+async fn platform() -> (PlatformFake, HttpPlatformClient) {
     let fake = PlatformFake::start(([127, 0, 0, 1], 0).into())
         .await
         .unwrap();
-    let client = HttpPlatform::new(HttpClient::new(fake.addr()), WAIT);
+    let client = HttpPlatformClient::new(HttpClient::new(fake.addr()), WAIT);
     (fake, client)
 }
 
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -20,7 +20,7 @@
 use banyanarch::objects::Expected;
 use banyanarch::objects::Kind;
 use banyanarch::objects::ObjectKey;
-use banyanarch::objects::Platform;
+use banyanarch::objects::PlatformClient;
 use banyanarch::objects::PlatformError;
 use banyanarch::peer::PeerError;
 use banyanarch::units::AttemptId;
@@ -314,7 +314,7 @@
 }
 
 fn store(platform: &Arc<FakePlatform>, conf: ClaimConf) -> Arc<ClaimStore> {
-    let platform: Arc<dyn Platform> = Arc::<FakePlatform>::clone(platform);
+    let platform: Arc<dyn PlatformClient> = Arc::<FakePlatform>::clone(platform);
     let clock: Arc<dyn Clock> = Arc::new(SystemClock);
     let mut rng = StdRng::seed_from_u64(7);
     Arc::new(ClaimStore::new(&platform, &clock, conf, &mut rng))
--- a/tests/cmd_publish.rs
+++ b/tests/cmd_publish.rs
@@ -16,7 +16,7 @@
 use banyanarch::objects::Object;
 use banyanarch::objects::ObjectKey;
 use banyanarch::objects::ObjectList;
-use banyanarch::objects::Platform;
+use banyanarch::objects::PlatformClient;
 use banyanarch::objects::PlatformError;
 use banyanarch::units::Generation;
 use banyanarch::units::ObjectVersion;
@@ -152,7 +152,7 @@
     }
 }
 
-impl Platform for FakePlatform {
+impl PlatformClient for FakePlatform {
     fn get(&self, _: ObjectKey) -> BoxFuture<'_, Result<Object, PlatformError>> {
         let state = self.state.lock().unwrap();
         let unreachable = PlatformError::Unavailable("unreachable".to_owned());
--- a/tests/fakes/platform.rs
+++ b/tests/fakes/platform.rs
@@ -9,7 +9,7 @@
 use banyanarch::objects::Object;
 use banyanarch::objects::ObjectKey;
 use banyanarch::objects::ObjectList;
-use banyanarch::objects::Platform;
+use banyanarch::objects::PlatformClient;
 use banyanarch::objects::PlatformError;
 use banyanarch::units::ObjectVersion;
 use futures_util::FutureExt;
@@ -48,7 +48,7 @@
     }
 }
 
-impl Platform for FakePlatform {
+impl PlatformClient for FakePlatform {
     fn get(&self, key: ObjectKey) -> BoxFuture<'_, Result<Object, PlatformError>> {
         async move {
             tokio::time::sleep(self.latency).await;
--- a/tests/manifests.rs
+++ b/tests/manifests.rs
@@ -21,7 +21,7 @@
 use banyanarch::objects::Object;
 use banyanarch::objects::ObjectKey;
 use banyanarch::objects::ObjectList;
-use banyanarch::objects::Platform;
+use banyanarch::objects::PlatformClient;
 use banyanarch::objects::PlatformError;
 use banyanarch::peer::Message;
 use banyanarch::peer::wire_len;
@@ -396,7 +396,7 @@
     }
 }
 
-impl Platform for FakePlatform {
+impl PlatformClient for FakePlatform {
     fn get(&self, _: ObjectKey) -> BoxFuture<'_, Result<Object, PlatformError>> {
         async move {
             self.pause().await;
