--- a/src/cmd/publication.rs
+++ b/src/cmd/publication.rs
@@ -15,8 +15,8 @@
 use crate::manifest::Manifest;
 use crate::manifest::PublishedManifest;
 use crate::objects::Expected;
-use crate::objects::Kind;
 use crate::objects::ObjectKey;
+use crate::objects::ObjectKind;
 use crate::objects::PlatformClient;
 use crate::objects::PlatformError;
 use crate::units::Generation;
@@ -121,7 +121,7 @@
     platform: &dyn PlatformClient,
     write: &ManifestWrite,
 ) -> Result<Result<ObjectVersion, PlatformError>, CmdError> {
-    let key = ObjectKey::new(Kind::Manifests, MANIFEST_OBJECT_NAME);
+    let key = ObjectKey::new(ObjectKind::Manifests, MANIFEST_OBJECT_NAME);
     let value = serde_json::to_value(&write.manifest)?;
     Ok(platform.put(key, value, write.expected).await)
 }
--- a/src/cmd/remote.rs
+++ b/src/cmd/remote.rs
@@ -9,8 +9,8 @@
 use crate::manifest::MANIFEST_OBJECT_NAME;
 use crate::manifest::PublishedManifest;
 use crate::objects::HttpPlatformClient;
-use crate::objects::Kind;
 use crate::objects::ObjectKey;
+use crate::objects::ObjectKind;
 use crate::objects::PlatformClient;
 use crate::objects::PlatformError;
 use crate::units::ObjectVersion;
@@ -36,7 +36,7 @@
     platform: &dyn PlatformClient,
 ) -> Result<Option<(PublishedManifest, ObjectVersion)>, CmdError> {
     match platform
-        .get(ObjectKey::new(Kind::Manifests, MANIFEST_OBJECT_NAME))
+        .get(ObjectKey::new(ObjectKind::Manifests, MANIFEST_OBJECT_NAME))
         .await
     {
         Ok(object) => Ok(Some((
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -15,8 +15,8 @@
 use crate::cmd::remote::block_on;
 use crate::cmd::remote::fetch_published;
 use crate::cmd::report_text;
-use crate::objects::Kind;
 use crate::objects::Object;
+use crate::objects::ObjectKind;
 use crate::objects::PlatformClient;
 
 pub(crate) const USAGE: &str = "
@@ -88,7 +88,7 @@
         Some((published, _)) => Value::from(published.generation.0),
         None => Value::Null,
     };
-    let statuses = platform.list(Kind::Statuses).await?;
+    let statuses = platform.list(ObjectKind::Statuses).await?;
     let hosts: Vec<Value> = statuses.items.into_iter().map(with_host_name).collect();
     Ok(json!({ "published_generation": generation, "reports": hosts }))
 }
--- a/src/control/claims/relay.rs
+++ b/src/control/claims/relay.rs
@@ -5,9 +5,9 @@
 //! effect of a write unknown.
 
 use crate::objects::Expected;
-use crate::objects::Kind;
 use crate::objects::Object;
 use crate::objects::ObjectKey;
+use crate::objects::ObjectKind;
 use crate::objects::PlatformError;
 use crate::peer::PeerError;
 use crate::peer::message::PlatformCall;
@@ -62,7 +62,7 @@
 /// A call out of a message. One that can't be read is refused, and nothing is done.
 pub fn call_from(call: &PlatformCall) -> Result<RelayedCall, PlatformError> {
     let refused = |why: &str| PlatformError::Refused(why.to_owned());
-    let kind = Kind::from_plural(&call.kind).ok_or_else(|| refused("unknown kind"))?;
+    let kind = ObjectKind::from_plural(&call.kind).ok_or_else(|| refused("unknown kind"))?;
     let key = ObjectKey::new(kind, call.name.clone());
     let Some(bytes) = &call.value else {
         return Ok(RelayedCall::Get(key));
--- a/src/control/claims/store.rs
+++ b/src/control/claims/store.rs
@@ -21,8 +21,8 @@
 use crate::control::claims::ClaimState;
 use crate::control::claims::ClaimVerdict;
 use crate::control::claims::ShardAction;
-use crate::objects::Kind;
 use crate::objects::ObjectKey;
+use crate::objects::ObjectKind;
 use crate::objects::PlatformClient;
 use crate::units::AttemptId;
 
@@ -65,7 +65,7 @@
                 is_driven: false,
             };
             Arc::new(Slot {
-                name: ObjectKey::new(Kind::Claims, format!("shard-{shard:02}")),
+                name: ObjectKey::new(ObjectKind::Claims, format!("shard-{shard:02}")),
                 platform: Arc::clone(platform),
                 clock: Arc::clone(clock),
                 state: Mutex::new(state),
--- a/src/daemon/loops.rs
+++ b/src/daemon/loops.rs
@@ -12,7 +12,7 @@
 use crate::daemon::machine_list;
 use crate::daemon::status_loop;
 use crate::fleet::NewsSink;
-use crate::objects::Kind;
+use crate::objects::ObjectKind;
 use crate::objects::PlatformError;
 use crate::units::ObjectVersion;
 
@@ -61,7 +61,7 @@
             None => read_machines(&host).await,
             Some(version) => match host
                 .platform
-                .watch(Kind::Machines, version, MACHINES_WAIT)
+                .watch(ObjectKind::Machines, version, MACHINES_WAIT)
                 .await
             {
                 Ok(changes) if changes.version > version => read_machines(&host).await,
@@ -81,7 +81,7 @@
 }
 
 async fn read_machines(host: &Host) -> Result<ObjectVersion, PlatformError> {
-    let list = host.platform.list(Kind::Machines).await?;
+    let list = host.platform.list(ObjectKind::Machines).await?;
     let listed = machine_list::take_in(&host.cluster_view, &list);
     host.addrs.learn(&listed.seeds);
     host.membership.seed(&listed.seeds);
--- a/src/daemon/manifest_loop.rs
+++ b/src/daemon/manifest_loop.rs
@@ -14,7 +14,7 @@
 use crate::daemon::host::Host;
 use crate::manifest::Manifest;
 use crate::manifest::PublishedManifest;
-use crate::objects::Kind;
+use crate::objects::ObjectKind;
 use crate::objects::ObjectList;
 use crate::objects::PlatformError;
 use crate::units::ObjectVersion;
@@ -62,7 +62,7 @@
 async fn watch(host: &Host, after: ObjectVersion) -> Result<Option<ObjectVersion>, PlatformError> {
     let changes = host
         .platform
-        .watch(Kind::Manifests, after, WATCH_WAIT)
+        .watch(ObjectKind::Manifests, after, WATCH_WAIT)
         .await?;
     if changes.items.is_empty() {
         host.manifests.platform(PlatformWord::Unchanged);
@@ -87,7 +87,7 @@
 async fn list(host: &Host) -> Result<Option<ObjectVersion>, PlatformError> {
     // What the desk wanted until now is answered by this read.
     let _ = host.manifests.wants_platform().now_or_never();
-    let list = host.platform.list(Kind::Manifests).await?;
+    let list = host.platform.list(ObjectKind::Manifests).await?;
     if list.items.is_empty() {
         host.manifests.platform(PlatformWord::Absent);
     }
--- a/src/daemon/status_loop.rs
+++ b/src/daemon/status_loop.rs
@@ -15,8 +15,8 @@
 use crate::control::status::StatusReport;
 use crate::daemon::host::Host;
 use crate::objects::Expected;
-use crate::objects::Kind;
 use crate::objects::ObjectKey;
+use crate::objects::ObjectKind;
 use crate::objects::PlatformError;
 use crate::units::ObjectVersion;
 
@@ -39,7 +39,7 @@
 /// Writes the report whenever the reporter wants it.
 pub(crate) async fn keep(host: Arc<Host>) {
     let mut reporter = Reporter::new(StdRng::from_os_rng(), host.clock.now());
-    let key = ObjectKey::new(Kind::Statuses, host.settings.host.as_str());
+    let key = ObjectKey::new(ObjectKind::Statuses, host.settings.host.as_str());
     loop {
         sleep(PAUSE).await;
         let report = report(&host).for_platform();
--- a/src/fleet/order_desk.rs
+++ b/src/fleet/order_desk.rs
@@ -22,8 +22,8 @@
 use crate::fleet::HomeMap;
 use crate::manifest::Manifest;
 use crate::manifest::ModelSpec;
-use crate::objects::Kind;
 use crate::objects::ObjectKey;
+use crate::objects::ObjectKind;
 use crate::objects::PlatformClient;
 use crate::objects::PlatformError;
 use crate::units::ByteSize;
@@ -146,7 +146,7 @@
 
     async fn lease(&self, pool: &PoolId, action: LeaseAction) {
         // A pool's name has slashes, which part the segments of a path.
-        let key = ObjectKey::new(Kind::Leases, pool.as_str().replace('/', "."));
+        let key = ObjectKey::new(ObjectKind::Leases, pool.as_str().replace('/', "."));
         match action {
             LeaseAction::Read => {
                 let result = self.parts.platform.get(key).await;
--- a/src/fleet/relay_platform.rs
+++ b/src/fleet/relay_platform.rs
@@ -13,9 +13,9 @@
 use crate::cluster_view::HostView;
 use crate::control::claims::relay;
 use crate::objects::Expected;
-use crate::objects::Kind;
 use crate::objects::Object;
 use crate::objects::ObjectKey;
+use crate::objects::ObjectKind;
 use crate::objects::ObjectList;
 use crate::objects::PlatformClient;
 use crate::objects::PlatformError;
@@ -200,13 +200,13 @@
         .boxed()
     }
 
-    fn list(&self, kind: Kind) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
+    fn list(&self, kind: ObjectKind) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
         async move { self.direct(self.direct.list(kind).await) }.boxed()
     }
 
     fn watch(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         after: ObjectVersion,
         wait: Duration,
     ) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
--- a/src/objects/http/mod.rs
+++ b/src/objects/http/mod.rs
@@ -20,9 +20,9 @@
 use crate::http::HttpClient;
 use crate::http::HttpError;
 use crate::objects::Expected;
-use crate::objects::Kind;
 use crate::objects::Object;
 use crate::objects::ObjectKey;
+use crate::objects::ObjectKind;
 use crate::objects::ObjectList;
 use crate::objects::PlatformClient;
 use crate::objects::PlatformError;
@@ -158,7 +158,7 @@
         async move { self.write(&key, value, expected).await }.boxed()
     }
 
-    fn list(&self, kind: Kind) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
+    fn list(&self, kind: ObjectKind) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
         async move {
             let path = format!("{BASE}/{}", kind.plural());
             let body = self.read(&path, self.timeout).await?;
@@ -170,7 +170,7 @@
 
     fn watch(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         after: ObjectVersion,
         wait: Duration,
     ) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
--- a/src/objects/http/wire.rs
+++ b/src/objects/http/wire.rs
@@ -3,9 +3,9 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::objects::Kind;
 use crate::objects::Object;
 use crate::objects::ObjectKey;
+use crate::objects::ObjectKind;
 use crate::objects::ObjectList;
 use crate::units::ObjectVersion;
 
@@ -66,7 +66,7 @@
         self.metadata.version()
     }
 
-    pub(crate) fn into_object(self, kind: Kind) -> Result<Object, String> {
+    pub(crate) fn into_object(self, kind: ObjectKind) -> Result<Object, String> {
         let version = self.version()?;
         let key = ObjectKey::new(kind, self.metadata.name);
         Ok(Object {
@@ -86,7 +86,7 @@
 }
 
 impl WireList {
-    pub(crate) fn into_list(self, kind: Kind) -> Result<ObjectList, String> {
+    pub(crate) fn into_list(self, kind: ObjectKind) -> Result<ObjectList, String> {
         let version = self.metadata.version()?;
         let items: Result<Vec<Object>, String> = self
             .items
--- a/src/objects/mod.rs
+++ b/src/objects/mod.rs
@@ -15,9 +15,9 @@
 pub use error::PlatformError;
 pub use http::HttpPlatformClient;
 pub use object::Expected;
-pub use object::Kind;
 pub use object::Object;
 pub use object::ObjectKey;
+pub use object::ObjectKind;
 pub use object::ObjectList;
 
 use crate::units::ObjectVersion;
@@ -36,13 +36,13 @@
     ) -> BoxFuture<'_, Result<ObjectVersion, PlatformError>>;
 
     /// Reads all objects of a kind.
-    fn list(&self, kind: Kind) -> BoxFuture<'_, Result<ObjectList, PlatformError>>;
+    fn list(&self, kind: ObjectKind) -> BoxFuture<'_, Result<ObjectList, PlatformError>>;
 
     /// Waits until objects of a kind change after `after`, at most `wait`. Returns what changed,
     /// empty when nothing did.
     fn watch(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         after: ObjectVersion,
         wait: Duration,
     ) -> BoxFuture<'_, Result<ObjectList, PlatformError>>;
--- a/src/objects/object.rs
+++ b/src/objects/object.rs
@@ -6,7 +6,7 @@
 
 /// The kinds of objects the system reads and writes. The plural is what stands in the URL.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum ObjectKind {
     /// The one manifest.
     Manifests,
     /// Shards of claims for requests that are not repeatable.
@@ -19,7 +19,7 @@
     Machines,
 }
 
-impl Kind {
+impl ObjectKind {
     /// The plural in the URL.
     pub fn plural(self) -> &'static str {
         match self {
@@ -48,14 +48,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ObjectKey {
     /// What kind of object.
-    pub kind: Kind,
+    pub kind: ObjectKind,
     /// Its name within the kind.
     pub name: String,
 }
 
 impl ObjectKey {
     /// The object `name` of a kind.
-    pub fn new(kind: Kind, name: impl Into<String>) -> Self {
+    pub fn new(kind: ObjectKind, name: impl Into<String>) -> Self {
         Self {
             kind,
             name: name.into(),
--- a/standin/tests/platform.rs
+++ b/standin/tests/platform.rs
@@ -5,8 +5,8 @@
 use banyanarch::http::HttpClient;
 use banyanarch::objects::Expected;
 use banyanarch::objects::HttpPlatformClient;
-use banyanarch::objects::Kind;
 use banyanarch::objects::ObjectKey;
+use banyanarch::objects::ObjectKind;
 use banyanarch::objects::PlatformClient;
 use banyanarch::objects::PlatformError;
 use banyanarch::units::ObjectVersion;
@@ -26,7 +26,7 @@
     (fake, client)
 }
 
-fn key(kind: Kind) -> ObjectKey {
+fn key(kind: ObjectKind) -> ObjectKey {
     ObjectKey::new(kind, "one")
 }
 
@@ -34,7 +34,7 @@
 #[tokio::test]
 async fn one_of_two_writes_wins() {
     let (fake, client) = platform().await;
-    let key = key(Kind::Manifests);
+    let key = key(ObjectKind::Manifests);
     let first = client
         .put(key.clone(), json!(1), Expected::Absent)
         .await
@@ -62,10 +62,10 @@
         ..PlatformFaults::default()
     });
     let lost = client
-        .put(key(Kind::Claims), json!("mine"), Expected::Absent)
+        .put(key(ObjectKind::Claims), json!("mine"), Expected::Absent)
         .await;
     assert!(matches!(lost, Err(PlatformError::Unknown(_))), "{lost:?}");
-    let read = client.get(key(Kind::Claims)).await.unwrap();
+    let read = client.get(key(ObjectKind::Claims)).await.unwrap();
     assert_eq!(read.value, json!("mine"));
 }
 
@@ -73,14 +73,14 @@
 #[tokio::test]
 async fn a_watch_waits_for_its_kind() {
     let (fake, client) = platform().await;
-    let watch = client.watch(Kind::Manifests, ObjectVersion(0), WAIT);
+    let watch = client.watch(ObjectKind::Manifests, ObjectVersion(0), WAIT);
     let write = async {
         client
-            .put(key(Kind::Claims), json!(1), Expected::Absent)
+            .put(key(ObjectKind::Claims), json!(1), Expected::Absent)
             .await
             .unwrap();
         client
-            .put(key(Kind::Manifests), json!(2), Expected::Absent)
+            .put(key(ObjectKind::Manifests), json!(2), Expected::Absent)
             .await
             .unwrap()
     };
@@ -100,13 +100,13 @@
         ..PlatformFaults::default()
     });
     client
-        .put(key(Kind::Machines), json!(1), Expected::Absent)
+        .put(key(ObjectKind::Machines), json!(1), Expected::Absent)
         .await
         .unwrap();
-    let early = client.list(Kind::Machines).await.unwrap();
+    let early = client.list(ObjectKind::Machines).await.unwrap();
     assert!(early.items.is_empty());
     let later = client
-        .watch(Kind::Machines, early.version, WAIT)
+        .watch(ObjectKind::Machines, early.version, WAIT)
         .await
         .unwrap();
     assert_eq!(later.items.len(), 1);
@@ -123,10 +123,10 @@
     let (fake, client) = platform().await;
     fake.set_faults(faults);
     let put = client
-        .put(key(Kind::Leases), json!(1), Expected::Absent)
+        .put(key(ObjectKind::Leases), json!(1), Expected::Absent)
         .await;
     assert!(matches!(put, Err(PlatformError::Unavailable(_))), "{put:?}");
     fake.set_faults(PlatformFaults::default());
-    let read = client.get(key(Kind::Leases)).await;
+    let read = client.get(key(ObjectKind::Leases)).await;
     assert_eq!(read, Err(PlatformError::Absent));
 }
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -18,8 +18,8 @@
 use banyanarch::control::claims::ShardAction;
 use banyanarch::control::claims::relay;
 use banyanarch::objects::Expected;
-use banyanarch::objects::Kind;
 use banyanarch::objects::ObjectKey;
+use banyanarch::objects::ObjectKind;
 use banyanarch::objects::PlatformClient;
 use banyanarch::objects::PlatformError;
 use banyanarch::peer::PeerError;
@@ -399,7 +399,7 @@
 
 #[test]
 fn relayed_calls_arrive_whole() {
-    let key = ObjectKey::new(Kind::Claims, "shard-03");
+    let key = ObjectKey::new(ObjectKind::Claims, "shard-03");
     let value = serde_json::json!({"claims": {}});
     for expected in [Expected::Absent, Expected::Version(ObjectVersion(3))] {
         let call = relay::put_to(&key, &value, expected);
--- a/tests/cmd_publish.rs
+++ b/tests/cmd_publish.rs
@@ -12,9 +12,9 @@
 use banyanarch::manifest::Manifest;
 use banyanarch::manifest::PublishedManifest;
 use banyanarch::objects::Expected;
-use banyanarch::objects::Kind;
 use banyanarch::objects::Object;
 use banyanarch::objects::ObjectKey;
+use banyanarch::objects::ObjectKind;
 use banyanarch::objects::ObjectList;
 use banyanarch::objects::PlatformClient;
 use banyanarch::objects::PlatformError;
@@ -102,7 +102,7 @@
         }
         let version = ObjectVersion(version.unwrap_or_default().0 + 1);
         self.object = Some(Object {
-            key: ObjectKey::new(Kind::Manifests, "current"),
+            key: ObjectKey::new(ObjectKind::Manifests, "current"),
             version,
             value,
         });
@@ -174,13 +174,13 @@
         ready(self.state.lock().unwrap().put(value, expected)).boxed()
     }
 
-    fn list(&self, _: Kind) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
+    fn list(&self, _: ObjectKind) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
         ready(Ok(ObjectList::default())).boxed()
     }
 
     fn watch(
         &self,
-        _: Kind,
+        _: ObjectKind,
         _: ObjectVersion,
         _: Duration,
     ) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
--- a/tests/fakes/object.rs
+++ b/tests/fakes/object.rs
@@ -2,9 +2,9 @@
 
 use banyanarch::control::claims::ShardValue;
 use banyanarch::objects::Expected;
-use banyanarch::objects::Kind;
 use banyanarch::objects::Object;
 use banyanarch::objects::ObjectKey;
+use banyanarch::objects::ObjectKind;
 use banyanarch::objects::PlatformError;
 use banyanarch::units::ObjectVersion;
 
@@ -42,7 +42,7 @@
         self.reads += 1;
         let value = self.value.as_ref().ok_or(PlatformError::Absent)?;
         Ok(Object {
-            key: ObjectKey::new(Kind::Claims, "shard-00"),
+            key: ObjectKey::new(ObjectKind::Claims, "shard-00"),
             version: ObjectVersion(self.version),
             value: value.to_json().unwrap(),
         })
--- a/tests/fakes/platform.rs
+++ b/tests/fakes/platform.rs
@@ -5,9 +5,9 @@
 
 use banyanarch::control::claims::ShardValue;
 use banyanarch::objects::Expected;
-use banyanarch::objects::Kind;
 use banyanarch::objects::Object;
 use banyanarch::objects::ObjectKey;
+use banyanarch::objects::ObjectKind;
 use banyanarch::objects::ObjectList;
 use banyanarch::objects::PlatformClient;
 use banyanarch::objects::PlatformError;
@@ -71,13 +71,13 @@
         .boxed()
     }
 
-    fn list(&self, _kind: Kind) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
+    fn list(&self, _kind: ObjectKind) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
         async { Ok(ObjectList::default()) }.boxed()
     }
 
     fn watch(
         &self,
-        _kind: Kind,
+        _kind: ObjectKind,
         _after: ObjectVersion,
         _wait: Duration,
     ) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
--- a/tests/manifests.rs
+++ b/tests/manifests.rs
@@ -17,9 +17,9 @@
 use banyanarch::manifest::Manifest;
 use banyanarch::manifest::PublishedManifest;
 use banyanarch::objects::Expected;
-use banyanarch::objects::Kind;
 use banyanarch::objects::Object;
 use banyanarch::objects::ObjectKey;
+use banyanarch::objects::ObjectKind;
 use banyanarch::objects::ObjectList;
 use banyanarch::objects::PlatformClient;
 use banyanarch::objects::PlatformError;
@@ -379,7 +379,7 @@
         }
         let version = ObjectVersion(version.unwrap_or_default().0 + 1);
         state.1.push(serde_json::from_value(value.clone()).unwrap());
-        let key = ObjectKey::new(Kind::Manifests, "current");
+        let key = ObjectKey::new(ObjectKind::Manifests, "current");
         state.0 = Some(Object {
             key,
             version,
@@ -433,13 +433,13 @@
         .boxed()
     }
 
-    fn list(&self, _: Kind) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
+    fn list(&self, _: ObjectKind) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
         unimplemented!("the publisher reads one object")
     }
 
     fn watch(
         &self,
-        _: Kind,
+        _: ObjectKind,
         _: ObjectVersion,
         _: Duration,
     ) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
@@ -517,7 +517,7 @@
             .lock()
             .unwrap()
             .push((process, Action::Call(Op::Read(None))));
-        let key = ObjectKey::new(Kind::Manifests, "current");
+        let key = ObjectKey::new(ObjectKind::Manifests, "current");
         let read = platform.get(key).await.ok();
         let read: Option<PublishedManifest> =
             read.map(|object| serde_json::from_value(object.value).unwrap());
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -12,9 +12,9 @@
 use banyanarch::control::orders::plan;
 use banyanarch::manifest::FencingSupport;
 use banyanarch::objects::Expected;
-use banyanarch::objects::Kind;
 use banyanarch::objects::Object;
 use banyanarch::objects::ObjectKey;
+use banyanarch::objects::ObjectKind;
 use banyanarch::objects::PlatformError;
 use banyanarch::units::ByteSize;
 use banyanarch::units::Incarnation;
@@ -221,7 +221,7 @@
         match action {
             LeaseAction::Read => {
                 let read = self.lease.clone().map(|(version, value)| Object {
-                    key: ObjectKey::new(Kind::Leases, "pool"),
+                    key: ObjectKey::new(ObjectKind::Leases, "pool"),
                     version,
                     value,
                 });
