--- a/src/cmd/publication.rs
+++ b/src/cmd/publication.rs
@@ -14,11 +14,11 @@
 use crate::manifest::MANIFEST_OBJECT_NAME;
 use crate::manifest::Manifest;
 use crate::manifest::PublishedManifest;
-use crate::objects::Expected;
 use crate::objects::ObjectKey;
 use crate::objects::ObjectKind;
 use crate::objects::PlatformClient;
 use crate::objects::PlatformError;
+use crate::objects::Precondition;
 use crate::units::Generation;
 use crate::units::ObjectVersion;
 
@@ -28,7 +28,7 @@
 /// A conditional write of a manifest.
 struct ManifestWrite {
     manifest: PublishedManifest,
-    expected: Expected,
+    expected: Precondition,
 }
 
 /// The next step after the published manifest was read.
@@ -81,8 +81,8 @@
     expect: Option<Generation>,
 ) -> NextStep {
     let (generation, expected) = match published {
-        Some((manifest, version)) => (manifest.generation, Expected::Version(*version)),
-        None => (Generation::default(), Expected::Absent),
+        Some((manifest, version)) => (manifest.generation, Precondition::Version(*version)),
+        None => (Generation::default(), Precondition::Absent),
     };
     if expect.is_some_and(|expect| expect != generation) {
         let reason = format!("generation {generation} is published");
@@ -172,7 +172,7 @@
 /// the object is unchanged, since the write may still take effect.
 fn unanswered_outcome(published: Published, write: &ManifestWrite) -> Option<PublishOutcome> {
     let (manifest, version) = published?;
-    let is_unchanged = write.expected == Expected::Version(version);
+    let is_unchanged = write.expected == Precondition::Version(version);
     (!is_unchanged).then(|| outcome_by_manifest(&manifest, &write.manifest))
 }
 
--- a/src/control/claims/relay.rs
+++ b/src/control/claims/relay.rs
@@ -4,11 +4,11 @@
 //! tells the same kinds of failure apart; a peer that was asked and gives no answer leaves the
 //! effect of a write unknown.
 
-use crate::objects::Expected;
 use crate::objects::Object;
 use crate::objects::ObjectKey;
 use crate::objects::ObjectKind;
 use crate::objects::PlatformError;
+use crate::objects::Precondition;
 use crate::peer::PeerError;
 use crate::peer::message::PlatformCall;
 use crate::peer::message::PlatformReply;
@@ -33,7 +33,7 @@
         /// Its new value.
         value: serde_json::Value,
         /// What it must be before.
-        expected: Expected,
+        expected: Precondition,
     },
 }
 
@@ -48,12 +48,12 @@
 }
 
 /// A write as a message.
-pub fn put_to(key: &ObjectKey, value: &serde_json::Value, expected: Expected) -> PlatformCall {
+pub fn put_to(key: &ObjectKey, value: &serde_json::Value, expected: Precondition) -> PlatformCall {
     PlatformCall {
         value: Some(value.to_string().into_bytes()),
         expected_version: match expected {
-            Expected::Absent => None,
-            Expected::Version(version) => Some(version.0),
+            Precondition::Absent => None,
+            Precondition::Version(version) => Some(version.0),
         },
         ..get_to(key)
     }
@@ -69,7 +69,7 @@
     };
     let value = serde_json::from_slice(bytes).map_err(|error| refused(&error.to_string()))?;
     let version = call.expected_version.map(ObjectVersion);
-    let expected = version.map_or(Expected::Absent, Expected::Version);
+    let expected = version.map_or(Precondition::Absent, Precondition::Version);
     Ok(RelayedCall::Put {
         key,
         value,
--- a/src/control/claims/shard.rs
+++ b/src/control/claims/shard.rs
@@ -15,9 +15,9 @@
 use crate::control::claims::ClaimVerdict;
 use crate::control::claims::ShardValue;
 use crate::control::claims::shard_value::entry_bytes;
-use crate::objects::Expected;
 use crate::objects::Object;
 use crate::objects::PlatformError;
+use crate::objects::Precondition;
 use crate::units::AttemptId;
 use crate::units::ObjectVersion;
 
@@ -32,7 +32,7 @@
         /// Its new content.
         value: ShardValue,
         /// What it must be before.
-        expected: Expected,
+        expected: Precondition,
     },
     /// Nothing before this time, unless something new is asked for.
     Wait(Instant),
@@ -370,7 +370,7 @@
         });
         self.is_just_read = false;
         self.next_write_at = Some(now + self.conf.write_interval);
-        let expected = version.map_or(Expected::Absent, Expected::Version);
+        let expected = version.map_or(Precondition::Absent, Precondition::Version);
         ShardAction::Write { value, expected }
     }
 
--- a/src/control/orders/lease.rs
+++ b/src/control/orders/lease.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::objects::Expected;
 use crate::objects::Object;
 use crate::objects::PlatformError;
+use crate::objects::Precondition;
 use crate::units::FencingNumber;
 use crate::units::HostId;
 use crate::units::Incarnation;
@@ -49,7 +49,7 @@
         /// The value.
         spec: LeaseSpec,
         /// What it must find.
-        expected: Expected,
+        expected: Precondition,
     },
 }
 
@@ -209,7 +209,7 @@
                 duration_ms: u64::try_from(DURATION.as_millis()).unwrap_or(u64::MAX),
                 renewals: self.renewals,
             },
-            expected: version.map_or(Expected::Absent, Expected::Version),
+            expected: version.map_or(Precondition::Absent, Precondition::Version),
         }
     }
 
--- a/src/control/status/reporter.rs
+++ b/src/control/status/reporter.rs
@@ -6,9 +6,9 @@
 use rand::Rng;
 use rand::rngs::StdRng;
 
-use crate::objects::Expected;
 use crate::objects::Object;
 use crate::objects::PlatformError;
+use crate::objects::Precondition;
 use crate::units::ObjectVersion;
 
 /// The least time between two writes. At 400 hosts whose reports all change all the time, this is
@@ -28,14 +28,14 @@
     /// Read this host's report, whose version is not known, and pass on the result.
     Read,
     /// Write the report and pass on the result.
-    Write(Expected),
+    Write(Precondition),
 }
 
 /// When a host's report is written, without I/O.
 #[derive(Debug)]
 pub struct Reporter {
     rng: StdRng,
-    expected: Option<Expected>,
+    expected: Option<Precondition>,
     written_hash: Option<u64>,
     hash: u64,
     next_at: Instant,
@@ -77,8 +77,8 @@
     pub fn read(&mut self, result: &Result<Object, PlatformError>, now: Instant) {
         self.is_busy = false;
         match result {
-            Ok(object) => self.expected = Some(Expected::Version(object.version)),
-            Err(PlatformError::Absent) => self.expected = Some(Expected::Absent),
+            Ok(object) => self.expected = Some(Precondition::Version(object.version)),
+            Err(PlatformError::Absent) => self.expected = Some(Precondition::Absent),
             Err(_) => self.next_at = now + self.jittered(RETRY),
         }
     }
@@ -88,7 +88,7 @@
         self.is_busy = false;
         match result {
             Ok(version) => {
-                self.expected = Some(Expected::Version(*version));
+                self.expected = Some(Precondition::Version(*version));
                 self.written_hash = Some(self.hash);
                 self.next_at = now + self.jittered(INTERVAL);
                 self.unchanged_at = now + self.jittered(INTERVAL_UNCHANGED);
--- a/src/daemon/status_loop.rs
+++ b/src/daemon/status_loop.rs
@@ -14,10 +14,10 @@
 use crate::control::status::StatusParts;
 use crate::control::status::StatusReport;
 use crate::daemon::host::Host;
-use crate::objects::Expected;
 use crate::objects::ObjectKey;
 use crate::objects::ObjectKind;
 use crate::objects::PlatformError;
+use crate::objects::Precondition;
 use crate::units::ObjectVersion;
 
 /// A report of 400 hosts takes about a millisecond to make; the reporter writes it once in 30 s at most.
@@ -64,7 +64,7 @@
     host: &Host,
     key: ObjectKey,
     report: &StatusReport,
-    expected: Expected,
+    expected: Precondition,
 ) -> Result<ObjectVersion, PlatformError> {
     let value = serde_json::to_value(report);
     let value = value.map_err(|err| PlatformError::Refused(err.to_string()))?;
--- a/src/fleet/relay_platform.rs
+++ b/src/fleet/relay_platform.rs
@@ -12,13 +12,13 @@
 use crate::cluster_view::HostState;
 use crate::cluster_view::HostView;
 use crate::control::claims::relay;
-use crate::objects::Expected;
 use crate::objects::Object;
 use crate::objects::ObjectKey;
 use crate::objects::ObjectKind;
 use crate::objects::ObjectList;
 use crate::objects::PlatformClient;
 use crate::objects::PlatformError;
+use crate::objects::Precondition;
 use crate::peer::Message;
 use crate::peer::PeerError;
 use crate::peer::Peers;
@@ -115,7 +115,7 @@
         way: &Way,
         key: &ObjectKey,
         value: &serde_json::Value,
-        expected: Expected,
+        expected: Precondition,
     ) -> Result<ObjectVersion, PlatformError> {
         match way {
             Way::Direct => self.direct(self.direct.put(key.clone(), value.clone(), expected).await),
@@ -184,7 +184,7 @@
         &self,
         key: ObjectKey,
         value: serde_json::Value,
-        expected: Expected,
+        expected: Precondition,
     ) -> BoxFuture<'_, Result<ObjectVersion, PlatformError>> {
         async move {
             let mut result = Err(no_way());
--- a/src/objects/http/mod.rs
+++ b/src/objects/http/mod.rs
@@ -19,13 +19,13 @@
 use crate::http::ChunksBody;
 use crate::http::HttpClient;
 use crate::http::HttpError;
-use crate::objects::Expected;
 use crate::objects::Object;
 use crate::objects::ObjectKey;
 use crate::objects::ObjectKind;
 use crate::objects::ObjectList;
 use crate::objects::PlatformClient;
 use crate::objects::PlatformError;
+use crate::objects::Precondition;
 use crate::objects::http::wire::WireEvent;
 use crate::objects::http::wire::WireList;
 use crate::objects::http::wire::WireObject;
@@ -99,12 +99,12 @@
         &self,
         key: &ObjectKey,
         value: serde_json::Value,
-        expected: Expected,
+        expected: Precondition,
     ) -> Result<ObjectVersion, PlatformError> {
         let kind = key.kind.plural();
         let (method, path, version) = match expected {
-            Expected::Absent => (Method::POST, format!("{BASE}/{kind}"), None),
-            Expected::Version(version) => (
+            Precondition::Absent => (Method::POST, format!("{BASE}/{kind}"), None),
+            Precondition::Version(version) => (
                 Method::PUT,
                 format!("{BASE}/{kind}/{}", key.name),
                 Some(version),
@@ -153,7 +153,7 @@
         &self,
         key: ObjectKey,
         value: serde_json::Value,
-        expected: Expected,
+        expected: Precondition,
     ) -> BoxFuture<'_, Result<ObjectVersion, PlatformError>> {
         async move { self.write(&key, value, expected).await }.boxed()
     }
--- a/src/objects/mod.rs
+++ b/src/objects/mod.rs
@@ -14,11 +14,11 @@
 
 pub use error::PlatformError;
 pub use http::HttpPlatformClient;
-pub use object::Expected;
 pub use object::Object;
 pub use object::ObjectKey;
 pub use object::ObjectKind;
 pub use object::ObjectList;
+pub use object::Precondition;
 
 use crate::units::ObjectVersion;
 
@@ -32,7 +32,7 @@
         &self,
         key: ObjectKey,
         value: serde_json::Value,
-        expected: Expected,
+        expected: Precondition,
     ) -> BoxFuture<'_, Result<ObjectVersion, PlatformError>>;
 
     /// Reads all objects of a kind.
--- a/src/objects/object.rs
+++ b/src/objects/object.rs
@@ -91,7 +91,7 @@
 
 /// What a conditional write expects to find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Expected {
+pub enum Precondition {
     /// No object of that name.
     Absent,
     /// The object in this version.
--- a/standin/tests/platform.rs
+++ b/standin/tests/platform.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use banyanarch::http::HttpClient;
-use banyanarch::objects::Expected;
 use banyanarch::objects::HttpPlatformClient;
 use banyanarch::objects::ObjectKey;
 use banyanarch::objects::ObjectKind;
 use banyanarch::objects::PlatformClient;
 use banyanarch::objects::PlatformError;
+use banyanarch::objects::Precondition;
 use banyanarch::units::ObjectVersion;
 use serde_json::json;
 use standin::platform::Outage;
@@ -36,16 +36,18 @@
     let (fake, client) = platform().await;
     let key = key(ObjectKind::Manifests);
     let first = client
-        .put(key.clone(), json!(1), Expected::Absent)
+        .put(key.clone(), json!(1), Precondition::Absent)
         .await
         .unwrap();
-    let again = client.put(key.clone(), json!(1), Expected::Absent).await;
+    let again = client
+        .put(key.clone(), json!(1), Precondition::Absent)
+        .await;
     assert_eq!(again, Err(PlatformError::Conflict));
     let second = client
-        .put(key.clone(), json!(2), Expected::Version(first))
+        .put(key.clone(), json!(2), Precondition::Version(first))
         .await;
     let third = client
-        .put(key.clone(), json!(3), Expected::Version(first))
+        .put(key.clone(), json!(3), Precondition::Version(first))
         .await;
     assert!(second.is_ok());
     assert_eq!(third, Err(PlatformError::Conflict));
@@ -62,7 +64,7 @@
         ..PlatformFaults::default()
     });
     let lost = client
-        .put(key(ObjectKind::Claims), json!("mine"), Expected::Absent)
+        .put(key(ObjectKind::Claims), json!("mine"), Precondition::Absent)
         .await;
     assert!(matches!(lost, Err(PlatformError::Unknown(_))), "{lost:?}");
     let read = client.get(key(ObjectKind::Claims)).await.unwrap();
@@ -76,11 +78,11 @@
     let watch = client.watch(ObjectKind::Manifests, ObjectVersion(0), WAIT);
     let write = async {
         client
-            .put(key(ObjectKind::Claims), json!(1), Expected::Absent)
+            .put(key(ObjectKind::Claims), json!(1), Precondition::Absent)
             .await
             .unwrap();
         client
-            .put(key(ObjectKind::Manifests), json!(2), Expected::Absent)
+            .put(key(ObjectKind::Manifests), json!(2), Precondition::Absent)
             .await
             .unwrap()
     };
@@ -100,7 +102,7 @@
         ..PlatformFaults::default()
     });
     client
-        .put(key(ObjectKind::Machines), json!(1), Expected::Absent)
+        .put(key(ObjectKind::Machines), json!(1), Precondition::Absent)
         .await
         .unwrap();
     let early = client.list(ObjectKind::Machines).await.unwrap();
@@ -123,7 +125,7 @@
     let (fake, client) = platform().await;
     fake.set_faults(faults);
     let put = client
-        .put(key(ObjectKind::Leases), json!(1), Expected::Absent)
+        .put(key(ObjectKind::Leases), json!(1), Precondition::Absent)
         .await;
     assert!(matches!(put, Err(PlatformError::Unavailable(_))), "{put:?}");
     fake.set_faults(PlatformFaults::default());
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -17,11 +17,11 @@
 use banyanarch::control::claims::ClaimVerdict;
 use banyanarch::control::claims::ShardAction;
 use banyanarch::control::claims::relay;
-use banyanarch::objects::Expected;
 use banyanarch::objects::ObjectKey;
 use banyanarch::objects::ObjectKind;
 use banyanarch::objects::PlatformClient;
 use banyanarch::objects::PlatformError;
+use banyanarch::objects::Precondition;
 use banyanarch::peer::PeerError;
 use banyanarch::units::AttemptId;
 use banyanarch::units::HostId;
@@ -401,7 +401,10 @@
 fn relayed_calls_arrive_whole() {
     let key = ObjectKey::new(ObjectKind::Claims, "shard-03");
     let value = serde_json::json!({"claims": {}});
-    for expected in [Expected::Absent, Expected::Version(ObjectVersion(3))] {
+    for expected in [
+        Precondition::Absent,
+        Precondition::Version(ObjectVersion(3)),
+    ] {
         let call = relay::put_to(&key, &value, expected);
         let put = relay::RelayedCall::Put {
             key: key.clone(),
--- a/tests/cmd_publish.rs
+++ b/tests/cmd_publish.rs
@@ -11,13 +11,13 @@
 use banyanarch::cmd::publish_manifest;
 use banyanarch::manifest::Manifest;
 use banyanarch::manifest::PublishedManifest;
-use banyanarch::objects::Expected;
 use banyanarch::objects::Object;
 use banyanarch::objects::ObjectKey;
 use banyanarch::objects::ObjectKind;
 use banyanarch::objects::ObjectList;
 use banyanarch::objects::PlatformClient;
 use banyanarch::objects::PlatformError;
+use banyanarch::objects::Precondition;
 use banyanarch::units::Generation;
 use banyanarch::units::ObjectVersion;
 use futures_util::FutureExt;
@@ -57,7 +57,7 @@
 struct State {
     object: Option<Object>,
     faults: Vec<Fault>,
-    late_write: Option<(serde_json::Value, Expected)>,
+    late_write: Option<(serde_json::Value, Precondition)>,
     is_unreachable: bool,
 }
 
@@ -70,7 +70,7 @@
             .state
             .lock()
             .unwrap()
-            .write(value, Expected::Absent)
+            .write(value, Precondition::Absent)
             .unwrap();
         platform
     }
@@ -90,12 +90,12 @@
     fn write(
         &mut self,
         value: serde_json::Value,
-        expected: Expected,
+        expected: Precondition,
     ) -> Result<ObjectVersion, PlatformError> {
         let version = self.object.as_ref().map(|object| object.version);
         let is_expected = match expected {
-            Expected::Absent => version.is_none(),
-            Expected::Version(wanted) => version == Some(wanted),
+            Precondition::Absent => version.is_none(),
+            Precondition::Version(wanted) => version == Some(wanted),
         };
         if !is_expected {
             return Err(PlatformError::Conflict);
@@ -113,7 +113,7 @@
         let object = self.object.as_ref().unwrap();
         let published: PublishedManifest = serde_json::from_value(object.value.clone()).unwrap();
         let theirs = PublishedManifest::next_after(published.generation, 99, "theirs");
-        let expected = Expected::Version(object.version);
+        let expected = Precondition::Version(object.version);
         self.write(serde_json::to_value(theirs).unwrap(), expected)
             .unwrap();
     }
@@ -121,7 +121,7 @@
     fn put(
         &mut self,
         value: serde_json::Value,
-        expected: Expected,
+        expected: Precondition,
     ) -> Result<ObjectVersion, PlatformError> {
         if let Some((value, expected)) = self.late_write.take() {
             let _ = self.write(value, expected);
@@ -169,7 +169,7 @@
         &self,
         _: ObjectKey,
         value: serde_json::Value,
-        expected: Expected,
+        expected: Precondition,
     ) -> BoxFuture<'_, Result<ObjectVersion, PlatformError>> {
         ready(self.state.lock().unwrap().put(value, expected)).boxed()
     }
--- a/tests/fakes/object.rs
+++ b/tests/fakes/object.rs
@@ -1,11 +1,11 @@
 //! One object of a platform whose calls can go wrong.
 
 use banyanarch::control::claims::ShardValue;
-use banyanarch::objects::Expected;
 use banyanarch::objects::Object;
 use banyanarch::objects::ObjectKey;
 use banyanarch::objects::ObjectKind;
 use banyanarch::objects::PlatformError;
+use banyanarch::objects::Precondition;
 use banyanarch::units::ObjectVersion;
 
 /// How a call goes.
@@ -29,7 +29,7 @@
     pub(crate) writes: u64,
     pub(crate) conflicts: u64,
     pub(crate) reads: u64,
-    delayed: Vec<(ShardValue, Expected)>,
+    delayed: Vec<(ShardValue, Precondition)>,
 }
 
 impl FakeObject {
@@ -51,7 +51,7 @@
     pub(crate) fn put(
         &mut self,
         value: ShardValue,
-        expected: Expected,
+        expected: Precondition,
         fault: Fault,
     ) -> Result<ObjectVersion, PlatformError> {
         let lost = Err(PlatformError::Unknown("lost".to_owned()));
@@ -79,11 +79,11 @@
     fn apply(
         &mut self,
         value: ShardValue,
-        expected: Expected,
+        expected: Precondition,
     ) -> Result<ObjectVersion, PlatformError> {
         let is_met = match expected {
-            Expected::Absent => self.value.is_none(),
-            Expected::Version(version) => self.value.is_some() && version.0 == self.version,
+            Precondition::Absent => self.value.is_none(),
+            Precondition::Version(version) => self.value.is_some() && version.0 == self.version,
         };
         if !is_met {
             self.conflicts += 1;
--- a/tests/fakes/platform.rs
+++ b/tests/fakes/platform.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use banyanarch::control::claims::ShardValue;
-use banyanarch::objects::Expected;
 use banyanarch::objects::Object;
 use banyanarch::objects::ObjectKey;
 use banyanarch::objects::ObjectKind;
 use banyanarch::objects::ObjectList;
 use banyanarch::objects::PlatformClient;
 use banyanarch::objects::PlatformError;
+use banyanarch::objects::Precondition;
 use banyanarch::units::ObjectVersion;
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
@@ -61,7 +61,7 @@
         &self,
         key: ObjectKey,
         value: serde_json::Value,
-        expected: Expected,
+        expected: Precondition,
     ) -> BoxFuture<'_, Result<ObjectVersion, PlatformError>> {
         async move {
             tokio::time::sleep(self.latency).await;
--- a/tests/manifests.rs
+++ b/tests/manifests.rs
@@ -16,13 +16,13 @@
 use banyanarch::control::manifests::watchers;
 use banyanarch::manifest::Manifest;
 use banyanarch::manifest::PublishedManifest;
-use banyanarch::objects::Expected;
 use banyanarch::objects::Object;
 use banyanarch::objects::ObjectKey;
 use banyanarch::objects::ObjectKind;
 use banyanarch::objects::ObjectList;
 use banyanarch::objects::PlatformClient;
 use banyanarch::objects::PlatformError;
+use banyanarch::objects::Precondition;
 use banyanarch::peer::Message;
 use banyanarch::peer::wire_len;
 use banyanarch::units::Generation;
@@ -367,12 +367,12 @@
     fn write(
         state: &mut (Option<Object>, Vec<PublishedManifest>, StdRng),
         value: serde_json::Value,
-        expected: Expected,
+        expected: Precondition,
     ) -> Result<ObjectVersion, PlatformError> {
         let version = state.0.as_ref().map(|object| object.version);
         let is_expected = match expected {
-            Expected::Absent => version.is_none(),
-            Expected::Version(wanted) => version == Some(wanted),
+            Precondition::Absent => version.is_none(),
+            Precondition::Version(wanted) => version == Some(wanted),
         };
         if !is_expected {
             return Err(PlatformError::Conflict);
@@ -411,7 +411,7 @@
         &self,
         _: ObjectKey,
         value: serde_json::Value,
-        expected: Expected,
+        expected: Precondition,
     ) -> BoxFuture<'_, Result<ObjectVersion, PlatformError>> {
         async move {
             self.pause().await;
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -11,11 +11,11 @@
 use banyanarch::control::orders::Wanted;
 use banyanarch::control::orders::plan;
 use banyanarch::manifest::FencingSupport;
-use banyanarch::objects::Expected;
 use banyanarch::objects::Object;
 use banyanarch::objects::ObjectKey;
 use banyanarch::objects::ObjectKind;
 use banyanarch::objects::PlatformError;
+use banyanarch::objects::Precondition;
 use banyanarch::units::ByteSize;
 use banyanarch::units::Incarnation;
 use banyanarch::units::ObjectVersion;
@@ -249,12 +249,12 @@
     fn write(
         &mut self,
         value: serde_json::Value,
-        expected: Expected,
+        expected: Precondition,
     ) -> Result<ObjectVersion, PlatformError> {
         let version = self.lease.as_ref().map(|(version, _)| *version);
         let is_expected = match expected {
-            Expected::Absent => version.is_none(),
-            Expected::Version(wanted) => version == Some(wanted),
+            Precondition::Absent => version.is_none(),
+            Precondition::Version(wanted) => version == Some(wanted),
         };
         if !is_expected {
             return Err(PlatformError::Conflict);
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -15,8 +15,8 @@
 use banyanarch::control::status::ReporterAction;
 use banyanarch::control::status::StatusParts;
 use banyanarch::control::status::StatusReport;
-use banyanarch::objects::Expected;
 use banyanarch::objects::PlatformError;
+use banyanarch::objects::Precondition;
 use banyanarch::units::Generation;
 use banyanarch::units::HostId;
 use banyanarch::units::Incarnation;
@@ -152,7 +152,7 @@
     let at = |seconds| start + Duration::from_secs(seconds);
     assert_eq!(reporter.tick(1, at(60)), Some(ReporterAction::Read));
     reporter.read(&Err(PlatformError::Absent), at(60));
-    let write = ReporterAction::Write(Expected::Absent);
+    let write = ReporterAction::Write(Precondition::Absent);
     assert_eq!(reporter.tick(1, at(60)), Some(write));
     reporter.written(&Err(PlatformError::Unknown("lost".to_owned())), at(60));
     assert_eq!(reporter.tick(1, at(61)), None);
