--- a/src/cmd/error.rs
+++ b/src/cmd/error.rs
@@ -41,7 +41,7 @@
             Self::Usage(_) | Self::Settings(_) | Self::Manifest(_) | Self::Files(_) => {
                 ExitStatus::BadInput
             }
-            Self::Platform(PlatformError::Absent | PlatformError::Refused(_)) => {
+            Self::Platform(PlatformError::NotFound | PlatformError::Refused(_)) => {
                 ExitStatus::Negative
             }
             Self::Platform(_) | Self::Host(_) => ExitStatus::Unreachable,
--- a/src/cmd/publication.rs
+++ b/src/cmd/publication.rs
@@ -63,12 +63,12 @@
     };
     match put(platform, &write).await? {
         Ok(_) => Ok(PublishOutcome::Accepted(write.manifest.generation)),
-        Err(PlatformError::Conflict | PlatformError::Absent) => {
+        Err(PlatformError::Conflict | PlatformError::NotFound) => {
             Ok(conflict_outcome(platform, &write).await)
         }
         Err(PlatformError::Refused(reason)) => Ok(PublishOutcome::Refused(reason)),
         Err(PlatformError::Unavailable(reason)) => Ok(PublishOutcome::Unreachable(reason)),
-        Err(PlatformError::Unknown(error)) => {
+        Err(PlatformError::OutcomeUnknown(error)) => {
             resolve_unanswered(platform, &write, error, pauses).await
         }
     }
--- a/src/cmd/remote.rs
+++ b/src/cmd/remote.rs
@@ -43,7 +43,7 @@
             serde_json::from_value(object.value)?,
             object.version,
         ))),
-        Err(PlatformError::Absent) => Ok(None),
+        Err(PlatformError::NotFound) => Ok(None),
         Err(error) => Err(error.into()),
     }
 }
--- a/src/control/claims/relay.rs
+++ b/src/control/claims/relay.rs
@@ -104,11 +104,11 @@
 
 fn error_to(error: &PlatformError) -> PlatformReply {
     let (status, why) = match error {
-        PlatformError::Absent => (ABSENT, ""),
+        PlatformError::NotFound => (ABSENT, ""),
         PlatformError::Conflict => (CONFLICT, ""),
         PlatformError::Refused(why) => (REFUSED, why.as_str()),
         PlatformError::Unavailable(why) => (UNAVAILABLE, why.as_str()),
-        PlatformError::Unknown(why) => (UNKNOWN, why.as_str()),
+        PlatformError::OutcomeUnknown(why) => (UNKNOWN, why.as_str()),
     };
     PlatformReply {
         status,
@@ -121,7 +121,7 @@
 pub fn got_from(key: &ObjectKey, reply: &PlatformReply) -> Result<Object, PlatformError> {
     let version = written_from(reply)?;
     let value = serde_json::from_slice(&reply.value)
-        .map_err(|error| PlatformError::Unknown(error.to_string()))?;
+        .map_err(|error| PlatformError::OutcomeUnknown(error.to_string()))?;
     Ok(Object {
         key: key.clone(),
         version,
@@ -134,12 +134,12 @@
     let why = reply.why.clone();
     match reply.status {
         DONE => Ok(ObjectVersion(reply.version)),
-        ABSENT => Err(PlatformError::Absent),
+        ABSENT => Err(PlatformError::NotFound),
         CONFLICT => Err(PlatformError::Conflict),
         REFUSED => Err(PlatformError::Refused(why)),
         UNAVAILABLE => Err(PlatformError::Unavailable(why)),
         // A newer peer's word that this one does not know proves nothing.
-        _ => Err(PlatformError::Unknown(why)),
+        _ => Err(PlatformError::OutcomeUnknown(why)),
     }
 }
 
@@ -148,6 +148,6 @@
     let why = error.to_string();
     match error {
         PeerError::UnknownHost | PeerError::Unreachable(_) => PlatformError::Unavailable(why),
-        PeerError::NoAnswer | PeerError::BadFrame(_) => PlatformError::Unknown(why),
+        PeerError::NoAnswer | PeerError::BadFrame(_) => PlatformError::OutcomeUnknown(why),
     }
 }
--- a/src/control/claims/shard.rs
+++ b/src/control/claims/shard.rs
@@ -244,7 +244,7 @@
             Ok(object) => {
                 ShardValue::from_json(object.value).map(|value| (Some(object.version), value))
             }
-            Err(PlatformError::Absent) => Ok((None, ShardValue::default())),
+            Err(PlatformError::NotFound) => Ok((None, ShardValue::default())),
             Err(error) => Err(error),
         };
         match got {
@@ -265,13 +265,13 @@
         };
         match result {
             Ok(version) => self.learn(Some(version), writing.value, writing.order, now),
-            Err(PlatformError::Conflict | PlatformError::Absent) => {
+            Err(PlatformError::Conflict | PlatformError::NotFound) => {
                 self.known = None;
                 self.is_contended = true;
                 self.next_write_at = None;
             }
             Err(error) => {
-                if matches!(error, PlatformError::Unknown(_)) {
+                if matches!(error, PlatformError::OutcomeUnknown(_)) {
                     self.doubt = Some(writing.expected);
                 }
                 self.known = None;
--- a/src/control/orders/lease.rs
+++ b/src/control/orders/lease.rs
@@ -140,7 +140,7 @@
         self.is_reading = false;
         match result {
             Ok(object) => self.take_in(&object, now),
-            Err(PlatformError::Absent) => self.saw(None, Duration::ZERO, now),
+            Err(PlatformError::NotFound) => self.saw(None, Duration::ZERO, now),
             Err(error) => log::debug!("orders: can't read a lease: {error}"),
         }
     }
@@ -155,7 +155,7 @@
                 self.saw(Some(version), DURATION, now);
                 self.hold(version, writing.sent_at);
             }
-            Err(PlatformError::Unknown(why)) => {
+            Err(PlatformError::OutcomeUnknown(why)) => {
                 log::debug!("orders: a lease's write has no answer: {why}");
                 self.writing = Some(writing);
                 self.next_try = now;
--- a/src/control/status/reporter.rs
+++ b/src/control/status/reporter.rs
@@ -78,7 +78,7 @@
         self.is_busy = false;
         match result {
             Ok(object) => self.expected = Some(Precondition::Version(object.version)),
-            Err(PlatformError::Absent) => self.expected = Some(Precondition::Absent),
+            Err(PlatformError::NotFound) => self.expected = Some(Precondition::Absent),
             Err(_) => self.next_at = now + self.jittered(RETRY),
         }
     }
@@ -94,7 +94,11 @@
                 self.unchanged_at = now + self.jittered(INTERVAL_UNCHANGED);
             }
             // An earlier process of this host, or a write whose answer was lost.
-            Err(PlatformError::Conflict | PlatformError::Absent | PlatformError::Unknown(_)) => {
+            Err(
+                PlatformError::Conflict
+                | PlatformError::NotFound
+                | PlatformError::OutcomeUnknown(_),
+            ) => {
                 self.expected = None;
                 self.next_at = now + self.jittered(RETRY);
             }
--- a/src/fleet/relay_platform.rs
+++ b/src/fleet/relay_platform.rs
@@ -94,7 +94,7 @@
     fn direct<T>(&self, result: Result<T, PlatformError>) -> Result<T, PlatformError> {
         let is_down = matches!(
             result,
-            Err(PlatformError::Unavailable(_) | PlatformError::Unknown(_))
+            Err(PlatformError::Unavailable(_) | PlatformError::OutcomeUnknown(_))
         );
         self.is_direct_down.store(is_down, Ordering::Relaxed);
         result
@@ -170,7 +170,7 @@
                 // A read has no effect: one that nobody answered may be tried another way.
                 if !matches!(
                     result,
-                    Err(PlatformError::Unavailable(_) | PlatformError::Unknown(_))
+                    Err(PlatformError::Unavailable(_) | PlatformError::OutcomeUnknown(_))
                 ) {
                     break;
                 }
--- a/src/objects/http/mod.rs
+++ b/src/objects/http/mod.rs
@@ -62,7 +62,7 @@
             .map_err(|err| read_error(&err))?;
         match res.status() {
             StatusCode::OK => Ok(res.into_body()),
-            StatusCode::NOT_FOUND => Err(PlatformError::Absent),
+            StatusCode::NOT_FOUND => Err(PlatformError::NotFound),
             status if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS => {
                 Err(PlatformError::Refused(reason(&res)))
             }
@@ -122,16 +122,17 @@
         let res = res.map_err(write_error)?;
         match res.status() {
             StatusCode::OK | StatusCode::CREATED => {
-                let object: WireObject = parse(res.body()).map_err(PlatformError::Unknown)?;
-                object.version().map_err(PlatformError::Unknown)
+                let object: WireObject =
+                    parse(res.body()).map_err(PlatformError::OutcomeUnknown)?;
+                object.version().map_err(PlatformError::OutcomeUnknown)
             }
             StatusCode::CONFLICT => Err(PlatformError::Conflict),
-            StatusCode::NOT_FOUND => Err(PlatformError::Absent),
+            StatusCode::NOT_FOUND => Err(PlatformError::NotFound),
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
                 Err(PlatformError::Unavailable(reason(&res)))
             }
             status if status.is_client_error() => Err(PlatformError::Refused(reason(&res))),
-            _ => Err(PlatformError::Unknown(reason(&res))),
+            _ => Err(PlatformError::OutcomeUnknown(reason(&res))),
         }
     }
 }
@@ -221,7 +222,7 @@
 fn write_error(err: HttpError) -> PlatformError {
     match err {
         HttpError::NotSent(why) => PlatformError::Unavailable(why),
-        HttpError::Interrupted(why) => PlatformError::Unknown(why),
+        HttpError::Interrupted(why) => PlatformError::OutcomeUnknown(why),
     }
 }
 
--- a/standin/tests/platform.rs
+++ b/standin/tests/platform.rs
@@ -66,7 +66,10 @@
     let lost = client
         .put(key(ObjectKind::Claims), json!("mine"), Precondition::Absent)
         .await;
-    assert!(matches!(lost, Err(PlatformError::Unknown(_))), "{lost:?}");
+    assert!(
+        matches!(lost, Err(PlatformError::OutcomeUnknown(_))),
+        "{lost:?}"
+    );
     let read = client.get(key(ObjectKind::Claims)).await.unwrap();
     assert_eq!(read.value, json!("mine"));
 }
@@ -130,5 +133,5 @@
     assert!(matches!(put, Err(PlatformError::Unavailable(_))), "{put:?}");
     fake.set_faults(PlatformFaults::default());
     let read = client.get(key(ObjectKind::Leases)).await;
-    assert_eq!(read, Err(PlatformError::Absent));
+    assert_eq!(read, Err(PlatformError::NotFound));
 }
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -379,14 +379,14 @@
 }
 
 fn unknown() -> PlatformError {
-    PlatformError::Unknown("no answer".to_owned())
+    PlatformError::OutcomeUnknown("no answer".to_owned())
 }
 
 /// A host that is cut off from the platform asks a peer. The kinds of failure must survive the way,
 /// since "unknown" taken for "unavailable" would let a request run twice.
 #[parameterized(
     done = { Ok(ObjectVersion(7)) },
-    absent = { Err(PlatformError::Absent) },
+    absent = { Err(PlatformError::NotFound) },
     conflict = { Err(PlatformError::Conflict) },
     refused = { Err(PlatformError::Refused("too large".to_owned())) },
     unavailable = { Err(PlatformError::Unavailable("down".to_owned())) },
@@ -416,7 +416,7 @@
     let get = relay::RelayedCall::Get(key.clone());
     assert_eq!(relay::call_from(&relay::get_to(&key)), Ok(get));
     let silent = relay::of_peer_error(&PeerError::NoAnswer);
-    assert!(matches!(silent, PlatformError::Unknown(_)));
+    assert!(matches!(silent, PlatformError::OutcomeUnknown(_)));
     let unreached = relay::of_peer_error(&PeerError::UnknownHost);
     assert!(matches!(unreached, PlatformError::Unavailable(_)));
 }
--- a/tests/cmd_publish.rs
+++ b/tests/cmd_publish.rs
@@ -126,7 +126,9 @@
         if let Some((value, expected)) = self.late_write.take() {
             let _ = self.write(value, expected);
         }
-        let no_answer = Err(PlatformError::Unknown("connection closed".to_owned()));
+        let no_answer = Err(PlatformError::OutcomeUnknown(
+            "connection closed".to_owned(),
+        ));
         match self.faults.pop() {
             None => self.write(value, expected),
             Some(Fault::WriteLost) => no_answer,
@@ -156,7 +158,7 @@
     fn get(&self, _: ObjectKey) -> BoxFuture<'_, Result<Object, PlatformError>> {
         let state = self.state.lock().unwrap();
         let unreachable = PlatformError::Unavailable("unreachable".to_owned());
-        let object = state.object.clone().ok_or(PlatformError::Absent);
+        let object = state.object.clone().ok_or(PlatformError::NotFound);
         ready(if state.is_unreachable {
             Err(unreachable)
         } else {
--- a/tests/fakes/object.rs
+++ b/tests/fakes/object.rs
@@ -37,10 +37,10 @@
         match fault {
             Fault::None => (),
             Fault::Unavailable => return Err(PlatformError::Unavailable("down".to_owned())),
-            _ => return Err(PlatformError::Unknown("lost".to_owned())),
+            _ => return Err(PlatformError::OutcomeUnknown("lost".to_owned())),
         }
         self.reads += 1;
-        let value = self.value.as_ref().ok_or(PlatformError::Absent)?;
+        let value = self.value.as_ref().ok_or(PlatformError::NotFound)?;
         Ok(Object {
             key: ObjectKey::new(ObjectKind::Claims, "shard-00"),
             version: ObjectVersion(self.version),
@@ -54,7 +54,7 @@
         expected: Precondition,
         fault: Fault,
     ) -> Result<ObjectVersion, PlatformError> {
-        let lost = Err(PlatformError::Unknown("lost".to_owned()));
+        let lost = Err(PlatformError::OutcomeUnknown("lost".to_owned()));
         match fault {
             Fault::None => self.apply(value, expected),
             Fault::Unavailable => Err(PlatformError::Unavailable("down".to_owned())),
--- a/tests/manifests.rs
+++ b/tests/manifests.rs
@@ -402,7 +402,7 @@
             self.pause().await;
             let read = self.state.lock().unwrap().0.clone();
             self.pause().await;
-            read.ok_or(PlatformError::Absent)
+            read.ok_or(PlatformError::NotFound)
         }
         .boxed()
     }
@@ -415,7 +415,7 @@
     ) -> BoxFuture<'_, Result<ObjectVersion, PlatformError>> {
         async move {
             self.pause().await;
-            let lost = || PlatformError::Unknown("no answer".to_owned());
+            let lost = || PlatformError::OutcomeUnknown("no answer".to_owned());
             let fault = self.state.lock().unwrap().2.random_range(0..8);
             if fault == 0 {
                 return Err(PlatformError::Unavailable("busy".to_owned()));
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -227,18 +227,18 @@
                 });
                 let result = match is_away {
                     true => Err(PlatformError::Unavailable("busy".to_owned())),
-                    false => read.ok_or(PlatformError::Absent),
+                    false => read.ok_or(PlatformError::NotFound),
                 };
                 self.hosts[host].lease_read(result, self.now);
             }
             LeaseAction::Write { spec, expected } => {
                 let result = match fault {
                     _ if is_away => Err(PlatformError::Unavailable("busy".to_owned())),
-                    1 => Err(PlatformError::Unknown("lost".to_owned())),
+                    1 => Err(PlatformError::OutcomeUnknown("lost".to_owned())),
                     _ => self.write(serde_json::to_value(spec).unwrap(), expected),
                 };
                 let result = match fault {
-                    2 | 3 => Err(PlatformError::Unknown("lost".to_owned())),
+                    2 | 3 => Err(PlatformError::OutcomeUnknown("lost".to_owned())),
                     _ => result,
                 };
                 self.hosts[host].lease_written(result, self.now);
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -129,7 +129,7 @@
             let outage = || PlatformError::Unavailable("unreachable".to_owned());
             match action {
                 ReporterAction::Read if is_outage => reporter.read(&Err(outage()), now),
-                ReporterAction::Read => reporter.read(&Err(PlatformError::Absent), now),
+                ReporterAction::Read => reporter.read(&Err(PlatformError::NotFound), now),
                 ReporterAction::Write(_) if is_outage => reporter.written(&Err(outage()), now),
                 ReporterAction::Write(_) => {
                     writes += 1;
@@ -151,10 +151,13 @@
     let mut reporter = Reporter::new(StdRng::seed_from_u64(1), start);
     let at = |seconds| start + Duration::from_secs(seconds);
     assert_eq!(reporter.tick(1, at(60)), Some(ReporterAction::Read));
-    reporter.read(&Err(PlatformError::Absent), at(60));
+    reporter.read(&Err(PlatformError::NotFound), at(60));
     let write = ReporterAction::Write(Precondition::Absent);
     assert_eq!(reporter.tick(1, at(60)), Some(write));
-    reporter.written(&Err(PlatformError::Unknown("lost".to_owned())), at(60));
+    reporter.written(
+        &Err(PlatformError::OutcomeUnknown("lost".to_owned())),
+        at(60),
+    );
     assert_eq!(reporter.tick(1, at(61)), None);
     assert_eq!(reporter.tick(1, at(120)), Some(ReporterAction::Read));
 }
@@ -169,7 +172,7 @@
     for second in 0..3_600 {
         let now = start + Duration::from_secs(second);
         match reporter.tick(1, now) {
-            Some(ReporterAction::Read) => reporter.read(&Err(PlatformError::Absent), now),
+            Some(ReporterAction::Read) => reporter.read(&Err(PlatformError::NotFound), now),
             Some(ReporterAction::Write(_)) => {
                 writes += 1;
                 reporter.written(&Ok(ObjectVersion(2)), now);
