--- a/src/fleet/home_desk/mod.rs
+++ b/src/fleet/home_desk/mod.rs
@@ -33,7 +33,7 @@
 use crate::fleet::GrantWaiters;
 use crate::fleet::HomeMap;
 use crate::fleet::LiveGrants;
-use crate::peer::Peers;
+use crate::peer::PeerTransport;
 use crate::settings::PolicyName;
 use crate::units::Generation;
 use crate::units::HostId;
@@ -70,7 +70,7 @@
     host: HostId,
     cluster_view: Arc<ClusterView>,
     events: Arc<Events>,
-    peers: Arc<dyn Peers>,
+    peers: Arc<dyn PeerTransport>,
     map: Arc<dyn HomeMap>,
     upstreams: Arc<dyn UpstreamDirectory>,
     waiters: Arc<GrantWaiters>,
@@ -91,7 +91,7 @@
     /// What this host did lately.
     pub events: Arc<Events>,
     /// Other hosts.
-    pub peers: Arc<dyn Peers>,
+    pub peers: Arc<dyn PeerTransport>,
     /// Which hosts are homes.
     pub map: Arc<dyn HomeMap>,
     /// Upstreams.
--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -28,7 +28,7 @@
 use crate::fleet::HomeMap;
 use crate::fleet::LiveGrants;
 use crate::peer::Message;
-use crate::peer::Peers;
+use crate::peer::PeerTransport;
 use crate::settings::PolicyName;
 use crate::units::GrantId;
 use crate::units::HostId;
@@ -53,7 +53,7 @@
 pub struct HomeGranter {
     clock: Arc<dyn Clock>,
     host: HostId,
-    peers: Arc<dyn Peers>,
+    peers: Arc<dyn PeerTransport>,
     map: Arc<dyn HomeMap>,
     desk: Arc<HomeDesk>,
     waiters: Arc<GrantWaiters>,
@@ -68,7 +68,7 @@
     /// This host.
     pub host: HostId,
     /// Other hosts.
-    pub peers: Arc<dyn Peers>,
+    pub peers: Arc<dyn PeerTransport>,
     /// Which hosts are homes.
     pub map: Arc<dyn HomeMap>,
     /// The homes on this host.
--- a/src/fleet/manifest_desk.rs
+++ b/src/fleet/manifest_desk.rs
@@ -20,7 +20,7 @@
 use crate::control::status::Events;
 use crate::observe::Metrics;
 use crate::peer::Message;
-use crate::peer::Peers;
+use crate::peer::PeerTransport;
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
@@ -29,7 +29,7 @@
     clock: Arc<dyn Clock>,
     cluster_view: Arc<ClusterView>,
     events: Arc<Events>,
-    peers: Arc<dyn Peers>,
+    peers: Arc<dyn PeerTransport>,
     metrics: Arc<Metrics>,
     host: HostId,
     domain: FailureDomainId,
@@ -47,7 +47,7 @@
     /// What this host did lately.
     pub events: Arc<Events>,
     /// Other hosts.
-    pub peers: Arc<dyn Peers>,
+    pub peers: Arc<dyn PeerTransport>,
     /// Metrics, which follow the manifest's customers.
     pub metrics: Arc<Metrics>,
     /// This host.
--- a/src/fleet/membership_desk.rs
+++ b/src/fleet/membership_desk.rs
@@ -21,7 +21,7 @@
 use crate::decide::UpstreamHealth;
 use crate::entry::PoisonSpread;
 use crate::fleet::poison_wire;
-use crate::peer::Peers;
+use crate::peer::PeerTransport;
 use crate::peer::message::Gossip;
 use crate::peer::message::PoisonNotice;
 use crate::settings::PeerSeed;
@@ -48,7 +48,7 @@
 pub struct MembershipDesk {
     clock: Arc<dyn Clock>,
     cluster_view: Arc<ClusterView>,
-    peers: Arc<dyn Peers>,
+    peers: Arc<dyn PeerTransport>,
     events: Arc<Events>,
     host: HostId,
     membership: Mutex<Membership>,
@@ -59,7 +59,7 @@
     pub fn new(
         clock: Arc<dyn Clock>,
         cluster_view: Arc<ClusterView>,
-        peers: Arc<dyn Peers>,
+        peers: Arc<dyn PeerTransport>,
         events: Arc<Events>,
         host: HostId,
         membership: Membership,
--- a/src/fleet/relay_platform.rs
+++ b/src/fleet/relay_platform.rs
@@ -21,7 +21,7 @@
 use crate::objects::Precondition;
 use crate::peer::Message;
 use crate::peer::PeerError;
-use crate::peer::Peers;
+use crate::peer::PeerTransport;
 use crate::peer::message::PlatformCall;
 use crate::peer::message::PlatformReply;
 use crate::units::FailureDomainId;
@@ -42,7 +42,7 @@
 /// from then on peers are asked first, until the host's regular reads get through again.
 pub struct RelayPlatformClient {
     direct: Arc<dyn PlatformClient>,
-    peers: Arc<dyn Peers>,
+    peers: Arc<dyn PeerTransport>,
     cluster_view: Arc<ClusterView>,
     host: HostId,
     domain: FailureDomainId,
@@ -54,7 +54,7 @@
     /// The platform as this host reaches it itself.
     pub direct: Arc<dyn PlatformClient>,
     /// Other hosts.
-    pub peers: Arc<dyn Peers>,
+    pub peers: Arc<dyn PeerTransport>,
     /// Which hosts there are.
     pub cluster_view: Arc<ClusterView>,
     /// This host.
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -39,7 +39,7 @@
 use crate::units::HostId;
 
 /// Other hosts, as something to send messages to.
-pub trait Peers: Send + Sync {
+pub trait PeerTransport: Send + Sync {
     /// Sends a message without waiting; it may be lost.
     fn send(&self, to: &HostId, message: Message);
 
--- a/src/peer/pool.rs
+++ b/src/peer/pool.rs
@@ -18,7 +18,7 @@
 use crate::peer::Message;
 use crate::peer::PeerAddrs;
 use crate::peer::PeerError;
-use crate::peer::Peers;
+use crate::peer::PeerTransport;
 use crate::peer::Traffic;
 use crate::peer::link::Link;
 use crate::peer::link::Outgoing;
@@ -119,7 +119,7 @@
     }
 }
 
-impl Peers for PeerPool {
+impl PeerTransport for PeerPool {
     fn send(&self, to: &HostId, message: Message) {
         let outgoing = Outgoing {
             message,
--- a/tests/peer.rs
+++ b/tests/peer.rs
@@ -15,7 +15,7 @@
 use banyanarch::peer::PeerHandler;
 use banyanarch::peer::PeerPool;
 use banyanarch::peer::PeerServer;
-use banyanarch::peer::Peers;
+use banyanarch::peer::PeerTransport;
 use banyanarch::peer::Seal;
 use banyanarch::peer::Traffic;
 use banyanarch::peer::message::Envelope;
