--- a/src/control/claims/relay.rs
+++ b/src/control/claims/relay.rs
@@ -148,6 +148,6 @@
     let why = error.to_string();
     match error {
         PeerError::UnknownHost | PeerError::Unreachable(_) => PlatformError::Unavailable(why),
-        PeerError::NoAnswer | PeerError::BadFrame(_) => PlatformError::OutcomeUnknown(why),
+        PeerError::NoReply | PeerError::BadFrame(_) => PlatformError::OutcomeUnknown(why),
     }
 }
--- a/src/fleet/relay_platform.rs
+++ b/src/fleet/relay_platform.rs
@@ -151,7 +151,7 @@
             .await;
         match asked {
             Ok(Message::PlatformReply(reply)) => Ok(reply),
-            Ok(_) => Err(relay::of_peer_error(&PeerError::NoAnswer)),
+            Ok(_) => Err(relay::of_peer_error(&PeerError::NoReply)),
             Err(err) => Err(relay::of_peer_error(&err)),
         }
     }
--- a/src/peer/pool.rs
+++ b/src/peer/pool.rs
@@ -149,7 +149,7 @@
             }
             match tokio::time::timeout(timeout, answered).await {
                 Ok(Ok(answer)) => answer,
-                Ok(Err(_)) | Err(_) => Err(PeerError::NoAnswer),
+                Ok(Err(_)) | Err(_) => Err(PeerError::NoReply),
             }
         })
     }
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -415,7 +415,7 @@
     }
     let get = relay::RelayedCall::Get(key.clone());
     assert_eq!(relay::call_from(&relay::get_to(&key)), Ok(get));
-    let silent = relay::of_peer_error(&PeerError::NoAnswer);
+    let silent = relay::of_peer_error(&PeerError::NoReply);
     assert!(matches!(silent, PlatformError::OutcomeUnknown(_)));
     let unreached = relay::of_peer_error(&PeerError::UnknownHost);
     assert!(matches!(unreached, PlatformError::Unavailable(_)));
--- a/tests/peer.rs
+++ b/tests/peer.rs
@@ -306,7 +306,7 @@
     );
     let to = "frozen".parse().unwrap();
     let asked = pool.request(&to, call("x"), Duration::from_millis(50));
-    assert_eq!(asked.await.unwrap_err(), PeerError::NoAnswer);
+    assert_eq!(asked.await.unwrap_err(), PeerError::NoReply);
     for _ in 0..5_000 {
         pool.send(&to, call("y"));
     }
