--- a/src/peer/error.rs
+++ b/src/peer/error.rs
@@ -11,7 +11,7 @@
     /// It could not be connected to; the message did not leave.
     Unreachable(String),
     /// The connection broke or nothing came in time; the message may have arrived.
-    NoAnswer,
+    NoReply,
     /// A frame that is too large, of an unknown kind, or not by an authenticated peer.
     BadFrame(String),
 }
@@ -21,7 +21,7 @@
         match self {
             Self::UnknownHost => f.write_str("peer: no such host"),
             Self::Unreachable(why) => write!(f, "peer unreachable: {why}"),
-            Self::NoAnswer => f.write_str("peer gave no answer"),
+            Self::NoReply => f.write_str("peer gave no answer"),
             Self::BadFrame(why) => write!(f, "peer sent a bad frame: {why}"),
         }
     }
