--- a/src/peer/codec.rs
+++ b/src/peer/codec.rs
@@ -7,9 +7,9 @@
 use tokio_util::codec::Encoder;
 use tokio_util::codec::LengthDelimitedCodec;
 
+use crate::peer::FrameAuthenticator;
 use crate::peer::FrameError;
 use crate::peer::Message;
-use crate::peer::Seal;
 use crate::peer::message::Envelope;
 use crate::peer::seal::TAG_LEN;
 
@@ -27,14 +27,14 @@
 /// The sender's name is not on the wire: it is that of the handshake, and is filled in here.
 pub struct EnvelopeCodec {
     framing: LengthDelimitedCodec,
-    sending: Seal,
-    receiving: Seal,
+    sending: FrameAuthenticator,
+    receiving: FrameAuthenticator,
     peer: String,
 }
 
 impl EnvelopeCodec {
     /// A codec towards the host `peer`.
-    pub fn new(peer: &str, sending: Seal, receiving: Seal) -> Self {
+    pub fn new(peer: &str, sending: FrameAuthenticator, receiving: FrameAuthenticator) -> Self {
         Self {
             framing: framing(FRAME_SIZE_MAX),
             sending,
--- a/src/peer/handshake.rs
+++ b/src/peer/handshake.rs
@@ -19,9 +19,9 @@
 use tokio_util::codec::LengthDelimitedCodec;
 
 use crate::peer::EnvelopeCodec;
+use crate::peer::FrameAuthenticator;
 use crate::peer::FrameError;
 use crate::peer::Keyring;
-use crate::peer::Seal;
 use crate::peer::codec::framing;
 use crate::peer::keyring::hmac_with;
 use crate::settings::PeerKey;
@@ -141,8 +141,8 @@
             .map_err(|_| HandshakeError::Stranger("wrong proof of the key".to_owned()))
     }
 
-    fn seal(&self, purpose: &str) -> Result<Seal, InvalidLength> {
-        Seal::new(&self.proof(purpose)?)
+    fn seal(&self, purpose: &str) -> Result<FrameAuthenticator, InvalidLength> {
+        FrameAuthenticator::new(&self.proof(purpose)?)
     }
 }
 
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -30,7 +30,7 @@
 pub use keyring::Keyring;
 pub use message::Message;
 pub use pool::PeerPool;
-pub use seal::Seal;
+pub use seal::FrameAuthenticator;
 pub use server::PeerServer;
 pub use token_bucket::TokenBucket;
 pub use traffic::Traffic;
--- a/src/peer/seal.rs
+++ b/src/peer/seal.rs
@@ -12,12 +12,12 @@
 /// Signs or checks the frames of one direction. The frame's number goes into its tag, so that a
 /// frame that was repeated, dropped or reordered on the way shows as a wrong tag.
 #[derive(Clone)]
-pub struct Seal {
+pub struct FrameAuthenticator {
     keyed: HmacSha256,
     next_seq: u64,
 }
 
-impl Seal {
+impl FrameAuthenticator {
     /// A seal under the session's key for this direction.
     pub fn new(session_key: &[u8]) -> Result<Self, InvalidLength> {
         Ok(Self {
--- a/tests/peer.rs
+++ b/tests/peer.rs
@@ -8,6 +8,7 @@
 use banyanarch::clock::SystemClock;
 use banyanarch::peer::EnvelopeCodec;
 use banyanarch::peer::FRAME_SIZE_MAX;
+use banyanarch::peer::FrameAuthenticator;
 use banyanarch::peer::Keyring;
 use banyanarch::peer::Message;
 use banyanarch::peer::PeerAddrs;
@@ -16,7 +17,6 @@
 use banyanarch::peer::PeerPool;
 use banyanarch::peer::PeerServer;
 use banyanarch::peer::PeerTransport;
-use banyanarch::peer::Seal;
 use banyanarch::peer::Traffic;
 use banyanarch::peer::message::Envelope;
 use banyanarch::peer::message::PlatformCall;
@@ -352,7 +352,7 @@
 }
 
 fn codec_pair() -> (EnvelopeCodec, EnvelopeCodec) {
-    let seal = |key: &[u8]| Seal::new(key).unwrap();
+    let seal = |key: &[u8]| FrameAuthenticator::new(key).unwrap();
     let client = EnvelopeCodec::new("server", seal(b"up"), seal(b"down"));
     let server = EnvelopeCodec::new("client", seal(b"down"), seal(b"up"));
     (client, server)
