--- a/src/control/membership/machine/hearing.rs
+++ b/src/control/membership/machine/hearing.rs
@@ -37,7 +37,7 @@
                 self.compare(from, probe.view_hash, now);
             }
             GossipBody::Ack(ack) => self.handle_ack(from, &ack, now),
-            GossipBody::ProbeFor(asked) => {
+            GossipBody::IndirectProbe(asked) => {
                 if let Ok(target) = asked.target.parse::<HostId>() {
                     let seq = self.probes.begin_for(from.clone(), asked.seq, now);
                     let view_hash = self.roster.view_hash();
--- a/src/control/membership/machine/mod.rs
+++ b/src/control/membership/machine/mod.rs
@@ -30,10 +30,10 @@
 use crate::control::membership::suspicion::Suspicion;
 use crate::peer::message::Gossip;
 use crate::peer::message::GossipBody;
+use crate::peer::message::IndirectProbe;
 use crate::peer::message::LeavingUpstream;
 use crate::peer::message::PoisonNotice;
 use crate::peer::message::Probe;
-use crate::peer::message::ProbeFor;
 use crate::settings::PeerSeed;
 use crate::units::FailureDomainId;
 use crate::units::Generation;
@@ -306,11 +306,11 @@
             ProbeStep::AskOthers { seq, target } => {
                 for helper in self.neighbours(conf::INDIRECT_PROBES + 1) {
                     if helper != target {
-                        let body = ProbeFor {
+                        let body = IndirectProbe {
                             seq,
                             target: target.to_string(),
                         };
-                        self.send(&helper, GossipBody::ProbeFor(body), now);
+                        self.send(&helper, GossipBody::IndirectProbe(body), now);
                     }
                 }
             }
--- a/src/peer/message/gossip.rs
+++ b/src/peer/message/gossip.rs
@@ -38,7 +38,7 @@
     Ack(ProbeAck),
     /// Probe another host for the sender, who gets no answer from it.
     #[prost(message, tag = "12")]
-    ProbeFor(ProbeFor),
+    IndirectProbe(IndirectProbe),
     /// The sender has just come; tell it who is there.
     #[prost(message, tag = "13")]
     Join(HostRecord),
@@ -77,7 +77,7 @@
 /// A request to probe another host.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-pub struct ProbeFor {
+pub struct IndirectProbe {
     /// The number that the answer repeats.
     #[prost(uint64, tag = "1")]
     pub seq: u64,
