--- a/src/control/home/wire.rs
+++ b/src/control/home/wire.rs
@@ -196,7 +196,7 @@
 
 /// The end of a grant as a message.
 pub fn finish_to(pool: &PoolId, grant: GrantId, done: &AttemptSummary) -> message::Finish {
-    let report = message::DoneReport {
+    let report = message::AttemptReport {
         ended: ended_to(done.ended),
         first_token_us: done.first_token.map(us),
         total_us: us(done.total),
--- a/src/peer/message/grant.rs
+++ b/src/peer/message/grant.rs
@@ -117,7 +117,7 @@
 /// [`crate::decide::AttemptSummary`] on the wire.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-pub struct DoneReport {
+pub struct AttemptReport {
     /// The end: 0 completed, 1 cancelled, 2 not sent, 3 refused, 4 failed.
     #[prost(uint32, tag = "1")]
     pub ended: u32,
@@ -150,7 +150,7 @@
     pub grant: Vec<u8>,
     /// How.
     #[prost(message, optional, tag = "3")]
-    pub done: Option<DoneReport>,
+    pub done: Option<AttemptReport>,
 }
 
 /// A live grant with its work.
--- a/src/peer/message/mod.rs
+++ b/src/peer/message/mod.rs
@@ -18,7 +18,7 @@
 pub use gossip::ProbeAck;
 pub use gossip::Pull;
 pub use grant::Announce;
-pub use grant::DoneReport;
+pub use grant::AttemptReport;
 pub use grant::Finish;
 pub use grant::GrantReply;
 pub use grant::GrantRequest;
