--- a/src/control/home/wire.rs
+++ b/src/control/home/wire.rs
@@ -252,7 +252,7 @@
 
 /// A host's live grants of a pool as a message.
 pub fn announce_to(pool: &PoolId, grants: &[LiveGrant], now: Instant) -> message::Announce {
-    let grant = |grant: &LiveGrant| message::WorkWithGrant {
+    let grant = |grant: &LiveGrant| message::AnnouncedGrant {
         grant: id_to(grant.id.0),
         work: Some(work_to(&grant.work, now)),
         upstreams: upstreams_to(&grant.upstreams),
@@ -269,7 +269,7 @@
     announce: &message::Announce,
     now: Instant,
 ) -> Result<(PoolId, Vec<LiveGrant>), WireError> {
-    let grant = |grant: &message::WorkWithGrant| {
+    let grant = |grant: &message::AnnouncedGrant| {
         let work = grant.work.as_ref().ok_or_else(|| bad("work"))?;
         Ok(LiveGrant {
             id: GrantId(id_from(&grant.grant, "grant")?),
--- a/src/peer/message/grant.rs
+++ b/src/peer/message/grant.rs
@@ -156,7 +156,7 @@
 /// A live grant with its work.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-pub struct WorkWithGrant {
+pub struct AnnouncedGrant {
     /// The grant, 16 bytes.
     #[prost(bytes = "vec", tag = "1")]
     pub grant: Vec<u8>,
@@ -178,7 +178,7 @@
     pub pool: String,
     /// The grants.
     #[prost(message, repeated, tag = "2")]
-    pub grants: Vec<WorkWithGrant>,
+    pub grants: Vec<AnnouncedGrant>,
     /// Whether this is a home's question for the receiver's grants, and no announcement.
     #[prost(bool, tag = "3")]
     pub is_question: bool,
