--- a/src/control/home/wire.rs
+++ b/src/control/home/wire.rs
@@ -260,7 +260,7 @@
     message::Announce {
         pool: pool.to_string(),
         grants: grants.iter().map(grant).collect(),
-        is_question: false,
+        is_query: false,
     }
 }
 
--- a/src/control/membership/machine/digests.rs
+++ b/src/control/membership/machine/digests.rs
@@ -30,7 +30,7 @@
         self.heard_domains.entry(domain.clone()).or_insert(now);
         if let Some(host) = self.digest_receiver(domain) {
             let digest = DomainDigest {
-                wants_answer: true,
+                wants_reply: true,
                 ..self.digest_of(&self.me.domain)
             };
             self.send(&host, GossipBody::Digest(digest), now);
@@ -56,7 +56,7 @@
         DomainDigest {
             domain: domain.to_string(),
             hash: self.roster.domain_hash(domain),
-            wants_answer: false,
+            wants_reply: false,
         }
     }
 
--- a/src/control/membership/machine/hearing.rs
+++ b/src/control/membership/machine/hearing.rs
@@ -106,7 +106,7 @@
             return;
         };
         self.heard_domains.insert(domain.clone(), now);
-        if digest.wants_answer {
+        if digest.wants_reply {
             let answer = self.digest_of(&self.me.domain);
             self.send(from, GossipBody::Digest(answer), now);
         }
--- a/src/fleet/home_desk/hands.rs
+++ b/src/fleet/home_desk/hands.rs
@@ -109,7 +109,7 @@
         }
         let ask = message::Announce {
             pool: pool.to_string(),
-            is_question: true,
+            is_query: true,
             ..Default::default()
         };
         self.peers.send(to, Message::Announce(ask));
--- a/src/fleet/peer_desk.rs
+++ b/src/fleet/peer_desk.rs
@@ -87,7 +87,7 @@
             debug!("homes: {from} announced what can't be read");
             return;
         };
-        if announce.is_question {
+        if announce.is_query {
             return self.granter.announce_pool(&pool, &from);
         }
         self.homes
--- a/src/peer/message/gossip.rs
+++ b/src/peer/message/gossip.rs
@@ -98,7 +98,7 @@
     pub hash: u64,
     /// Whether the receiver is to answer with that of its own failure domain.
     #[prost(bool, tag = "3")]
-    pub wants_answer: bool,
+    pub wants_reply: bool,
 }
 
 /// A request for hosts.
--- a/src/peer/message/grant.rs
+++ b/src/peer/message/grant.rs
@@ -181,5 +181,5 @@
     pub grants: Vec<AnnouncedGrant>,
     /// Whether this is a home's question for the receiver's grants, and no announcement.
     #[prost(bool, tag = "3")]
-    pub is_question: bool,
+    pub is_query: bool,
 }
