--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -113,7 +113,7 @@
             settings.peers.control_bytes_per_second,
         ));
         let addrs = Arc::new(SeededAddrs::new(Arc::clone(&cluster_view)));
-        addrs.learn(&settings.peers.seeds);
+        addrs.add_seeds(&settings.peers.seeds);
         let peers = Arc::new(PeerPool::new(
             settings.host.clone(),
             Keyring::new(settings.peers.keys.clone()),
--- a/src/daemon/loops.rs
+++ b/src/daemon/loops.rs
@@ -83,7 +83,7 @@
 async fn read_machines(host: &Host) -> Result<ObjectVersion, PlatformError> {
     let list = host.platform.list(ObjectKind::Machines).await?;
     let listed = machine_list::take_in(&host.cluster_view, &list);
-    host.addrs.learn(&listed.seeds);
+    host.addrs.add_seeds(&listed.seeds);
     host.membership.seed(&listed.seeds);
     for (upstream, version) in listed.leaving {
         host.membership.note_leaving(&upstream, version);
--- a/src/peer/addrs.rs
+++ b/src/peer/addrs.rs
@@ -31,7 +31,7 @@
     }
 
     /// Takes in seeds of the settings or of the platform's list.
-    pub fn learn(&self, seeds: &[PeerSeed]) {
+    pub fn add_seeds(&self, seeds: &[PeerSeed]) {
         for seed in seeds {
             self.seeds.insert(seed.host.clone(), seed.address);
         }
