--- a/src/daemon/news.rs
+++ b/src/daemon/news.rs
@@ -39,7 +39,7 @@
                 // A home learns of hosts of other failure domains when they announce something.
                 FleetNews::HostAlive(_) => {}
                 FleetNews::HostDead(host) => {
-                    self.peers.reset(&host);
+                    self.peers.disconnect(&host);
                     // The dead are weighed against the living, so that both count in one domain.
                     if self.is_neighbour(&host) {
                         self.homes.tell_all(&HomeEvent::HostDead(host));
--- a/src/peer/pool.rs
+++ b/src/peer/pool.rs
@@ -86,7 +86,7 @@
 
     /// Closes the connection to a host that is believed gone. After a cut, the machine would go on
     /// resending on the old connection at ever longer intervals; a new one works at once.
-    pub fn reset(&self, host: &HostId) {
+    pub fn disconnect(&self, host: &HostId) {
         self.links().by_host.swap_remove(host);
     }
 
