--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -37,11 +37,11 @@
 use crate::entry::serve_callers;
 use crate::fleet::FleetHomes;
 use crate::fleet::GrantWaiters;
-use crate::fleet::HomeDesk;
-use crate::fleet::HomeDeskParts;
 use crate::fleet::HomeGranter;
 use crate::fleet::HomeGranterParts;
 use crate::fleet::HomeMap;
+use crate::fleet::HomeRunner;
+use crate::fleet::HomeRunnerParts;
 use crate::fleet::LiveGrants;
 use crate::fleet::ManifestDesk;
 use crate::fleet::ManifestDeskParts;
@@ -72,7 +72,7 @@
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) cluster_view: Arc<ClusterView>,
     pub(crate) parts: Arc<EntryParts>,
-    pub(crate) homes: Arc<HomeDesk>,
+    pub(crate) homes: Arc<HomeRunner>,
     pub(crate) home_table: Arc<FleetHomes>,
     pub(crate) granter: Arc<HomeGranter>,
     pub(crate) membership: Arc<MembershipDesk>,
@@ -151,7 +151,7 @@
         let upstreams = Arc::new(UpstreamRegistry::new(Arc::clone(&cluster_view)));
         let waiters = Arc::new(GrantWaiters::default());
         let live = Arc::new(LiveGrants::default());
-        let homes = Arc::new(HomeDesk::new(HomeDeskParts {
+        let homes = Arc::new(HomeRunner::new(HomeRunnerParts {
             clock: Arc::clone(&clock),
             host: settings.host.clone(),
             cluster_view: Arc::clone(&cluster_view),
--- a/src/daemon/news.rs
+++ b/src/daemon/news.rs
@@ -7,7 +7,7 @@
 use crate::control::home::HomeEvent;
 use crate::entry::EntryParts;
 use crate::fleet::FleetNews;
-use crate::fleet::HomeDesk;
+use crate::fleet::HomeRunner;
 use crate::fleet::NewsSink;
 use crate::fleet::poison_wire;
 use crate::peer::PeerPool;
@@ -17,7 +17,7 @@
 /// Tells the parts of a host what has changed among the others.
 pub(crate) struct News {
     pub(crate) parts: Arc<EntryParts>,
-    pub(crate) homes: Arc<HomeDesk>,
+    pub(crate) homes: Arc<HomeRunner>,
     pub(crate) peers: Arc<PeerPool>,
     pub(crate) domain: FailureDomainId,
 }
--- a/src/daemon/poll.rs
+++ b/src/daemon/poll.rs
@@ -9,8 +9,8 @@
 
 use crate::control::home::HomeEvent;
 use crate::entry::UpstreamDirectory;
-use crate::fleet::HomeDesk;
 use crate::fleet::HomeMap;
+use crate::fleet::HomeRunner;
 use crate::units::UpstreamId;
 
 /// Reports lag by about as much at the engine already; asking more often tells nothing new.
@@ -18,7 +18,7 @@
 
 /// Polls the upstreams of the homes on this host.
 pub(crate) async fn keep(
-    desk: Arc<HomeDesk>,
+    desk: Arc<HomeRunner>,
     map: Arc<dyn HomeMap>,
     upstreams: Arc<dyn UpstreamDirectory>,
 ) {
@@ -48,7 +48,7 @@
 }
 
 async fn poll_one(
-    desk: Arc<HomeDesk>,
+    desk: Arc<HomeRunner>,
     upstreams: Arc<dyn UpstreamDirectory>,
     id: UpstreamId,
     after_seq: u64,
--- a/src/fleet/home_desk/hands.rs
+++ b/src/fleet/home_desk/hands.rs
@@ -5,7 +5,7 @@
 use crate::control::home::HomeEvent;
 use crate::control::home::wire;
 use crate::fleet::home_desk::Home;
-use crate::fleet::home_desk::HomeDesk;
+use crate::fleet::home_desk::HomeRunner;
 use crate::fleet::home_desk::WAKE_MAX;
 use crate::fleet::home_desk::lock;
 use crate::peer::Message;
@@ -19,7 +19,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-impl HomeDesk {
+impl HomeRunner {
     pub(super) fn tell(
         self: &Arc<Self>,
         pool: &PoolId,
--- a/src/fleet/home_desk/mod.rs
+++ b/src/fleet/home_desk/mod.rs
@@ -65,7 +65,7 @@
 }
 
 /// The homes on this host.
-pub struct HomeDesk {
+pub struct HomeRunner {
     clock: Arc<dyn Clock>,
     host: HostId,
     cluster_view: Arc<ClusterView>,
@@ -81,7 +81,7 @@
 }
 
 /// What a desk works with.
-pub struct HomeDeskParts {
+pub struct HomeRunnerParts {
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// This host.
@@ -104,9 +104,9 @@
     pub policy: PolicyName,
 }
 
-impl HomeDesk {
+impl HomeRunner {
     /// A desk without homes; they are made when they are asked.
-    pub fn new(parts: HomeDeskParts) -> Self {
+    pub fn new(parts: HomeRunnerParts) -> Self {
         Self {
             clock: parts.clock,
             host: parts.host,
--- a/src/fleet/home_desk/seen.rs
+++ b/src/fleet/home_desk/seen.rs
@@ -3,13 +3,13 @@
 use crate::decide::PolicyConfig;
 use crate::decide::PoolKind;
 use crate::decide::UpstreamInfo;
-use crate::fleet::home_desk::HomeDesk;
+use crate::fleet::home_desk::HomeRunner;
 use crate::units::PoolId;
 use crate::units::TargetId;
 use crate::units::Tokens;
 use crate::units::UpstreamId;
 
-impl HomeDesk {
+impl HomeRunner {
     pub(super) fn policy_config(&self, pool: &PoolId, target: &TargetId) -> Option<PolicyConfig> {
         let in_force = self.cluster_view.manifest()?;
         let of_pool = self.map.upstreams_of(pool).len();
--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -24,8 +24,8 @@
 use crate::entry::Granter;
 use crate::entry::HeldGrant;
 use crate::fleet::GrantWaiters;
-use crate::fleet::HomeDesk;
 use crate::fleet::HomeMap;
+use crate::fleet::HomeRunner;
 use crate::fleet::LiveGrants;
 use crate::peer::Message;
 use crate::peer::PeerTransport;
@@ -55,7 +55,7 @@
     host: HostId,
     peers: Arc<dyn PeerTransport>,
     map: Arc<dyn HomeMap>,
-    desk: Arc<HomeDesk>,
+    desk: Arc<HomeRunner>,
     waiters: Arc<GrantWaiters>,
     policy: PolicyName,
     live: Arc<LiveGrants>,
@@ -72,7 +72,7 @@
     /// Which hosts are homes.
     pub map: Arc<dyn HomeMap>,
     /// The homes on this host.
-    pub desk: Arc<HomeDesk>,
+    pub desk: Arc<HomeRunner>,
     /// Requests that wait.
     pub waiters: Arc<GrantWaiters>,
     /// The grants that this host holds.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -16,8 +16,8 @@
 mod upstream_registry;
 
 pub use grant_waiters::GrantWaiters;
-pub use home_desk::HomeDesk;
-pub use home_desk::HomeDeskParts;
+pub use home_desk::HomeRunner;
+pub use home_desk::HomeRunnerParts;
 pub use home_granter::HomeGranter;
 pub use home_granter::HomeGranterParts;
 pub use home_map::HomeMap;
--- a/src/fleet/peer_desk.rs
+++ b/src/fleet/peer_desk.rs
@@ -13,8 +13,8 @@
 use crate::control::home::wire;
 use crate::fleet::FleetNews;
 use crate::fleet::GrantWaiters;
-use crate::fleet::HomeDesk;
 use crate::fleet::HomeGranter;
+use crate::fleet::HomeRunner;
 use crate::fleet::ManifestDesk;
 use crate::fleet::MembershipDesk;
 use crate::objects::PlatformClient;
@@ -38,7 +38,7 @@
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The homes on this host.
-    pub homes: Arc<HomeDesk>,
+    pub homes: Arc<HomeRunner>,
     /// The grants of this host.
     pub granter: Arc<HomeGranter>,
     /// Requests of this host that wait.
