--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -43,8 +43,8 @@
 use crate::fleet::HomeRunner;
 use crate::fleet::HomeRunnerParts;
 use crate::fleet::LiveGrants;
-use crate::fleet::ManifestDesk;
-use crate::fleet::ManifestDeskParts;
+use crate::fleet::ManifestRunner;
+use crate::fleet::ManifestRunnerParts;
 use crate::fleet::MembershipDesk;
 use crate::fleet::OrderDesk;
 use crate::fleet::OrderDeskParts;
@@ -76,7 +76,7 @@
     pub(crate) home_table: Arc<FleetHomes>,
     pub(crate) granter: Arc<HomeGranter>,
     pub(crate) membership: Arc<MembershipDesk>,
-    pub(crate) manifests: Arc<ManifestDesk>,
+    pub(crate) manifests: Arc<ManifestRunner>,
     pub(crate) orders: Arc<OrderDesk>,
     pub(crate) events: Arc<Events>,
     pub(crate) platform: Arc<dyn PlatformClient>,
@@ -210,8 +210,8 @@
                 ExplanationLimits::default(),
             )),
         });
-        let manifests = Arc::new(ManifestDesk::new(
-            ManifestDeskParts {
+        let manifests = Arc::new(ManifestRunner::new(
+            ManifestRunnerParts {
                 clock: Arc::clone(&clock),
                 cluster_view: Arc::clone(&cluster_view),
                 events: Arc::clone(&events),
--- a/src/fleet/manifest_desk.rs
+++ b/src/fleet/manifest_desk.rs
@@ -25,7 +25,7 @@
 use crate::units::HostId;
 
 /// Runs the spreading of manifests on this host and puts them in force in the cluster view.
-pub struct ManifestDesk {
+pub struct ManifestRunner {
     clock: Arc<dyn Clock>,
     cluster_view: Arc<ClusterView>,
     events: Arc<Events>,
@@ -39,7 +39,7 @@
 }
 
 /// What a desk works with.
-pub struct ManifestDeskParts {
+pub struct ManifestRunnerParts {
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The blackboard.
@@ -56,9 +56,9 @@
     pub domain: FailureDomainId,
 }
 
-impl ManifestDesk {
+impl ManifestRunner {
     /// A desk around a state machine.
-    pub fn new(parts: ManifestDeskParts, manifests: Manifests) -> Self {
+    pub fn new(parts: ManifestRunnerParts, manifests: Manifests) -> Self {
         Self {
             clock: parts.clock,
             cluster_view: parts.cluster_view,
--- a/src/fleet/peer_desk.rs
+++ b/src/fleet/peer_desk.rs
@@ -15,7 +15,7 @@
 use crate::fleet::GrantWaiters;
 use crate::fleet::HomeGranter;
 use crate::fleet::HomeRunner;
-use crate::fleet::ManifestDesk;
+use crate::fleet::ManifestRunner;
 use crate::fleet::MembershipDesk;
 use crate::objects::PlatformClient;
 use crate::peer::Message;
@@ -46,7 +46,7 @@
     /// The membership.
     pub membership: Arc<MembershipDesk>,
     /// The spreading of manifests.
-    pub manifests: Arc<ManifestDesk>,
+    pub manifests: Arc<ManifestRunner>,
     /// Whoever acts on changes of the membership.
     pub news: Arc<dyn NewsSink>,
     /// The platform, as this host reaches it itself.
