--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -45,7 +45,7 @@
 use crate::fleet::LiveGrants;
 use crate::fleet::ManifestRunner;
 use crate::fleet::ManifestRunnerParts;
-use crate::fleet::MembershipDesk;
+use crate::fleet::MembershipRunner;
 use crate::fleet::OrderDesk;
 use crate::fleet::OrderDeskParts;
 use crate::fleet::PeerDesk;
@@ -75,7 +75,7 @@
     pub(crate) homes: Arc<HomeRunner>,
     pub(crate) home_table: Arc<FleetHomes>,
     pub(crate) granter: Arc<HomeGranter>,
-    pub(crate) membership: Arc<MembershipDesk>,
+    pub(crate) membership: Arc<MembershipRunner>,
     pub(crate) manifests: Arc<ManifestRunner>,
     pub(crate) orders: Arc<OrderDesk>,
     pub(crate) events: Arc<Events>,
@@ -122,7 +122,7 @@
             StdRng::from_os_rng(),
         ));
         let incarnation = first_incarnation(&*clock);
-        let membership = Arc::new(MembershipDesk::new(
+        let membership = Arc::new(MembershipRunner::new(
             Arc::clone(&clock),
             Arc::clone(&cluster_view),
             Arc::clone(&peers) as _,
--- a/src/fleet/home_table.rs
+++ b/src/fleet/home_table.rs
@@ -13,7 +13,7 @@
 use crate::control::homes::Member;
 use crate::control::homes::pools_of;
 use crate::fleet::HomeMap;
-use crate::fleet::MembershipDesk;
+use crate::fleet::MembershipRunner;
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 use crate::units::PoolId;
@@ -38,7 +38,7 @@
 /// Pools and their homes as this host sees them.
 pub struct FleetHomes {
     cluster_view: Arc<ClusterView>,
-    membership: Arc<MembershipDesk>,
+    membership: Arc<MembershipRunner>,
     host: HostId,
     domain: FailureDomainId,
     tables: RwLock<Arc<Tables>>,
@@ -49,7 +49,7 @@
     /// Empty tables, for `host` of `domain`.
     pub fn new(
         cluster_view: Arc<ClusterView>,
-        membership: Arc<MembershipDesk>,
+        membership: Arc<MembershipRunner>,
         host: HostId,
         domain: FailureDomainId,
     ) -> Self {
--- a/src/fleet/membership_desk.rs
+++ b/src/fleet/membership_desk.rs
@@ -45,7 +45,7 @@
 }
 
 /// Runs the membership of this host and keeps the hosts in the cluster view.
-pub struct MembershipDesk {
+pub struct MembershipRunner {
     clock: Arc<dyn Clock>,
     cluster_view: Arc<ClusterView>,
     peers: Arc<dyn PeerTransport>,
@@ -54,7 +54,7 @@
     membership: Mutex<Membership>,
 }
 
-impl MembershipDesk {
+impl MembershipRunner {
     /// A desk around a membership.
     pub fn new(
         clock: Arc<dyn Clock>,
@@ -221,7 +221,7 @@
     }
 }
 
-impl PoisonSpread for MembershipDesk {
+impl PoisonSpread for MembershipRunner {
     fn spread(&self, poison: &PoisonReport) {
         self.note_poison(poison_wire::notice_of(poison));
     }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -26,7 +26,7 @@
 pub use manifest_desk::ManifestRunner;
 pub use manifest_desk::ManifestRunnerParts;
 pub use membership_desk::FleetNews;
-pub use membership_desk::MembershipDesk;
+pub use membership_desk::MembershipRunner;
 pub use order_desk::OrderDesk;
 pub use order_desk::OrderDeskParts;
 pub use peer_desk::NewsSink;
--- a/src/fleet/peer_desk.rs
+++ b/src/fleet/peer_desk.rs
@@ -16,7 +16,7 @@
 use crate::fleet::HomeGranter;
 use crate::fleet::HomeRunner;
 use crate::fleet::ManifestRunner;
-use crate::fleet::MembershipDesk;
+use crate::fleet::MembershipRunner;
 use crate::objects::PlatformClient;
 use crate::peer::Message;
 use crate::peer::PeerHandler;
@@ -44,7 +44,7 @@
     /// Requests of this host that wait.
     pub waiters: Arc<GrantWaiters>,
     /// The membership.
-    pub membership: Arc<MembershipDesk>,
+    pub membership: Arc<MembershipRunner>,
     /// The spreading of manifests.
     pub manifests: Arc<ManifestRunner>,
     /// Whoever acts on changes of the membership.
