--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -46,9 +46,9 @@
 use crate::fleet::ManifestRunner;
 use crate::fleet::ManifestRunnerParts;
 use crate::fleet::MembershipRunner;
-use crate::fleet::OrderDesk;
-use crate::fleet::OrderDeskParts;
 use crate::fleet::PeerDesk;
+use crate::fleet::ReconcilerRunner;
+use crate::fleet::ReconcilerRunnerParts;
 use crate::fleet::RelayPlatformClient;
 use crate::fleet::RelayPlatformClientParts;
 use crate::fleet::UpstreamRegistry;
@@ -77,7 +77,7 @@
     pub(crate) granter: Arc<HomeGranter>,
     pub(crate) membership: Arc<MembershipRunner>,
     pub(crate) manifests: Arc<ManifestRunner>,
-    pub(crate) orders: Arc<OrderDesk>,
+    pub(crate) orders: Arc<ReconcilerRunner>,
     pub(crate) events: Arc<Events>,
     pub(crate) platform: Arc<dyn PlatformClient>,
     pub(crate) addrs: Arc<SeededAddrs>,
@@ -227,7 +227,7 @@
                 clock.now(),
             ),
         ));
-        let orders = Arc::new(OrderDesk::new(OrderDeskParts {
+        let orders = Arc::new(ReconcilerRunner::new(ReconcilerRunnerParts {
             clock: Arc::clone(&clock),
             cluster_view: Arc::clone(&cluster_view),
             events: Arc::clone(&events),
--- a/src/fleet/order_desk.rs
+++ b/src/fleet/order_desk.rs
@@ -36,13 +36,13 @@
 
 /// Runs the orders of the pools whose home is here. Without the platform there is no lease and no
 /// order, and serving goes on.
-pub struct OrderDesk {
-    parts: OrderDeskParts,
+pub struct ReconcilerRunner {
+    parts: ReconcilerRunnerParts,
     pools: Mutex<IndexMap<PoolId, (OrdersConf, Orders)>>,
 }
 
 /// What a desk works with.
-pub struct OrderDeskParts {
+pub struct ReconcilerRunnerParts {
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The blackboard.
@@ -61,9 +61,9 @@
     pub incarnation: Incarnation,
 }
 
-impl OrderDesk {
+impl ReconcilerRunner {
     /// A desk without pools.
-    pub fn new(parts: OrderDeskParts) -> Self {
+    pub fn new(parts: ReconcilerRunnerParts) -> Self {
         Self {
             parts,
             pools: Mutex::default(),
