--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -46,7 +46,7 @@
 use crate::fleet::ManifestRunner;
 use crate::fleet::ManifestRunnerParts;
 use crate::fleet::MembershipRunner;
-use crate::fleet::PeerDesk;
+use crate::fleet::PeerMessageRouter;
 use crate::fleet::ReconcilerRunner;
 use crate::fleet::ReconcilerRunnerParts;
 use crate::fleet::RelayPlatformClient;
@@ -243,7 +243,7 @@
             peers: Arc::clone(&peers),
             domain: settings.failure_domain.clone(),
         });
-        let peer_desk = Arc::new(PeerDesk {
+        let peer_message_router = Arc::new(PeerMessageRouter {
             clock: Arc::clone(&clock),
             homes: Arc::clone(&homes),
             granter: Arc::clone(&granter),
@@ -256,7 +256,7 @@
         let peer_server = Arc::new(PeerServer::new(
             settings.host.clone(),
             Keyring::new(settings.peers.keys.clone()),
-            peer_desk,
+            peer_message_router,
             Arc::clone(&traffic),
             StdRng::from_os_rng(),
         ));
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -30,7 +30,7 @@
 pub use order_desk::ReconcilerRunner;
 pub use order_desk::ReconcilerRunnerParts;
 pub use peer_desk::NewsSink;
-pub use peer_desk::PeerDesk;
+pub use peer_desk::PeerMessageRouter;
 pub use relay_platform::RelayPlatformClient;
 pub use relay_platform::RelayPlatformClientParts;
 pub use upstream_registry::UpstreamRegistry;
--- a/src/fleet/peer_desk.rs
+++ b/src/fleet/peer_desk.rs
@@ -34,7 +34,7 @@
 }
 
 /// Hands other hosts' messages to the parts that they are for.
-pub struct PeerDesk {
+pub struct PeerMessageRouter {
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The homes on this host.
@@ -53,7 +53,7 @@
     pub platform: Arc<dyn PlatformClient>,
 }
 
-impl PeerDesk {
+impl PeerMessageRouter {
     fn request(&self, from: HostId, request: &GrantRequest) -> Option<Message> {
         match wire::request_from(request, self.clock.now()) {
             Ok((pool, work)) => {
@@ -112,7 +112,7 @@
     }
 }
 
-impl PeerHandler for PeerDesk {
+impl PeerHandler for PeerMessageRouter {
     fn handle(&self, from: HostId, message: Message) -> BoxFuture<'_, Option<Message>> {
         async move {
             match message {
