--- a/src/daemon/news.rs
+++ b/src/daemon/news.rs
@@ -6,8 +6,8 @@
 
 use crate::control::home::HomeEvent;
 use crate::entry::EntryParts;
-use crate::fleet::FleetNews;
 use crate::fleet::HomeRunner;
+use crate::fleet::MembershipEvent;
 use crate::fleet::NewsSink;
 use crate::fleet::poison_wire;
 use crate::peer::PeerPool;
@@ -30,23 +30,23 @@
 }
 
 impl NewsSink for News {
-    fn take(&self, news: Vec<FleetNews>) {
+    fn take(&self, news: Vec<MembershipEvent>) {
         for item in news {
             match item {
-                FleetNews::HostAlive(host) if self.is_neighbour(&host) => {
+                MembershipEvent::HostAlive(host) if self.is_neighbour(&host) => {
                     self.homes.tell_all(&HomeEvent::HostAlive(host));
                 }
                 // A home learns of hosts of other failure domains when they announce something.
-                FleetNews::HostAlive(_) => {}
-                FleetNews::HostDead(host) => {
+                MembershipEvent::HostAlive(_) => {}
+                MembershipEvent::HostDead(host) => {
                     self.peers.disconnect(&host);
                     // The dead are weighed against the living, so that both count in one domain.
                     if self.is_neighbour(&host) {
                         self.homes.tell_all(&HomeEvent::HostDead(host));
                     }
                 }
-                FleetNews::DropWhatIsHeld => self.homes.hand_over(),
-                FleetNews::Poison(notice) => {
+                MembershipEvent::PausedOrDeclaredDead => self.homes.hand_over(),
+                MembershipEvent::Poison(notice) => {
                     let now = self.parts.clock.now();
                     if let Some(poison) = poison_wire::poison_of(&notice)
                         && self.parts.poison_list().merge(&poison, now)
--- a/src/fleet/membership_desk.rs
+++ b/src/fleet/membership_desk.rs
@@ -33,13 +33,13 @@
 
 /// What the rest of the host has to do about a change of the membership.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FleetNews {
+pub enum MembershipEvent {
     /// A host is there, or again.
     HostAlive(HostId),
     /// A host is gone.
     HostDead(HostId),
     /// This process was paused, or taken for dead: what it held may be someone else's.
-    DropWhatIsHeld,
+    PausedOrDeclaredDead,
     /// A request crashed an upstream of another host.
     Poison(PoisonNotice),
 }
@@ -75,7 +75,7 @@
     }
 
     /// Does what is due now.
-    pub fn tick(&self) -> Vec<FleetNews> {
+    pub fn tick(&self) -> Vec<MembershipEvent> {
         let now = self.clock.now();
         let actions = {
             let mut membership = self.lock();
@@ -89,7 +89,7 @@
     }
 
     /// Takes in a message of another host.
-    pub fn handle(&self, from: &HostId, gossip: Gossip) -> Vec<FleetNews> {
+    pub fn handle(&self, from: &HostId, gossip: Gossip) -> Vec<MembershipEvent> {
         let actions = self.lock().handle(from, gossip, self.clock.now());
         self.perform(actions)
     }
@@ -150,14 +150,14 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn perform(&self, actions: Vec<MembershipAction>) -> Vec<FleetNews> {
+    fn perform(&self, actions: Vec<MembershipAction>) -> Vec<MembershipEvent> {
         actions
             .into_iter()
             .filter_map(|action| self.perform_one(action))
             .collect()
     }
 
-    fn perform_one(&self, action: MembershipAction) -> Option<FleetNews> {
+    fn perform_one(&self, action: MembershipAction) -> Option<MembershipEvent> {
         match action {
             MembershipAction::Send { to, message } => {
                 self.peers.send(&to, message);
@@ -172,24 +172,24 @@
                 self.events
                     .record("membership", "dropped what it held", "it was paused");
                 warn!("membership: this process was paused for {paused:?}, drops what it held");
-                Some(FleetNews::DropWhatIsHeld)
+                Some(MembershipEvent::PausedOrDeclaredDead)
             }
             MembershipAction::DeclaredDead => {
                 let why = "the others took it for dead";
                 self.events
                     .record("membership", "dropped what it held", why);
                 warn!("membership: the others took this host for dead, drops what it held");
-                Some(FleetNews::DropWhatIsHeld)
+                Some(MembershipEvent::PausedOrDeclaredDead)
             }
             MembershipAction::UpstreamLeaving { upstream, version } => {
                 self.upstream_leaves(&upstream, version);
                 None
             }
-            MembershipAction::Poison { notice } => Some(FleetNews::Poison(notice)),
+            MembershipAction::Poison { notice } => Some(MembershipEvent::Poison(notice)),
         }
     }
 
-    fn host_changed(&self, view: HostView) -> Option<FleetNews> {
+    fn host_changed(&self, view: HostView) -> Option<MembershipEvent> {
         let id = view.id.clone();
         let state = view.state;
         let before = self
@@ -204,8 +204,8 @@
         self.events
             .record("membership", &format!("host {id} is {state:?}"), "gossip");
         match state {
-            HostState::Dead => Some(FleetNews::HostDead(id)),
-            HostState::Alive => Some(FleetNews::HostAlive(id)),
+            HostState::Dead => Some(MembershipEvent::HostDead(id)),
+            HostState::Alive => Some(MembershipEvent::HostAlive(id)),
             HostState::Suspect | HostState::Leaving => None,
         }
     }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -25,7 +25,7 @@
 pub use live_grants::LiveGrants;
 pub use manifest_desk::ManifestRunner;
 pub use manifest_desk::ManifestRunnerParts;
-pub use membership_desk::FleetNews;
+pub use membership_desk::MembershipEvent;
 pub use membership_desk::MembershipRunner;
 pub use order_desk::ReconcilerRunner;
 pub use order_desk::ReconcilerRunnerParts;
--- a/src/fleet/peer_desk.rs
+++ b/src/fleet/peer_desk.rs
@@ -11,11 +11,11 @@
 use crate::control::claims::relay::RelayedCall;
 use crate::control::home::HomeEvent;
 use crate::control::home::wire;
-use crate::fleet::FleetNews;
 use crate::fleet::GrantWaiters;
 use crate::fleet::HomeGranter;
 use crate::fleet::HomeRunner;
 use crate::fleet::ManifestRunner;
+use crate::fleet::MembershipEvent;
 use crate::fleet::MembershipRunner;
 use crate::objects::PlatformClient;
 use crate::peer::Message;
@@ -30,7 +30,7 @@
 /// Whoever acts on changes of the membership.
 pub trait NewsSink: Send + Sync {
     /// Takes in what has changed.
-    fn take(&self, news: Vec<FleetNews>);
+    fn take(&self, news: Vec<MembershipEvent>);
 }
 
 /// Hands other hosts' messages to the parts that they are for.
@@ -143,7 +143,7 @@
                     None
                 }
                 Message::PoisonNotice(notice) => {
-                    self.news.take(vec![FleetNews::Poison(notice)]);
+                    self.news.take(vec![MembershipEvent::Poison(notice)]);
                     None
                 }
                 message @ (Message::ManifestNotice(_)
