--- a/src/daemon/loops.rs
+++ b/src/daemon/loops.rs
@@ -11,7 +11,7 @@
 use crate::daemon::host::Host;
 use crate::daemon::machine_list;
 use crate::daemon::status_loop;
-use crate::fleet::NewsSink;
+use crate::fleet::MembershipEventHandler;
 use crate::objects::ObjectKind;
 use crate::objects::PlatformError;
 use crate::units::ObjectVersion;
@@ -27,7 +27,7 @@
 /// Starts the loops of a host.
 pub(crate) fn start(host: &Arc<Host>) {
     every(host, MEMBERSHIP_TICK, |host| {
-        host.news.take(host.membership.tick());
+        host.news.on_events(host.membership.tick());
     });
     every(host, MEMBERSHIP_TICK, |host| host.manifests.tick());
     every(host, ANNOUNCE_PAUSE, |host| host.granter.announce());
--- a/src/daemon/news.rs
+++ b/src/daemon/news.rs
@@ -8,7 +8,7 @@
 use crate::entry::EntryParts;
 use crate::fleet::HomeRunner;
 use crate::fleet::MembershipEvent;
-use crate::fleet::NewsSink;
+use crate::fleet::MembershipEventHandler;
 use crate::fleet::poison_wire;
 use crate::peer::PeerPool;
 use crate::units::FailureDomainId;
@@ -29,8 +29,8 @@
     }
 }
 
-impl NewsSink for News {
-    fn take(&self, news: Vec<MembershipEvent>) {
+impl MembershipEventHandler for News {
+    fn on_events(&self, news: Vec<MembershipEvent>) {
         for item in news {
             match item {
                 MembershipEvent::HostAlive(host) if self.is_neighbour(&host) => {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -29,7 +29,7 @@
 pub use membership_desk::MembershipRunner;
 pub use order_desk::ReconcilerRunner;
 pub use order_desk::ReconcilerRunnerParts;
-pub use peer_desk::NewsSink;
+pub use peer_desk::MembershipEventHandler;
 pub use peer_desk::PeerMessageRouter;
 pub use relay_platform::RelayPlatformClient;
 pub use relay_platform::RelayPlatformClientParts;
--- a/src/fleet/peer_desk.rs
+++ b/src/fleet/peer_desk.rs
@@ -28,9 +28,9 @@
 use crate::units::PoolId;
 
 /// Whoever acts on changes of the membership.
-pub trait NewsSink: Send + Sync {
+pub trait MembershipEventHandler: Send + Sync {
     /// Takes in what has changed.
-    fn take(&self, news: Vec<MembershipEvent>);
+    fn on_events(&self, news: Vec<MembershipEvent>);
 }
 
 /// Hands other hosts' messages to the parts that they are for.
@@ -48,7 +48,7 @@
     /// The spreading of manifests.
     pub manifests: Arc<ManifestRunner>,
     /// Whoever acts on changes of the membership.
-    pub news: Arc<dyn NewsSink>,
+    pub news: Arc<dyn MembershipEventHandler>,
     /// The platform, as this host reaches it itself.
     pub platform: Arc<dyn PlatformClient>,
 }
@@ -139,11 +139,11 @@
                 }
                 Message::PlatformCall(call) => Some(self.relay(call).await),
                 Message::Gossip(gossip) => {
-                    self.news.take(self.membership.handle(&from, gossip));
+                    self.news.on_events(self.membership.handle(&from, gossip));
                     None
                 }
                 Message::PoisonNotice(notice) => {
-                    self.news.take(vec![MembershipEvent::Poison(notice)]);
+                    self.news.on_events(vec![MembershipEvent::Poison(notice)]);
                     None
                 }
                 message @ (Message::ManifestNotice(_)
