--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -250,7 +250,7 @@
             waiters,
             membership: Arc::clone(&membership),
             manifests: Arc::clone(&manifests),
-            news: Arc::clone(&news) as _,
+            membership_events: Arc::clone(&news) as _,
             platform: Arc::clone(&direct),
         });
         let peer_server = Arc::new(PeerServer::new(
--- a/src/fleet/peer_desk.rs
+++ b/src/fleet/peer_desk.rs
@@ -48,7 +48,7 @@
     /// The spreading of manifests.
     pub manifests: Arc<ManifestRunner>,
     /// Whoever acts on changes of the membership.
-    pub news: Arc<dyn MembershipEventHandler>,
+    pub membership_events: Arc<dyn MembershipEventHandler>,
     /// The platform, as this host reaches it itself.
     pub platform: Arc<dyn PlatformClient>,
 }
@@ -139,11 +139,13 @@
                 }
                 Message::PlatformCall(call) => Some(self.relay(call).await),
                 Message::Gossip(gossip) => {
-                    self.news.on_events(self.membership.handle(&from, gossip));
+                    self.membership_events
+                        .on_events(self.membership.handle(&from, gossip));
                     None
                 }
                 Message::PoisonNotice(notice) => {
-                    self.news.on_events(vec![MembershipEvent::Poison(notice)]);
+                    self.membership_events
+                        .on_events(vec![MembershipEvent::Poison(notice)]);
                     None
                 }
                 message @ (Message::ManifestNotice(_)
