--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -35,11 +35,11 @@
 use crate::entry::EntryParts;
 use crate::entry::InFlight;
 use crate::entry::serve_callers;
-use crate::fleet::FleetHomes;
+use crate::fleet::ClusterHomeDirectory;
 use crate::fleet::GrantWaiters;
+use crate::fleet::HomeDirectory;
 use crate::fleet::HomeGranter;
 use crate::fleet::HomeGranterParts;
-use crate::fleet::HomeMap;
 use crate::fleet::HomeRunner;
 use crate::fleet::HomeRunnerParts;
 use crate::fleet::LiveGrants;
@@ -73,7 +73,7 @@
     pub(crate) cluster_view: Arc<ClusterView>,
     pub(crate) parts: Arc<EntryParts>,
     pub(crate) homes: Arc<HomeRunner>,
-    pub(crate) home_table: Arc<FleetHomes>,
+    pub(crate) home_table: Arc<ClusterHomeDirectory>,
     pub(crate) granter: Arc<HomeGranter>,
     pub(crate) membership: Arc<MembershipRunner>,
     pub(crate) manifests: Arc<ManifestRunner>,
@@ -141,13 +141,13 @@
                 clock.now(),
             ),
         ));
-        let home_table = Arc::new(FleetHomes::new(
+        let home_table = Arc::new(ClusterHomeDirectory::new(
             Arc::clone(&cluster_view),
             Arc::clone(&membership),
             settings.host.clone(),
             settings.failure_domain.clone(),
         ));
-        let map = Arc::clone(&home_table) as Arc<dyn HomeMap>;
+        let map = Arc::clone(&home_table) as Arc<dyn HomeDirectory>;
         let upstreams = Arc::new(UpstreamRegistry::new(Arc::clone(&cluster_view)));
         let waiters = Arc::new(GrantWaiters::default());
         let live = Arc::new(LiveGrants::default());
--- a/src/daemon/poll.rs
+++ b/src/daemon/poll.rs
@@ -9,7 +9,7 @@
 
 use crate::control::home::HomeEvent;
 use crate::entry::UpstreamDirectory;
-use crate::fleet::HomeMap;
+use crate::fleet::HomeDirectory;
 use crate::fleet::HomeRunner;
 use crate::units::UpstreamId;
 
@@ -19,7 +19,7 @@
 /// Polls the upstreams of the homes on this host.
 pub(crate) async fn keep(
     desk: Arc<HomeRunner>,
-    map: Arc<dyn HomeMap>,
+    map: Arc<dyn HomeDirectory>,
     upstreams: Arc<dyn UpstreamDirectory>,
 ) {
     let mut seqs: IndexMap<UpstreamId, u64> = IndexMap::new();
--- a/src/fleet/home_desk/mod.rs
+++ b/src/fleet/home_desk/mod.rs
@@ -31,7 +31,7 @@
 use crate::decide::policy_for;
 use crate::entry::UpstreamDirectory;
 use crate::fleet::GrantWaiters;
-use crate::fleet::HomeMap;
+use crate::fleet::HomeDirectory;
 use crate::fleet::LiveGrants;
 use crate::peer::PeerTransport;
 use crate::settings::PolicyName;
@@ -71,7 +71,7 @@
     cluster_view: Arc<ClusterView>,
     events: Arc<Events>,
     peers: Arc<dyn PeerTransport>,
-    map: Arc<dyn HomeMap>,
+    map: Arc<dyn HomeDirectory>,
     upstreams: Arc<dyn UpstreamDirectory>,
     waiters: Arc<GrantWaiters>,
     live: Arc<LiveGrants>,
@@ -93,7 +93,7 @@
     /// Other hosts.
     pub peers: Arc<dyn PeerTransport>,
     /// Which hosts are homes.
-    pub map: Arc<dyn HomeMap>,
+    pub map: Arc<dyn HomeDirectory>,
     /// Upstreams.
     pub upstreams: Arc<dyn UpstreamDirectory>,
     /// This host's own requests that wait.
--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -24,7 +24,7 @@
 use crate::entry::Granter;
 use crate::entry::HeldGrant;
 use crate::fleet::GrantWaiters;
-use crate::fleet::HomeMap;
+use crate::fleet::HomeDirectory;
 use crate::fleet::HomeRunner;
 use crate::fleet::LiveGrants;
 use crate::peer::Message;
@@ -54,7 +54,7 @@
     clock: Arc<dyn Clock>,
     host: HostId,
     peers: Arc<dyn PeerTransport>,
-    map: Arc<dyn HomeMap>,
+    map: Arc<dyn HomeDirectory>,
     desk: Arc<HomeRunner>,
     waiters: Arc<GrantWaiters>,
     policy: PolicyName,
@@ -70,7 +70,7 @@
     /// Other hosts.
     pub peers: Arc<dyn PeerTransport>,
     /// Which hosts are homes.
-    pub map: Arc<dyn HomeMap>,
+    pub map: Arc<dyn HomeDirectory>,
     /// The homes on this host.
     pub desk: Arc<HomeRunner>,
     /// Requests that wait.
--- a/src/fleet/home_map.rs
+++ b/src/fleet/home_map.rs
@@ -6,7 +6,7 @@
 use crate::units::UpstreamId;
 
 /// What this host knows of pools and their homes.
-pub trait HomeMap: Send + Sync {
+pub trait HomeDirectory: Send + Sync {
     /// The pools of a target, those of this host's failure domain first. `spread` turns the order
     /// among them, so that requests which share a prompt's beginning ask the same pool first.
     fn pools_of(&self, target: &TargetId, spread: u64) -> Vec<PoolId>;
--- a/src/fleet/home_table.rs
+++ b/src/fleet/home_table.rs
@@ -12,7 +12,7 @@
 use crate::control::homes::HomeTable;
 use crate::control::homes::Member;
 use crate::control::homes::pools_of;
-use crate::fleet::HomeMap;
+use crate::fleet::HomeDirectory;
 use crate::fleet::MembershipRunner;
 use crate::units::FailureDomainId;
 use crate::units::HostId;
@@ -36,7 +36,7 @@
 }
 
 /// Pools and their homes as this host sees them.
-pub struct FleetHomes {
+pub struct ClusterHomeDirectory {
     cluster_view: Arc<ClusterView>,
     membership: Arc<MembershipRunner>,
     host: HostId,
@@ -45,7 +45,7 @@
     seen_changes: Mutex<(u64, u64)>,
 }
 
-impl FleetHomes {
+impl ClusterHomeDirectory {
     /// Empty tables, for `host` of `domain`.
     pub fn new(
         cluster_view: Arc<ClusterView>,
@@ -161,7 +161,7 @@
     }
 }
 
-impl HomeMap for FleetHomes {
+impl HomeDirectory for ClusterHomeDirectory {
     fn pools_of(&self, target: &TargetId, spread: u64) -> Vec<PoolId> {
         let tables = self.tables();
         let mut pools = tables.by_target.get(target).cloned().unwrap_or_default();
--- a/src/fleet/order_desk.rs
+++ b/src/fleet/order_desk.rs
@@ -19,7 +19,7 @@
 use crate::control::orders::Wanted;
 use crate::control::status::Events;
 use crate::entry::UpstreamDirectory;
-use crate::fleet::HomeMap;
+use crate::fleet::HomeDirectory;
 use crate::manifest::Manifest;
 use crate::manifest::ModelSpec;
 use crate::objects::ObjectKey;
@@ -50,7 +50,7 @@
     /// What this host did lately.
     pub events: Arc<Events>,
     /// Which pools have their home here.
-    pub map: Arc<dyn HomeMap>,
+    pub map: Arc<dyn HomeDirectory>,
     /// The platform, for leases.
     pub platform: Arc<dyn PlatformClient>,
     /// Upstreams.
