--- a/src/fleet/home_desk/hands.rs
+++ b/src/fleet/home_desk/hands.rs
@@ -102,7 +102,7 @@
         if *to == self.host {
             let event = HomeEvent::Announce {
                 from: self.host.clone(),
-                grants: self.live.of_pool(pool),
+                grants: self.live_grants.of_pool(pool),
             };
             self.tell(pool, home, event);
             return;
--- a/src/fleet/home_desk/mod.rs
+++ b/src/fleet/home_desk/mod.rs
@@ -71,10 +71,10 @@
     cluster_view: Arc<ClusterView>,
     events: Arc<Events>,
     peers: Arc<dyn PeerTransport>,
-    map: Arc<dyn HomeDirectory>,
+    home_directory: Arc<dyn HomeDirectory>,
     upstreams: Arc<dyn UpstreamDirectory>,
     waiters: Arc<GrantWaiters>,
-    live: Arc<LiveGrants>,
+    live_grants: Arc<LiveGrants>,
     policy: PolicyName,
     homes: ShardedMap<PoolId, Arc<Home>>,
     is_closed: AtomicBool,
@@ -93,13 +93,13 @@
     /// Other hosts.
     pub peers: Arc<dyn PeerTransport>,
     /// Which hosts are homes.
-    pub map: Arc<dyn HomeDirectory>,
+    pub home_directory: Arc<dyn HomeDirectory>,
     /// Upstreams.
     pub upstreams: Arc<dyn UpstreamDirectory>,
     /// This host's own requests that wait.
     pub waiters: Arc<GrantWaiters>,
     /// The grants that this host holds.
-    pub live: Arc<LiveGrants>,
+    pub live_grants: Arc<LiveGrants>,
     /// The decisions.
     pub policy: PolicyName,
 }
@@ -113,10 +113,10 @@
             cluster_view: parts.cluster_view,
             events: parts.events,
             peers: parts.peers,
-            map: parts.map,
+            home_directory: parts.home_directory,
             upstreams: parts.upstreams,
             waiters: parts.waiters,
-            live: parts.live,
+            live_grants: parts.live_grants,
             policy: parts.policy,
             homes: ShardedMap::new(),
             is_closed: AtomicBool::new(false),
@@ -182,7 +182,7 @@
         for (pool, home) in self.homes.snapshot() {
             self.refresh_home(&pool, &home);
             let is_idle = self.clock.now() >= *lock(&home.asked_at) + IDLE_MAX;
-            let is_first = self.map.candidates(&pool).first() == Some(&self.host);
+            let is_first = self.home_directory.candidates(&pool).first() == Some(&self.host);
             if is_idle && !is_first {
                 self.close(&pool, &home);
             }
@@ -192,7 +192,7 @@
     /// A home has to be there even if nobody asks for grants: when an earlier home has died with the
     /// last requests, their attempts hold memory until someone looks.
     fn take_over(self: &Arc<Self>) {
-        for pool in self.map.homes_here() {
+        for pool in self.home_directory.homes_here() {
             if !self.has(&pool) && !self.is_closed.load(Ordering::SeqCst) {
                 self.make(&pool);
             }
@@ -228,7 +228,7 @@
         if let Some(home) = self.homes.get(pool) {
             return Some(home);
         }
-        let candidates = self.map.candidates(pool);
+        let candidates = self.home_directory.candidates(pool);
         let serving = candidates.iter().take(CANDIDATES_SERVING);
         let is_serving = serving.clone().any(|host| *host == self.host);
         // This host's own requests come here last of all, when no candidate answers.
--- a/src/fleet/home_desk/seen.rs
+++ b/src/fleet/home_desk/seen.rs
@@ -12,7 +12,7 @@
 impl HomeRunner {
     pub(super) fn policy_config(&self, pool: &PoolId, target: &TargetId) -> Option<PolicyConfig> {
         let in_force = self.cluster_view.manifest()?;
-        let of_pool = self.map.upstreams_of(pool).len();
+        let of_pool = self.home_directory.upstreams_of(pool).len();
         let of_target = self
             .cluster_view
             .upstreams
@@ -38,7 +38,7 @@
             })
         };
         let mut seen: Vec<_> = self
-            .map
+            .home_directory
             .upstreams_of(pool)
             .into_iter()
             .filter_map(seen)
--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -54,11 +54,11 @@
     clock: Arc<dyn Clock>,
     host: HostId,
     peers: Arc<dyn PeerTransport>,
-    map: Arc<dyn HomeDirectory>,
+    home_directory: Arc<dyn HomeDirectory>,
     desk: Arc<HomeRunner>,
     waiters: Arc<GrantWaiters>,
     policy: PolicyName,
-    live: Arc<LiveGrants>,
+    live_grants: Arc<LiveGrants>,
 }
 
 /// What a granter works with.
@@ -70,13 +70,13 @@
     /// Other hosts.
     pub peers: Arc<dyn PeerTransport>,
     /// Which hosts are homes.
-    pub map: Arc<dyn HomeDirectory>,
+    pub home_directory: Arc<dyn HomeDirectory>,
     /// The homes on this host.
     pub desk: Arc<HomeRunner>,
     /// Requests that wait.
     pub waiters: Arc<GrantWaiters>,
     /// The grants that this host holds.
-    pub live: Arc<LiveGrants>,
+    pub live_grants: Arc<LiveGrants>,
     /// The decisions; baselines decide on this host alone.
     pub policy: PolicyName,
 }
@@ -100,18 +100,18 @@
             clock: parts.clock,
             host: parts.host,
             peers: parts.peers,
-            map: parts.map,
+            home_directory: parts.home_directory,
             desk: parts.desk,
             waiters: parts.waiters,
             policy: parts.policy,
-            live: parts.live,
+            live_grants: parts.live_grants,
         }
     }
 
     /// Announces the live grants to the homes of their pools. A home that has taken over learns
     /// from it what an earlier one has granted; one that knows them keeps them.
     pub fn announce(&self) {
-        for (pool, grants) in self.live.by_pool() {
+        for (pool, grants) in self.live_grants.by_pool() {
             if let Some(home) = self.candidates(&pool).into_iter().next() {
                 self.announce_to(&pool, grants, &home);
             }
@@ -120,13 +120,13 @@
 
     /// Announces the live grants of one pool to a host that asked for them.
     pub fn announce_pool(&self, pool: &PoolId, to: &HostId) {
-        let grants = self.live.of_pool(pool);
+        let grants = self.live_grants.of_pool(pool);
         self.announce_to(pool, grants, to);
     }
 
     /// How many grants have not ended.
     pub fn live_count(&self) -> usize {
-        self.live.count()
+        self.live_grants.count()
     }
 
     fn announce_to(&self, pool: &PoolId, grants: Vec<LiveGrant>, to: &HostId) {
@@ -150,7 +150,12 @@
         if self.policy != PolicyName::Shipped {
             return vec![self.host.clone()];
         }
-        let mut hosts: Vec<HostId> = self.map.candidates(pool).into_iter().take(2).collect();
+        let mut hosts: Vec<HostId> = self
+            .home_directory
+            .candidates(pool)
+            .into_iter()
+            .take(2)
+            .collect();
         if !hosts.contains(&self.host) {
             hosts.push(self.host.clone());
         }
@@ -158,7 +163,7 @@
     }
 
     async fn decide(&self, target: &TargetId, work: &Work) -> GrantAnswer {
-        let pools = self.map.pools_of(target, spread_of(work));
+        let pools = self.home_directory.pools_of(target, spread_of(work));
         let mut refused = GrantAnswer::Refused {
             reason: RefuseReason::NoUpstream,
             retry_after: RETRY_AFTER_NO_POOL,
@@ -187,7 +192,7 @@
                 let verdict = match self.ask_one(&candidate, pool, work).await {
                     Asked::Said(Verdict::NotHome) => continue,
                     Asked::Silent => {
-                        self.map.suspect(&candidate);
+                        self.home_directory.suspect(&candidate);
                         continue;
                     }
                     Asked::Said(verdict) => verdict,
@@ -240,7 +245,7 @@
                 Asked::Said(Verdict::NotHome) => return Waited::AskAgain,
                 Asked::Said(verdict) => return Waited::Decided(verdict),
                 Asked::Silent => {
-                    self.map.suspect(candidate);
+                    self.home_directory.suspect(candidate);
                     return Waited::AskAgain;
                 }
             }
@@ -301,7 +306,7 @@
             work: work.clone(),
             upstreams: granted.upstreams.clone(),
         };
-        self.live.begin(pool, live);
+        self.live_grants.begin(pool, live);
         GrantAnswer::Granted(Box::new(HeldGrant {
             pool: pool.clone(),
             grant: granted.grant,
@@ -341,7 +346,7 @@
     }
 
     fn finish(&self, held: &HeldGrant, done: AttemptSummary) {
-        self.live.end(held.grant);
+        self.live_grants.end(held.grant);
         if let Some(home) = self.candidates(&held.pool).first() {
             self.tell_finish(home, &held.pool, held.grant, done);
         }
--- a/src/fleet/order_desk.rs
+++ b/src/fleet/order_desk.rs
@@ -50,7 +50,7 @@
     /// What this host did lately.
     pub events: Arc<Events>,
     /// Which pools have their home here.
-    pub map: Arc<dyn HomeDirectory>,
+    pub home_directory: Arc<dyn HomeDirectory>,
     /// The platform, for leases.
     pub platform: Arc<dyn PlatformClient>,
     /// Upstreams.
@@ -75,7 +75,7 @@
         let Some(in_force) = self.parts.cluster_view.manifest() else {
             return;
         };
-        let here = self.parts.map.homes_here();
+        let here = self.parts.home_directory.homes_here();
         let now = self.parts.clock.now();
         let mut due = Vec::new();
         {
@@ -95,7 +95,7 @@
                 }
                 let orders = &mut entry.1;
                 orders.set_wanted(wanted_of(model));
-                orders.set_engines(&self.parts.map.upstreams_of(&pool));
+                orders.set_engines(&self.parts.home_directory.upstreams_of(&pool));
                 due.push((pool, orders.tick(now)));
             }
         }
