--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -55,7 +55,7 @@
     host: HostId,
     peers: Arc<dyn PeerTransport>,
     home_directory: Arc<dyn HomeDirectory>,
-    desk: Arc<HomeRunner>,
+    homes: Arc<HomeRunner>,
     waiters: Arc<GrantWaiters>,
     policy: PolicyName,
     live_grants: Arc<LiveGrants>,
@@ -72,7 +72,7 @@
     /// Which hosts are homes.
     pub home_directory: Arc<dyn HomeDirectory>,
     /// The homes on this host.
-    pub desk: Arc<HomeRunner>,
+    pub homes: Arc<HomeRunner>,
     /// Requests that wait.
     pub waiters: Arc<GrantWaiters>,
     /// The grants that this host holds.
@@ -101,7 +101,7 @@
             host: parts.host,
             peers: parts.peers,
             home_directory: parts.home_directory,
-            desk: parts.desk,
+            homes: parts.homes,
             waiters: parts.waiters,
             policy: parts.policy,
             live_grants: parts.live_grants,
@@ -131,7 +131,7 @@
 
     fn announce_to(&self, pool: &PoolId, grants: Vec<LiveGrant>, to: &HostId) {
         if *to == self.host {
-            self.desk.handle(
+            self.homes.handle(
                 pool,
                 HomeEvent::Announce {
                     from: self.host.clone(),
@@ -277,7 +277,7 @@
                 from: self.host.clone(),
                 work: work.clone(),
             };
-            let answer = self.desk.handle(pool, event);
+            let answer = self.homes.handle(pool, event);
             return answer.map_or(Asked::Silent, |answer| Asked::Said(answer.verdict));
         }
         let request = wire::request_to(pool, work, self.clock.now());
@@ -320,7 +320,7 @@
     fn tell_finish(&self, to: &HostId, pool: &PoolId, grant: GrantId, done: AttemptSummary) {
         if *to == self.host {
             let from = self.host.clone();
-            self.desk
+            self.homes
                 .handle(pool, HomeEvent::Finish { from, grant, done });
         } else {
             self.peers
@@ -331,7 +331,7 @@
     fn tell_withdraw(&self, to: &HostId, pool: &PoolId, request: RequestId) {
         if *to == self.host {
             let from = self.host.clone();
-            self.desk
+            self.homes
                 .handle(pool, HomeEvent::Withdraw { from, request });
         } else {
             self.peers
