--- a/src/fleet/home_desk/mod.rs
+++ b/src/fleet/home_desk/mod.rs
@@ -192,7 +192,7 @@
     /// A home has to be there even if nobody asks for grants: when an earlier home has died with the
     /// last requests, their attempts hold memory until someone looks.
     fn take_over(self: &Arc<Self>) {
-        for pool in self.home_directory.homes_here() {
+        for pool in self.home_directory.pools_with_local_home() {
             if !self.has(&pool) && !self.is_closed.load(Ordering::SeqCst) {
                 self.make(&pool);
             }
--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -163,7 +163,9 @@
     }
 
     async fn decide(&self, target: &TargetId, work: &Work) -> GrantAnswer {
-        let pools = self.home_directory.pools_of(target, spread_of(work));
+        let pools = self
+            .home_directory
+            .pools_for_target(target, spread_of(work));
         let mut refused = GrantAnswer::Refused {
             reason: RefuseReason::NoUpstream,
             retry_after: RETRY_AFTER_NO_POOL,
@@ -192,7 +194,7 @@
                 let verdict = match self.ask_one(&candidate, pool, work).await {
                     Asked::Said(Verdict::NotHome) => continue,
                     Asked::Silent => {
-                        self.home_directory.suspect(&candidate);
+                        self.home_directory.report_unresponsive(&candidate);
                         continue;
                     }
                     Asked::Said(verdict) => verdict,
@@ -245,7 +247,7 @@
                 Asked::Said(Verdict::NotHome) => return Waited::AskAgain,
                 Asked::Said(verdict) => return Waited::Decided(verdict),
                 Asked::Silent => {
-                    self.home_directory.suspect(candidate);
+                    self.home_directory.report_unresponsive(candidate);
                     return Waited::AskAgain;
                 }
             }
--- a/src/fleet/home_map.rs
+++ b/src/fleet/home_map.rs
@@ -9,17 +9,17 @@
 pub trait HomeDirectory: Send + Sync {
     /// The pools of a target, those of this host's failure domain first. `spread` turns the order
     /// among them, so that requests which share a prompt's beginning ask the same pool first.
-    fn pools_of(&self, target: &TargetId, spread: u64) -> Vec<PoolId>;
+    fn pools_for_target(&self, target: &TargetId, spread: u64) -> Vec<PoolId>;
 
     /// The hosts to ask, the home first.
     fn candidates(&self, pool: &PoolId) -> Vec<HostId>;
 
     /// The pools whose home is this host.
-    fn homes_here(&self) -> Vec<PoolId>;
+    fn pools_with_local_home(&self) -> Vec<PoolId>;
 
     /// The upstreams of a pool.
     fn upstreams_of(&self, pool: &PoolId) -> Vec<UpstreamId>;
 
     /// A host did not answer when it was asked for a grant.
-    fn suspect(&self, host: &HostId);
+    fn report_unresponsive(&self, host: &HostId);
 }
--- a/src/fleet/home_table.rs
+++ b/src/fleet/home_table.rs
@@ -162,7 +162,7 @@
 }
 
 impl HomeDirectory for ClusterHomeDirectory {
-    fn pools_of(&self, target: &TargetId, spread: u64) -> Vec<PoolId> {
+    fn pools_for_target(&self, target: &TargetId, spread: u64) -> Vec<PoolId> {
         let tables = self.tables();
         let mut pools = tables.by_target.get(target).cloned().unwrap_or_default();
         let is_own = |pool: &PoolId| pool.domain().as_ref() == Some(&self.domain);
@@ -176,7 +176,7 @@
         self.tables().candidates(pool).to_vec()
     }
 
-    fn homes_here(&self) -> Vec<PoolId> {
+    fn pools_with_local_home(&self) -> Vec<PoolId> {
         let tables = self.tables();
         let own = tables.homes.get(&self.domain);
         let pools = own.map(|homes| homes.pools_of(&self.host).cloned().collect());
@@ -187,8 +187,8 @@
         self.tables().pools.get(pool).cloned().unwrap_or_default()
     }
 
-    fn suspect(&self, host: &HostId) {
-        self.membership.suspect(host);
+    fn report_unresponsive(&self, host: &HostId) {
+        self.membership.report_unresponsive(host);
     }
 }
 
--- a/src/fleet/membership_desk.rs
+++ b/src/fleet/membership_desk.rs
@@ -100,7 +100,7 @@
     }
 
     /// A host did not answer when it was asked for a grant.
-    pub fn suspect(&self, host: &HostId) {
+    pub fn report_unresponsive(&self, host: &HostId) {
         let actions = self.lock().suspect_hint(host, self.clock.now());
         self.perform(actions);
     }
--- a/src/fleet/order_desk.rs
+++ b/src/fleet/order_desk.rs
@@ -75,7 +75,7 @@
         let Some(in_force) = self.parts.cluster_view.manifest() else {
             return;
         };
-        let here = self.parts.home_directory.homes_here();
+        let here = self.parts.home_directory.pools_with_local_home();
         let now = self.parts.clock.now();
         let mut due = Vec::new();
         {
