--- a/src/daemon/news.rs
+++ b/src/daemon/news.rs
@@ -34,7 +34,7 @@
         for item in news {
             match item {
                 MembershipEvent::HostAlive(host) if self.is_neighbour(&host) => {
-                    self.homes.tell_all(&HomeEvent::HostAlive(host));
+                    self.homes.send_to_all_homes(&HomeEvent::HostAlive(host));
                 }
                 // A home learns of hosts of other failure domains when they announce something.
                 MembershipEvent::HostAlive(_) => {}
@@ -42,10 +42,10 @@
                     self.peers.disconnect(&host);
                     // The dead are weighed against the living, so that both count in one domain.
                     if self.is_neighbour(&host) {
-                        self.homes.tell_all(&HomeEvent::HostDead(host));
+                        self.homes.send_to_all_homes(&HomeEvent::HostDead(host));
                     }
                 }
-                MembershipEvent::PausedOrDeclaredDead => self.homes.hand_over(),
+                MembershipEvent::PausedOrDeclaredDead => self.homes.hand_over_all(),
                 MembershipEvent::Poison(notice) => {
                     let now = self.parts.clock.now();
                     if let Some(poison) = poison_wire::poison_of(&notice)
--- a/src/daemon/pages.rs
+++ b/src/daemon/pages.rs
@@ -48,7 +48,7 @@
             peer_dropped_messages: host.traffic.dropped_messages(),
             peer_refused_connections: host.traffic.refused_connections(),
             manifest_confirmed_ago: host.manifests.knowledge().confirmed_ago,
-            pools: host.homes.pools(),
+            pools: host.homes.pool_loads(),
         });
         match metrics.render() {
             Ok(text) => Page::text(StatusCode::OK, text),
--- a/src/daemon/poll.rs
+++ b/src/daemon/poll.rs
@@ -61,7 +61,7 @@
             upstream: id.clone(),
             report,
         };
-        desk.tell_of_upstream(&id, &event);
+        desk.send_to_homes_of_upstream(&id, &event);
     }
     let Ok(events) = client.cache_events(after_seq).await else {
         return (id, after_seq);
@@ -76,7 +76,7 @@
             upstream: id.clone(),
             events,
         };
-        desk.tell_of_upstream(&id, &event);
+        desk.send_to_homes_of_upstream(&id, &event);
     }
     (id, seq)
 }
--- a/src/daemon/status_loop.rs
+++ b/src/daemon/status_loop.rs
@@ -30,7 +30,7 @@
         domain: &host.settings.failure_domain,
         cluster_view: &host.cluster_view,
         manifest: host.manifests.knowledge(),
-        homes: host.homes.pools(),
+        homes: host.homes.pool_loads(),
         silent_domains: host.membership.silent_domains(),
         events: &host.events,
     })
--- a/src/fleet/home_desk/mod.rs
+++ b/src/fleet/home_desk/mod.rs
@@ -145,14 +145,14 @@
     }
 
     /// Passes something on to every home.
-    pub fn tell_all(self: &Arc<Self>, event: &HomeEvent) {
+    pub fn send_to_all_homes(self: &Arc<Self>, event: &HomeEvent) {
         for (pool, home) in self.homes.snapshot() {
             self.tell(&pool, &home, event.clone());
         }
     }
 
     /// Passes something on to the homes of one upstream.
-    pub fn tell_of_upstream(self: &Arc<Self>, upstream: &UpstreamId, event: &HomeEvent) {
+    pub fn send_to_homes_of_upstream(self: &Arc<Self>, upstream: &UpstreamId, event: &HomeEvent) {
         for (pool, home) in self.homes.snapshot() {
             let is_member = lock(&home.made_of)
                 .1
@@ -165,7 +165,7 @@
     }
 
     /// The pools that have their home here, with their load.
-    pub fn pools(&self) -> Vec<(PoolId, PoolLoad)> {
+    pub fn pool_loads(&self) -> Vec<(PoolId, PoolLoad)> {
         let now = self.clock.now();
         let load = |(pool, home): (PoolId, Arc<Home>)| {
             let load = lock(&home.controller).load(now);
@@ -202,11 +202,11 @@
     /// Hands all homes over and takes no new ones: this host drains.
     pub fn shut_down(self: &Arc<Self>) {
         self.is_closed.store(true, Ordering::SeqCst);
-        self.hand_over();
+        self.hand_over_all();
     }
 
     /// Hands all homes over: what this host holds may be someone else's by now.
-    pub fn hand_over(self: &Arc<Self>) {
+    pub fn hand_over_all(self: &Arc<Self>) {
         for (pool, home) in self.homes.snapshot() {
             self.close(&pool, &home);
         }
