--- a/src/daemon/poll.rs
+++ b/src/daemon/poll.rs
@@ -27,7 +27,7 @@
         sleep(PAUSE).await;
         let mut asked = JoinSet::new();
         let ids = desk
-            .pools()
+            .pool_loads()
             .into_iter()
             .flat_map(|(pool, _)| map.upstreams_of(&pool));
         for id in ids {
