--- a/src/daemon/pages.rs
+++ b/src/daemon/pages.rs
@@ -83,7 +83,7 @@
                 return Page::text(StatusCode::INTERNAL_SERVER_ERROR, format!("{err}\n"));
             }
         };
-        let pools = host.home_table.homes().into_iter();
+        let pools = host.home_table.pool_homes().into_iter();
         let pools: Vec<_> = pools
             .map(|(pool, home)| json!({"pool": pool, "home": home}))
             .collect();
--- a/src/fleet/home_table.rs
+++ b/src/fleet/home_table.rs
@@ -93,7 +93,7 @@
     }
 
     /// The home of each pool, for status.
-    pub fn homes(&self) -> Vec<(PoolId, Option<HostId>)> {
+    pub fn pool_homes(&self) -> Vec<(PoolId, Option<HostId>)> {
         let tables = self.tables();
         let home = |pool: &PoolId| tables.candidates(pool).first().cloned();
         tables
