--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -110,7 +110,7 @@
 
     /// Announces the live grants to the homes of their pools. A home that has taken over learns
     /// from it what an earlier one has granted; one that knows them keeps them.
-    pub fn announce(&self) {
+    pub fn announce_live_grants(&self) {
         for (pool, grants) in self.live_grants.by_pool() {
             if let Some(home) = self.candidates(&pool).into_iter().next() {
                 self.announce_to(&pool, grants, &home);
