--- a/src/daemon/manifest_loop.rs
+++ b/src/daemon/manifest_loop.rs
@@ -65,7 +65,7 @@
         .watch(ObjectKind::Manifests, after, WATCH_WAIT)
         .await?;
     if changes.items.is_empty() {
-        host.manifests.platform(PlatformWord::Unchanged);
+        host.manifests.on_platform_read(PlatformWord::Unchanged);
     }
     take_in(host, &changes);
     Ok(Some(changes.version))
@@ -73,7 +73,7 @@
 
 /// A host that does not watch hears of new generations from peers.
 async fn wait_until_wanted(host: &Host) -> Result<Option<ObjectVersion>, PlatformError> {
-    let is_wanted = timeout(PAUSE, host.manifests.wants_platform())
+    let is_wanted = timeout(PAUSE, host.manifests.wait_for_read_request())
         .await
         .is_ok();
     let has_become_watcher = is_watcher(host);
@@ -86,10 +86,10 @@
 
 async fn list(host: &Host) -> Result<Option<ObjectVersion>, PlatformError> {
     // What the desk wanted until now is answered by this read.
-    let _ = host.manifests.wants_platform().now_or_never();
+    let _ = host.manifests.wait_for_read_request().now_or_never();
     let list = host.platform.list(ObjectKind::Manifests).await?;
     if list.items.is_empty() {
-        host.manifests.platform(PlatformWord::Absent);
+        host.manifests.on_platform_read(PlatformWord::Absent);
     }
     take_in(host, &list);
     Ok(Some(list.version))
@@ -104,7 +104,9 @@
 fn take_in(host: &Host, list: &ObjectList) {
     for object in &list.items {
         match PublishedManifest::deserialize(&object.value) {
-            Ok(published) => host.manifests.platform(PlatformWord::Published(published)),
+            Ok(published) => host
+                .manifests
+                .on_platform_read(PlatformWord::Published(published)),
             Err(err) => warn!("manifests: {} is not understood: {err}", object.key),
         }
     }
--- a/src/daemon/pages.rs
+++ b/src/daemon/pages.rs
@@ -32,7 +32,7 @@
         if !self.0.drain.is_ready() {
             return Page::text(StatusCode::SERVICE_UNAVAILABLE, "draining\n");
         }
-        if let Some(why) = self.0.manifests.knowledge().why_not_ready {
+        if let Some(why) = self.0.manifests.status().why_not_ready {
             return Page::text(StatusCode::SERVICE_UNAVAILABLE, format!("{why}\n"));
         }
         Page::text(StatusCode::OK, "ready\n")
@@ -47,7 +47,7 @@
             peer_work_bytes: host.traffic.work_bytes(),
             peer_dropped_messages: host.traffic.dropped_messages(),
             peer_refused_connections: host.traffic.refused_connections(),
-            manifest_confirmed_ago: host.manifests.knowledge().confirmed_ago,
+            manifest_confirmed_ago: host.manifests.status().confirmed_ago,
             pools: host.homes.pool_loads(),
         });
         match metrics.render() {
--- a/src/daemon/status_loop.rs
+++ b/src/daemon/status_loop.rs
@@ -29,7 +29,7 @@
         host: &host.settings.host,
         domain: &host.settings.failure_domain,
         cluster_view: &host.cluster_view,
-        manifest: host.manifests.knowledge(),
+        manifest: host.manifests.status(),
         homes: host.homes.pool_loads(),
         silent_domains: host.membership.silent_domains(),
         events: &host.events,
--- a/src/fleet/manifest_desk.rs
+++ b/src/fleet/manifest_desk.rs
@@ -88,18 +88,18 @@
     }
 
     /// Takes in what the platform said.
-    pub fn platform(&self, word: PlatformWord) {
+    pub fn on_platform_read(&self, word: PlatformWord) {
         let actions = self.lock().platform(word, self.clock.now());
         self.perform(actions);
     }
 
     /// What this host knows.
-    pub fn knowledge(&self) -> Knowledge {
+    pub fn status(&self) -> Knowledge {
         self.lock().knowledge(self.clock.now())
     }
 
     /// Comes back when the platform should be read.
-    pub async fn wants_platform(&self) {
+    pub async fn wait_for_read_request(&self) {
         self.read_platform.notified().await;
     }
 
