--- a/src/daemon/loops.rs
+++ b/src/daemon/loops.rs
@@ -86,9 +86,10 @@
     let list = host.platform.list(ObjectKind::Machines).await?;
     let listed = machine_list::take_in(&host.cluster_view, &list);
     host.addrs.add_seeds(&listed.seeds);
-    host.membership.seed(&listed.seeds);
+    host.membership.add_seeds(&listed.seeds);
     for (upstream, version) in listed.leaving {
-        host.membership.note_leaving(&upstream, version);
+        host.membership
+            .announce_leaving_upstream(&upstream, version);
     }
     Ok(list.version)
 }
--- a/src/fleet/membership_desk.rs
+++ b/src/fleet/membership_desk.rs
@@ -95,7 +95,7 @@
     }
 
     /// Takes in hosts of the platform's lagging list.
-    pub fn seed(&self, seeds: &[PeerSeed]) {
+    pub fn add_seeds(&self, seeds: &[PeerSeed]) {
         self.lock().seed(seeds);
     }
 
@@ -112,12 +112,12 @@
     }
 
     /// Spreads that an upstream is leaving.
-    pub fn note_leaving(&self, upstream: &UpstreamId, version: ObjectVersion) {
+    pub fn announce_leaving_upstream(&self, upstream: &UpstreamId, version: ObjectVersion) {
         self.lock().note_leaving(upstream, version);
     }
 
     /// Spreads that a request crashed an upstream.
-    pub fn note_poison(&self, notice: PoisonNotice) {
+    pub fn announce_poison(&self, notice: PoisonNotice) {
         self.lock().note_poison(notice);
     }
 
@@ -223,6 +223,6 @@
 
 impl PoisonSpread for MembershipRunner {
     fn spread(&self, poison: &PoisonReport) {
-        self.note_poison(poison_wire::notice_of(poison));
+        self.announce_poison(poison_wire::notice_of(poison));
     }
 }
