--- a/src/daemon/news.rs
+++ b/src/daemon/news.rs
@@ -48,7 +48,7 @@
                 MembershipEvent::PausedOrDeclaredDead => self.homes.hand_over_all(),
                 MembershipEvent::Poison(notice) => {
                     let now = self.parts.clock.now();
-                    if let Some(poison) = poison_wire::poison_of(&notice)
+                    if let Some(poison) = poison_wire::decode_notice(&notice)
                         && self.parts.poison_list().merge(&poison, now)
                     {
                         info!(
--- a/src/fleet/membership_desk.rs
+++ b/src/fleet/membership_desk.rs
@@ -223,6 +223,6 @@
 
 impl PoisonSpread for MembershipRunner {
     fn spread(&self, poison: &PoisonReport) {
-        self.announce_poison(poison_wire::notice_of(poison));
+        self.announce_poison(poison_wire::encode_notice(poison));
     }
 }
--- a/src/fleet/poison_wire.rs
+++ b/src/fleet/poison_wire.rs
@@ -9,7 +9,7 @@
 const KEY_MARK: u8 = 1;
 
 /// A poison as a message.
-pub fn notice_of(poison: &PoisonReport) -> PoisonNotice {
+pub fn encode_notice(poison: &PoisonReport) -> PoisonNotice {
     let content = match poison.fingerprint {
         RequestFingerprint::Content(hash) => hash.0.to_be_bytes().to_vec(),
         RequestFingerprint::Key(hash) => {
@@ -29,7 +29,7 @@
 }
 
 /// A poison out of a message; none if it can't be read.
-pub fn poison_of(notice: &PoisonNotice) -> Option<PoisonReport> {
+pub fn decode_notice(notice: &PoisonNotice) -> Option<PoisonReport> {
     let hash_of = |bytes: &[u8]| {
         let bytes: [u8; 16] = bytes.try_into().ok()?;
         Some(ContentHash(u128::from_be_bytes(bytes)))
