--- a/src/fleet/home_desk/mod.rs
+++ b/src/fleet/home_runner/mod.rs
@@ -1,7 +1,7 @@
 //! The homes on this host, with their hands.
 
-mod hands;
-mod seen;
+mod actions;
+mod pool_inputs;
 
 use std::sync::Arc;
 use std::sync::Mutex;
--- a/src/fleet/home_desk/seen.rs
+++ b/src/fleet/home_runner/pool_inputs.rs
@@ -3,7 +3,7 @@
 use crate::decide::PolicyConfig;
 use crate::decide::PoolKind;
 use crate::decide::UpstreamInfo;
-use crate::fleet::home_desk::HomeRunner;
+use crate::fleet::home_runner::HomeRunner;
 use crate::units::PoolId;
 use crate::units::TargetId;
 use crate::units::Tokens;
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,36 +1,36 @@
 //! Connects the controllers of homes, claims and the membership with peers, upstreams and the
 //! platform.
 
+mod cluster_home_directory;
 mod grant_waiters;
-mod home_desk;
+mod home_directory;
 mod home_granter;
-mod home_map;
-mod home_table;
+mod home_runner;
 mod live_grants;
-mod manifest_desk;
-mod membership_desk;
-mod order_desk;
-mod peer_desk;
+mod manifest_runner;
+mod membership_runner;
+mod peer_message_router;
 pub mod poison_wire;
-mod relay_platform;
+mod reconciler_runner;
+mod relay_platform_client;
 mod upstream_registry;
 
+pub use cluster_home_directory::ClusterHomeDirectory;
 pub use grant_waiters::GrantWaiters;
-pub use home_desk::HomeRunner;
-pub use home_desk::HomeRunnerParts;
+pub use home_directory::HomeDirectory;
 pub use home_granter::HomeGranter;
 pub use home_granter::HomeGranterParts;
-pub use home_map::HomeDirectory;
-pub use home_table::ClusterHomeDirectory;
+pub use home_runner::HomeRunner;
+pub use home_runner::HomeRunnerParts;
 pub use live_grants::LiveGrants;
-pub use manifest_desk::ManifestRunner;
-pub use manifest_desk::ManifestRunnerParts;
-pub use membership_desk::MembershipEvent;
-pub use membership_desk::MembershipRunner;
-pub use order_desk::ReconcilerRunner;
-pub use order_desk::ReconcilerRunnerParts;
-pub use peer_desk::MembershipEventHandler;
-pub use peer_desk::PeerMessageRouter;
-pub use relay_platform::RelayPlatformClient;
-pub use relay_platform::RelayPlatformClientParts;
+pub use manifest_runner::ManifestRunner;
+pub use manifest_runner::ManifestRunnerParts;
+pub use membership_runner::MembershipEvent;
+pub use membership_runner::MembershipRunner;
+pub use peer_message_router::MembershipEventHandler;
+pub use peer_message_router::PeerMessageRouter;
+pub use reconciler_runner::ReconcilerRunner;
+pub use reconciler_runner::ReconcilerRunnerParts;
+pub use relay_platform_client::RelayPlatformClient;
+pub use relay_platform_client::RelayPlatformClientParts;
 pub use upstream_registry::UpstreamRegistry;
--- a/src/peer/codec.rs
+++ b/src/peer/codec.rs
@@ -10,8 +10,8 @@
 use crate::peer::FrameAuthenticator;
 use crate::peer::FrameError;
 use crate::peer::Message;
+use crate::peer::frame_authenticator::TAG_LEN;
 use crate::peer::message::Envelope;
-use crate::peer::seal::TAG_LEN;
 
 /// The largest frame. The largest message is a batch of manifest parts; the bound keeps a broken
 /// or hostile peer from making this host reserve more.
