--- a/src/fleet/cluster_home_directory.rs
+++ b/src/fleet/cluster_home_directory.rs
@@ -1,4 +1,4 @@
-//! Pools and their homes, worked out from the cluster view and the membership.
+//! The pools and their homes, computed from the cluster view and the membership.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -20,13 +20,14 @@
 use crate::units::TargetId;
 use crate::units::UpstreamId;
 
-/// What the tables are worked out from; they are worked out again only when it has changed.
+/// The input of the tables. They are computed again only when it has changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Inputs {
     upstreams: IndexMap<(FailureDomainId, TargetId), Vec<UpstreamId>>,
     members: IndexMap<FailureDomainId, Vec<Member>>,
 }
 
+/// The tables of pools and homes, together with their input.
 #[derive(Debug, Default)]
 struct Tables {
     inputs: Inputs,
@@ -35,18 +36,18 @@
     homes: IndexMap<FailureDomainId, HomeTable>,
 }
 
-/// Pools and their homes as this host sees them.
+/// A [`HomeDirectory`] that follows the cluster view and the membership.
 pub struct ClusterHomeDirectory {
     cluster_view: Arc<ClusterView>,
     membership: Arc<MembershipRunner>,
     host: HostId,
     domain: FailureDomainId,
     tables: RwLock<Arc<Tables>>,
-    seen_changes: Mutex<(u64, u64)>,
+    last_change_counts: Mutex<(u64, u64)>,
 }
 
 impl ClusterHomeDirectory {
-    /// Empty tables, for `host` of `domain`.
+    /// A directory with empty tables for `host`, which belongs to `domain`.
     pub fn new(
         cluster_view: Arc<ClusterView>,
         membership: Arc<MembershipRunner>,
@@ -59,11 +60,11 @@
             host,
             domain,
             tables: RwLock::default(),
-            seen_changes: Mutex::default(),
+            last_change_counts: Mutex::default(),
         }
     }
 
-    /// Works the tables out again if something has changed.
+    /// Computes the tables again if their input has changed.
     pub fn refresh(&self) {
         if !self.has_changed() {
             return;
@@ -72,27 +73,28 @@
         if self.tables().inputs == inputs {
             return;
         }
-        let tables = Arc::new(self.work_out(inputs));
+        let tables = Arc::new(self.compute_tables(inputs));
         *self.tables.write().unwrap_or_else(PoisonError::into_inner) = tables;
     }
 
-    /// Whether the cluster view has changed since the last look. Comparing all hosts and upstreams ten times
-    /// a second would take a part of a core that grows with the fleet.
+    /// Whether the cluster view has changed since the last call. Comparing change counts is cheap;
+    /// comparing all hosts and upstreams ten times a second would take a share of a core that grows
+    /// with the number of hosts.
     fn has_changed(&self) -> bool {
         let changes = (
             self.cluster_view.hosts.change_count(),
             self.cluster_view.upstreams.change_count(),
         );
-        let mut seen = self
-            .seen_changes
+        let mut last = self
+            .last_change_counts
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let has_changed = *seen != changes;
-        *seen = changes;
+        let has_changed = *last != changes;
+        *last = changes;
         has_changed
     }
 
-    /// The home of each pool, for status.
+    /// Each pool with its home, for the status page; the home is none where no host can be home.
     pub fn pool_homes(&self) -> Vec<(PoolId, Option<HostId>)> {
         let tables = self.tables();
         let home = |pool: &PoolId| tables.candidates(pool).first().cloned();
@@ -126,7 +128,7 @@
         inputs
     }
 
-    fn work_out(&self, inputs: Inputs) -> Tables {
+    fn compute_tables(&self, inputs: Inputs) -> Tables {
         let mut tables = Tables::default();
         let mut by_domain: IndexMap<FailureDomainId, Vec<PoolId>> = IndexMap::new();
         for ((domain, target), upstreams) in &inputs.upstreams {
@@ -162,13 +164,13 @@
 }
 
 impl HomeDirectory for ClusterHomeDirectory {
-    fn pools_for_target(&self, target: &TargetId, spread: u64) -> Vec<PoolId> {
+    fn pools_for_target(&self, target: &TargetId, rotation: u64) -> Vec<PoolId> {
         let tables = self.tables();
         let mut pools = tables.by_target.get(target).cloned().unwrap_or_default();
         let is_own = |pool: &PoolId| pool.domain().as_ref() == Some(&self.domain);
         let own = pools.iter().take_while(|pool| is_own(pool)).count();
-        rotate(&mut pools[..own], spread);
-        rotate(&mut pools[own..], spread);
+        rotate(&mut pools[..own], rotation);
+        rotate(&mut pools[own..], rotation);
         pools
     }
 
@@ -192,8 +194,8 @@
     }
 }
 
-fn rotate(pools: &mut [PoolId], spread: u64) {
-    if let Some(by) = usize::try_from(spread)
+fn rotate(pools: &mut [PoolId], rotation: u64) {
+    if let Some(by) = usize::try_from(rotation)
         .unwrap_or(0)
         .checked_rem(pools.len())
     {
--- a/src/fleet/grant_waiters.rs
+++ b/src/fleet/grant_waiters.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a home's decision.
+//! The requests of this host that wait for the decision of a home.
 
 use tokio::sync::mpsc;
 
@@ -6,27 +6,28 @@
 use crate::control::home::GrantAnswer;
 use crate::units::RequestId;
 
-/// Requests that wait for a home's decision, by their id.
+/// The requests of this host that wait for the decision of a home, by request id.
 #[derive(Debug, Default)]
 pub struct GrantWaiters {
     senders: ShardedMap<RequestId, mpsc::UnboundedSender<GrantAnswer>>,
 }
 
 impl GrantWaiters {
-    /// Starts to wait. A request gets at most one decision an asking, so the channel stays short.
-    pub fn wait(&self, request: RequestId) -> mpsc::UnboundedReceiver<GrantAnswer> {
+    /// Registers a request and returns the channel on which its decisions arrive. The channel is
+    /// unbounded but stays short: a home sends at most one decision for each time it is asked.
+    pub fn register(&self, request: RequestId) -> mpsc::UnboundedReceiver<GrantAnswer> {
         let (tx, rx) = mpsc::unbounded_channel();
         self.senders.insert(request, tx);
         rx
     }
 
-    /// Stops waiting.
-    pub fn forget(&self, request: RequestId) {
+    /// Removes a request that no longer waits.
+    pub fn unregister(&self, request: RequestId) {
         self.senders.remove(&request);
     }
 
-    /// Hands a decision to the request that waits for it. Returns whether one does.
-    pub fn decided(&self, answer: GrantAnswer) -> bool {
+    /// Passes a decision to the request that waits for it. Returns whether the request still waits.
+    pub fn deliver(&self, answer: GrantAnswer) -> bool {
         let request = answer.request;
         let sent = self.senders.update(&request, |tx| tx.send(answer).is_ok());
         sent.unwrap_or(false)
--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -1,4 +1,4 @@
-//! Asks homes for grants.
+//! Requests grants from homes for the requests of this host.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,20 +36,22 @@
 use crate::units::RequestId;
 use crate::units::TargetId;
 
-/// How long a home may take to say anything: a hundred round trips inside a failure domain. A home
-/// that is frozen is found out by this and costs a short question no more than this.
-const ASK_TIMEOUT: Duration = Duration::from_millis(250);
+/// How long a candidate may take to reply: a hundred round trips inside a failure domain. This
+/// bounds the delay that a frozen home adds to a request.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How often a request that waits asks again, which also finds out a home that died meanwhile.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
+/// The interval at which a queued request asks its home again. A home that died since then is
+/// noticed because it does not reply.
+const REPEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The pause when every candidate was asked and none is the home: views differ for a moment.
+/// The pause after a round in which no candidate was the home. The views of hosts differ for a
+/// short time after a change.
 const ROUND_PAUSE: Duration = Duration::from_millis(100);
 
-/// When to come back where no pool serves the target.
+/// The time after which a caller should retry if no pool serves the target.
 const RETRY_AFTER_NO_POOL: Duration = Duration::from_secs(2);
 
-/// Asks homes for grants and remembers the ones that have not ended.
+/// Requests grants from homes, and keeps those that have not ended.
 pub struct HomeGranter {
     clock: Arc<dyn Clock>,
     host: HostId,
@@ -61,40 +63,43 @@
     live_grants: Arc<LiveGrants>,
 }
 
-/// What a granter works with.
+/// The dependencies of a [`HomeGranter`].
 pub struct HomeGranterParts {
-    /// The clock.
+    /// The clock of this host.
     pub clock: Arc<dyn Clock>,
-    /// This host.
+    /// The id of this host.
     pub host: HostId,
-    /// Other hosts.
+    /// The transport to other hosts.
     pub peers: Arc<dyn PeerTransport>,
-    /// Which hosts are homes.
+    /// The directory of pools and their homes.
     pub home_directory: Arc<dyn HomeDirectory>,
     /// The homes on this host.
     pub homes: Arc<HomeRunner>,
-    /// Requests that wait.
+    /// The requests of this host that wait for a decision.
     pub waiters: Arc<GrantWaiters>,
-    /// The grants that this host holds.
+    /// The live grants of this host.
     pub live_grants: Arc<LiveGrants>,
-    /// The decisions; baselines decide on this host alone.
+    /// The policy by which homes decide. With a baseline policy only this host is asked.
     pub policy: PolicyName,
 }
 
-/// What one candidate said.
-enum Asked {
-    Said(Verdict),
-    Silent,
+/// The result of asking one candidate.
+enum CandidateReply {
+    Status(Verdict),
+    /// The candidate did not reply, or its reply was not valid.
+    NoReply,
 }
 
-/// How the waiting for a decision ended.
-enum Waited {
+/// How the wait of a queued request ended.
+enum WaitOutcome {
     Decided(Verdict),
-    AskAgain,
+    /// The candidate is no longer the home or does not reply, so that all candidates have to be
+    /// asked again.
+    HomeLost,
 }
 
 impl HomeGranter {
-    /// A granter without live grants.
+    /// A granter that keeps its grants in the given live grants.
     pub fn new(parts: HomeGranterParts) -> Self {
         Self {
             clock: parts.clock,
@@ -108,28 +113,29 @@
         }
     }
 
-    /// Announces the live grants to the homes of their pools. A home that has taken over learns
-    /// from it what an earlier one has granted; one that knows them keeps them.
+    /// Announces the live grants to the homes of their pools. A new home learns from the
+    /// announcement which grants an earlier home has issued; a home that knows the grants keeps
+    /// them.
     pub fn announce_live_grants(&self) {
         for (pool, grants) in self.live_grants.by_pool() {
             if let Some(home) = self.candidates(&pool).into_iter().next() {
-                self.announce_to(&pool, grants, &home);
+                self.send_announcement(&pool, grants, &home);
             }
         }
     }
 
     /// Announces the live grants of one pool to a host that asked for them.
-    pub fn announce_pool(&self, pool: &PoolId, to: &HostId) {
-        let grants = self.live_grants.of_pool(pool);
-        self.announce_to(pool, grants, to);
+    pub fn announce_pool_grants(&self, pool: &PoolId, to: &HostId) {
+        let grants = self.live_grants.for_pool(pool);
+        self.send_announcement(pool, grants, to);
     }
 
-    /// How many grants have not ended.
+    /// The number of grants that have not ended.
     pub fn live_count(&self) -> usize {
         self.live_grants.count()
     }
 
-    fn announce_to(&self, pool: &PoolId, grants: Vec<LiveGrant>, to: &HostId) {
+    fn send_announcement(&self, pool: &PoolId, grants: Vec<LiveGrant>, to: &HostId) {
         if *to == self.host {
             self.homes.handle(
                 pool,
@@ -144,8 +150,9 @@
         }
     }
 
-    /// The candidates, and this host behind them: a host that reaches no home decides alone, within
-    /// the small share that a home without a ledger grants.
+    /// The hosts to ask for a grant in turn: the first candidates of the pool, then this host. A
+    /// host that reaches no home decides by itself, within the small share of the capacity that a
+    /// home without a ledger grants.
     fn candidates(&self, pool: &PoolId) -> Vec<HostId> {
         if self.policy != PolicyName::Shipped {
             return vec![self.host.clone()];
@@ -162,153 +169,167 @@
         hosts
     }
 
-    async fn decide(&self, target: &TargetId, work: &Work) -> GrantAnswer {
+    /// Asks the pools of a target in turn, until one grants the request or refuses it for a reason
+    /// that holds in every pool.
+    async fn request_grant(&self, target: &TargetId, work: &Work) -> GrantAnswer {
         let pools = self
             .home_directory
-            .pools_for_target(target, spread_of(work));
+            .pools_for_target(target, pool_rotation(work));
         let mut refused = GrantAnswer::Refused {
             reason: RefuseReason::NoUpstream,
             retry_after: RETRY_AFTER_NO_POOL,
         };
         for pool in &pools {
-            let answer = self.decide_in(pool, work).await;
+            let answer = self.request_grant_in_pool(pool, work).await;
             match &answer {
-                GrantAnswer::Refused { reason, .. } if is_of_pool(*reason) => refused = answer,
+                GrantAnswer::Refused { reason, .. } if is_specific_to_pool(*reason) => {
+                    refused = answer
+                }
                 _ => return answer,
             }
         }
         refused
     }
 
-    /// Asks the home of one pool until there is a decision.
-    async fn decide_in(&self, pool: &PoolId, work: &Work) -> GrantAnswer {
-        let mut pushes = self.waiters.wait(work.request);
+    /// Asks the home of one pool until the request is granted or refused.
+    async fn request_grant_in_pool(&self, pool: &PoolId, work: &Work) -> GrantAnswer {
+        let mut pushes = self.waiters.register(work.request);
         let mut withdrawal = Withdrawal {
             granter: self,
             pool,
-            asked: None,
+            queued_at: None,
             work,
         };
         loop {
             for candidate in self.candidates(pool) {
-                let verdict = match self.ask_one(&candidate, pool, work).await {
-                    Asked::Said(Verdict::NotHome) => continue,
-                    Asked::Silent => {
+                let status = match self.ask(&candidate, pool, work).await {
+                    CandidateReply::Status(Verdict::NotHome) => continue,
+                    CandidateReply::NoReply => {
                         self.home_directory.report_unresponsive(&candidate);
                         continue;
                     }
-                    Asked::Said(verdict) => verdict,
+                    CandidateReply::Status(status) => status,
                 };
-                withdrawal.asked = Some(candidate.clone());
-                let verdict = match verdict {
-                    Verdict::Queued => self.wait_for(&mut pushes, &candidate, pool, work).await,
-                    decided => Waited::Decided(decided),
+                withdrawal.queued_at = Some(candidate.clone());
+                let outcome = match status {
+                    Verdict::Queued => {
+                        self.wait_for_decision(&mut pushes, &candidate, pool, work)
+                            .await
+                    }
+                    decided => WaitOutcome::Decided(decided),
                 };
-                match verdict {
-                    Waited::Decided(Verdict::Granted(granted)) => {
-                        withdrawal.asked = None;
-                        return self.granted(pool, granted, work);
+                match outcome {
+                    WaitOutcome::Decided(Verdict::Granted(granted)) => {
+                        withdrawal.queued_at = None;
+                        return self.hold_grant(pool, granted, work);
                     }
-                    Waited::Decided(Verdict::Refused {
+                    WaitOutcome::Decided(Verdict::Refused {
                         reason,
                         retry_after,
                     }) => {
-                        withdrawal.asked = None;
+                        withdrawal.queued_at = None;
                         return GrantAnswer::Refused {
                             reason,
                             retry_after,
                         };
                     }
-                    Waited::Decided(_) | Waited::AskAgain => break,
+                    WaitOutcome::Decided(_) | WaitOutcome::HomeLost => break,
                 }
             }
             tokio::time::sleep(ROUND_PAUSE).await;
         }
     }
 
-    /// Waits for the push of a request that is queued, and asks again now and then.
-    async fn wait_for(
+    /// Waits until the home pushes the decision on a queued request, and asks the home again at
+    /// regular intervals.
+    async fn wait_for_decision(
         &self,
         pushes: &mut mpsc::UnboundedReceiver<HomeAnswer>,
         candidate: &HostId,
         pool: &PoolId,
         work: &Work,
-    ) -> Waited {
+    ) -> WaitOutcome {
         loop {
             let asked_at = self.clock.now();
-            let pushed = timeout(ASK_AGAIN, pushes.recv()).await;
+            let pushed = timeout(REPEAT_INTERVAL, pushes.recv()).await;
             if let Ok(Some(answer)) = pushed
                 && !self.is_stale(&answer.verdict, asked_at)
             {
-                return Waited::Decided(answer.verdict);
+                return WaitOutcome::Decided(answer.verdict);
             }
-            match self.ask_one(candidate, pool, work).await {
-                Asked::Said(Verdict::Queued) => {}
-                Asked::Said(Verdict::NotHome) => return Waited::AskAgain,
-                Asked::Said(verdict) => return Waited::Decided(verdict),
-                Asked::Silent => {
+            match self.ask(candidate, pool, work).await {
+                CandidateReply::Status(Verdict::Queued) => {}
+                CandidateReply::Status(Verdict::NotHome) => return WaitOutcome::HomeLost,
+                CandidateReply::Status(status) => return WaitOutcome::Decided(status),
+                CandidateReply::NoReply => {
                     self.home_directory.report_unresponsive(candidate);
-                    return Waited::AskAgain;
+                    return WaitOutcome::HomeLost;
                 }
             }
         }
     }
 
-    /// Asks a candidate, and again if this host stood still before it could use the grant.
-    async fn ask_one(&self, candidate: &HostId, pool: &PoolId, work: &Work) -> Asked {
+    /// Asks a candidate, and asks again if this host was paused for so long that the grant is
+    /// stale.
+    async fn ask(&self, candidate: &HostId, pool: &PoolId, work: &Work) -> CandidateReply {
         loop {
             let asked_at = self.clock.now();
             match self.ask_once(candidate, pool, work).await {
-                Asked::Said(verdict) if self.is_stale(&verdict, asked_at) => {}
-                asked => return asked,
+                CandidateReply::Status(status) if self.is_stale(&status, asked_at) => {}
+                reply => return reply,
             }
         }
     }
 
-    /// Whether a grant has waited here so long that its home may have given it up.
-    fn is_stale(&self, verdict: &Verdict, asked_at: Instant) -> bool {
-        let Verdict::Granted(granted) = verdict else {
+    /// Whether so much time has passed since the home was asked that it may have given up the
+    /// grant.
+    fn is_stale(&self, status: &Verdict, asked_at: Instant) -> bool {
+        let Verdict::Granted(granted) = status else {
             return false;
         };
         !granted.is_fresh(asked_at, self.clock.now())
     }
 
-    async fn ask_once(&self, candidate: &HostId, pool: &PoolId, work: &Work) -> Asked {
+    /// Asks a candidate once; this host's own home is called directly.
+    async fn ask_once(&self, candidate: &HostId, pool: &PoolId, work: &Work) -> CandidateReply {
         if *candidate == self.host {
             let event = HomeEvent::Request {
                 from: self.host.clone(),
                 work: work.clone(),
             };
             let answer = self.homes.handle(pool, event);
-            return answer.map_or(Asked::Silent, |answer| Asked::Said(answer.verdict));
+            return answer.map_or(CandidateReply::NoReply, |answer| {
+                CandidateReply::Status(answer.verdict)
+            });
         }
         let request = wire::request_to(pool, work, self.clock.now());
-        let asked = self
+        let reply = self
             .peers
-            .request(candidate, Message::GrantRequest(request), ASK_TIMEOUT);
-        match asked.await {
+            .request(candidate, Message::GrantRequest(request), REPLY_TIMEOUT);
+        match reply.await {
             Ok(Message::GrantReply(reply)) => match wire::answer_from(&reply) {
-                Ok((_, answer)) => Asked::Said(answer.verdict),
+                Ok((_, answer)) => CandidateReply::Status(answer.verdict),
                 Err(err) => {
-                    debug!("homes: {candidate} answered wrongly: {err}");
-                    Asked::Silent
+                    debug!("homes: invalid reply of {candidate} for {pool}: {err}");
+                    CandidateReply::NoReply
                 }
             },
-            Ok(_) => Asked::Silent,
+            Ok(_) => CandidateReply::NoReply,
             Err(err) => {
-                debug!("homes: {candidate} did not answer for {pool}: {err}");
-                Asked::Silent
+                debug!("homes: no reply of {candidate} for {pool}: {err}");
+                CandidateReply::NoReply
             }
         }
     }
 
-    fn granted(&self, pool: &PoolId, granted: Granted, work: &Work) -> GrantAnswer {
+    /// Adds an issued grant to the live grants of this host.
+    fn hold_grant(&self, pool: &PoolId, granted: Granted, work: &Work) -> GrantAnswer {
         let live = LiveGrant {
             id: granted.grant,
             work: work.clone(),
             upstreams: granted.upstreams.clone(),
         };
-        self.live_grants.begin(pool, live);
+        self.live_grants.insert(pool, live);
         GrantAnswer::Granted(Box::new(HeldGrant {
             pool: pool.clone(),
             grant: granted.grant,
@@ -319,7 +340,7 @@
         }))
     }
 
-    fn tell_finish(&self, to: &HostId, pool: &PoolId, grant: GrantId, done: AttemptSummary) {
+    fn send_finish(&self, to: &HostId, pool: &PoolId, grant: GrantId, done: AttemptSummary) {
         if *to == self.host {
             let from = self.host.clone();
             self.homes
@@ -330,7 +351,7 @@
         }
     }
 
-    fn tell_withdraw(&self, to: &HostId, pool: &PoolId, request: RequestId) {
+    fn send_withdraw(&self, to: &HostId, pool: &PoolId, request: RequestId) {
         if *to == self.host {
             let from = self.host.clone();
             self.homes
@@ -344,44 +365,45 @@
 
 impl Granter for HomeGranter {
     fn ask(&self, target: TargetId, work: Work) -> BoxFuture<'_, GrantAnswer> {
-        async move { self.decide(&target, &work).await }.boxed()
+        async move { self.request_grant(&target, &work).await }.boxed()
     }
 
     fn finish(&self, held: &HeldGrant, done: AttemptSummary) {
-        self.live_grants.end(held.grant);
+        self.live_grants.remove(held.grant);
         if let Some(home) = self.candidates(&held.pool).first() {
-            self.tell_finish(home, &held.pool, held.grant, done);
+            self.send_finish(home, &held.pool, held.grant, done);
         }
     }
 }
 
-/// Takes a request back from the home that was asked last, unless it was decided.
+/// Withdraws a request, when dropped, from the home where the request is still queued.
 struct Withdrawal<'a> {
     granter: &'a HomeGranter,
     pool: &'a PoolId,
-    asked: Option<HostId>,
+    queued_at: Option<HostId>,
     work: &'a Work,
 }
 
 impl Drop for Withdrawal<'_> {
     fn drop(&mut self) {
-        self.granter.waiters.forget(self.work.request);
-        if let Some(home) = &self.asked {
+        self.granter.waiters.unregister(self.work.request);
+        if let Some(home) = &self.queued_at {
             self.granter
-                .tell_withdraw(home, self.pool, self.work.request);
+                .send_withdraw(home, self.pool, self.work.request);
         }
     }
 }
 
-/// Requests with the same beginning go the same way, all others any way.
-fn spread_of(work: &Work) -> u64 {
+/// The rotation of the pools for a request. Requests whose prompts share the first prefix get the
+/// same rotation; a request without a prefix gets a rotation by its id.
+fn pool_rotation(work: &Work) -> u64 {
     let prefix = work.prefixes.first().map(|(hash, _)| hash.0);
     let hash = prefix.unwrap_or(work.request.0);
     u64::try_from(hash >> u64::BITS).unwrap_or(0)
 }
 
-/// Whether another pool may decide otherwise.
-fn is_of_pool(reason: RefuseReason) -> bool {
+/// Whether a refusal holds for one pool only, so that another pool may grant the request.
+fn is_specific_to_pool(reason: RefuseReason) -> bool {
     matches!(
         reason,
         RefuseReason::NoUpstream
--- a/src/fleet/home_runner/actions.rs
+++ b/src/fleet/home_runner/actions.rs
@@ -1,4 +1,4 @@
-//! Does what homes want done, and wakes them.
+//! Performs the actions of home controllers, and wakes the controllers when they are due.
 
 use crate::control::home::GrantAnswer;
 use crate::control::home::HomeAction;
@@ -6,7 +6,7 @@
 use crate::control::home::wire;
 use crate::fleet::home_runner::Home;
 use crate::fleet::home_runner::HomeRunner;
-use crate::fleet::home_runner::WAKE_MAX;
+use crate::fleet::home_runner::TICK_INTERVAL_MAX;
 use crate::fleet::home_runner::lock;
 use crate::peer::Message;
 use crate::peer::message;
@@ -20,7 +20,9 @@
 use tokio::time::timeout;
 
 impl HomeRunner {
-    pub(super) fn tell(
+    /// Passes an event to the controller of a home, performs the actions of the controller, and
+    /// returns the reply if the event has one.
+    pub(super) fn send_event(
         self: &Arc<Self>,
         pool: &PoolId,
         home: &Arc<Home>,
@@ -28,7 +30,7 @@
     ) -> Option<GrantAnswer> {
         let now = self.clock.now();
         let actions = lock(&home.controller).handle(event, now);
-        home.woken.notify_one();
+        home.wake_notify.notify_one();
         let mut reply = None;
         for action in actions {
             match action {
@@ -39,33 +41,35 @@
                         upstream: upstream.clone(),
                         attempt,
                     };
-                    let desk = Arc::clone(self);
+                    let runner = Arc::clone(self);
                     let home = Arc::clone(home);
                     let pool = pool.clone();
                     tokio::spawn(async move {
-                        let Some(client) = desk.upstreams.upstream(&upstream) else {
+                        let Some(client) = runner.upstreams.upstream(&upstream) else {
                             return;
                         };
-                        debug!("homes: cancel attempt {attempt} at {upstream}");
+                        debug!("homes: cancelling attempt {attempt} at {upstream}");
                         let is_free = client.cancel(attempt).await.is_ok()
                             && client.release_gang(attempt).await.is_ok();
                         if is_free {
-                            desk.tell(&pool, &home, event);
+                            runner.send_event(&pool, &home, event);
                         }
                     });
                 }
-                // Baselines run a home on each host, none of which sees all attempts.
+                // With a baseline policy each host has a home of its own, which sees only some of
+                // the attempts and must not cancel the others.
                 HomeAction::Cancel { .. } => {}
-                HomeAction::List { upstream, seq } => self.list(pool, home, upstream, seq),
-                HomeAction::AskAnnounce { to } => self.ask_announce(pool, home, &to),
+                HomeAction::List { upstream, seq } => self.list_attempts(pool, home, upstream, seq),
+                HomeAction::AskAnnounce { to } => self.request_announcement(pool, home, &to),
             }
         }
         reply
     }
 
-    /// Asks an upstream what it runs. A plain service can't tell, and holds nothing that would be
-    /// lost: it counts as one that lists nothing, and a home need not wait for it.
-    pub(super) fn list(
+    /// Reads the attempts that run on an upstream, and passes them to the home. A service cannot
+    /// list its attempts and reserves no memory for them: its list is taken as empty, so that the
+    /// home does not wait for a reply.
+    pub(super) fn list_attempts(
         self: &Arc<Self>,
         pool: &PoolId,
         home: &Arc<Home>,
@@ -78,13 +82,13 @@
             running,
         };
         if home.is_service {
-            self.tell(pool, home, listed(Vec::new()));
+            self.send_event(pool, home, listed(Vec::new()));
             return;
         }
         let Some(client) = self.upstreams.upstream(&upstream) else {
             return;
         };
-        let (desk, pool, home) = (Arc::clone(self), pool.clone(), Arc::clone(home));
+        let (runner, pool, home) = (Arc::clone(self), pool.clone(), Arc::clone(home));
         tokio::spawn(async move {
             if let Ok(running) = client.list_running().await {
                 let event = HomeEvent::EngineListed {
@@ -92,47 +96,56 @@
                     seq,
                     running,
                 };
-                desk.tell(&pool, &home, event);
+                runner.send_event(&pool, &home, event);
             }
         });
     }
 
-    /// Asks a host for the grants that it holds of a pool; this host's own are at hand.
-    pub(super) fn ask_announce(self: &Arc<Self>, pool: &PoolId, home: &Arc<Home>, to: &HostId) {
+    /// Requests the live grants of a pool from a host. Those of this host are passed to the home at
+    /// once.
+    pub(super) fn request_announcement(
+        self: &Arc<Self>,
+        pool: &PoolId,
+        home: &Arc<Home>,
+        to: &HostId,
+    ) {
         if *to == self.host {
             let event = HomeEvent::Announce {
                 from: self.host.clone(),
-                grants: self.live_grants.of_pool(pool),
+                grants: self.live_grants.for_pool(pool),
             };
-            self.tell(pool, home, event);
+            self.send_event(pool, home, event);
             return;
         }
-        let ask = message::Announce {
+        let query = message::Announce {
             pool: pool.to_string(),
             is_query: true,
             ..Default::default()
         };
-        self.peers.send(to, Message::Announce(ask));
+        self.peers.send(to, Message::Announce(query));
     }
 
+    /// Sends a decision to the host that waits for it.
     pub(super) fn push(&self, pool: &PoolId, to: &HostId, answer: GrantAnswer) {
         if *to == self.host {
-            self.waiters.decided(answer);
+            self.waiters.deliver(answer);
         } else {
             self.peers
                 .send(to, Message::GrantReply(wire::answer_to(pool, &answer)));
         }
     }
 
-    /// Wakes a home when its time has come, until it is closed.
-    pub(super) async fn keep(self: Arc<Self>, pool: PoolId, home: Arc<Home>) {
+    /// Sends a tick to a home whenever the controller of the home is due, until the home is closed.
+    pub(super) async fn run_ticks(self: Arc<Self>, pool: PoolId, home: Arc<Home>) {
         loop {
             let now = self.clock.now();
-            let wake = lock(&home.controller).next_wake(now).min(now + WAKE_MAX);
+            let wake = lock(&home.controller)
+                .next_wake(now)
+                .min(now + TICK_INTERVAL_MAX);
             let wait = wake
                 .saturating_duration_since(now)
                 .max(Duration::from_millis(1));
-            let is_due = timeout(wait, home.woken.notified()).await.is_err();
+            let is_due = timeout(wait, home.wake_notify.notified()).await.is_err();
             let is_open = self
                 .homes
                 .get(&pool)
@@ -141,7 +154,7 @@
                 return;
             }
             if is_due {
-                self.tell(&pool, &home, HomeEvent::Tick);
+                self.send_event(&pool, &home, HomeEvent::Tick);
             }
         }
     }
--- a/src/fleet/home_runner/mod.rs
+++ b/src/fleet/home_runner/mod.rs
@@ -1,4 +1,7 @@
-//! The homes on this host, with their hands.
+//! The homes on this host.
+//!
+//! A home decides on the requests of one pool. Its [`HomeController`] is a state machine without
+//! I/O; the [`HomeRunner`] gives it events and performs the actions that it returns.
 
 mod actions;
 mod pool_inputs;
@@ -41,30 +44,36 @@
 use crate::units::TargetId;
 use crate::units::UpstreamId;
 
-/// How many of a pool's candidates take requests: the home, and the one after it, which entry hosts
-/// ask while the membership has not yet noticed that the home is dead.
-const CANDIDATES_SERVING: usize = 2;
+/// How many candidates of a pool accept requests: the home, and the candidate after it, which entry
+/// hosts ask while the membership has not yet noticed that the home is dead.
+const SERVING_CANDIDATES_MAX: usize = 2;
 
-/// A home that is not the first candidate and was asked nothing for this long hands over: four times
-/// as long as a host waits before it asks again. A home that stays beside the right one hears of
-/// attempts from engines only, and not of their ends. If it is the home later, its ledger is full of
-/// what ended long ago, and its engines look frozen.
+/// A home that is not the first candidate hands over when it got no request for this long, which is
+/// four times the interval at which a waiting request asks again. A home that stays open beside the
+/// first candidate learns of attempts from engines only, and not of their ends. If it became the
+/// home later, its ledger would hold attempts that ended long ago, and its engines would look
+/// frozen.
 const IDLE_MAX: Duration = Duration::from_secs(2);
 
-/// A home with nothing to wait for still looks after its graces this often.
-const WAKE_MAX: Duration = Duration::from_millis(500);
+/// The longest time between two ticks of a home. A home that waits for nothing still has to check
+/// its grace periods.
+const TICK_INTERVAL_MAX: Duration = Duration::from_millis(500);
 
-/// One home.
+/// The home of one pool on this host.
 struct Home {
     controller: Mutex<HomeController>,
-    woken: Notify,
-    asked_at: Mutex<Instant>,
+    /// Notified after each event, since the next tick may be due earlier than before.
+    wake_notify: Notify,
+    /// When the last request for a grant arrived.
+    last_request_at: Mutex<Instant>,
     target: TargetId,
     is_service: bool,
-    made_of: Mutex<(Generation, Vec<UpstreamInfo>)>,
+    /// The generation and the upstreams that the controller knows.
+    inputs: Mutex<(Generation, Vec<UpstreamInfo>)>,
 }
 
-/// The homes on this host.
+/// Runs the homes on this host: creates them when they are needed, passes events to them, and
+/// closes them when another host is the home.
 pub struct HomeRunner {
     clock: Arc<dyn Clock>,
     host: HostId,
@@ -80,32 +89,32 @@
     is_closed: AtomicBool,
 }
 
-/// What a desk works with.
+/// The dependencies of a [`HomeRunner`].
 pub struct HomeRunnerParts {
-    /// The clock.
+    /// The clock of this host.
     pub clock: Arc<dyn Clock>,
-    /// This host.
+    /// The id of this host.
     pub host: HostId,
-    /// The blackboard.
+    /// The cluster view, with the manifest in force, the hosts and the upstreams.
     pub cluster_view: Arc<ClusterView>,
-    /// What this host did lately.
+    /// The log of recent events, which records each home that is created or handed over.
     pub events: Arc<Events>,
-    /// Other hosts.
+    /// The transport to other hosts.
     pub peers: Arc<dyn PeerTransport>,
-    /// Which hosts are homes.
+    /// The directory of pools and their homes.
     pub home_directory: Arc<dyn HomeDirectory>,
-    /// Upstreams.
+    /// The clients of upstreams.
     pub upstreams: Arc<dyn UpstreamDirectory>,
-    /// This host's own requests that wait.
+    /// The requests of this host that wait for a decision.
     pub waiters: Arc<GrantWaiters>,
-    /// The grants that this host holds.
+    /// The live grants of this host.
     pub live_grants: Arc<LiveGrants>,
-    /// The decisions.
+    /// The policy by which homes decide.
     pub policy: PolicyName,
 }
 
 impl HomeRunner {
-    /// A desk without homes; they are made when they are asked.
+    /// A runner without homes; they are created when they are needed.
     pub fn new(parts: HomeRunnerParts) -> Self {
         Self {
             clock: parts.clock,
@@ -123,48 +132,46 @@
         }
     }
 
-    /// Handles what a host says to the home of a pool, and returns the reply to a request.
+    /// Passes an event from a host to the home of a pool, and returns the reply to a request.
+    /// Creates the home for a request or an announcement if this host may serve the pool.
     pub fn handle(self: &Arc<Self>, pool: &PoolId, event: HomeEvent) -> Option<GrantAnswer> {
         let home = match &event {
-            HomeEvent::Request { from, .. } => self.home_to_ask(pool, from),
-            HomeEvent::Announce { from, .. } => self.home_to_ask(pool, from),
+            HomeEvent::Request { from, .. } => self.find_or_create(pool, from),
+            HomeEvent::Announce { from, .. } => self.find_or_create(pool, from),
             _ => self.homes.get(pool),
         };
         let Some(home) = home else {
-            return not_home(&event);
+            return not_home_answer(&event);
         };
         if matches!(event, HomeEvent::Request { .. }) {
-            *lock(&home.asked_at) = self.clock.now();
+            *lock(&home.last_request_at) = self.clock.now();
         }
-        self.tell(pool, &home, event)
+        self.send_event(pool, &home, event)
     }
 
-    /// Whether the home of a pool is here.
-    pub fn has(&self, pool: &PoolId) -> bool {
+    /// Whether this host runs a home of a pool.
+    pub fn has_home(&self, pool: &PoolId) -> bool {
         self.homes.get(pool).is_some()
     }
 
-    /// Passes something on to every home.
+    /// Passes an event to every home on this host.
     pub fn send_to_all_homes(self: &Arc<Self>, event: &HomeEvent) {
         for (pool, home) in self.homes.snapshot() {
-            self.tell(&pool, &home, event.clone());
+            self.send_event(&pool, &home, event.clone());
         }
     }
 
-    /// Passes something on to the homes of one upstream.
+    /// Passes an event to the homes on this host whose pools contain an upstream.
     pub fn send_to_homes_of_upstream(self: &Arc<Self>, upstream: &UpstreamId, event: &HomeEvent) {
         for (pool, home) in self.homes.snapshot() {
-            let is_member = lock(&home.made_of)
-                .1
-                .iter()
-                .any(|seen| seen.id == *upstream);
+            let is_member = lock(&home.inputs).1.iter().any(|info| info.id == *upstream);
             if is_member {
-                self.tell(&pool, &home, event.clone());
+                self.send_event(&pool, &home, event.clone());
             }
         }
     }
 
-    /// The pools that have their home here, with their load.
+    /// The pools that have a home on this host, with their load.
     pub fn pool_loads(&self) -> Vec<(PoolId, PoolLoad)> {
         let now = self.clock.now();
         let load = |(pool, home): (PoolId, Arc<Home>)| {
@@ -174,14 +181,15 @@
         self.homes.snapshot().into_iter().map(load).collect()
     }
 
-    /// Takes in changes of the upstreams, of the manifest and of who is home.
+    /// Passes changes of upstreams and of the manifest to the homes, creates missing homes, and
+    /// hands over idle homes of which this host is not the first candidate.
     pub fn refresh(self: &Arc<Self>) {
         if self.policy == PolicyName::Shipped {
-            self.take_over();
+            self.create_missing_homes();
         }
         for (pool, home) in self.homes.snapshot() {
-            self.refresh_home(&pool, &home);
-            let is_idle = self.clock.now() >= *lock(&home.asked_at) + IDLE_MAX;
+            self.update_inputs(&pool, &home);
+            let is_idle = self.clock.now() >= *lock(&home.last_request_at) + IDLE_MAX;
             let is_first = self.home_directory.candidates(&pool).first() == Some(&self.host);
             if is_idle && !is_first {
                 self.close(&pool, &home);
@@ -189,93 +197,101 @@
         }
     }
 
-    /// A home has to be there even if nobody asks for grants: when an earlier home has died with the
-    /// last requests, their attempts hold memory until someone looks.
-    fn take_over(self: &Arc<Self>) {
+    /// Creates the homes of pools whose first candidate is this host. A home is needed even if no
+    /// host requests grants: if an earlier home died together with the last entry hosts, their
+    /// attempts keep memory at engines until a home ends them.
+    fn create_missing_homes(self: &Arc<Self>) {
         for pool in self.home_directory.pools_with_local_home() {
-            if !self.has(&pool) && !self.is_closed.load(Ordering::SeqCst) {
-                self.make(&pool);
+            if !self.has_home(&pool) && !self.is_closed.load(Ordering::SeqCst) {
+                self.create(&pool);
             }
         }
     }
 
-    /// Hands all homes over and takes no new ones: this host drains.
+    /// Hands over all homes and creates no new ones, because this host drains. A request of this
+    /// host itself can still create one.
     pub fn shut_down(self: &Arc<Self>) {
         self.is_closed.store(true, Ordering::SeqCst);
         self.hand_over_all();
     }
 
-    /// Hands all homes over: what this host holds may be someone else's by now.
+    /// Hands over all homes, because other hosts may have become the homes of their pools.
     pub fn hand_over_all(self: &Arc<Self>) {
         for (pool, home) in self.homes.snapshot() {
             self.close(&pool, &home);
         }
     }
 
+    /// Hands over one home and stops it.
     fn close(self: &Arc<Self>, pool: &PoolId, home: &Arc<Home>) {
-        info!("homes: hand over pool {pool}");
+        info!("homes: handing over pool {pool}");
         self.events.record(
             "homes",
             &format!("handed over {pool}"),
             "another host is its home",
         );
-        self.tell(pool, home, HomeEvent::HandOver);
+        self.send_event(pool, home, HomeEvent::HandOver);
         self.homes.remove(pool);
-        home.woken.notify_one();
+        home.wake_notify.notify_one();
     }
 
-    fn home_to_ask(self: &Arc<Self>, pool: &PoolId, from: &HostId) -> Option<Arc<Home>> {
+    /// The home of a pool for an event of host `from`. The home is created if this host is one of
+    /// the serving candidates, or if the event is its own; otherwise none.
+    fn find_or_create(self: &Arc<Self>, pool: &PoolId, from: &HostId) -> Option<Arc<Home>> {
         if let Some(home) = self.homes.get(pool) {
             return Some(home);
         }
         let candidates = self.home_directory.candidates(pool);
-        let serving = candidates.iter().take(CANDIDATES_SERVING);
+        let serving = candidates.iter().take(SERVING_CANDIDATES_MAX);
         let is_serving = serving.clone().any(|host| *host == self.host);
-        // This host's own requests come here last of all, when no candidate answers.
+        // A request of this host itself is accepted in any case: it is sent here only after no
+        // other candidate has replied.
         let is_open = !self.is_closed.load(Ordering::SeqCst);
         if (is_serving && is_open) || *from == self.host {
-            self.make(pool)
+            self.create(pool)
         } else {
             None
         }
     }
 
-    fn make(self: &Arc<Self>, pool: &PoolId) -> Option<Arc<Home>> {
+    /// Creates the home of a pool, unless there is one; none while the manifest or the cluster view
+    /// lacks the target.
+    fn create(self: &Arc<Self>, pool: &PoolId) -> Option<Arc<Home>> {
         let target = pool.target()?;
         let in_force = self.cluster_view.manifest()?;
-        let upstreams = self.upstreams_seen(pool, &target)?;
+        let upstreams = self.pool_upstreams(pool, &target)?;
         let conf = self.policy_config(pool, &target)?;
         let now = self.clock.now();
         let policy = policy_for(self.policy, &conf, rand::random());
         let controller = HomeController::new(pool.clone(), policy, self.home_conf(), now);
         let home = Arc::new(Home {
             controller: Mutex::new(controller),
-            woken: Notify::new(),
-            asked_at: Mutex::new(now),
+            wake_notify: Notify::new(),
+            last_request_at: Mutex::new(now),
             is_service: matches!(conf.kind, PoolKind::Service { .. }),
             target,
-            made_of: Mutex::new((in_force.generation, upstreams.clone())),
+            inputs: Mutex::new((in_force.generation, upstreams.clone())),
         });
-        let made = self
+        let stored = self
             .homes
             .upsert(pool, || Arc::clone(&home), |home| Arc::clone(home));
-        if Arc::ptr_eq(&made, &home) {
+        if Arc::ptr_eq(&stored, &home) {
             info!("homes: this host is the home of pool {pool}");
             self.events.record(
                 "homes",
                 &format!("took over {pool}"),
-                "first of its candidates",
+                "a serving candidate of the pool",
             );
-            self.tell_hosts(pool, &home);
-            self.tell(pool, &home, HomeEvent::Upstreams(upstreams));
-            tokio::spawn(Arc::clone(self).keep(pool.clone(), home));
+            self.send_host_states(pool, &home);
+            self.send_event(pool, &home, HomeEvent::Upstreams(upstreams));
+            tokio::spawn(Arc::clone(self).run_ticks(pool.clone(), home));
         }
-        Some(made)
+        Some(stored)
     }
 
-    /// Tells a new home which hosts of its failure domain there are: it waits for the announcements
-    /// of the living ones, and ends what dead ones have left behind.
-    fn tell_hosts(self: &Arc<Self>, pool: &PoolId, home: &Arc<Home>) {
+    /// Passes the states of the hosts of its failure domain to a new home. The home waits for the
+    /// announcements of live hosts, and ends the attempts that dead hosts have left.
+    fn send_host_states(self: &Arc<Self>, pool: &PoolId, home: &Arc<Home>) {
         let domain = pool.domain();
         for (id, view) in self.cluster_view.hosts.snapshot() {
             if domain.as_ref() != Some(&view.domain) {
@@ -287,11 +303,12 @@
                     HomeEvent::HostAlive(id)
                 }
             };
-            self.tell(pool, home, event);
+            self.send_event(pool, home, event);
         }
     }
 
-    /// A baseline has no earlier home whose ledger it would have to rebuild.
+    /// The configuration of a home. With a baseline policy there is no earlier home whose ledger
+    /// would have to be rebuilt.
     fn home_conf(&self) -> HomeConf {
         let mut conf = HomeConf::default();
         if self.policy != PolicyName::Shipped {
@@ -300,34 +317,36 @@
         conf
     }
 
-    fn refresh_home(self: &Arc<Self>, pool: &PoolId, home: &Arc<Home>) {
+    /// Passes changes of the upstreams and of the manifest to one home.
+    fn update_inputs(self: &Arc<Self>, pool: &PoolId, home: &Arc<Home>) {
         let Some(in_force) = self.cluster_view.manifest() else {
             return;
         };
-        let Some(upstreams) = self.upstreams_seen(pool, &home.target) else {
+        let Some(upstreams) = self.pool_upstreams(pool, &home.target) else {
             return;
         };
-        let before = lock(&home.made_of).clone();
+        let before = lock(&home.inputs).clone();
         if before.1 != upstreams {
-            *lock(&home.made_of) = (before.0, upstreams.clone());
-            self.tell(pool, home, HomeEvent::Upstreams(upstreams));
+            *lock(&home.inputs) = (before.0, upstreams.clone());
+            self.send_event(pool, home, HomeEvent::Upstreams(upstreams));
         }
         if before.0 != in_force.generation {
-            lock(&home.made_of).0 = in_force.generation;
-            self.tell_config(pool, home);
+            lock(&home.inputs).0 = in_force.generation;
+            self.update_config(pool, home);
         }
     }
 
-    /// A home keeps its queue and its ledger through a new manifest: its policy takes in the new
-    /// configuration.
-    fn tell_config(&self, pool: &PoolId, home: &Arc<Home>) {
+    /// Sets the configuration of the current manifest in the policy of a home. The queue and the
+    /// ledger of the home stay as they are.
+    fn update_config(&self, pool: &PoolId, home: &Arc<Home>) {
         if let Some(conf) = self.policy_config(pool, &home.target) {
             lock(&home.controller).set_config(&conf, self.clock.now());
         }
     }
 }
 
-fn not_home(event: &HomeEvent) -> Option<GrantAnswer> {
+/// The answer to a request that reached a host which is not the home; none for other events.
+fn not_home_answer(event: &HomeEvent) -> Option<GrantAnswer> {
     match event {
         HomeEvent::Request { work, .. } => Some(GrantAnswer {
             request: work.request,
--- a/src/fleet/home_runner/pool_inputs.rs
+++ b/src/fleet/home_runner/pool_inputs.rs
@@ -1,4 +1,4 @@
-//! What homes are made of: the manifest and the cluster view as they concern one pool.
+//! The inputs of a home: what the manifest and the cluster view say of its pool.
 
 use crate::decide::PolicyConfig;
 use crate::decide::PoolKind;
@@ -10,25 +10,27 @@
 use crate::units::UpstreamId;
 
 impl HomeRunner {
+    /// The configuration of the policy of a pool; none without a manifest that lists the target.
     pub(super) fn policy_config(&self, pool: &PoolId, target: &TargetId) -> Option<PolicyConfig> {
         let in_force = self.cluster_view.manifest()?;
-        let of_pool = self.home_directory.upstreams_of(pool).len();
-        let of_target = self
+        let pool_upstreams = self.home_directory.upstreams_of(pool).len();
+        let target_upstreams = self
             .cluster_view
             .upstreams
             .count(|view| view.target == *target);
-        let pool_fraction = of_pool as f64 / of_target.max(1) as f64;
+        let pool_fraction = pool_upstreams as f64 / target_upstreams.max(1) as f64;
         PolicyConfig::for_pool(&in_force.manifest, target, pool_fraction)
     }
 
-    pub(super) fn upstreams_seen(
+    /// The upstreams of a pool that the cluster view holds, sorted by id.
+    pub(super) fn pool_upstreams(
         &self,
         pool: &PoolId,
         target: &TargetId,
     ) -> Option<Vec<UpstreamInfo>> {
         let in_force = self.cluster_view.manifest()?;
-        let (memory_tokens, slots) = size_of(&in_force.manifest, target)?;
-        let seen = |id: UpstreamId| {
+        let (memory_tokens, slots) = upstream_capacity(&in_force.manifest, target)?;
+        let info = |id: UpstreamId| {
             let health = self.cluster_view.upstreams.get(&id)?.health;
             Some(UpstreamInfo {
                 id,
@@ -37,18 +39,23 @@
                 health,
             })
         };
-        let mut seen: Vec<_> = self
+        let mut infos: Vec<_> = self
             .home_directory
             .upstreams_of(pool)
             .into_iter()
-            .filter_map(seen)
+            .filter_map(info)
             .collect();
-        seen.sort_by(|a, b| a.id.cmp(&b.id));
-        Some(seen)
+        infos.sort_by(|a, b| a.id.cmp(&b.id));
+        Some(infos)
     }
 }
 
-fn size_of(manifest: &crate::manifest::Manifest, target: &TargetId) -> Option<(Tokens, u32)> {
+/// The memory and the slots of one upstream of a target. For a service the memory is zero, and the
+/// slots are its largest concurrency.
+fn upstream_capacity(
+    manifest: &crate::manifest::Manifest,
+    target: &TargetId,
+) -> Option<(Tokens, u32)> {
     let model = manifest.models.iter().find(|spec| spec.name == *target);
     if let Some(spec) = model {
         return Some((spec.engine_memory_tokens, spec.engine_slots));
--- a/src/fleet/manifest_runner.rs
+++ b/src/fleet/manifest_runner.rs
@@ -1,4 +1,4 @@
-//! Runs the spreading of manifests on this host.
+//! Runs the manifest controller of this host.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -24,7 +24,8 @@
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
-/// Runs the spreading of manifests on this host and puts them in force in the cluster view.
+/// Runs the manifest controller of this host, and puts accepted manifests in force in the cluster
+/// view.
 pub struct ManifestRunner {
     clock: Arc<dyn Clock>,
     cluster_view: Arc<ClusterView>,
@@ -34,30 +35,30 @@
     host: HostId,
     domain: FailureDomainId,
     manifests: Mutex<Manifests>,
-    read_platform: Notify,
-    seen_hosts: AtomicU64,
+    read_requested: Notify,
+    host_change_count: AtomicU64,
 }
 
-/// What a desk works with.
+/// The dependencies of a [`ManifestRunner`].
 pub struct ManifestRunnerParts {
-    /// The clock.
+    /// The clock of this host.
     pub clock: Arc<dyn Clock>,
-    /// The blackboard.
+    /// The cluster view that gets the manifest in force.
     pub cluster_view: Arc<ClusterView>,
-    /// What this host did lately.
+    /// The log of recent events, which records each manifest that is put in force.
     pub events: Arc<Events>,
-    /// Other hosts.
+    /// The transport to other hosts.
     pub peers: Arc<dyn PeerTransport>,
-    /// Metrics, which follow the manifest's customers.
+    /// The metrics, which are labelled with the customers of the manifest in force.
     pub metrics: Arc<Metrics>,
-    /// This host.
+    /// The id of this host.
     pub host: HostId,
-    /// Its failure domain.
+    /// The failure domain of this host.
     pub domain: FailureDomainId,
 }
 
 impl ManifestRunner {
-    /// A desk around a state machine.
+    /// A runner of the given controller.
     pub fn new(parts: ManifestRunnerParts, manifests: Manifests) -> Self {
         Self {
             clock: parts.clock,
@@ -68,56 +69,60 @@
             host: parts.host,
             domain: parts.domain,
             manifests: Mutex::new(manifests),
-            read_platform: Notify::new(),
-            seen_hosts: AtomicU64::new(u64::MAX),
+            read_requested: Notify::new(),
+            host_change_count: AtomicU64::new(u64::MAX),
         }
     }
 
-    /// Does what is due now.
+    /// Passes changes of the hosts and the current time to the controller, and performs its
+    /// actions.
     pub fn tick(&self) {
         let now = self.clock.now();
-        let mut actions = self.hear_hosts(now);
+        let mut actions = self.update_hosts(now);
         actions.extend(self.lock().tick(now));
         self.perform(actions);
     }
 
-    /// Takes in a message of another host.
+    /// Passes a message of another host to the controller, and performs its actions.
     pub fn handle(&self, from: &HostId, message: Message) {
         let actions = self.lock().handle(from, message, self.clock.now());
         self.perform(actions);
     }
 
-    /// Takes in what the platform said.
+    /// Passes the result of reading the manifest from the platform to the controller, and performs
+    /// its actions.
     pub fn on_platform_read(&self, word: PlatformWord) {
         let actions = self.lock().platform(word, self.clock.now());
         self.perform(actions);
     }
 
-    /// What this host knows.
+    /// The state of the manifest on this host.
     pub fn status(&self) -> Knowledge {
         self.lock().knowledge(self.clock.now())
     }
 
-    /// Comes back when the platform should be read.
+    /// Waits until the controller requests a read of the manifest from the platform.
     pub async fn wait_for_read_request(&self) {
-        self.read_platform.notified().await;
+        self.read_requested.notified().await;
     }
 
-    /// Takes in the hosts, if any has changed since the last look.
-    fn hear_hosts(&self, now: Instant) -> Vec<ManifestAction> {
+    /// Passes the hosts and their generations to the controller if any host has changed since the
+    /// last call.
+    fn update_hosts(&self, now: Instant) -> Vec<ManifestAction> {
         let changes = self.cluster_view.hosts.change_count();
-        if self.seen_hosts.swap(changes, Ordering::Relaxed) == changes {
+        if self.host_change_count.swap(changes, Ordering::Relaxed) == changes {
             return Vec::new();
         }
-        let (neighbours, strangers) = self.others();
-        let heard = self.generations();
+        let (neighbours, remote) = self.live_peers();
+        let generations = self.peer_generations();
         let mut manifests = self.lock();
-        manifests.set_hosts(neighbours, strangers);
-        let hear = |(host, generation)| manifests.heard(&host, generation, now);
-        heard.into_iter().flat_map(hear).collect()
+        manifests.set_hosts(neighbours, remote);
+        let take_in = |(host, generation)| manifests.heard(&host, generation, now);
+        generations.into_iter().flat_map(take_in).collect()
     }
 
-    fn others(&self) -> (Vec<HostId>, Vec<HostId>) {
+    /// The other hosts that are not dead: those of this failure domain, and those of others.
+    fn live_peers(&self) -> (Vec<HostId>, Vec<HostId>) {
         let views = self
             .cluster_view
             .hosts
@@ -130,7 +135,8 @@
         (ids(near).collect(), ids(far).collect())
     }
 
-    fn generations(&self) -> Vec<(HostId, crate::units::Generation)> {
+    /// The other hosts, each with the generation that the host was last heard to have in force.
+    fn peer_generations(&self) -> Vec<(HostId, crate::units::Generation)> {
         let views = self.cluster_view.hosts.snapshot().into_iter();
         views
             .map(|(id, view)| (id, view.generation))
@@ -148,10 +154,11 @@
         for action in actions {
             match action {
                 ManifestAction::Send { to, message } => self.peers.send(&to, message),
-                ManifestAction::ReadPlatform => self.read_platform.notify_one(),
+                ManifestAction::ReadPlatform => self.read_requested.notify_one(),
                 ManifestAction::PutInForce(in_force) => {
                     let what = format!("put generation {} in force", in_force.generation);
-                    self.events.record("manifests", &what, "it is newer");
+                    self.events
+                        .record("manifests", &what, "its generation is newer");
                     self.metrics.set_customers(&in_force.manifest);
                     self.cluster_view.advance_manifest(in_force);
                 }
--- a/src/fleet/membership_runner.rs
+++ b/src/fleet/membership_runner.rs
@@ -31,20 +31,21 @@
 use crate::units::ObjectVersion;
 use crate::units::UpstreamId;
 
-/// What the rest of the host has to do about a change of the membership.
+/// A change of the membership that other parts of the host act on.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipEvent {
-    /// A host is there, or again.
+    /// A host has joined, or is alive again after it was suspect or dead.
     HostAlive(HostId),
-    /// A host is gone.
+    /// A host is dead.
     HostDead(HostId),
-    /// This process was paused, or taken for dead: what it held may be someone else's.
+    /// This process was paused, or other hosts declared this host dead: other hosts may have become
+    /// the homes of its pools.
     PausedOrDeclaredDead,
     /// A request crashed an upstream of another host.
     Poison(PoisonNotice),
 }
 
-/// Runs the membership of this host and keeps the hosts in the cluster view.
+/// Runs the membership of this host, and keeps the hosts of the cluster view up to date.
 pub struct MembershipRunner {
     clock: Arc<dyn Clock>,
     cluster_view: Arc<ClusterView>,
@@ -55,7 +56,7 @@
 }
 
 impl MembershipRunner {
-    /// A desk around a membership.
+    /// A runner of the given membership.
     pub fn new(
         clock: Arc<dyn Clock>,
         cluster_view: Arc<ClusterView>,
@@ -74,64 +75,66 @@
         }
     }
 
-    /// Does what is due now.
+    /// Passes the generation in force and the current time to the membership, and performs its
+    /// actions.
     pub fn tick(&self) -> Vec<MembershipEvent> {
         let now = self.clock.now();
         let actions = {
             let mut membership = self.lock();
             if let Some(in_force) = self.cluster_view.manifest() {
                 membership.set_generation(in_force.generation, now);
-                self.note_own_generation(in_force.generation);
+                self.record_own_generation(in_force.generation);
             }
             membership.tick(now)
         };
         self.perform(actions)
     }
 
-    /// Takes in a message of another host.
+    /// Passes a message of another host to the membership, and performs its actions.
     pub fn handle(&self, from: &HostId, gossip: Gossip) -> Vec<MembershipEvent> {
         let actions = self.lock().handle(from, gossip, self.clock.now());
         self.perform(actions)
     }
 
-    /// Takes in hosts of the platform's lagging list.
+    /// Adds hosts from the list of machines of the platform, which lags behind.
     pub fn add_seeds(&self, seeds: &[PeerSeed]) {
         self.lock().seed(seeds);
     }
 
-    /// A host did not answer when it was asked for a grant.
+    /// Probes a host that did not reply to a request for a grant.
     pub fn report_unresponsive(&self, host: &HostId) {
         let actions = self.lock().suspect_hint(host, self.clock.now());
         self.perform(actions);
     }
 
-    /// Tells the others that this host drains.
+    /// Announces to the other hosts that this host drains.
     pub fn leave(&self) {
         let actions = self.lock().leave(self.clock.now());
         self.perform(actions);
     }
 
-    /// Spreads that an upstream is leaving.
+    /// Announces to the other hosts that an upstream is leaving, as of a version of its object.
     pub fn announce_leaving_upstream(&self, upstream: &UpstreamId, version: ObjectVersion) {
         self.lock().note_leaving(upstream, version);
     }
 
-    /// Spreads that a request crashed an upstream.
+    /// Announces to the other hosts that a request crashed an upstream.
     pub fn announce_poison(&self, notice: PoisonNotice) {
         self.lock().note_poison(notice);
     }
 
-    /// The hosts of a failure domain as possible homes.
+    /// The hosts of a failure domain that can be homes.
     pub fn members(&self, domain: &FailureDomainId) -> Vec<Member> {
         self.lock().members(domain)
     }
 
-    /// Failure domains that are silent, as far as this host can tell.
+    /// Other failure domains from which this host has heard nothing for some time. Only a host that
+    /// exchanges digests with other domains can tell; on any other host the list is empty.
     pub fn silent_domains(&self) -> Vec<FailureDomainId> {
         self.lock().silent_domains(self.clock.now())
     }
 
-    fn note_own_generation(&self, generation: Generation) {
+    fn record_own_generation(&self, generation: Generation) {
         let known = self
             .cluster_view
             .hosts
@@ -153,43 +156,44 @@
     fn perform(&self, actions: Vec<MembershipAction>) -> Vec<MembershipEvent> {
         actions
             .into_iter()
-            .filter_map(|action| self.perform_one(action))
+            .filter_map(|action| self.perform_action(action))
             .collect()
     }
 
-    fn perform_one(&self, action: MembershipAction) -> Option<MembershipEvent> {
+    fn perform_action(&self, action: MembershipAction) -> Option<MembershipEvent> {
         match action {
             MembershipAction::Send { to, message } => {
                 self.peers.send(&to, message);
                 None
             }
-            MembershipAction::HostChanged { view } => self.host_changed(view),
+            MembershipAction::HostChanged { view } => self.update_host(view),
             MembershipAction::HostForgotten { host } => {
                 self.cluster_view.hosts.remove(&host);
                 None
             }
             MembershipAction::Woke { paused } => {
                 self.events
-                    .record("membership", "dropped what it held", "it was paused");
-                warn!("membership: this process was paused for {paused:?}, drops what it held");
+                    .record("membership", "handed over all homes", "process was paused");
+                warn!("membership: process was paused for {paused:?}; handing over all homes");
                 Some(MembershipEvent::PausedOrDeclaredDead)
             }
             MembershipAction::DeclaredDead => {
-                let why = "the others took it for dead";
+                let why = "other hosts declared it dead";
                 self.events
-                    .record("membership", "dropped what it held", why);
-                warn!("membership: the others took this host for dead, drops what it held");
+                    .record("membership", "handed over all homes", why);
+                warn!("membership: other hosts declared this host dead; handing over all homes");
                 Some(MembershipEvent::PausedOrDeclaredDead)
             }
             MembershipAction::UpstreamLeaving { upstream, version } => {
-                self.upstream_leaves(&upstream, version);
+                self.mark_upstream_leaving(&upstream, version);
                 None
             }
             MembershipAction::Poison { notice } => Some(MembershipEvent::Poison(notice)),
         }
     }
 
-    fn host_changed(&self, view: HostView) -> Option<MembershipEvent> {
+    /// Stores a host in the cluster view; returns an event if its state is now alive or dead.
+    fn update_host(&self, view: HostView) -> Option<MembershipEvent> {
         let id = view.id.clone();
         let state = view.state;
         let before = self
@@ -210,10 +214,10 @@
         }
     }
 
-    fn upstream_leaves(&self, upstream: &UpstreamId, version: ObjectVersion) {
+    fn mark_upstream_leaving(&self, upstream: &UpstreamId, version: ObjectVersion) {
         self.cluster_view.upstreams.update(upstream, |view| {
             if view.version <= version && view.health != UpstreamHealth::Leaving {
-                debug!("membership: upstream {upstream} leaves");
+                debug!("membership: upstream {upstream} is leaving");
                 view.version = version;
                 view.health = UpstreamHealth::Leaving;
             }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,5 +1,8 @@
-//! Connects the controllers of homes, claims and the membership with peers, upstreams and the
-//! platform.
+//! Connects the controllers of homes, manifests, engines and the membership with peers, upstreams
+//! and the platform.
+//!
+//! The controllers in [`crate::control`] are state machines without I/O. The runners of this module
+//! give them events, and perform the actions that they return.
 
 mod cluster_home_directory;
 mod grant_waiters;
--- a/src/fleet/peer_message_router.rs
+++ b/src/fleet/peer_message_router.rs
@@ -1,4 +1,4 @@
-//! Hands other hosts' messages to the parts that they are for.
+//! Routes the messages of other hosts to the parts of this host.
 
 use std::sync::Arc;
 
@@ -27,34 +27,35 @@
 use crate::units::HostId;
 use crate::units::PoolId;
 
-/// Whoever acts on changes of the membership.
+/// A handler of changes of the membership.
 pub trait MembershipEventHandler: Send + Sync {
-    /// Takes in what has changed.
-    fn on_events(&self, news: Vec<MembershipEvent>);
+    /// Handles changes, in the order in which they happened.
+    fn on_events(&self, events: Vec<MembershipEvent>);
 }
 
-/// Hands other hosts' messages to the parts that they are for.
+/// Routes the messages of other hosts to the parts of this host.
 pub struct PeerMessageRouter {
-    /// The clock.
+    /// The clock of this host.
     pub clock: Arc<dyn Clock>,
     /// The homes on this host.
     pub homes: Arc<HomeRunner>,
-    /// The grants of this host.
+    /// The granter of this host, which announces the live grants.
     pub granter: Arc<HomeGranter>,
-    /// Requests of this host that wait.
+    /// The requests of this host that wait for a decision.
     pub waiters: Arc<GrantWaiters>,
-    /// The membership.
+    /// The runner of the membership.
     pub membership: Arc<MembershipRunner>,
-    /// The spreading of manifests.
+    /// The runner of the manifest controller.
     pub manifests: Arc<ManifestRunner>,
-    /// Whoever acts on changes of the membership.
+    /// The handler of changes of the membership.
     pub membership_events: Arc<dyn MembershipEventHandler>,
-    /// The platform, as this host reaches it itself.
+    /// The platform without a relay, so that a relayed call is not relayed again.
     pub platform: Arc<dyn PlatformClient>,
 }
 
 impl PeerMessageRouter {
-    fn request(&self, from: HostId, request: &GrantRequest) -> Option<Message> {
+    /// Passes a request for a grant to the home on this host, and returns the reply.
+    fn handle_request(&self, from: HostId, request: &GrantRequest) -> Option<Message> {
         match wire::request_from(request, self.clock.now()) {
             Ok((pool, work)) => {
                 let answer = self
@@ -63,41 +64,45 @@
                 Some(Message::GrantReply(wire::answer_to(&pool, &answer)))
             }
             Err(err) => {
-                debug!("homes: {from} asked wrongly: {err}");
+                debug!("homes: invalid grant request of {from}: {err}");
                 None
             }
         }
     }
 
-    /// A decision that was pushed. One that nobody waits for came a second time, or its request was
-    /// withdrawn, which the home was told; to give the grant back here could end one that is in use.
-    fn pushed(&self, from: &HostId, reply: &GrantReply) {
+    /// Passes a pushed decision to the request that waits for it. If no request waits, the decision
+    /// is a duplicate, or the request was withdrawn and the home was told so. The grant is not
+    /// given back here, since a duplicate may name a grant that is in use.
+    fn handle_decision(&self, from: &HostId, reply: &GrantReply) {
         match wire::answer_from(reply) {
             Ok((pool, answer)) => {
-                if !self.waiters.decided(answer) {
-                    debug!("homes: {from} decided in {pool}, and nobody waits");
+                if !self.waiters.deliver(answer) {
+                    debug!("homes: no request waits for the decision of {from} in {pool}");
                 }
             }
-            Err(err) => debug!("homes: {from} pushed a decision that can't be read: {err}"),
+            Err(err) => debug!("homes: invalid decision of {from}: {err}"),
         }
     }
 
-    fn announce(&self, from: HostId, announce: &Announce) {
+    /// Passes the announced grants of a host to the home on this host, or answers a query with the
+    /// live grants of this host.
+    fn handle_announce(&self, from: HostId, announce: &Announce) {
         let Ok((pool, grants)) = wire::announce_from(announce, self.clock.now()) else {
-            debug!("homes: {from} announced what can't be read");
+            debug!("homes: invalid announcement of {from}");
             return;
         };
         if announce.is_query {
-            return self.granter.announce_pool(&pool, &from);
+            return self.granter.announce_pool_grants(&pool, &from);
         }
         self.homes
             .handle(&pool, HomeEvent::Announce { from, grants });
     }
 
-    fn of_home(&self, pool: &PoolId, event: HomeEvent) {
+    fn send_to_home(&self, pool: &PoolId, event: HomeEvent) {
         self.homes.handle(pool, event);
     }
 
+    /// Makes a call to the platform for a peer.
     async fn relay(&self, call: PlatformCall) -> Message {
         let reply = match relay::call_from(&call) {
             Ok(RelayedCall::Get(key)) => relay::got_to(&self.platform.get(key).await),
@@ -116,25 +121,25 @@
     fn handle(&self, from: HostId, message: Message) -> BoxFuture<'_, Option<Message>> {
         async move {
             match message {
-                Message::GrantRequest(request) => self.request(from, &request),
+                Message::GrantRequest(request) => self.handle_request(from, &request),
                 Message::GrantReply(reply) => {
-                    self.pushed(&from, &reply);
+                    self.handle_decision(&from, &reply);
                     None
                 }
                 Message::Finish(finish) => {
                     if let Ok((pool, grant, done)) = wire::finish_from(&finish) {
-                        self.of_home(&pool, HomeEvent::Finish { from, grant, done });
+                        self.send_to_home(&pool, HomeEvent::Finish { from, grant, done });
                     }
                     None
                 }
                 Message::Withdraw(withdraw) => {
                     if let Ok((pool, request)) = wire::withdraw_from(&withdraw) {
-                        self.of_home(&pool, HomeEvent::Withdraw { from, request });
+                        self.send_to_home(&pool, HomeEvent::Withdraw { from, request });
                     }
                     None
                 }
                 Message::Announce(announce) => {
-                    self.announce(from, &announce);
+                    self.handle_announce(from, &announce);
                     None
                 }
                 Message::PlatformCall(call) => Some(self.relay(call).await),
--- a/src/fleet/reconciler_runner.rs
+++ b/src/fleet/reconciler_runner.rs
@@ -1,4 +1,4 @@
-//! Runs the orders to the engines of the pools whose home is here.
+//! Runs the reconcilers of the pools that have their home on this host.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -34,35 +34,36 @@
 use crate::upstream::EngineState;
 use crate::upstream::Order;
 
-/// Runs the orders of the pools whose home is here. Without the platform there is no lease and no
-/// order, and serving goes on.
+/// Runs the reconcilers of the pools that have their home on this host. A reconciler orders engines
+/// to load what the manifest asks for. While the platform can't be reached there is no lease and no
+/// order, and engines go on serving as they are.
 pub struct ReconcilerRunner {
     parts: ReconcilerRunnerParts,
     pools: Mutex<IndexMap<PoolId, (OrdersConf, Orders)>>,
 }
 
-/// What a desk works with.
+/// The dependencies of a [`ReconcilerRunner`].
 pub struct ReconcilerRunnerParts {
-    /// The clock.
+    /// The clock of this host.
     pub clock: Arc<dyn Clock>,
-    /// The blackboard.
+    /// The cluster view, with the manifest in force.
     pub cluster_view: Arc<ClusterView>,
-    /// What this host did lately.
+    /// The log of recent events, which records each order.
     pub events: Arc<Events>,
-    /// Which pools have their home here.
+    /// The directory of pools and their homes.
     pub home_directory: Arc<dyn HomeDirectory>,
-    /// The platform, for leases.
+    /// The platform, which stores the leases.
     pub platform: Arc<dyn PlatformClient>,
-    /// Upstreams.
+    /// The clients of upstreams.
     pub upstreams: Arc<dyn UpstreamDirectory>,
-    /// This host.
+    /// The id of this host.
     pub host: HostId,
-    /// This process of it.
+    /// The incarnation of this host's process.
     pub incarnation: Incarnation,
 }
 
 impl ReconcilerRunner {
-    /// A desk without pools.
+    /// A runner without pools.
     pub fn new(parts: ReconcilerRunnerParts) -> Self {
         Self {
             parts,
@@ -70,33 +71,33 @@
         }
     }
 
-    /// Does what is due now.
+    /// Updates the reconcilers from the manifest and the directory, and performs their actions.
     pub fn tick(self: &Arc<Self>) {
         let Some(in_force) = self.parts.cluster_view.manifest() else {
             return;
         };
-        let here = self.parts.home_directory.pools_with_local_home();
+        let pool_ids = self.parts.home_directory.pools_with_local_home();
         let now = self.parts.clock.now();
         let mut due = Vec::new();
         {
             let mut pools = self.lock();
-            pools.retain(|pool, _| here.contains(pool));
-            for pool in here {
+            pools.retain(|pool, _| pool_ids.contains(pool));
+            for pool in pool_ids {
                 let Some(model) = model_of(&in_force.manifest, &pool) else {
                     continue;
                 };
                 let conf = self.conf(&in_force.manifest, model);
-                let fresh = || (conf.clone(), Orders::new(conf.clone(), now));
-                let entry = pools.entry(pool.clone()).or_insert_with(fresh);
-                // A manifest that says otherwise of fencing or weights starts the pool anew, which
-                // costs the wait for its own lease and nothing else.
+                let new_entry = || (conf.clone(), Orders::new(conf.clone(), now));
+                let entry = pools.entry(pool.clone()).or_insert_with(new_entry);
+                // A manifest that changes the fencing or the weights of the model replaces the
+                // reconciler. The only cost is that the new one waits for its own lease to expire.
                 if entry.0 != conf {
-                    *entry = fresh();
+                    *entry = new_entry();
                 }
-                let orders = &mut entry.1;
-                orders.set_wanted(wanted_of(model));
-                orders.set_engines(&self.parts.home_directory.upstreams_of(&pool));
-                due.push((pool, orders.tick(now)));
+                let reconciler = &mut entry.1;
+                reconciler.set_wanted(desired_engines(model));
+                reconciler.set_engines(&self.parts.home_directory.upstreams_of(&pool));
+                due.push((pool, reconciler.tick(now)));
             }
         }
         for (pool, actions) in due {
@@ -106,52 +107,55 @@
         }
     }
 
-    /// How many engines of each pool have what is wanted, and how many there are.
+    /// For each pool, the number of engines that are in the desired state, and the number of all.
     pub fn progress(&self) -> Vec<(PoolId, (usize, usize))> {
         let pools = self.lock();
         pools
             .iter()
-            .map(|(pool, (_, orders))| (pool.clone(), orders.progress()))
+            .map(|(pool, (_, reconciler))| (pool.clone(), reconciler.progress()))
             .collect()
     }
 
+    /// The configuration of a reconciler. The models share the load rate of the weight store
+    /// evenly.
     fn conf(&self, manifest: &Manifest, model: &ModelSpec) -> OrdersConf {
-        let pools = manifest.models.len().max(1) as u64;
+        let models = manifest.models.len().max(1) as u64;
         OrdersConf {
             host: self.parts.host.clone(),
             incarnation: self.parts.incarnation,
             fencing: model.fencing,
             weight_size: model.weight_size,
-            load_size_per_second: ByteSize(manifest.weight_store.load_size_per_second.0 / pools),
+            load_size_per_second: ByteSize(manifest.weight_store.load_size_per_second.0 / models),
         }
     }
 
     fn perform(self: &Arc<Self>, pool: &PoolId, action: OrderAction) {
-        let desk = Arc::clone(self);
+        let runner = Arc::clone(self);
         let pool = pool.clone();
         tokio::spawn(async move {
             match action {
-                OrderAction::Lease(action) => desk.lease(&pool, action).await,
-                OrderAction::ReadEngine { id } => desk.read_engine(&pool, id).await,
+                OrderAction::Lease(action) => runner.perform_lease_action(&pool, action).await,
+                OrderAction::ReadEngine { id } => runner.read_engine(&pool, id).await,
                 OrderAction::SendOrder {
                     id,
                     order,
                     not_after,
                 } => {
-                    desk.send_order(&id, order, not_after).await;
+                    runner.send_order(&id, order, not_after).await;
                 }
             }
         });
     }
 
-    async fn lease(&self, pool: &PoolId, action: LeaseAction) {
-        // A pool's name has slashes, which part the segments of a path.
+    /// Reads or writes the lease of a pool, and passes the result to its reconciler.
+    async fn perform_lease_action(&self, pool: &PoolId, action: LeaseAction) {
+        // Pool ids contain slashes, which separate the segments of a URL path.
         let key = ObjectKey::new(ObjectKind::Leases, pool.as_str().replace('/', "."));
         match action {
             LeaseAction::Read => {
                 let result = self.parts.platform.get(key).await;
                 let now = self.parts.clock.now();
-                self.with_orders(pool, |orders| orders.lease_read(result, now));
+                self.with_reconciler(pool, |reconciler| reconciler.lease_read(result, now));
             }
             LeaseAction::Write { spec, expected } => {
                 let written = match serde_json::to_value(&spec) {
@@ -159,11 +163,12 @@
                     Err(err) => Err(PlatformError::Refused(err.to_string())),
                 };
                 let now = self.parts.clock.now();
-                self.with_orders(pool, |orders| orders.lease_written(written, now));
+                self.with_reconciler(pool, |reconciler| reconciler.lease_written(written, now));
             }
         }
     }
 
+    /// Reads the state of an engine, and passes the state to the reconciler.
     async fn read_engine(&self, pool: &PoolId, id: UpstreamId) {
         let asked_at = self.parts.clock.now();
         let Some(upstream) = self.parts.upstreams.upstream(&id) else {
@@ -171,40 +176,42 @@
         };
         match upstream.state().await {
             Ok(state) => {
-                self.with_orders(pool, |orders| orders.engine_read(&id, state, asked_at));
+                self.with_reconciler(pool, |reconciler| {
+                    reconciler.engine_read(&id, state, asked_at)
+                });
             }
-            Err(err) => debug!("orders: can't read {id}: {err}"),
+            Err(err) => debug!("orders: can't read the state of {id}: {err}"),
         }
     }
 
-    /// Failure: this process is paused between the decision and the call, another host takes the
-    /// lease and orders a newer version, and this order puts the old one back. So the time is
-    /// looked at once more, right before the call.
+    /// Sends an order to an engine, unless the lease has expired. The time is checked once more
+    /// right before the call: if this process was paused since the decision, another host may have
+    /// taken the lease and ordered a newer version, which this order would replace by the old one.
     async fn send_order(&self, id: &UpstreamId, order: Order, not_after: Instant) {
         let Some(upstream) = self.parts.upstreams.upstream(id) else {
             return;
         };
         let state = order.state.clone();
         if self.parts.clock.now() >= not_after {
-            info!("orders: the lease ran out before an order to {id} left");
+            info!("orders: lease expired before an order to {id} was sent");
             return;
         }
-        let what = format!("told {id} to load {} {}", state.model, state.version);
+        let what = format!("ordered {id} to load {} {}", state.model, state.version);
         self.parts
             .events
-            .record("orders", &what, "the manifest wants it");
+            .record("orders", &what, "the manifest asks for it");
         match upstream.order(order).await {
             Ok(()) => info!(
-                "orders: {id} was told to load {} {}",
+                "orders: {id} accepted the order to load {} {}",
                 state.model, state.version
             ),
-            Err(err) => info!("orders: {id} did not take an order: {err}"),
+            Err(err) => info!("orders: {id} did not accept an order: {err}"),
         }
     }
 
-    fn with_orders(&self, pool: &PoolId, work: impl FnOnce(&mut Orders)) {
-        if let Some((_, orders)) = self.lock().get_mut(pool) {
-            work(orders);
+    fn with_reconciler(&self, pool: &PoolId, update: impl FnOnce(&mut Orders)) {
+        if let Some((_, reconciler)) = self.lock().get_mut(pool) {
+            update(reconciler);
         }
     }
 
@@ -213,12 +220,15 @@
     }
 }
 
+/// The model that a pool serves; none for a service.
 fn model_of<'a>(manifest: &'a Manifest, pool: &PoolId) -> Option<&'a ModelSpec> {
     let target = pool.target()?;
     manifest.models.iter().find(|model| model.name == target)
 }
 
-fn wanted_of(model: &ModelSpec) -> Wanted {
+/// The engines that the manifest asks for. The adapters are sorted, so that their order in the
+/// manifest makes no difference.
+fn desired_engines(model: &ModelSpec) -> Wanted {
     let mut adapters = model.adapters.clone();
     adapters.sort();
     Wanted {
--- a/src/fleet/relay_platform_client.rs
+++ b/src/fleet/relay_platform_client.rs
@@ -1,4 +1,4 @@
-//! The platform through a peer, where this host can't reach it itself.
+//! A client of the platform that relays calls through peers if this host can't reach the platform.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -28,18 +28,20 @@
 use crate::units::HostId;
 use crate::units::ObjectVersion;
 
-/// How many peers are asked in turn. Peers of other failure domains come first, since a cut that
-/// keeps this host from the platform mostly keeps its neighbours from it too.
+/// How many peers are asked in turn. Peers of other failure domains come first, since a network
+/// partition between this host and the platform mostly affects its neighbours as well.
 const RELAYS_MAX: usize = 2;
 
-/// A relay makes one call to the platform, which has its own timeout; this is somewhat longer.
+/// How long a peer may take to relay a call. The peer's own call to the platform has a shorter
+/// timeout.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The platform, through a peer where it has to be.
+/// A client of the platform that calls it directly or through a peer.
 ///
-/// A network that swallows packets lets every write time out, and a write that timed out may have
-/// taken effect: it has to be read back before it is tried again. So the first failure counts, and
-/// from then on peers are asked first, until the host's regular reads get through again.
+/// In a network that drops packets every direct write times out, and a write that timed out may
+/// have taken effect, so that the object has to be read before the write is tried again. Therefore
+/// peers are asked first after a single failure of a direct call, until a direct call succeeds
+/// again, such as one of the regular reads of this host.
 pub struct RelayPlatformClient {
     direct: Arc<dyn PlatformClient>,
     peers: Arc<dyn PeerTransport>,
@@ -49,28 +51,28 @@
     is_direct_down: AtomicBool,
 }
 
-/// What a relay works with.
+/// The dependencies of a [`RelayPlatformClient`].
 pub struct RelayPlatformClientParts {
-    /// The platform as this host reaches it itself.
+    /// The client that calls the platform directly.
     pub direct: Arc<dyn PlatformClient>,
-    /// Other hosts.
+    /// The transport to other hosts.
     pub peers: Arc<dyn PeerTransport>,
-    /// Which hosts there are.
+    /// The cluster view, with the hosts that can relay calls.
     pub cluster_view: Arc<ClusterView>,
-    /// This host.
+    /// The id of this host.
     pub host: HostId,
-    /// Its failure domain.
+    /// The failure domain of this host.
     pub domain: FailureDomainId,
 }
 
-/// A way to the platform.
-enum Way {
+/// A path on which a call reaches the platform.
+enum CallPath {
     Direct,
     Peer(HostId),
 }
 
 impl RelayPlatformClient {
-    /// A relay that begins with the direct way.
+    /// A client that tries direct calls first.
     pub fn new(parts: RelayPlatformClientParts) -> Self {
         Self {
             direct: parts.direct,
@@ -82,16 +84,16 @@
         }
     }
 
-    /// The ways to the platform, the best first.
-    fn ways(&self) -> Vec<Way> {
-        let mut ways: Vec<Way> = self.relays().into_iter().map(Way::Peer).collect();
+    /// The paths to try, in order.
+    fn paths(&self) -> Vec<CallPath> {
+        let mut paths: Vec<CallPath> = self.relays().into_iter().map(CallPath::Peer).collect();
         let is_down = self.is_direct_down.load(Ordering::Relaxed);
-        ways.insert(if is_down { ways.len() } else { 0 }, Way::Direct);
-        ways
+        paths.insert(if is_down { paths.len() } else { 0 }, CallPath::Direct);
+        paths
     }
 
-    /// Remembers whether the platform could be reached.
-    fn direct<T>(&self, result: Result<T, PlatformError>) -> Result<T, PlatformError> {
+    /// Records whether a direct call reached the platform, and returns its result.
+    fn record_direct<T>(&self, result: Result<T, PlatformError>) -> Result<T, PlatformError> {
         let is_down = matches!(
             result,
             Err(PlatformError::Unavailable(_) | PlatformError::OutcomeUnknown(_))
@@ -100,33 +102,38 @@
         result
     }
 
-    async fn get_by(&self, way: &Way, key: &ObjectKey) -> Result<Object, PlatformError> {
-        match way {
-            Way::Direct => self.direct(self.direct.get(key.clone()).await),
-            Way::Peer(peer) => {
-                let reply = self.ask(peer, relay::get_to(key)).await?;
+    async fn get_through(&self, path: &CallPath, key: &ObjectKey) -> Result<Object, PlatformError> {
+        match path {
+            CallPath::Direct => self.record_direct(self.direct.get(key.clone()).await),
+            CallPath::Peer(peer) => {
+                let reply = self.request_relay(peer, relay::get_to(key)).await?;
                 relay::got_from(key, &reply)
             }
         }
     }
 
-    async fn put_by(
+    async fn put_through(
         &self,
-        way: &Way,
+        path: &CallPath,
         key: &ObjectKey,
         value: &serde_json::Value,
         expected: Precondition,
     ) -> Result<ObjectVersion, PlatformError> {
-        match way {
-            Way::Direct => self.direct(self.direct.put(key.clone(), value.clone(), expected).await),
-            Way::Peer(peer) => {
-                let reply = self.ask(peer, relay::put_to(key, value, expected)).await?;
+        match path {
+            CallPath::Direct => {
+                self.record_direct(self.direct.put(key.clone(), value.clone(), expected).await)
+            }
+            CallPath::Peer(peer) => {
+                let reply = self
+                    .request_relay(peer, relay::put_to(key, value, expected))
+                    .await?;
                 relay::written_from(&reply)
             }
         }
     }
 
-    /// Peers that might reach the platform.
+    /// The peers to relay through: live hosts in random order, those of other failure domains
+    /// first.
     fn relays(&self) -> Vec<HostId> {
         let views = self
             .cluster_view
@@ -144,12 +151,17 @@
             .collect()
     }
 
-    async fn ask(&self, peer: &HostId, call: PlatformCall) -> Result<PlatformReply, PlatformError> {
-        let asked = self
+    /// Asks a peer to make a call to the platform.
+    async fn request_relay(
+        &self,
+        peer: &HostId,
+        call: PlatformCall,
+    ) -> Result<PlatformReply, PlatformError> {
+        let result = self
             .peers
             .request(peer, Message::PlatformCall(call), RELAY_TIMEOUT)
             .await;
-        match asked {
+        match result {
             Ok(Message::PlatformReply(reply)) => Ok(reply),
             Ok(_) => Err(relay::of_peer_error(&PeerError::NoReply)),
             Err(err) => Err(relay::of_peer_error(&err)),
@@ -157,17 +169,17 @@
     }
 }
 
-fn no_way() -> PlatformError {
-    PlatformError::Unavailable("there is no way to the platform".to_owned())
+fn no_path() -> PlatformError {
+    PlatformError::Unavailable("no path to the platform".to_owned())
 }
 
 impl PlatformClient for RelayPlatformClient {
     fn get(&self, key: ObjectKey) -> BoxFuture<'_, Result<Object, PlatformError>> {
         async move {
-            let mut result = Err(no_way());
-            for way in self.ways() {
-                result = self.get_by(&way, &key).await;
-                // A read has no effect: one that nobody answered may be tried another way.
+            let mut result = Err(no_path());
+            for path in self.paths() {
+                result = self.get_through(&path, &key).await;
+                // A read has no effect, so that one without a reply may be tried on another path.
                 if !matches!(
                     result,
                     Err(PlatformError::Unavailable(_) | PlatformError::OutcomeUnknown(_))
@@ -187,10 +199,10 @@
         expected: Precondition,
     ) -> BoxFuture<'_, Result<ObjectVersion, PlatformError>> {
         async move {
-            let mut result = Err(no_way());
-            for way in self.ways() {
-                result = self.put_by(&way, &key, &value, expected).await;
-                // Only what certainly had no effect may be tried another way.
+            let mut result = Err(no_path());
+            for path in self.paths() {
+                result = self.put_through(&path, &key, &value, expected).await;
+                // Only a write that certainly had no effect may be tried on another path.
                 if !matches!(result, Err(PlatformError::Unavailable(_))) {
                     break;
                 }
@@ -201,7 +213,7 @@
     }
 
     fn list(&self, kind: ObjectKind) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
-        async move { self.direct(self.direct.list(kind).await) }.boxed()
+        async move { self.record_direct(self.direct.list(kind).await) }.boxed()
     }
 
     fn watch(
@@ -210,6 +222,6 @@
         after: ObjectVersion,
         wait: Duration,
     ) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
-        async move { self.direct(self.direct.watch(kind, after, wait).await) }.boxed()
+        async move { self.record_direct(self.direct.watch(kind, after, wait).await) }.boxed()
     }
 }
--- a/src/fleet/upstream_registry.rs
+++ b/src/fleet/upstream_registry.rs
@@ -1,4 +1,4 @@
-//! Clients of upstreams by name.
+//! The clients of the upstreams.
 
 use std::sync::Arc;
 
@@ -10,8 +10,9 @@
 use crate::upstream::HttpUpstreamClient;
 use crate::upstream::UpstreamClient;
 
-/// Clients of the upstreams in the cluster view. A client keeps its idle connections, so it is made once
-/// and made anew only when the upstream's address has changed.
+/// The clients of the upstreams in the cluster view, by upstream id. A client keeps idle
+/// connections, so it is created once and replaced only when the address of its upstream has
+/// changed.
 #[derive(Debug)]
 pub struct UpstreamRegistry {
     cluster_view: Arc<ClusterView>,
@@ -19,7 +20,7 @@
 }
 
 impl UpstreamRegistry {
-    /// A registry of what is in the cluster view.
+    /// A registry without clients; each is created when its upstream is first looked up.
     pub fn new(cluster_view: Arc<ClusterView>) -> Self {
         Self {
             cluster_view,
--- a/src/peer/message/relay.rs
+++ b/src/peer/message/relay.rs
@@ -40,8 +40,8 @@
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct PoisonNotice {
-    /// What it is recognised by: the 16 bytes of a content hash, or a byte 1 and the 16 bytes of the
-    /// hash of an idempotency key.
+    /// What it is recognised by: the 16 bytes of a content hash, or a byte 1 and the 16 bytes of
+    /// the hash of an idempotency key.
     #[prost(bytes = "vec", tag = "1")]
     pub content: Vec<u8>,
     /// The attempts that ended in a crash, 16 bytes each, so that none counts twice.
--- a/tests/peer.rs
+++ b/tests/peer.rs
@@ -142,8 +142,8 @@
     }
 }
 
-/// Waits until a server has refused this many connections, and no more. It counts one after it has told
-/// the other end, which may be faster.
+/// Waits until a server has refused this many connections, and no more. It counts one after it has
+/// told the other end, which may be faster.
 async fn refused(traffic: &Traffic, count: u64) {
     let counting = async {
         while traffic.refused_connections() < count {
