--- a/src/control/home/action.rs
+++ b/src/control/home/action.rs
@@ -1,6 +1,6 @@
 //! What a home wants done.
 
-use crate::control::home::GrantAnswer;
+use crate::control::home::HomeAnswer;
 use crate::control::home::HomeEvent;
 use crate::control::home::Verdict;
 use crate::units::AttemptId;
@@ -15,14 +15,14 @@
         /// The entry host that asked.
         to: HostId,
         /// The answer.
-        answer: GrantAnswer,
+        answer: HomeAnswer,
     },
     /// A decision on a request that was told to wait before.
     Push {
         /// The entry host that waits.
         to: HostId,
         /// The answer.
-        answer: GrantAnswer,
+        answer: HomeAnswer,
     },
     /// An engine's hold of memory has no owner any more: end the attempt there. Both that it was
     /// ended and that the engine does not know it are to be reported as `CancelConfirmed`.
@@ -52,7 +52,7 @@
         let HomeEvent::Request { from, work } = event else {
             return None;
         };
-        let answer = GrantAnswer {
+        let answer = HomeAnswer {
             request: work.request,
             verdict: Verdict::NotHome,
         };
--- a/src/control/home/answer.rs
+++ b/src/control/home/answer.rs
@@ -16,7 +16,7 @@
 
 /// What a home says of one request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct GrantAnswer {
+pub struct HomeAnswer {
     /// The request.
     pub request: RequestId,
     /// Where it stands.
--- a/src/control/home/controller.rs
+++ b/src/control/home/controller.rs
@@ -5,9 +5,9 @@
 
 use indexmap::IndexMap;
 
-use crate::control::home::GrantAnswer;
 use crate::control::home::Granted;
 use crate::control::home::HomeAction;
+use crate::control::home::HomeAnswer;
 use crate::control::home::HomeConf;
 use crate::control::home::HomeEvent;
 use crate::control::home::Verdict;
@@ -184,7 +184,7 @@
         let verdict = standing.map_or(Verdict::Queued, Standing::verdict);
         self.actions.push(HomeAction::Reply {
             to: from.clone(),
-            answer: GrantAnswer { request, verdict },
+            answer: HomeAnswer { request, verdict },
         });
         std::mem::take(&mut self.actions)
     }
@@ -457,7 +457,7 @@
         let Some(asked) = self.requests.get(request) else {
             return;
         };
-        let answer = GrantAnswer {
+        let answer = HomeAnswer {
             request,
             verdict: asked.standing.verdict(),
         };
@@ -474,7 +474,7 @@
         for (request, host) in self.requests.all_waiting() {
             self.policy.withdraw(request, now);
             let verdict = Verdict::NotHome;
-            let answer = GrantAnswer { request, verdict };
+            let answer = HomeAnswer { request, verdict };
             actions.push(HomeAction::Push { to: host, answer });
         }
         self.works.clear();
--- a/src/control/home/mod.rs
+++ b/src/control/home/mod.rs
@@ -17,8 +17,8 @@
 pub mod wire;
 
 pub use action::HomeAction;
-pub use answer::GrantAnswer;
 pub use answer::Granted;
+pub use answer::HomeAnswer;
 pub use answer::Verdict;
 pub use conf::HomeConf;
 pub use controller::HomeController;
--- a/src/control/home/wire.rs
+++ b/src/control/home/wire.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::control::home::GrantAnswer;
 use crate::control::home::Granted;
+use crate::control::home::HomeAnswer;
 use crate::control::home::Verdict;
 use crate::decide::AttemptOutcome;
 use crate::decide::AttemptSummary;
@@ -130,7 +130,7 @@
 }
 
 /// A home's answer as a message.
-pub fn answer_to(pool: &PoolId, answer: &GrantAnswer) -> message::GrantReply {
+pub fn answer_to(pool: &PoolId, answer: &HomeAnswer) -> message::GrantReply {
     let mut reply = message::GrantReply {
         pool: pool.to_string(),
         request: id_to(answer.request.0),
@@ -159,7 +159,7 @@
 }
 
 /// A home's answer out of a message.
-pub fn answer_from(reply: &message::GrantReply) -> Result<(PoolId, GrantAnswer), WireError> {
+pub fn answer_from(reply: &message::GrantReply) -> Result<(PoolId, HomeAnswer), WireError> {
     let pool = reply.pool.parse().map_err(|_| bad("pool"))?;
     let state = GrantState::try_from(reply.state).map_err(|_| bad("state"))?;
     let verdict = match state {
@@ -177,7 +177,7 @@
         },
     };
     let request = RequestId(id_from(&reply.request, "request")?);
-    Ok((pool, GrantAnswer { request, verdict }))
+    Ok((pool, HomeAnswer { request, verdict }))
 }
 
 /// A withdrawal as a message.
--- a/src/fleet/home_desk/hands.rs
+++ b/src/fleet/home_desk/hands.rs
@@ -1,7 +1,7 @@
 //! Does what homes want done, and wakes them.
 
-use crate::control::home::GrantAnswer;
 use crate::control::home::HomeAction;
+use crate::control::home::HomeAnswer;
 use crate::control::home::HomeEvent;
 use crate::control::home::wire;
 use crate::fleet::home_desk::Home;
@@ -25,7 +25,7 @@
         pool: &PoolId,
         home: &Arc<Home>,
         event: HomeEvent,
-    ) -> Option<GrantAnswer> {
+    ) -> Option<HomeAnswer> {
         let now = self.clock.now();
         let actions = lock(&home.controller).handle(event, now);
         home.woken.notify_one();
@@ -115,7 +115,7 @@
         self.peers.send(to, Message::Announce(ask));
     }
 
-    pub(super) fn push(&self, pool: &PoolId, to: &HostId, answer: GrantAnswer) {
+    pub(super) fn push(&self, pool: &PoolId, to: &HostId, answer: HomeAnswer) {
         if *to == self.host {
             self.waiters.decided(answer);
         } else {
--- a/src/fleet/home_desk/mod.rs
+++ b/src/fleet/home_desk/mod.rs
@@ -19,7 +19,7 @@
 use crate::cluster_view::ClusterView;
 use crate::cluster_view::HostState;
 use crate::cluster_view::ShardedMap;
-use crate::control::home::GrantAnswer;
+use crate::control::home::HomeAnswer;
 use crate::control::home::HomeConf;
 use crate::control::home::HomeController;
 use crate::control::home::HomeEvent;
@@ -124,7 +124,7 @@
     }
 
     /// Handles what a host says to the home of a pool, and returns the reply to a request.
-    pub fn handle(self: &Arc<Self>, pool: &PoolId, event: HomeEvent) -> Option<GrantAnswer> {
+    pub fn handle(self: &Arc<Self>, pool: &PoolId, event: HomeEvent) -> Option<HomeAnswer> {
         let home = match &event {
             HomeEvent::Request { from, .. } => self.home_to_ask(pool, from),
             HomeEvent::Announce { from, .. } => self.home_to_ask(pool, from),
@@ -327,9 +327,9 @@
     }
 }
 
-fn not_home(event: &HomeEvent) -> Option<GrantAnswer> {
+fn not_home(event: &HomeEvent) -> Option<HomeAnswer> {
     match event {
-        HomeEvent::Request { work, .. } => Some(GrantAnswer {
+        HomeEvent::Request { work, .. } => Some(HomeAnswer {
             request: work.request,
             verdict: Verdict::NotHome,
         }),
--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -11,8 +11,8 @@
 use tokio::time::timeout;
 
 use crate::clock::Clock;
-use crate::control::home::GrantAnswer as HomeAnswer;
 use crate::control::home::Granted;
+use crate::control::home::HomeAnswer;
 use crate::control::home::HomeEvent;
 use crate::control::home::Verdict;
 use crate::control::home::wire;
--- a/tests/home.rs
+++ b/tests/home.rs
@@ -7,9 +7,9 @@
 
 use banyanarch::clock::Clock;
 use banyanarch::clock::ManualClock;
-use banyanarch::control::home::GrantAnswer;
 use banyanarch::control::home::Granted;
 use banyanarch::control::home::HomeAction;
+use banyanarch::control::home::HomeAnswer;
 use banyanarch::control::home::HomeConf;
 use banyanarch::control::home::HomeController;
 use banyanarch::control::home::HomeEvent;
@@ -381,7 +381,7 @@
     let a = host("entry-a");
     home.ask_granted(1, &a, 6_000);
     home.ask(2, &a, 6_000);
-    let answer = GrantAnswer {
+    let answer = HomeAnswer {
         request: RequestId(2),
         verdict: Verdict::NotHome,
     };
@@ -410,7 +410,7 @@
 fn answers_survive_the_wire(verdict: Verdict) {
     let pool: PoolId = "hall-a/llm-advisor/0".parse().unwrap();
     let request = RequestId(3);
-    let answer = GrantAnswer { request, verdict };
+    let answer = HomeAnswer { request, verdict };
     let message = wire::answer_to(&pool, &answer);
     assert_eq!(wire::answer_from(&message), Ok((pool, answer)));
 }
--- a/tests/worlds/entry_host.rs
+++ b/tests/worlds/entry_host.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use banyanarch::control::home::GrantAnswer;
 use banyanarch::control::home::Granted;
+use banyanarch::control::home::HomeAnswer;
 use banyanarch::control::home::HomeEvent;
 use banyanarch::control::home::Verdict;
 use banyanarch::decide::AttemptOutcome;
@@ -48,7 +48,7 @@
     pub(crate) home: usize,
     pub(crate) paused_until: u64,
     pub(crate) is_cut: bool,
-    pub(crate) inbox: Vec<(usize, Option<GrantAnswer>)>,
+    pub(crate) inbox: Vec<(usize, Option<HomeAnswer>)>,
     requests: IndexMap<RequestId, Request>,
     used: IndexSet<AttemptId>,
 }
@@ -123,7 +123,7 @@
         }
     }
 
-    fn answered(&mut self, home: usize, answer: GrantAnswer, around: &mut Around<'_>) {
+    fn answered(&mut self, home: usize, answer: HomeAnswer, around: &mut Around<'_>) {
         let granted = match answer.verdict {
             Verdict::Queued => return,
             Verdict::NotHome => {
--- a/tests/worlds/grant_world.rs
+++ b/tests/worlds/grant_world.rs
@@ -5,8 +5,8 @@
 
 use banyanarch::clock::Clock;
 use banyanarch::clock::ManualClock;
-use banyanarch::control::home::GrantAnswer;
 use banyanarch::control::home::HomeAction;
+use banyanarch::control::home::HomeAnswer;
 use banyanarch::control::home::HomeConf;
 use banyanarch::control::home::HomeController;
 use banyanarch::control::home::HomeEvent;
@@ -104,7 +104,7 @@
     Answer {
         host: usize,
         home: usize,
-        answer: GrantAnswer,
+        answer: HomeAnswer,
     },
     AskAnnounce {
         host: usize,
@@ -375,7 +375,7 @@
     }
 
     /// No grant on an upstream that has left for a while, but one that its host already uses.
-    fn check_not_leaving(&self, host: usize, answer: &GrantAnswer) {
+    fn check_not_leaving(&self, host: usize, answer: &HomeAnswer) {
         let Verdict::Granted(granted) = &answer.verdict else {
             return;
         };
