--- a/src/control/home/action.rs
+++ b/src/control/home/action.rs
@@ -54,7 +54,7 @@
         };
         let answer = HomeAnswer {
             request: work.request,
-            verdict: Verdict::NotHome,
+            status: Verdict::NotHome,
         };
         Some(Self::Reply {
             to: from.clone(),
--- a/src/control/home/answer.rs
+++ b/src/control/home/answer.rs
@@ -20,7 +20,7 @@
     /// The request.
     pub request: RequestId,
     /// Where it stands.
-    pub verdict: Verdict,
+    pub status: Verdict,
 }
 
 /// Where a request stands at its home.
--- a/src/control/home/controller.rs
+++ b/src/control/home/controller.rs
@@ -181,10 +181,10 @@
         self.decide(now);
         self.replying_to = None;
         let standing = self.requests.get(request).map(|asked| &asked.standing);
-        let verdict = standing.map_or(Verdict::Queued, Standing::verdict);
+        let status = standing.map_or(Verdict::Queued, Standing::verdict);
         self.actions.push(HomeAction::Reply {
             to: from.clone(),
-            answer: HomeAnswer { request, verdict },
+            answer: HomeAnswer { request, status },
         });
         std::mem::take(&mut self.actions)
     }
@@ -459,7 +459,7 @@
         };
         let answer = HomeAnswer {
             request,
-            verdict: asked.standing.verdict(),
+            status: asked.standing.verdict(),
         };
         self.actions.push(HomeAction::Push {
             to: asked.host.clone(),
@@ -473,8 +473,8 @@
         let mut actions = std::mem::take(&mut self.actions);
         for (request, host) in self.requests.all_waiting() {
             self.policy.withdraw(request, now);
-            let verdict = Verdict::NotHome;
-            let answer = HomeAnswer { request, verdict };
+            let status = Verdict::NotHome;
+            let answer = HomeAnswer { request, status };
             actions.push(HomeAction::Push { to: host, answer });
         }
         self.works.clear();
--- a/src/control/home/wire.rs
+++ b/src/control/home/wire.rs
@@ -136,7 +136,7 @@
         request: id_to(answer.request.0),
         ..Default::default()
     };
-    match &answer.verdict {
+    match &answer.status {
         Verdict::NotHome => reply.set_state(GrantState::NotHome),
         Verdict::Queued => reply.set_state(GrantState::Queued),
         Verdict::Granted(granted) => {
@@ -177,7 +177,7 @@
         },
     };
     let request = RequestId(id_from(&reply.request, "request")?);
-    Ok((pool, HomeAnswer { request, verdict }))
+    Ok((pool, HomeAnswer { request, status }))
 }
 
 /// A withdrawal as a message.
--- a/src/fleet/home_desk/mod.rs
+++ b/src/fleet/home_desk/mod.rs
@@ -331,7 +331,7 @@
     match event {
         HomeEvent::Request { work, .. } => Some(HomeAnswer {
             request: work.request,
-            verdict: Verdict::NotHome,
+            status: Verdict::NotHome,
         }),
         _ => None,
     }
--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -231,9 +231,9 @@
             let asked_at = self.clock.now();
             let pushed = timeout(ASK_AGAIN, pushes.recv()).await;
             if let Ok(Some(answer)) = pushed
-                && !self.is_stale(&answer.verdict, asked_at)
+                && !self.is_stale(&answer.status, asked_at)
             {
-                return Waited::Decided(answer.verdict);
+                return Waited::Decided(answer.status);
             }
             match self.ask_one(candidate, pool, work).await {
                 Asked::Said(Verdict::Queued) => {}
@@ -273,7 +273,7 @@
                 work: work.clone(),
             };
             let answer = self.desk.handle(pool, event);
-            return answer.map_or(Asked::Silent, |answer| Asked::Said(answer.verdict));
+            return answer.map_or(Asked::Silent, |answer| Asked::Said(answer.status));
         }
         let request = wire::request_to(pool, work, self.clock.now());
         let asked = self
@@ -281,7 +281,7 @@
             .request(candidate, Message::GrantRequest(request), ASK_TIMEOUT);
         match asked.await {
             Ok(Message::GrantReply(reply)) => match wire::answer_from(&reply) {
-                Ok((_, answer)) => Asked::Said(answer.verdict),
+                Ok((_, answer)) => Asked::Said(answer.status),
                 Err(err) => {
                     debug!("homes: {candidate} answered wrongly: {err}");
                     Asked::Silent
--- a/tests/home.rs
+++ b/tests/home.rs
@@ -125,7 +125,7 @@
         let from = from.clone();
         let actions = self.hear(HomeEvent::Request { from, work });
         let reply = actions.into_iter().find_map(|action| match action {
-            HomeAction::Reply { answer, .. } => Some(answer.verdict),
+            HomeAction::Reply { answer, .. } => Some(answer.status),
             _ => None,
         });
         reply.unwrap()
@@ -158,7 +158,7 @@
     }
 }
 
-fn granted(verdict: Verdict) -> Granted {
+fn granted(status: Verdict) -> Granted {
     match verdict {
         Verdict::Granted(granted) => granted,
         other => panic!("not granted: {other:?}"),
@@ -383,7 +383,7 @@
     home.ask(2, &a, 6_000);
     let answer = HomeAnswer {
         request: RequestId(2),
-        verdict: Verdict::NotHome,
+        status: Verdict::NotHome,
     };
     let pushed = HomeAction::Push {
         to: a.clone(),
@@ -407,10 +407,10 @@
         retry_after: Duration::from_millis(2_500),
     } },
 )]
-fn answers_survive_the_wire(verdict: Verdict) {
+fn answers_survive_the_wire(status: Verdict) {
     let pool: PoolId = "hall-a/llm-advisor/0".parse().unwrap();
     let request = RequestId(3);
-    let answer = HomeAnswer { request, verdict };
+    let answer = HomeAnswer { request, status };
     let message = wire::answer_to(&pool, &answer);
     assert_eq!(wire::answer_from(&message), Ok((pool, answer)));
 }
--- a/tests/worlds/entry_host.rs
+++ b/tests/worlds/entry_host.rs
@@ -124,7 +124,7 @@
     }
 
     fn answered(&mut self, home: usize, answer: HomeAnswer, around: &mut Around<'_>) {
-        let granted = match answer.verdict {
+        let granted = match answer.status {
             Verdict::Queued => return,
             Verdict::NotHome => {
                 self.home = 1 - home;
--- a/tests/worlds/grant_world.rs
+++ b/tests/worlds/grant_world.rs
@@ -376,7 +376,7 @@
 
     /// No grant on an upstream that has left for a while, but one that its host already uses.
     fn check_not_leaving(&self, host: usize, answer: &HomeAnswer) {
-        let Verdict::Granted(granted) = &answer.verdict else {
+        let Verdict::Granted(granted) = &answer.status else {
             return;
         };
         for id in &granted.upstreams {
