--- a/src/control/home/action.rs
+++ b/src/control/home/action.rs
@@ -1,8 +1,8 @@
 //! What a home wants done.
 
+use crate::control::home::GrantStatus;
 use crate::control::home::HomeAnswer;
 use crate::control::home::HomeEvent;
-use crate::control::home::Verdict;
 use crate::units::AttemptId;
 use crate::units::HostId;
 use crate::units::UpstreamId;
@@ -54,7 +54,7 @@
         };
         let answer = HomeAnswer {
             request: work.request,
-            status: Verdict::NotHome,
+            status: GrantStatus::NotHome,
         };
         Some(Self::Reply {
             to: from.clone(),
--- a/src/control/home/answer.rs
+++ b/src/control/home/answer.rs
@@ -20,12 +20,12 @@
     /// The request.
     pub request: RequestId,
     /// Where it stands.
-    pub status: Verdict,
+    pub status: GrantStatus,
 }
 
 /// Where a request stands at its home.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum GrantStatus {
     /// The receiver is not the home of that pool.
     NotHome,
     /// It waits; the decision is pushed, and asking again is harmless.
--- a/src/control/home/controller.rs
+++ b/src/control/home/controller.rs
@@ -5,12 +5,12 @@
 
 use indexmap::IndexMap;
 
+use crate::control::home::GrantStatus;
 use crate::control::home::Granted;
 use crate::control::home::HomeAction;
 use crate::control::home::HomeAnswer;
 use crate::control::home::HomeConf;
 use crate::control::home::HomeEvent;
-use crate::control::home::Verdict;
 use crate::control::home::engines::Engines;
 use crate::control::home::hosts::Hosts;
 use crate::control::home::ledger::Change;
@@ -181,7 +181,7 @@
         self.decide(now);
         self.replying_to = None;
         let standing = self.requests.get(request).map(|asked| &asked.standing);
-        let status = standing.map_or(Verdict::Queued, Standing::verdict);
+        let status = standing.map_or(GrantStatus::Queued, Standing::verdict);
         self.actions.push(HomeAction::Reply {
             to: from.clone(),
             answer: HomeAnswer { request, status },
@@ -473,7 +473,7 @@
         let mut actions = std::mem::take(&mut self.actions);
         for (request, host) in self.requests.all_waiting() {
             self.policy.withdraw(request, now);
-            let status = Verdict::NotHome;
+            let status = GrantStatus::NotHome;
             let answer = HomeAnswer { request, status };
             actions.push(HomeAction::Push { to: host, answer });
         }
--- a/src/control/home/mod.rs
+++ b/src/control/home/mod.rs
@@ -17,9 +17,9 @@
 pub mod wire;
 
 pub use action::HomeAction;
+pub use answer::GrantStatus;
 pub use answer::Granted;
 pub use answer::HomeAnswer;
-pub use answer::Verdict;
 pub use conf::HomeConf;
 pub use controller::HomeController;
 pub use event::HomeEvent;
--- a/src/control/home/requests.rs
+++ b/src/control/home/requests.rs
@@ -5,8 +5,8 @@
 
 use indexmap::IndexMap;
 
+use crate::control::home::GrantStatus;
 use crate::control::home::Granted;
-use crate::control::home::Verdict;
 use crate::decide::RefuseReason;
 use crate::decide::Work;
 use crate::units::GrantId;
@@ -30,14 +30,14 @@
 }
 
 impl Standing {
-    pub(crate) fn verdict(&self) -> Verdict {
+    pub(crate) fn verdict(&self) -> GrantStatus {
         match self {
-            Self::Held(_) | Self::Waiting => Verdict::Queued,
-            Self::Granted(granted) => Verdict::Granted(granted.clone()),
+            Self::Held(_) | Self::Waiting => GrantStatus::Queued,
+            Self::Granted(granted) => GrantStatus::Granted(granted.clone()),
             Self::Refused {
                 reason,
                 retry_after,
-            } => Verdict::Refused {
+            } => GrantStatus::Refused {
                 reason: *reason,
                 retry_after: *retry_after,
             },
--- a/src/control/home/wire.rs
+++ b/src/control/home/wire.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use crate::control::home::GrantStatus;
 use crate::control::home::Granted;
 use crate::control::home::HomeAnswer;
-use crate::control::home::Verdict;
 use crate::decide::AttemptOutcome;
 use crate::decide::AttemptSummary;
 use crate::decide::LiveGrant;
@@ -137,16 +137,16 @@
         ..Default::default()
     };
     match &answer.status {
-        Verdict::NotHome => reply.set_state(GrantState::NotHome),
-        Verdict::Queued => reply.set_state(GrantState::Queued),
-        Verdict::Granted(granted) => {
+        GrantStatus::NotHome => reply.set_state(GrantState::NotHome),
+        GrantStatus::Queued => reply.set_state(GrantState::Queued),
+        GrantStatus::Granted(granted) => {
             reply.set_state(GrantState::Granted);
             reply.grant = id_to(granted.grant.0);
             reply.upstreams = upstreams_to(&granted.upstreams);
             reply.waited_ms = ms(granted.waited);
             reply.why.clone_from(&granted.why);
         }
-        Verdict::Refused {
+        GrantStatus::Refused {
             reason,
             retry_after,
         } => {
@@ -163,15 +163,15 @@
     let pool = reply.pool.parse().map_err(|_| bad("pool"))?;
     let state = GrantState::try_from(reply.state).map_err(|_| bad("state"))?;
     let verdict = match state {
-        GrantState::NotHome => Verdict::NotHome,
-        GrantState::Queued => Verdict::Queued,
-        GrantState::Granted => Verdict::Granted(Granted {
+        GrantState::NotHome => GrantStatus::NotHome,
+        GrantState::Queued => GrantStatus::Queued,
+        GrantState::Granted => GrantStatus::Granted(Granted {
             grant: GrantId(id_from(&reply.grant, "grant")?),
             upstreams: upstreams_from(&reply.upstreams, "upstreams")?,
             waited: Duration::from_millis(reply.waited_ms),
             why: reply.why.clone(),
         }),
-        GrantState::Refused => Verdict::Refused {
+        GrantState::Refused => GrantStatus::Refused {
             reason: RefuseReason::from_name(&reply.why).ok_or_else(|| bad("why"))?,
             retry_after: Duration::from_millis(reply.retry_after_ms),
         },
--- a/src/fleet/home_desk/mod.rs
+++ b/src/fleet/home_desk/mod.rs
@@ -19,11 +19,11 @@
 use crate::cluster_view::ClusterView;
 use crate::cluster_view::HostState;
 use crate::cluster_view::ShardedMap;
+use crate::control::home::GrantStatus;
 use crate::control::home::HomeAnswer;
 use crate::control::home::HomeConf;
 use crate::control::home::HomeController;
 use crate::control::home::HomeEvent;
-use crate::control::home::Verdict;
 use crate::control::status::Events;
 use crate::decide::PoolKind;
 use crate::decide::PoolLoad;
@@ -331,7 +331,7 @@
     match event {
         HomeEvent::Request { work, .. } => Some(HomeAnswer {
             request: work.request,
-            status: Verdict::NotHome,
+            status: GrantStatus::NotHome,
         }),
         _ => None,
     }
--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -11,10 +11,10 @@
 use tokio::time::timeout;
 
 use crate::clock::Clock;
+use crate::control::home::GrantStatus;
 use crate::control::home::Granted;
 use crate::control::home::HomeAnswer;
 use crate::control::home::HomeEvent;
-use crate::control::home::Verdict;
 use crate::control::home::wire;
 use crate::decide::AttemptSummary;
 use crate::decide::LiveGrant;
@@ -83,13 +83,13 @@
 
 /// What one candidate said.
 enum Asked {
-    Said(Verdict),
+    Said(GrantStatus),
     Silent,
 }
 
 /// How the waiting for a decision ended.
 enum Waited {
-    Decided(Verdict),
+    Decided(GrantStatus),
     AskAgain,
 }
 
@@ -185,7 +185,7 @@
         loop {
             for candidate in self.candidates(pool) {
                 let verdict = match self.ask_one(&candidate, pool, work).await {
-                    Asked::Said(Verdict::NotHome) => continue,
+                    Asked::Said(GrantStatus::NotHome) => continue,
                     Asked::Silent => {
                         self.map.suspect(&candidate);
                         continue;
@@ -194,15 +194,15 @@
                 };
                 withdrawal.asked = Some(candidate.clone());
                 let verdict = match verdict {
-                    Verdict::Queued => self.wait_for(&mut pushes, &candidate, pool, work).await,
+                    GrantStatus::Queued => self.wait_for(&mut pushes, &candidate, pool, work).await,
                     decided => Waited::Decided(decided),
                 };
                 match verdict {
-                    Waited::Decided(Verdict::Granted(granted)) => {
+                    Waited::Decided(GrantStatus::Granted(granted)) => {
                         withdrawal.asked = None;
                         return self.granted(pool, granted, work);
                     }
-                    Waited::Decided(Verdict::Refused {
+                    Waited::Decided(GrantStatus::Refused {
                         reason,
                         retry_after,
                     }) => {
@@ -236,8 +236,8 @@
                 return Waited::Decided(answer.status);
             }
             match self.ask_one(candidate, pool, work).await {
-                Asked::Said(Verdict::Queued) => {}
-                Asked::Said(Verdict::NotHome) => return Waited::AskAgain,
+                Asked::Said(GrantStatus::Queued) => {}
+                Asked::Said(GrantStatus::NotHome) => return Waited::AskAgain,
                 Asked::Said(verdict) => return Waited::Decided(verdict),
                 Asked::Silent => {
                     self.map.suspect(candidate);
@@ -259,8 +259,8 @@
     }
 
     /// Whether a grant has waited here so long that its home may have given it up.
-    fn is_stale(&self, verdict: &Verdict, asked_at: Instant) -> bool {
-        let Verdict::Granted(granted) = verdict else {
+    fn is_stale(&self, verdict: &GrantStatus, asked_at: Instant) -> bool {
+        let GrantStatus::Granted(granted) = verdict else {
             return false;
         };
         !granted.is_fresh(asked_at, self.clock.now())
--- a/tests/home.rs
+++ b/tests/home.rs
@@ -7,13 +7,13 @@
 
 use banyanarch::clock::Clock;
 use banyanarch::clock::ManualClock;
+use banyanarch::control::home::GrantStatus;
 use banyanarch::control::home::Granted;
 use banyanarch::control::home::HomeAction;
 use banyanarch::control::home::HomeAnswer;
 use banyanarch::control::home::HomeConf;
 use banyanarch::control::home::HomeController;
 use banyanarch::control::home::HomeEvent;
-use banyanarch::control::home::Verdict;
 use banyanarch::control::home::wire;
 use banyanarch::decide::AttemptOutcome;
 use banyanarch::decide::LiveGrant;
@@ -120,7 +120,7 @@
         all
     }
 
-    fn ask(&mut self, request: u128, from: &HostId, tokens: u64) -> Verdict {
+    fn ask(&mut self, request: u128, from: &HostId, tokens: u64) -> GrantStatus {
         let work = work(request, from, tokens, self.clock.now());
         let from = from.clone();
         let actions = self.hear(HomeEvent::Request { from, work });
@@ -158,9 +158,9 @@
     }
 }
 
-fn granted(status: Verdict) -> Granted {
+fn granted(status: GrantStatus) -> Granted {
     match verdict {
-        Verdict::Granted(granted) => granted,
+        GrantStatus::Granted(granted) => granted,
         other => panic!("not granted: {other:?}"),
     }
 }
@@ -197,8 +197,8 @@
     let a = host("entry-a");
     let first = home.ask_granted(1, &a, 6_000);
     assert_eq!(home.ask_granted(1, &a, 6_000), first);
-    assert_eq!(home.ask(2, &a, 6_000), Verdict::Queued);
-    assert_eq!(home.ask(2, &a, 6_000), Verdict::Queued);
+    assert_eq!(home.ask(2, &a, 6_000), GrantStatus::Queued);
+    assert_eq!(home.ask(2, &a, 6_000), GrantStatus::Queued);
     let actions = home.finish(&a, first.grant, AttemptOutcome::Completed);
     let pushed = |action: &HomeAction| matches!(action, HomeAction::Push { answer, .. } if answer.request == RequestId(2));
     assert!(actions.iter().any(pushed));
@@ -254,7 +254,11 @@
     let actions = home.pass(Duration::from_secs(30), &held, &[]);
     assert!(cancels(&actions).is_empty());
     assert!(actions.contains(&HomeAction::AskAnnounce { to: b.clone() }));
-    assert_eq!(home.ask(1, &b, 6_000), Verdict::Queued, "its memory counts");
+    assert_eq!(
+        home.ask(1, &b, 6_000),
+        GrantStatus::Queued,
+        "its memory counts"
+    );
     let actions = home.pass(Duration::from_secs(1), &held, &[(&b, Vec::new())]);
     assert!(cancels(&actions).contains(&AttemptId(stray.0)));
     home.confirm(stray);
@@ -273,10 +277,10 @@
     home.ask_granted(1, &a, 1_000);
     assert_eq!(
         home.ask(2, &a, 1_000),
-        Verdict::Queued,
+        GrantStatus::Queued,
         "the share is used up"
     );
-    assert_eq!(home.ask(3, &a, 6_000), Verdict::Queued);
+    assert_eq!(home.ask(3, &a, 6_000), GrantStatus::Queued);
     let old = GrantId(5);
     home.list(&actions, &[running(old, &b, 8_000)]);
     let now = home.clock.now();
@@ -287,7 +291,7 @@
     home.ask_granted(2, &a, 1_000);
     assert_eq!(
         home.ask(3, &a, 6_000),
-        Verdict::Queued,
+        GrantStatus::Queued,
         "{old} still holds 8,000"
     );
     home.finish(&b, old, AttemptOutcome::Completed);
@@ -311,13 +315,13 @@
     let a = host("entry-a");
     let old = home.ask_granted(1, &a, 4_000);
     home.set_engine(UpstreamHealth::Leaving);
-    assert_eq!(home.ask(1, &a, 4_000), Verdict::Queued);
+    assert_eq!(home.ask(1, &a, 4_000), GrantStatus::Queued);
     home.set_engine(UpstreamHealth::Live);
     let new = home.ask_granted(1, &a, 4_000);
     assert_ne!(new.grant, old.grant);
     assert_eq!(
         home.ask(2, &a, 4_000),
-        Verdict::Queued,
+        GrantStatus::Queued,
         "the old one may have been used"
     );
     let grants = vec![live(new.grant, 1, &a, 4_000, home.clock.now())];
@@ -337,7 +341,7 @@
     let actions = home.finish(&a, grant, AttemptOutcome::Failed);
     assert_eq!(cancels(&actions), [AttemptId(grant.0)]);
     home.finish(&a, grant, AttemptOutcome::NotSent);
-    assert_eq!(home.ask(2, &a, 6_000), Verdict::Queued);
+    assert_eq!(home.ask(2, &a, 6_000), GrantStatus::Queued);
     home.confirm(grant);
     home.ask_granted(2, &a, 6_000);
 }
@@ -383,31 +387,31 @@
     home.ask(2, &a, 6_000);
     let answer = HomeAnswer {
         request: RequestId(2),
-        status: Verdict::NotHome,
+        status: GrantStatus::NotHome,
     };
     let pushed = HomeAction::Push {
         to: a.clone(),
         answer,
     };
     assert_eq!(home.hear(HomeEvent::HandOver), [pushed]);
-    assert_eq!(home.ask(3, &a, 1_000), Verdict::NotHome);
+    assert_eq!(home.ask(3, &a, 1_000), GrantStatus::NotHome);
 }
 
 #[parameterized(
-    not_home = { Verdict::NotHome },
-    queued = { Verdict::Queued },
-    granted = { Verdict::Granted(Granted {
+    not_home = { GrantStatus::NotHome },
+    queued = { GrantStatus::Queued },
+    granted = { GrantStatus::Granted(Granted {
         grant: GrantId(7),
         upstreams: vec![upstream("runner-1"), upstream("runner-2")],
         waited: Duration::from_millis(30),
         why: "cached".to_owned(),
     }) },
-    refused = { Verdict::Refused {
+    refused = { GrantStatus::Refused {
         reason: RefuseReason::QueueFull,
         retry_after: Duration::from_millis(2_500),
     } },
 )]
-fn answers_survive_the_wire(status: Verdict) {
+fn answers_survive_the_wire(status: GrantStatus) {
     let pool: PoolId = "hall-a/llm-advisor/0".parse().unwrap();
     let request = RequestId(3);
     let answer = HomeAnswer { request, status };
--- a/tests/worlds/entry_host.rs
+++ b/tests/worlds/entry_host.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use banyanarch::control::home::GrantStatus;
 use banyanarch::control::home::Granted;
 use banyanarch::control::home::HomeAnswer;
 use banyanarch::control::home::HomeEvent;
-use banyanarch::control::home::Verdict;
 use banyanarch::decide::AttemptOutcome;
 use banyanarch::decide::LiveGrant;
 use banyanarch::decide::Work;
@@ -125,12 +125,12 @@
 
     fn answered(&mut self, home: usize, answer: HomeAnswer, around: &mut Around<'_>) {
         let granted = match answer.status {
-            Verdict::Queued => return,
-            Verdict::NotHome => {
+            GrantStatus::Queued => return,
+            GrantStatus::NotHome => {
                 self.home = 1 - home;
                 return;
             }
-            Verdict::Refused { .. } => {
+            GrantStatus::Refused { .. } => {
                 if let Some(request) = self.requests.get_mut(&answer.request)
                     && matches!(request.state, State::Waiting)
                 {
@@ -138,7 +138,7 @@
                 }
                 return;
             }
-            Verdict::Granted(granted) => granted,
+            GrantStatus::Granted(granted) => granted,
         };
         let attempt = granted.attempt();
         // Only who knows that it did not use a grant may say so; an earlier process of this name
--- a/tests/worlds/grant_world.rs
+++ b/tests/worlds/grant_world.rs
@@ -5,12 +5,12 @@
 
 use banyanarch::clock::Clock;
 use banyanarch::clock::ManualClock;
+use banyanarch::control::home::GrantStatus;
 use banyanarch::control::home::HomeAction;
 use banyanarch::control::home::HomeAnswer;
 use banyanarch::control::home::HomeConf;
 use banyanarch::control::home::HomeController;
 use banyanarch::control::home::HomeEvent;
-use banyanarch::control::home::Verdict;
 use banyanarch::decide::AttemptOutcome;
 use banyanarch::decide::UpstreamHealth;
 use banyanarch::units::AttemptId;
@@ -376,7 +376,7 @@
 
     /// No grant on an upstream that has left for a while, but one that its host already uses.
     fn check_not_leaving(&self, host: usize, answer: &HomeAnswer) {
-        let Verdict::Granted(granted) = &answer.status else {
+        let GrantStatus::Granted(granted) = &answer.status else {
             return;
         };
         for id in &granted.upstreams {
