--- a/src/control/home/wire.rs
+++ b/src/control/home/wire.rs
@@ -162,7 +162,7 @@
 pub fn answer_from(reply: &message::GrantReply) -> Result<(PoolId, HomeAnswer), WireError> {
     let pool = reply.pool.parse().map_err(|_| bad("pool"))?;
     let state = GrantState::try_from(reply.state).map_err(|_| bad("state"))?;
-    let verdict = match state {
+    let status = match state {
         GrantState::NotHome => GrantStatus::NotHome,
         GrantState::Queued => GrantStatus::Queued,
         GrantState::Granted => GrantStatus::Granted(Granted {
--- a/tests/home.rs
+++ b/tests/home.rs
@@ -159,7 +159,7 @@
 }
 
 fn granted(status: GrantStatus) -> Granted {
-    match verdict {
+    match status {
         GrantStatus::Granted(granted) => granted,
         other => panic!("not granted: {other:?}"),
     }
