--- a/src/control/home/answer.rs
+++ b/src/control/home/answer.rs
@@ -31,7 +31,7 @@
     /// It waits; the decision is pushed, and asking again is harmless.
     Queued,
     /// It may be dispatched, once.
-    Granted(Granted),
+    Granted(IssuedGrant),
     /// It is turned away, not run.
     Refused {
         /// Why.
@@ -43,7 +43,7 @@
 
 /// A grant as its entry host gets it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Granted {
+pub struct IssuedGrant {
     /// The grant.
     pub grant: GrantId,
     /// The engines, the leader first.
@@ -54,7 +54,7 @@
     pub why: String,
 }
 
-impl Granted {
+impl IssuedGrant {
     /// Whether the entry host may still dispatch by this grant, as it last asked for it at
     /// `asked_at`. Where not, it asks again and gets the same grant or another one.
     ///
@@ -70,7 +70,7 @@
     }
 }
 
-impl From<&Grant> for Granted {
+impl From<&Grant> for IssuedGrant {
     fn from(grant: &Grant) -> Self {
         Self {
             grant: grant.id,
--- a/src/control/home/controller.rs
+++ b/src/control/home/controller.rs
@@ -6,11 +6,11 @@
 use indexmap::IndexMap;
 
 use crate::control::home::GrantStatus;
-use crate::control::home::Granted;
 use crate::control::home::HomeAction;
 use crate::control::home::HomeAnswer;
 use crate::control::home::HomeConf;
 use crate::control::home::HomeEvent;
+use crate::control::home::IssuedGrant;
 use crate::control::home::engines::Engines;
 use crate::control::home::hosts::Hosts;
 use crate::control::home::ledger::Change;
@@ -446,7 +446,7 @@
         };
         self.ledger.grant(live, now);
         self.requests
-            .set_granted(grant.request, Granted::from(grant));
+            .set_granted(grant.request, IssuedGrant::from(grant));
         self.push(grant.request);
     }
 
--- a/src/control/home/mod.rs
+++ b/src/control/home/mod.rs
@@ -18,8 +18,8 @@
 
 pub use action::HomeAction;
 pub use answer::GrantStatus;
-pub use answer::Granted;
 pub use answer::HomeAnswer;
+pub use answer::IssuedGrant;
 pub use conf::HomeConf;
 pub use controller::HomeController;
 pub use event::HomeEvent;
--- a/src/control/home/requests.rs
+++ b/src/control/home/requests.rs
@@ -6,7 +6,7 @@
 use indexmap::IndexMap;
 
 use crate::control::home::GrantStatus;
-use crate::control::home::Granted;
+use crate::control::home::IssuedGrant;
 use crate::decide::RefuseReason;
 use crate::decide::Work;
 use crate::units::GrantId;
@@ -21,7 +21,7 @@
     /// It waits in the policy's queue.
     Waiting,
     /// It was granted.
-    Granted(Granted),
+    Granted(IssuedGrant),
     /// It was turned away.
     Refused {
         reason: RefuseReason,
@@ -84,7 +84,7 @@
         Some(asked)
     }
 
-    pub(crate) fn set_granted(&mut self, request: RequestId, granted: Granted) {
+    pub(crate) fn set_granted(&mut self, request: RequestId, granted: IssuedGrant) {
         if let Some(asked) = self.asked.get_mut(&request) {
             self.by_grant.insert(granted.grant, request);
             asked.standing = Standing::Granted(granted);
--- a/src/control/home/wire.rs
+++ b/src/control/home/wire.rs
@@ -8,8 +8,8 @@
 use std::time::Instant;
 
 use crate::control::home::GrantStatus;
-use crate::control::home::Granted;
 use crate::control::home::HomeAnswer;
+use crate::control::home::IssuedGrant;
 use crate::decide::AttemptOutcome;
 use crate::decide::AttemptSummary;
 use crate::decide::LiveGrant;
@@ -165,7 +165,7 @@
     let status = match state {
         GrantState::NotHome => GrantStatus::NotHome,
         GrantState::Queued => GrantStatus::Queued,
-        GrantState::Granted => GrantStatus::Granted(Granted {
+        GrantState::Granted => GrantStatus::Granted(IssuedGrant {
             grant: GrantId(id_from(&reply.grant, "grant")?),
             upstreams: upstreams_from(&reply.upstreams, "upstreams")?,
             waited: Duration::from_millis(reply.waited_ms),
--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -12,9 +12,9 @@
 
 use crate::clock::Clock;
 use crate::control::home::GrantStatus;
-use crate::control::home::Granted;
 use crate::control::home::HomeAnswer;
 use crate::control::home::HomeEvent;
+use crate::control::home::IssuedGrant;
 use crate::control::home::wire;
 use crate::decide::AttemptSummary;
 use crate::decide::LiveGrant;
@@ -295,7 +295,7 @@
         }
     }
 
-    fn granted(&self, pool: &PoolId, granted: Granted, work: &Work) -> GrantAnswer {
+    fn granted(&self, pool: &PoolId, granted: IssuedGrant, work: &Work) -> GrantAnswer {
         let live = LiveGrant {
             id: granted.grant,
             work: work.clone(),
--- a/tests/home.rs
+++ b/tests/home.rs
@@ -8,12 +8,12 @@
 use banyanarch::clock::Clock;
 use banyanarch::clock::ManualClock;
 use banyanarch::control::home::GrantStatus;
-use banyanarch::control::home::Granted;
 use banyanarch::control::home::HomeAction;
 use banyanarch::control::home::HomeAnswer;
 use banyanarch::control::home::HomeConf;
 use banyanarch::control::home::HomeController;
 use banyanarch::control::home::HomeEvent;
+use banyanarch::control::home::IssuedGrant;
 use banyanarch::control::home::wire;
 use banyanarch::decide::AttemptOutcome;
 use banyanarch::decide::LiveGrant;
@@ -131,7 +131,7 @@
         reply.unwrap()
     }
 
-    fn ask_granted(&mut self, request: u128, from: &HostId, tokens: u64) -> Granted {
+    fn ask_granted(&mut self, request: u128, from: &HostId, tokens: u64) -> IssuedGrant {
         granted(self.ask(request, from, tokens))
     }
 
@@ -158,7 +158,7 @@
     }
 }
 
-fn granted(status: GrantStatus) -> Granted {
+fn granted(status: GrantStatus) -> IssuedGrant {
     match status {
         GrantStatus::Granted(granted) => granted,
         other => panic!("not granted: {other:?}"),
@@ -400,7 +400,7 @@
 #[parameterized(
     not_home = { GrantStatus::NotHome },
     queued = { GrantStatus::Queued },
-    granted = { GrantStatus::Granted(Granted {
+    granted = { GrantStatus::Granted(IssuedGrant {
         grant: GrantId(7),
         upstreams: vec![upstream("runner-1"), upstream("runner-2")],
         waited: Duration::from_millis(30),
--- a/tests/worlds/entry_host.rs
+++ b/tests/worlds/entry_host.rs
@@ -4,9 +4,9 @@
 use std::time::Instant;
 
 use banyanarch::control::home::GrantStatus;
-use banyanarch::control::home::Granted;
 use banyanarch::control::home::HomeAnswer;
 use banyanarch::control::home::HomeEvent;
+use banyanarch::control::home::IssuedGrant;
 use banyanarch::decide::AttemptOutcome;
 use banyanarch::decide::LiveGrant;
 use banyanarch::decide::Work;
@@ -31,7 +31,7 @@
 
 enum State {
     Waiting,
-    Running { granted: Granted, ends_at: u64 },
+    Running { granted: IssuedGrant, ends_at: u64 },
     Ended,
 }
 
