--- a/src/control/home/controller.rs
+++ b/src/control/home/controller.rs
@@ -150,7 +150,7 @@
                 self.apply(changes, now);
             }
             HomeEvent::Upstreams(upstreams) => self.set_upstreams(&upstreams, now),
-            HomeEvent::Report { upstream, report } => {
+            HomeEvent::LoadReport { upstream, report } => {
                 self.policy.on_load_report(&upstream, &report, now);
             }
             HomeEvent::CacheEvents { upstream, events } => {
@@ -367,7 +367,8 @@
 
     fn ask_engines(&mut self, now: Instant) {
         for (upstream, seq) in self.engines.due(&self.conf, now) {
-            self.actions.push(HomeAction::List { upstream, seq });
+            self.actions
+                .push(HomeAction::ListAttempts { upstream, seq });
         }
     }
 
@@ -385,7 +386,7 @@
             return;
         }
         self.asked_hosts_at = Some(now);
-        let ask = |to| HomeAction::AskAnnounce { to };
+        let ask = |to| HomeAction::RequestAnnouncement { to };
         self.actions.extend(silent.into_iter().map(ask));
     }
 
--- a/src/daemon/poll.rs
+++ b/src/daemon/poll.rs
@@ -57,7 +57,7 @@
         return (id, after_seq);
     };
     if let Ok(report) = client.load().await {
-        let event = HomeEvent::Report {
+        let event = HomeEvent::LoadReport {
             upstream: id.clone(),
             report,
         };
--- a/src/fleet/home_desk/hands.rs
+++ b/src/fleet/home_desk/hands.rs
@@ -56,8 +56,8 @@
                 }
                 // Baselines run a home on each host, none of which sees all attempts.
                 HomeAction::Cancel { .. } => {}
-                HomeAction::List { upstream, seq } => self.list(pool, home, upstream, seq),
-                HomeAction::AskAnnounce { to } => self.ask_announce(pool, home, &to),
+                HomeAction::ListAttempts { upstream, seq } => self.list(pool, home, upstream, seq),
+                HomeAction::RequestAnnouncement { to } => self.ask_announce(pool, home, &to),
             }
         }
         reply
--- a/tests/home.rs
+++ b/tests/home.rs
@@ -86,7 +86,7 @@
     fn list(&mut self, actions: &[HomeAction], running: &[RunningAttempt]) -> Vec<HomeAction> {
         let mut answers = Vec::new();
         for action in actions {
-            if let HomeAction::List { upstream, seq } = action {
+            if let HomeAction::ListAttempts { upstream, seq } = action {
                 answers.extend(self.hear(HomeEvent::EngineListed {
                     upstream: upstream.clone(),
                     seq: *seq,
@@ -253,7 +253,7 @@
     let held = [running(stray, &b, 6_000)];
     let actions = home.pass(Duration::from_secs(30), &held, &[]);
     assert!(cancels(&actions).is_empty());
-    assert!(actions.contains(&HomeAction::AskAnnounce { to: b.clone() }));
+    assert!(actions.contains(&HomeAction::RequestAnnouncement { to: b.clone() }));
     assert_eq!(
         home.ask(1, &b, 6_000),
         GrantStatus::Queued,
--- a/tests/worlds/grant_world.rs
+++ b/tests/worlds/grant_world.rs
@@ -347,7 +347,7 @@
                 self.check_not_leaving(host, &answer);
                 self.post(Message::Answer { host, home, answer });
             }
-            HomeAction::AskAnnounce { to } => {
+            HomeAction::RequestAnnouncement { to } => {
                 let host = number(&to);
                 self.post(Message::AskAnnounce { host, home });
             }
@@ -362,7 +362,7 @@
                 let event = HomeEvent::CancelConfirmed { upstream, attempt };
                 self.post(Message::ToHome { home, event });
             }
-            HomeAction::List { upstream, seq } => {
+            HomeAction::ListAttempts { upstream, seq } => {
                 let running = self.engines[&upstream].held.values().cloned().collect();
                 let event = HomeEvent::EngineListed {
                     upstream,
