--- a/src/control/home/action.rs
+++ b/src/control/home/action.rs
@@ -33,14 +33,14 @@
         attempt: AttemptId,
     },
     /// Ask an engine what it runs, and report it as `EngineListed` with the same number.
-    List {
+    ListAttempts {
         /// The engine.
         upstream: UpstreamId,
         /// The number that the report repeats.
         seq: u64,
     },
     /// Ask a host, which may be this one, to announce its grants of this pool now.
-    AskAnnounce {
+    RequestAnnouncement {
         /// The host.
         to: HostId,
     },
--- a/src/control/home/event.rs
+++ b/src/control/home/event.rs
@@ -71,7 +71,7 @@
     /// The upstreams of the pool, all of them.
     Upstreams(Vec<UpstreamInfo>),
     /// An engine's lagging report.
-    Report {
+    LoadReport {
         /// The engine.
         upstream: UpstreamId,
         /// The report.
