--- a/src/fleet/home_desk/hands.rs
+++ b/src/fleet/home_desk/hands.rs
@@ -120,7 +120,7 @@
             self.waiters.decided(answer);
         } else {
             self.peers
-                .send(to, Message::GrantReply(wire::answer_to(pool, &answer)));
+                .send(to, Message::GrantReply(wire::encode_answer(pool, &answer)));
         }
     }
 
--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -139,7 +139,7 @@
                 },
             );
         } else {
-            let announce = wire::announce_to(pool, &grants, self.clock.now());
+            let announce = wire::encode_announce(pool, &grants, self.clock.now());
             self.peers.send(to, Message::Announce(announce));
         }
     }
@@ -275,12 +275,12 @@
             let answer = self.desk.handle(pool, event);
             return answer.map_or(Asked::Silent, |answer| Asked::Said(answer.status));
         }
-        let request = wire::request_to(pool, work, self.clock.now());
+        let request = wire::encode_request(pool, work, self.clock.now());
         let asked = self
             .peers
             .request(candidate, Message::GrantRequest(request), ASK_TIMEOUT);
         match asked.await {
-            Ok(Message::GrantReply(reply)) => match wire::answer_from(&reply) {
+            Ok(Message::GrantReply(reply)) => match wire::decode_answer(&reply) {
                 Ok((_, answer)) => Asked::Said(answer.status),
                 Err(err) => {
                     debug!("homes: {candidate} answered wrongly: {err}");
@@ -319,7 +319,7 @@
                 .handle(pool, HomeEvent::Finish { from, grant, done });
         } else {
             self.peers
-                .send(to, Message::Finish(wire::finish_to(pool, grant, &done)));
+                .send(to, Message::Finish(wire::encode_finish(pool, grant, &done)));
         }
     }
 
@@ -330,7 +330,7 @@
                 .handle(pool, HomeEvent::Withdraw { from, request });
         } else {
             self.peers
-                .send(to, Message::Withdraw(wire::withdraw_to(pool, request)));
+                .send(to, Message::Withdraw(wire::encode_withdraw(pool, request)));
         }
     }
 }
--- a/src/fleet/peer_desk.rs
+++ b/src/fleet/peer_desk.rs
@@ -55,12 +55,12 @@
 
 impl PeerDesk {
     fn request(&self, from: HostId, request: &GrantRequest) -> Option<Message> {
-        match wire::request_from(request, self.clock.now()) {
+        match wire::decode_request(request, self.clock.now()) {
             Ok((pool, work)) => {
                 let answer = self
                     .homes
                     .handle(&pool, HomeEvent::Request { from, work })?;
-                Some(Message::GrantReply(wire::answer_to(&pool, &answer)))
+                Some(Message::GrantReply(wire::encode_answer(&pool, &answer)))
             }
             Err(err) => {
                 debug!("homes: {from} asked wrongly: {err}");
@@ -72,7 +72,7 @@
     /// A decision that was pushed. One that nobody waits for came a second time, or its request was
     /// withdrawn, which the home was told; to give the grant back here could end one that is in use.
     fn pushed(&self, from: &HostId, reply: &GrantReply) {
-        match wire::answer_from(reply) {
+        match wire::decode_answer(reply) {
             Ok((pool, answer)) => {
                 if !self.waiters.decided(answer) {
                     debug!("homes: {from} decided in {pool}, and nobody waits");
@@ -83,7 +83,7 @@
     }
 
     fn announce(&self, from: HostId, announce: &Announce) {
-        let Ok((pool, grants)) = wire::announce_from(announce, self.clock.now()) else {
+        let Ok((pool, grants)) = wire::decode_announce(announce, self.clock.now()) else {
             debug!("homes: {from} announced what can't be read");
             return;
         };
@@ -122,13 +122,13 @@
                     None
                 }
                 Message::Finish(finish) => {
-                    if let Ok((pool, grant, done)) = wire::finish_from(&finish) {
+                    if let Ok((pool, grant, done)) = wire::decode_finish(&finish) {
                         self.of_home(&pool, HomeEvent::Finish { from, grant, done });
                     }
                     None
                 }
                 Message::Withdraw(withdraw) => {
-                    if let Ok((pool, request)) = wire::withdraw_from(&withdraw) {
+                    if let Ok((pool, request)) = wire::decode_withdraw(&withdraw) {
                         self.of_home(&pool, HomeEvent::Withdraw { from, request });
                     }
                     None
--- a/tests/home.rs
+++ b/tests/home.rs
@@ -415,8 +415,8 @@
     let pool: PoolId = "hall-a/llm-advisor/0".parse().unwrap();
     let request = RequestId(3);
     let answer = HomeAnswer { request, status };
-    let message = wire::answer_to(&pool, &answer);
-    assert_eq!(wire::answer_from(&message), Ok((pool, answer)));
+    let message = wire::encode_answer(&pool, &answer);
+    assert_eq!(wire::decode_answer(&message), Ok((pool, answer)));
 }
 
 /// Hosts' clocks differ, so a deadline travels as the time that remains.
@@ -428,13 +428,13 @@
     let mut sent = work(1, &host("entry-a"), 4_096, here);
     sent.prefixes = vec![(ContentHash(9), Tokens(1_024))];
     sent.avoid = vec![upstream("runner-3")];
-    let message = wire::request_to(&pool, &sent, here);
-    let (_, got) = wire::request_from(&message, there).unwrap();
+    let message = wire::encode_request(&pool, &sent, here);
+    let (_, got) = wire::decode_request(&message, there).unwrap();
     assert_eq!(got.deadline - there, sent.deadline - here);
     sent.deadline = got.deadline;
     assert_eq!(got, sent);
     let cut = banyanarch::peer::message::GrantRequest::default();
-    assert_eq!(wire::request_from(&cut, here).unwrap_err().field, "pool");
+    assert_eq!(wire::decode_request(&cut, here).unwrap_err().field, "pool");
 }
 
 /// A host restarts, membership says so late, and the new process asks before anybody calls it alive.
