--- a/src/control/home/wire.rs
+++ b/src/control/home/wire.rs
@@ -71,7 +71,7 @@
 }
 
 /// Work as a message.
-pub fn work_to(work: &Work, now: Instant) -> message::WorkItem {
+pub fn encode_work(work: &Work, now: Instant) -> message::WorkItem {
     let prefix = |(hash, tokens): &(ContentHash, Tokens)| message::PrefixHash {
         hash: id_to(hash.0),
         tokens: tokens.0,
@@ -90,7 +90,7 @@
 }
 
 /// Work out of a message.
-pub fn work_from(item: &message::WorkItem, now: Instant) -> Result<Work, WireError> {
+pub fn decode_work(item: &message::WorkItem, now: Instant) -> Result<Work, WireError> {
     let prefix = |prefix: &message::PrefixHash| {
         let hash = id_from(&prefix.hash, "prefixes")?;
         Ok((ContentHash(hash), Tokens(prefix.tokens)))
@@ -112,25 +112,25 @@
 }
 
 /// A request for a grant as a message.
-pub fn request_to(pool: &PoolId, work: &Work, now: Instant) -> message::GrantRequest {
+pub fn encode_request(pool: &PoolId, work: &Work, now: Instant) -> message::GrantRequest {
     message::GrantRequest {
         pool: pool.to_string(),
-        work: Some(work_to(work, now)),
+        work: Some(encode_work(work, now)),
     }
 }
 
 /// A request for a grant out of a message.
-pub fn request_from(
+pub fn decode_request(
     request: &message::GrantRequest,
     now: Instant,
 ) -> Result<(PoolId, Work), WireError> {
     let pool = request.pool.parse().map_err(|_| bad("pool"))?;
     let work = request.work.as_ref().ok_or_else(|| bad("work"))?;
-    Ok((pool, work_from(work, now)?))
+    Ok((pool, decode_work(work, now)?))
 }
 
 /// A home's answer as a message.
-pub fn answer_to(pool: &PoolId, answer: &HomeAnswer) -> message::GrantReply {
+pub fn encode_answer(pool: &PoolId, answer: &HomeAnswer) -> message::GrantReply {
     let mut reply = message::GrantReply {
         pool: pool.to_string(),
         request: id_to(answer.request.0),
@@ -159,7 +159,7 @@
 }
 
 /// A home's answer out of a message.
-pub fn answer_from(reply: &message::GrantReply) -> Result<(PoolId, HomeAnswer), WireError> {
+pub fn decode_answer(reply: &message::GrantReply) -> Result<(PoolId, HomeAnswer), WireError> {
     let pool = reply.pool.parse().map_err(|_| bad("pool"))?;
     let state = GrantState::try_from(reply.state).map_err(|_| bad("state"))?;
     let status = match state {
@@ -181,7 +181,7 @@
 }
 
 /// A withdrawal as a message.
-pub fn withdraw_to(pool: &PoolId, request: RequestId) -> message::Withdraw {
+pub fn encode_withdraw(pool: &PoolId, request: RequestId) -> message::Withdraw {
     message::Withdraw {
         pool: pool.to_string(),
         request: id_to(request.0),
@@ -189,13 +189,13 @@
 }
 
 /// A withdrawal out of a message.
-pub fn withdraw_from(withdraw: &message::Withdraw) -> Result<(PoolId, RequestId), WireError> {
+pub fn decode_withdraw(withdraw: &message::Withdraw) -> Result<(PoolId, RequestId), WireError> {
     let pool = withdraw.pool.parse().map_err(|_| bad("pool"))?;
     Ok((pool, RequestId(id_from(&withdraw.request, "request")?)))
 }
 
 /// The end of a grant as a message.
-pub fn finish_to(pool: &PoolId, grant: GrantId, done: &AttemptSummary) -> message::Finish {
+pub fn encode_finish(pool: &PoolId, grant: GrantId, done: &AttemptSummary) -> message::Finish {
     let report = message::DoneReport {
         ended: ended_to(done.ended),
         first_token_us: done.first_token.map(us),
@@ -212,7 +212,7 @@
 }
 
 /// The end of a grant out of a message.
-pub fn finish_from(
+pub fn decode_finish(
     finish: &message::Finish,
 ) -> Result<(PoolId, GrantId, AttemptSummary), WireError> {
     let pool = finish.pool.parse().map_err(|_| bad("pool"))?;
@@ -251,10 +251,10 @@
 }
 
 /// A host's live grants of a pool as a message.
-pub fn announce_to(pool: &PoolId, grants: &[LiveGrant], now: Instant) -> message::Announce {
+pub fn encode_announce(pool: &PoolId, grants: &[LiveGrant], now: Instant) -> message::Announce {
     let grant = |grant: &LiveGrant| message::WorkWithGrant {
         grant: id_to(grant.id.0),
-        work: Some(work_to(&grant.work, now)),
+        work: Some(encode_work(&grant.work, now)),
         upstreams: upstreams_to(&grant.upstreams),
     };
     message::Announce {
@@ -265,7 +265,7 @@
 }
 
 /// A host's live grants of a pool out of a message.
-pub fn announce_from(
+pub fn decode_announce(
     announce: &message::Announce,
     now: Instant,
 ) -> Result<(PoolId, Vec<LiveGrant>), WireError> {
@@ -273,7 +273,7 @@
         let work = grant.work.as_ref().ok_or_else(|| bad("work"))?;
         Ok(LiveGrant {
             id: GrantId(id_from(&grant.grant, "grant")?),
-            work: work_from(work, now)?,
+            work: decode_work(work, now)?,
             upstreams: upstreams_from(&grant.upstreams, "upstreams")?,
         })
     };
