--- a/src/fleet/peer_desk.rs
+++ b/src/fleet/peer_desk.rs
@@ -99,14 +99,14 @@
     }
 
     async fn relay(&self, call: PlatformCall) -> Message {
-        let reply = match relay::call_from(&call) {
-            Ok(RelayedCall::Get(key)) => relay::got_to(&self.platform.get(key).await),
+        let reply = match relay::decode_call(&call) {
+            Ok(RelayedCall::Get(key)) => relay::encode_get_result(&self.platform.get(key).await),
             Ok(RelayedCall::Put {
                 key,
                 value,
                 expected,
-            }) => relay::written_to(&self.platform.put(key, value, expected).await),
-            Err(err) => relay::written_to(&Err(err)),
+            }) => relay::encode_put_result(&self.platform.put(key, value, expected).await),
+            Err(err) => relay::encode_put_result(&Err(err)),
         };
         Message::PlatformReply(reply)
     }
--- a/src/fleet/relay_platform.rs
+++ b/src/fleet/relay_platform.rs
@@ -104,8 +104,8 @@
         match way {
             Way::Direct => self.direct(self.direct.get(key.clone()).await),
             Way::Peer(peer) => {
-                let reply = self.ask(peer, relay::get_to(key)).await?;
-                relay::got_from(key, &reply)
+                let reply = self.ask(peer, relay::encode_get(key)).await?;
+                relay::decode_get_result(key, &reply)
             }
         }
     }
@@ -120,8 +120,10 @@
         match way {
             Way::Direct => self.direct(self.direct.put(key.clone(), value.clone(), expected).await),
             Way::Peer(peer) => {
-                let reply = self.ask(peer, relay::put_to(key, value, expected)).await?;
-                relay::written_from(&reply)
+                let reply = self
+                    .ask(peer, relay::encode_put(key, value, expected))
+                    .await?;
+                relay::decode_put_result(&reply)
             }
         }
     }
@@ -151,8 +153,8 @@
             .await;
         match asked {
             Ok(Message::PlatformReply(reply)) => Ok(reply),
-            Ok(_) => Err(relay::of_peer_error(&PeerError::NoAnswer)),
-            Err(err) => Err(relay::of_peer_error(&err)),
+            Ok(_) => Err(relay::map_peer_error(&PeerError::NoAnswer)),
+            Err(err) => Err(relay::map_peer_error(&err)),
         }
     }
 }
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -393,8 +393,8 @@
     in_doubt = { Err(unknown()) },
 )]
 fn relayed_results_keep_their_kind(result: Result<ObjectVersion, PlatformError>) {
-    let reply = relay::written_to(&result);
-    assert_eq!(relay::written_from(&reply), result);
+    let reply = relay::encode_put_result(&result);
+    assert_eq!(relay::decode_put_result(&reply), result);
 }
 
 #[test]
@@ -402,19 +402,19 @@
     let key = ObjectKey::new(Kind::Claims, "shard-03");
     let value = serde_json::json!({"claims": {}});
     for expected in [Expected::Absent, Expected::Version(ObjectVersion(3))] {
-        let call = relay::put_to(&key, &value, expected);
+        let call = relay::encode_put(&key, &value, expected);
         let put = relay::RelayedCall::Put {
             key: key.clone(),
             value: value.clone(),
             expected,
         };
-        assert_eq!(relay::call_from(&call), Ok(put));
+        assert_eq!(relay::decode_call(&call), Ok(put));
     }
     let get = relay::RelayedCall::Get(key.clone());
-    assert_eq!(relay::call_from(&relay::get_to(&key)), Ok(get));
-    let silent = relay::of_peer_error(&PeerError::NoAnswer);
+    assert_eq!(relay::decode_call(&relay::encode_get(&key)), Ok(get));
+    let silent = relay::map_peer_error(&PeerError::NoAnswer);
     assert!(matches!(silent, PlatformError::Unknown(_)));
-    let unreached = relay::of_peer_error(&PeerError::UnknownHost);
+    let unreached = relay::map_peer_error(&PeerError::UnknownHost);
     assert!(matches!(unreached, PlatformError::Unavailable(_)));
 }
 
