--- a/src/control/claims/relay.rs
+++ b/src/control/claims/relay.rs
@@ -38,7 +38,7 @@
 }
 
 /// A read as a message.
-pub fn get_to(key: &ObjectKey) -> PlatformCall {
+pub fn encode_get(key: &ObjectKey) -> PlatformCall {
     PlatformCall {
         kind: key.kind.plural().to_owned(),
         name: key.name.clone(),
@@ -48,19 +48,19 @@
 }
 
 /// A write as a message.
-pub fn put_to(key: &ObjectKey, value: &serde_json::Value, expected: Expected) -> PlatformCall {
+pub fn encode_put(key: &ObjectKey, value: &serde_json::Value, expected: Expected) -> PlatformCall {
     PlatformCall {
         value: Some(value.to_string().into_bytes()),
         expected_version: match expected {
             Expected::Absent => None,
             Expected::Version(version) => Some(version.0),
         },
-        ..get_to(key)
+        ..encode_get(key)
     }
 }
 
 /// A call out of a message. One that can't be read is refused, and nothing is done.
-pub fn call_from(call: &PlatformCall) -> Result<RelayedCall, PlatformError> {
+pub fn decode_call(call: &PlatformCall) -> Result<RelayedCall, PlatformError> {
     let refused = |why: &str| PlatformError::Refused(why.to_owned());
     let kind = Kind::from_plural(&call.kind).ok_or_else(|| refused("unknown kind"))?;
     let key = ObjectKey::new(kind, call.name.clone());
@@ -78,7 +78,7 @@
 }
 
 /// What came of a read as a message.
-pub fn got_to(result: &Result<Object, PlatformError>) -> PlatformReply {
+pub fn encode_get_result(result: &Result<Object, PlatformError>) -> PlatformReply {
     match result {
         Ok(object) => PlatformReply {
             status: DONE,
@@ -91,7 +91,7 @@
 }
 
 /// What came of a write as a message.
-pub fn written_to(result: &Result<ObjectVersion, PlatformError>) -> PlatformReply {
+pub fn encode_put_result(result: &Result<ObjectVersion, PlatformError>) -> PlatformReply {
     match result {
         Ok(version) => PlatformReply {
             status: DONE,
@@ -118,8 +118,8 @@
 }
 
 /// What came of a read, out of a message.
-pub fn got_from(key: &ObjectKey, reply: &PlatformReply) -> Result<Object, PlatformError> {
-    let version = written_from(reply)?;
+pub fn decode_get_result(key: &ObjectKey, reply: &PlatformReply) -> Result<Object, PlatformError> {
+    let version = decode_put_result(reply)?;
     let value = serde_json::from_slice(&reply.value)
         .map_err(|error| PlatformError::Unknown(error.to_string()))?;
     Ok(Object {
@@ -130,7 +130,7 @@
 }
 
 /// What came of a write, out of a message.
-pub fn written_from(reply: &PlatformReply) -> Result<ObjectVersion, PlatformError> {
+pub fn decode_put_result(reply: &PlatformReply) -> Result<ObjectVersion, PlatformError> {
     let why = reply.why.clone();
     match reply.status {
         DONE => Ok(ObjectVersion(reply.version)),
@@ -144,7 +144,7 @@
 }
 
 /// What a call that a peer did not answer amounts to.
-pub fn of_peer_error(error: &PeerError) -> PlatformError {
+pub fn map_peer_error(error: &PeerError) -> PlatformError {
     let why = error.to_string();
     match error {
         PeerError::UnknownHost | PeerError::Unreachable(_) => PlatformError::Unavailable(why),
