--- a/benches/control.rs
+++ b/benches/control.rs
@@ -15,7 +15,7 @@
 
 use banyanarch::cluster_view::HostState;
 use banyanarch::control::homes::HomeTable;
-use banyanarch::control::homes::pools_of;
+use banyanarch::control::homes::partition_upstreams;
 use banyanarch::control::manifests::ManifestAction;
 use banyanarch::control::manifests::Manifests;
 use banyanarch::control::manifests::PlatformWord;
@@ -331,7 +331,7 @@
     (0..MODELS)
         .flat_map(|model| {
             let target = format!("model-{model}").parse().unwrap();
-            pools_of(domain, &target, &upstreams).into_keys()
+            partition_upstreams(domain, &target, &upstreams).into_keys()
         })
         .collect()
 }
--- a/src/control/homes/mod.rs
+++ b/src/control/homes/mod.rs
@@ -11,5 +11,5 @@
 pub use home_table::HomeTable;
 pub use home_table::Member;
 pub use pools::POOL_UPSTREAMS_MAX;
-pub use pools::pools_of;
+pub use pools::partition_upstreams;
 pub use rendezvous::rank;
--- a/src/fleet/home_table.rs
+++ b/src/fleet/home_table.rs
@@ -11,7 +11,7 @@
 use crate::cluster_view::UpstreamView;
 use crate::control::homes::HomeTable;
 use crate::control::homes::Member;
-use crate::control::homes::pools_of;
+use crate::control::homes::partition_upstreams;
 use crate::fleet::HomeMap;
 use crate::fleet::MembershipDesk;
 use crate::units::FailureDomainId;
@@ -130,7 +130,7 @@
         let mut tables = Tables::default();
         let mut by_domain: IndexMap<FailureDomainId, Vec<PoolId>> = IndexMap::new();
         for ((domain, target), upstreams) in &inputs.upstreams {
-            for (pool, members) in pools_of(domain, target, upstreams) {
+            for (pool, members) in partition_upstreams(domain, target, upstreams) {
                 by_domain
                     .entry(domain.clone())
                     .or_default()
--- a/tests/homes.rs
+++ b/tests/homes.rs
@@ -3,7 +3,7 @@
 use banyanarch::control::homes::HomeTable;
 use banyanarch::control::homes::Member;
 use banyanarch::control::homes::POOL_UPSTREAMS_MAX;
-use banyanarch::control::homes::pools_of;
+use banyanarch::control::homes::partition_upstreams;
 use banyanarch::units::FailureDomainId;
 use banyanarch::units::HostId;
 use banyanarch::units::PoolId;
@@ -132,7 +132,7 @@
     target_size = { 152, 13 },
 )]
 fn pools_are_bounded_and_whole(upstream_count: usize, pool_count: usize) {
-    let pools = pools_of(&domain(), &target(), &upstreams(upstream_count));
+    let pools = partition_upstreams(&domain(), &target(), &upstreams(upstream_count));
     assert_eq!(pools.len(), pool_count);
     let most = pools.values().map(Vec::len).max().unwrap();
     assert!(most <= POOL_UPSTREAMS_MAX, "{most}");
@@ -147,7 +147,7 @@
 #[test]
 fn one_change_of_upstreams_moves_few_others() {
     let all = upstreams(150);
-    let before = pools_of(&domain(), &target(), &all);
+    let before = partition_upstreams(&domain(), &target(), &all);
     let home = |pools: &IndexMap<PoolId, Vec<UpstreamId>>, id: &UpstreamId| {
         let found = pools.iter().find(|(_, members)| members.contains(id));
         found.map(|(pool, _)| pool.clone())
@@ -156,7 +156,7 @@
     for gone in 0..all.len() {
         let mut rest = all.clone();
         rest.remove(gone);
-        let after = pools_of(&domain(), &target(), &rest);
+        let after = partition_upstreams(&domain(), &target(), &rest);
         let has_moved = |id: &&UpstreamId| home(&before, id) != home(&after, id);
         moved += rest.iter().filter(has_moved).count();
     }
