--- a/src/control/homes/pools.rs
+++ b/src/control/homes/pools.rs
@@ -18,7 +18,7 @@
 const POOL_UPSTREAMS_TYPICAL: usize = 12;
 
 /// Partitions the upstreams of a target in a failure domain into pools.
-pub fn pools_of(
+pub fn partition_upstreams(
     domain: &FailureDomainId,
     target: &TargetId,
     upstreams: &[UpstreamId],
