--- a/benches/claims.rs
+++ b/benches/claims.rs
@@ -13,9 +13,9 @@
 use banyanarch::clock::Clock;
 use banyanarch::clock::SystemClock;
 use banyanarch::control::claims::ClaimConf;
+use banyanarch::control::claims::ClaimOutcome;
 use banyanarch::control::claims::ClaimState;
 use banyanarch::control::claims::ClaimStore;
-use banyanarch::control::claims::ClaimVerdict;
 use banyanarch::objects::Platform;
 use banyanarch::units::AttemptId;
 use rand::SeedableRng;
@@ -82,7 +82,7 @@
     let start = Instant::now();
     let verdict = store.claim(key, claim(attempt.0, &host("entry"), 1)).await;
     let wait = start.elapsed();
-    if verdict != ClaimVerdict::Claimed {
+    if verdict != ClaimOutcome::Claimed {
         return None;
     }
     tokio::time::sleep(Duration::from_millis(200)).await;
--- a/src/control/claims/mod.rs
+++ b/src/control/claims/mod.rs
@@ -30,5 +30,5 @@
 pub use shard::ShardAction;
 pub use shard_value::ShardValue;
 pub use store::ClaimStore;
+pub use verdict::ClaimOutcome;
 pub use verdict::ClaimRefusal;
-pub use verdict::ClaimVerdict;
--- a/src/control/claims/shard.rs
+++ b/src/control/claims/shard.rs
@@ -10,9 +10,9 @@
 use crate::control::claims::Claim;
 use crate::control::claims::ClaimConf;
 use crate::control::claims::ClaimKey;
+use crate::control::claims::ClaimOutcome;
 use crate::control::claims::ClaimRefusal;
 use crate::control::claims::ClaimState;
-use crate::control::claims::ClaimVerdict;
 use crate::control::claims::ShardValue;
 use crate::control::claims::shard_value::entry_bytes;
 use crate::objects::Expected;
@@ -109,7 +109,7 @@
     wants: IndexMap<AttemptId, Want>,
     settles: IndexMap<AttemptId, Settle>,
     finished_seen: IndexMap<AttemptId, Instant>,
-    verdicts: Vec<(AttemptId, ClaimVerdict)>,
+    verdicts: Vec<(AttemptId, ClaimOutcome)>,
     failures: u32,
     retry_at: Option<Instant>,
     next_write_at: Option<Instant>,
@@ -206,7 +206,7 @@
     }
 
     /// The verdicts since the last call.
-    pub fn take_verdicts(&mut self) -> Vec<(AttemptId, ClaimVerdict)> {
+    pub fn take_verdicts(&mut self) -> Vec<(AttemptId, ClaimOutcome)> {
         std::mem::take(&mut self.verdicts)
     }
 
@@ -327,9 +327,9 @@
         });
         for (wanted, held) in held.collect::<Vec<_>>() {
             let verdict = if held.content == wanted.content {
-                ClaimVerdict::HeldBy(held)
+                ClaimOutcome::HeldBy(held)
             } else {
-                ClaimVerdict::DifferentContent
+                ClaimOutcome::DifferentContent
             };
             self.answer(wanted.attempt, verdict);
         }
@@ -424,7 +424,7 @@
         };
         let recorded = self.wants.iter().filter(|(_, want)| is_recorded(want));
         for attempt in recorded.map(|(attempt, _)| *attempt).collect::<Vec<_>>() {
-            self.answer(attempt, ClaimVerdict::Claimed);
+            self.answer(attempt, ClaimOutcome::Claimed);
         }
         if self.doubt.is_none() {
             for want in self.wants.values_mut() {
@@ -483,11 +483,11 @@
 
     fn refuse(&mut self, attempt: AttemptId, why: ClaimRefusal) {
         let retry_after = self.retry_after();
-        let verdict = ClaimVerdict::Unavailable { why, retry_after };
+        let verdict = ClaimOutcome::Unavailable { why, retry_after };
         self.verdicts.push((attempt, verdict));
     }
 
-    fn answer(&mut self, attempt: AttemptId, verdict: ClaimVerdict) {
+    fn answer(&mut self, attempt: AttemptId, verdict: ClaimOutcome) {
         self.wants.shift_remove(&attempt);
         self.verdicts.push((attempt, verdict));
     }
--- a/src/control/claims/store.rs
+++ b/src/control/claims/store.rs
@@ -16,10 +16,10 @@
 use crate::control::claims::Claim;
 use crate::control::claims::ClaimConf;
 use crate::control::claims::ClaimKey;
+use crate::control::claims::ClaimOutcome;
 use crate::control::claims::ClaimRefusal;
 use crate::control::claims::ClaimShard;
 use crate::control::claims::ClaimState;
-use crate::control::claims::ClaimVerdict;
 use crate::control::claims::ShardAction;
 use crate::objects::Kind;
 use crate::objects::ObjectKey;
@@ -46,7 +46,7 @@
 
 struct SlotState {
     shard: ClaimShard,
-    waiters: IndexMap<AttemptId, oneshot::Sender<ClaimVerdict>>,
+    waiters: IndexMap<AttemptId, oneshot::Sender<ClaimOutcome>>,
     is_driven: bool,
 }
 
@@ -77,7 +77,7 @@
     }
 
     /// Records a claim before the first dispatch. Only `Claimed` allows to dispatch.
-    pub async fn claim(&self, key: ClaimKey, claim: Claim) -> ClaimVerdict {
+    pub async fn claim(&self, key: ClaimKey, claim: Claim) -> ClaimOutcome {
         let slot = self.slot(key);
         let attempt = claim.attempt;
         let (sender, verdict) = oneshot::channel();
@@ -92,7 +92,7 @@
         });
         let verdict = tokio::time::timeout(self.conf.claim_timeout, verdict).await;
         let Ok(Ok(verdict)) = verdict else {
-            return ClaimVerdict::Unavailable {
+            return ClaimOutcome::Unavailable {
                 why: ClaimRefusal::Timeout,
                 retry_after: slot.lock().shard.retry_after(),
             };
--- a/src/control/claims/verdict.rs
+++ b/src/control/claims/verdict.rs
@@ -7,7 +7,7 @@
 
 /// What comes of asking for a claim.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ClaimVerdict {
+pub enum ClaimOutcome {
     /// It is recorded: the attempt may be dispatched, once.
     Claimed,
     /// An earlier sending holds the key: its answer may be resumed, and nothing may run.
--- a/src/entry/claim_desk.rs
+++ b/src/entry/claim_desk.rs
@@ -5,15 +5,15 @@
 
 use crate::control::claims::Claim;
 use crate::control::claims::ClaimKey;
+use crate::control::claims::ClaimOutcome;
 use crate::control::claims::ClaimState;
 use crate::control::claims::ClaimStore;
-use crate::control::claims::ClaimVerdict;
 use crate::units::AttemptId;
 
 /// Whoever records claims.
 pub trait ClaimDesk: Send + Sync {
-    /// Records a claim. Only [`ClaimVerdict::Claimed`] allows to dispatch.
-    fn claim(&self, key: ClaimKey, claim: Claim) -> BoxFuture<'_, ClaimVerdict>;
+    /// Records a claim. Only [`ClaimOutcome::Claimed`] allows to dispatch.
+    fn claim(&self, key: ClaimKey, claim: Claim) -> BoxFuture<'_, ClaimOutcome>;
 
     /// Gives a claim back, with the promise that its attempt is not dispatched any more.
     fn give_back(&self, key: ClaimKey, attempt: AttemptId);
@@ -26,7 +26,7 @@
 }
 
 impl ClaimDesk for ClaimStore {
-    fn claim(&self, key: ClaimKey, claim: Claim) -> BoxFuture<'_, ClaimVerdict> {
+    fn claim(&self, key: ClaimKey, claim: Claim) -> BoxFuture<'_, ClaimOutcome> {
         self.claim(key, claim).boxed()
     }
 
--- a/src/entry/driver/claiming.rs
+++ b/src/entry/driver/claiming.rs
@@ -2,8 +2,8 @@
 
 use crate::control::claims::Claim;
 use crate::control::claims::ClaimKey;
+use crate::control::claims::ClaimOutcome;
 use crate::control::claims::ClaimState;
-use crate::control::claims::ClaimVerdict;
 use crate::decide::AttemptOutcome;
 use crate::decide::RefuseReason;
 use crate::entry::FailReason;
@@ -19,7 +19,7 @@
         // Not raced against the deadline or the caller: the store bounds its own time, and what it
         // says of a claim has to be heard.
         match self.parts.claims.claim(key, claim.clone()).await {
-            ClaimVerdict::Claimed => {
+            ClaimOutcome::Claimed => {
                 self.note(
                     StepKind::Claimed,
                     self.leader(),
@@ -28,13 +28,13 @@
                 self.claimed = Some((key, claim.attempt));
                 LifeEvent::Claimed
             }
-            ClaimVerdict::HeldBy(held) => self.claim_held(held),
-            ClaimVerdict::DifferentContent => {
+            ClaimOutcome::HeldBy(held) => self.claim_held(held),
+            ClaimOutcome::DifferentContent => {
                 self.end_attempt(AttemptOutcome::NotSent);
                 "the Idempotency-Key was used for another request".clone_into(&mut self.message);
                 LifeEvent::ClaimFailed(FailReason::KeyReused)
             }
-            ClaimVerdict::Unavailable { why, retry_after } => {
+            ClaimOutcome::Unavailable { why, retry_after } => {
                 self.end_attempt(AttemptOutcome::NotSent);
                 self.retry_after = Some(retry_after);
                 self.message = format!("the claim could not be recorded: {why}");
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -10,11 +10,11 @@
 use banyanarch::clock::SystemClock;
 use banyanarch::control::claims::Claim;
 use banyanarch::control::claims::ClaimConf;
+use banyanarch::control::claims::ClaimOutcome;
 use banyanarch::control::claims::ClaimRefusal;
 use banyanarch::control::claims::ClaimShard;
 use banyanarch::control::claims::ClaimState;
 use banyanarch::control::claims::ClaimStore;
-use banyanarch::control::claims::ClaimVerdict;
 use banyanarch::control::claims::ShardAction;
 use banyanarch::control::claims::relay;
 use banyanarch::objects::Expected;
@@ -97,7 +97,7 @@
     }
 
     /// Calls until the host has nothing left to do.
-    fn settle(&mut self, at: usize) -> Vec<ClaimVerdict> {
+    fn settle(&mut self, at: usize) -> Vec<ClaimOutcome> {
         for _ in 0..100 {
             if !self.call(at, Fault::None) {
                 return self.verdicts(at);
@@ -106,15 +106,15 @@
         panic!("it goes on for ever");
     }
 
-    fn verdicts(&mut self, at: usize) -> Vec<ClaimVerdict> {
+    fn verdicts(&mut self, at: usize) -> Vec<ClaimOutcome> {
         let verdicts = self.shards[at].take_verdicts();
         verdicts.into_iter().map(|(_, verdict)| verdict).collect()
     }
 }
 
-fn is_down(verdict: &ClaimVerdict) -> bool {
+fn is_down(verdict: &ClaimOutcome) -> bool {
     let why = ClaimRefusal::PlatformDown;
-    matches!(verdict, ClaimVerdict::Unavailable { why: got, .. } if *got == why)
+    matches!(verdict, ClaimOutcome::Unavailable { why: got, .. } if *got == why)
 }
 
 /// A caller sends a licence grant to two hosts, since the first seems slow. Both ask at the same
@@ -126,9 +126,9 @@
     site.want(1, "grant", 20);
     site.call(0, Fault::None);
     site.call(1, Fault::None);
-    assert_eq!(site.settle(0), [ClaimVerdict::Claimed]);
+    assert_eq!(site.settle(0), [ClaimOutcome::Claimed]);
     let held = site.claim(0, 10, 1);
-    assert_eq!(site.settle(1), [ClaimVerdict::HeldBy(held)]);
+    assert_eq!(site.settle(1), [ClaimOutcome::HeldBy(held)]);
 }
 
 /// A caller sends a grant twice through one host, and both claims go into the same write. The second
@@ -142,7 +142,7 @@
     let verdicts = site.settle(0);
     assert_eq!(
         verdicts,
-        [ClaimVerdict::Claimed, ClaimVerdict::HeldBy(held)]
+        [ClaimOutcome::Claimed, ClaimOutcome::HeldBy(held)]
     );
 }
 
@@ -155,7 +155,7 @@
     site.call(0, Fault::None);
     site.call(0, Fault::AnswerLost);
     assert_eq!(site.verdicts(0), []);
-    assert_eq!(site.settle(0), [ClaimVerdict::Claimed]);
+    assert_eq!(site.settle(0), [ClaimOutcome::Claimed]);
     assert_eq!(site.object.writes, 1);
 }
 
@@ -182,7 +182,7 @@
     assert_eq!(site.shards[0].pending(), 0);
     site.object.arrive();
     site.want(1, "grant", 20);
-    assert_eq!(site.settle(1), [ClaimVerdict::Claimed]);
+    assert_eq!(site.settle(1), [ClaimOutcome::Claimed]);
 }
 
 /// A write is lost and has not taken effect when the object is read back; the host's claim is
@@ -212,7 +212,7 @@
     site.clock.advance(DAY);
     site.want(1, "grant", 20);
     let held = site.claim(0, 10, 1);
-    assert_eq!(site.settle(1), [ClaimVerdict::HeldBy(held)]);
+    assert_eq!(site.settle(1), [ClaimOutcome::HeldBy(held)]);
 }
 
 /// A holder's upstream refuses the attempt, which so did not run. It gives the claim back, and a
@@ -227,7 +227,7 @@
     site.give_back(0, "grant", 10);
     site.settle(0);
     site.want(1, "grant", 21);
-    assert_eq!(site.settle(1), [ClaimVerdict::Claimed]);
+    assert_eq!(site.settle(1), [ClaimOutcome::Claimed]);
 }
 
 /// Someone else's mistake or a late message must not free a claim: only its own attempt can.
@@ -242,7 +242,7 @@
     site.settle(1);
     site.want(1, "grant", 21);
     let held = site.claim(0, 10, 1);
-    assert_eq!(site.settle(1), [ClaimVerdict::HeldBy(held)]);
+    assert_eq!(site.settle(1), [ClaimOutcome::HeldBy(held)]);
 }
 
 /// A caller uses a key for two letters. Answering the second with the first one's answer would send
@@ -254,7 +254,7 @@
     site.settle(0);
     let other = site.claim(0, 11, 2);
     site.shards[0].want(claim_key("letter"), other, site.clock.now());
-    assert_eq!(site.settle(0), [ClaimVerdict::DifferentContent]);
+    assert_eq!(site.settle(0), [ClaimOutcome::DifferentContent]);
 }
 
 /// The platform is down. Callers are told so at once with a time to come back, and when it answers
@@ -271,7 +271,7 @@
     assert!(is_down(&site.verdicts(0)[0]));
     site.clock.advance(ClaimConf::default().retry_delay_max);
     site.want(0, "letter", 12);
-    assert_eq!(site.settle(0), [ClaimVerdict::Claimed]);
+    assert_eq!(site.settle(0), [ClaimOutcome::Claimed]);
 }
 
 /// Objects are bounded at a megabyte. A full shard turns claims away, and finished claims make room
@@ -287,7 +287,7 @@
     site.want(0, "letter", 11);
     assert_eq!(
         site.settle(0),
-        [ClaimVerdict::Claimed, ClaimVerdict::Claimed]
+        [ClaimOutcome::Claimed, ClaimOutcome::Claimed]
     );
     let finish = (claim_key("grant"), AttemptId(10), ClaimState::Completed);
     site.shards[0].finish(finish.0, finish.1, finish.2, site.clock.now());
@@ -296,7 +296,7 @@
     let full = site.settle(0);
     let is_full = matches!(
         full[..],
-        [ClaimVerdict::Unavailable {
+        [ClaimOutcome::Unavailable {
             why: ClaimRefusal::Full,
             ..
         }]
@@ -309,7 +309,7 @@
     let held = site.claim(0, 11, 1);
     assert_eq!(
         verdicts,
-        [ClaimVerdict::HeldBy(held), ClaimVerdict::Claimed]
+        [ClaimOutcome::HeldBy(held), ClaimOutcome::Claimed]
     );
 }
 
@@ -332,7 +332,7 @@
     assert!(
         verdicts
             .iter()
-            .all(|verdict| *verdict == ClaimVerdict::Claimed)
+            .all(|verdict| *verdict == ClaimOutcome::Claimed)
     );
     assert_eq!(platform.sum(|object| object.writes), 64);
 }
@@ -357,7 +357,7 @@
     }
     assert_eq!(
         store.claim(key, claim(2, &a, 1)).await,
-        ClaimVerdict::Claimed
+        ClaimOutcome::Claimed
     );
 }
 
@@ -375,7 +375,7 @@
         .claim(claim_key("grant"), claim(1, &host("entry-a"), 1))
         .await;
     let why = ClaimRefusal::Timeout;
-    assert!(matches!(verdict, ClaimVerdict::Unavailable { why: got, .. } if got == why));
+    assert!(matches!(verdict, ClaimOutcome::Unavailable { why: got, .. } if got == why));
 }
 
 fn unknown() -> PlatformError {
@@ -425,7 +425,7 @@
     let mut site = Site::new();
     for n in 0..20 {
         site.want(n % 2, &format!("key-{n}"), n as u128);
-        assert_eq!(site.settle(n % 2), [ClaimVerdict::Claimed]);
+        assert_eq!(site.settle(n % 2), [ClaimOutcome::Claimed]);
     }
     assert_eq!(site.object.conflicts, 2);
 }
--- a/tests/worlds/claim_world.rs
+++ b/tests/worlds/claim_world.rs
@@ -6,9 +6,9 @@
 use banyanarch::clock::ManualClock;
 use banyanarch::control::claims::ClaimConf;
 use banyanarch::control::claims::ClaimKey;
+use banyanarch::control::claims::ClaimOutcome;
 use banyanarch::control::claims::ClaimShard;
 use banyanarch::control::claims::ClaimState;
-use banyanarch::control::claims::ClaimVerdict;
 use banyanarch::control::claims::ShardAction;
 use banyanarch::control::outcome::Outcome;
 use banyanarch::control::outcome::RunRecord;
@@ -206,19 +206,19 @@
             let sending = waiting.remove(index);
             let history = &mut self.keys[sending.key];
             match verdict {
-                ClaimVerdict::Claimed => {
+                ClaimOutcome::Claimed => {
                     history.end_claim(attempt, attempt);
                     self.hosts[at].claimed.push(sending);
                 }
-                ClaimVerdict::HeldBy(held) => {
+                ClaimOutcome::HeldBy(held) => {
                     history.end_claim(attempt, held.attempt);
                     self.tell(sending, Outcome::MayHaveRun);
                 }
-                ClaimVerdict::Unavailable { .. } => {
+                ClaimOutcome::Unavailable { .. } => {
                     history.begin(KeyOp::GiveBack { by: attempt });
                     self.tell(sending, Outcome::NotRun);
                 }
-                ClaimVerdict::DifferentContent => panic!("all contents are the same"),
+                ClaimOutcome::DifferentContent => panic!("all contents are the same"),
             }
         }
     }
