--- a/tests/histories.rs
+++ b/tests/histories.rs
@@ -78,7 +78,7 @@
     /// The same with homes that die and that overlap. For a moment memory may be granted twice; all
     /// other guarantees hold.
     #[test]
-    fn moving_homes_lose_nothing(steps in vec(grant_world::step_of_many_homes(), 1..60)) {
+    fn moving_homes_lose_nothing(steps in vec(grant_world::step_with_moving_homes(), 1..60)) {
         let mut world = GrantWorld::new();
         for step in steps {
             world.step(step);
--- a/tests/worlds/grant_world.rs
+++ b/tests/worlds/grant_world.rs
@@ -87,7 +87,7 @@
 }
 
 /// Also with homes that move.
-pub(crate) fn step_of_many_homes() -> impl Strategy<Value = Step> {
+pub(crate) fn step_with_moving_homes() -> impl Strategy<Value = Step> {
     prop_oneof![
         20 => step(),
         1 => (0..HOSTS, 0..HOMES).prop_map(|(host, home)| Step::Switch { host, home }),
