--- a/tests/worlds/entry_host.rs
+++ b/tests/worlds/entry_host.rs
@@ -18,9 +18,9 @@
 use indexmap::IndexMap;
 use indexmap::IndexSet;
 
-use super::grant_world::Around;
+use super::grant_world::HostContext;
 use super::grant_world::Message;
-use super::grant_world::finish;
+use super::grant_world::finish_event;
 use crate::fakes::make::work;
 
 /// Time limit of a request: thirty seconds.
@@ -104,26 +104,26 @@
         }
     }
 
-    pub(crate) fn act(&mut self, around: &mut Around<'_>) {
-        if around.tick < self.paused_until {
+    pub(crate) fn act(&mut self, context: &mut HostContext<'_>) {
+        if context.tick < self.paused_until {
             return;
         }
         for (home, answer) in std::mem::take(&mut self.inbox) {
             match answer {
-                Some(answer) => self.answered(home, answer, around),
-                None => self.announce(home, around),
+                Some(answer) => self.answered(home, answer, context),
+                None => self.announce(home, context),
             }
         }
-        self.read_answers(around);
-        if around.tick.is_multiple_of(ASK_TICKS) {
-            self.ask(around);
+        self.read_answers(context);
+        if context.tick.is_multiple_of(ASK_TICKS) {
+            self.ask(context);
         }
-        if around.tick.is_multiple_of(ANNOUNCE_TICKS) {
-            self.announce(self.home, around);
+        if context.tick.is_multiple_of(ANNOUNCE_TICKS) {
+            self.announce(self.home, context);
         }
     }
 
-    fn answered(&mut self, home: usize, answer: HomeAnswer, around: &mut Around<'_>) {
+    fn answered(&mut self, home: usize, answer: HomeAnswer, context: &mut HostContext<'_>) {
         let granted = match answer.status {
             GrantStatus::Queued => return,
             GrantStatus::NotHome => {
@@ -148,33 +148,33 @@
             return;
         };
         if !matches!(request.state, State::Waiting) {
-            let event = finish(attempt, &self.name, AttemptOutcome::NotSent);
-            around.outbox.push(Message::ToHome { home, event });
+            let event = finish_event(attempt, &self.name, AttemptOutcome::NotSent);
+            context.outbox.push(Message::ToHome { home, event });
             return;
         }
-        if !granted.is_fresh(request.asked_at, around.now) {
+        if !granted.is_fresh(request.asked_at, context.now) {
             return;
         }
         self.used.insert(attempt);
-        let engine = &mut around.engines[&granted.upstreams[0]];
+        let engine = &mut context.engines[&granted.upstreams[0]];
         engine.start(attempt, &self.name, request.tokens);
-        let ends_at = around.tick + request.tokens.0 / 1_000;
+        let ends_at = context.tick + request.tokens.0 / 1_000;
         request.state = State::Running { granted, ends_at };
     }
 
-    fn read_answers(&mut self, around: &mut Around<'_>) {
+    fn read_answers(&mut self, context: &mut HostContext<'_>) {
         let is_cut = std::mem::take(&mut self.is_cut);
         for request in self.requests.values_mut() {
             let State::Running { granted, ends_at } = &request.state else {
                 continue;
             };
             let attempt = granted.attempt();
-            let engine = &mut around.engines[&granted.upstreams[0]];
+            let engine = &mut context.engines[&granted.upstreams[0]];
             let ended = if is_cut || !engine.held.contains_key(&attempt) {
                 AttemptOutcome::Failed
-            } else if *ends_at <= around.tick {
+            } else if *ends_at <= context.tick {
                 AttemptOutcome::Completed
-            } else if request.sent_at + LIMIT_TICKS <= around.tick {
+            } else if request.sent_at + LIMIT_TICKS <= context.tick {
                 AttemptOutcome::Cancelled
             } else {
                 continue;
@@ -183,43 +183,43 @@
                 engine.held.swap_remove(&attempt);
             }
             request.state = State::Ended;
-            let event = finish(attempt, &self.name, ended);
-            around.outbox.push(Message::ToHome {
+            let event = finish_event(attempt, &self.name, ended);
+            context.outbox.push(Message::ToHome {
                 home: self.home,
                 event,
             });
         }
     }
 
-    fn ask(&mut self, around: &mut Around<'_>) {
+    fn ask(&mut self, context: &mut HostContext<'_>) {
         for (id, request) in &mut self.requests {
             if !matches!(request.state, State::Waiting) {
                 continue;
             }
             let from = self.name.clone();
-            let event = if request.sent_at + LIMIT_TICKS <= around.tick {
+            let event = if request.sent_at + LIMIT_TICKS <= context.tick {
                 request.state = State::Ended;
                 HomeEvent::Withdraw { from, request: *id }
             } else {
-                request.asked_at = around.now;
-                let work = work_of(*id, request, &from, around);
+                request.asked_at = context.now;
+                let work = work_of(*id, request, &from, context);
                 HomeEvent::Request { from, work }
             };
-            around.outbox.push(Message::ToHome {
+            context.outbox.push(Message::ToHome {
                 home: self.home,
                 event,
             });
         }
     }
 
-    fn announce(&self, home: usize, around: &mut Around<'_>) {
+    fn announce(&self, home: usize, context: &mut HostContext<'_>) {
         let live = self.requests.iter().filter_map(|(id, request)| {
             let State::Running { granted, .. } = &request.state else {
                 return None;
             };
             Some(LiveGrant {
                 id: GrantId(granted.grant.0),
-                work: work_of(*id, request, &self.name, around),
+                work: work_of(*id, request, &self.name, context),
                 upstreams: granted.upstreams.clone(),
             })
         });
@@ -227,13 +227,13 @@
             from: self.name.clone(),
             grants: live.collect(),
         };
-        around.outbox.push(Message::ToHome { home, event });
+        context.outbox.push(Message::ToHome { home, event });
     }
 }
 
-fn work_of(id: RequestId, request: &Request, from: &HostId, around: &Around<'_>) -> Work {
-    let mut work = work(id.0, from, request.tokens.0, around.now);
-    let left = (request.sent_at + LIMIT_TICKS).saturating_sub(around.tick);
-    work.deadline = around.now + Duration::from_millis(250 * left);
+fn work_of(id: RequestId, request: &Request, from: &HostId, context: &HostContext<'_>) -> Work {
+    let mut work = work(id.0, from, request.tokens.0, context.now);
+    let left = (request.sent_at + LIMIT_TICKS).saturating_sub(context.tick);
+    work.deadline = context.now + Duration::from_millis(250 * left);
     work
 }
--- a/tests/worlds/grant_world.rs
+++ b/tests/worlds/grant_world.rs
@@ -142,7 +142,7 @@
 }
 
 /// What an entry host does to the world around it.
-pub(crate) struct Around<'a> {
+pub(crate) struct HostContext<'a> {
     pub(crate) now: Instant,
     pub(crate) tick: u64,
     pub(crate) engines: &'a mut IndexMap<UpstreamId, Engine>,
@@ -269,7 +269,7 @@
         let (now, tick) = (self.clock.now(), self.tick);
         let mut outbox = Vec::new();
         for host in &mut self.hosts {
-            host.act(&mut Around {
+            host.act(&mut HostContext {
                 now,
                 tick,
                 engines: &mut self.engines,
@@ -420,7 +420,7 @@
     }
 }
 
-pub(crate) fn finish(grant: AttemptId, from: &HostId, ended: AttemptOutcome) -> HomeEvent {
+pub(crate) fn finish_event(grant: AttemptId, from: &HostId, ended: AttemptOutcome) -> HomeEvent {
     HomeEvent::Finish {
         from: from.clone(),
         grant: banyanarch::units::GrantId(grant.0),
