--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -3,7 +3,8 @@
 pub mod claims;
 pub mod drain;
 pub mod home;
-pub mod homes;
+pub mod home_assignment;
+pub use home_assignment as homes;
 pub mod manifests;
 pub mod membership;
 pub mod orders;
