--- a/benches/control.rs
+++ b/benches/control.rs
@@ -14,8 +14,8 @@
 use std::time::Instant;
 
 use banyanarch::cluster_view::HostState;
-use banyanarch::control::homes::HomeTable;
-use banyanarch::control::homes::partition_upstreams;
+use banyanarch::control::home_assignment::HomeTable;
+use banyanarch::control::home_assignment::partition_upstreams;
 use banyanarch::control::manifests::ManifestAction;
 use banyanarch::control::manifests::Manifests;
 use banyanarch::control::manifests::PlatformWord;
--- a/src/control/home_assignment/assignment.rs
+++ b/src/control/home_assignment/assignment.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 
-use crate::control::homes::rendezvous::weight;
+use crate::control::home_assignment::rendezvous::weight;
 
 /// Assigns each key to one candidate so that none gets more than `load_max`.
 ///
--- a/src/control/home_assignment/home_table.rs
+++ b/src/control/home_assignment/home_table.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 
-use crate::control::homes::assignment::pairs_by_weight;
+use crate::control::home_assignment::assignment::pairs_by_weight;
 use crate::units::HostId;
 use crate::units::PoolId;
 
--- a/src/control/home_assignment/pools.rs
+++ b/src/control/home_assignment/pools.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 
-use crate::control::homes::assign;
+use crate::control::home_assignment::assign;
 use crate::units::FailureDomainId;
 use crate::units::PoolId;
 use crate::units::TargetId;
--- a/src/control/manifests/watchers.rs
+++ b/src/control/manifests/watchers.rs
@@ -1,7 +1,7 @@
 //! Which hosts watch the platform's manifest.
 
-use crate::control::homes::Member;
-use crate::control::homes::rank;
+use crate::control::home_assignment::Member;
+use crate::control::home_assignment::rank;
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
--- a/src/control/membership/machine/digests.rs
+++ b/src/control/membership/machine/digests.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
-use crate::control::homes::rank;
+use crate::control::home_assignment::rank;
 use crate::control::membership::Membership;
 use crate::control::membership::conf;
 use crate::control::membership::roster::Roster;
--- a/src/control/membership/machine/mod.rs
+++ b/src/control/membership/machine/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::cluster_view::HostState;
 use crate::cluster_view::HostView;
-use crate::control::homes::Member;
+use crate::control::home_assignment::Member;
 use crate::control::membership::MembershipAction;
 use crate::control::membership::MembershipConf;
 use crate::control::membership::conf;
--- a/src/fleet/home_table.rs
+++ b/src/fleet/home_table.rs
@@ -9,9 +9,9 @@
 
 use crate::cluster_view::ClusterView;
 use crate::cluster_view::UpstreamView;
-use crate::control::homes::HomeTable;
-use crate::control::homes::Member;
-use crate::control::homes::partition_upstreams;
+use crate::control::home_assignment::HomeTable;
+use crate::control::home_assignment::Member;
+use crate::control::home_assignment::partition_upstreams;
 use crate::fleet::HomeMap;
 use crate::fleet::MembershipDesk;
 use crate::units::FailureDomainId;
--- a/src/fleet/membership_desk.rs
+++ b/src/fleet/membership_desk.rs
@@ -13,7 +13,7 @@
 use crate::cluster_view::ClusterView;
 use crate::cluster_view::HostState;
 use crate::cluster_view::HostView;
-use crate::control::homes::Member;
+use crate::control::home_assignment::Member;
 use crate::control::membership::Membership;
 use crate::control::membership::MembershipAction;
 use crate::control::status::Events;
--- a/tests/homes.rs
+++ b/tests/homes.rs
@@ -1,9 +1,9 @@
 //! Homes of pools: hosts agree, the load is bounded, and little moves.
 
-use banyanarch::control::homes::HomeTable;
-use banyanarch::control::homes::Member;
-use banyanarch::control::homes::POOL_UPSTREAMS_MAX;
-use banyanarch::control::homes::partition_upstreams;
+use banyanarch::control::home_assignment::HomeTable;
+use banyanarch::control::home_assignment::Member;
+use banyanarch::control::home_assignment::POOL_UPSTREAMS_MAX;
+use banyanarch::control::home_assignment::partition_upstreams;
 use banyanarch::units::FailureDomainId;
 use banyanarch::units::HostId;
 use banyanarch::units::PoolId;
--- a/tests/manifests.rs
+++ b/tests/manifests.rs
@@ -7,7 +7,7 @@
 
 use banyanarch::cmd::PublishOutcome;
 use banyanarch::cmd::publish_manifest;
-use banyanarch::control::homes::Member;
+use banyanarch::control::home_assignment::Member;
 use banyanarch::control::manifests::CheckManifest;
 use banyanarch::control::manifests::ManifestAction;
 use banyanarch::control::manifests::Manifests;
