--- a/src/control/home/action.rs
+++ b/src/control/home/action.rs
@@ -1,4 +1,4 @@
-//! What a home wants done.
+//! The actions that a home asks its host to carry out.
 
 use crate::control::home::GrantStatus;
 use crate::control::home::HomeAnswer;
@@ -7,47 +7,51 @@
 use crate::units::HostId;
 use crate::units::UpstreamId;
 
-/// What a home wants done. All of it may be lost: the home asks again by itself.
+/// An action that a home asks its host to carry out. Any action may be lost: the home repeats those
+/// that it still needs.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HomeAction {
-    /// The reply to the request that was just handled.
+    /// Reply to the request that was just handled.
     Reply {
-        /// The entry host that asked.
+        /// The entry host that sent the request.
         to: HostId,
-        /// The answer.
+        /// The answer to the request.
         answer: HomeAnswer,
     },
-    /// A decision on a request that was told to wait before.
+    /// Send the decision on a request that was queued before.
     Push {
-        /// The entry host that waits.
+        /// The entry host that waits for the decision.
         to: HostId,
-        /// The answer.
+        /// The answer to the request.
         answer: HomeAnswer,
     },
-    /// An engine's hold of memory has no owner any more: end the attempt there. Both that it was
-    /// ended and that the engine does not know it are to be reported as `CancelConfirmed`.
+    /// Cancel an attempt that holds engine memory and has no owner any more. The host reports
+    /// [`HomeEvent::CancelConfirmed`] both if the engine has ended the attempt and if it does not
+    /// know the attempt.
     Cancel {
-        /// The engine.
+        /// The engine that holds memory for the attempt.
         upstream: UpstreamId,
-        /// The attempt.
+        /// The attempt to cancel.
         attempt: AttemptId,
     },
-    /// Ask an engine what it runs, and report it as `EngineListed` with the same number.
+    /// Ask an engine for its running attempts. The host reports them as
+    /// [`HomeEvent::EngineListed`] with the same sequence number.
     ListAttempts {
-        /// The engine.
+        /// The engine to ask.
         upstream: UpstreamId,
-        /// The number that the report repeats.
+        /// The sequence number of the query, which the report repeats.
         seq: u64,
     },
-    /// Ask a host, which may be this one, to announce its grants of this pool now.
+    /// Ask a host, possibly this one, to announce its grants of this pool now.
     RequestAnnouncement {
-        /// The host.
+        /// The host to ask.
         to: HostId,
     },
 }
 
 impl HomeAction {
-    /// What a host that is not the home of a pool does with an event for it.
+    /// The action of a host that gets an event for a pool of which it is not the home: a reply to a
+    /// request, nothing otherwise.
     pub fn not_home(event: &HomeEvent) -> Option<Self> {
         let HomeEvent::Request { from, work } = event else {
             return None;
--- a/src/control/home/answer.rs
+++ b/src/control/home/answer.rs
@@ -1,4 +1,4 @@
-//! What a home says of a request.
+//! The answer of a home to a request.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,61 +10,62 @@
 use crate::units::RequestId;
 use crate::units::UpstreamId;
 
-/// Hosts ask every 500 ms, so only one that stood still has asked longer ago; a home gives a grant up
-/// no sooner than after three seconds.
-const FRESH: Duration = Duration::from_secs(1);
+/// The age up to which a grant may be used, counted from the host's last request for it. Hosts
+/// repeat a request every 500 ms, so only a host that was paused has an older one. A home abandons
+/// an unannounced grant after three seconds at the earliest.
+const GRANT_AGE_MAX: Duration = Duration::from_secs(1);
 
-/// What a home says of one request.
+/// The answer of a home to one request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HomeAnswer {
     /// The request.
     pub request: RequestId,
-    /// Where it stands.
+    /// The status of the request.
     pub status: GrantStatus,
 }
 
-/// Where a request stands at its home.
+/// The status of a request at its home.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GrantStatus {
-    /// The receiver is not the home of that pool.
+    /// The host that was asked is not the home of the pool.
     NotHome,
-    /// It waits; the decision is pushed, and asking again is harmless.
+    /// The request is queued. The home pushes its decision; repeating the request is harmless.
     Queued,
-    /// It may be dispatched, once.
+    /// The request may be dispatched once.
     Granted(IssuedGrant),
-    /// It is turned away, not run.
+    /// The request is refused and has not run.
     Refused {
-        /// Why.
+        /// The reason for the refusal.
         reason: RefuseReason,
-        /// When the caller should come back.
+        /// The time after which the caller should retry.
         retry_after: Duration,
     },
 }
 
-/// A grant as its entry host gets it.
+/// A grant as it is sent to the entry host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IssuedGrant {
-    /// The grant.
+    /// The id of the grant.
     pub grant: GrantId,
-    /// The engines, the leader first.
+    /// The engines to dispatch to, leader first.
     pub upstreams: Vec<UpstreamId>,
-    /// How long it waited in the home's queue.
+    /// The time that the request waited in the queue of the home.
     pub waited: Duration,
-    /// Why these upstreams, in a few words for `explain`.
+    /// The reason for the choice of upstreams, in a few words for `explain`.
     pub why: String,
 }
 
 impl IssuedGrant {
-    /// Whether the entry host may still dispatch by this grant, as it last asked for it at
-    /// `asked_at`. Where not, it asks again and gets the same grant or another one.
+    /// Whether the entry host, which last sent its request at `asked_at`, may still dispatch with
+    /// this grant. If not, the host repeats the request and gets the same grant or another one.
     ///
-    /// The failure this guards against: a host was paused with a grant on its way and wakes up. Its
-    /// home has given the grant up meanwhile and cancels the attempt, whenever it comes.
+    /// This guards against a host that is paused while a grant is on its way: by the time it
+    /// resumes, its home may have abandoned the grant and would cancel the attempt.
     pub fn is_fresh(&self, asked_at: Instant, now: Instant) -> bool {
-        now.saturating_duration_since(asked_at) <= FRESH
+        now.saturating_duration_since(asked_at) <= GRANT_AGE_MAX
     }
 
-    /// The attempt that uses up the grant: it has the same number.
+    /// The attempt that uses the grant; it has the same number.
     pub fn attempt(&self) -> AttemptId {
         AttemptId(self.grant.0)
     }
--- a/src/control/home/conf.rs
+++ b/src/control/home/conf.rs
@@ -1,43 +1,45 @@
-//! The times and bounds of a home.
+//! The timeouts and limits of a home.
 
 use std::time::Duration;
 
-/// The times and bounds of a home.
+/// The timeouts and limits of a home.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HomeConf {
-    /// The longest rebuilding after a take-over. Hosts announce every second, so within this time
-    /// all that can be heard has been heard.
+    /// The maximum time that a home rebuilds its ledger after a takeover. Hosts announce their
+    /// grants every second, so every reachable host has announced within this time.
     pub rebuild_max: Duration,
-    /// How many grants a live upstream may get while the ledger is rebuilt. One short prompt more
-    /// than was counted fits nearly every engine; the aim is a first grant without a pause.
+    /// The number of grants per live upstream that the home may issue during the rebuild, so that
+    /// the first grants need not wait. Nearly every engine has memory for one short prompt more
+    /// than the ledger counts.
     pub rebuild_grants_per_upstream: usize,
-    /// How long a host may hold a grant without announcing it: three announcements, since one may
-    /// cross a grant on its way and one may be lost.
+    /// How long a host may hold a grant without announcing it. This is three announcements, since
+    /// one may cross the grant on its way and another may be lost.
     pub announce_grace: Duration,
-    /// How long a dead host's attempts go on. A suspicion that is refuted late must not cut off
-    /// streams that run well, and memory held a few seconds longer is affordable.
+    /// How long the attempts of a dead host go on. A suspicion that is refuted late must not
+    /// interrupt healthy streams, and holding the memory for a few seconds more costs little.
     pub dead_host_grace: Duration,
-    /// How long a host's attempts go on of which membership knows nothing: longer than a new host
-    /// takes to be known everywhere.
+    /// How long the attempts of a host that membership does not know go on. This is longer than
+    /// the time until a new host is known everywhere.
     pub unknown_host_grace: Duration,
-    /// How long a death is remembered that no grant depends on.
+    /// How long a dead host without grants is remembered.
     pub dead_host_memory: Duration,
-    /// How often engines are asked what they run, which bounds how long a lost hold stays unseen.
+    /// The interval at which engines are asked for their attempts, which bounds how long leaked
+    /// memory goes unnoticed.
     pub list_interval: Duration,
-    /// How long an engine may take to answer that before it is asked again.
+    /// The time after which an engine that has not answered is asked again.
     pub list_timeout: Duration,
-    /// How soon a cancel is repeated that was not confirmed.
+    /// The time after which an unconfirmed cancel is repeated.
     pub cancel_retry: Duration,
-    /// How long a request waits that its host no longer asks for: six askings of 500 ms.
+    /// How long a queued request is kept that its host no longer repeats: six intervals of 500 ms.
     pub reask_grace: Duration,
-    /// How long a refusal is remembered, so that asking again gets the same answer.
+    /// How long a refusal is remembered, so that a repeated request gets the same answer.
     pub refused_memory: Duration,
-    /// How many refusals are remembered; the oldest is forgotten first.
+    /// The maximum number of remembered refusals; the oldest is forgotten first.
     pub refused_max: usize,
-    /// How long the end of a grant is remembered, so that a list which was on its way does not
-    /// bring it back.
+    /// How long an ended grant is remembered, so that a list of attempts that was on its way
+    /// meanwhile does not restore the grant.
     pub ended_memory: Duration,
-    /// How many ended grants are remembered; the oldest is forgotten first.
+    /// The maximum number of remembered ended grants; the oldest is forgotten first.
     pub ended_max: usize,
 }
 
--- a/src/control/home/controller.rs
+++ b/src/control/home/controller.rs
@@ -1,4 +1,4 @@
-//! The state machine of a home.
+//! The state machine of the home of one pool.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,13 +11,13 @@
 use crate::control::home::HomeConf;
 use crate::control::home::HomeEvent;
 use crate::control::home::IssuedGrant;
-use crate::control::home::engines::Engines;
-use crate::control::home::hosts::Hosts;
-use crate::control::home::ledger::Change;
-use crate::control::home::ledger::Ledger;
-use crate::control::home::requests::Asked;
-use crate::control::home::requests::Requests;
-use crate::control::home::requests::Standing;
+use crate::control::home::engine_table::EngineTable;
+use crate::control::home::grant_ledger::GrantLedger;
+use crate::control::home::grant_ledger::LedgerChange;
+use crate::control::home::host_table::HostTable;
+use crate::control::home::request_table::RequestEntry;
+use crate::control::home::request_table::RequestState;
+use crate::control::home::request_table::RequestTable;
 use crate::decide::AttemptOutcome;
 use crate::decide::AttemptSummary;
 use crate::decide::Decision;
@@ -37,12 +37,13 @@
 use crate::units::UpstreamId;
 use crate::upstream::RunningAttempt;
 
-/// How late the graces, lists and cancels may be; a fourth of the shortest of them.
-const TICK: Duration = Duration::from_millis(250);
+/// How late grace periods, queries and cancels may be handled: a quarter of the shortest of them,
+/// which is one second.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// The ledger is not known to be complete.
+    /// The ledger may be incomplete.
     Rebuilding {
         since: Instant,
     },
@@ -50,93 +51,95 @@
     HandedOver,
 }
 
-/// The home of one pool.
+/// The state machine of the home of one pool.
 pub struct HomeController {
     pool: PoolId,
     policy: Box<dyn Policy>,
     conf: HomeConf,
     phase: Phase,
-    hosts: Hosts,
-    engines: Engines,
-    requests: Requests,
-    works: IndexMap<RequestId, Work>,
-    ledger: Ledger,
+    hosts: HostTable,
+    engines: EngineTable,
+    requests: RequestTable,
+    /// The work of the requests in the policy's queue.
+    queued_work: IndexMap<RequestId, Work>,
+    ledger: GrantLedger,
     rebuild_grants: usize,
-    asked_hosts_at: Option<Instant>,
+    announcements_requested_at: Option<Instant>,
+    /// The request being handled, whose decision goes into the reply and is not pushed.
     replying_to: Option<RequestId>,
     actions: Vec<HomeAction>,
 }
 
 impl HomeController {
-    /// A home that has just taken over, with an empty ledger.
+    /// The controller of a home that has just taken over, with an empty ledger.
     pub fn new(pool: PoolId, policy: Box<dyn Policy>, conf: HomeConf, now: Instant) -> Self {
         Self {
             pool,
             policy,
             conf,
             phase: Phase::Rebuilding { since: now },
-            hosts: Hosts::default(),
-            engines: Engines::default(),
-            requests: Requests::default(),
-            works: IndexMap::new(),
-            ledger: Ledger::default(),
+            hosts: HostTable::default(),
+            engines: EngineTable::default(),
+            requests: RequestTable::default(),
+            queued_work: IndexMap::new(),
+            ledger: GrantLedger::default(),
             rebuild_grants: 0,
-            asked_hosts_at: None,
+            announcements_requested_at: None,
             replying_to: None,
             actions: Vec::new(),
         }
     }
 
-    /// The pool.
+    /// The pool that this home serves.
     pub fn pool(&self) -> &PoolId {
         &self.pool
     }
 
-    /// Whether the ledger is still being rebuilt after a take-over.
+    /// Whether the ledger is still being rebuilt after a takeover.
     pub fn is_rebuilding(&self) -> bool {
         matches!(self.phase, Phase::Rebuilding { .. })
     }
 
-    /// The grants that have not ended, as the policy counts them.
+    /// The grants that the policy counts as live.
     pub fn live_grants(&self) -> Vec<LiveGrant> {
         self.policy.live_grants()
     }
 
-    /// How many ledger entries there are.
+    /// The number of ledger entries.
     pub fn ledger_len(&self) -> usize {
         self.ledger.len()
     }
 
-    /// How many requests are remembered.
+    /// The number of remembered requests.
     pub fn requests_len(&self) -> usize {
         self.requests.len()
     }
 
-    /// The pool's load.
+    /// The load of the pool.
     pub fn load(&self, now: Instant) -> PoolLoad {
         self.policy.load(now)
     }
 
-    /// Takes in a new manifest; what waits and what runs stays.
+    /// Applies the policy settings of a new manifest. Queued and running requests stay.
     pub fn set_config(&mut self, conf: &PolicyConfig, now: Instant) {
         self.policy.set_config(conf, now);
     }
 
-    /// When [`HomeEvent::Tick`] is due.
+    /// The time at which [`HomeEvent::Tick`] is due.
     pub fn next_wake(&self, now: Instant) -> Instant {
-        let tick = now + TICK;
+        let tick = now + TICK_INTERVAL;
         self.policy.next_wake().map_or(tick, |wake| wake.min(tick))
     }
 
-    /// Takes in an event and returns what is to be done.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, event: HomeEvent, now: Instant) -> Vec<HomeAction> {
         if self.phase == Phase::HandedOver {
             return HomeAction::not_home(&event).into_iter().collect();
         }
         match event {
-            HomeEvent::Request { from, work } => return self.request(&from, work, now),
-            HomeEvent::Announce { from, grants } => self.announce(&from, grants, now),
-            HomeEvent::Finish { from, grant, done } => self.finish(&from, grant, done, now),
+            HomeEvent::Request { from, work } => return self.handle_request(&from, work, now),
+            HomeEvent::Announce { from, grants } => self.handle_announcement(&from, grants, now),
+            HomeEvent::Finish { from, grant, done } => self.handle_finish(&from, grant, done, now),
             HomeEvent::Withdraw { from, request } => self.withdraw(&from, request, now),
             HomeEvent::HostDead(host) => self.hosts.set_dead(&host, now),
             HomeEvent::HostAlive(host) => self.hosts.set_alive(&host),
@@ -144,10 +147,10 @@
                 upstream,
                 seq,
                 running,
-            } => self.listed(&upstream, seq, &running, now),
+            } => self.handle_engine_list(&upstream, seq, &running, now),
             HomeEvent::CancelConfirmed { upstream, attempt } => {
-                let changes = self.ledger.cancelled(&upstream, attempt, now);
-                self.apply(changes, now);
+                let changes = self.ledger.confirm_cancel(&upstream, attempt, now);
+                self.apply_changes(changes, now);
             }
             HomeEvent::Upstreams(upstreams) => self.set_upstreams(&upstreams, now),
             HomeEvent::LoadReport { upstream, report } => {
@@ -164,24 +167,24 @@
         std::mem::take(&mut self.actions)
     }
 
-    fn request(&mut self, from: &HostId, work: Work, now: Instant) -> Vec<HomeAction> {
+    fn handle_request(&mut self, from: &HostId, work: Work, now: Instant) -> Vec<HomeAction> {
         let request = work.request;
         self.replying_to = Some(request);
-        self.void_if_unusable(request);
+        self.forget_unusable_grant(request);
         match self.requests.get_mut(request) {
-            Some(asked) => {
-                asked.asked_at = now;
-                asked.host = from.clone();
-                if let Standing::Granted(granted) = &asked.standing {
-                    self.ledger.touch(granted.grant, now);
+            Some(entry) => {
+                entry.asked_at = now;
+                entry.host = from.clone();
+                if let RequestState::Granted(granted) = &entry.state {
+                    self.ledger.refresh(granted.grant, now);
                 }
             }
-            None => self.take_in(from, work, now),
+            None => self.add_request(from, work, now),
         }
         self.decide(now);
         self.replying_to = None;
-        let standing = self.requests.get(request).map(|asked| &asked.standing);
-        let status = standing.map_or(GrantStatus::Queued, Standing::verdict);
+        let state = self.requests.get(request).map(|entry| &entry.state);
+        let status = state.map_or(GrantStatus::Queued, RequestState::status);
         self.actions.push(HomeAction::Reply {
             to: from.clone(),
             answer: HomeAnswer { request, status },
@@ -189,64 +192,68 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// A host that asks again has not got its grant, or found it stale. By now the upstream may be
-    /// leaving and must not get new work; or the home has given the grant up, and a cancel that is
-    /// on its way would end the attempt. Both get a new grant. The old one goes on counting until
-    /// its host or the engine has shown that it is not used: the question may have crossed it.
-    fn void_if_unusable(&mut self, request: RequestId) {
-        let Some(Standing::Granted(granted)) =
-            self.requests.get(request).map(|asked| &asked.standing)
+    /// Forgets the request of a grant that must not be used any more, so that the repeated request
+    /// is decided anew.
+    ///
+    /// A host repeats a request if it has not received its grant or found it stale. By then the
+    /// upstream may be leaving and must not get new work, or the grant may be orphaned, so that a
+    /// cancel on its way would end the attempt. The old grant stays in the ledger until its host or
+    /// the engine has shown that it is not used, since it may have crossed the repeated request.
+    fn forget_unusable_grant(&mut self, request: RequestId) {
+        let Some(RequestState::Granted(granted)) =
+            self.requests.get(request).map(|entry| &entry.state)
         else {
             return;
         };
         let grant = granted.grant;
-        let may_work = granted.upstreams.iter().all(|id| self.engines.may_work(id));
-        let is_leaving = !may_work && !self.ledger.is_announced(grant);
-        if is_leaving || self.ledger.is_disowned(grant) {
+        let is_live = granted.upstreams.iter().all(|id| self.engines.is_live(id));
+        let is_leaving = !is_live && !self.ledger.is_announced(grant);
+        if is_leaving || self.ledger.is_orphaned(grant) {
             self.requests.remove(request);
         }
     }
 
-    fn take_in(&mut self, from: &HostId, work: Work, now: Instant) {
+    fn add_request(&mut self, from: &HostId, work: Work, now: Instant) {
         let request = work.request;
-        let is_held = self.is_rebuilding() && !self.may_grant_early(&work);
-        let standing = if is_held {
-            Standing::Held(work.clone())
+        let is_deferred = self.is_rebuilding() && !self.take_rebuild_grant(&work);
+        let state = if is_deferred {
+            RequestState::Deferred(work.clone())
         } else {
-            Standing::Waiting
+            RequestState::Queued
         };
-        let asked = Asked {
+        let entry = RequestEntry {
             host: from.clone(),
             asked_at: now,
-            standing,
+            state,
         };
-        self.requests.insert(request, asked);
-        if !is_held {
+        self.requests.insert(request, entry);
+        if !is_deferred {
             self.offer(work, now);
         }
     }
 
     fn offer(&mut self, work: Work, now: Instant) {
-        self.works.insert(work.request, work.clone());
+        self.queued_work.insert(work.request, work.clone());
         self.policy.offer(work, now);
     }
 
-    /// While the ledger is rebuilt, memory may be taken that is not counted yet. A few short
-    /// requests fit beside it nearly always and keep callers from waiting.
-    fn may_grant_early(&mut self, work: &Work) -> bool {
-        let share = self.engines.live_count() * self.conf.rebuild_grants_per_upstream;
-        let may = work.class() == LengthClass::Short && self.rebuild_grants < share;
-        self.rebuild_grants += usize::from(may);
-        may
+    /// Whether the request may be decided while the ledger is rebuilt; if so, the request is
+    /// counted against the limit. The ledger may not count all taken memory yet, but a few short
+    /// requests nearly always fit, and their callers need not wait.
+    fn take_rebuild_grant(&mut self, work: &Work) -> bool {
+        let max = self.engines.live_count() * self.conf.rebuild_grants_per_upstream;
+        let is_allowed = work.class() == LengthClass::Short && self.rebuild_grants < max;
+        self.rebuild_grants += usize::from(is_allowed);
+        is_allowed
     }
 
-    fn announce(&mut self, from: &HostId, grants: Vec<LiveGrant>, now: Instant) {
+    fn handle_announcement(&mut self, from: &HostId, grants: Vec<LiveGrant>, now: Instant) {
         self.hosts.set_announced(from, now);
-        let changes = self.ledger.announced(grants, now);
-        self.apply(changes, now);
+        let changes = self.ledger.apply_announcement(grants, now);
+        self.apply_changes(changes, now);
     }
 
-    fn finish(&mut self, from: &HostId, grant: GrantId, done: AttemptSummary, now: Instant) {
+    fn handle_finish(&mut self, from: &HostId, grant: GrantId, done: AttemptSummary, now: Instant) {
         if self
             .ledger
             .holder(grant)
@@ -255,8 +262,8 @@
             return;
         }
         self.requests.forget_grant(grant);
-        // What an engine may still hold ends by the engine's word only.
-        if self.ledger.is_disowned(grant) {
+        // Memory that an engine may still hold is released only once the engine confirms it.
+        if self.ledger.is_orphaned(grant) {
             return;
         }
         let ended = done.ended;
@@ -268,67 +275,72 @@
             self.ledger.end(grant, true, now);
             return;
         }
-        // The host has lost the stream but the engine may go on with it. The policy hears of the
-        // failure at once; the memory stays counted until the engine has confirmed the cancel.
-        if let Some(held) = self.ledger.disown(grant, now) {
-            self.policy.adopt(held, now);
+        // The host has lost the stream, but the engine may go on with the attempt. The policy is
+        // told of the failure at once; the memory stays counted until the engine has confirmed the
+        // cancel.
+        if let Some(orphan) = self.ledger.mark_orphaned(grant, now) {
+            self.policy.adopt(orphan, now);
         }
     }
 
     fn withdraw(&mut self, from: &HostId, request: RequestId, now: Instant) {
-        let is_owner = |asked: &Asked| asked.host == *from;
+        let is_owner = |entry: &RequestEntry| entry.host == *from;
         if !self.requests.get(request).is_some_and(is_owner) {
             return;
         }
-        let Some(asked) = self.requests.remove(request) else {
+        let Some(entry) = self.requests.remove(request) else {
             return;
         };
-        self.works.swap_remove(&request);
-        match asked.standing {
-            Standing::Waiting => self.policy.withdraw(request, now),
-            // The withdrawal crossed the grant: the host will not use it.
-            Standing::Granted(granted) if !self.ledger.is_announced(granted.grant) => {
+        self.queued_work.swap_remove(&request);
+        match entry.state {
+            RequestState::Queued => self.policy.withdraw(request, now),
+            // The withdrawal crossed the grant, which the host will not use.
+            RequestState::Granted(granted) if !self.ledger.is_announced(granted.grant) => {
                 if self.ledger.end(granted.grant, false, now) {
                     self.policy
-                        .finish(granted.grant, ended_unseen(AttemptOutcome::NotSent), now);
+                        .finish(granted.grant, unmeasured_end(AttemptOutcome::NotSent), now);
                 }
             }
-            Standing::Held(_) | Standing::Granted(_) | Standing::Refused { .. } => (),
+            RequestState::Deferred(_) | RequestState::Granted(_) | RequestState::Refused { .. } => {
+                ()
+            }
         }
     }
 
-    fn listed(
+    fn handle_engine_list(
         &mut self,
         upstream: &UpstreamId,
         seq: u64,
         running: &[RunningAttempt],
         now: Instant,
     ) {
-        let Some(asked_at) = self.engines.answered(upstream, seq) else {
+        let Some(asked_at) = self.engines.close_query(upstream, seq) else {
             return;
         };
         let grace = self.conf.announce_grace;
-        let changes = self.ledger.listed(upstream, running, asked_at, grace, now);
-        self.apply(changes, now);
+        let changes = self
+            .ledger
+            .apply_engine_list(upstream, running, asked_at, grace, now);
+        self.apply_changes(changes, now);
     }
 
     fn set_upstreams(&mut self, upstreams: &[UpstreamInfo], now: Instant) {
-        let gone = self.engines.set(upstreams, now);
+        let removed = self.engines.set(upstreams, now);
         self.policy.set_upstreams(upstreams, now);
-        for gone in gone {
-            let changes = self.ledger.upstream_gone(&gone, now);
-            self.apply(changes, now);
+        for upstream in removed {
+            let changes = self.ledger.remove_upstream(&upstream, now);
+            self.apply_changes(changes, now);
         }
     }
 
-    fn apply(&mut self, changes: Vec<Change>, now: Instant) {
+    fn apply_changes(&mut self, changes: Vec<LedgerChange>, now: Instant) {
         for change in changes {
             match change {
-                Change::Adopt(grant) => self.policy.adopt(grant, now),
-                Change::Drop(grant) => {
+                LedgerChange::Adopt(grant) => self.policy.adopt(grant, now),
+                LedgerChange::Drop(grant) => {
                     self.requests.forget_grant(grant);
                     self.policy
-                        .finish(grant, ended_unseen(AttemptOutcome::Cancelled), now);
+                        .finish(grant, unmeasured_end(AttemptOutcome::Cancelled), now);
                 }
             }
         }
@@ -336,7 +348,7 @@
 
     fn tick(&mut self, now: Instant) {
         for request in self.requests.abandoned(self.conf.reask_grace, now) {
-            let host = self.requests.get(request).map(|asked| asked.host.clone());
+            let host = self.requests.get(request).map(|entry| entry.host.clone());
             if let Some(host) = host {
                 self.withdraw(&host, request, now);
             }
@@ -347,34 +359,35 @@
         self.ledger
             .forget_ended(conf.ended_memory, conf.ended_max, now);
         let ledger = &self.ledger;
-        self.hosts
-            .forget_dead(conf.dead_host_memory, now, |host| ledger.holds_any_of(host));
+        self.hosts.forget_dead(conf.dead_host_memory, now, |host| {
+            ledger.has_grants_of(host)
+        });
     }
 
     fn reconcile(&mut self, now: Instant) {
-        self.ledger.disown_unowned(&self.hosts, &self.conf, now);
-        for (upstream, attempt) in self.ledger.due_cancels(self.conf.cancel_retry, now) {
+        self.ledger.mark_orphans(&self.hosts, &self.conf, now);
+        for (upstream, attempt) in self.ledger.start_cancels(self.conf.cancel_retry, now) {
             log::info!(
-                "home: {}: cancel {attempt} on {upstream}, nobody waits for it",
+                "home: {}: cancel orphaned {attempt} at {upstream}",
                 self.pool
             );
             self.actions.push(HomeAction::Cancel { upstream, attempt });
         }
-        self.ask_engines(now);
-        self.ask_hosts(now);
-        self.end_rebuilding(now);
+        self.query_engines(now);
+        self.request_announcements(now);
+        self.end_rebuild(now);
     }
 
-    fn ask_engines(&mut self, now: Instant) {
-        for (upstream, seq) in self.engines.due(&self.conf, now) {
+    fn query_engines(&mut self, now: Instant) {
+        for (upstream, seq) in self.engines.start_queries(&self.conf, now) {
             self.actions
                 .push(HomeAction::ListAttempts { upstream, seq });
         }
     }
 
-    fn ask_hosts(&mut self, now: Instant) {
+    fn request_announcements(&mut self, now: Instant) {
         let is_early = |at: Instant| now.duration_since(at) < self.conf.list_interval;
-        if self.asked_hosts_at.is_some_and(is_early) {
+        if self.announcements_requested_at.is_some_and(is_early) {
             return;
         }
         let silent = if self.is_rebuilding() {
@@ -385,17 +398,17 @@
         if silent.is_empty() {
             return;
         }
-        self.asked_hosts_at = Some(now);
-        let ask = |to| HomeAction::RequestAnnouncement { to };
-        self.actions.extend(silent.into_iter().map(ask));
+        self.announcements_requested_at = Some(now);
+        let request = |to| HomeAction::RequestAnnouncement { to };
+        self.actions.extend(silent.into_iter().map(request));
     }
 
-    fn end_rebuilding(&mut self, now: Instant) {
+    fn end_rebuild(&mut self, now: Instant) {
         let Phase::Rebuilding { since } = self.phase else {
             return;
         };
-        let is_whole = self.engines.all_listed() && self.hosts.all_announced();
-        if !is_whole && now.duration_since(since) < self.conf.rebuild_max {
+        let is_complete = self.engines.all_listed() && self.hosts.all_announced();
+        if !is_complete && now.duration_since(since) < self.conf.rebuild_max {
             return;
         }
         self.phase = Phase::Serving;
@@ -404,9 +417,9 @@
             self.pool,
             self.ledger.len()
         );
-        for work in self.requests.held() {
-            if let Some(asked) = self.requests.get_mut(work.request) {
-                asked.standing = Standing::Waiting;
+        for work in self.requests.deferred() {
+            if let Some(entry) = self.requests.get_mut(work.request) {
+                entry.state = RequestState::Queued;
             }
             self.offer(work, now);
         }
@@ -415,29 +428,29 @@
     fn decide(&mut self, now: Instant) {
         for decision in self.policy.poll(now) {
             match decision {
-                Decision::Dispatch(grant) => self.granted(&grant, now),
+                Decision::Dispatch(grant) => self.issue_grant(&grant, now),
                 Decision::Refuse {
                     request,
                     reason,
                     retry_after,
                 } => {
-                    self.works.swap_remove(&request);
-                    let standing = Standing::Refused {
+                    self.queued_work.swap_remove(&request);
+                    let state = RequestState::Refused {
                         reason,
                         retry_after,
                     };
-                    self.requests.set_refused(request, standing, now);
-                    self.push(request);
+                    self.requests.set_refused(request, state, now);
+                    self.push_answer(request);
                 }
             }
         }
     }
 
-    fn granted(&mut self, grant: &Grant, now: Instant) {
-        let Some(work) = self.works.swap_remove(&grant.request) else {
-            // Withdrawn while the policy decided.
+    fn issue_grant(&mut self, grant: &Grant, now: Instant) {
+        let Some(work) = self.queued_work.swap_remove(&grant.request) else {
+            // The request was withdrawn while the policy decided.
             self.policy
-                .finish(grant.id, ended_unseen(AttemptOutcome::NotSent), now);
+                .finish(grant.id, unmeasured_end(AttemptOutcome::NotSent), now);
             return;
         };
         let live = LiveGrant {
@@ -445,46 +458,48 @@
             work,
             upstreams: grant.upstreams.clone(),
         };
-        self.ledger.grant(live, now);
+        self.ledger.insert(live, now);
         self.requests
             .set_granted(grant.request, IssuedGrant::from(grant));
-        self.push(grant.request);
+        self.push_answer(grant.request);
     }
 
-    fn push(&mut self, request: RequestId) {
+    /// Sends the answer to a request that was queued; the request being handled gets a reply.
+    fn push_answer(&mut self, request: RequestId) {
         if self.replying_to == Some(request) {
             return;
         }
-        let Some(asked) = self.requests.get(request) else {
+        let Some(entry) = self.requests.get(request) else {
             return;
         };
         let answer = HomeAnswer {
             request,
-            status: asked.standing.verdict(),
+            status: entry.state.status(),
         };
         self.actions.push(HomeAction::Push {
-            to: asked.host.clone(),
+            to: entry.host.clone(),
             answer,
         });
     }
 
-    /// Sends those that wait to the next home. Granted work goes on: its hosts announce it there.
+    /// Redirects waiting requests to the next home. Granted work goes on, and its hosts announce it
+    /// to the next home.
     fn hand_over(&mut self, now: Instant) -> Vec<HomeAction> {
         self.phase = Phase::HandedOver;
         let mut actions = std::mem::take(&mut self.actions);
-        for (request, host) in self.requests.all_waiting() {
+        for (request, host) in self.requests.waiting() {
             self.policy.withdraw(request, now);
             let status = GrantStatus::NotHome;
             let answer = HomeAnswer { request, status };
             actions.push(HomeAction::Push { to: host, answer });
         }
-        self.works.clear();
+        self.queued_work.clear();
         actions
     }
 }
 
-/// An end that no host told of, so nothing was measured.
-fn ended_unseen(ended: AttemptOutcome) -> AttemptSummary {
+/// The summary of an attempt whose end no host reported, so that there are no measurements.
+fn unmeasured_end(ended: AttemptOutcome) -> AttemptSummary {
     AttemptSummary {
         ended,
         first_token: None,
--- a/src/control/home/engines.rs
+++ b/src/control/home/engine_table.rs
@@ -1,4 +1,4 @@
-//! What a home knows of its engines, and when they are asked what they run.
+//! The state of the engines of a pool at its home, and the schedule of queries for their attempts.
 
 use std::time::Instant;
 
@@ -10,43 +10,44 @@
 use crate::units::UpstreamId;
 
 #[derive(Clone, Debug)]
-struct Engine {
+struct EngineEntry {
     health: UpstreamHealth,
-    /// The question that has no answer yet, and when it was asked.
-    asked: Option<(u64, Instant)>,
+    /// The sequence number and the time of the query that has no answer yet.
+    open_query: Option<(u64, Instant)>,
     next_list_at: Instant,
     is_listed: bool,
 }
 
 /// The engines of a pool.
 #[derive(Debug, Default)]
-pub(crate) struct Engines {
+pub(crate) struct EngineTable {
     /// None until the pool's upstreams are known.
-    engines: Option<IndexMap<UpstreamId, Engine>>,
-    seq: u64,
+    engines: Option<IndexMap<UpstreamId, EngineEntry>>,
+    last_seq: u64,
 }
 
-impl Engines {
-    /// Replaces the set and returns those that are gone.
+impl EngineTable {
+    /// Replaces the set of engines and returns those that were removed.
     pub(crate) fn set(&mut self, upstreams: &[UpstreamInfo], now: Instant) -> Vec<UpstreamId> {
         let mut old = self.engines.take().unwrap_or_default();
         let mut engines = IndexMap::new();
-        for seen in upstreams {
-            let fresh = Engine {
-                health: seen.health,
-                asked: None,
+        for info in upstreams {
+            let fresh = EngineEntry {
+                health: info.health,
+                open_query: None,
                 next_list_at: now,
                 is_listed: false,
             };
-            let mut engine = old.swap_remove(&seen.id).unwrap_or(fresh);
-            engine.health = seen.health;
-            engines.insert(seen.id.clone(), engine);
+            let mut engine = old.swap_remove(&info.id).unwrap_or(fresh);
+            engine.health = info.health;
+            engines.insert(info.id.clone(), engine);
         }
         self.engines = Some(engines);
         old.into_keys().collect()
     }
 
-    pub(crate) fn may_work(&self, upstream: &UpstreamId) -> bool {
+    /// Whether the engine may get new work.
+    pub(crate) fn is_live(&self, upstream: &UpstreamId) -> bool {
         let engine = self.engines.as_ref().and_then(|all| all.get(upstream));
         engine.is_some_and(|engine| engine.health == UpstreamHealth::Live)
     }
@@ -57,32 +58,37 @@
         live.count()
     }
 
+    /// Whether the engines are known and each has listed its attempts at least once.
     pub(crate) fn all_listed(&self) -> bool {
         let engines = self.engines.as_ref();
         engines.is_some_and(|all| all.values().all(|engine| engine.is_listed))
     }
 
-    /// The engines that are to be asked now what they run, each with the number of the question.
-    pub(crate) fn due(&mut self, conf: &HomeConf, now: Instant) -> Vec<(UpstreamId, u64)> {
+    /// Starts the queries that are due and returns their engines and sequence numbers.
+    pub(crate) fn start_queries(
+        &mut self,
+        conf: &HomeConf,
+        now: Instant,
+    ) -> Vec<(UpstreamId, u64)> {
         let mut due = Vec::new();
         for (upstream, engine) in self.engines.iter_mut().flatten() {
             let is_open = |(_, at): &(u64, Instant)| now.duration_since(*at) < conf.list_timeout;
-            if engine.asked.as_ref().is_some_and(is_open) || now < engine.next_list_at {
+            if engine.open_query.as_ref().is_some_and(is_open) || now < engine.next_list_at {
                 continue;
             }
-            self.seq += 1;
-            engine.asked = Some((self.seq, now));
+            self.last_seq += 1;
+            engine.open_query = Some((self.last_seq, now));
             engine.next_list_at = now + conf.list_interval;
-            due.push((upstream.clone(), self.seq));
+            due.push((upstream.clone(), self.last_seq));
         }
         due
     }
 
-    /// Takes in an answer and returns when its question was asked. A late answer to an earlier
-    /// question could show an older state as if it were new: it counts for nothing.
-    pub(crate) fn answered(&mut self, upstream: &UpstreamId, seq: u64) -> Option<Instant> {
+    /// Closes the query that an engine has answered and returns when the query was sent. The
+    /// answer to an earlier query is ignored, since it may show an older state.
+    pub(crate) fn close_query(&mut self, upstream: &UpstreamId, seq: u64) -> Option<Instant> {
         let engine = self.engines.as_mut()?.get_mut(upstream)?;
-        let (_, asked_at) = engine.asked.take_if(|(asked, _)| *asked == seq)?;
+        let (_, asked_at) = engine.open_query.take_if(|(open, _)| *open == seq)?;
         engine.is_listed = true;
         Some(asked_at)
     }
--- a/src/control/home/event.rs
+++ b/src/control/home/event.rs
@@ -1,4 +1,4 @@
-//! What a home hears.
+//! The events that a home handles.
 
 use crate::decide::AttemptSummary;
 use crate::decide::LiveGrant;
@@ -13,79 +13,79 @@
 use crate::upstream::LoadReport;
 use crate::upstream::RunningAttempt;
 
-/// What a home hears.
+/// An event that a home handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HomeEvent {
-    /// A host asks for a grant, or asks again. The reply is among the actions.
+    /// A host requests a grant or repeats its request. The reply is among the returned actions.
     Request {
-        /// The host.
+        /// The host that sent the request.
         from: HostId,
-        /// What it wants to dispatch.
+        /// The work that the host wants to dispatch.
         work: Work,
     },
-    /// A host's live grants of this pool, all of them, whichever home gave them.
+    /// A host announces all its live grants of this pool, whichever home issued them.
     Announce {
-        /// The host.
+        /// The host that announces its grants.
         from: HostId,
-        /// Its grants.
+        /// All live grants of the host in this pool.
         grants: Vec<LiveGrant>,
     },
     /// A grant has ended at the host that held it.
     Finish {
-        /// The host.
+        /// The host that held the grant.
         from: HostId,
-        /// The grant.
+        /// The grant that ended.
         grant: GrantId,
-        /// How it ended.
+        /// The outcome and the measurements of the attempt.
         done: AttemptSummary,
     },
-    /// A request that waits is to be forgotten.
+    /// A host withdraws its request.
     Withdraw {
-        /// The host.
+        /// The host that sent the request.
         from: HostId,
-        /// The request.
+        /// The request to forget.
         request: RequestId,
     },
-    /// Membership holds a host for dead. Hosts of all failure domains count: deaths are believed
-    /// only while more hosts live than have died.
+    /// Membership considers a host dead. Hosts of all failure domains count, since the home acts on
+    /// deaths only while at least as many members are alive as have died.
     HostDead(HostId),
-    /// Membership holds a host for alive. A home that has just taken over is told all of them, this
-    /// host included.
+    /// Membership considers a host alive. A home that has just taken over is told of all living
+    /// hosts, its own included.
     HostAlive(HostId),
-    /// What an engine says it runs.
+    /// An engine has listed its running attempts.
     EngineListed {
-        /// The engine.
+        /// The engine that answered.
         upstream: UpstreamId,
-        /// The number of the question.
+        /// The sequence number of the query that the engine answered.
         seq: u64,
-        /// The attempts that hold its memory.
+        /// The attempts that hold memory of the engine.
         running: Vec<RunningAttempt>,
     },
-    /// An engine has ended an attempt, or does not know it.
+    /// An engine has ended an attempt or does not know it.
     CancelConfirmed {
-        /// The engine.
+        /// The engine that confirmed the cancel.
         upstream: UpstreamId,
-        /// The attempt.
+        /// The attempt that holds no memory of the engine any more.
         attempt: AttemptId,
     },
-    /// The upstreams of the pool, all of them.
+    /// The complete list of upstreams of the pool.
     Upstreams(Vec<UpstreamInfo>),
-    /// An engine's lagging report.
+    /// A load report of an engine, which lags behind the engine's state.
     LoadReport {
-        /// The engine.
+        /// The engine that sent the report.
         upstream: UpstreamId,
-        /// The report.
+        /// The load report.
         report: LoadReport,
     },
-    /// Late cache events with gaps.
+    /// Cache events of an engine, which come late and with gaps.
     CacheEvents {
-        /// The engine.
+        /// The engine that sent the events.
         upstream: UpstreamId,
-        /// The events.
+        /// The cache events.
         events: Vec<CacheEvent>,
     },
-    /// This host drains or another one is the home now: hand over.
+    /// This host drains, or another host has become the home: the home hands over.
     HandOver,
-    /// Time has passed; at most [`super::HomeController::next_wake`] late.
+    /// A timer tick, due at [`super::HomeController::next_wake`].
     Tick,
 }
--- /dev/null
+++ b/src/control/home/grant_ledger.rs
@@ -0,0 +1,378 @@
+//! The ledger of a pool: which grants hold memory of which engine, and how the memory is released.
+//!
+//! The ledger guards against leaked engine memory: memory that stays taken although nobody waits
+//! for the answer, because a host died, the message of an end or a cancel was lost, or the home
+//! changed. Such leaks show as engines that fill up over days. Memory therefore counts as released
+//! only once the host has reported the end, the engine has confirmed a cancel, or a list of the
+//! engine's attempts no longer shows the attempt. Every attempt that an engine lists is in the
+//! ledger, so that it has an owner or is cancelled.
+
+use std::time::Duration;
+use std::time::Instant;
+
+use indexmap::IndexMap;
+
+use crate::control::home::HomeConf;
+use crate::control::home::host_table::HostTable;
+use crate::decide::LiveGrant;
+use crate::decide::Work;
+use crate::units::AttemptId;
+use crate::units::GrantId;
+use crate::units::HostId;
+use crate::units::Priority;
+use crate::units::RequestId;
+use crate::units::Tokens;
+use crate::units::UpstreamId;
+use crate::upstream::RunningAttempt;
+
+/// The deadline of inferred grants, which is so late that the engine's own limit ends the attempt
+/// first.
+const INFERRED_GRANT_DEADLINE: Duration = Duration::from_secs(3_600);
+
+/// A change of the ledger that the policy has to be told.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) enum LedgerChange {
+    /// A grant that the policy does not know holds memory.
+    Adopt(LiveGrant),
+    /// A grant has ended without a report of its host.
+    Drop(GrantId),
+}
+
+/// The memory that a grant holds at one engine.
+#[derive(Clone, Copy, Debug, Default)]
+struct EngineHold {
+    /// Whether the engine is gone, or did not list the attempt in answer to a query that was sent
+    /// late enough to show it.
+    is_released: bool,
+    cancelled_at: Option<Instant>,
+}
+
+#[derive(Clone, Debug)]
+struct LedgerEntry {
+    grant: LiveGrant,
+    /// When the host last announced or requested the grant, or when the home issued or inferred it.
+    heard_at: Instant,
+    /// Whether the host has announced the grant, which proves that the host received it.
+    is_announced: bool,
+    /// Whether the grant is known only from lists of engines.
+    is_inferred: bool,
+    /// Since when nobody waits for the answer.
+    orphaned_at: Option<Instant>,
+    holds: IndexMap<UpstreamId, EngineHold>,
+}
+
+impl LedgerEntry {
+    fn new(grant: LiveGrant, now: Instant) -> Self {
+        let holds = grant
+            .upstreams
+            .iter()
+            .map(|id| (id.clone(), EngineHold::default()));
+        Self {
+            holds: holds.collect(),
+            grant,
+            heard_at: now,
+            is_announced: false,
+            is_inferred: false,
+            orphaned_at: None,
+        }
+    }
+
+    /// Records that an engine lists the attempt. The engines of a gang that is known only from lists
+    /// become known one by one.
+    fn add_engine(&mut self, upstream: &UpstreamId) -> Vec<LedgerChange> {
+        self.holds.entry(upstream.clone()).or_default();
+        if !self.is_inferred || self.grant.upstreams.contains(upstream) {
+            return Vec::new();
+        }
+        self.grant.upstreams.push(upstream.clone());
+        vec![
+            LedgerChange::Drop(self.grant.id),
+            LedgerChange::Adopt(self.grant.clone()),
+        ]
+    }
+
+    /// Whether nobody waits for the answer any more.
+    fn has_lost_owner(&self, hosts: &HostTable, conf: &HomeConf, now: Instant) -> bool {
+        let host = &self.grant.work.host;
+        let owner_lost_at = hosts.owner_lost_at(host, self.heard_at, conf);
+        if owner_lost_at.is_some_and(|at| now >= at) {
+            return true;
+        }
+        // Only an announcement of the host itself counts. While the views of two hosts differ, a
+        // host may announce to another home; it is silent here and keeps its streams.
+        let announced_at = hosts.announced_at(host);
+        announced_at.is_some_and(|at| at.duration_since(self.heard_at) >= conf.announce_grace)
+    }
+}
+
+#[derive(Clone, Copy, Debug)]
+struct EndRecord {
+    at: Instant,
+    /// Whether the host of the grant reported the end.
+    by_host: bool,
+}
+
+/// The grants of one pool that have not ended, and the grants that ended a short time ago.
+#[derive(Debug, Default)]
+pub(crate) struct GrantLedger {
+    entries: IndexMap<GrantId, LedgerEntry>,
+    ended: IndexMap<GrantId, EndRecord>,
+}
+
+impl GrantLedger {
+    /// Records a grant that this home issues.
+    pub(crate) fn insert(&mut self, grant: LiveGrant, now: Instant) {
+        self.entries.insert(grant.id, LedgerEntry::new(grant, now));
+    }
+
+    /// Restarts the grace period of a grant that is sent to its host again: the host may begin to
+    /// announce the grant only now.
+    pub(crate) fn refresh(&mut self, grant: GrantId, now: Instant) {
+        if let Some(entry) = self.entries.get_mut(&grant) {
+            entry.heard_at = now;
+        }
+    }
+
+    pub(crate) fn is_announced(&self, grant: GrantId) -> bool {
+        self.entries
+            .get(&grant)
+            .is_some_and(|entry| entry.is_announced)
+    }
+
+    pub(crate) fn is_orphaned(&self, grant: GrantId) -> bool {
+        let entry = self.entries.get(&grant);
+        entry.is_some_and(|entry| entry.orphaned_at.is_some())
+    }
+
+    pub(crate) fn holder(&self, grant: GrantId) -> Option<&HostId> {
+        self.entries.get(&grant).map(|entry| &entry.grant.work.host)
+    }
+
+    /// Whether the host has any entry.
+    pub(crate) fn has_grants_of(&self, host: &HostId) -> bool {
+        self.entries
+            .values()
+            .any(|entry| entry.grant.work.host == *host)
+    }
+
+    pub(crate) fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// Removes the entry of a grant that has ended. Returns whether there was an entry.
+    pub(crate) fn end(&mut self, grant: GrantId, by_host: bool, now: Instant) -> bool {
+        self.ended.insert(grant, EndRecord { at: now, by_host });
+        self.entries.swap_remove(&grant).is_some()
+    }
+
+    /// Records that nobody waits for the answer any more although engines may still hold memory
+    /// for it. Returns the grant, whose memory stays counted.
+    pub(crate) fn mark_orphaned(&mut self, grant: GrantId, now: Instant) -> Option<LiveGrant> {
+        let entry = self.entries.get_mut(&grant)?;
+        entry.orphaned_at.get_or_insert(now);
+        Some(entry.grant.clone())
+    }
+
+    /// Merges the grants that a host has announced.
+    pub(crate) fn apply_announcement(
+        &mut self,
+        grants: Vec<LiveGrant>,
+        now: Instant,
+    ) -> Vec<LedgerChange> {
+        let mut changes = Vec::new();
+        for grant in grants {
+            self.apply_announced_grant(grant, now, &mut changes);
+        }
+        changes
+    }
+
+    fn apply_announced_grant(
+        &mut self,
+        grant: LiveGrant,
+        now: Instant,
+        changes: &mut Vec<LedgerChange>,
+    ) {
+        // The host's report of the end overtook this announcement.
+        if self.ended.get(&grant.id).is_some_and(|end| end.by_host) {
+            return;
+        }
+        let id = grant.id;
+        let known = self.entries.get(&id);
+        if known.is_none_or(|entry| entry.is_inferred) {
+            if known.is_some() {
+                changes.push(LedgerChange::Drop(id));
+            }
+            changes.push(LedgerChange::Adopt(grant.clone()));
+            self.entries.insert(id, LedgerEntry::new(grant, now));
+        }
+        if let Some(entry) = self.entries.get_mut(&id) {
+            entry.heard_at = now;
+            entry.is_announced = true;
+            entry.orphaned_at = None;
+        }
+    }
+
+    /// Merges the attempts that an engine has listed in answer to a query sent at `asked_at`.
+    pub(crate) fn apply_engine_list(
+        &mut self,
+        upstream: &UpstreamId,
+        running: &[RunningAttempt],
+        asked_at: Instant,
+        grace: Duration,
+        now: Instant,
+    ) -> Vec<LedgerChange> {
+        for entry in self.entries.values_mut() {
+            let Some(hold) = entry.holds.get_mut(upstream) else {
+                continue;
+            };
+            let is_listed = running.iter().any(|run| run.attempt.0 == entry.grant.id.0);
+            // The attempt may have reached the engine after the query.
+            let is_conclusive = match entry.orphaned_at {
+                Some(orphaned_at) => asked_at > orphaned_at,
+                None => asked_at >= entry.heard_at + grace,
+            };
+            hold.is_released = !is_listed && is_conclusive;
+        }
+        let mut changes = self.drop_released(now);
+        for run in running {
+            changes.extend(self.apply_listed_attempt(upstream, run, asked_at, now));
+        }
+        changes
+    }
+
+    fn apply_listed_attempt(
+        &mut self,
+        upstream: &UpstreamId,
+        run: &RunningAttempt,
+        asked_at: Instant,
+        now: Instant,
+    ) -> Vec<LedgerChange> {
+        let id = GrantId(run.attempt.0);
+        // The list may have been made before the grant ended.
+        if self.ended.get(&id).is_some_and(|end| end.at >= asked_at) {
+            return Vec::new();
+        }
+        if let Some(entry) = self.entries.get_mut(&id) {
+            return entry.add_engine(upstream);
+        }
+        let Some(grant) = inferred_grant(upstream, run, now) else {
+            return Vec::new();
+        };
+        let mut entry = LedgerEntry::new(grant.clone(), now);
+        entry.is_inferred = true;
+        self.entries.insert(id, entry);
+        vec![LedgerChange::Adopt(grant)]
+    }
+
+    /// Records that an engine holds no memory for an attempt any more.
+    pub(crate) fn confirm_cancel(
+        &mut self,
+        upstream: &UpstreamId,
+        attempt: AttemptId,
+        now: Instant,
+    ) -> Vec<LedgerChange> {
+        let id = GrantId(attempt.0);
+        if let Some(entry) = self.entries.get_mut(&id)
+            && entry.orphaned_at.is_some()
+        {
+            entry.holds.swap_remove(upstream);
+        }
+        self.drop_released(now)
+    }
+
+    /// Records that an upstream is gone, and its memory with it.
+    pub(crate) fn remove_upstream(
+        &mut self,
+        upstream: &UpstreamId,
+        now: Instant,
+    ) -> Vec<LedgerChange> {
+        for entry in self.entries.values_mut() {
+            if let Some(hold) = entry.holds.get_mut(upstream) {
+                hold.is_released = true;
+            }
+        }
+        self.drop_released(now)
+    }
+
+    /// Marks the entries whose owner is lost as orphaned.
+    pub(crate) fn mark_orphans(&mut self, hosts: &HostTable, conf: &HomeConf, now: Instant) {
+        for entry in self.entries.values_mut() {
+            if entry.orphaned_at.is_none() && entry.has_lost_owner(hosts, conf, now) {
+                entry.orphaned_at = Some(now);
+            }
+        }
+    }
+
+    /// Returns the cancels that are due and records them as sent.
+    pub(crate) fn start_cancels(
+        &mut self,
+        retry: Duration,
+        now: Instant,
+    ) -> Vec<(UpstreamId, AttemptId)> {
+        let mut due = Vec::new();
+        for entry in self.entries.values_mut() {
+            if entry.orphaned_at.is_none() {
+                continue;
+            }
+            for (upstream, hold) in &mut entry.holds {
+                let is_due = |at: Instant| now.duration_since(at) >= retry;
+                if hold.cancelled_at.is_none_or(is_due) {
+                    hold.cancelled_at = Some(now);
+                    due.push((upstream.clone(), AttemptId(entry.grant.id.0)));
+                }
+            }
+        }
+        due
+    }
+
+    /// The hosts of grants that have an owner but were not announced for at least `grace`.
+    pub(crate) fn silent_hosts(&self, grace: Duration, now: Instant) -> Vec<HostId> {
+        let is_silent = |entry: &&LedgerEntry| {
+            entry.orphaned_at.is_none() && now.duration_since(entry.heard_at) >= grace
+        };
+        let silent = self.entries.values().filter(is_silent);
+        let hosts: indexmap::IndexSet<_> =
+            silent.map(|entry| entry.grant.work.host.clone()).collect();
+        hosts.into_iter().collect()
+    }
+
+    /// Forgets ended grants that are older than `memory`, and the oldest ones above `max`.
+    pub(crate) fn forget_ended(&mut self, memory: Duration, max: usize, now: Instant) {
+        let is_old = |end: &&EndRecord| now.duration_since(end.at) > memory;
+        let old = self.ended.values().take_while(is_old).count();
+        let count = old.max(self.ended.len().saturating_sub(max));
+        self.ended.drain(..count);
+    }
+
+    /// Ends the grants that hold no memory at any engine.
+    fn drop_released(&mut self, now: Instant) -> Vec<LedgerChange> {
+        let is_released = |entry: &LedgerEntry| entry.holds.values().all(|hold| hold.is_released);
+        let released = self.entries.values().filter(|entry| is_released(entry));
+        let ids: Vec<GrantId> = released.map(|entry| entry.grant.id).collect();
+        for id in &ids {
+            self.end(*id, false, now);
+        }
+        ids.into_iter().map(LedgerChange::Drop).collect()
+    }
+}
+
+/// A grant that is inferred from an attempt that an engine lists, so that the memory is counted
+/// until the host announces the grant or the attempt is cancelled.
+fn inferred_grant(upstream: &UpstreamId, run: &RunningAttempt, now: Instant) -> Option<LiveGrant> {
+    let work = Work {
+        request: RequestId(run.attempt.0),
+        host: run.host.clone(),
+        customer: run.host.as_str().parse().ok()?,
+        priority: Priority(0),
+        prompt_tokens: run.held_tokens,
+        output_tokens: Tokens::ZERO,
+        prefixes: Vec::new(),
+        deadline: now + INFERRED_GRANT_DEADLINE,
+        avoid: Vec::new(),
+    };
+    Some(LiveGrant {
+        id: GrantId(run.attempt.0),
+        work,
+        upstreams: vec![upstream.clone()],
+    })
+}
--- a/src/control/home/mod.rs
+++ b/src/control/home/mod.rs
@@ -1,19 +1,20 @@
-//! The home of a pool: grants, the ledger, take-over and reconciling with engines.
+//! The home of a pool: the host that grants the dispatches to the upstreams of the pool.
 //!
-//! [`HomeController`] is the state machine of one pool on its home host. It runs a
-//! [`crate::decide::Policy`] and keeps the ledger of what was granted, so that no engine loses
-//! memory for good. All of it is soft state: a new home rebuilds it from what hosts announce and
-//! what engines list, and two homes at once for a moment overcommit a little and lose nothing.
+//! [`HomeController`] is the state machine of one pool on its home. It runs a
+//! [`crate::decide::Policy`] and keeps a ledger of the grants, so that engine memory cannot leak.
+//! The ledger is soft state: a new home rebuilds it from the grants that hosts announce and from
+//! the attempts that engines list. While two hosts briefly act as the home of one pool, they can
+//! overcommit memory a little, but no memory leaks.
 
 mod action;
 mod answer;
 mod conf;
 mod controller;
-mod engines;
+mod engine_table;
 mod event;
-mod hosts;
-mod ledger;
-mod requests;
+mod grant_ledger;
+mod host_table;
+mod request_table;
 pub mod wire;
 
 pub use action::HomeAction;
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,10 +1,9 @@
-//! Controllers: state machines without I/O that keep what must hold and the fleet in order.
+//! Controllers: state machines without I/O that take events and return actions.
 
 pub mod claims;
 pub mod drain;
 pub mod home;
 pub mod home_assignment;
-pub use home_assignment as homes;
 pub mod manifests;
 pub mod membership;
 pub mod orders;
