--- a/src/control/home/grant_ledger.rs
+++ b/src/control/home/grant_ledger.rs
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Records that an engine lists the attempt. The engines of a gang that is known only from lists
-    /// become known one by one.
+    /// Records that an engine lists the attempt. If the grant is known only from lists, the engines
+    /// of its gang become known one by one.
     fn add_engine(&mut self, upstream: &UpstreamId) -> Vec<LedgerChange> {
         self.holds.entry(upstream.clone()).or_default();
         if !self.is_inferred || self.grant.upstreams.contains(upstream) {
@@ -346,8 +346,8 @@
 
     /// Ends the grants that hold no memory at any engine.
     fn drop_released(&mut self, now: Instant) -> Vec<LedgerChange> {
-        let is_released = |entry: &LedgerEntry| entry.holds.values().all(|hold| hold.is_released);
-        let released = self.entries.values().filter(|entry| is_released(entry));
+        let holds_nothing = |entry: &LedgerEntry| entry.holds.values().all(|hold| hold.is_released);
+        let released = self.entries.values().filter(|entry| holds_nothing(entry));
         let ids: Vec<GrantId> = released.map(|entry| entry.grant.id).collect();
         for id in &ids {
             self.end(*id, false, now);
--- a/src/control/home_assignment/assignment.rs
+++ b/src/control/home_assignment/assignment.rs
@@ -6,25 +6,26 @@
 
 use crate::control::home_assignment::rendezvous::weight;
 
-/// Assigns each key to one candidate so that none gets more than `load_max`.
+/// Assigns each key to one candidate, with at most `load_max` keys for each candidate.
 ///
-/// Pairs are taken by falling weight; a pair counts if its key is free and its candidate has room.
-/// The result depends on the sets alone, not on their order. Where one candidate goes, its keys
-/// move, and one of them may push out a key that its new candidate had taken at a lower weight.
+/// Pairs are considered by falling weight; a pair is used if its key is unassigned and its candidate
+/// is below `load_max`. The result depends only on the sets of keys and candidates, not on their
+/// order. If a candidate is removed, its keys move, and each may displace a key that the new
+/// candidate had at a lower weight.
 pub fn assign(keys: &[&str], candidates: &[&str], load_max: usize) -> IndexMap<String, String> {
     let mut assignment = IndexMap::new();
     let mut load: IndexMap<&str, usize> = IndexMap::new();
     for (key, candidate) in pairs_by_weight(keys, candidates) {
-        let taken = load.entry(candidate).or_default();
-        if *taken < load_max && !assignment.contains_key(key) {
-            *taken += 1;
+        let assigned = load.entry(candidate).or_default();
+        if *assigned < load_max && !assignment.contains_key(key) {
+            *assigned += 1;
             assignment.insert(key.to_owned(), candidate.to_owned());
         }
     }
     assignment
 }
 
-/// All pairs of a key and a candidate, the heaviest first.
+/// All pairs of a key and a candidate, sorted by falling weight.
 pub(crate) fn pairs_by_weight<'a>(
     keys: &[&'a str],
     candidates: &[&'a str],
--- a/src/control/home_assignment/home_table.rs
+++ b/src/control/home_assignment/home_table.rs
@@ -1,4 +1,4 @@
-//! The homes of all pools of one failure domain.
+//! The table of the homes of all pools of one failure domain.
 
 use indexmap::IndexMap;
 
@@ -6,44 +6,44 @@
 use crate::units::HostId;
 use crate::units::PoolId;
 
-/// A host has at most this share of the average number of pools, in percent: enough room that
-/// most pools stay where they hash to, and no host is home to many more than the others.
+/// The maximum number of pools of one host, in percent of the average. At 125 most pools get the
+/// home with their highest weight, and no host is the home of many more pools than the others.
 const LOAD_PERCENT_MAX: usize = 125;
 
-/// How many hosts are named for a pool: its home and those that take over in turn.
-const CANDIDATES: usize = 3;
+/// The number of hosts listed for a pool: its home and the hosts that take over in turn.
+const CANDIDATES_PER_POOL: usize = 3;
 
-/// A host of the failure domain that could be a home.
+/// A member of the failure domain, which may be eligible as a home.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The host.
+    /// The host of the member.
     pub host: HostId,
-    /// Whether it can be a home now: not dead and not leaving.
+    /// Whether the host can be a home now: it is neither dead nor leaving.
     pub is_eligible: bool,
 }
 
-/// The home of each pool, with the hosts that follow when it goes.
+/// The home of each pool and the hosts that take over if the home fails.
 ///
 /// Pools are first assigned over all known members. Then the pools whose home is not eligible are
-/// placed where there is room, and no other pool moves. So the death of one host moves its pools
-/// only, and a host that is restarted under its name gets the same pools back. A member that is
-/// forgotten changes the first step, and a few pools may move then.
+/// assigned to eligible members below the load limit, and no other pool moves. The death of a host
+/// therefore moves only its own pools, and a host that restarts under the same name gets its pools
+/// back. Removing a member changes the first step, so that a few other pools may move.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HomeTable {
     candidates: IndexMap<PoolId, Vec<HostId>>,
 }
 
 impl HomeTable {
-    /// The homes of `pools` over `members`, in whatever order these are given.
+    /// Assigns `pools` to `members`. The order of either does not matter.
     pub fn new(pools: &[PoolId], members: &[Member]) -> Self {
         let layout = Layout::new(pools, members);
         let homes = layout.homes_without(&[]);
         let mut candidates: IndexMap<PoolId, Vec<HostId>> = IndexMap::new();
-        let mut by_gone: IndexMap<Vec<&str>, IndexMap<&str, &str>> = IndexMap::new();
+        let mut homes_by_excluded: IndexMap<Vec<&str>, IndexMap<&str, &str>> = IndexMap::new();
         for pool in pools {
             let mut ranked: Vec<&str> = homes.get(pool.as_str()).copied().into_iter().collect();
-            while !ranked.is_empty() && ranked.len() < CANDIDATES {
-                let homes = by_gone
+            while !ranked.is_empty() && ranked.len() < CANDIDATES_PER_POOL {
+                let homes = homes_by_excluded
                     .entry(ranked.clone())
                     .or_insert_with(|| layout.homes_without(&ranked));
                 match homes.get(pool.as_str()) {
@@ -56,12 +56,12 @@
         Self { candidates }
     }
 
-    /// The home of a pool, then the hosts that take over in turn; empty when there is none.
+    /// The home of a pool, followed by the hosts that take over in turn; empty if there is none.
     pub fn candidates(&self, pool: &PoolId) -> &[HostId] {
         self.candidates.get(pool).map_or(&[], Vec::as_slice)
     }
 
-    /// The home of a pool.
+    /// The home of a pool, if a host is eligible.
     pub fn home_of(&self, pool: &PoolId) -> Option<&HostId> {
         self.candidates(pool).first()
     }
@@ -75,7 +75,7 @@
     }
 }
 
-/// The pairs of pools and members by falling weight.
+/// The pools, the members, and all pairs of both by falling weight.
 struct Layout<'a> {
     pools: Vec<&'a str>,
     members: IndexMap<&'a str, &'a Member>,
@@ -98,36 +98,37 @@
         }
     }
 
-    /// The home of each pool when the hosts in `gone` are not eligible either.
-    fn homes_without(&self, gone: &[&str]) -> IndexMap<&'a str, &'a str> {
+    /// The home of each pool if the hosts in `excluded` are not eligible either.
+    fn homes_without(&self, excluded: &[&str]) -> IndexMap<&'a str, &'a str> {
         let mut homes = IndexMap::new();
         let load_max = load_max_of(self.pools.len(), self.members.len());
-        self.fill(&mut homes, load_max, |_| true);
+        self.assign_free_pools(&mut homes, load_max, |_| true);
         let is_eligible = |host: &str| {
             let member = self.members.get(host);
-            member.is_some_and(|member| member.is_eligible) && !gone.contains(&host)
+            member.is_some_and(|member| member.is_eligible) && !excluded.contains(&host)
         };
         homes.retain(|_, host| is_eligible(host));
         let eligible = self.members.keys().filter(|host| is_eligible(host)).count();
         let load_max = load_max_of(self.pools.len(), eligible);
-        self.fill(&mut homes, load_max, is_eligible);
+        self.assign_free_pools(&mut homes, load_max, is_eligible);
         homes
     }
 
-    fn fill(
+    /// Assigns the pools without a home to hosts that `is_allowed` accepts, by falling weight.
+    fn assign_free_pools(
         &self,
         homes: &mut IndexMap<&'a str, &'a str>,
         load_max: usize,
-        is_wanted: impl Fn(&str) -> bool,
+        is_allowed: impl Fn(&str) -> bool,
     ) {
         let mut load: IndexMap<&str, usize> = IndexMap::new();
         for host in homes.values() {
             *load.entry(host).or_default() += 1;
         }
         for (pool, host) in &self.pairs {
-            let taken = load.entry(host).or_default();
-            if *taken < load_max && !homes.contains_key(pool) && is_wanted(host) {
-                *taken += 1;
+            let assigned = load.entry(host).or_default();
+            if *assigned < load_max && !homes.contains_key(pool) && is_allowed(host) {
+                *assigned += 1;
                 homes.insert(pool, host);
             }
         }
@@ -139,6 +140,7 @@
     }
 }
 
+/// The maximum number of pools of one host.
 fn load_max_of(pools: usize, hosts: usize) -> usize {
     (pools * LOAD_PERCENT_MAX).div_ceil(hosts.max(1) * 100)
 }
--- a/src/control/home_assignment/mod.rs
+++ b/src/control/home_assignment/mod.rs
@@ -1,6 +1,7 @@
-//! Which host is the home of which pool.
+//! The assignment of pools to home hosts.
 //!
-//! Pure functions of a view: hosts with the same view agree without talking to each other.
+//! The assignment is a pure function of the pools and the members, so that hosts with the same view
+//! agree without exchanging messages.
 
 mod assignment;
 mod home_table;
--- a/src/control/home_assignment/pools.rs
+++ b/src/control/home_assignment/pools.rs
@@ -1,4 +1,4 @@
-//! The pools of a target: shards of its upstreams in one failure domain.
+//! The pools of a target: shards of the upstreams of the target in one failure domain.
 
 use indexmap::IndexMap;
 
@@ -8,16 +8,17 @@
 use crate::units::TargetId;
 use crate::units::UpstreamId;
 
-/// Upstreams of one pool at most. One home decides for all of them over one queue, so a larger pool
-/// places better; the bound keeps one home's work small and lets the load of a target at 910
-/// upstreams spread over many hosts.
+/// The maximum number of upstreams of one pool. The home of a pool schedules all its upstreams from
+/// one queue, so a larger pool allows better placement. The bound limits the work of one home and
+/// spreads the load of a target with 910 upstreams over many hosts.
 pub const POOL_UPSTREAMS_MAX: usize = 16;
 
-/// How full pools are when their number grows. The room that is left keeps most upstreams with the
-/// shard that they prefer, so that an upstream which comes or goes moves few others.
+/// The number of upstreams per pool from which the number of pools is derived. The difference to
+/// the maximum lets most upstreams get the shard with their highest weight, so that adding or
+/// removing an upstream moves few others.
 const POOL_UPSTREAMS_TYPICAL: usize = 12;
 
-/// Partitions the upstreams of a target in a failure domain into pools.
+/// Partitions the upstreams of a target in one failure domain into pools.
 pub fn partition_upstreams(
     domain: &FailureDomainId,
     target: &TargetId,
--- a/src/control/home_assignment/rendezvous.rs
+++ b/src/control/home_assignment/rendezvous.rs
@@ -2,18 +2,18 @@
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// The weight of a pair: the same on every host, and independent for each pair.
+/// The weight of a pair, which is the same on every host and independent for each pair.
 pub(crate) fn weight(key: &str, candidate: &str) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.update(key.as_bytes());
-    // Names hold no zero byte, so that no two pairs run together.
+    // Names contain no zero byte, so that two different pairs never hash the same bytes.
     hasher.update(&[0]);
     hasher.update(candidate.as_bytes());
     hasher.digest()
 }
 
-/// The candidates in the order that a key prefers them. When one goes, the order of the others
-/// stays.
+/// Sorts the candidates by falling weight for the key. The order of the remaining candidates stays
+/// the same if one is removed.
 pub fn rank<C: AsRef<str> + Clone>(key: &str, candidates: &[C]) -> Vec<C> {
     let mut ranked: Vec<C> = candidates.to_vec();
     ranked.sort_by_cached_key(|candidate| {
