--- a/src/control/claims/claim.rs
+++ b/src/control/claims/claim.rs
@@ -1,4 +1,4 @@
-//! One claim.
+//! The record of a claim.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,45 +8,46 @@
 use crate::units::HostId;
 use crate::units::UpstreamId;
 
-/// A claim as the platform holds it. Field names are short, since a shard's objects are bounded and
-/// rewritten whole.
+/// A claim as it is stored in the platform. The stored field names are short, since shard objects
+/// are limited in size and every write replaces a whole object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Claim {
-    /// The one attempt that may run the request.
+    /// The only attempt that may run the request.
     #[serde(rename = "a")]
     pub attempt: AttemptId,
-    /// The host that holds it.
+    /// The host that holds the claim.
     #[serde(rename = "h")]
     pub holder: HostId,
-    /// Where the attempt goes, for resuming its answer.
+    /// The upstream of the attempt, from which its answer can be resumed.
     #[serde(rename = "u")]
     pub upstream: UpstreamId,
-    /// The hash of method, path and body: the same key with another content is a caller's mistake.
+    /// The hash of method, path and body. Reusing a key with different content is an error of the
+    /// caller.
     #[serde(rename = "c")]
     pub content: ContentHash,
-    /// How far it is.
+    /// The state of the claim.
     #[serde(rename = "s")]
     pub state: ClaimState,
 }
 
-/// How far a claim is.
+/// The state of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum ClaimState {
-    /// Its attempt may run or be running.
+    /// The attempt may run or may be running.
     #[serde(rename = "h")]
     Held,
-    /// Its answer went out whole.
+    /// The whole answer of the attempt was sent to the caller.
     #[serde(rename = "c")]
     Completed,
-    /// It failed and may have run.
+    /// The attempt failed and may have run.
     #[serde(rename = "m")]
     MayHaveRun,
 }
 
 impl ClaimState {
-    /// Whether nothing more will come of it.
+    /// Whether the attempt has ended.
     pub fn is_finished(self) -> bool {
         self != Self::Held
     }
--- a/src/control/claims/verdict.rs
+++ b/src/control/claims/claim_outcome.rs
@@ -1,24 +1,25 @@
-//! What comes of asking for a claim.
+//! The outcome of a request for a claim.
 
 use std::fmt;
 use std::time::Duration;
 
 use crate::control::claims::Claim;
 
-/// What comes of asking for a claim.
+/// The outcome of a request for a claim.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimOutcome {
-    /// It is recorded: the attempt may be dispatched, once.
+    /// The claim is recorded, and the attempt may be dispatched once.
     Claimed,
-    /// An earlier sending holds the key: its answer may be resumed, and nothing may run.
+    /// An earlier request with the same key holds the claim. Its answer may be resumed, and nothing
+    /// may be dispatched.
     HeldBy(Claim),
-    /// The key was used with another content.
+    /// The key is held by a request with different content.
     DifferentContent,
-    /// It could not be recorded, and the attempt must not be dispatched: not run.
+    /// The claim could not be recorded, and the attempt must not be dispatched.
     Unavailable {
-        /// Why.
+        /// The reason for the failure.
         why: ClaimRefusal,
-        /// When the caller should come back, jittered.
+        /// The time after which the caller should retry, with jitter.
         retry_after: Duration,
     },
 }
@@ -26,11 +27,12 @@
 /// Why a claim could not be recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimRefusal {
-    /// The platform does not answer.
+    /// The last calls to the platform failed.
     PlatformDown,
     /// The platform did not answer in time.
     Timeout,
-    /// The shard has no room until finished claims are collected.
+    /// The shard is at its size limit until finished claims are collected, or too many claims of
+    /// the shard are pending at this host.
     Full,
 }
 
--- a/src/control/claims/conf.rs
+++ b/src/control/claims/conf.rs
@@ -1,33 +1,34 @@
-//! The times and bounds of claims.
+//! The timeouts and limits of claims.
 
 use std::time::Duration;
 
-/// The times and bounds of claims.
+/// The timeouts and limits of claims.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClaimConf {
-    /// How many shard objects there are. All hosts must agree on it for good.
+    /// The number of shard objects. The number must be the same on all hosts and must never change.
     pub shards: u32,
-    /// The largest shard object. The platform holds values up to a megabyte; the rest is left for
-    /// the object's envelope.
+    /// The maximum size of the claims in one shard object, in bytes. The platform stores objects of
+    /// up to one megabyte; the difference is left for the envelope of the object.
     pub shard_bytes_max: usize,
-    /// How many claims of one shard may wait at one host.
+    /// The maximum number of claims of one shard that may be pending at one host.
     pub waiting_max: usize,
     /// How long a caller waits for its claim before it is told "not run".
     pub claim_timeout: Duration,
-    /// The least time between two writes of one shard by one host. A shard that was idle is written
-    /// at once; under load the claims of this time share a write.
+    /// The minimum time between two writes of one shard by one host. An idle shard is written at
+    /// once; under load the claims of one interval share a write.
     pub write_interval: Duration,
-    /// How long the end of a claim waits for another write to go along with. Half of all writes were
-    /// ends when it was half a second.
+    /// How long the end of a claim waits for a write that can include it. At 500 ms half of all
+    /// writes contained only ends.
     pub finish_delay: Duration,
-    /// How long a finished claim answers resends. It is counted by each host from when it first saw
-    /// the end, as hosts' clocks differ.
+    /// How long a finished claim is kept to answer resent requests. Each host counts this time from
+    /// when it first saw the end, since the clocks of hosts differ.
     pub finished_memory: Duration,
-    /// The first pause after a call to the platform failed; it doubles with each failure.
+    /// The delay after the first failed call to the platform, which doubles with each failure.
     pub retry_delay: Duration,
-    /// The longest pause.
+    /// The maximum delay after failed calls.
     pub retry_delay_max: Duration,
-    /// After how many failures in a row claims are refused at once. One lost call may be chance.
+    /// The number of consecutive failures after which claims are refused at once. A single lost call
+    /// may be chance.
     pub failures_max: u32,
 }
 
--- a/src/control/claims/key.rs
+++ b/src/control/claims/key.rs
@@ -1,4 +1,4 @@
-//! What a claim is found by.
+//! The key under which a claim is stored.
 
 use std::fmt;
 
@@ -11,19 +11,19 @@
 use crate::units::CustomerId;
 use crate::units::IdempotencyKey;
 
-/// A customer's idempotency key, hashed. The hash is cryptographic, so that no customer can make a
-/// key that meets another one's.
+/// The hash of a customer and an idempotency key. The hash is cryptographic, so that no customer can
+/// construct a key that collides with a key of another customer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ClaimKey(pub ContentHash);
 
 impl ClaimKey {
-    /// The key of one customer's idempotency key.
+    /// Hashes the idempotency key of a customer.
     pub fn new(customer: &CustomerId, key: &IdempotencyKey) -> Self {
         let mut hash = Sha256::new();
         hash.update(customer.as_str());
-        // Names can't hold this byte.
+        // Customer ids cannot contain a zero byte, so the separator is unambiguous.
         hash.update([0]);
         hash.update(key.as_str());
         let digest = hash.finalize();
@@ -33,7 +33,7 @@
         ))
     }
 
-    /// The shard out of `count` that holds the key's claim.
+    /// The index of the shard, out of `count` shards, that stores the claim.
     pub fn shard(self, count: u32) -> u32 {
         u32::try_from(self.0.0 % u128::from(count.max(1))).unwrap_or(0)
     }
--- a/src/control/claims/mod.rs
+++ b/src/control/claims/mod.rs
@@ -1,34 +1,36 @@
-//! Claims of requests that are not repeatable: each runs at most once.
+//! Claims on requests that are not repeatable, so that each of them runs at most once.
 //!
-//! Before its first dispatch such a request's claim is recorded in the platform under a conditional
-//! update. A claim is never freed by lapse of time: only its holder gives it back, with the promise
-//! not to dispatch, so that a pause of any length between claim and dispatch is harmless.
+//! Before the first dispatch of such a request, its claim is recorded in the platform by a
+//! conditional update. A claim never expires while its attempt may run: only its holder gives the
+//! claim back, and thereby promises not to dispatch. A pause of any length between claim and
+//! dispatch is therefore harmless.
 //!
-//! Claims are committed in groups into a fixed number of shard objects. [`ClaimShard`] is the state
-//! machine of one of them, [`ClaimStore`] drives all of them against a platform.
+//! Claims are committed in batches to a fixed number of shard objects. [`ClaimShard`] is the state
+//! machine of one shard, and [`ClaimStore`] drives all shards against a platform.
 //!
-//! A claimant that gives up while its write may still take effect tells its caller "not run", which
-//! is true, since it never dispatches. The claim that may come to be is then given back by its
-//! holder as soon as the platform answers, and until the holder knows that it has gone. While the
-//! holder lives, a resend is told to wait or finds the key free; if the holder dies first, the claim
-//! stays, and a resend is told "may have run": too cautious, but never a second run.
+//! A host that abandons a claim while its write may still take effect tells the caller "not run",
+//! which is true, since the host never dispatches. Once the platform answers again, the holder gives
+//! the claim back until it knows that no such write can take effect any more. While the holder
+//! lives, a resent request is told to wait or finds the key free. If the holder dies first, the
+//! claim stays and a resent request is told "may have run", which is too cautious but never leads to
+//! a second run.
 
 mod claim;
+mod claim_outcome;
 mod conf;
 mod key;
 pub mod relay;
 mod shard;
 mod shard_value;
 mod store;
-mod verdict;
 
 pub use claim::Claim;
 pub use claim::ClaimState;
+pub use claim_outcome::ClaimOutcome;
+pub use claim_outcome::ClaimRefusal;
 pub use conf::ClaimConf;
 pub use key::ClaimKey;
 pub use shard::ClaimShard;
 pub use shard::ShardAction;
 pub use shard_value::ShardValue;
 pub use store::ClaimStore;
-pub use verdict::ClaimOutcome;
-pub use verdict::ClaimRefusal;
--- a/src/control/claims/relay.rs
+++ b/src/control/claims/relay.rs
@@ -1,8 +1,7 @@
-//! Calls to the platform that a host asks a peer to make for it.
+//! Encoding and decoding of calls to the platform that a peer makes for a host.
 //!
-//! A host that is cut off from the platform goes on claiming through a peer that is not. The reply
-//! tells the same kinds of failure apart; a peer that was asked and gives no answer leaves the
-//! effect of a write unknown.
+//! A host that cannot reach the platform records claims through a peer that can. The reply keeps the
+//! kinds of failure apart; if the peer does not answer, the effect of a write is unknown.
 
 use crate::objects::Expected;
 use crate::objects::Kind;
@@ -14,30 +13,30 @@
 use crate::peer::message::PlatformReply;
 use crate::units::ObjectVersion;
 
-const DONE: u32 = 0;
-const ABSENT: u32 = 1;
-const CONFLICT: u32 = 2;
-const REFUSED: u32 = 3;
-const UNAVAILABLE: u32 = 4;
-const UNKNOWN: u32 = 5;
+const STATUS_DONE: u32 = 0;
+const STATUS_ABSENT: u32 = 1;
+const STATUS_CONFLICT: u32 = 2;
+const STATUS_REFUSED: u32 = 3;
+const STATUS_UNAVAILABLE: u32 = 4;
+const STATUS_UNKNOWN: u32 = 5;
 
-/// A call that a peer asks for.
+/// A call to the platform that a peer requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RelayedCall {
     /// Read an object.
     Get(ObjectKey),
     /// Write an object.
     Put {
-        /// Which.
+        /// The key of the object.
         key: ObjectKey,
-        /// Its new value.
+        /// The new value of the object.
         value: serde_json::Value,
-        /// What it must be before.
+        /// The condition on the current state of the object.
         expected: Expected,
     },
 }
 
-/// A read as a message.
+/// Encodes a read.
 pub fn encode_get(key: &ObjectKey) -> PlatformCall {
     PlatformCall {
         kind: key.kind.plural().to_owned(),
@@ -47,7 +46,7 @@
     }
 }
 
-/// A write as a message.
+/// Encodes a write.
 pub fn encode_put(key: &ObjectKey, value: &serde_json::Value, expected: Expected) -> PlatformCall {
     PlatformCall {
         value: Some(value.to_string().into_bytes()),
@@ -59,7 +58,7 @@
     }
 }
 
-/// A call out of a message. One that can't be read is refused, and nothing is done.
+/// Decodes a call. An invalid call is refused and has no effect.
 pub fn decode_call(call: &PlatformCall) -> Result<RelayedCall, PlatformError> {
     let refused = |why: &str| PlatformError::Refused(why.to_owned());
     let kind = Kind::from_plural(&call.kind).ok_or_else(|| refused("unknown kind"))?;
@@ -77,38 +76,38 @@
     })
 }
 
-/// What came of a read as a message.
+/// Encodes the result of a read.
 pub fn encode_get_result(result: &Result<Object, PlatformError>) -> PlatformReply {
     match result {
         Ok(object) => PlatformReply {
-            status: DONE,
+            status: STATUS_DONE,
             why: String::new(),
             version: object.version.0,
             value: object.value.to_string().into_bytes(),
         },
-        Err(error) => error_to(error),
+        Err(error) => encode_error(error),
     }
 }
 
-/// What came of a write as a message.
+/// Encodes the result of a write.
 pub fn encode_put_result(result: &Result<ObjectVersion, PlatformError>) -> PlatformReply {
     match result {
         Ok(version) => PlatformReply {
-            status: DONE,
+            status: STATUS_DONE,
             version: version.0,
             ..Default::default()
         },
-        Err(error) => error_to(error),
+        Err(error) => encode_error(error),
     }
 }
 
-fn error_to(error: &PlatformError) -> PlatformReply {
+fn encode_error(error: &PlatformError) -> PlatformReply {
     let (status, why) = match error {
-        PlatformError::Absent => (ABSENT, ""),
-        PlatformError::Conflict => (CONFLICT, ""),
-        PlatformError::Refused(why) => (REFUSED, why.as_str()),
-        PlatformError::Unavailable(why) => (UNAVAILABLE, why.as_str()),
-        PlatformError::Unknown(why) => (UNKNOWN, why.as_str()),
+        PlatformError::Absent => (STATUS_ABSENT, ""),
+        PlatformError::Conflict => (STATUS_CONFLICT, ""),
+        PlatformError::Refused(why) => (STATUS_REFUSED, why.as_str()),
+        PlatformError::Unavailable(why) => (STATUS_UNAVAILABLE, why.as_str()),
+        PlatformError::Unknown(why) => (STATUS_UNKNOWN, why.as_str()),
     };
     PlatformReply {
         status,
@@ -117,7 +116,7 @@
     }
 }
 
-/// What came of a read, out of a message.
+/// Decodes the result of a read.
 pub fn decode_get_result(key: &ObjectKey, reply: &PlatformReply) -> Result<Object, PlatformError> {
     let version = decode_put_result(reply)?;
     let value = serde_json::from_slice(&reply.value)
@@ -129,21 +128,21 @@
     })
 }
 
-/// What came of a write, out of a message.
+/// Decodes the result of a write.
 pub fn decode_put_result(reply: &PlatformReply) -> Result<ObjectVersion, PlatformError> {
     let why = reply.why.clone();
     match reply.status {
-        DONE => Ok(ObjectVersion(reply.version)),
-        ABSENT => Err(PlatformError::Absent),
-        CONFLICT => Err(PlatformError::Conflict),
-        REFUSED => Err(PlatformError::Refused(why)),
-        UNAVAILABLE => Err(PlatformError::Unavailable(why)),
-        // A newer peer's word that this one does not know proves nothing.
+        STATUS_DONE => Ok(ObjectVersion(reply.version)),
+        STATUS_ABSENT => Err(PlatformError::Absent),
+        STATUS_CONFLICT => Err(PlatformError::Conflict),
+        STATUS_REFUSED => Err(PlatformError::Refused(why)),
+        STATUS_UNAVAILABLE => Err(PlatformError::Unavailable(why)),
+        // The peer may run a newer version with more status codes, so the effect is unknown.
         _ => Err(PlatformError::Unknown(why)),
     }
 }
 
-/// What a call that a peer did not answer amounts to.
+/// The platform error that stands for a failed call to a peer.
 pub fn map_peer_error(error: &PeerError) -> PlatformError {
     let why = error.to_string();
     match error {
--- a/src/control/claims/shard.rs
+++ b/src/control/claims/shard.rs
@@ -1,4 +1,4 @@
-//! The state machine of one shard of claims at one host.
+//! The state machine of one claim shard at one host.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -21,120 +21,129 @@
 use crate::units::AttemptId;
 use crate::units::ObjectVersion;
 
-/// What a shard wants done. Its result comes back by [`ClaimShard::read`] or
-/// [`ClaimShard::written`] before the next step.
+/// The next action of a shard. The driver passes the result of a read or a write to
+/// [`ClaimShard::on_read`] or [`ClaimShard::on_written`] before the next step.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ShardAction {
     /// Read the shard object.
     Read,
-    /// Write it under a condition.
+    /// Write the shard object under a condition.
     Write {
-        /// Its new content.
+        /// The new content of the object.
         value: ShardValue,
-        /// What it must be before.
+        /// The condition on the current state of the object.
         expected: Expected,
     },
-    /// Nothing before this time, unless something new is asked for.
+    /// Do nothing until this time or until the shard is changed.
     Wait(Instant),
-    /// Nothing until something new is asked for.
+    /// Do nothing until the shard is changed.
     Idle,
 }
 
+/// A claim that is not known to be recorded yet.
 #[derive(Clone, Debug)]
-struct Want {
+struct PendingClaim {
     key: ClaimKey,
     claim: Claim,
-    /// When it was asked for, in the order of calls.
-    order: u64,
-    /// Whether a write carried it whose effect has not been seen since.
+    /// The sequence number of the request for the claim.
+    seq: u64,
+    /// Whether a write included the claim and its effect is still unknown.
     may_be_written: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Settling {
+enum UpdateKind {
     GiveBack,
     Finish(ClaimState),
 }
 
-impl Settling {
-    /// Whether a claim that is still there needs nothing more. What has finished is not free again.
+impl UpdateKind {
+    /// Whether a claim in this state needs no update. A finished claim is not given back.
     fn is_done(self, state: ClaimState) -> bool {
         match self {
             Self::GiveBack => state.is_finished(),
-            Self::Finish(wanted) => state == wanted,
+            Self::Finish(target) => state == target,
         }
     }
 }
 
+/// The update of a claim that is not known to be recorded yet.
 #[derive(Clone, Copy, Debug)]
-struct Settle {
+struct PendingUpdate {
     key: ClaimKey,
-    settling: Settling,
+    kind: UpdateKind,
     due: Instant,
 }
 
-/// The content of the object as of some call of this host.
+/// The content of the object as of a call of this host.
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownValue {
+    /// None if the object does not exist.
     version: Option<ObjectVersion>,
     value: ShardValue,
-    order: u64,
+    /// The sequence number of the call.
+    seq: u64,
 }
 
+/// The write that has no result yet.
 #[derive(Clone, Debug)]
-struct Writing {
+struct OpenWrite {
     value: ShardValue,
     expected: Option<ObjectVersion>,
-    order: u64,
+    seq: u64,
 }
 
-/// One shard of claims at one host.
+/// One claim shard at one host.
 ///
-/// The failure this guards against: the answer to a write is lost, and the write took effect, or
-/// takes effect minutes later. Taken for failed, a second claim would let the request run twice;
-/// taken for done, nobody would run it. The guard: after such a write the object is read back, and
-/// a claim counts as recorded only when its own attempt id is seen in it. A write that has not been
-/// seen may still come while the object has the version that it expects; that ends when the object
-/// is known in any other version, if need be by a write that changes nothing.
+/// The shard guards against writes whose answers are lost, and which took effect or take effect
+/// minutes later. If such a write counted as failed, a second claim could let the request run twice;
+/// if it counted as done, the request might never run. The shard therefore reads the object back
+/// after such a write, and a claim counts as recorded only if the object contains its attempt id.
+/// While the object has the version that the write expects, the write may still take effect. Once
+/// the object has any other version, the write cannot succeed any more; if necessary, the shard
+/// advances the version by a write that changes nothing.
 #[derive(Debug)]
 pub struct ClaimShard {
     conf: ClaimConf,
     rng: StdRng,
-    order: u64,
-    known: Option<Known>,
-    reading: Option<u64>,
-    writing: Option<Writing>,
-    /// The version that a write without an answer expected.
-    doubt: Option<Option<ObjectVersion>>,
-    wants: IndexMap<AttemptId, Want>,
-    settles: IndexMap<AttemptId, Settle>,
-    finished_seen: IndexMap<AttemptId, Instant>,
-    verdicts: Vec<(AttemptId, ClaimOutcome)>,
+    /// The sequence number of the last call to the platform or request for a claim.
+    last_seq: u64,
+    known: Option<KnownValue>,
+    /// The sequence number of the read that has no result yet.
+    open_read: Option<u64>,
+    open_write: Option<OpenWrite>,
+    /// The version that a write with an unknown effect expected.
+    unconfirmed_write: Option<Option<ObjectVersion>>,
+    pending_claims: IndexMap<AttemptId, PendingClaim>,
+    pending_updates: IndexMap<AttemptId, PendingUpdate>,
+    /// When this host first saw that a claim had finished.
+    finished_seen_at: IndexMap<AttemptId, Instant>,
+    outcomes: Vec<(AttemptId, ClaimOutcome)>,
     failures: u32,
     retry_at: Option<Instant>,
     next_write_at: Option<Instant>,
-    /// Whether other hosts write the object so often that what is known is old by the next write.
-    /// Then it is read first: a write that fails costs as much as one that does not, and reads are
-    /// cheaper.
+    /// Whether other hosts write the object so often that the known content is outdated by the next
+    /// write. In that case the object is read before each write, since a failed write costs as much
+    /// as a successful one and a read costs less.
     is_contended: bool,
     is_just_read: bool,
 }
 
 impl ClaimShard {
-    /// A shard of which nothing is known yet.
+    /// A shard whose content is not known yet.
     pub fn new(conf: ClaimConf, rng: StdRng) -> Self {
         Self {
             conf,
             rng,
-            order: 0,
+            last_seq: 0,
             known: None,
-            reading: None,
-            writing: None,
-            doubt: None,
-            wants: IndexMap::new(),
-            settles: IndexMap::new(),
-            finished_seen: IndexMap::new(),
-            verdicts: Vec::new(),
+            open_read: None,
+            open_write: None,
+            unconfirmed_write: None,
+            pending_claims: IndexMap::new(),
+            pending_updates: IndexMap::new(),
+            finished_seen_at: IndexMap::new(),
+            outcomes: Vec::new(),
             failures: 0,
             retry_at: None,
             next_write_at: None,
@@ -143,76 +152,77 @@
         }
     }
 
-    /// Asks for a claim. Its verdict comes among [`ClaimShard::take_verdicts`].
-    pub fn want(&mut self, key: ClaimKey, claim: Claim, now: Instant) {
+    /// Requests a claim. The outcome is returned by [`ClaimShard::take_outcomes`].
+    pub fn claim(&mut self, key: ClaimKey, claim: Claim, now: Instant) {
         let attempt = claim.attempt;
         let is_down = self.failures >= self.conf.failures_max;
         if is_down && self.retry_at.is_some_and(|at| now < at) {
             return self.refuse(attempt, ClaimRefusal::PlatformDown);
         }
-        let pending = self.wants.len() + self.settles.len();
+        let pending = self.pending_claims.len() + self.pending_updates.len();
         if pending >= self.conf.waiting_max {
             return self.refuse(attempt, ClaimRefusal::Full);
         }
-        self.order += 1;
-        let want = Want {
+        self.last_seq += 1;
+        let pending_claim = PendingClaim {
             key,
             claim,
-            order: self.order,
+            seq: self.last_seq,
             may_be_written: false,
         };
-        self.wants.insert(attempt, want);
+        self.pending_claims.insert(attempt, pending_claim);
     }
 
-    /// Gives a claim back, wanted or recorded, with the promise that its attempt is never
-    /// dispatched. It is done when [`ClaimShard::is_settled`].
+    /// Gives a pending or recorded claim back, with the promise that its attempt is never dispatched.
+    /// The claim is free once [`ClaimShard::is_settled`] returns true.
     pub fn give_back(&mut self, key: ClaimKey, attempt: AttemptId, now: Instant) {
-        let want = self.wants.shift_remove(&attempt);
-        if want.is_some_and(|want| !want.may_be_written) {
+        let claim = self.pending_claims.shift_remove(&attempt);
+        if claim.is_some_and(|claim| !claim.may_be_written) {
             return;
         }
-        let settle = Settle {
+        let update = PendingUpdate {
             key,
-            settling: Settling::GiveBack,
+            kind: UpdateKind::GiveBack,
             due: now,
         };
-        // An attempt that has ended was dispatched, whatever came later.
-        self.settles.entry(attempt).or_insert(settle);
+        // A pending end takes precedence, since an attempt that has ended was dispatched.
+        self.pending_updates.entry(attempt).or_insert(update);
     }
 
-    /// Records how a claimed attempt ended. Any host that knows may say so.
+    /// Records how a claimed attempt ended. Any host that knows the end may record it.
     pub fn finish(&mut self, key: ClaimKey, attempt: AttemptId, state: ClaimState, now: Instant) {
-        let settle = Settle {
+        let update = PendingUpdate {
             key,
-            settling: Settling::Finish(state),
+            kind: UpdateKind::Finish(state),
             due: now + self.conf.finish_delay,
         };
-        self.settles.insert(attempt, settle);
+        self.pending_updates.insert(attempt, update);
     }
 
-    /// Whether nothing is left to be recorded of an attempt.
+    /// Whether nothing is pending for an attempt.
     pub fn is_settled(&self, attempt: AttemptId) -> bool {
-        !self.wants.contains_key(&attempt) && !self.settles.contains_key(&attempt)
+        !self.pending_claims.contains_key(&attempt) && !self.pending_updates.contains_key(&attempt)
     }
 
-    /// How many claims are to be recorded, given back or ended. A host that drains waits for none.
+    /// The number of claims that are still to be recorded, given back or ended. A draining host waits
+    /// until the number is zero.
     pub fn pending(&self) -> usize {
-        self.wants.len() + self.settles.len()
+        self.pending_claims.len() + self.pending_updates.len()
     }
 
-    /// When a caller whose claim could not be recorded should come back, jittered.
+    /// The time, with jitter, after which a caller whose claim could not be recorded should retry.
     pub fn retry_after(&mut self) -> Duration {
-        self.jittered(self.conf.retry_delay_max)
+        self.with_jitter(self.conf.retry_delay_max)
     }
 
-    /// The verdicts since the last call.
-    pub fn take_verdicts(&mut self) -> Vec<(AttemptId, ClaimOutcome)> {
-        std::mem::take(&mut self.verdicts)
+    /// Returns the outcomes since the last call.
+    pub fn take_outcomes(&mut self) -> Vec<(AttemptId, ClaimOutcome)> {
+        std::mem::take(&mut self.outcomes)
     }
 
-    /// What to do next. At most one read or write is open at a time.
+    /// Starts the next action. At most one read or write is open at a time.
     pub fn step(&mut self, now: Instant) -> ShardAction {
-        if self.reading.is_some() || self.writing.is_some() || self.pending() == 0 {
+        if self.open_read.is_some() || self.open_write.is_some() || self.pending() == 0 {
             return ShardAction::Idle;
         }
         if let Some(at) = self.retry_at.filter(|at| now < *at) {
@@ -221,50 +231,50 @@
         let Some(known) = &self.known else {
             return self.start_read();
         };
-        let (value, settled) = self.settled_value(known, now);
-        if self.needs_fresh(&value, known.order) {
+        let (value, applied) = self.updated_value(known, now);
+        if self.needs_read(&value, known.seq) {
             return self.start_read();
         }
-        self.answer_held(&value);
-        if let Some(at) = self.too_early(now) {
+        self.resolve_held(&value);
+        if let Some(at) = self.write_delayed_until(now) {
             return ShardAction::Wait(at);
         }
         if self.is_contended && !self.is_just_read {
             return self.start_read();
         }
-        self.start_write(value, settled, now)
+        self.start_write(value, applied, now)
     }
 
-    /// Takes in what came of [`ShardAction::Read`].
-    pub fn read(&mut self, result: Result<Object, PlatformError>, now: Instant) {
-        let Some(order) = self.reading.take() else {
+    /// Handles the result of [`ShardAction::Read`].
+    pub fn on_read(&mut self, result: Result<Object, PlatformError>, now: Instant) {
+        let Some(seq) = self.open_read.take() else {
             return;
         };
-        let got = match result {
+        let content = match result {
             Ok(object) => {
                 ShardValue::from_json(object.value).map(|value| (Some(object.version), value))
             }
             Err(PlatformError::Absent) => Ok((None, ShardValue::default())),
             Err(error) => Err(error),
         };
-        match got {
+        match content {
             Ok((version, value)) => {
                 let known = self.known.as_ref();
                 self.is_contended &= known.is_none_or(|known| known.version != version);
                 self.is_just_read = true;
-                self.learn(version, value, order, now);
+                self.set_known(version, value, seq, now);
             }
-            Err(error) => self.fail(&error, now),
+            Err(error) => self.on_failure(&error, now),
         }
     }
 
-    /// Takes in what came of [`ShardAction::Write`].
-    pub fn written(&mut self, result: Result<ObjectVersion, PlatformError>, now: Instant) {
-        let Some(writing) = self.writing.take() else {
+    /// Handles the result of [`ShardAction::Write`].
+    pub fn on_written(&mut self, result: Result<ObjectVersion, PlatformError>, now: Instant) {
+        let Some(write) = self.open_write.take() else {
             return;
         };
         match result {
-            Ok(version) => self.learn(Some(version), writing.value, writing.order, now),
+            Ok(version) => self.set_known(Some(version), write.value, write.seq, now),
             Err(PlatformError::Conflict | PlatformError::Absent) => {
                 self.known = None;
                 self.is_contended = true;
@@ -272,72 +282,83 @@
             }
             Err(error) => {
                 if matches!(error, PlatformError::Unknown(_)) {
-                    self.doubt = Some(writing.expected);
+                    self.unconfirmed_write = Some(write.expected);
                 }
                 self.known = None;
-                self.fail(&error, now);
+                self.on_failure(&error, now);
             }
         }
     }
 
     fn start_read(&mut self) -> ShardAction {
-        self.order += 1;
-        self.reading = Some(self.order);
+        self.last_seq += 1;
+        self.open_read = Some(self.last_seq);
         ShardAction::Read
     }
 
-    /// The known content with all that is settled applied, and the attempts that this settles.
-    fn settled_value(&self, known: &Known, now: Instant) -> (ShardValue, Vec<AttemptId>) {
+    /// The known content with the pending updates applied if a write is due, and the attempts whose
+    /// updates were applied.
+    fn updated_value(&self, known: &KnownValue, now: Instant) -> (ShardValue, Vec<AttemptId>) {
         let mut value = known.value.clone();
-        let mut settled = Vec::new();
-        let is_due =
-            self.settles.values().any(|settle| settle.due <= now) || !self.wants.is_empty();
-        for (attempt, settle) in self.settles.iter().filter(|_| is_due) {
-            settled.push(*attempt);
-            let Some(claim) = value.claims.get_mut(&settle.key) else {
+        let mut applied = Vec::new();
+        let is_due = self
+            .pending_updates
+            .values()
+            .any(|update| update.due <= now)
+            || !self.pending_claims.is_empty();
+        for (attempt, update) in self.pending_updates.iter().filter(|_| is_due) {
+            applied.push(*attempt);
+            let Some(claim) = value.claims.get_mut(&update.key) else {
                 continue;
             };
             if claim.attempt != *attempt {
                 continue;
             }
-            match settle.settling {
-                Settling::Finish(state) => claim.state = state,
-                Settling::GiveBack if claim.state.is_finished() => (),
-                Settling::GiveBack => {
-                    value.claims.swap_remove(&settle.key);
+            match update.kind {
+                UpdateKind::Finish(state) => claim.state = state,
+                UpdateKind::GiveBack if claim.state.is_finished() => (),
+                UpdateKind::GiveBack => {
+                    value.claims.swap_remove(&update.key);
                 }
             }
         }
-        (value, settled)
+        (value, applied)
     }
 
-    /// Whether some wanted key is held as far as is known, but what is known is older than the
-    /// question: the claim may have been given back since.
-    fn needs_fresh(&self, value: &ShardValue, known_order: u64) -> bool {
-        self.wants.values().any(|want| {
-            let held = value.claims.get(&want.key);
-            held.is_some_and(|held| held.attempt != want.claim.attempt) && want.order > known_order
+    /// Whether the known content shows a requested key as held but is older than the request, so that
+    /// the claim may have been given back meanwhile.
+    fn needs_read(&self, value: &ShardValue, known_seq: u64) -> bool {
+        self.pending_claims.values().any(|pending| {
+            let held = value.claims.get(&pending.key);
+            held.is_some_and(|held| held.attempt != pending.claim.attempt)
+                && pending.seq > known_seq
         })
     }
 
-    fn answer_held(&mut self, value: &ShardValue) {
-        let held = self.wants.values().filter_map(|want| {
-            let held = value.claims.get(&want.key)?;
-            (held.attempt != want.claim.attempt).then(|| (want.claim.clone(), held.clone()))
+    /// Resolves the pending claims whose keys are held by other attempts.
+    fn resolve_held(&mut self, value: &ShardValue) {
+        let held = self.pending_claims.values().filter_map(|pending| {
+            let held = value.claims.get(&pending.key)?;
+            (held.attempt != pending.claim.attempt).then(|| (pending.claim.clone(), held.clone()))
         });
-        for (wanted, held) in held.collect::<Vec<_>>() {
-            let verdict = if held.content == wanted.content {
+        for (claim, held) in held.collect::<Vec<_>>() {
+            let outcome = if held.content == claim.content {
                 ClaimOutcome::HeldBy(held)
             } else {
                 ClaimOutcome::DifferentContent
             };
-            self.answer(wanted.attempt, verdict);
+            self.resolve(claim.attempt, outcome);
         }
     }
 
-    fn too_early(&self, now: Instant) -> Option<Instant> {
-        let due = self.settles.values().map(|settle| settle.due).min();
-        let due = if self.wants.is_empty() { due } else { None };
+    /// The time of the next write if it is not due yet.
+    fn write_delayed_until(&self, now: Instant) -> Option<Instant> {
+        let due = self.pending_updates.values().map(|update| update.due).min();
+        let due = if self.pending_claims.is_empty() {
+            due
+        } else {
+            None
+        };
         let at = self.next_write_at.max(due)?;
         (now < at).then_some(at)
     }
@@ -345,28 +366,28 @@
     fn start_write(
         &mut self,
         mut value: ShardValue,
-        settled: Vec<AttemptId>,
+        applied: Vec<AttemptId>,
         now: Instant,
     ) -> ShardAction {
         self.collect_finished(&mut value, now);
-        self.add_wanted(&mut value, now);
+        self.add_pending_claims(&mut value, now);
         let Some(known) = &self.known else {
             return ShardAction::Idle;
         };
-        // With a write in doubt, even an unchanged object is written: that moves its version on,
-        // and what has not taken effect by then never will.
-        if value == known.value && self.doubt.is_none() {
-            for attempt in settled {
-                self.settles.swap_remove(&attempt);
+        // After an unconfirmed write even an unchanged object is written. This advances the version,
+        // so that the unconfirmed write cannot take effect any more.
+        if value == known.value && self.unconfirmed_write.is_none() {
+            for attempt in applied {
+                self.pending_updates.swap_remove(&attempt);
             }
             return ShardAction::Idle;
         }
         let version = known.version;
-        self.order += 1;
-        self.writing = Some(Writing {
+        self.last_seq += 1;
+        self.open_write = Some(OpenWrite {
             value: value.clone(),
             expected: version,
-            order: self.order,
+            seq: self.last_seq,
         });
         self.is_just_read = false;
         self.next_write_at = Some(now + self.conf.write_interval);
@@ -374,126 +395,138 @@
         ShardAction::Write { value, expected }
     }
 
-    fn add_wanted(&mut self, value: &mut ShardValue, now: Instant) {
+    /// Adds the pending claims whose keys are free, and rejects those that exceed the size limit.
+    fn add_pending_claims(&mut self, value: &mut ShardValue, now: Instant) {
         let mut size = value.size_bytes();
-        let mut full = Vec::new();
-        for (attempt, want) in &mut self.wants {
-            if value.claims.contains_key(&want.key) {
+        let mut rejected = Vec::new();
+        for (attempt, pending) in &mut self.pending_claims {
+            if value.claims.contains_key(&pending.key) {
                 continue;
             }
-            let entry = entry_bytes(&want.claim);
+            let entry = entry_bytes(&pending.claim);
             if size + entry > self.conf.shard_bytes_max {
-                full.push(*attempt);
+                rejected.push(*attempt);
                 continue;
             }
             size += entry;
-            want.may_be_written = true;
-            value.claims.insert(want.key, want.claim.clone());
+            pending.may_be_written = true;
+            value.claims.insert(pending.key, pending.claim.clone());
         }
-        for attempt in full {
-            self.turn_away(attempt, ClaimRefusal::Full, now);
+        for attempt in rejected {
+            self.reject(attempt, ClaimRefusal::Full, now);
         }
     }
 
-    /// Drops claims that ended long ago, when there is a write to go along with.
+    /// Removes the claims that finished longer ago than they are kept. This never causes a write of
+    /// its own.
     fn collect_finished(&self, value: &mut ShardValue, now: Instant) {
         value.claims.retain(|_, claim| {
-            let seen_at = self.finished_seen.get(&claim.attempt);
+            let seen_at = self.finished_seen_at.get(&claim.attempt);
             let is_old = |at: &Instant| now.duration_since(*at) >= self.conf.finished_memory;
             !(claim.state.is_finished() && seen_at.is_some_and(is_old))
         });
     }
 
-    fn learn(
+    /// Records the content of the object as of the call `seq`, and resolves what it confirms.
+    fn set_known(
         &mut self,
         version: Option<ObjectVersion>,
         value: ShardValue,
-        order: u64,
+        seq: u64,
         now: Instant,
     ) {
         self.failures = 0;
         self.retry_at = None;
-        // A read may lag and show an older version, which proves nothing.
-        if self.doubt.is_some_and(|expected| version > expected) {
-            self.doubt = None;
+        // A stale read may show an older version, which does not rule the write out.
+        if self
+            .unconfirmed_write
+            .is_some_and(|expected| version > expected)
+        {
+            self.unconfirmed_write = None;
         }
-        self.note_finished(&value, now);
-        let is_recorded = |want: &Want| {
-            let held = value.claims.get(&want.key);
-            held.is_some_and(|held| held.attempt == want.claim.attempt)
+        self.record_finished(&value, now);
+        let is_recorded = |pending: &PendingClaim| {
+            let held = value.claims.get(&pending.key);
+            held.is_some_and(|held| held.attempt == pending.claim.attempt)
         };
-        let recorded = self.wants.iter().filter(|(_, want)| is_recorded(want));
+        let recorded = self
+            .pending_claims
+            .iter()
+            .filter(|(_, pending)| is_recorded(pending));
         for attempt in recorded.map(|(attempt, _)| *attempt).collect::<Vec<_>>() {
-            self.answer(attempt, ClaimOutcome::Claimed);
+            self.resolve(attempt, ClaimOutcome::Claimed);
         }
-        if self.doubt.is_none() {
-            for want in self.wants.values_mut() {
-                want.may_be_written = false;
+        if self.unconfirmed_write.is_none() {
+            for pending in self.pending_claims.values_mut() {
+                pending.may_be_written = false;
             }
-            self.settles.retain(|attempt, settle| {
-                let held = value.claims.get(&settle.key);
+            self.pending_updates.retain(|attempt, update| {
+                let held = value.claims.get(&update.key);
                 held.is_some_and(|held| {
-                    held.attempt == *attempt && !settle.settling.is_done(held.state)
+                    held.attempt == *attempt && !update.kind.is_done(held.state)
                 })
             });
         }
-        self.known = Some(Known {
+        self.known = Some(KnownValue {
             version,
             value,
-            order,
+            seq,
         });
     }
 
-    fn note_finished(&mut self, value: &ShardValue, now: Instant) {
+    /// Updates the times at which this host first saw claims finished.
+    fn record_finished(&mut self, value: &ShardValue, now: Instant) {
         let mut seen = IndexMap::new();
         for claim in value
             .claims
             .values()
             .filter(|claim| claim.state.is_finished())
         {
-            let at = self.finished_seen.get(&claim.attempt).copied();
+            let at = self.finished_seen_at.get(&claim.attempt).copied();
             seen.insert(claim.attempt, at.unwrap_or(now));
         }
-        self.finished_seen = seen;
+        self.finished_seen_at = seen;
     }
 
-    /// A call failed. After a few in a row all that wait are told "not run"; what a lost write may
-    /// have recorded for them is given back when the platform answers again.
-    fn fail(&mut self, error: &PlatformError, now: Instant) {
+    /// Handles a failed call. After [`ClaimConf::failures_max`] consecutive failures all pending
+    /// claims are rejected; those that a lost write may have recorded are given back once the
+    /// platform answers again.
+    fn on_failure(&mut self, error: &PlatformError, now: Instant) {
         self.failures += 1;
         let doublings = self.failures.min(16) - 1;
         let delay = self.conf.retry_delay.saturating_mul(1 << doublings);
-        let delay = self.jittered(delay.min(self.conf.retry_delay_max));
+        let delay = self.with_jitter(delay.min(self.conf.retry_delay_max));
         self.retry_at = Some(now + delay);
-        log::warn!("claims: {error}, next try in {} ms", delay.as_millis());
+        log::warn!("claims: {error}, retry in {} ms", delay.as_millis());
         if self.failures < self.conf.failures_max {
             return;
         }
-        for attempt in self.wants.keys().copied().collect::<Vec<_>>() {
-            self.turn_away(attempt, ClaimRefusal::PlatformDown, now);
+        for attempt in self.pending_claims.keys().copied().collect::<Vec<_>>() {
+            self.reject(attempt, ClaimRefusal::PlatformDown, now);
         }
     }
 
-    fn turn_away(&mut self, attempt: AttemptId, why: ClaimRefusal, now: Instant) {
+    /// Refuses a pending claim and gives back what may have been recorded for it.
+    fn reject(&mut self, attempt: AttemptId, why: ClaimRefusal, now: Instant) {
         self.refuse(attempt, why);
-        if let Some(key) = self.wants.get(&attempt).map(|want| want.key) {
+        if let Some(key) = self.pending_claims.get(&attempt).map(|pending| pending.key) {
             self.give_back(key, attempt, now);
         }
     }
 
     fn refuse(&mut self, attempt: AttemptId, why: ClaimRefusal) {
         let retry_after = self.retry_after();
-        let verdict = ClaimOutcome::Unavailable { why, retry_after };
-        self.verdicts.push((attempt, verdict));
+        let outcome = ClaimOutcome::Unavailable { why, retry_after };
+        self.outcomes.push((attempt, outcome));
     }
 
-    fn answer(&mut self, attempt: AttemptId, verdict: ClaimOutcome) {
-        self.wants.shift_remove(&attempt);
-        self.verdicts.push((attempt, verdict));
+    fn resolve(&mut self, attempt: AttemptId, outcome: ClaimOutcome) {
+        self.pending_claims.shift_remove(&attempt);
+        self.outcomes.push((attempt, outcome));
     }
 
-    /// Between half and all of `delay`, so that hosts do not come back together.
-    fn jittered(&mut self, delay: Duration) -> Duration {
+    /// A random duration between half of `delay` and `delay`, so that hosts do not retry together.
+    fn with_jitter(&mut self, delay: Duration) -> Duration {
         delay.mul_f64(self.rng.random_range(0.5..=1.0))
     }
 }
--- a/src/control/claims/store.rs
+++ b/src/control/claims/store.rs
@@ -1,4 +1,4 @@
-//! Drives the shards of claims against the platform.
+//! The driver of the claim shards of a host.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -26,164 +26,167 @@
 use crate::objects::Platform;
 use crate::units::AttemptId;
 
-/// All claims of this host. Needs a tokio runtime with time; each shard that has something to do is
-/// driven by a task of its own, which ends when there is nothing left.
+/// The claims of this host. The store needs a tokio runtime with time enabled: each shard with
+/// pending work is driven by its own task, which ends when nothing is pending.
 ///
-/// Dropping the future of [`ClaimStore::claim`] gives the claim back: whoever does not see
-/// `Claimed` must not dispatch.
+/// Dropping the future of [`ClaimStore::claim`] gives the claim back. A caller may dispatch only if
+/// it gets [`ClaimOutcome::Claimed`].
 pub struct ClaimStore {
     conf: ClaimConf,
-    shards: Vec<Arc<Slot>>,
+    drivers: Vec<Arc<ShardDriver>>,
 }
 
-struct Slot {
-    name: ObjectKey,
+/// One shard, its object in the platform, and the state that its task shares with callers.
+struct ShardDriver {
+    object: ObjectKey,
     platform: Arc<dyn Platform>,
     clock: Arc<dyn Clock>,
-    state: Mutex<SlotState>,
+    state: Mutex<DriverState>,
     changed: Notify,
 }
 
-struct SlotState {
+struct DriverState {
     shard: ClaimShard,
     waiters: IndexMap<AttemptId, oneshot::Sender<ClaimOutcome>>,
-    is_driven: bool,
+    has_task: bool,
 }
 
 impl ClaimStore {
-    /// A store over `platform`, which may be a relay through peers.
+    /// A store that records its claims in `platform`, which may relay calls through peers.
     pub fn new(
         platform: &Arc<dyn Platform>,
         clock: &Arc<dyn Clock>,
         conf: ClaimConf,
         rng: &mut StdRng,
     ) -> Self {
-        let slot = |shard: u32| {
-            let state = SlotState {
+        let driver = |shard: u32| {
+            let state = DriverState {
                 shard: ClaimShard::new(conf.clone(), StdRng::from_rng(rng)),
                 waiters: IndexMap::new(),
-                is_driven: false,
+                has_task: false,
             };
-            Arc::new(Slot {
-                name: ObjectKey::new(Kind::Claims, format!("shard-{shard:02}")),
+            Arc::new(ShardDriver {
+                object: ObjectKey::new(Kind::Claims, format!("shard-{shard:02}")),
                 platform: Arc::clone(platform),
                 clock: Arc::clone(clock),
                 state: Mutex::new(state),
                 changed: Notify::new(),
             })
         };
-        let shards = (0..conf.shards.max(1)).map(slot).collect();
-        Self { conf, shards }
+        let drivers = (0..conf.shards.max(1)).map(driver).collect();
+        Self { conf, drivers }
     }
 
-    /// Records a claim before the first dispatch. Only `Claimed` allows to dispatch.
+    /// Records a claim before the first dispatch. The attempt may be dispatched only if the outcome
+    /// is [`ClaimOutcome::Claimed`].
     pub async fn claim(&self, key: ClaimKey, claim: Claim) -> ClaimOutcome {
-        let slot = self.slot(key);
+        let driver = self.driver(key);
         let attempt = claim.attempt;
-        let (sender, verdict) = oneshot::channel();
+        let (sender, outcome) = oneshot::channel();
         let mut guard = GiveBackGuard {
-            slot: Some(Arc::clone(&slot)),
+            driver: Some(Arc::clone(&driver)),
             key,
             attempt,
         };
-        slot.change(|state, now| {
+        driver.update(|state, now| {
             state.waiters.insert(attempt, sender);
-            state.shard.want(key, claim, now);
+            state.shard.claim(key, claim, now);
         });
-        let verdict = tokio::time::timeout(self.conf.claim_timeout, verdict).await;
-        let Ok(Ok(verdict)) = verdict else {
+        let outcome = tokio::time::timeout(self.conf.claim_timeout, outcome).await;
+        let Ok(Ok(outcome)) = outcome else {
             return ClaimOutcome::Unavailable {
                 why: ClaimRefusal::Timeout,
-                retry_after: slot.lock().shard.retry_after(),
+                retry_after: driver.lock().shard.retry_after(),
             };
         };
-        guard.slot = None;
-        verdict
+        guard.driver = None;
+        outcome
     }
 
-    /// Gives a claim back, with the promise that its attempt is and will not be dispatched. It goes
-    /// on until the platform has it, also after this call.
+    /// Gives a claim back, with the promise that its attempt was not and will not be dispatched. The
+    /// store retries in the background until the platform has recorded it.
     pub fn give_back(&self, key: ClaimKey, attempt: AttemptId) {
-        let give_back = |state: &mut SlotState, now| state.shard.give_back(key, attempt, now);
-        self.slot(key).change(give_back);
+        let give_back = |state: &mut DriverState, now| state.shard.give_back(key, attempt, now);
+        self.driver(key).update(give_back);
     }
 
-    /// Records how a claimed attempt ended, so that its claim is collected some time later. It goes
-    /// on until the platform has it, also after this call.
+    /// Records how a claimed attempt ended, so that its claim can be collected later. The store
+    /// retries in the background until the platform has recorded it.
     pub fn finish(&self, key: ClaimKey, attempt: AttemptId, state: ClaimState) {
-        let finish = |slot: &mut SlotState, now| slot.shard.finish(key, attempt, state, now);
-        self.slot(key).change(finish);
+        let finish = |driver: &mut DriverState, now| driver.shard.finish(key, attempt, state, now);
+        self.driver(key).update(finish);
     }
 
-    /// How many claims are to be recorded, given back or ended. A host that drains waits a bounded
-    /// time for none: what it leaves behind answers resends with "may have run".
+    /// The number of claims that are still to be recorded, given back or ended. A draining host waits
+    /// a limited time until the number is zero; requests resent for claims that it leaves behind are
+    /// told "may have run".
     pub fn pending(&self) -> usize {
-        let pending = |slot: &Arc<Slot>| slot.lock().shard.pending();
-        self.shards.iter().map(pending).sum()
+        let pending = |driver: &Arc<ShardDriver>| driver.lock().shard.pending();
+        self.drivers.iter().map(pending).sum()
     }
 
-    fn slot(&self, key: ClaimKey) -> Arc<Slot> {
+    fn driver(&self, key: ClaimKey) -> Arc<ShardDriver> {
         let shard = key.shard(self.conf.shards);
         let index = usize::try_from(shard).unwrap_or(0);
-        Arc::clone(&self.shards[index])
+        Arc::clone(&self.drivers[index])
     }
 }
 
-impl Slot {
-    fn lock(&self) -> MutexGuard<'_, SlotState> {
+impl ShardDriver {
+    fn lock(&self) -> MutexGuard<'_, DriverState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the shard and sees to it that it is driven.
-    fn change(self: &Arc<Self>, change: impl FnOnce(&mut SlotState, Instant)) {
+    /// Updates the shard and ensures that a task drives it.
+    fn update(self: &Arc<Self>, update: impl FnOnce(&mut DriverState, Instant)) {
         let mut state = self.lock();
-        change(&mut state, self.clock.now());
-        state.deliver();
-        if state.is_driven {
+        update(&mut state, self.clock.now());
+        state.send_outcomes();
+        if state.has_task {
             self.changed.notify_one();
             return;
         }
-        // A runtime that shuts down drops futures where nothing can be spawned any more.
+        // A runtime that shuts down drops futures outside its context, where no task can be spawned.
         let Ok(runtime) = tokio::runtime::Handle::try_current() else {
             return;
         };
-        state.is_driven = true;
-        runtime.spawn(Arc::clone(self).drive());
+        state.has_task = true;
+        runtime.spawn(Arc::clone(self).run());
     }
 
-    async fn drive(self: Arc<Self>) {
+    async fn run(self: Arc<Self>) {
         loop {
             let action = {
                 let mut state = self.lock();
                 let action = state.shard.step(self.clock.now());
-                state.deliver();
-                // Told a verdict, the shard may have nothing left or something new to do.
+                state.send_outcomes();
+                // An idle step may have resolved the pending work or left new work.
                 if action == ShardAction::Idle && state.shard.pending() == 0 {
-                    state.is_driven = false;
+                    state.has_task = false;
                     return;
                 }
                 action
             };
-            self.act(action).await;
+            self.execute(action).await;
         }
     }
 
-    async fn act(&self, action: ShardAction) {
+    async fn execute(&self, action: ShardAction) {
         match action {
             ShardAction::Read => {
-                let result = self.platform.get(self.name.clone()).await;
-                self.lock().shard.read(result, self.clock.now());
+                let result = self.platform.get(self.object.clone()).await;
+                self.lock().shard.on_read(result, self.clock.now());
             }
             ShardAction::Write { value, expected } => {
                 let result = match value.to_json() {
-                    Ok(json) => self.platform.put(self.name.clone(), json, expected).await,
+                    Ok(json) => self.platform.put(self.object.clone(), json, expected).await,
                     Err(error) => Err(error),
                 };
-                self.lock().shard.written(result, self.clock.now());
+                self.lock().shard.on_written(result, self.clock.now());
             }
             ShardAction::Wait(until) => {
                 let wait = until.saturating_duration_since(self.clock.now());
-                // Something new may be due sooner; so the end of either is no error.
+                // Either a change of the shard or the timeout ends the wait.
                 let _ = tokio::time::timeout(wait, self.changed.notified()).await;
             }
             ShardAction::Idle => tokio::task::yield_now().await,
@@ -191,30 +194,30 @@
     }
 }
 
-impl SlotState {
-    fn deliver(&mut self) {
-        for (attempt, verdict) in self.shard.take_verdicts() {
-            // One whose waiter has gone was given back by its guard.
+impl DriverState {
+    fn send_outcomes(&mut self) {
+        for (attempt, outcome) in self.shard.take_outcomes() {
+            // If the waiter is gone, its guard has given the claim back.
             if let Some(waiter) = self.waiters.swap_remove(&attempt) {
-                let _ = waiter.send(verdict);
+                let _ = waiter.send(outcome);
             }
         }
     }
 }
 
-/// Gives a claim back when its claimant goes away without a verdict, since it will not dispatch.
+/// Gives a claim back on drop, unless its outcome was received.
 struct GiveBackGuard {
-    slot: Option<Arc<Slot>>,
+    driver: Option<Arc<ShardDriver>>,
     key: ClaimKey,
     attempt: AttemptId,
 }
 
 impl Drop for GiveBackGuard {
     fn drop(&mut self) {
-        let Some(slot) = self.slot.take() else {
+        let Some(driver) = self.driver.take() else {
             return;
         };
-        slot.change(|state, now| {
+        driver.update(|state, now| {
             state.waiters.swap_remove(&self.attempt);
             state.shard.give_back(self.key, self.attempt, now);
         });
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -69,7 +69,7 @@
 
     fn want(&mut self, at: usize, key: &str, attempt: u128) {
         let claim = self.claim(at, attempt, 1);
-        self.shards[at].want(claim_key(key), claim, self.clock.now());
+        self.shards[at].claim(claim_key(key), claim, self.clock.now());
     }
 
     fn give_back(&mut self, at: usize, key: &str, attempt: u128) {
@@ -82,12 +82,12 @@
             match self.shards[at].step(self.clock.now()) {
                 ShardAction::Read => {
                     let result = self.object.get(fault);
-                    self.shards[at].read(result, self.clock.now());
+                    self.shards[at].on_read(result, self.clock.now());
                     return true;
                 }
                 ShardAction::Write { value, expected } => {
                     let result = self.object.put(value, expected, fault);
-                    self.shards[at].written(result, self.clock.now());
+                    self.shards[at].on_written(result, self.clock.now());
                     return true;
                 }
                 ShardAction::Wait(until) => self.clock.advance(until - self.clock.now()),
@@ -107,7 +107,7 @@
     }
 
     fn verdicts(&mut self, at: usize) -> Vec<ClaimOutcome> {
-        let verdicts = self.shards[at].take_verdicts();
+        let verdicts = self.shards[at].take_outcomes();
         verdicts.into_iter().map(|(_, verdict)| verdict).collect()
     }
 }
@@ -253,7 +253,7 @@
     site.want(0, "letter", 10);
     site.settle(0);
     let other = site.claim(0, 11, 2);
-    site.shards[0].want(claim_key("letter"), other, site.clock.now());
+    site.shards[0].claim(claim_key("letter"), other, site.clock.now());
     assert_eq!(site.settle(0), [ClaimOutcome::DifferentContent]);
 }
 
--- a/tests/worlds/claim_world.rs
+++ b/tests/worlds/claim_world.rs
@@ -166,7 +166,7 @@
         let claim = claim(attempt.0, &host(&format!("entry-{at}")), 1);
         self.keys[key].begin(KeyOp::ClaimUnheard { by: attempt });
         self.hosts[at].waiting.push(Sending { key, attempt });
-        self.hosts[at].shard.want(named(key), claim, now);
+        self.hosts[at].shard.claim(named(key), claim, now);
         self.verdicts(at);
     }
 
@@ -183,11 +183,11 @@
             }
             Some(Call::Begun(_)) => Some(Call::Read(self.object.get(fault))),
             Some(Call::Read(result)) => {
-                host.shard.read(result, now);
+                host.shard.on_read(result, now);
                 None
             }
             Some(Call::Written(result)) => {
-                host.shard.written(result, now);
+                host.shard.on_written(result, now);
                 None
             }
         };
@@ -195,7 +195,7 @@
     }
 
     fn verdicts(&mut self, at: usize) {
-        for (attempt, verdict) in self.hosts[at].shard.take_verdicts() {
+        for (attempt, verdict) in self.hosts[at].shard.take_outcomes() {
             let waiting = &mut self.hosts[at].waiting;
             let Some(index) = waiting
                 .iter()
