--- a/src/control/claims/conf.rs
+++ b/src/control/claims/conf.rs
@@ -27,8 +27,8 @@
     pub retry_delay: Duration,
     /// The maximum delay after failed calls.
     pub retry_delay_max: Duration,
-    /// The number of consecutive failures after which claims are refused at once. A single lost call
-    /// may be chance.
+    /// The number of consecutive failures after which claims are refused at once. A single lost
+    /// call may be chance.
     pub failures_max: u32,
 }
 
--- a/src/control/claims/key.rs
+++ b/src/control/claims/key.rs
@@ -11,8 +11,8 @@
 use crate::units::CustomerId;
 use crate::units::IdempotencyKey;
 
-/// The hash of a customer and an idempotency key. The hash is cryptographic, so that no customer can
-/// construct a key that collides with a key of another customer.
+/// The hash of a customer and an idempotency key. The hash is cryptographic, so that no customer
+/// can construct a key that collides with a key of another customer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
--- a/src/control/claims/mod.rs
+++ b/src/control/claims/mod.rs
@@ -8,12 +8,12 @@
 //! Claims are committed in batches to a fixed number of shard objects. [`ClaimShard`] is the state
 //! machine of one shard, and [`ClaimStore`] drives all shards against a platform.
 //!
-//! A host that abandons a claim while its write may still take effect tells the caller "not run",
-//! which is true, since the host never dispatches. Once the platform answers again, the holder gives
-//! the claim back until it knows that no such write can take effect any more. While the holder
-//! lives, a resent request is told to wait or finds the key free. If the holder dies first, the
-//! claim stays and a resent request is told "may have run", which is too cautious but never leads to
-//! a second run.
+//! A host that abandons a claim while the write may still take effect tells the caller "not run",
+//! which is true, since the host never dispatches. Once the platform answers again, the host gives
+//! the claim back, and repeats this until the write cannot take effect any more. While the host
+//! lives, a resent request is told to wait or finds the key free. If the host dies first, the claim
+//! stays and a resent request is told "may have run", which is too cautious but never leads to a
+//! second run.
 
 mod claim;
 mod claim_outcome;
--- a/src/control/claims/relay.rs
+++ b/src/control/claims/relay.rs
@@ -1,7 +1,7 @@
 //! Encoding and decoding of calls to the platform that a peer makes for a host.
 //!
-//! A host that cannot reach the platform records claims through a peer that can. The reply keeps the
-//! kinds of failure apart; if the peer does not answer, the effect of a write is unknown.
+//! A host that cannot reach the platform records claims through a peer that can. The reply keeps
+//! the kinds of failure apart; if the peer does not answer, the effect of a write is unknown.
 
 use crate::objects::Expected;
 use crate::objects::Kind;
--- a/src/control/claims/shard.rs
+++ b/src/control/claims/shard.rs
@@ -96,12 +96,12 @@
 /// One claim shard at one host.
 ///
 /// The shard guards against writes whose answers are lost, and which took effect or take effect
-/// minutes later. If such a write counted as failed, a second claim could let the request run twice;
-/// if it counted as done, the request might never run. The shard therefore reads the object back
-/// after such a write, and a claim counts as recorded only if the object contains its attempt id.
-/// While the object has the version that the write expects, the write may still take effect. Once
-/// the object has any other version, the write cannot succeed any more; if necessary, the shard
-/// advances the version by a write that changes nothing.
+/// minutes later. If such a write counted as failed, a second claim could let the request run
+/// twice; if it counted as done, the request might never run. The shard therefore reads the object
+/// back after such a write, and a claim counts as recorded only if the object contains its attempt
+/// id. While the object has the version that the write expects, the write may still take effect.
+/// Once the object has any other version, the write cannot succeed any more; if necessary, the
+/// shard advances the version by a write that changes nothing.
 #[derive(Debug)]
 pub struct ClaimShard {
     conf: ClaimConf,
@@ -173,8 +173,8 @@
         self.pending_claims.insert(attempt, pending_claim);
     }
 
-    /// Gives a pending or recorded claim back, with the promise that its attempt is never dispatched.
-    /// The claim is free once [`ClaimShard::is_settled`] returns true.
+    /// Gives a pending or recorded claim back, with the promise that its attempt is never
+    /// dispatched. The claim is free once [`ClaimShard::is_settled`] returns true.
     pub fn give_back(&mut self, key: ClaimKey, attempt: AttemptId, now: Instant) {
         let claim = self.pending_claims.shift_remove(&attempt);
         if claim.is_some_and(|claim| !claim.may_be_written) {
@@ -204,8 +204,8 @@
         !self.pending_claims.contains_key(&attempt) && !self.pending_updates.contains_key(&attempt)
     }
 
-    /// The number of claims that are still to be recorded, given back or ended. A draining host waits
-    /// until the number is zero.
+    /// The number of claims that are still to be recorded, given back or ended. A draining host
+    /// waits until the number is zero.
     pub fn pending(&self) -> usize {
         self.pending_claims.len() + self.pending_updates.len()
     }
@@ -325,8 +325,8 @@
         (value, applied)
     }
 
-    /// Whether the known content shows a requested key as held but is older than the request, so that
-    /// the claim may have been given back meanwhile.
+    /// Whether the known content shows a requested key as held but is older than the request, so
+    /// that the claim may have been given back meanwhile.
     fn needs_read(&self, value: &ShardValue, known_seq: u64) -> bool {
         self.pending_claims.values().any(|pending| {
             let held = value.claims.get(&pending.key);
@@ -374,8 +374,8 @@
         let Some(known) = &self.known else {
             return ShardAction::Idle;
         };
-        // After an unconfirmed write even an unchanged object is written. This advances the version,
-        // so that the unconfirmed write cannot take effect any more.
+        // After an unconfirmed write even an unchanged object is written. This advances the
+        // version, so that the unconfirmed write cannot take effect any more.
         if value == known.value && self.unconfirmed_write.is_none() {
             for attempt in applied {
                 self.pending_updates.swap_remove(&attempt);
--- a/src/control/claims/store.rs
+++ b/src/control/claims/store.rs
@@ -103,8 +103,8 @@
         outcome
     }
 
-    /// Gives a claim back, with the promise that its attempt was not and will not be dispatched. The
-    /// store retries in the background until the platform has recorded it.
+    /// Gives a claim back, with the promise that its attempt was not and will not be dispatched.
+    /// The store retries in the background until the platform has recorded it.
     pub fn give_back(&self, key: ClaimKey, attempt: AttemptId) {
         let give_back = |state: &mut DriverState, now| state.shard.give_back(key, attempt, now);
         self.driver(key).update(give_back);
@@ -117,9 +117,9 @@
         self.driver(key).update(finish);
     }
 
-    /// The number of claims that are still to be recorded, given back or ended. A draining host waits
-    /// a limited time until the number is zero; requests resent for claims that it leaves behind are
-    /// told "may have run".
+    /// The number of claims that are still to be recorded, given back or ended. A draining host
+    /// waits a limited time until the number is zero; requests resent for claims that it leaves
+    /// behind are told "may have run".
     pub fn pending(&self) -> usize {
         let pending = |driver: &Arc<ShardDriver>| driver.lock().shard.pending();
         self.drivers.iter().map(pending).sum()
@@ -146,7 +146,8 @@
             self.changed.notify_one();
             return;
         }
-        // A runtime that shuts down drops futures outside its context, where no task can be spawned.
+        // A runtime that shuts down drops futures outside its context, where no task can be
+        // spawned.
         let Ok(runtime) = tokio::runtime::Handle::try_current() else {
             return;
         };
--- a/src/control/home/controller.rs
+++ b/src/control/home/controller.rs
@@ -213,6 +213,7 @@
         }
     }
 
+    /// Adds a new request, and offers it to the policy unless the ledger has to be rebuilt first.
     fn add_request(&mut self, from: &HostId, work: Work, now: Instant) {
         let request = work.request;
         let is_deferred = self.is_rebuilding() && !self.take_rebuild_grant(&work);
@@ -302,7 +303,6 @@
                 }
             }
             RequestState::Deferred(_) | RequestState::Granted(_) | RequestState::Refused { .. } => {
-                ()
             }
         }
     }
@@ -364,11 +364,12 @@
         });
     }
 
+    /// Compares the ledger with hosts and engines, and repeats the actions that are still needed.
     fn reconcile(&mut self, now: Instant) {
         self.ledger.mark_orphans(&self.hosts, &self.conf, now);
         for (upstream, attempt) in self.ledger.start_cancels(self.conf.cancel_retry, now) {
             log::info!(
-                "home: {}: cancel orphaned {attempt} at {upstream}",
+                "home: {}: cancel attempt {attempt} on {upstream}: no host waits for its answer",
                 self.pool
             );
             self.actions.push(HomeAction::Cancel { upstream, attempt });
--- a/src/control/home_assignment/assignment.rs
+++ b/src/control/home_assignment/assignment.rs
@@ -8,10 +8,10 @@
 
 /// Assigns each key to one candidate, with at most `load_max` keys for each candidate.
 ///
-/// Pairs are considered by falling weight; a pair is used if its key is unassigned and its candidate
-/// is below `load_max`. The result depends only on the sets of keys and candidates, not on their
-/// order. If a candidate is removed, its keys move, and each may displace a key that the new
-/// candidate had at a lower weight.
+/// Pairs are considered by falling weight; a pair is used if its key is unassigned and its
+/// candidate is below `load_max`. The result depends only on the sets of keys and candidates, not
+/// on their order. If a candidate is removed, its keys move, and each may displace a key that the
+/// new candidate had at a lower weight.
 pub fn assign(keys: &[&str], candidates: &[&str], load_max: usize) -> IndexMap<String, String> {
     let mut assignment = IndexMap::new();
     let mut load: IndexMap<&str, usize> = IndexMap::new();
