--- a/src/control/home/grant_ledger.rs
+++ b/src/control/home/grant_ledger.rs
@@ -148,7 +148,7 @@
         self.entries.get(&grant).map(|entry| &entry.grant.work.host)
     }
 
-    /// Whether the host has any entry.
+    /// Whether the ledger has an entry of the host.
     pub(crate) fn has_grants_of(&self, host: &HostId) -> bool {
         self.entries
             .values()
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -1,4 +1,4 @@
-//! A request that is not repeatable runs at most once: its claim.
+//! Claims let a request that is not repeatable run at most once.
 
 mod fakes;
 
@@ -40,35 +40,35 @@
 
 const DAY: Duration = Duration::from_secs(86_400);
 
-/// One shard at two hosts, over one object.
-struct Site {
+/// One claim shard at two hosts that share one object.
+struct TwoHosts {
     clock: ManualClock,
     object: FakeObject,
     shards: [ClaimShard; 2],
-    hosts: [HostId; 2],
+    names: [HostId; 2],
 }
 
-impl Site {
+impl TwoHosts {
     fn new() -> Self {
-        Self::with(&ClaimConf::default())
+        Self::with_conf(&ClaimConf::default())
     }
 
-    fn with(conf: &ClaimConf) -> Self {
+    fn with_conf(conf: &ClaimConf) -> Self {
         let shard = |seed| ClaimShard::new(conf.clone(), StdRng::seed_from_u64(seed));
         Self {
             clock: ManualClock::new(),
             object: FakeObject::default(),
             shards: [shard(1), shard(2)],
-            hosts: [host("entry-a"), host("entry-b")],
+            names: [host("entry-a"), host("entry-b")],
         }
     }
 
-    fn claim(&self, at: usize, attempt: u128, content: u128) -> Claim {
-        claim(attempt, &self.hosts[at], content)
+    fn claim_of(&self, at: usize, attempt: u128, content: u128) -> Claim {
+        claim(attempt, &self.names[at], content)
     }
 
-    fn want(&mut self, at: usize, key: &str, attempt: u128) {
-        let claim = self.claim(at, attempt, 1);
+    fn claim(&mut self, at: usize, key: &str, attempt: u128) {
+        let claim = self.claim_of(at, attempt, 1);
         self.shards[at].claim(claim_key(key), claim, self.clock.now());
     }
 
@@ -76,7 +76,8 @@
         self.shards[at].give_back(claim_key(key), AttemptId(attempt), self.clock.now());
     }
 
-    /// One call of a host to the platform, with a fault. Pauses pass at once.
+    /// Makes the next call of a host to the platform, with a fault, and advances the clock over
+    /// waits. Returns false if the host is idle.
     fn call(&mut self, at: usize, fault: Fault) -> bool {
         loop {
             match self.shards[at].step(self.clock.now()) {
@@ -96,204 +97,204 @@
         }
     }
 
-    /// Calls until the host has nothing left to do.
-    fn settle(&mut self, at: usize) -> Vec<ClaimOutcome> {
+    /// Makes calls until the host is idle, and returns the outcomes.
+    fn run_until_idle(&mut self, at: usize) -> Vec<ClaimOutcome> {
         for _ in 0..100 {
             if !self.call(at, Fault::None) {
-                return self.verdicts(at);
+                return self.outcomes(at);
             }
         }
-        panic!("it goes on for ever");
+        panic!("the shard does not become idle within 100 calls");
     }
 
-    fn verdicts(&mut self, at: usize) -> Vec<ClaimOutcome> {
-        let verdicts = self.shards[at].take_outcomes();
-        verdicts.into_iter().map(|(_, verdict)| verdict).collect()
+    fn outcomes(&mut self, at: usize) -> Vec<ClaimOutcome> {
+        let outcomes = self.shards[at].take_outcomes();
+        outcomes.into_iter().map(|(_, outcome)| outcome).collect()
     }
 }
 
-fn is_down(verdict: &ClaimOutcome) -> bool {
+fn is_platform_down(outcome: &ClaimOutcome) -> bool {
     let why = ClaimRefusal::PlatformDown;
-    matches!(verdict, ClaimOutcome::Unavailable { why: got, .. } if *got == why)
+    matches!(outcome, ClaimOutcome::Unavailable { why: got, .. } if *got == why)
 }
 
-/// A caller sends a licence grant to two hosts, since the first seems slow. Both ask at the same
-/// moment. One may run it, the other is told who does.
+/// A caller sends a request to two hosts, since the first one seems slow, and both claim it at the
+/// same time. One may run the request; the other is told which attempt holds the claim.
 #[test]
-fn two_hosts_one_claim() {
-    let mut site = Site::new();
-    site.want(0, "grant", 10);
-    site.want(1, "grant", 20);
-    site.call(0, Fault::None);
-    site.call(1, Fault::None);
-    assert_eq!(site.settle(0), [ClaimOutcome::Claimed]);
-    let held = site.claim(0, 10, 1);
-    assert_eq!(site.settle(1), [ClaimOutcome::HeldBy(held)]);
+fn only_one_of_two_hosts_gets_a_claim() {
+    let mut hosts = TwoHosts::new();
+    hosts.claim(0, "key-a", 10);
+    hosts.claim(1, "key-a", 20);
+    hosts.call(0, Fault::None);
+    hosts.call(1, Fault::None);
+    assert_eq!(hosts.run_until_idle(0), [ClaimOutcome::Claimed]);
+    let held = hosts.claim_of(0, 10, 1);
+    assert_eq!(hosts.run_until_idle(1), [ClaimOutcome::HeldBy(held)]);
 }
 
-/// A caller sends a grant twice through one host, and both claims go into the same write. The second
-/// must neither run nor take the place of the first.
+/// A caller sends a request twice through one host, and both claims are due in the same write. The
+/// second must neither run nor replace the first.
 #[test]
-fn two_sendings_in_one_write() {
-    let mut site = Site::new();
-    site.want(0, "grant", 10);
-    site.want(0, "grant", 11);
-    let held = site.claim(0, 10, 1);
-    let verdicts = site.settle(0);
+fn only_the_first_of_two_claims_in_one_write_succeeds() {
+    let mut hosts = TwoHosts::new();
+    hosts.claim(0, "key-a", 10);
+    hosts.claim(0, "key-a", 11);
+    let held = hosts.claim_of(0, 10, 1);
+    let outcomes = hosts.run_until_idle(0);
     assert_eq!(
-        verdicts,
+        outcomes,
         [ClaimOutcome::Claimed, ClaimOutcome::HeldBy(held)]
     );
 }
 
-/// The write of a claim takes effect and its answer is lost. The host must find that it holds the
-/// claim, and not wait for itself or record a second one.
+/// The write of a claim takes effect, but the answer is lost. The host must detect that it holds
+/// the claim, and must not treat itself as another holder or write the claim again.
 #[test]
 fn lost_answer_is_read_back() {
-    let mut site = Site::new();
-    site.want(0, "grant", 10);
-    site.call(0, Fault::None);
-    site.call(0, Fault::AnswerLost);
-    assert_eq!(site.verdicts(0), []);
-    assert_eq!(site.settle(0), [ClaimOutcome::Claimed]);
-    assert_eq!(site.object.writes, 1);
+    let mut hosts = TwoHosts::new();
+    hosts.claim(0, "key-a", 10);
+    hosts.call(0, Fault::None);
+    hosts.call(0, Fault::AnswerLost);
+    assert_eq!(hosts.outcomes(0), []);
+    assert_eq!(hosts.run_until_idle(0), [ClaimOutcome::Claimed]);
+    assert_eq!(hosts.object.writes, 1);
 }
 
-/// The platform fails in the middle of a claim's write and the caller is told "not run". Minutes
-/// later the write takes effect, and the key is held by an attempt that nobody will dispatch. The
-/// caller's resend would be told "may have run" for ever. The holder knows that the write was in
-/// doubt, and gives the claim back until it knows that none can come.
+/// The platform fails during the write of a claim, and the caller is told "not run". Minutes later
+/// the write takes effect, and an attempt that nobody dispatches holds the key, so that a resent
+/// request would be told "may have run" forever. The host therefore gives the claim back until the
+/// write cannot take effect any more.
 #[parameterized(
     write_arrives_before_the_platform_is_back = { true },
     write_arrives_after = { false },
 )]
-fn claim_in_doubt_is_given_back(is_early: bool) {
-    let mut site = Site::new();
-    site.want(0, "other", 1);
-    site.settle(0);
-    site.want(0, "grant", 10);
-    site.call(0, Fault::Delayed);
-    site.call(0, Fault::Unavailable);
-    assert!(is_down(&site.verdicts(0)[0]));
+fn claim_of_an_unconfirmed_write_is_given_back(is_early: bool) {
+    let mut hosts = TwoHosts::new();
+    hosts.claim(0, "key-d", 1);
+    hosts.run_until_idle(0);
+    hosts.claim(0, "key-a", 10);
+    hosts.call(0, Fault::Delayed);
+    hosts.call(0, Fault::Unavailable);
+    assert!(is_platform_down(&hosts.outcomes(0)[0]));
     if is_early {
-        site.object.arrive();
+        hosts.object.apply_delayed();
     }
-    site.settle(0);
-    assert_eq!(site.shards[0].pending(), 0);
-    site.object.arrive();
-    site.want(1, "grant", 20);
-    assert_eq!(site.settle(1), [ClaimOutcome::Claimed]);
+    hosts.run_until_idle(0);
+    assert_eq!(hosts.shards[0].pending(), 0);
+    hosts.object.apply_delayed();
+    hosts.claim(1, "key-a", 20);
+    assert_eq!(hosts.run_until_idle(1), [ClaimOutcome::Claimed]);
 }
 
-/// A write is lost and has not taken effect when the object is read back; the host's claim is
-/// refused for another reason, then the old write arrives. Unless the version was moved on, it
-/// would undo what was written since.
+/// A write is delayed and has not taken effect when the object is read back. The claim is given
+/// back, then the old write arrives. Unless the version was advanced, the write would take effect.
 #[test]
-fn late_write_changes_nothing_any_more() {
-    let mut site = Site::new();
-    site.want(0, "grant", 10);
-    site.call(0, Fault::None);
-    site.call(0, Fault::Delayed);
-    site.give_back(0, "grant", 10);
-    site.settle(0);
-    let before = site.object.value.clone();
-    site.object.arrive();
-    assert_eq!(site.object.value, before);
+fn late_write_has_no_effect() {
+    let mut hosts = TwoHosts::new();
+    hosts.claim(0, "key-a", 10);
+    hosts.call(0, Fault::None);
+    hosts.call(0, Fault::Delayed);
+    hosts.give_back(0, "key-a", 10);
+    hosts.run_until_idle(0);
+    let before = hosts.object.value.clone();
+    hosts.object.apply_delayed();
+    assert_eq!(hosts.object.value, before);
     assert!(before.unwrap().claims.is_empty());
 }
 
-/// A host claims, is paused for a day, and wakes up between its check and its dispatch. Were the
-/// claim freed by lapse of time, another host would have run the request meanwhile.
+/// A host is paused for a day between claim and dispatch. If the claim expired, another host could
+/// have run the request meanwhile.
 #[test]
-fn claims_are_not_freed_by_time() {
-    let mut site = Site::new();
-    site.want(0, "grant", 10);
-    site.settle(0);
-    site.clock.advance(DAY);
-    site.want(1, "grant", 20);
-    let held = site.claim(0, 10, 1);
-    assert_eq!(site.settle(1), [ClaimOutcome::HeldBy(held)]);
+fn claims_do_not_expire() {
+    let mut hosts = TwoHosts::new();
+    hosts.claim(0, "key-a", 10);
+    hosts.run_until_idle(0);
+    hosts.clock.advance(DAY);
+    hosts.claim(1, "key-a", 20);
+    let held = hosts.claim_of(0, 10, 1);
+    assert_eq!(hosts.run_until_idle(1), [ClaimOutcome::HeldBy(held)]);
 }
 
-/// A holder's upstream refuses the attempt, which so did not run. It gives the claim back, and a
-/// resend through a host that had seen the claim before can run.
+/// An upstream refuses the attempt, which therefore did not run. The holder gives the claim back,
+/// and the request can run when it is resent through a host that had seen the claim.
 #[test]
 fn given_back_claim_is_free() {
-    let mut site = Site::new();
-    site.want(0, "grant", 10);
-    site.settle(0);
-    site.want(1, "grant", 20);
-    site.settle(1);
-    site.give_back(0, "grant", 10);
-    site.settle(0);
-    site.want(1, "grant", 21);
-    assert_eq!(site.settle(1), [ClaimOutcome::Claimed]);
+    let mut hosts = TwoHosts::new();
+    hosts.claim(0, "key-a", 10);
+    hosts.run_until_idle(0);
+    hosts.claim(1, "key-a", 20);
+    hosts.run_until_idle(1);
+    hosts.give_back(0, "key-a", 10);
+    hosts.run_until_idle(0);
+    hosts.claim(1, "key-a", 21);
+    assert_eq!(hosts.run_until_idle(1), [ClaimOutcome::Claimed]);
 }
 
-/// Someone else's mistake or a late message must not free a claim: only its own attempt can.
+/// A mistaken or late give-back must not free a claim: only the attempt that holds the claim can
+/// give it back.
 #[test]
 fn only_its_own_attempt_gives_a_claim_back() {
-    let mut site = Site::new();
-    site.want(0, "grant", 10);
-    site.settle(0);
-    site.want(1, "grant", 20);
-    site.settle(1);
-    site.give_back(1, "grant", 20);
-    site.settle(1);
-    site.want(1, "grant", 21);
-    let held = site.claim(0, 10, 1);
-    assert_eq!(site.settle(1), [ClaimOutcome::HeldBy(held)]);
+    let mut hosts = TwoHosts::new();
+    hosts.claim(0, "key-a", 10);
+    hosts.run_until_idle(0);
+    hosts.claim(1, "key-a", 20);
+    hosts.run_until_idle(1);
+    hosts.give_back(1, "key-a", 20);
+    hosts.run_until_idle(1);
+    hosts.claim(1, "key-a", 21);
+    let held = hosts.claim_of(0, 10, 1);
+    assert_eq!(hosts.run_until_idle(1), [ClaimOutcome::HeldBy(held)]);
 }
 
-/// A caller uses a key for two letters. Answering the second with the first one's answer would send
-/// a parent the wrong letter.
+/// A caller uses one key for two different requests. The second must not get the answer of the
+/// first.
 #[test]
-fn same_key_with_another_content_is_told() {
-    let mut site = Site::new();
-    site.want(0, "letter", 10);
-    site.settle(0);
-    let other = site.claim(0, 11, 2);
-    site.shards[0].claim(claim_key("letter"), other, site.clock.now());
-    assert_eq!(site.settle(0), [ClaimOutcome::DifferentContent]);
+fn same_key_with_different_content_is_refused() {
+    let mut hosts = TwoHosts::new();
+    hosts.claim(0, "key-b", 10);
+    hosts.run_until_idle(0);
+    let other = hosts.claim_of(0, 11, 2);
+    hosts.shards[0].claim(claim_key("key-b"), other, hosts.clock.now());
+    assert_eq!(hosts.run_until_idle(0), [ClaimOutcome::DifferentContent]);
 }
 
-/// The platform is down. Callers are told so at once with a time to come back, and when it answers
-/// again the next claim goes through.
+/// The platform is down. Claims are refused at once with a retry time, and the next claim succeeds
+/// once the platform answers again.
 #[test]
-fn outage_is_told_at_once() {
-    let mut site = Site::new();
-    site.want(0, "grant", 10);
-    site.call(0, Fault::Unavailable);
-    assert_eq!(site.verdicts(0), []);
-    site.call(0, Fault::Unavailable);
-    assert!(is_down(&site.verdicts(0)[0]));
-    site.want(0, "letter", 11);
-    assert!(is_down(&site.verdicts(0)[0]));
-    site.clock.advance(ClaimConf::default().retry_delay_max);
-    site.want(0, "letter", 12);
-    assert_eq!(site.settle(0), [ClaimOutcome::Claimed]);
+fn claims_are_refused_at_once_in_an_outage() {
+    let mut hosts = TwoHosts::new();
+    hosts.claim(0, "key-a", 10);
+    hosts.call(0, Fault::Unavailable);
+    assert_eq!(hosts.outcomes(0), []);
+    hosts.call(0, Fault::Unavailable);
+    assert!(is_platform_down(&hosts.outcomes(0)[0]));
+    hosts.claim(0, "key-b", 11);
+    assert!(is_platform_down(&hosts.outcomes(0)[0]));
+    hosts.clock.advance(ClaimConf::default().retry_delay_max);
+    hosts.claim(0, "key-b", 12);
+    assert_eq!(hosts.run_until_idle(0), [ClaimOutcome::Claimed]);
 }
 
-/// Objects are bounded at a megabyte. A full shard turns claims away, and finished claims make room
-/// after their time; claims that may still run never do.
+/// The size of shard objects is limited. A full shard refuses claims until finished claims are
+/// collected; claims whose attempts may still run are never collected.
 #[test]
 fn full_shard_waits_for_finished_claims() {
     let conf = ClaimConf {
         shard_bytes_max: 320,
         ..ClaimConf::default()
     };
-    let mut site = Site::with(&conf);
-    site.want(0, "grant", 10);
-    site.want(0, "letter", 11);
+    let mut hosts = TwoHosts::with_conf(&conf);
+    hosts.claim(0, "key-a", 10);
+    hosts.claim(0, "key-b", 11);
     assert_eq!(
-        site.settle(0),
+        hosts.run_until_idle(0),
         [ClaimOutcome::Claimed, ClaimOutcome::Claimed]
     );
-    let finish = (claim_key("grant"), AttemptId(10), ClaimState::Completed);
-    site.shards[0].finish(finish.0, finish.1, finish.2, site.clock.now());
-    site.settle(0);
-    site.want(0, "audit", 12);
-    let full = site.settle(0);
+    let finish = (claim_key("key-a"), AttemptId(10), ClaimState::Completed);
+    hosts.shards[0].finish(finish.0, finish.1, finish.2, hosts.clock.now());
+    hosts.run_until_idle(0);
+    hosts.claim(0, "key-c", 12);
+    let full = hosts.run_until_idle(0);
     let is_full = matches!(
         full[..],
         [ClaimOutcome::Unavailable {
@@ -302,13 +303,13 @@
         }]
     );
     assert!(is_full, "{full:?}");
-    site.clock.advance(DAY);
-    site.want(0, "audit", 13);
-    site.want(0, "letter", 14);
-    let verdicts = site.settle(0);
-    let held = site.claim(0, 11, 1);
+    hosts.clock.advance(DAY);
+    hosts.claim(0, "key-c", 13);
+    hosts.claim(0, "key-b", 14);
+    let outcomes = hosts.run_until_idle(0);
+    let held = hosts.claim_of(0, 11, 1);
     assert_eq!(
-        verdicts,
+        outcomes,
         [ClaimOutcome::HeldBy(held), ClaimOutcome::Claimed]
     );
 }
@@ -320,27 +321,27 @@
     Arc::new(ClaimStore::new(&platform, &clock, conf, &mut rng))
 }
 
-/// Hundreds of claims come at once. One write each would take all that the platform can do; those
-/// of one shard go together.
+/// Hundreds of claims arrive at once. One write for each would exceed the capacity of the platform,
+/// so the claims of one shard share a write.
 #[tokio::test]
 async fn claims_share_writes() {
     let platform = Arc::new(FakePlatform::new(Duration::from_millis(3)));
     let store = store(&platform, ClaimConf::default());
     let a = host("entry-a");
     let claims = (0..640).map(|n| store.claim(claim_key(&format!("key-{n}")), claim(n, &a, 1)));
-    let verdicts = join_all(claims).await;
+    let outcomes = join_all(claims).await;
     assert!(
-        verdicts
+        outcomes
             .iter()
-            .all(|verdict| *verdict == ClaimOutcome::Claimed)
+            .all(|outcome| *outcome == ClaimOutcome::Claimed)
     );
     assert_eq!(platform.sum(|object| object.writes), 64);
 }
 
-/// A caller goes away while its claim is on its way to a platform that hangs. Nobody will dispatch
-/// the attempt, so nobody else would ever free the key.
+/// A caller disconnects while its claim is being written to a slow platform. Nobody dispatches the
+/// attempt, so the key must be freed.
 #[tokio::test]
-async fn claimant_that_goes_away_gives_back() {
+async fn dropped_claim_is_given_back() {
     let platform = Arc::new(FakePlatform::new(Duration::from_millis(50)));
     let conf = ClaimConf {
         shards: 1,
@@ -348,10 +349,10 @@
     };
     let store = store(&platform, conf);
     let a = host("entry-a");
-    let key = claim_key("grant");
-    let early = store.claim(key, claim(1, &a, 1));
-    let cut = tokio::time::timeout(Duration::from_millis(75), early).await;
-    assert!(cut.is_err());
+    let key = claim_key("key-a");
+    let dropped = store.claim(key, claim(1, &a, 1));
+    let result = tokio::time::timeout(Duration::from_millis(75), dropped).await;
+    assert!(result.is_err());
     while store.pending() > 0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
@@ -361,9 +362,9 @@
     );
 }
 
-/// A platform that swallows calls must not hold a caller's answer back.
+/// A platform that never answers must not delay the answer to a caller beyond the timeout.
 #[tokio::test]
-async fn silent_platform_is_told_in_time() {
+async fn claim_times_out_if_the_platform_does_not_answer() {
     let platform = Arc::new(FakePlatform::new(DAY));
     platform.set_fault(Fault::Delayed);
     let conf = ClaimConf {
@@ -371,19 +372,19 @@
         ..ClaimConf::default()
     };
     let store = store(&platform, conf);
-    let verdict = store
-        .claim(claim_key("grant"), claim(1, &host("entry-a"), 1))
+    let outcome = store
+        .claim(claim_key("key-a"), claim(1, &host("entry-a"), 1))
         .await;
     let why = ClaimRefusal::Timeout;
-    assert!(matches!(verdict, ClaimOutcome::Unavailable { why: got, .. } if got == why));
+    assert!(matches!(outcome, ClaimOutcome::Unavailable { why: got, .. } if got == why));
 }
 
 fn unknown() -> PlatformError {
     PlatformError::Unknown("no answer".to_owned())
 }
 
-/// A host that is cut off from the platform asks a peer. The kinds of failure must survive the way,
-/// since "unknown" taken for "unavailable" would let a request run twice.
+/// A host that cannot reach the platform calls it through a peer. The reply must keep the kind of
+/// failure: treating "unknown" as "unavailable" would let a request run twice.
 #[parameterized(
     done = { Ok(ObjectVersion(7)) },
     absent = { Err(PlatformError::Absent) },
@@ -398,7 +399,7 @@
 }
 
 #[test]
-fn relayed_calls_arrive_whole() {
+fn encoded_calls_decode_to_the_same_value() {
     let key = ObjectKey::new(Kind::Claims, "shard-03");
     let value = serde_json::json!({"claims": {}});
     for expected in [Expected::Absent, Expected::Version(ObjectVersion(3))] {
@@ -412,20 +413,21 @@
     }
     let get = relay::RelayedCall::Get(key.clone());
     assert_eq!(relay::decode_call(&relay::encode_get(&key)), Ok(get));
-    let silent = relay::map_peer_error(&PeerError::NoAnswer);
-    assert!(matches!(silent, PlatformError::Unknown(_)));
-    let unreached = relay::map_peer_error(&PeerError::UnknownHost);
-    assert!(matches!(unreached, PlatformError::Unavailable(_)));
+    let no_answer = relay::map_peer_error(&PeerError::NoAnswer);
+    assert!(matches!(no_answer, PlatformError::Unknown(_)));
+    let unknown_host = relay::map_peer_error(&PeerError::UnknownHost);
+    assert!(matches!(unknown_host, PlatformError::Unavailable(_)));
 }
 
-/// Many hosts claim in the same shard, each seldom. What a host knows of it is old by its next write,
-/// so that every write would fail first, and the platform's rate of writes would go into failures.
+/// Many hosts write the same shard, each of them rarely. The content that a host knows is outdated
+/// by its next write, so that every first write would fail and waste the write rate of the
+/// platform.
 #[test]
 fn shards_of_many_hosts_are_read_before_they_are_written() {
-    let mut site = Site::new();
+    let mut hosts = TwoHosts::new();
     for n in 0..20 {
-        site.want(n % 2, &format!("key-{n}"), n as u128);
-        assert_eq!(site.settle(n % 2), [ClaimOutcome::Claimed]);
+        hosts.claim(n % 2, &format!("key-{n}"), n as u128);
+        assert_eq!(hosts.run_until_idle(n % 2), [ClaimOutcome::Claimed]);
     }
-    assert_eq!(site.object.conflicts, 2);
+    assert_eq!(hosts.object.conflicts, 2);
 }
--- a/tests/fakes/first_fit.rs
+++ b/tests/fakes/first_fit.rs
@@ -1,4 +1,4 @@
-//! The simplest policy: a queue, and the first engine that has room.
+//! A simple policy: a queue, and the first engine with enough free memory.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -32,7 +32,7 @@
 }
 
 impl FirstFit {
-    /// Grants are numbered from `first_id` on, so that two homes' numbers differ.
+    /// A policy that numbers its grants from `first_id`, so that the ids of two homes differ.
     pub(crate) fn new(first_id: u128) -> Self {
         Self {
             first_id,
@@ -40,7 +40,7 @@
         }
     }
 
-    fn held(&self, upstream: &UpstreamId) -> Tokens {
+    fn held_tokens(&self, upstream: &UpstreamId) -> Tokens {
         let here = self
             .live
             .values()
@@ -48,12 +48,12 @@
         here.map(|grant| grant.work.memory_tokens()).sum()
     }
 
-    fn room_for(&self, work: &Work) -> Option<UpstreamId> {
-        let fits = |seen: &&UpstreamInfo| {
-            let wanted = self.held(&seen.id) + work.memory_tokens();
-            seen.health == UpstreamHealth::Live && wanted <= seen.memory_tokens
+    fn upstream_for(&self, work: &Work) -> Option<UpstreamId> {
+        let fits = |info: &&UpstreamInfo| {
+            let wanted = self.held_tokens(&info.id) + work.memory_tokens();
+            info.health == UpstreamHealth::Live && wanted <= info.memory_tokens
         };
-        self.upstreams.iter().find(fits).map(|seen| seen.id.clone())
+        self.upstreams.iter().find(fits).map(|info| info.id.clone())
     }
 }
 
@@ -81,7 +81,7 @@
                 });
                 continue;
             }
-            let Some(upstream) = self.room_for(&work) else {
+            let Some(upstream) = self.upstream_for(&work) else {
                 self.queue.push_front(work);
                 break;
             };
--- a/tests/fakes/make.rs
+++ b/tests/fakes/make.rs
@@ -1,4 +1,4 @@
-//! Values with the fields that a test does not care about filled in.
+//! Constructors that fill in the fields that a test does not care about.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -50,7 +50,7 @@
     }
 }
 
-pub(crate) fn done(ended: AttemptOutcome) -> AttemptSummary {
+pub(crate) fn attempt_summary(ended: AttemptOutcome) -> AttemptSummary {
     AttemptSummary {
         ended,
         first_token: None,
--- a/tests/fakes/mod.rs
+++ b/tests/fakes/mod.rs
@@ -1,6 +1,6 @@
-//! Small fakes for the tests of the controllers.
+//! Fakes for the tests of the controllers.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test file uses only some of the fakes")]
 
 pub(crate) mod first_fit;
 pub(crate) mod make;
--- a/tests/fakes/object.rs
+++ b/tests/fakes/object.rs
@@ -1,4 +1,4 @@
-//! One object of a platform whose calls can go wrong.
+//! An object of the platform with injected faults.
 
 use banyanarch::control::claims::ShardValue;
 use banyanarch::objects::Expected;
@@ -8,20 +8,21 @@
 use banyanarch::objects::PlatformError;
 use banyanarch::units::ObjectVersion;
 
-/// How a call goes.
+/// The fault that is injected into a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// As it should.
+    /// The call succeeds.
     None,
-    /// It does not reach the platform.
+    /// The call does not reach the platform.
     Unavailable,
-    /// It takes effect, but its answer is lost.
+    /// The call takes effect, but the answer is lost.
     AnswerLost,
-    /// It is stuck on its way: a write may take effect later.
+    /// The call is delayed and gets no answer; a write takes effect when delayed writes are
+    /// applied.
     Delayed,
 }
 
-/// One object with conditional writes.
+/// An object with conditional writes.
 #[derive(Debug, Default)]
 pub(crate) struct FakeObject {
     pub(crate) version: u64,
@@ -29,7 +30,7 @@
     pub(crate) writes: u64,
     pub(crate) conflicts: u64,
     pub(crate) reads: u64,
-    delayed: Vec<(ShardValue, Expected)>,
+    delayed_writes: Vec<(ShardValue, Expected)>,
 }
 
 impl FakeObject {
@@ -63,15 +64,15 @@
                 lost
             }
             Fault::Delayed => {
-                self.delayed.push((value, expected));
+                self.delayed_writes.push((value, expected));
                 lost
             }
         }
     }
 
-    /// Delayed writes arrive now, in whatever state the object is.
-    pub(crate) fn arrive(&mut self) {
-        for (value, expected) in std::mem::take(&mut self.delayed) {
+    /// Applies the delayed writes whose conditions the object still meets.
+    pub(crate) fn apply_delayed(&mut self) {
+        for (value, expected) in std::mem::take(&mut self.delayed_writes) {
             let _ = self.apply(value, expected);
         }
     }
--- a/tests/fakes/platform.rs
+++ b/tests/fakes/platform.rs
@@ -1,4 +1,4 @@
-//! A platform in memory, with a delay for each call.
+//! An in-memory platform with a latency for each call.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -42,7 +42,7 @@
         self.objects.lock().unwrap().values().map(count).sum()
     }
 
-    fn on<T>(&self, key: ObjectKey, call: impl FnOnce(&mut FakeObject, Fault) -> T) -> T {
+    fn call_object<T>(&self, key: ObjectKey, call: impl FnOnce(&mut FakeObject, Fault) -> T) -> T {
         let fault = *self.fault.lock().unwrap();
         call(self.objects.lock().unwrap().entry(key).or_default(), fault)
     }
@@ -52,7 +52,7 @@
     fn get(&self, key: ObjectKey) -> BoxFuture<'_, Result<Object, PlatformError>> {
         async move {
             tokio::time::sleep(self.latency).await;
-            self.on(key, FakeObject::get)
+            self.call_object(key, FakeObject::get)
         }
         .boxed()
     }
@@ -66,7 +66,7 @@
         async move {
             tokio::time::sleep(self.latency).await;
             let value = ShardValue::from_json(value).unwrap();
-            self.on(key, |object, fault| object.put(value, expected, fault))
+            self.call_object(key, |object, fault| object.put(value, expected, fault))
         }
         .boxed()
     }
--- a/tests/faults_claims.rs
+++ b/tests/faults_claims.rs
@@ -1,4 +1,4 @@
-//! What must run at most once, over real processes under kills, cuts and outages.
+//! Requests that must run at most once, over real processes with kills, disconnects and outages.
 
 mod site;
 
@@ -21,13 +21,13 @@
 use site::outcome;
 use site::wait_until;
 
-/// A guardianship letter must go out once. Its engine dies in the middle: the letter may have been
-/// sent. The caller is told so, and a second letter is not written behind its back.
+/// The engine dies while it runs a request that must run at most once. The caller is told that the
+/// request may have run, and a resent request is not run.
 #[tokio::test]
-async fn a_dead_engine_leaves_what_must_not_repeat_in_doubt() {
+async fn a_claimed_request_of_a_dead_engine_may_have_run() {
     let site = TestSite::with(3, 1).await;
-    let body = completion("a letter whose engine dies", LONG_ANSWER_TOKENS, false);
-    let caller = spawn_send(site.hosts[0].callers_addr, Some("letter-1"), &body);
+    let body = completion("a request whose engine dies", LONG_ANSWER_TOKENS, false);
+    let caller = spawn_send(site.hosts[0].callers_addr, Some("engine-dies"), &body);
     wait_until_running(&site, &body).await;
     let engine = site.engine_running(&body);
     site.engines[engine].set_faults(EngineFaults {
@@ -36,26 +36,26 @@
     });
     let res = caller.await.unwrap().unwrap();
     assert_eq!(outcome(&res), "may-have-run", "{:?}", res.body());
-    let again = send(site.hosts[0].callers_addr, Some("letter-1"), &body)
+    let again = send(site.hosts[0].callers_addr, Some("engine-dies"), &body)
         .await
         .unwrap();
     assert_eq!(outcome(&again), "may-have-run", "{:?}", again.body());
     assert_eq!(site.run_count(&body), 1);
 }
 
-/// The caller of a licence grant loses its connection with the host that is killed, and sends the
-/// grant again through another host while the engine still works on the first. Run twice, it
-/// invoices the client twice. The second host finds the claim and reads the running answer.
+/// A host is killed, and its caller resends the request through another host while the engine still
+/// runs the first attempt. The second host finds the claim and reads the running answer instead of
+/// running the request twice.
 #[tokio::test]
 async fn a_key_sent_again_through_another_host_gets_the_running_answer() {
     let mut site = TestSite::with(3, 3).await;
     site.wait_until_joined().await;
-    let body = completion("a licence grant", LONG_ANSWER_TOKENS, false);
-    let _caller = spawn_send(site.hosts[0].callers_addr, Some("grant-7"), &body);
+    let body = completion("a request that is resent", LONG_ANSWER_TOKENS, false);
+    let _caller = spawn_send(site.hosts[0].callers_addr, Some("host-killed"), &body);
     wait_until_running(&site, &body).await;
     site.hosts[0].signal(Signal::SIGKILL);
     site.hosts[0].wait_for_exit().await;
-    let res = send(site.hosts[1].callers_addr, Some("grant-7"), &body)
+    let res = send(site.hosts[1].callers_addr, Some("host-killed"), &body)
         .await
         .unwrap();
     assert_eq!((res.status().as_u16(), outcome(&res)), (200, "completed"));
@@ -66,21 +66,25 @@
     assert_eq!(site.run_count(&body), 1);
 }
 
-/// A caller hangs up while its grant is being written, and calls again at once. Ended with the
-/// connection, the grant would be lost and its key used up; run again, it would be doubled.
+/// A caller disconnects during the answer and resends the request at once. If the attempt ended
+/// with the connection, the answer would be lost; if the request ran again, it would run twice.
 #[tokio::test]
-async fn a_caller_that_hangs_up_gets_its_answer_when_it_calls_again() {
+async fn a_caller_that_disconnects_gets_its_answer_when_it_resends() {
     let site = TestSite::with(2, 1).await;
-    let body = completion("a grant whose caller hangs up", LONG_ANSWER_TOKENS, true);
+    let body = completion(
+        "a request whose caller disconnects",
+        LONG_ANSWER_TOKENS,
+        true,
+    );
     let caller = connect_and_send(
         site.hosts[0].callers_addr,
-        &idempotency_headers("hung-up"),
+        &idempotency_headers("disconnected"),
         &body,
     )
     .await;
     wait_until_running(&site, &body).await;
     drop(caller);
-    let res = send(site.hosts[0].callers_addr, Some("hung-up"), &body)
+    let res = send(site.hosts[0].callers_addr, Some("disconnected"), &body)
         .await
         .unwrap();
     assert!(
@@ -91,10 +95,10 @@
     assert_eq!(site.run_count(&body), 1);
 }
 
-/// Two sendings of one key meet at the same moment at two hosts. Both claim; one wins, and both
-/// callers get the one answer.
+/// Two requests with one key arrive at two hosts at the same time. Both hosts claim the key, one of
+/// them gets the claim, and both callers get the same answer.
 #[tokio::test]
-async fn two_sendings_of_one_key_at_once_run_once() {
+async fn two_simultaneous_requests_with_one_key_run_once() {
     let site = TestSite::with(2, 2).await;
     site.wait_until_joined().await;
     for round in 0..10 {
@@ -115,63 +119,63 @@
     }
 }
 
-/// A key is used for another letter by mistake. Answering with the first letter would be wrong, and
-/// running the second would break the key's promise.
+/// A key is reused for another request by mistake. The second request must neither get the answer
+/// of the first nor run under the same key.
 #[tokio::test]
 async fn a_key_used_for_another_request_is_refused() {
     let site = TestSite::with(1, 1).await;
     let addr = site.hosts[0].callers_addr;
-    let first = completion("one letter", 4, false);
-    let other = completion("another letter", 4, false);
+    let first = completion("one request", 4, false);
+    let other = completion("another request", 4, false);
     assert_eq!(
-        send(addr, Some("letter"), &first).await.unwrap().status(),
+        send(addr, Some("reused"), &first).await.unwrap().status(),
         200
     );
-    let res = send(addr, Some("letter"), &other).await.unwrap();
+    let res = send(addr, Some("reused"), &other).await.unwrap();
     assert_eq!((res.status().as_u16(), outcome(&res)), (422, "not-run"));
     assert_eq!(site.run_count(&other), 0);
 }
 
-/// The platform is down. A grant that can't be claimed could run twice, so it is turned away with
-/// the truth, not run; clause lookups go on.
+/// The platform is down. A request that cannot be claimed could run twice, so it is refused as not
+/// run; repeatable requests are still served.
 #[tokio::test]
-async fn without_the_platform_only_what_needs_a_claim_is_turned_away() {
+async fn without_the_platform_only_requests_that_need_a_claim_are_refused() {
     let site = TestSite::with(2, 2).await;
     site.wait_until_joined().await;
     site.platform.set_faults(PlatformFaults {
         outage: Outage::Closed,
         ..Default::default()
     });
-    let grant = completion("a grant in an outage", 4, false);
-    let res = send(site.hosts[0].callers_addr, Some("outage-1"), &grant)
+    let claimed = completion("a claimed request in an outage", 4, false);
+    let res = send(site.hosts[0].callers_addr, Some("outage-1"), &claimed)
         .await
         .unwrap();
     assert_eq!((res.status().as_u16(), outcome(&res)), (503, "not-run"));
     assert!(res.headers().contains_key("retry-after"));
-    assert_eq!(site.run_count(&grant), 0);
-    let lookup = completion("a lookup in an outage", 4, false);
+    assert_eq!(site.run_count(&claimed), 0);
+    let repeatable = completion("a repeatable request in an outage", 4, false);
     assert_eq!(
-        send(site.hosts[1].callers_addr, None, &lookup)
+        send(site.hosts[1].callers_addr, None, &repeatable)
             .await
             .unwrap()
             .status(),
         200
     );
     site.platform.set_faults(PlatformFaults::default());
-    wait_until("the grant after the outage", async || {
-        let res = send(site.hosts[1].callers_addr, Some("outage-1"), &grant)
+    wait_until("the claimed request after the outage", async || {
+        let res = send(site.hosts[1].callers_addr, Some("outage-1"), &claimed)
             .await
             .unwrap();
         res.status() == 200
     })
     .await;
-    assert_eq!(site.run_count(&grant), 1);
+    assert_eq!(site.run_count(&claimed), 1);
 }
 
-/// Every second write to the platform takes effect and its answer is lost. A host that takes this
-/// for a failure says "not run" of a claim that is in, or claims a second time and runs it twice.
+/// Every second write to the platform takes effect, but its answer is lost. A host that treats this
+/// as a failure would report "not run" for a recorded claim, or would run the request twice.
 #[tokio::test]
-async fn lost_answers_of_the_platform_double_nothing() {
+async fn lost_answers_of_the_platform_cause_no_second_run() {
     let site = TestSite::with(2, 2).await;
     site.wait_until_joined().await;
     site.platform.set_faults(PlatformFaults {
@@ -179,7 +183,7 @@
         ..Default::default()
     });
     for round in 0..12 {
-        let body = completion(&format!("a grant with a lost answer, {round}"), 4, false);
+        let body = completion(&format!("a request with a lost answer, {round}"), 4, false);
         let key = format!("lost-{round}");
         let mut outcomes = Vec::new();
         for host in [0, 1, 0] {
@@ -201,17 +205,17 @@
     }
 }
 
-/// One host is cut off from the platform, its neighbours are not. Its callers' grants need not be
-/// turned away: a peer makes the call.
+/// One host cannot reach the platform, but its peers can. The host claims through a peer and need
+/// not refuse its callers.
 #[tokio::test]
 async fn a_host_cut_off_from_the_platform_claims_through_a_peer() {
     let mut site = TestSite::with(2, 2).await;
-    let gate = BlackholeProxy::start(site.platform.addr()).await;
-    site.add_host_at("a", gate.addr).await;
+    let proxy = BlackholeProxy::start(site.platform.addr()).await;
+    site.add_host_at("a", proxy.addr).await;
     site.wait_until_ready().await;
     site.wait_until_joined().await;
-    gate.set_blackhole(true);
-    let body = completion("a grant through a peer", 4, false);
+    proxy.set_blackhole(true);
+    let body = completion("a request claimed through a peer", 4, false);
     wait_until("a claim through a peer", async || {
         let res = send(site.hosts[2].callers_addr, Some("relayed"), &body)
             .await
--- a/tests/home.rs
+++ b/tests/home.rs
@@ -1,4 +1,4 @@
-//! A home's ledger: grants are given once, and every hold of memory ends.
+//! The ledger of a home: a request is granted once, and engine memory never leaks.
 
 mod fakes;
 
@@ -30,7 +30,7 @@
 use yare::parameterized;
 
 use fakes::first_fit::FirstFit;
-use fakes::make::done;
+use fakes::make::attempt_summary;
 use fakes::make::engine;
 use fakes::make::host;
 use fakes::make::upstream;
@@ -38,56 +38,60 @@
 
 const MEMORY_TOKENS: u64 = 10_000;
 
-/// A home of one engine, with a clock that is moved by hand.
-struct Home {
+/// A home with one engine and a manual clock.
+struct TestHome {
     clock: ManualClock,
-    home: HomeController,
+    controller: HomeController,
 }
 
-impl Home {
-    /// A home that has just taken over and knows nothing.
-    fn fresh(members: &[&HostId]) -> Self {
+impl TestHome {
+    /// A home that has just taken over and has to rebuild its ledger.
+    fn rebuilding(members: &[&HostId]) -> Self {
         let clock = ManualClock::new();
         let pool: PoolId = "hall-a/llm-advisor/0".parse().unwrap();
         let policy = Box::new(FirstFit::new(1_000));
-        let home = HomeController::new(pool, policy, HomeConf::default(), clock.now());
-        let mut home = Self { clock, home };
+        let controller = HomeController::new(pool, policy, HomeConf::default(), clock.now());
+        let mut home = Self { clock, controller };
         for member in members {
-            home.hear(HomeEvent::HostAlive((*member).clone()));
+            home.handle(HomeEvent::HostAlive((*member).clone()));
         }
         home
     }
 
-    /// A home whose ledger is known to be complete and empty.
+    /// A home whose ledger is complete and empty.
     fn serving() -> Self {
-        let mut home = Self::fresh(&[]);
+        let mut home = Self::rebuilding(&[]);
         let actions = home.set_engine(UpstreamHealth::Live);
-        home.list(&actions, &[]);
-        assert!(!home.home.is_rebuilding());
+        home.answer_queries(&actions, &[]);
+        assert!(!home.controller.is_rebuilding());
         home
     }
 
-    fn join(&mut self, members: &[&str]) {
+    fn add_members(&mut self, members: &[&str]) {
         for member in members {
-            self.hear(HomeEvent::HostAlive(host(member)));
+            self.handle(HomeEvent::HostAlive(host(member)));
         }
     }
 
-    fn hear(&mut self, event: HomeEvent) -> Vec<HomeAction> {
-        self.home.handle(event, self.clock.now())
+    fn handle(&mut self, event: HomeEvent) -> Vec<HomeAction> {
+        self.controller.handle(event, self.clock.now())
     }
 
     fn set_engine(&mut self, health: UpstreamHealth) -> Vec<HomeAction> {
         let engine = engine("runner-1", MEMORY_TOKENS, health);
-        self.hear(HomeEvent::Upstreams(vec![engine]))
+        self.handle(HomeEvent::Upstreams(vec![engine]))
     }
 
-    /// Answers the questions to engines among `actions`.
-    fn list(&mut self, actions: &[HomeAction], running: &[RunningAttempt]) -> Vec<HomeAction> {
+    /// Answers the engine queries among `actions`.
+    fn answer_queries(
+        &mut self,
+        actions: &[HomeAction],
+        running: &[RunningAttempt],
+    ) -> Vec<HomeAction> {
         let mut answers = Vec::new();
         for action in actions {
             if let HomeAction::ListAttempts { upstream, seq } = action {
-                answers.extend(self.hear(HomeEvent::EngineListed {
+                answers.extend(self.handle(HomeEvent::EngineListed {
                     upstream: upstream.clone(),
                     seq: *seq,
                     running: running.to_vec(),
@@ -97,9 +101,9 @@
         answers
     }
 
-    /// Lets time pass in ticks, with the engine answering and hosts announcing, and returns all
-    /// that was to be done.
-    fn pass(
+    /// Advances the clock in ticks, while the engine lists `running` and the hosts announce their
+    /// grants. Returns all actions.
+    fn advance(
         &mut self,
         time: Duration,
         running: &[RunningAttempt],
@@ -112,18 +116,18 @@
             for (host, grants) in announcing {
                 all.extend(self.announce(host, grants));
             }
-            let actions = self.hear(HomeEvent::Tick);
-            let answers = self.list(&actions, running);
+            let actions = self.handle(HomeEvent::Tick);
+            let answers = self.answer_queries(&actions, running);
             all.extend(actions);
             all.extend(answers);
         }
         all
     }
 
-    fn ask(&mut self, request: u128, from: &HostId, tokens: u64) -> GrantStatus {
+    fn request(&mut self, request: u128, from: &HostId, tokens: u64) -> GrantStatus {
         let work = work(request, from, tokens, self.clock.now());
         let from = from.clone();
-        let actions = self.hear(HomeEvent::Request { from, work });
+        let actions = self.handle(HomeEvent::Request { from, work });
         let reply = actions.into_iter().find_map(|action| match action {
             HomeAction::Reply { answer, .. } => Some(answer.status),
             _ => None,
@@ -131,27 +135,27 @@
         reply.unwrap()
     }
 
-    fn ask_granted(&mut self, request: u128, from: &HostId, tokens: u64) -> IssuedGrant {
-        granted(self.ask(request, from, tokens))
+    fn request_grant(&mut self, request: u128, from: &HostId, tokens: u64) -> IssuedGrant {
+        granted(self.request(request, from, tokens))
     }
 
     fn announce(&mut self, from: &HostId, grants: &[LiveGrant]) -> Vec<HomeAction> {
-        self.hear(HomeEvent::Announce {
+        self.handle(HomeEvent::Announce {
             from: from.clone(),
             grants: grants.to_vec(),
         })
     }
 
     fn finish(&mut self, from: &HostId, grant: GrantId, ended: AttemptOutcome) -> Vec<HomeAction> {
-        self.hear(HomeEvent::Finish {
+        self.handle(HomeEvent::Finish {
             from: from.clone(),
             grant,
-            done: done(ended),
+            done: attempt_summary(ended),
         })
     }
 
-    fn confirm(&mut self, grant: GrantId) {
-        self.hear(HomeEvent::CancelConfirmed {
+    fn confirm_cancel(&mut self, grant: GrantId) {
+        self.handle(HomeEvent::CancelConfirmed {
             upstream: upstream("runner-1"),
             attempt: AttemptId(grant.0),
         });
@@ -165,7 +169,7 @@
     }
 }
 
-fn running(grant: GrantId, from: &HostId, tokens: u64) -> RunningAttempt {
+fn running_attempt(grant: GrantId, from: &HostId, tokens: u64) -> RunningAttempt {
     RunningAttempt {
         attempt: AttemptId(grant.0),
         host: from.clone(),
@@ -181,7 +185,13 @@
     actions.iter().filter_map(attempt).collect()
 }
 
-fn live(grant: GrantId, request: u128, from: &HostId, tokens: u64, now: Instant) -> LiveGrant {
+fn live_grant(
+    grant: GrantId,
+    request: u128,
+    from: &HostId,
+    tokens: u64,
+    now: Instant,
+) -> LiveGrant {
     LiveGrant {
         id: grant,
         work: work(request, from, tokens, now),
@@ -189,202 +199,205 @@
     }
 }
 
-/// The reply to a request for a grant is lost, and the host asks again. Were it given a second
+/// The reply with a grant is lost, and the host repeats its request. If the home issued a second
 /// grant, the first one would hold engine memory that nobody uses.
 #[test]
-fn asking_again_gets_the_same_grant() {
-    let mut home = Home::serving();
+fn repeated_request_gets_the_same_grant() {
+    let mut home = TestHome::serving();
     let a = host("entry-a");
-    let first = home.ask_granted(1, &a, 6_000);
-    assert_eq!(home.ask_granted(1, &a, 6_000), first);
-    assert_eq!(home.ask(2, &a, 6_000), GrantStatus::Queued);
-    assert_eq!(home.ask(2, &a, 6_000), GrantStatus::Queued);
+    let first = home.request_grant(1, &a, 6_000);
+    assert_eq!(home.request_grant(1, &a, 6_000), first);
+    assert_eq!(home.request(2, &a, 6_000), GrantStatus::Queued);
+    assert_eq!(home.request(2, &a, 6_000), GrantStatus::Queued);
     let actions = home.finish(&a, first.grant, AttemptOutcome::Completed);
     let pushed = |action: &HomeAction| matches!(action, HomeAction::Push { answer, .. } if answer.request == RequestId(2));
     assert!(actions.iter().any(pushed));
-    let second = home.ask_granted(2, &a, 6_000);
+    let second = home.request_grant(2, &a, 6_000);
     assert_ne!(second.grant, first.grant);
-    assert_eq!(home.home.ledger_len(), 1);
+    assert_eq!(home.controller.ledger_len(), 1);
 }
 
-/// A caller's answer is whole, but the message that its grant has ended is lost. The engine holds
-/// nothing, yet the ledger would count the memory for ever and turn away work that fits.
+/// An answer is complete, but the message that its grant has ended is lost. The engine holds no
+/// memory any more, but the ledger would count it forever and refuse work that fits.
 #[test]
-fn lost_end_is_found_by_announcement() {
-    let mut home = Home::serving();
+fn lost_end_is_detected_by_an_announcement() {
+    let mut home = TestHome::serving();
     let a = host("entry-a");
-    let grant = home.ask_granted(1, &a, 6_000).grant;
-    let actions = home.pass(Duration::from_secs(4), &[], &[(&a, Vec::new())]);
+    let grant = home.request_grant(1, &a, 6_000).grant;
+    let actions = home.advance(Duration::from_secs(4), &[], &[(&a, Vec::new())]);
     assert!(cancels(&actions).contains(&AttemptId(grant.0)));
-    home.confirm(grant);
-    assert_eq!(home.home.ledger_len(), 0);
-    home.ask_granted(2, &a, 6_000);
+    home.confirm_cancel(grant);
+    assert_eq!(home.controller.ledger_len(), 0);
+    home.request_grant(2, &a, 6_000);
 }
 
-/// An entry host dies with a stream open, and the engine goes on writing an answer that nobody
-/// reads. A first cancel is lost. The memory counts until the engine has confirmed one.
+/// An entry host dies with an open stream, and the engine goes on generating an answer that nobody
+/// reads. The first cancel is lost. The memory counts until the engine has confirmed a cancel.
 #[test]
 fn streams_of_a_dead_host_are_cancelled_until_confirmed() {
-    let mut home = Home::serving();
+    let mut home = TestHome::serving();
     let a = host("entry-a");
-    home.join(&["entry-b", "entry-c"]);
-    let grant = home.ask_granted(1, &a, 6_000).grant;
-    let held = [running(grant, &a, 6_000)];
-    home.announce(&a, &[live(grant, 1, &a, 6_000, home.clock.now())]);
-    home.hear(HomeEvent::HostDead(a.clone()));
-    assert!(cancels(&home.pass(Duration::from_secs(4), &held, &[])).is_empty());
-    let actions = home.pass(Duration::from_secs(4), &held, &[]);
-    assert!(cancels(&actions).len() > 1, "the lost cancel is repeated");
-    assert_eq!(home.home.live_grants().len(), 1);
-    home.confirm(grant);
-    assert!(home.home.live_grants().is_empty());
+    home.add_members(&["entry-b", "entry-c"]);
+    let grant = home.request_grant(1, &a, 6_000).grant;
+    let held = [running_attempt(grant, &a, 6_000)];
+    home.announce(&a, &[live_grant(grant, 1, &a, 6_000, home.clock.now())]);
+    home.handle(HomeEvent::HostDead(a.clone()));
+    assert!(cancels(&home.advance(Duration::from_secs(4), &held, &[])).is_empty());
+    let actions = home.advance(Duration::from_secs(4), &held, &[]);
+    assert!(
+        cancels(&actions).len() > 1,
+        "the lost cancel is not repeated"
+    );
+    assert_eq!(home.controller.live_grants().len(), 1);
+    home.confirm_cancel(grant);
+    assert!(home.controller.live_grants().is_empty());
 }
 
-/// For a moment two hosts hold themselves for the home. One of them sees, in an engine's list,
-/// attempts that the other granted, by a host that announces only to the other. Were they taken
-/// for lost ones and cancelled, running answers would be cut off. Once their host announces here
-/// without them, they are lost, and are cancelled.
+/// Two hosts briefly act as the home of a pool. One of them finds in an engine's list an attempt
+/// that the other one granted, to a host that announces only to the other one. Cancelling the
+/// attempt would interrupt a running answer. Once its host announces here without the grant, the
+/// attempt is orphaned and is cancelled.
 #[test]
-fn attempts_of_another_home_are_counted_and_left_alone() {
-    let mut home = Home::serving();
+fn attempts_of_another_home_are_counted_and_not_cancelled() {
+    let mut home = TestHome::serving();
     let b = host("entry-b");
-    home.hear(HomeEvent::HostAlive(b.clone()));
-    let stray = GrantId(77);
-    let held = [running(stray, &b, 6_000)];
-    let actions = home.pass(Duration::from_secs(30), &held, &[]);
+    home.handle(HomeEvent::HostAlive(b.clone()));
+    let foreign = GrantId(77);
+    let held = [running_attempt(foreign, &b, 6_000)];
+    let actions = home.advance(Duration::from_secs(30), &held, &[]);
     assert!(cancels(&actions).is_empty());
     assert!(actions.contains(&HomeAction::RequestAnnouncement { to: b.clone() }));
     assert_eq!(
-        home.ask(1, &b, 6_000),
+        home.request(1, &b, 6_000),
         GrantStatus::Queued,
-        "its memory counts"
+        "the memory of the inferred grant counts"
     );
-    let actions = home.pass(Duration::from_secs(1), &held, &[(&b, Vec::new())]);
-    assert!(cancels(&actions).contains(&AttemptId(stray.0)));
-    home.confirm(stray);
-    home.ask_granted(1, &b, 6_000);
+    let actions = home.advance(Duration::from_secs(1), &held, &[(&b, Vec::new())]);
+    assert!(cancels(&actions).contains(&AttemptId(foreign.0)));
+    home.confirm_cancel(foreign);
+    home.request_grant(1, &b, 6_000);
 }
 
-/// A home dies and the next one takes over with an empty ledger, while engines are full of work
-/// that the dead one granted. Granting freely would run them out of memory; granting nothing would
-/// keep callers waiting. A few short requests go through, the rest wait until the hosts and engines
-/// have been heard.
+/// A home dies, and the next one takes over with an empty ledger while engines are full of work
+/// that the dead home granted. Granting without limit would exhaust engine memory; granting nothing
+/// would delay callers. A few short requests are granted, and the rest wait for the hosts and
+/// engines.
 #[test]
-fn take_over_rebuilds_the_ledger() {
+fn takeover_rebuilds_the_ledger() {
     let (a, b) = (host("entry-a"), host("entry-b"));
-    let mut home = Home::fresh(&[&a, &b]);
+    let mut home = TestHome::rebuilding(&[&a, &b]);
     let actions = home.set_engine(UpstreamHealth::Live);
-    home.ask_granted(1, &a, 1_000);
+    home.request_grant(1, &a, 1_000);
     assert_eq!(
-        home.ask(2, &a, 1_000),
+        home.request(2, &a, 1_000),
         GrantStatus::Queued,
-        "the share is used up"
+        "the limit during the rebuild is reached"
     );
-    assert_eq!(home.ask(3, &a, 6_000), GrantStatus::Queued);
+    assert_eq!(home.request(3, &a, 6_000), GrantStatus::Queued);
     let old = GrantId(5);
-    home.list(&actions, &[running(old, &b, 8_000)]);
+    home.answer_queries(&actions, &[running_attempt(old, &b, 8_000)]);
     let now = home.clock.now();
-    home.announce(&b, &[live(old, 9, &b, 8_000, now)]);
-    assert!(home.home.is_rebuilding());
+    home.announce(&b, &[live_grant(old, 9, &b, 8_000, now)]);
+    assert!(home.controller.is_rebuilding());
     home.announce(&a, &[]);
-    assert!(!home.home.is_rebuilding());
-    home.ask_granted(2, &a, 1_000);
+    assert!(!home.controller.is_rebuilding());
+    home.request_grant(2, &a, 1_000);
     assert_eq!(
-        home.ask(3, &a, 6_000),
+        home.request(3, &a, 6_000),
         GrantStatus::Queued,
-        "{old} still holds 8,000"
+        "{old} still holds 8,000 tokens"
     );
     home.finish(&b, old, AttemptOutcome::Completed);
-    home.ask_granted(3, &a, 6_000);
+    home.request_grant(3, &a, 6_000);
 }
 
-/// After a take-over one host never announces. The home must not wait for it for ever.
+/// After a takeover one host never announces its grants. The home must not wait for it forever.
 #[test]
-fn rebuilding_ends_without_the_silent() {
-    let mut home = Home::fresh(&[&host("entry-a")]);
+fn rebuild_ends_without_silent_hosts() {
+    let mut home = TestHome::rebuilding(&[&host("entry-a")]);
     home.set_engine(UpstreamHealth::Live);
-    home.pass(HomeConf::default().rebuild_max, &[], &[]);
-    assert!(!home.home.is_rebuilding());
+    home.advance(HomeConf::default().rebuild_max, &[], &[]);
+    assert!(!home.controller.is_rebuilding());
 }
 
-/// A grant's reply is lost, and before the host asks again the platform lists the engine as
-/// leaving. Told the same grant again, the host would send new work there seconds later.
+/// The reply with a grant is lost, and the platform lists the engine as leaving before the host
+/// repeats its request. If the host got the same grant, it would send new work to the engine.
 #[test]
-fn unseen_grant_on_a_leaving_upstream_is_void() {
-    let mut home = Home::serving();
+fn unannounced_grant_on_a_leaving_upstream_is_replaced() {
+    let mut home = TestHome::serving();
     let a = host("entry-a");
-    let old = home.ask_granted(1, &a, 4_000);
+    let old = home.request_grant(1, &a, 4_000);
     home.set_engine(UpstreamHealth::Leaving);
-    assert_eq!(home.ask(1, &a, 4_000), GrantStatus::Queued);
+    assert_eq!(home.request(1, &a, 4_000), GrantStatus::Queued);
     home.set_engine(UpstreamHealth::Live);
-    let new = home.ask_granted(1, &a, 4_000);
+    let new = home.request_grant(1, &a, 4_000);
     assert_ne!(new.grant, old.grant);
     assert_eq!(
-        home.ask(2, &a, 4_000),
+        home.request(2, &a, 4_000),
         GrantStatus::Queued,
-        "the old one may have been used"
+        "the old grant may have been used"
     );
-    let grants = vec![live(new.grant, 1, &a, 4_000, home.clock.now())];
-    let actions = home.pass(Duration::from_secs(4), &[], &[(&a, grants)]);
+    let grants = vec![live_grant(new.grant, 1, &a, 4_000, home.clock.now())];
+    let actions = home.advance(Duration::from_secs(4), &[], &[(&a, grants)]);
     assert!(cancels(&actions).contains(&AttemptId(old.grant.0)));
-    home.confirm(old.grant);
-    home.ask_granted(2, &a, 4_000);
+    home.confirm_cancel(old.grant);
+    home.request_grant(2, &a, 4_000);
 }
 
-/// The connection to an engine breaks in the middle of an answer. The host tells its home at once,
-/// but the engine goes on: its memory is free only when it has confirmed the cancel.
+/// The connection to an engine breaks during an answer. The host reports the failure at once, but
+/// the engine goes on: its memory is free only once the engine has confirmed the cancel.
 #[test]
 fn failed_attempt_holds_memory_until_the_engine_confirms() {
-    let mut home = Home::serving();
+    let mut home = TestHome::serving();
     let a = host("entry-a");
-    let grant = home.ask_granted(1, &a, 6_000).grant;
+    let grant = home.request_grant(1, &a, 6_000).grant;
     let actions = home.finish(&a, grant, AttemptOutcome::Failed);
     assert_eq!(cancels(&actions), [AttemptId(grant.0)]);
     home.finish(&a, grant, AttemptOutcome::NotSent);
-    assert_eq!(home.ask(2, &a, 6_000), GrantStatus::Queued);
-    home.confirm(grant);
-    home.ask_granted(2, &a, 6_000);
+    assert_eq!(home.request(2, &a, 6_000), GrantStatus::Queued);
+    home.confirm_cancel(grant);
+    home.request_grant(2, &a, 6_000);
 }
 
-/// A list was on its way while a grant ended, and still shows it. Taken for new, it would bring the
-/// ended grant back and block memory that is free.
+/// A list of attempts that is on its way while a grant ends still shows the attempt. If it restored
+/// the grant, the ledger would count memory that is free.
 #[test]
-fn list_from_before_an_end_does_not_bring_it_back() {
-    let mut home = Home::serving();
+fn stale_list_does_not_restore_an_ended_grant() {
+    let mut home = TestHome::serving();
     let a = host("entry-a");
-    let grant = home.ask_granted(1, &a, 6_000).grant;
+    let grant = home.request_grant(1, &a, 6_000).grant;
     home.clock.advance(Duration::from_secs(2));
-    let asked = home.hear(HomeEvent::Tick);
+    let asked = home.handle(HomeEvent::Tick);
     home.clock.advance(Duration::from_millis(10));
     home.finish(&a, grant, AttemptOutcome::Completed);
-    home.list(&asked, &[running(grant, &a, 6_000)]);
-    assert_eq!(home.home.ledger_len(), 0);
+    home.answer_queries(&asked, &[running_attempt(grant, &a, 6_000)]);
+    assert_eq!(home.controller.ledger_len(), 0);
 }
 
-/// A host that waits for a grant dies or turns to another home, and asks no more. Its request must
-/// not take a place in the queue, nor get a grant that nobody uses.
+/// A host that waits for a grant dies or switches to another home, and stops repeating its request.
+/// The request must not stay in the queue or get a grant that nobody uses.
 #[test]
-fn requests_that_nobody_asks_for_are_forgotten() {
-    let mut home = Home::serving();
+fn requests_that_are_not_repeated_are_forgotten() {
+    let mut home = TestHome::serving();
     let (a, b) = (host("entry-a"), host("entry-b"));
-    let grant = home.ask_granted(1, &a, 6_000).grant;
-    home.ask(2, &b, 6_000);
-    home.pass(
+    let grant = home.request_grant(1, &a, 6_000).grant;
+    home.request(2, &b, 6_000);
+    home.advance(
         Duration::from_secs(4),
         &[],
-        &[(&a, vec![live(grant, 1, &a, 6_000, home.clock.now())])],
+        &[(&a, vec![live_grant(grant, 1, &a, 6_000, home.clock.now())])],
     );
-    assert_eq!(home.home.requests_len(), 1);
+    assert_eq!(home.controller.requests_len(), 1);
 }
 
-/// A host drains. Requests that wait at its home are told at once to ask the next one, and are not
-/// left to find out by a timeout.
+/// A host drains. The home tells waiting requests at once to go to the next home, so that they do
+/// not wait for a timeout.
 #[test]
-fn hand_over_sends_waiting_requests_on() {
-    let mut home = Home::serving();
+fn hand_over_redirects_waiting_requests() {
+    let mut home = TestHome::serving();
     let a = host("entry-a");
-    home.ask_granted(1, &a, 6_000);
-    home.ask(2, &a, 6_000);
+    home.request_grant(1, &a, 6_000);
+    home.request(2, &a, 6_000);
     let answer = HomeAnswer {
         request: RequestId(2),
         status: GrantStatus::NotHome,
@@ -393,8 +406,8 @@
         to: a.clone(),
         answer,
     };
-    assert_eq!(home.hear(HomeEvent::HandOver), [pushed]);
-    assert_eq!(home.ask(3, &a, 1_000), GrantStatus::NotHome);
+    assert_eq!(home.handle(HomeEvent::HandOver), [pushed]);
+    assert_eq!(home.request(3, &a, 1_000), GrantStatus::NotHome);
 }
 
 #[parameterized(
@@ -411,7 +424,7 @@
         retry_after: Duration::from_millis(2_500),
     } },
 )]
-fn answers_survive_the_wire(status: GrantStatus) {
+fn encoded_answers_decode_to_the_same_value(status: GrantStatus) {
     let pool: PoolId = "hall-a/llm-advisor/0".parse().unwrap();
     let request = RequestId(3);
     let answer = HomeAnswer { request, status };
@@ -419,9 +432,9 @@
     assert_eq!(wire::decode_answer(&message), Ok((pool, answer)));
 }
 
-/// Hosts' clocks differ, so a deadline travels as the time that remains.
+/// The clocks of hosts differ, so a deadline is sent as the remaining time.
 #[test]
-fn deadlines_travel_as_remaining_time() {
+fn deadlines_are_sent_as_remaining_time() {
     let pool: PoolId = "hall-a/llm-advisor/0".parse().unwrap();
     let here = Instant::now();
     let there = here + Duration::from_secs(1_000);
@@ -433,52 +446,55 @@
     assert_eq!(got.deadline - there, sent.deadline - here);
     sent.deadline = got.deadline;
     assert_eq!(got, sent);
-    let cut = banyanarch::peer::message::GrantRequest::default();
-    assert_eq!(wire::decode_request(&cut, here).unwrap_err().field, "pool");
+    let empty = banyanarch::peer::message::GrantRequest::default();
+    assert_eq!(
+        wire::decode_request(&empty, here).unwrap_err().field,
+        "pool"
+    );
 }
 
-/// A host restarts, membership says so late, and the new process asks before anybody calls it alive.
-/// Its grant came after the death that membership tells of: cancelling it would cut off an answer
-/// that is being read.
+/// A host restarts, and the new process requests a grant while membership still reports the death
+/// of the old one. Cancelling the new grant would interrupt an answer that is being read.
 #[test]
-fn host_that_is_back_keeps_new_grants() {
-    let mut home = Home::serving();
+fn restarted_host_keeps_new_grants() {
+    let mut home = TestHome::serving();
     let a = host("entry-a");
-    home.join(&["entry-b", "entry-c"]);
-    home.hear(HomeEvent::HostDead(a.clone()));
-    home.pass(Duration::from_secs(8), &[], &[]);
-    let grant = home.ask_granted(1, &a, 6_000).grant;
-    let held = [running(grant, &a, 6_000)];
-    let grants = vec![live(grant, 1, &a, 6_000, home.clock.now())];
-    let actions = home.pass(Duration::from_secs(20), &held, &[(&a, grants)]);
+    home.add_members(&["entry-b", "entry-c"]);
+    home.handle(HomeEvent::HostDead(a.clone()));
+    home.advance(Duration::from_secs(8), &[], &[]);
+    let grant = home.request_grant(1, &a, 6_000).grant;
+    let held = [running_attempt(grant, &a, 6_000)];
+    let grants = vec![live_grant(grant, 1, &a, 6_000, home.clock.now())];
+    let actions = home.advance(Duration::from_secs(20), &held, &[(&a, grants)]);
     assert!(cancels(&actions).is_empty());
-    assert_eq!(home.home.ledger_len(), 1);
+    assert_eq!(home.controller.ledger_len(), 1);
 }
 
-/// A host is paused with a grant on its way; its home gives the grant up and cancels it. Awake, the
-/// host asks again while the cancel is not confirmed yet. The same grant would be cancelled as soon
-/// as it is used.
+/// A host is paused while a grant is on its way, and its home abandons and cancels the grant. The
+/// host resumes and repeats its request before the cancel is confirmed. The same grant would be
+/// cancelled as soon as it is used.
 #[test]
-fn grant_that_was_given_up_is_not_given_again() {
-    let mut home = Home::serving();
+fn abandoned_grant_is_not_issued_again() {
+    let mut home = TestHome::serving();
     let a = host("entry-a");
-    let old = home.ask_granted(1, &a, 4_000);
-    let given_up = home.pass(Duration::from_secs(4), &[], &[(&a, Vec::new())]);
-    assert!(!cancels(&given_up).is_empty());
-    let new = home.ask_granted(1, &a, 4_000);
+    let old = home.request_grant(1, &a, 4_000);
+    let abandoned = home.advance(Duration::from_secs(4), &[], &[(&a, Vec::new())]);
+    assert!(!cancels(&abandoned).is_empty());
+    let new = home.request_grant(1, &a, 4_000);
     assert_ne!(new.grant, old.grant);
-    home.confirm(old.grant);
-    assert_eq!(home.home.ledger_len(), 1);
+    home.confirm_cancel(old.grant);
+    assert_eq!(home.controller.ledger_len(), 1);
     let now = home.clock.now();
     assert!(new.is_fresh(now - Duration::from_millis(600), now));
     assert!(!old.is_fresh(now - Duration::from_secs(4), now));
 }
 
-/// A refusal's reply is lost, and the host asks again: a second decision could contradict what the
-/// first caller was told. But refusals come in thousands, and must be forgotten some time.
+/// The reply with a refusal is lost, and the host repeats its request. A second decision could
+/// contradict the first one. Refusals come by the thousand, so they must be forgotten after a
+/// while.
 #[test]
 fn refusals_are_remembered_for_a_while() {
-    let mut home = Home::serving();
+    let mut home = TestHome::serving();
     let a = host("entry-a");
     let mut late = work(1, &a, 1_000, home.clock.now());
     late.deadline = home.clock.now();
@@ -486,60 +502,61 @@
         from: a.clone(),
         work: late,
     };
-    let first = home.hear(event.clone());
-    home.pass(Duration::from_secs(1), &[], &[]);
-    assert_eq!(home.hear(event), first);
-    assert_eq!(home.home.requests_len(), 1);
-    home.pass(Duration::from_secs(10), &[], &[]);
-    assert_eq!(home.home.requests_len(), 0);
+    let first = home.handle(event.clone());
+    home.advance(Duration::from_secs(1), &[], &[]);
+    assert_eq!(home.handle(event), first);
+    assert_eq!(home.controller.requests_len(), 1);
+    home.advance(Duration::from_secs(10), &[], &[]);
+    assert_eq!(home.controller.requests_len(), 0);
 }
 
-/// A host is cut off from all others but not from the engines, or wakes up from a pause, and holds
-/// everybody else for dead. As the home of everything it would cancel what they are reading.
+/// A host is partitioned from all other hosts but not from the engines, or resumes after a pause,
+/// and considers all others dead. As the home of every pool it would cancel the answers they read.
 #[test]
-fn host_that_is_alone_cancels_nothing() {
-    let mut home = Home::serving();
+fn isolated_host_cancels_nothing() {
+    let mut home = TestHome::serving();
     let (a, b) = (host("entry-a"), host("entry-b"));
-    home.join(&["entry-c"]);
+    home.add_members(&["entry-c"]);
     let held = [
-        running(GrantId(77), &a, 1_000),
-        running(GrantId(78), &host("entry-x"), 1_000),
+        running_attempt(GrantId(77), &a, 1_000),
+        running_attempt(GrantId(78), &host("entry-x"), 1_000),
     ];
-    home.hear(HomeEvent::HostDead(a.clone()));
-    home.hear(HomeEvent::HostDead(b));
+    home.handle(HomeEvent::HostDead(a.clone()));
+    home.handle(HomeEvent::HostDead(b));
     let day = Duration::from_secs(86_400);
-    home.pass(Duration::from_secs(80), &held, &[]);
+    home.advance(Duration::from_secs(80), &held, &[]);
     home.clock.advance(day);
-    assert!(cancels(&home.pass(Duration::from_secs(80), &held, &[])).is_empty());
-    home.join(&["entry-b", "entry-d"]);
-    let cancelled = cancels(&home.pass(Duration::from_secs(80), &held, &[]));
+    assert!(cancels(&home.advance(Duration::from_secs(80), &held, &[])).is_empty());
+    home.add_members(&["entry-b", "entry-d"]);
+    let cancelled = cancels(&home.advance(Duration::from_secs(80), &held, &[]));
     assert!(cancelled.contains(&AttemptId(77)) && cancelled.contains(&AttemptId(78)));
 }
 
-/// A host asks, gets a grant, and turns to another home before the reply comes. It never announces
-/// here, and the engine never hears of it: only the engine's list can show that nothing is held.
+/// A host requests a grant and switches to another home before the reply arrives. It never
+/// announces here, and the engine never gets the attempt: only the engine's list shows that no
+/// memory is held.
 #[test]
-fn grant_that_nobody_ever_used_is_dropped() {
-    let mut home = Home::serving();
-    home.ask_granted(1, &host("entry-a"), 6_000);
-    let actions = home.pass(Duration::from_secs(8), &[], &[]);
+fn unused_grant_is_dropped() {
+    let mut home = TestHome::serving();
+    home.request_grant(1, &host("entry-a"), 6_000);
+    let actions = home.advance(Duration::from_secs(8), &[], &[]);
     assert!(cancels(&actions).is_empty());
-    assert_eq!(home.home.ledger_len(), 0);
+    assert_eq!(home.controller.ledger_len(), 0);
 }
 
-/// A host is silent for long, is held for dead, and the cancel of its attempt is lost. Then it is
-/// back, still reading, and announces: the cancel must not be tried again.
+/// A silent host is considered dead, and the cancel of its attempt is lost. Then the host announces
+/// the grant, since it still reads the answer: the cancel must not be repeated.
 #[test]
-fn host_that_comes_back_goes_on_reading() {
-    let mut home = Home::serving();
+fn host_that_announces_again_keeps_its_attempt() {
+    let mut home = TestHome::serving();
     let a = host("entry-a");
-    home.join(&["entry-b", "entry-c"]);
-    let grant = home.ask_granted(1, &a, 6_000).grant;
-    let held = [running(grant, &a, 6_000)];
-    home.hear(HomeEvent::HostDead(a.clone()));
-    let lost = home.pass(Duration::from_millis(5_250), &held, &[]);
+    home.add_members(&["entry-b", "entry-c"]);
+    let grant = home.request_grant(1, &a, 6_000).grant;
+    let held = [running_attempt(grant, &a, 6_000)];
+    home.handle(HomeEvent::HostDead(a.clone()));
+    let lost = home.advance(Duration::from_millis(5_250), &held, &[]);
     assert_eq!(cancels(&lost), [AttemptId(grant.0)]);
-    let grants = vec![live(grant, 1, &a, 6_000, home.clock.now())];
-    let actions = home.pass(Duration::from_secs(20), &held, &[(&a, grants)]);
+    let grants = vec![live_grant(grant, 1, &a, 6_000, home.clock.now())];
+    let actions = home.advance(Duration::from_secs(20), &held, &[(&a, grants)]);
     assert!(cancels(&actions).is_empty());
 }
--- a/tests/homes.rs
+++ b/tests/homes.rs
@@ -1,4 +1,4 @@
-//! Homes of pools: hosts agree, the load is bounded, and little moves.
+//! The assignment of pools to homes: hosts agree, the load is bounded, and changes move few pools.
 
 use banyanarch::control::home_assignment::HomeTable;
 use banyanarch::control::home_assignment::Member;
@@ -53,7 +53,7 @@
     load
 }
 
-/// Two hosts list the same view in different orders. If they named different homes, each pool would
+/// Two hosts have the same view in different orders. If they assigned different homes, a pool would
 /// have two ledgers, and its engines would get more work than they have memory for.
 #[test]
 fn hosts_with_the_same_view_agree() {
@@ -84,14 +84,14 @@
         let most = load(&table, &pools).into_values().max().unwrap();
         assert!(
             most as f64 <= (1.25 * average).ceil(),
-            "{most} of {average}"
+            "{most} pools on one host, average {average}"
         );
         members[gone].is_eligible = false;
     }
 }
 
-/// One home dies. Its pools are taken over by the hosts that were named to follow. If other pools
-/// moved too, their ledgers would have to be rebuilt for nothing, and their callers would wait.
+/// A home dies, and the next candidates take over its pools. If other pools moved too, their
+/// ledgers would be rebuilt without need, and their callers would wait.
 #[parameterized(
     today = { 9, 3 },
     target_size = { 14, 67 },
@@ -131,38 +131,38 @@
     full = { 24, 2 },
     target_size = { 152, 13 },
 )]
-fn pools_are_bounded_and_whole(upstream_count: usize, pool_count: usize) {
+fn pools_are_bounded_and_contain_all_upstreams(upstream_count: usize, pool_count: usize) {
     let pools = partition_upstreams(&domain(), &target(), &upstreams(upstream_count));
     assert_eq!(pools.len(), pool_count);
     let most = pools.values().map(Vec::len).max().unwrap();
-    assert!(most <= POOL_UPSTREAMS_MAX, "{most}");
+    assert!(most <= POOL_UPSTREAMS_MAX, "{most} upstreams in one pool");
     let mut all: Vec<_> = pools.into_values().flatten().collect();
     all.sort();
     all.dedup();
     assert_eq!(all.len(), upstream_count);
 }
 
-/// An engine is replaced. Each upstream that changes its pool on that occasion takes its running
-/// work from one ledger to another, so few may.
+/// An upstream is removed. Each other upstream that changes its pool moves its running work to
+/// another ledger, so few may change.
 #[test]
 fn one_change_of_upstreams_moves_few_others() {
     let all = upstreams(150);
     let before = partition_upstreams(&domain(), &target(), &all);
-    let home = |pools: &IndexMap<PoolId, Vec<UpstreamId>>, id: &UpstreamId| {
+    let pool_of = |pools: &IndexMap<PoolId, Vec<UpstreamId>>, id: &UpstreamId| {
         let found = pools.iter().find(|(_, members)| members.contains(id));
         found.map(|(pool, _)| pool.clone())
     };
     let mut moved = 0;
-    for gone in 0..all.len() {
+    for removed in 0..all.len() {
         let mut rest = all.clone();
-        rest.remove(gone);
+        rest.remove(removed);
         let after = partition_upstreams(&domain(), &target(), &rest);
-        let has_moved = |id: &&UpstreamId| home(&before, id) != home(&after, id);
+        let has_moved = |id: &&UpstreamId| pool_of(&before, id) != pool_of(&after, id);
         moved += rest.iter().filter(has_moved).count();
     }
     assert!(
         moved <= 2 * all.len(),
-        "{moved} moves by {} changes",
+        "{moved} upstreams moved by {} removals",
         all.len()
     );
 }
--- a/tests/worlds/claim_history.rs
+++ b/tests/worlds/claim_history.rs
@@ -1,4 +1,4 @@
-//! What callers and hosts saw of one key, as a history of a set-once value for the checker.
+//! The history of the operations on one key, for a linearizability check against a set-once value.
 
 use banyanarch::units::AttemptId;
 use todc_utils::Action;
@@ -6,13 +6,13 @@
 use todc_utils::Specification;
 use todc_utils::WGLChecker;
 
-/// An operation on the value: the attempt that holds the key, if any.
+/// An operation on a key, whose value is the attempt that holds it, if any.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum KeyOp {
-    /// Asks for the key and is told who holds it now, maybe oneself.
+    /// Claims the key for `by`; the answer names the attempt that holds the key, possibly `by`.
     Claim { by: AttemptId, held: AttemptId },
-    /// Asks for the key and never hears what came of it.
-    ClaimUnheard { by: AttemptId },
+    /// Claims the key for `by` and gets no answer.
+    UnansweredClaim { by: AttemptId },
     /// Gives the key back if `by` holds it.
     GiveBack { by: AttemptId },
 }
@@ -33,41 +33,42 @@
                 let now = state.unwrap_or(*by);
                 (now == *held, if now == *held { Some(now) } else { *state })
             }
-            KeyOp::ClaimUnheard { by } => (true, Some(state.unwrap_or(*by))),
+            KeyOp::UnansweredClaim { by } => (true, Some(state.unwrap_or(*by))),
             KeyOp::GiveBack { by } => (true, state.filter(|held| held != by)),
         }
     }
 }
 
-/// Records the operations on one key; each has a process of its own.
+/// The recorded operations on one key; each operation is a process of its own.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KeyHistory {
     actions: Vec<(usize, Action<KeyOp>)>,
     open: Vec<(usize, KeyOp)>,
-    processes: usize,
+    process_count: usize,
 }
 
 impl KeyHistory {
-    /// An operation begins; what it begins as is what it is if it never ends.
+    /// Records the start of an operation. `op` is also the operation that is checked if it never
+    /// ends.
     pub(crate) fn begin(&mut self, op: KeyOp) {
-        self.actions.push((self.processes, Action::Call(op)));
-        self.open.push((self.processes, op));
-        self.processes += 1;
+        self.actions.push((self.process_count, Action::Call(op)));
+        self.open.push((self.process_count, op));
+        self.process_count += 1;
     }
 
-    /// The claim of an attempt ends with an answer.
+    /// Records the answer to the claim of an attempt.
     pub(crate) fn end_claim(&mut self, by: AttemptId, held: AttemptId) {
-        let is_it = |(_, op): &(usize, KeyOp)| *op == KeyOp::ClaimUnheard { by };
-        if let Some(at) = self.open.iter().position(is_it) {
+        let is_claim = |(_, op): &(usize, KeyOp)| *op == KeyOp::UnansweredClaim { by };
+        if let Some(at) = self.open.iter().position(is_claim) {
             let (process, _) = self.open.swap_remove(at);
             let end = Action::Response(KeyOp::Claim { by, held });
             self.actions.push((process, end));
         }
     }
 
-    /// Whether some order of the operations explains all answers. What has not ended may have taken
-    /// effect at any time since it began, or, put last, never as far as anybody saw.
-    pub(crate) fn has_an_order(mut self) -> bool {
+    /// Whether some order of the operations explains all answers. An operation that has not ended
+    /// may have taken effect at any time after its start; one that took no effect is ordered last.
+    pub(crate) fn is_linearizable(mut self) -> bool {
         if self.actions.is_empty() {
             return true;
         }
--- a/tests/worlds/claim_world.rs
+++ b/tests/worlds/claim_world.rs
@@ -1,4 +1,4 @@
-//! Hosts that claim keys over one shard object, with engines that record what ran.
+//! Simulation of hosts that claim keys in one shard object, with engines that record what ran.
 
 use std::time::Duration;
 
@@ -36,31 +36,31 @@
 pub(crate) const HOSTS: usize = 3;
 const KEYS: usize = 2;
 
-/// How an engine takes an attempt.
+/// How an engine handles an attempt.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Fate {
+pub(crate) enum EngineResult {
     Completes,
     Refuses,
-    CrashesBefore,
-    CrashesAfter,
+    CrashesBeforeRun,
+    CrashesAfterRun,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Step {
-    /// A caller sends a key to a host.
+    /// A caller sends a request with a key to a host.
     Send { host: usize, key: usize },
-    /// A host's call to the platform moves on: it is begun, takes effect, or is answered.
+    /// A host's call to the platform advances: it is started, takes effect, or is answered.
     Call { host: usize, fault: Fault },
-    /// The oldest claimant of a host gives up.
-    GiveUp { host: usize },
-    /// The oldest recorded claim of a host is dispatched, however long after.
-    Dispatch { host: usize, fate: Fate },
-    /// A host dies, and another process starts in its place.
+    /// The oldest waiting request of a host is abandoned.
+    Abandon { host: usize },
+    /// The oldest recorded claim of a host is dispatched, after any delay.
+    Dispatch { host: usize, result: EngineResult },
+    /// A host dies, and a new process replaces it.
     Kill { host: usize },
-    /// Writes that were stuck arrive.
-    Arrive,
-    /// Time passes.
-    Pass { ms: u64 },
+    /// Delayed writes arrive.
+    ApplyDelayed,
+    /// The clock advances.
+    Advance { ms: u64 },
 }
 
 pub(crate) fn step() -> impl Strategy<Value = Step> {
@@ -70,31 +70,31 @@
         1 => proptest::strategy::Just(Fault::AnswerLost),
         2 => proptest::strategy::Just(Fault::Delayed),
     ];
-    let fate = any::<u8>().prop_map(|n| match n % 5 {
-        0 => Fate::Refuses,
-        1 => Fate::CrashesBefore,
-        2 => Fate::CrashesAfter,
-        _ => Fate::Completes,
+    let result = any::<u8>().prop_map(|n| match n % 5 {
+        0 => EngineResult::Refuses,
+        1 => EngineResult::CrashesBeforeRun,
+        2 => EngineResult::CrashesAfterRun,
+        _ => EngineResult::Completes,
     });
     prop_oneof![
         4 => (0..HOSTS, 0..KEYS).prop_map(|(host, key)| Step::Send { host, key }),
         12 => (0..HOSTS, fault).prop_map(|(host, fault)| Step::Call { host, fault }),
-        3 => (0..HOSTS).prop_map(|host| Step::GiveUp { host }),
-        2 => (0..HOSTS, fate).prop_map(|(host, fate)| Step::Dispatch { host, fate }),
+        3 => (0..HOSTS).prop_map(|host| Step::Abandon { host }),
+        2 => (0..HOSTS, result).prop_map(|(host, result)| Step::Dispatch { host, result }),
         1 => (0..HOSTS).prop_map(|host| Step::Kill { host }),
-        1 => proptest::strategy::Just(Step::Arrive),
-        2 => (0..3_000_u64).prop_map(|ms| Step::Pass { ms }),
+        1 => proptest::strategy::Just(Step::ApplyDelayed),
+        2 => (0..3_000_u64).prop_map(|ms| Step::Advance { ms }),
     ]
 }
 
 enum Call {
-    Begun(ShardAction),
+    Started(ShardAction),
     Read(Result<Object, PlatformError>),
     Written(Result<ObjectVersion, PlatformError>),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Sending {
+struct SentRequest {
     key: usize,
     attempt: AttemptId,
 }
@@ -102,8 +102,8 @@
 struct Host {
     shard: ClaimShard,
     call: Option<Call>,
-    waiting: Vec<Sending>,
-    claimed: Vec<Sending>,
+    waiting: Vec<SentRequest>,
+    claimed: Vec<SentRequest>,
 }
 
 pub(crate) struct ClaimWorld {
@@ -111,13 +111,15 @@
     object: FakeObject,
     hosts: Vec<Host>,
     sent: u64,
-    /// What engines ran, by key.
+    /// The attempts that engines ran, by key.
     ran: Vec<Vec<AttemptId>>,
-    told: IndexMap<AttemptId, Outcome>,
+    /// The outcomes that callers were told.
+    reported: IndexMap<AttemptId, Outcome>,
+    /// The attempts whose hosts died before they reported an outcome.
     lost: IndexSet<AttemptId>,
-    keys: Vec<KeyHistory>,
-    /// Keys of which a holder died, or that may have run: they stay held for good.
-    is_spent: [bool; KEYS],
+    histories: Vec<KeyHistory>,
+    /// Whether a key may stay held forever, since a holder died or an attempt may have run.
+    may_stay_held: [bool; KEYS],
 }
 
 impl ClaimWorld {
@@ -128,16 +130,16 @@
             hosts: Vec::new(),
             sent: 0,
             ran: vec![Vec::new(); KEYS],
-            told: IndexMap::new(),
+            reported: IndexMap::new(),
             lost: IndexSet::new(),
-            keys: vec![KeyHistory::default(); KEYS],
-            is_spent: [false; KEYS],
+            histories: vec![KeyHistory::default(); KEYS],
+            may_stay_held: [false; KEYS],
         };
-        world.hosts = (0..HOSTS).map(|_| world.process()).collect();
+        world.hosts = (0..HOSTS).map(|_| world.new_host()).collect();
         world
     }
 
-    fn process(&self) -> Host {
+    fn new_host(&self) -> Host {
         let rng = StdRng::seed_from_u64(self.sent);
         Host {
             shard: ClaimShard::new(ClaimConf::default(), rng),
@@ -151,11 +153,11 @@
         match step {
             Step::Send { host, key } => self.send(host, key),
             Step::Call { host, fault } => self.call(host, fault),
-            Step::GiveUp { host } => self.give_up(host),
-            Step::Dispatch { host, fate } => self.dispatch(host, fate),
+            Step::Abandon { host } => self.abandon(host),
+            Step::Dispatch { host, result } => self.dispatch(host, result),
             Step::Kill { host } => self.kill(host),
-            Step::Arrive => self.object.arrive(),
-            Step::Pass { ms } => self.clock.advance(Duration::from_millis(ms)),
+            Step::ApplyDelayed => self.object.apply_delayed(),
+            Step::Advance { ms } => self.clock.advance(Duration::from_millis(ms)),
         }
     }
 
@@ -164,10 +166,10 @@
         let attempt = AttemptId(self.sent.into());
         let now = self.clock.now();
         let claim = claim(attempt.0, &host(&format!("entry-{at}")), 1);
-        self.keys[key].begin(KeyOp::ClaimUnheard { by: attempt });
-        self.hosts[at].waiting.push(Sending { key, attempt });
-        self.hosts[at].shard.claim(named(key), claim, now);
-        self.verdicts(at);
+        self.histories[key].begin(KeyOp::UnansweredClaim { by: attempt });
+        self.hosts[at].waiting.push(SentRequest { key, attempt });
+        self.hosts[at].shard.claim(key_of(key), claim, now);
+        self.handle_outcomes(at);
     }
 
     fn call(&mut self, at: usize, fault: Fault) {
@@ -176,12 +178,12 @@
         host.call = match host.call.take() {
             None => match host.shard.step(now) {
                 ShardAction::Idle | ShardAction::Wait(_) => None,
-                action => Some(Call::Begun(action)),
+                action => Some(Call::Started(action)),
             },
-            Some(Call::Begun(ShardAction::Write { value, expected })) => {
+            Some(Call::Started(ShardAction::Write { value, expected })) => {
                 Some(Call::Written(self.object.put(value, expected, fault)))
             }
-            Some(Call::Begun(_)) => Some(Call::Read(self.object.get(fault))),
+            Some(Call::Started(_)) => Some(Call::Read(self.object.get(fault))),
             Some(Call::Read(result)) => {
                 host.shard.on_read(result, now);
                 None
@@ -191,117 +193,121 @@
                 None
             }
         };
-        self.verdicts(at);
+        self.handle_outcomes(at);
     }
 
-    fn verdicts(&mut self, at: usize) {
-        for (attempt, verdict) in self.hosts[at].shard.take_outcomes() {
+    fn handle_outcomes(&mut self, at: usize) {
+        for (attempt, outcome) in self.hosts[at].shard.take_outcomes() {
             let waiting = &mut self.hosts[at].waiting;
             let Some(index) = waiting
                 .iter()
-                .position(|sending| sending.attempt == attempt)
+                .position(|request| request.attempt == attempt)
             else {
                 continue;
             };
-            let sending = waiting.remove(index);
-            let history = &mut self.keys[sending.key];
-            match verdict {
+            let request = waiting.remove(index);
+            let history = &mut self.histories[request.key];
+            match outcome {
                 ClaimOutcome::Claimed => {
                     history.end_claim(attempt, attempt);
-                    self.hosts[at].claimed.push(sending);
+                    self.hosts[at].claimed.push(request);
                 }
                 ClaimOutcome::HeldBy(held) => {
                     history.end_claim(attempt, held.attempt);
-                    self.tell(sending, Outcome::MayHaveRun);
+                    self.report(request, Outcome::MayHaveRun);
                 }
                 ClaimOutcome::Unavailable { .. } => {
                     history.begin(KeyOp::GiveBack { by: attempt });
-                    self.tell(sending, Outcome::NotRun);
+                    self.report(request, Outcome::NotRun);
                 }
-                ClaimOutcome::DifferentContent => panic!("all contents are the same"),
+                ClaimOutcome::DifferentContent => panic!("all requests have the same content"),
             }
         }
     }
 
-    fn tell(&mut self, sending: Sending, outcome: Outcome) {
-        let earlier = self.told.insert(sending.attempt, outcome);
-        assert_eq!(earlier, None, "a caller is told once");
+    fn report(&mut self, request: SentRequest, outcome: Outcome) {
+        let earlier = self.reported.insert(request.attempt, outcome);
+        assert_eq!(earlier, None, "an attempt has two outcomes");
     }
 
-    fn give_up(&mut self, at: usize) {
+    fn abandon(&mut self, at: usize) {
         if self.hosts[at].waiting.is_empty() {
             return;
         }
-        let sending = self.hosts[at].waiting.remove(0);
-        self.give_back(at, sending);
-        self.tell(sending, Outcome::NotRun);
+        let request = self.hosts[at].waiting.remove(0);
+        self.give_back(at, request);
+        self.report(request, Outcome::NotRun);
     }
 
-    fn give_back(&mut self, at: usize, sending: Sending) {
-        let by = sending.attempt;
-        self.keys[sending.key].begin(KeyOp::GiveBack { by });
+    fn give_back(&mut self, at: usize, request: SentRequest) {
+        let by = request.attempt;
+        self.histories[request.key].begin(KeyOp::GiveBack { by });
         self.hosts[at]
             .shard
-            .give_back(named(sending.key), by, self.clock.now());
+            .give_back(key_of(request.key), by, self.clock.now());
     }
 
-    fn dispatch(&mut self, at: usize, fate: Fate) {
+    fn dispatch(&mut self, at: usize, result: EngineResult) {
         if self.hosts[at].claimed.is_empty() {
             return;
         }
-        let sending = self.hosts[at].claimed.remove(0);
+        let request = self.hosts[at].claimed.remove(0);
         let mut record = RunRecord::new(false);
         record.sending();
-        if !matches!(fate, Fate::Refuses | Fate::CrashesBefore) {
-            self.ran[sending.key].push(sending.attempt);
+        if !matches!(
+            result,
+            EngineResult::Refuses | EngineResult::CrashesBeforeRun
+        ) {
+            self.ran[request.key].push(request.attempt);
         }
-        match fate {
-            Fate::Completes => record.completed(),
-            Fate::Refuses => {
+        match result {
+            EngineResult::Completes => record.completed(),
+            EngineResult::Refuses => {
                 record.failed(&UpstreamError::NotSent("refused".to_owned()));
             }
-            Fate::CrashesBefore | Fate::CrashesAfter => {
+            EngineResult::CrashesBeforeRun | EngineResult::CrashesAfterRun => {
                 record.failed(&UpstreamError::Interrupted("crash".to_owned()));
             }
         }
         let outcome = record.outcome();
-        self.tell(sending, outcome);
+        self.report(request, outcome);
         let state = match outcome {
-            Outcome::NotRun => return self.give_back(at, sending),
+            Outcome::NotRun => return self.give_back(at, request),
             Outcome::Completed => ClaimState::Completed,
             Outcome::MayHaveRun => ClaimState::MayHaveRun,
         };
-        self.is_spent[sending.key] = true;
+        self.may_stay_held[request.key] = true;
         let now = self.clock.now();
         self.hosts[at]
             .shard
-            .finish(named(sending.key), sending.attempt, state, now);
+            .finish(key_of(request.key), request.attempt, state, now);
     }
 
     fn kill(&mut self, at: usize) {
-        let next = self.process();
+        let next = self.new_host();
         let dead = std::mem::replace(&mut self.hosts[at], next);
-        for sending in dead.waiting.into_iter().chain(dead.claimed) {
-            self.lost.insert(sending.attempt);
-            self.is_spent[sending.key] = true;
+        for request in dead.waiting.into_iter().chain(dead.claimed) {
+            self.lost.insert(request.attempt);
+            self.may_stay_held[request.key] = true;
         }
         if dead.shard.pending() > 0 {
-            self.is_spent = [true; KEYS];
+            self.may_stay_held = [true; KEYS];
         }
-        // Its last write may be on its way.
-        if let Some(Call::Begun(ShardAction::Write { value, expected })) = dead.call {
+        // The last write of the dead host may still be on its way.
+        if let Some(Call::Started(ShardAction::Write { value, expected })) = dead.call {
             let _ = self.object.put(value, expected, Fault::Delayed);
         }
     }
 
-    /// All faults end, and everybody comes to rest; what was stuck may arrive only then.
-    pub(crate) fn heal(&mut self) {
-        self.rest();
-        self.object.arrive();
-        self.rest();
+    /// Ends all faults and runs until all hosts are idle. Delayed writes arrive only after a first
+    /// run.
+    pub(crate) fn recover(&mut self) {
+        self.run_until_idle();
+        self.object.apply_delayed();
+        self.run_until_idle();
     }
 
-    fn rest(&mut self) {
+    fn run_until_idle(&mut self) {
         let is_busy = |host: &Host| {
             host.shard.pending() > 0 || host.call.is_some() || !host.claimed.is_empty()
         };
@@ -309,7 +315,7 @@
             self.clock.advance(Duration::from_millis(500));
             for at in 0..HOSTS {
                 self.call(at, Fault::None);
-                self.dispatch(at, Fate::Completes);
+                self.dispatch(at, EngineResult::Completes);
             }
             if !self.hosts.iter().any(is_busy) {
                 return;
@@ -318,49 +324,49 @@
     }
 
     pub(crate) fn check(mut self) {
-        self.heal();
+        self.recover();
         for (key, ran) in self.ran.iter().enumerate() {
             assert!(ran.len() <= 1, "key {key} ran more than once: {ran:?}");
         }
         let ran: IndexSet<_> = self.ran.iter().flatten().copied().collect();
-        for (attempt, outcome) in &self.told {
-            let is_false = *outcome == Outcome::NotRun && ran.contains(attempt);
-            assert!(!is_false, "{attempt} was told \"not run\", and ran");
+        for (attempt, outcome) in &self.reported {
+            let is_wrong = *outcome == Outcome::NotRun && ran.contains(attempt);
+            assert!(!is_wrong, "{attempt} ran but was reported as \"not run\"");
         }
         for attempt in (1..=self.sent).map(|n| AttemptId(n.into())) {
-            let is_told = self.told.contains_key(&attempt) || self.lost.contains(&attempt);
-            assert!(is_told, "{attempt} never heard what came of it");
+            let has_outcome = self.reported.contains_key(&attempt) || self.lost.contains(&attempt);
+            assert!(has_outcome, "{attempt} has no outcome");
         }
         let pending: usize = self.hosts.iter().map(|host| host.shard.pending()).sum();
-        assert_eq!(pending, 0, "something is never settled");
+        assert_eq!(pending, 0, "claims are still pending");
         for key in 0..KEYS {
-            let history = self.keys[key].clone();
+            let history = self.histories[key].clone();
             assert!(
-                history.has_an_order(),
-                "no order explains {:?}",
-                self.keys[key]
+                history.is_linearizable(),
+                "history is not linearizable: {:?}",
+                self.histories[key]
             );
         }
-        self.check_not_stuck();
+        self.check_free_keys();
     }
 
-    /// A key that nobody ran, and none of whose holders died, is free for a resend.
-    fn check_not_stuck(&mut self) {
+    /// Checks that a key can be claimed again if no attempt may have run and no holder died.
+    fn check_free_keys(&mut self) {
         for key in (0..KEYS)
-            .filter(|key| !self.is_spent[*key])
+            .filter(|key| !self.may_stay_held[*key])
             .collect::<Vec<_>>()
         {
             self.send(key % HOSTS, key);
-            self.heal();
+            self.recover();
             assert_eq!(
                 self.ran[key].len(),
                 1,
-                "key {key} is held by nobody and for ever"
+                "key {key} stays held although nobody holds it"
             );
         }
     }
 }
 
-fn named(key: usize) -> ClaimKey {
+fn key_of(key: usize) -> ClaimKey {
     claim_key(&format!("key-{key}"))
 }
--- a/tests/worlds/grant_world.rs
+++ b/tests/worlds/grant_world.rs
@@ -1,4 +1,4 @@
-//! Entry hosts, two homes of one pool, and engines whose memory is counted.
+//! Simulation of entry hosts, two homes of one pool, and engines whose memory is counted.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -35,40 +35,42 @@
 const ENGINES: usize = 2;
 const MEMORY_TOKENS: u64 = 10_000;
 const TICK: Duration = Duration::from_millis(250);
-/// Membership takes two seconds to call a host dead.
+/// The time until membership considers a silent host dead: two seconds.
 const DEAD_TICKS: u64 = 8;
-/// One that stays away as long as this is not started again.
+/// A killed host with a downtime of at least this is never restarted.
 const GONE_TICKS: u64 = 50;
-/// Only one may be: deaths are believed as long as more hosts live than have died.
+/// The only host that may be gone for good, since homes act on deaths only while at least as many
+/// hosts are alive as have died.
 const GONE_HOST: usize = 2;
 const NEVER: u64 = u64::MAX;
-/// A home knows within half a second that an upstream is leaving.
+/// The time within which a home learns that an upstream is leaving: half a second.
 const LEAVING_TICKS: u64 = 2;
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Step {
     /// A caller sends a request.
     Send { host: usize, tokens: u64 },
-    /// The next messages are lost.
+    /// The next `messages` messages are lost.
     Lose { messages: u32 },
-    /// Messages take this long from now on.
+    /// Messages are delayed by `ticks` from now on.
     Delay { ticks: u64 },
-    /// A host stands still.
+    /// A host is paused.
     Pause { host: usize, ticks: u64 },
-    /// A host dies, and another process of that name starts, maybe before anybody noticed, or none.
+    /// A host dies, and a new process of the same name starts after `ticks`, possibly before the
+    /// death is noticed, or never.
     Kill { host: usize, ticks: u64 },
     /// A host loses the connections of its running answers; the engines go on.
-    Cut { host: usize },
-    /// A host takes another one for the home.
-    Switch { host: usize, home: usize },
-    /// A home dies, and the next one knows nothing.
+    Disconnect { host: usize },
+    /// A host switches to another home.
+    SwitchHome { host: usize, home: usize },
+    /// A home dies, and the next one starts with an empty ledger.
     TakeOver { home: usize },
-    /// An engine loses all it has.
-    Crash { engine: usize },
-    /// An engine leaves, or comes back.
-    Leave { engine: usize, is_leaving: bool },
-    /// Time passes.
-    Pass { ticks: u64 },
+    /// An engine crashes and loses all its attempts.
+    CrashEngine { engine: usize },
+    /// An engine is listed as leaving, or as live again.
+    SetLeaving { engine: usize, is_leaving: bool },
+    /// The clock advances.
+    Advance { ticks: u64 },
 }
 
 pub(crate) fn step() -> impl Strategy<Value = Step> {
@@ -78,24 +80,24 @@
         1 => (0..4_u64).prop_map(|ticks| Step::Delay { ticks }),
         1 => (0..HOSTS, 1..60_u64).prop_map(|(host, ticks)| Step::Pause { host, ticks }),
         1 => (0..HOSTS, 1..60_u64).prop_map(|(host, ticks)| Step::Kill { host, ticks }),
-        1 => (0..HOSTS).prop_map(|host| Step::Cut { host }),
-        1 => (0..ENGINES).prop_map(|engine| Step::Crash { engine }),
+        1 => (0..HOSTS).prop_map(|host| Step::Disconnect { host }),
+        1 => (0..ENGINES).prop_map(|engine| Step::CrashEngine { engine }),
         1 => (0..ENGINES, proptest::bool::ANY)
-            .prop_map(|(engine, is_leaving)| Step::Leave { engine, is_leaving }),
-        6 => (1..20_u64).prop_map(|ticks| Step::Pass { ticks }),
+            .prop_map(|(engine, is_leaving)| Step::SetLeaving { engine, is_leaving }),
+        6 => (1..20_u64).prop_map(|ticks| Step::Advance { ticks }),
     ]
 }
 
-/// Also with homes that move.
+/// Steps that also move homes.
 pub(crate) fn step_with_moving_homes() -> impl Strategy<Value = Step> {
     prop_oneof![
         20 => step(),
-        1 => (0..HOSTS, 0..HOMES).prop_map(|(host, home)| Step::Switch { host, home }),
+        1 => (0..HOSTS, 0..HOMES).prop_map(|(host, home)| Step::SwitchHome { host, home }),
         1 => (0..HOMES).prop_map(|home| Step::TakeOver { home }),
     ]
 }
 
-/// What is on its way.
+/// A message in transit.
 pub(crate) enum Message {
     ToHome {
         home: usize,
@@ -106,21 +108,21 @@
         home: usize,
         answer: HomeAnswer,
     },
-    AskAnnounce {
+    RequestAnnouncement {
         host: usize,
         home: usize,
     },
 }
 
-/// An engine's memory, as it is. What nobody reads or cancels stays.
+/// The memory of an engine. An attempt holds memory until its answer is read or it is cancelled.
 #[derive(Default)]
-pub(crate) struct Engine {
+pub(crate) struct EngineMemory {
     pub(crate) held: IndexMap<AttemptId, RunningAttempt>,
     ran: IndexSet<AttemptId>,
     left_at: Option<u64>,
 }
 
-impl Engine {
+impl EngineMemory {
     fn held_tokens(&self) -> u64 {
         self.held
             .values()
@@ -141,11 +143,11 @@
     }
 }
 
-/// What an entry host does to the world around it.
+/// The parts of the simulation that an entry host acts on.
 pub(crate) struct HostContext<'a> {
     pub(crate) now: Instant,
     pub(crate) tick: u64,
-    pub(crate) engines: &'a mut IndexMap<UpstreamId, Engine>,
+    pub(crate) engines: &'a mut IndexMap<UpstreamId, EngineMemory>,
     pub(crate) outbox: &'a mut Vec<Message>,
 }
 
@@ -154,71 +156,72 @@
     tick: u64,
     hosts: Vec<EntryHost>,
     homes: Vec<HomeController>,
-    engines: IndexMap<UpstreamId, Engine>,
-    wire: Vec<(u64, Message)>,
+    engines: IndexMap<UpstreamId, EngineMemory>,
+    in_transit: Vec<(u64, Message)>,
     delay_ticks: u64,
-    to_lose: u32,
+    messages_to_lose: u32,
     deaths: Vec<(u64, usize)>,
     sent: u128,
-    take_overs: u128,
+    home_count: u128,
     have_homes_moved: bool,
 }
 
 impl GrantWorld {
     pub(crate) fn new() -> Self {
-        let engines = (0..ENGINES).map(|n| (upstream(&format!("runner-{n}")), Engine::default()));
+        let engines =
+            (0..ENGINES).map(|n| (upstream(&format!("runner-{n}")), EngineMemory::default()));
         let mut world = Self {
             clock: ManualClock::new(),
             tick: 0,
-            hosts: (0..HOSTS).map(|n| EntryHost::new(n, name(n))).collect(),
+            hosts: (0..HOSTS).map(|n| EntryHost::new(n, host_id(n))).collect(),
             homes: Vec::new(),
             engines: engines.collect(),
-            wire: Vec::new(),
+            in_transit: Vec::new(),
             delay_ticks: 0,
-            to_lose: 0,
+            messages_to_lose: 0,
             deaths: Vec::new(),
             sent: 0,
-            take_overs: 0,
+            home_count: 0,
             have_homes_moved: false,
         };
         for _ in 0..HOMES {
-            let home = world.fresh_home();
+            let home = world.new_home();
             world.homes.push(home);
         }
         for home in 0..HOMES {
-            world.introduce(home);
+            world.initialize_home(home);
         }
         world
     }
 
-    fn fresh_home(&mut self) -> HomeController {
-        self.take_overs += 1;
-        let policy = Box::new(FirstFit::new(self.take_overs << 64));
+    fn new_home(&mut self) -> HomeController {
+        self.home_count += 1;
+        let policy = Box::new(FirstFit::new(self.home_count << 64));
         let pool = "hall-a/llm-advisor/0".parse().unwrap();
         HomeController::new(pool, policy, HomeConf::default(), self.clock.now())
     }
 
-    /// Membership and the platform's list tell a home who is there.
-    fn introduce(&mut self, home: usize) {
+    /// Tells a new home the living hosts and the upstreams.
+    fn initialize_home(&mut self, home: usize) {
         for n in 0..HOSTS {
-            // It has forgotten those that are gone for good.
+            // Membership has forgotten hosts that are gone for good.
             if !self.hosts[n].is_gone() {
-                self.hear(home, HomeEvent::HostAlive(name(n)));
+                self.handle(home, HomeEvent::HostAlive(host_id(n)));
             }
         }
         self.tell_upstreams(home);
     }
 
     fn tell_upstreams(&mut self, home: usize) {
-        let seen = self.engines.iter().map(|(id, known)| {
-            let health = match known.left_at {
+        let upstreams = self.engines.iter().map(|(id, memory)| {
+            let health = match memory.left_at {
                 Some(_) => UpstreamHealth::Leaving,
                 None => UpstreamHealth::Live,
             };
             engine(id.as_str(), MEMORY_TOKENS, health)
         });
-        let seen = seen.collect();
-        self.hear(home, HomeEvent::Upstreams(seen));
+        let upstreams = upstreams.collect();
+        self.handle(home, HomeEvent::Upstreams(upstreams));
     }
 
     pub(crate) fn step(&mut self, step: Step) {
@@ -228,7 +231,7 @@
                 let now = self.clock.now();
                 self.hosts[host].send(RequestId(self.sent), Tokens(tokens), self.tick, now);
             }
-            Step::Lose { messages } => self.to_lose = messages,
+            Step::Lose { messages } => self.messages_to_lose = messages,
             Step::Delay { ticks } => self.delay_ticks = ticks,
             Step::Pause { host, ticks } => {
                 let until = &mut self.hosts[host].paused_until;
@@ -237,32 +240,32 @@
             Step::Kill { host, ticks } => {
                 let is_gone =
                     self.hosts[host].is_gone() || (ticks >= GONE_TICKS && host == GONE_HOST);
-                self.hosts[host] = EntryHost::new(host, name(host));
+                self.hosts[host] = EntryHost::new(host, host_id(host));
                 self.hosts[host].paused_until = if is_gone { NEVER } else { self.tick + ticks };
                 if ticks > DEAD_TICKS {
                     self.deaths.push((self.tick + DEAD_TICKS, host));
                 }
             }
-            Step::Cut { host } => self.hosts[host].is_cut = true,
-            Step::Switch { host, home } => {
+            Step::Disconnect { host } => self.hosts[host].is_cut = true,
+            Step::SwitchHome { host, home } => {
                 self.hosts[host].home = home;
                 self.have_homes_moved = true;
             }
             Step::TakeOver { home } => {
                 self.have_homes_moved = true;
-                self.homes[home] = self.fresh_home();
-                self.introduce(home);
+                self.homes[home] = self.new_home();
+                self.initialize_home(home);
             }
-            Step::Crash { engine } => self.engines[engine].held.clear(),
-            Step::Leave { engine, is_leaving } => {
+            Step::CrashEngine { engine } => self.engines[engine].held.clear(),
+            Step::SetLeaving { engine, is_leaving } => {
                 self.engines[engine].left_at = is_leaving.then_some(self.tick);
                 (0..HOMES).for_each(|home| self.tell_upstreams(home));
             }
-            Step::Pass { ticks } => (0..ticks).for_each(|_| self.pass()),
+            Step::Advance { ticks } => (0..ticks).for_each(|_| self.advance_tick()),
         }
     }
 
-    fn pass(&mut self) {
+    fn advance_tick(&mut self) {
         self.clock.advance(TICK);
         self.tick += 1;
         self.deliver();
@@ -276,13 +279,15 @@
                 outbox: &mut outbox,
             });
         }
-        outbox.into_iter().for_each(|message| self.post(message));
+        outbox
+            .into_iter()
+            .for_each(|message| self.send_message(message));
         self.check_memory();
         self.tell_members();
-        (0..HOMES).for_each(|home| self.hear(home, HomeEvent::Tick));
+        (0..HOMES).for_each(|home| self.handle(home, HomeEvent::Tick));
     }
 
-    /// As long as there was one home for everybody, it has the whole account.
+    /// Checks that no engine is overcommitted, which holds as long as the homes have not moved.
     fn check_memory(&self) {
         for (id, engine) in self.engines.iter().filter(|_| !self.have_homes_moved) {
             let held = engine.held_tokens();
@@ -290,7 +295,7 @@
         }
     }
 
-    /// Membership notices deaths late, and returns when a host speaks again.
+    /// Reports deaths with the delay of membership, and restarts of hosts.
     fn tell_members(&mut self) {
         for (at, host) in std::mem::take(&mut self.deaths) {
             let is_back = self.hosts[host].paused_until <= self.tick;
@@ -298,8 +303,8 @@
                 continue;
             }
             let event = match (is_back, at == self.tick) {
-                (true, _) => HomeEvent::HostAlive(name(host)),
-                (false, true) => HomeEvent::HostDead(name(host)),
+                (true, _) => HomeEvent::HostAlive(host_id(host)),
+                (false, true) => HomeEvent::HostDead(host_id(host)),
                 (false, false) => {
                     self.deaths.push((at, host));
                     continue;
@@ -308,59 +313,65 @@
             if !is_back {
                 self.deaths.push((at, host));
             }
-            (0..HOMES).for_each(|home| self.hear(home, event.clone()));
+            (0..HOMES).for_each(|home| self.handle(home, event.clone()));
         }
     }
 
-    fn post(&mut self, message: Message) {
-        if self.to_lose > 0 {
-            self.to_lose -= 1;
+    fn send_message(&mut self, message: Message) {
+        if self.messages_to_lose > 0 {
+            self.messages_to_lose -= 1;
             return;
         }
-        self.wire.push((self.tick + self.delay_ticks, message));
+        self.in_transit
+            .push((self.tick + self.delay_ticks, message));
     }
 
     fn deliver(&mut self) {
         let tick = self.tick;
-        let due = self.wire.extract_if(.., |(at, _)| *at <= tick);
+        let due = self.in_transit.extract_if(.., |(at, _)| *at <= tick);
         for (_, message) in due.collect::<Vec<_>>() {
             match message {
-                Message::ToHome { home, event } => self.hear(home, event),
+                Message::ToHome { home, event } => self.handle(home, event),
                 Message::Answer { host, home, answer } => {
                     self.hosts[host].inbox.push((home, Some(answer)));
                 }
-                Message::AskAnnounce { host, home } => self.hosts[host].inbox.push((home, None)),
+                Message::RequestAnnouncement { host, home } => {
+                    self.hosts[host].inbox.push((home, None))
+                }
             }
         }
     }
 
-    fn hear(&mut self, home: usize, event: HomeEvent) {
+    fn handle(&mut self, home: usize, event: HomeEvent) {
         for action in self.homes[home].handle(event, self.clock.now()) {
-            self.act(home, action);
+            self.execute(home, action);
         }
     }
 
-    fn act(&mut self, home: usize, action: HomeAction) {
+    fn execute(&mut self, home: usize, action: HomeAction) {
         match action {
             HomeAction::Reply { to, answer } | HomeAction::Push { to, answer } => {
-                let host = number(&to);
+                let host = host_index(&to);
                 self.check_not_leaving(host, &answer);
-                self.post(Message::Answer { host, home, answer });
+                self.send_message(Message::Answer { host, home, answer });
             }
             HomeAction::RequestAnnouncement { to } => {
-                let host = number(&to);
-                self.post(Message::AskAnnounce { host, home });
+                let host = host_index(&to);
+                self.send_message(Message::RequestAnnouncement { host, home });
             }
             HomeAction::Cancel { upstream, attempt } => {
-                if self.to_lose > 0 {
-                    self.to_lose -= 1;
+                if self.messages_to_lose > 0 {
+                    self.messages_to_lose -= 1;
                     return;
                 }
                 let is_read = self.hosts.iter().any(|host| host.is_reading(attempt));
-                assert!(!is_read, "{attempt} is cut off although its host reads it");
+                assert!(
+                    !is_read,
+                    "{attempt} is cancelled although its host reads it"
+                );
                 self.engines[&upstream].held.swap_remove(&attempt);
                 let event = HomeEvent::CancelConfirmed { upstream, attempt };
-                self.post(Message::ToHome { home, event });
+                self.send_message(Message::ToHome { home, event });
             }
             HomeAction::ListAttempts { upstream, seq } => {
                 let running = self.engines[&upstream].held.values().cloned().collect();
@@ -369,12 +380,13 @@
                     seq,
                     running,
                 };
-                self.post(Message::ToHome { home, event });
+                self.send_message(Message::ToHome { home, event });
             }
         }
     }
 
-    /// No grant on an upstream that has left for a while, but one that its host already uses.
+    /// Checks that no new grant uses an upstream that is known to be leaving. A grant that the host
+    /// already uses may be repeated.
     fn check_not_leaving(&self, host: usize, answer: &HomeAnswer) {
         let GrantStatus::Granted(granted) = &answer.status else {
             return;
@@ -383,15 +395,15 @@
             let left_at = self.engines[id].left_at;
             let is_late = left_at.is_some_and(|at| self.tick >= at + LEAVING_TICKS);
             let is_known = self.hosts[host].has_used(granted.attempt());
-            assert!(!is_late || is_known, "new work for {id}, which is leaving");
+            assert!(!is_late || is_known, "new work on {id}, which is leaving");
         }
     }
 
-    /// All faults end; after two minutes everything is at rest.
+    /// Ends all faults and checks that no grant and no memory is left after two minutes.
     pub(crate) fn check(mut self) {
-        (self.to_lose, self.delay_ticks) = (0, 0);
+        (self.messages_to_lose, self.delay_ticks) = (0, 0);
         for engine in 0..ENGINES {
-            self.step(Step::Leave {
+            self.step(Step::SetLeaving {
                 engine,
                 is_leaving: false,
             });
@@ -402,18 +414,18 @@
                 host.paused_until = host.paused_until.min(self.tick + 1);
             }
         }
-        self.step(Step::Pass { ticks: 480 });
+        self.step(Step::Advance { ticks: 480 });
         for host in &self.hosts {
             host.check_all_ended();
         }
         for (id, engine) in &self.engines {
-            assert!(engine.held.is_empty(), "{id} has lost memory for good");
+            assert!(engine.held.is_empty(), "{id} has leaked memory");
         }
         for home in &self.homes {
             assert_eq!(
                 home.live_grants(),
                 [],
-                "the ledger counts what no engine holds"
+                "the ledger counts memory that no engine holds"
             );
             assert_eq!((home.ledger_len(), home.requests_len()), (0, 0));
         }
@@ -424,14 +436,14 @@
     HomeEvent::Finish {
         from: from.clone(),
         grant: banyanarch::units::GrantId(grant.0),
-        done: crate::fakes::make::done(ended),
+        done: crate::fakes::make::attempt_summary(ended),
     }
 }
 
-fn name(n: usize) -> HostId {
+fn host_id(n: usize) -> HostId {
     host(&format!("entry-{n}"))
 }
 
-fn number(host: &HostId) -> usize {
+fn host_index(host: &HostId) -> usize {
     host.as_str().trim_start_matches("entry-").parse().unwrap()
 }
--- a/tests/worlds/mod.rs
+++ b/tests/worlds/mod.rs
@@ -1,5 +1,5 @@
-//! Small worlds in which generated faults happen to the real state machines. Each records what
-//! happened and checks at its end what must hold.
+//! Simulations that run the real state machines under generated faults. Each simulation records
+//! what happened and checks its invariants at the end.
 
 pub(crate) mod answer_world;
 pub(crate) mod claim_history;
