--- a/tests/worlds/claim_history.rs
+++ b/tests/worlds/claim_history.rs
@@ -66,9 +66,10 @@
         }
     }
 
-    /// Whether some order of the operations explains all answers. An operation that has not ended
-    /// may have taken effect at any time after its start; one that took no effect is ordered last.
-    pub(crate) fn is_linearizable(mut self) -> bool {
+    /// Checks whether some order of the operations explains all answers. An operation that has not
+    /// ended may have taken effect at any time after its start; one that took no effect is ordered
+    /// last.
+    pub(crate) fn check_linearizable(mut self) -> bool {
         if self.actions.is_empty() {
             return true;
         }
--- a/tests/worlds/claim_world.rs
+++ b/tests/worlds/claim_world.rs
@@ -342,7 +342,7 @@
         for key in 0..KEYS {
             let history = self.histories[key].clone();
             assert!(
-                history.is_linearizable(),
+                history.check_linearizable(),
                 "history is not linearizable: {:?}",
                 self.histories[key]
             );
--- a/tests/worlds/grant_world.rs
+++ b/tests/worlds/grant_world.rs
@@ -336,7 +336,7 @@
                     self.hosts[host].inbox.push((home, Some(answer)));
                 }
                 Message::RequestAnnouncement { host, home } => {
-                    self.hosts[host].inbox.push((home, None))
+                    self.hosts[host].inbox.push((home, None));
                 }
             }
         }
