--- a/src/control/home/grant_ledger.rs
+++ b/src/control/home/grant_ledger.rs
@@ -51,7 +51,7 @@
 struct LedgerEntry {
     grant: LiveGrant,
     /// When the host last announced or requested the grant, or when the home issued or inferred it.
-    heard_at: Instant,
+    last_seen_at: Instant,
     /// Whether the host has announced the grant, which proves that the host received it.
     is_announced: bool,
     /// Whether the grant is known only from lists of engines.
@@ -70,7 +70,7 @@
         Self {
             holds: holds.collect(),
             grant,
-            heard_at: now,
+            last_seen_at: now,
             is_announced: false,
             is_inferred: false,
             orphaned_at: None,
@@ -94,14 +94,14 @@
     /// Whether nobody waits for the answer any more.
     fn has_lost_owner(&self, hosts: &HostTable, conf: &HomeConf, now: Instant) -> bool {
         let host = &self.grant.work.host;
-        let owner_lost_at = hosts.owner_lost_at(host, self.heard_at, conf);
+        let owner_lost_at = hosts.owner_lost_at(host, self.last_seen_at, conf);
         if owner_lost_at.is_some_and(|at| now >= at) {
             return true;
         }
         // Only an announcement of the host itself counts. While the views of two hosts differ, a
         // host may announce to another home; it is silent here and keeps its streams.
         let announced_at = hosts.announced_at(host);
-        announced_at.is_some_and(|at| at.duration_since(self.heard_at) >= conf.announce_grace)
+        announced_at.is_some_and(|at| at.duration_since(self.last_seen_at) >= conf.announce_grace)
     }
 }
 
@@ -129,7 +129,7 @@
     /// announce the grant only now.
     pub(crate) fn refresh(&mut self, grant: GrantId, now: Instant) {
         if let Some(entry) = self.entries.get_mut(&grant) {
-            entry.heard_at = now;
+            entry.last_seen_at = now;
         }
     }
 
@@ -206,7 +206,7 @@
             self.entries.insert(id, LedgerEntry::new(grant, now));
         }
         if let Some(entry) = self.entries.get_mut(&id) {
-            entry.heard_at = now;
+            entry.last_seen_at = now;
             entry.is_announced = true;
             entry.orphaned_at = None;
         }
@@ -229,7 +229,7 @@
             // The attempt may have reached the engine after the query.
             let is_conclusive = match entry.orphaned_at {
                 Some(orphaned_at) => asked_at > orphaned_at,
-                None => asked_at >= entry.heard_at + grace,
+                None => asked_at >= entry.last_seen_at + grace,
             };
             hold.is_released = !is_listed && is_conclusive;
         }
@@ -328,7 +328,7 @@
     /// The hosts of grants that have an owner but were not announced for at least `grace`.
     pub(crate) fn silent_hosts(&self, grace: Duration, now: Instant) -> Vec<HostId> {
         let is_silent = |entry: &&LedgerEntry| {
-            entry.orphaned_at.is_none() && now.duration_since(entry.heard_at) >= grace
+            entry.orphaned_at.is_none() && now.duration_since(entry.last_seen_at) >= grace
         };
         let silent = self.entries.values().filter(is_silent);
         let hosts: indexmap::IndexSet<_> =
--- a/src/control/home/host_table.rs
+++ b/src/control/home/host_table.rs
@@ -16,7 +16,7 @@
     is_member: bool,
 }
 
-/// The hosts that a home has heard of.
+/// The hosts that a home knows from membership or from their announcements.
 #[derive(Debug, Default)]
 pub(crate) struct HostTable {
     hosts: IndexMap<HostId, HostEntry>,
@@ -43,19 +43,20 @@
         self.hosts.get(host).and_then(|entry| entry.announced_at)
     }
 
-    /// The time from which a grant of the host has no owner, where `heard_at` is when the host last
-    /// showed that it holds the grant. None while the home does not act on a death of the host.
+    /// The time from which a grant of the host has no owner, where `last_seen_at` is when the host
+    /// last showed that it holds the grant. None while the home does not act on a death of the
+    /// host.
     ///
     /// This guards against a home that is partitioned from the other hosts, or resumes after a
     /// pause, and considers all of them dead: it would cancel every answer that its failure domain
     /// is reading. Deaths therefore count only while at least as many members are alive as have
     /// died. A tie counts, since in a failure domain of two hosts the death of one could otherwise
     /// never be acted on. The network inside a failure domain does not partition, so a host that
-    /// finds the other one of two dead is not the one that is cut off.
+    /// finds the other one of two dead is not itself partitioned.
     pub(crate) fn owner_lost_at(
         &self,
         host: &HostId,
-        heard_at: Instant,
+        last_seen_at: Instant,
         conf: &HomeConf,
     ) -> Option<Instant> {
         let members = self.member_count();
@@ -68,9 +69,9 @@
             // has gone silent keeps them for the grace period only.
             Some(entry) => entry
                 .dead_since
-                .map(|at| at.max(heard_at) + conf.dead_host_grace),
+                .map(|at| at.max(last_seen_at) + conf.dead_host_grace),
             // The host died before this home took over, and membership has forgotten it.
-            None if members > 1 => Some(heard_at + conf.unknown_host_grace),
+            None if members > 1 => Some(last_seen_at + conf.unknown_host_grace),
             None => None,
         }
     }
