--- a/soak/src/call.rs
+++ b/soak/src/call.rs
@@ -1,4 +1,4 @@
-//! The kinds of calls, and what the right answers to them are.
+//! The classes of calls, the manifest with their routes, and the expected responses.
 
 use std::time::Duration;
 
@@ -9,88 +9,90 @@
 use banyanarch_platform::stand_in::RouteConf;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The host name that callers use.
+/// The host name in the requests of callers.
 pub const HOSTNAME: &str = "soak.example";
-/// The services that the moving route goes to by turns.
-pub const MOVING: [&str; 2] = ["app-a", "app-b"];
-/// The service of engines.
-pub const ENGINES: &str = "model";
+/// The plain services, between which the route of [`CallClass::Moving`] alternates.
+pub const PLAIN_SERVICES: [&str; 2] = ["app-a", "app-b"];
+/// The service whose instances are engines.
+pub const ENGINE_SERVICE: &str = "model";
 
-/// A kind of call, each on a route of its own.
+/// A class of calls. Each class has a route of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// May run again.
-    Safe,
-    /// May run once.
-    Once,
-    /// May run again; its route moves between services.
+pub enum CallClass {
+    /// A call to a plain service that may be repeated.
+    Idempotent,
+    /// A call to a plain service that must run at most once.
+    AtMostOnce,
+    /// A call that may be repeated, on a route that is moved between services.
     Moving,
-    /// A short prompt.
-    Short,
-    /// A prompt that several engines read.
-    Long,
+    /// A short prompt, answered by a stream of events.
+    ShortPrompt,
+    /// A long prompt, which several engines prefill together.
+    LongPrompt,
 }
 
-impl Kind {
-    /// All of them.
+impl CallClass {
+    /// All classes.
     pub const ALL: [Self; 5] = [
-        Self::Safe,
-        Self::Once,
+        Self::Idempotent,
+        Self::AtMostOnce,
         Self::Moving,
-        Self::Short,
-        Self::Long,
+        Self::ShortPrompt,
+        Self::LongPrompt,
     ];
 
-    /// The name of its route.
-    pub fn route(self) -> &'static str {
+    /// Returns the name of the route.
+    pub fn route_name(self) -> &'static str {
         match self {
-            Self::Safe => "safe",
-            Self::Once => "once",
+            Self::Idempotent => "safe",
+            Self::AtMostOnce => "once",
             Self::Moving => "moving",
-            Self::Short => "short",
-            Self::Long => "long",
+            Self::ShortPrompt => "short",
+            Self::LongPrompt => "long",
         }
     }
 
-    /// Whether it is answered by events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
-        matches!(self, Self::Short | Self::Long)
+        matches!(self, Self::ShortPrompt | Self::LongPrompt)
     }
 
-    /// Tokens of the prompt and at most of the answer.
+    /// Returns the number of tokens of the prompt and the maximum number of tokens of the response;
+    /// none for plain services.
     pub fn tokens(self) -> Option<(u64, u64)> {
         match self {
-            Self::Short => Some((3_000, 600)),
-            Self::Long => Some((130_000, 600)),
+            Self::ShortPrompt => Some((3_000, 600)),
+            Self::LongPrompt => Some((130_000, 600)),
             _ => None,
         }
     }
 
-    /// When it must have its final answer.
+    /// Returns the time within which the final response is due.
     pub fn timeout(self) -> Duration {
         match self {
-            Self::Safe | Self::Once | Self::Moving => Duration::from_secs(3),
-            Self::Short => Duration::from_secs(6),
-            Self::Long => Duration::from_secs(8),
+            Self::Idempotent | Self::AtMostOnce | Self::Moving => Duration::from_secs(3),
+            Self::ShortPrompt => Duration::from_secs(6),
+            Self::LongPrompt => Duration::from_secs(8),
         }
     }
 
-    /// How many upstreams may run it.
+    /// Returns the maximum number of upstreams that may be tried for one call.
     pub fn runs_max(self) -> u32 {
-        // Also those that may run once only may be offered twice, as long as the first did not run them.
+        // Calls that must run at most once may also be sent a second time if the first upstream did
+        // not run them.
         2
     }
 
     fn call_kind(self) -> CallKind {
         match self {
-            Self::Safe | Self::Moving => CallKind::Idempotent,
-            Self::Once => CallKind::AtMostOnce,
-            Self::Short | Self::Long => CallKind::Stream { is_resumable: true },
+            Self::Idempotent | Self::Moving => CallKind::Idempotent,
+            Self::AtMostOnce => CallKind::AtMostOnce,
+            Self::ShortPrompt | Self::LongPrompt => CallKind::Stream { is_resumable: true },
         }
     }
 }
 
-fn model() -> EngineModel {
+fn engine_model() -> EngineModel {
     EngineModel {
         slots: 16,
         memory_tokens: Tokens(450_000),
@@ -103,53 +105,58 @@
     }
 }
 
-/// The manifest of this version.
+/// Returns the manifest with this version number, service of the moving route and customers with
+/// their keys.
 pub fn manifest(
     version: u64,
     moving_to: &str,
     customers: &[(String, Vec<String>)],
 ) -> ManifestConf {
-    let route = |kind: Kind| RouteConf {
-        name: kind.route().to_owned(),
+    let route = |class: CallClass| RouteConf {
+        name: class.route_name().to_owned(),
         hostname: HOSTNAME.to_owned(),
-        kind: kind.call_kind(),
-        timeout: kind.timeout(),
-        objective: Duration::from_millis(if kind == Kind::Long { 3_000 } else { 400 }),
-        service: match kind {
-            Kind::Safe | Kind::Once => MOVING[0].to_owned(),
-            Kind::Moving => moving_to.to_owned(),
-            Kind::Short | Kind::Long => ENGINES.to_owned(),
+        kind: class.call_kind(),
+        timeout: class.timeout(),
+        objective: Duration::from_millis(if class == CallClass::LongPrompt {
+            3_000
+        } else {
+            400
+        }),
+        service: match class {
+            CallClass::Idempotent | CallClass::AtMostOnce => PLAIN_SERVICES[0].to_owned(),
+            CallClass::Moving => moving_to.to_owned(),
+            CallClass::ShortPrompt | CallClass::LongPrompt => ENGINE_SERVICE.to_owned(),
         },
-        runs_max: kind.runs_max(),
+        runs_max: class.runs_max(),
     };
     ManifestConf {
         version,
-        routes: Kind::ALL.map(route).to_vec(),
+        routes: CallClass::ALL.map(route).to_vec(),
         services: vec![
-            (MOVING[0].to_owned(), None),
-            (MOVING[1].to_owned(), None),
-            (ENGINES.to_owned(), Some(model())),
+            (PLAIN_SERVICES[0].to_owned(), None),
+            (PLAIN_SERVICES[1].to_owned(), None),
+            (ENGINE_SERVICE.to_owned(), Some(engine_model())),
         ],
         customers: customers.to_vec(),
     }
 }
 
-/// The body of a request.
-pub fn question(request: &str) -> String {
+/// Returns the body of a request.
+pub fn request_body(request: &str) -> String {
     format!("question of {request}")
 }
 
-/// The whole answer of a plain service.
-pub fn whole_answer(request: &str, upstream: &str) -> String {
+/// Returns the body of the response of a plain service.
+pub fn plain_response_body(request: &str, upstream: &str) -> String {
     format!("answer to {request} by {upstream}")
 }
 
-/// How many events answer a prompt; the same whichever engine writes them.
+/// Returns the number of events in the response to a prompt, which is the same at every engine.
 pub fn event_count(request: &str) -> u32 {
     4 + u32::try_from(xxh3_64(request.as_bytes()) % 12).unwrap_or(0)
 }
 
-/// The content of one event.
-pub fn event(request: &str, id: u32) -> String {
+/// Returns the data of one event.
+pub fn event_data(request: &str, id: u32) -> String {
     format!("{:016x}", xxh3_64(format!("{request} {id}").as_bytes()))
 }
--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -1,4 +1,5 @@
-//! A caller: it keeps its connection open and uses it until the process at its other end is gone.
+//! A caller, which keeps its connection to a host open and reuses it until the host process closes
+//! it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,62 +22,70 @@
 use tokio::time::timeout_at;
 
 use crate::call;
-use crate::call::Kind;
-use crate::history::Answer;
+use crate::call::CallClass;
+use crate::history::CallerOutcome;
 
-/// How long a connection may take to come about.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// What a caller waits beyond its deadline for the final answer.
-const GRACE: Duration = Duration::from_secs(2);
+/// How long a caller waits for the final response beyond its deadline.
+const RESPONSE_GRACE: Duration = Duration::from_secs(2);
 
-/// A caller's connection to one host.
+/// A caller, with its open connection to one host.
 #[derive(Default)]
 pub(crate) struct Caller {
-    kept: Option<(SocketAddr, SendRequest<Full<Bytes>>)>,
+    /// The open connection and the address of its host.
+    open_connection: Option<(SocketAddr, SendRequest<Full<Bytes>>)>,
 }
 
-/// One request to be made.
-pub(crate) struct Asked<'a> {
+/// A request that a caller makes.
+pub(crate) struct CallerRequest<'a> {
+    /// The id of the request.
     pub(crate) request: &'a str,
-    pub(crate) kind: Kind,
+    pub(crate) class: CallClass,
     pub(crate) key: &'a str,
-    /// The caller leaves after this time without waiting for an answer.
-    pub(crate) leaves_after: Option<Duration>,
+    /// The time after which the caller abandons the request; none if the caller waits for the
+    /// response.
+    pub(crate) abandoned_after: Option<Duration>,
 }
 
 impl Caller {
     /// Makes one attempt at a host.
-    pub(crate) async fn attempt(&mut self, host: SocketAddr, asked: &Asked<'_>) -> Answer {
-        let ends_at = Instant::now() + asked.kind.timeout() + GRACE;
-        let Some(mut sender) = self.connection(host).await else {
-            return Answer::NoConnection;
+    pub(crate) async fn attempt(
+        &mut self,
+        host: SocketAddr,
+        caller_request: &CallerRequest<'_>,
+    ) -> CallerOutcome {
+        let ends_at = Instant::now() + caller_request.class.timeout() + RESPONSE_GRACE;
+        let Some(mut sender) = self.connect(host).await else {
+            return CallerOutcome::NoConnection;
         };
-        let whole = async {
-            let res = sender.send_request(request(asked)).await;
-            let answer = match res {
-                Ok(res) => read(asked, res).await,
-                Err(err) => Answer::Cut(err.to_string()),
+        let exchange = async {
+            let res = sender.send_request(build_request(caller_request)).await;
+            let outcome = match res {
+                Ok(res) => read_outcome(caller_request, res).await,
+                Err(err) => CallerOutcome::ConnectionBroken(err.to_string()),
             };
-            (answer, sender)
+            (outcome, sender)
         };
-        let patience = asked
-            .leaves_after
+        let wait_until = caller_request
+            .abandoned_after
             .map_or(ends_at, |after| Instant::now() + after);
-        let Ok((answer, sender)) = timeout_at(patience, whole).await else {
-            return if asked.leaves_after.is_some() {
-                Answer::Left
+        let Ok((outcome, sender)) = timeout_at(wait_until, exchange).await else {
+            return if caller_request.abandoned_after.is_some() {
+                CallerOutcome::Abandoned
             } else {
-                Answer::GaveUp
+                CallerOutcome::TimedOut
             };
         };
         if !sender.is_closed() {
-            self.kept = Some((host, sender));
+            self.open_connection = Some((host, sender));
         }
-        answer
+        outcome
     }
 
-    async fn connection(&mut self, host: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
-        if let Some((addr, mut sender)) = self.kept.take()
+    /// Returns the open connection if it goes to this host, else a new one.
+    async fn connect(&mut self, host: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
+        if let Some((addr, mut sender)) = self.open_connection.take()
             && addr == host
             && sender.ready().await.is_ok()
         {
@@ -91,16 +100,18 @@
     }
 }
 
-fn request(asked: &Asked<'_>) -> Request<Full<Bytes>> {
+fn build_request(caller_request: &CallerRequest<'_>) -> Request<Full<Bytes>> {
     let head = CallerHead {
-        request: asked.request,
-        deadline: asked.kind.timeout(),
-        key: asked.key,
-        tokens: asked.kind.tokens(),
+        request: caller_request.request,
+        deadline: caller_request.class.timeout(),
+        key: caller_request.key,
+        tokens: caller_request.class.tokens(),
     };
-    let mut req = Request::new(Full::new(Bytes::from(call::question(asked.request))));
+    let mut req = Request::new(Full::new(Bytes::from(call::request_body(
+        caller_request.request,
+    ))));
     *req.method_mut() = hyper::Method::POST;
-    if let Ok(uri) = format!("/{}/x", asked.kind.route()).parse() {
+    if let Ok(uri) = format!("/{}/x", caller_request.class.route_name()).parse() {
         *req.uri_mut() = uri;
     }
     *req.headers_mut() = head.headers();
@@ -109,18 +120,21 @@
     req
 }
 
-async fn read(asked: &Asked<'_>, res: Response<Incoming>) -> Answer {
+async fn read_outcome(
+    caller_request: &CallerRequest<'_>,
+    res: Response<Incoming>,
+) -> CallerOutcome {
     let (head, body) = res.into_parts();
     let signature = stand_in::signature(&head.headers);
     let body = match body.collect().await {
         Ok(body) => body.to_bytes(),
-        Err(err) => return Answer::Cut(err.to_string()),
+        Err(err) => return CallerOutcome::ConnectionBroken(err.to_string()),
     };
     if !head.status.is_success() {
-        return Answer::Failure(head.status.as_u16(), signature);
+        return CallerOutcome::Failure(head.status.as_u16(), signature);
     }
     let text = String::from_utf8_lossy(&body);
-    let body = if asked.kind.is_stream() {
+    let body = if caller_request.class.is_stream() {
         text.split("\n\n")
             .filter(|event| !event.is_empty())
             .map(str::to_owned)
@@ -128,7 +142,7 @@
     } else {
         vec![text.into_owned()]
     };
-    Answer::Success {
+    CallerOutcome::Success {
         signature: signature.unwrap_or_default(),
         body,
     }
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -1,197 +1,213 @@
-//! The promises, checked from what callers and upstreams saw.
+//! Checks the guarantees of the system against what callers, upstreams and the operator observed.
 
 use std::time::Duration;
 
 use crate::call;
-use crate::call::Kind;
-use crate::history::Answer;
-use crate::history::At;
-use crate::history::Attempt;
-use crate::history::Change;
-use crate::history::Run;
-use crate::history::Scope;
-use crate::history::Seen;
-use crate::limits;
-use crate::site::REVOKE_AFTER;
+use crate::call::CallClass;
+use crate::deployment::REVOCATION_DELAY;
+use crate::history::CallerAttempt;
+use crate::history::CallerOutcome;
+use crate::history::FaultScope;
+use crate::history::Observations;
+use crate::history::OperatorChange;
+use crate::history::Timestamp;
+use crate::history::UpstreamRun;
+use crate::limit_checks;
 
-/// After a fault its traces have gone: hosts know again what the platform says.
-pub(crate) const SETTLED_AFTER: Duration = Duration::from_secs(3);
-/// A change is in force this long after the store has accepted it.
-const IN_FORCE_AFTER: Duration = Duration::from_millis(2_700);
-/// What a machine that runs much else may add to a limit.
-const SLACK: Duration = Duration::from_millis(1_000);
-/// How much more time an upstream may be given than is left.
+/// Time after the end of a fault until its effects are gone and hosts have current data from the
+/// platform again.
+pub(crate) const SETTLING_TIME: Duration = Duration::from_secs(3);
+/// Time after the store has accepted a change until the change must be in force on all hosts.
+const CHANGE_PROPAGATION_TIME: Duration = Duration::from_millis(2_700);
+/// Extra time allowed beyond the deadline of a request, for machines under load.
+const LATENCY_SLACK: Duration = Duration::from_millis(1_000);
+/// How much the deadline that an upstream receives may exceed the remaining time.
 const DEADLINE_SLACK: Duration = Duration::from_millis(500);
 
-/// A request that is cut off sooner than this without having run may have crossed the close of its
-/// connection, or met a process that was gone: proxies accept also then.
-const CROSSING_TIME: Duration = Duration::from_millis(200);
+/// A request that fails sooner than this without having run may have been sent while its connection
+/// was being closed, or after the process had exited: link proxies accept connections even then.
+const CLOSE_RACE_TIME: Duration = Duration::from_millis(200);
 
-/// Statuses that promise that a request has not run and never will.
-const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
+/// Statuses that guarantee that a request has not run and never will.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// A promise that was broken: its name, the request and what was seen.
+/// A guarantee that was broken, with the observations that show it.
 #[derive(Clone, Debug)]
-pub struct Broken {
-    /// The promise.
-    pub promise: &'static str,
-    /// The request, what its caller and the upstreams saw.
-    pub story: String,
+pub struct Violation {
+    /// The guarantee.
+    pub guarantee: &'static str,
+    /// The request, and what its caller and the upstreams observed.
+    pub details: String,
 }
 
-/// Which promises are checked.
+/// The guarantees that are checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Promises {
-    /// Those that hold however slow the machine is.
+pub enum GuaranteeSet {
+    /// The guarantees that hold however slow the machine is.
     Safety,
-    /// These, and those that bound times.
+    /// The safety guarantees and those that bound times.
     All,
 }
 
-/// Checks all promises. `served_from` is when all faults were over and their traces gone.
-pub fn check(seen: &Seen, promises: Promises, served_from: At) -> Vec<Broken> {
-    let mut broken = Vec::new();
-    for (request, attempt) in &seen.attempts {
-        let runs = seen.runs.get(request).map_or(&[][..], Vec::as_slice);
-        let case = Case {
-            seen,
+/// Checks the observations against a set of guarantees and returns all violations. From
+/// `served_from` on, all faults and their effects are over.
+pub fn check(
+    observations: &Observations,
+    guarantees: GuaranteeSet,
+    served_from: Timestamp,
+) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    for (request, attempt) in &observations.attempts {
+        let runs = observations
+            .runs
+            .get(request)
+            .map_or(&[][..], Vec::as_slice);
+        let check = AttemptCheck {
+            observations,
             request,
             attempt,
             runs,
         };
-        broken.extend(case.safety());
-        if promises == Promises::All {
-            broken.extend(case.timeliness());
+        violations.extend(check.safety());
+        if guarantees == GuaranteeSet::All {
+            violations.extend(check.timeliness());
         }
     }
-    for request in seen
+    for request in observations
         .runs
         .keys()
-        .filter(|id| !seen.attempts.contains_key(*id))
+        .filter(|id| !observations.attempts.contains_key(*id))
     {
-        broken.push(Broken {
-            promise: "nothing runs that nobody asked for",
-            story: request.clone(),
+        violations.push(Violation {
+            guarantee: "nothing runs that no caller requested",
+            details: request.clone(),
         });
     }
-    if promises == Promises::All {
-        broken.extend(recovery(seen, served_from));
-        broken.extend(limits::check(seen));
+    if guarantees == GuaranteeSet::All {
+        violations.extend(check_recovery(observations, served_from));
+        violations.extend(limit_checks::check(observations));
     }
-    broken
+    violations
 }
 
-/// One attempt with its runs.
-struct Case<'a> {
-    seen: &'a Seen,
+/// Checks one attempt with its runs at upstreams.
+struct AttemptCheck<'a> {
+    observations: &'a Observations,
     request: &'a str,
-    attempt: &'a Attempt,
-    runs: &'a [Run],
+    attempt: &'a CallerAttempt,
+    runs: &'a [UpstreamRun],
 }
 
-impl Case<'_> {
-    fn safety(&self) -> Vec<Broken> {
+impl AttemptCheck<'_> {
+    /// Returns the violations of safety guarantees.
+    fn safety(&self) -> Vec<Violation> {
         let checks = [
             (
-                "an answer is whole and the request's own",
-                self.is_answer_right(),
+                "a response is complete and belongs to its request",
+                self.is_response_correct(),
             ),
-            ("not run is true", self.is_not_run_true()),
             (
-                "what may not be repeated runs once",
-                self.kind() != Kind::Once || self.runs.len() <= 1,
+                "a request reported as not run has not run",
+                self.is_not_run_status_true(),
             ),
             (
-                "no more upstreams than the route allows",
-                self.are_runs_few(),
+                "a request that must not be repeated runs at most once",
+                self.class() != CallClass::AtMostOnce || self.runs.len() <= 1,
             ),
             (
-                "requests arrive as they were sent",
-                self.are_runs_unchanged(),
+                "no more upstreams run a request than its route allows",
+                self.is_run_count_allowed(),
             ),
             (
-                "keys that were taken back stop working",
-                self.is_key_in_force(),
+                "upstreams receive requests unchanged",
+                self.are_requests_unchanged(),
             ),
+            ("revoked keys stop working", self.is_revoked_key_rejected()),
         ];
-        self.broken(&checks)
+        self.violations(&checks)
     }
 
-    fn timeliness(&self) -> Vec<Broken> {
+    /// Returns the violations of guarantees that bound times.
+    fn timeliness(&self) -> Vec<Violation> {
         let checks = [
-            ("a request ends within its time", self.is_in_time()),
+            ("a request ends by its deadline", self.ends_by_deadline()),
             (
-                "upstreams are given no more time than is left",
-                self.are_deadlines_right(),
+                "upstreams are given no more than the remaining time",
+                self.are_upstream_deadlines_valid(),
             ),
             (
-                "a planned stop cuts no request off",
-                self.is_not_cut_by_stop(),
+                "a planned stop interrupts no request",
+                self.is_uninterrupted_by_stop(),
             ),
             (
-                "a manifest is in force within its time",
-                self.is_service_current(),
+                "a manifest change takes effect in time",
+                self.is_routed_by_current_manifest(),
             ),
             (
-                "an upstream that leaves gets nothing new",
-                self.is_nothing_sent_to_leaving(),
+                "a leaving upstream gets no new requests",
+                self.is_leaving_upstream_avoided(),
             ),
         ];
-        self.broken(&checks)
+        self.violations(&checks)
     }
 
-    fn broken(&self, checks: &[(&'static str, bool)]) -> Vec<Broken> {
+    fn violations(&self, checks: &[(&'static str, bool)]) -> Vec<Violation> {
         let failed = checks.iter().filter(|(_, holds)| !holds);
         failed
-            .map(|(promise, _)| Broken {
-                promise,
-                story: format!("{} {:?} runs {:?}", self.request, self.attempt, self.runs),
+            .map(|(guarantee, _)| Violation {
+                guarantee,
+                details: format!("{} {:?} runs {:?}", self.request, self.attempt, self.runs),
             })
             .collect()
     }
 
-    fn kind(&self) -> Kind {
-        self.attempt.kind
+    fn class(&self) -> CallClass {
+        self.attempt.class
     }
 
-    fn is_answer_right(&self) -> bool {
-        match &self.attempt.answer {
-            Answer::Success { signature, body } => {
+    /// Whether a success has the expected body and was signed by an upstream that ran the request.
+    fn is_response_correct(&self) -> bool {
+        match &self.attempt.outcome {
+            CallerOutcome::Success { signature, body } => {
                 let has_run = self.runs.iter().any(|run| run.upstream == *signature);
-                has_run && *body == self.right_body(signature)
+                has_run && *body == self.expected_body(signature)
             }
-            // A failure bears a signature only with the status that the upstream gave.
-            Answer::Failure(status, Some(_)) => *status == 500,
+            // A failure that an upstream signed must have the status that the upstream sent, 500.
+            CallerOutcome::Failure(status, Some(_)) => *status == 500,
             _ => true,
         }
     }
 
-    fn right_body(&self, signature: &str) -> Vec<String> {
-        if !self.kind().is_stream() {
-            return vec![call::whole_answer(self.request, signature)];
+    fn expected_body(&self, signature: &str) -> Vec<String> {
+        if !self.class().is_stream() {
+            return vec![call::plain_response_body(self.request, signature)];
         }
         let ids = 1..=call::event_count(self.request);
-        ids.map(|id| format!("id: {id}\ndata: {}", call::event(self.request, id)))
+        ids.map(|id| format!("id: {id}\ndata: {}", call::event_data(self.request, id)))
             .collect()
     }
 
-    fn is_not_run_true(&self) -> bool {
-        match &self.attempt.answer {
-            Answer::Failure(status, _) if NOT_RUN.contains(status) => self.runs.is_empty(),
+    fn is_not_run_status_true(&self) -> bool {
+        match &self.attempt.outcome {
+            CallerOutcome::Failure(status, _) if NOT_RUN_STATUSES.contains(status) => {
+                self.runs.is_empty()
+            }
             _ => true,
         }
     }
 
-    fn are_runs_few(&self) -> bool {
-        let ends = &self.seen.upstream_ends;
-        let lasting = self
+    /// Whether the number of runs is within the maximum of the route. Runs at upstreams that ended
+    /// do not count.
+    fn is_run_count_allowed(&self) -> bool {
+        let ends = &self.observations.upstream_ends;
+        let at_surviving = self
             .runs
             .iter()
             .filter(|run| !ends.contains_key(&run.upstream));
-        lasting.count() <= usize::try_from(self.kind().runs_max()).unwrap_or(usize::MAX)
+        at_surviving.count() <= usize::try_from(self.class().runs_max()).unwrap_or(usize::MAX)
     }
 
-    fn are_runs_unchanged(&self) -> bool {
+    fn are_requests_unchanged(&self) -> bool {
         let customer = self.attempt.key.split('-').nth(1).unwrap_or_default();
         let customer = format!("customer-{customer}");
         self.runs
@@ -199,120 +215,137 @@
             .all(|run| run.is_unchanged && !run.has_key && run.customer.as_ref() == Some(&customer))
     }
 
-    fn is_key_in_force(&self) -> bool {
+    fn is_revoked_key_rejected(&self) -> bool {
         let revoked_at = self
-            .seen
+            .observations
             .changes
             .iter()
             .find_map(|(at, change)| match change {
-                Change::Revoked(key) if *key == self.attempt.key => Some(*at),
+                OperatorChange::KeyRevoked(key) if *key == self.attempt.key => Some(*at),
                 _ => None,
             });
-        let is_late = revoked_at.is_some_and(|at| self.attempt.sent_at > at + REVOKE_AFTER);
+        let is_late = revoked_at.is_some_and(|at| self.attempt.sent_at > at + REVOCATION_DELAY);
         !is_late || self.runs.is_empty()
     }
 
-    /// Whether the host was without trouble from before the attempt to its end.
-    fn is_host_calm(&self) -> bool {
-        self.is_host_calm_since(self.attempt.sent_at)
+    /// Whether no fault affected the host from before the attempt until its end.
+    fn is_host_undisturbed(&self) -> bool {
+        self.is_host_undisturbed_since(self.attempt.sent_at)
     }
 
-    fn is_host_calm_since(&self, at: At) -> bool {
-        let from = at.saturating_sub(SETTLED_AFTER);
+    /// Whether no fault affected the host from `SETTLING_TIME` before `at` until the end of the
+    /// attempt.
+    fn is_host_undisturbed_since(&self, at: Timestamp) -> bool {
+        let from = at.saturating_sub(SETTLING_TIME);
         let (host, to) = (self.attempt.host, self.attempt.ended_at);
-        self.seen.troubles_of(host, from, to).next().is_none()
+        self.observations
+            .faults_affecting(host, from, to)
+            .next()
+            .is_none()
     }
 
-    fn is_in_time(&self) -> bool {
-        let took = self.attempt.ended_at.saturating_sub(self.attempt.sent_at);
-        took <= self.attempt.deadline + SLACK || !self.is_host_calm()
+    fn ends_by_deadline(&self) -> bool {
+        let duration = self.attempt.ended_at.saturating_sub(self.attempt.sent_at);
+        duration <= self.attempt.deadline + LATENCY_SLACK || !self.is_host_undisturbed()
     }
 
-    fn are_deadlines_right(&self) -> bool {
+    fn are_upstream_deadlines_valid(&self) -> bool {
         let ends_at = self.attempt.sent_at + self.attempt.deadline + DEADLINE_SLACK;
-        let is_right = |run: &Run| {
+        let is_valid = |run: &UpstreamRun| {
             run.deadline
-                .is_some_and(|left| run.arrived_at + left <= ends_at)
+                .is_some_and(|remaining| run.arrived_at + remaining <= ends_at)
         };
-        self.runs.iter().all(is_right) || !self.is_host_calm()
+        self.runs.iter().all(is_valid) || !self.is_host_undisturbed()
     }
 
-    fn is_not_cut_by_stop(&self) -> bool {
-        // A request that crosses the close of its connection was never read.
-        let took = self.attempt.ended_at.saturating_sub(self.attempt.sent_at);
-        let was_read = !self.runs.is_empty() || took > CROSSING_TIME;
-        if !matches!(self.attempt.answer, Answer::Cut(_)) || !was_read {
+    /// Whether the connection did not break, unless a fault other than a planned stop of the host
+    /// may have broken it.
+    fn is_uninterrupted_by_stop(&self) -> bool {
+        // A request that is sent while its connection is being closed is never read.
+        let duration = self.attempt.ended_at.saturating_sub(self.attempt.sent_at);
+        let was_read = !self.runs.is_empty() || duration > CLOSE_RACE_TIME;
+        if !matches!(self.attempt.outcome, CallerOutcome::ConnectionBroken(_)) || !was_read {
             return true;
         }
-        let from = self.attempt.sent_at.saturating_sub(SETTLED_AFTER);
-        let overlapping = self.seen.troubles.iter();
-        let mut overlapping = overlapping.filter(|t| t.overlaps(from, self.attempt.ended_at));
-        // Any other fault in the same time may have cut it.
-        !overlapping.all(|t| t.scope == Scope::Stop(self.attempt.host))
+        let from = self.attempt.sent_at.saturating_sub(SETTLING_TIME);
+        let overlapping = self.observations.faults.iter();
+        let mut overlapping =
+            overlapping.filter(|fault| fault.overlaps(from, self.attempt.ended_at));
+        // Any other fault at the same time may have interrupted the request.
+        !overlapping.all(|fault| fault.scope == FaultScope::PlannedStop(self.attempt.host))
     }
 
-    fn is_service_current(&self) -> bool {
-        if self.kind() != Kind::Moving {
+    /// Whether all runs are at a service that was in force or may still have been when the attempt
+    /// was sent.
+    fn is_routed_by_current_manifest(&self) -> bool {
+        if self.class() != CallClass::Moving {
             return true;
         }
         let moves = self
-            .seen
+            .observations
             .changes
             .iter()
             .filter_map(|(at, change)| match change {
-                Change::Moved(service) => Some((*at, service.as_str())),
+                OperatorChange::RouteMoved(service) => Some((*at, service.as_str())),
                 _ => None,
             });
-        // The services that it may be at: the last in force, and those accepted since.
-        let moves: Vec<(At, &str)> = [(At::ZERO, call::MOVING[0])]
+        // A request may be routed to the last service in force or to any service accepted since.
+        let moves: Vec<(Timestamp, &str)> = [(Timestamp::ZERO, call::PLAIN_SERVICES[0])]
             .into_iter()
             .chain(moves)
             .collect();
-        let is_over = |index: usize| {
+        let is_superseded = |index: usize| {
             let next = moves.get(index + 1);
-            next.is_some_and(|(at, _)| self.attempt.sent_at > *at + IN_FORCE_AFTER)
+            next.is_some_and(|(at, _)| self.attempt.sent_at > *at + CHANGE_PROPAGATION_TIME)
         };
-        let is_allowed = |run: &Run| {
+        let is_allowed = |run: &UpstreamRun| {
             let mut all = moves.iter().enumerate();
-            all.any(|(index, (_, service))| *service == run.service && !is_over(index))
+            all.any(|(index, (_, service))| *service == run.service && !is_superseded(index))
         };
-        self.runs.iter().all(is_allowed) || !self.is_host_calm()
+        self.runs.iter().all(is_allowed) || !self.is_host_undisturbed()
     }
 
-    fn is_nothing_sent_to_leaving(&self) -> bool {
+    fn is_leaving_upstream_avoided(&self) -> bool {
         self.runs.iter().all(|run| {
-            let left_at = self
-                .seen
-                .changes
-                .iter()
-                .find_map(|(at, change)| match change {
-                    Change::Leaving(id) if *id == run.upstream => Some(*at),
-                    _ => None,
-                });
-            let Some(left_at) = left_at else { return true };
-            run.arrived_at <= left_at + IN_FORCE_AFTER || !self.is_host_calm_since(left_at)
+            let leaving_at =
+                self.observations
+                    .changes
+                    .iter()
+                    .find_map(|(at, change)| match change {
+                        OperatorChange::UpstreamLeaving(id) if *id == run.upstream => Some(*at),
+                        _ => None,
+                    });
+            let Some(leaving_at) = leaving_at else {
+                return true;
+            };
+            run.arrived_at <= leaving_at + CHANGE_PROPAGATION_TIME
+                || !self.is_host_undisturbed_since(leaving_at)
         })
     }
 }
 
-/// When all is well again, callers are served.
-fn recovery(seen: &Seen, served_from: At) -> Option<Broken> {
-    let is_asked = |attempt: &&Attempt| {
+/// Returns a violation if fewer than 95% of the attempts after all faults had ended were served.
+fn check_recovery(observations: &Observations, served_from: Timestamp) -> Option<Violation> {
+    let is_counted = |attempt: &&CallerAttempt| {
         attempt.sent_at >= served_from
-            && !matches!(attempt.answer, Answer::Left | Answer::Failure(401, _))
+            && !matches!(
+                attempt.outcome,
+                CallerOutcome::Abandoned | CallerOutcome::Failure(401, _)
+            )
     };
-    let asked: Vec<&Attempt> = seen.attempts.values().filter(is_asked).collect();
-    let is_served = |attempt: &&&Attempt| matches!(attempt.answer, Answer::Success { .. });
-    let served = asked.iter().filter(is_served).count();
-    let failed = asked.iter().filter(|attempt| !is_served(attempt));
+    let counted: Vec<&CallerAttempt> = observations.attempts.values().filter(is_counted).collect();
+    let is_served =
+        |attempt: &&&CallerAttempt| matches!(attempt.outcome, CallerOutcome::Success { .. });
+    let served = counted.iter().filter(is_served).count();
+    let failed = counted.iter().filter(|attempt| !is_served(attempt));
     let failed: Vec<String> = failed
-        .map(|a| format!("{:?} at host {}: {:?}", a.kind, a.host, a.answer))
+        .map(|a| format!("{:?} at host {}: {:?}", a.class, a.host, a.outcome))
         .collect();
-    (served * 20 < asked.len() * 19 || asked.is_empty()).then(|| Broken {
-        promise: "when all is well again callers are served",
-        story: format!(
+    (served * 20 < counted.len() * 19 || counted.is_empty()).then(|| Violation {
+        guarantee: "callers are served after all faults have ended",
+        details: format!(
             "{served} of {} from {served_from:?} on; {failed:?}",
-            asked.len()
+            counted.len()
         ),
     })
 }
--- /dev/null
+++ b/soak/src/deployment.rs
@@ -0,0 +1,283 @@
+//! A deployment on loopback: hosts, upstreams, the store, and the link proxies between them.
+
+use std::io;
+use std::net::IpAddr;
+use std::net::Ipv4Addr;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::sync::MutexGuard;
+use std::sync::PoisonError;
+use std::time::Duration;
+
+use banyanarch_platform::stand_in;
+use banyanarch_platform::stand_in::NodeConf;
+use indexmap::IndexMap;
+use tokio::net::TcpListener;
+use tokio::time::Instant;
+
+use crate::call;
+use crate::history::FaultRecord;
+use crate::history::FaultScope;
+use crate::history::History;
+use crate::history::OperatorChange;
+use crate::history::Timestamp;
+use crate::host_process::HostProcess;
+use crate::link_proxy::LinkProxy;
+use crate::store::AddressMap;
+use crate::store::StoreStandIn;
+use crate::upstream::UpstreamMode;
+use crate::upstream::UpstreamStandIn;
+
+/// Number of failure domains.
+pub(crate) const DOMAINS: usize = 3;
+/// How long a revoked key may still be accepted.
+pub(crate) const REVOCATION_DELAY: Duration = Duration::from_secs(5);
+/// Time from the stop signal until a host is killed.
+pub(crate) const STOP_GRACE: Duration = Duration::from_secs(8);
+
+/// The size of a deployment.
+#[derive(Clone, Copy, Debug)]
+pub struct DeploymentSize {
+    /// Number of hosts.
+    pub hosts: usize,
+    /// Number of engines.
+    pub engines: usize,
+    /// Number of instances of each plain service.
+    pub instances: usize,
+}
+
+/// The inputs of the manifest that was published last.
+#[derive(Clone, Debug)]
+pub(crate) struct ManifestInputs {
+    pub(crate) version: u64,
+    /// Index in `PLAIN_SERVICES` of the target of the moving route.
+    pub(crate) moving_to: usize,
+    /// Customers with their keys.
+    pub(crate) customers: Vec<(String, Vec<String>)>,
+}
+
+/// A running deployment.
+pub(crate) struct Deployment {
+    pub(crate) started_at: Instant,
+    pub(crate) history: Arc<History>,
+    pub(crate) store: StoreStandIn,
+    pub(crate) hosts: Vec<Mutex<HostProcess>>,
+    /// Link proxies from callers to each host.
+    pub(crate) caller_links: Vec<LinkProxy>,
+    /// Link proxies from each host to the store.
+    pub(crate) store_links: Vec<LinkProxy>,
+    /// Link proxies from each host to each other host, by the indexes of both.
+    pub(crate) peer_links: IndexMap<(usize, usize), LinkProxy>,
+    /// Link proxies from each failure domain to each upstream that was ever started.
+    pub(crate) upstream_links: Mutex<IndexMap<(usize, String), LinkProxy>>,
+    pub(crate) upstreams: Mutex<Vec<UpstreamStandIn>>,
+    pub(crate) manifest_inputs: Mutex<ManifestInputs>,
+    /// For each host the addresses of the link proxies that it uses in place of real addresses.
+    address_maps: Vec<Arc<Mutex<AddressMap>>>,
+    /// Number of upstreams that were started, from which their ids are made.
+    upstreams_started: Mutex<u32>,
+}
+
+/// Locks a mutex, also after a panic of another holder.
+pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+/// Returns a loopback address made from the process id, so that concurrent runs do not share
+/// addresses.
+fn ip(last: usize) -> IpAddr {
+    let [.., high, low] = std::process::id().to_be_bytes();
+    let last = u8::try_from(last % 250).unwrap_or(0) + 1;
+    IpAddr::V4(Ipv4Addr::new(127, high.max(1), low, last))
+}
+
+async fn free_port(ip: IpAddr) -> io::Result<SocketAddr> {
+    TcpListener::bind((ip, 0)).await?.local_addr()
+}
+
+impl Deployment {
+    /// Starts a deployment with the daemon `program`. Its hosts write their logs into `dir`.
+    pub(crate) async fn start(
+        size: DeploymentSize,
+        program: &Path,
+        dir: &Path,
+    ) -> io::Result<Arc<Self>> {
+        let store = StoreStandIn::default();
+        let links_ip = ip(249);
+        let mut hosts = Vec::new();
+        let mut caller_links = Vec::new();
+        let mut store_links = Vec::new();
+        let mut address_maps = Vec::new();
+        for index in 0..size.hosts {
+            let own_ip = ip(index);
+            let addresses = Arc::new(Mutex::new(AddressMap::default()));
+            let store_addr = store.serve(links_ip, Arc::clone(&addresses)).await?;
+            let store_link = LinkProxy::start(links_ip, store_addr).await?;
+            let conf = NodeConf {
+                name: format!("host-{index}"),
+                domain: format!("domain-{}", index % DOMAINS),
+                ip: own_ip,
+                callers_addr: free_port(own_ip).await?,
+                ready_addr: free_port(own_ip).await?,
+                internal_port: free_port(own_ip).await?.port(),
+                store_addr: store_link.addr,
+                revocation_delay: REVOCATION_DELAY,
+                stop_grace: STOP_GRACE,
+            };
+            caller_links.push(LinkProxy::start(links_ip, conf.callers_addr).await?);
+            hosts.push(Mutex::new(HostProcess::new(conf, program, dir)));
+            store_links.push(store_link);
+            address_maps.push(addresses);
+        }
+        let customers = (0..3).map(|c| (format!("customer-{c}"), vec![format!("key-{c}-0")]));
+        let mut deployment = Self {
+            started_at: Instant::now(),
+            history: Arc::default(),
+            store,
+            hosts,
+            caller_links,
+            store_links,
+            peer_links: IndexMap::new(),
+            upstream_links: Mutex::default(),
+            upstreams: Mutex::default(),
+            manifest_inputs: Mutex::new(ManifestInputs {
+                version: 1,
+                moving_to: 0,
+                customers: customers.collect(),
+            }),
+            address_maps,
+            upstreams_started: Mutex::default(),
+        };
+        deployment.link_peers(links_ip).await?;
+        let deployment = Arc::new(deployment);
+        for index in 0..size.engines {
+            deployment
+                .start_upstream(call::ENGINE_SERVICE, index % DOMAINS)
+                .await?;
+        }
+        for service in call::PLAIN_SERVICES {
+            for index in 0..size.instances {
+                deployment.start_upstream(service, index % DOMAINS).await?;
+            }
+        }
+        deployment.publish_manifest(|_| None);
+        for host in &deployment.hosts {
+            lock(host).start()?;
+        }
+        Ok(deployment)
+    }
+
+    /// Starts the link proxies between hosts.
+    async fn link_peers(&mut self, links_ip: IpAddr) -> io::Result<()> {
+        for from in 0..self.hosts.len() {
+            for to in (0..self.hosts.len()).filter(|to| *to != from) {
+                let conf = lock(&self.hosts[to]).conf.clone();
+                let target = SocketAddr::new(conf.ip, conf.internal_port);
+                let link = LinkProxy::start(links_ip, target).await?;
+                lock(&self.address_maps[from]).insert(target, link.addr);
+                self.peer_links.insert((from, to), link);
+            }
+        }
+        Ok(())
+    }
+
+    /// Starts an upstream with its link proxies and registers it in the store.
+    pub(crate) async fn start_upstream(
+        &self,
+        service: &'static str,
+        domain: usize,
+    ) -> io::Result<()> {
+        let number = {
+            let mut started = lock(&self.upstreams_started);
+            *started += 1;
+            *started
+        };
+        let id = format!("u{number:03}");
+        let history = Arc::clone(&self.history);
+        let upstream = UpstreamStandIn::start(
+            id.clone(),
+            service,
+            domain,
+            ip(248),
+            self.started_at,
+            history,
+        )
+        .await?;
+        for from in 0..DOMAINS {
+            let link = LinkProxy::start(ip(247), upstream.addr).await?;
+            for host in (0..self.hosts.len()).filter(|host| host % DOMAINS == from) {
+                lock(&self.address_maps[host]).insert(upstream.addr, link.addr);
+            }
+            lock(&self.upstream_links).insert((from, id.clone()), link);
+        }
+        self.register_upstream(&upstream, false);
+        lock(&self.upstreams).push(upstream);
+        Ok(())
+    }
+
+    /// Writes the entry of an upstream to the store.
+    pub(crate) fn register_upstream(&self, upstream: &UpstreamStandIn, is_leaving: bool) {
+        let domain = format!("domain-{}", upstream.domain);
+        let spec = stand_in::upstream_spec(upstream.service, upstream.addr, &domain, is_leaving);
+        self.store.put(stand_in::UPSTREAMS_KIND, &upstream.id, spec);
+    }
+
+    /// Ends an upstream and removes its entry from the store.
+    pub(crate) fn end_upstream(&self, upstream: &UpstreamStandIn) {
+        upstream.set_mode(UpstreamMode::Down);
+        let now = self.now();
+        self.history
+            .lock()
+            .upstream_ends
+            .insert(upstream.id.clone(), now);
+        self.store.remove(stand_in::UPSTREAMS_KIND, &upstream.id);
+        lock(&self.upstreams).retain(|other| other.id != upstream.id);
+    }
+
+    /// Changes the manifest, publishes it and records the change.
+    pub(crate) fn publish_manifest(
+        &self,
+        change: impl FnOnce(&mut ManifestInputs) -> Option<OperatorChange>,
+    ) {
+        let mut manifest_inputs = lock(&self.manifest_inputs);
+        let change = change(&mut manifest_inputs);
+        manifest_inputs.version += 1;
+        let moving_to = call::PLAIN_SERVICES[manifest_inputs.moving_to];
+        let manifest = call::manifest(
+            manifest_inputs.version,
+            moving_to,
+            &manifest_inputs.customers,
+        );
+        let (kind, name) = stand_in::MANIFEST;
+        self.store.put(kind, name, manifest.spec());
+        if let Some(change) = change {
+            self.record_change(change);
+        }
+    }
+
+    /// Records a change that the store has just accepted.
+    pub(crate) fn record_change(&self, change: OperatorChange) {
+        let now = self.now();
+        self.history.lock().changes.push((now, change));
+    }
+
+    pub(crate) fn now(&self) -> Timestamp {
+        self.started_at.elapsed()
+    }
+
+    /// Records and prints a fault that has just ended.
+    pub(crate) fn record_fault(&self, fault: &str, from: Timestamp, scope: FaultScope) {
+        let to = self.now();
+        println!(
+            "{:8.3} to {:8.3}  {fault}",
+            from.as_secs_f64(),
+            to.as_secs_f64()
+        );
+        self.history
+            .lock()
+            .faults
+            .push(FaultRecord { from, to, scope });
+    }
+}
--- /dev/null
+++ b/soak/src/fault_draws.rs
@@ -0,0 +1,69 @@
+//! Draws the faults of a seed. Rate limits and restores of the store have random generators of
+//! their own, so that they do not change which other faults a seed draws.
+
+use std::ops::Range;
+use std::time::Duration;
+
+use rand::Rng;
+use rand::SeedableRng;
+use rand::rngs::StdRng;
+
+use crate::faults::Fault;
+use crate::run::SoakConf;
+
+/// XORed with the seed of the run for the draws of rate limits.
+const LIMITS_SEED_MASK: u64 = 0x11A7_7ED0;
+/// XORed with the seed of the run for the draws of restores of the store.
+const RESTORES_SEED_MASK: u64 = 0x5704_E7A0;
+
+/// Draws the faults of a seed, each with the pause before it.
+pub fn draw_faults(conf: &SoakConf) -> Vec<(Duration, Fault)> {
+    let mut rng = StdRng::seed_from_u64(conf.seed);
+    let gap_ms: u64 = rng.random_range(300..1_500);
+    draw(conf, rng, gap_ms / 4..gap_ms * 2, |rng| {
+        Fault::draw(rng, conf.size.hosts)
+    })
+}
+
+/// Draws the rate limits that upstreams advertise, each with the pause before it.
+pub(crate) fn draw_limits(conf: &SoakConf) -> Vec<(Duration, Fault)> {
+    let rng = StdRng::seed_from_u64(conf.seed ^ LIMITS_SEED_MASK);
+    draw(conf, rng, 1_000..5_000, |rng| {
+        let upstream = rng.random_range(0..1_000);
+        let per_s = f64::from(rng.random_range(5..60)) / 10.0;
+        Fault::LimitUpstream(upstream, per_s, draw_duration(rng, 4_000..14_000))
+    })
+}
+
+/// Draws the restores of the store from snapshots, each with the pause before it.
+pub(crate) fn draw_restores(conf: &SoakConf) -> Vec<(Duration, Fault)> {
+    let rng = StdRng::seed_from_u64(conf.seed ^ RESTORES_SEED_MASK);
+    draw(conf, rng, 5_000..12_000, |rng| {
+        let ranges_ms = [500..5_000, 100..1_500, 0..500];
+        Fault::RestoreStore(ranges_ms.map(|range_ms| draw_duration(rng, range_ms)))
+    })
+}
+
+/// Draws pauses and faults until the time for faults is used up.
+fn draw(
+    conf: &SoakConf,
+    mut rng: StdRng,
+    gap_ms: Range<u64>,
+    draw_fault: impl Fn(&mut StdRng) -> Fault,
+) -> Vec<(Duration, Fault)> {
+    let mut faults = Vec::new();
+    let mut at = Duration::ZERO;
+    loop {
+        let gap = draw_duration(&mut rng, gap_ms.clone());
+        at += gap;
+        if at > conf.faults_for {
+            return faults;
+        }
+        faults.push((gap, draw_fault(&mut rng).stretched(conf.stretch)));
+    }
+}
+
+/// Draws a duration from a range in milliseconds.
+fn draw_duration(rng: &mut StdRng, range_ms: Range<u64>) -> Duration {
+    Duration::from_millis(rng.random_range(range_ms))
+}
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Draws faults and brings them about, in series and on top of each other.
+//! Draws faults and injects them. Faults may overlap.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,100 +10,105 @@
 use tokio::time::sleep;
 
 use crate::call;
-use crate::history::Change;
-use crate::history::NamedLimit;
-use crate::history::Scope;
-use crate::link::Link;
-use crate::link::LinkState;
-use crate::site::DOMAINS;
-use crate::site::STOP_GRACE;
-use crate::site::Site;
-use crate::site::lock;
-use crate::store::StoreState;
-use crate::upstream::Upstream;
-use crate::upstream::UpstreamState;
+use crate::deployment::DOMAINS;
+use crate::deployment::Deployment;
+use crate::deployment::STOP_GRACE;
+use crate::deployment::lock;
+use crate::history::FaultScope;
+use crate::history::LimitPeriod;
+use crate::history::OperatorChange;
+use crate::link_proxy::LinkMode;
+use crate::link_proxy::LinkProxy;
+use crate::store::StoreMode;
+use crate::upstream::UpstreamMode;
+use crate::upstream::UpstreamStandIn;
 
-/// An upstream that was killed stays on the list this long, as three heartbeats take.
-const LISTED_AFTER_END: Duration = Duration::from_millis(2_500);
-/// How long a leaving upstream goes on serving.
-const LEAVING_SERVES: Duration = Duration::from_millis(3_500);
+/// How long the entry of a killed upstream stays in the store after its replacement has started,
+/// the time of three heartbeats.
+const KILLED_ENTRY_LIFETIME: Duration = Duration::from_millis(2_500);
+/// How long a leaving upstream continues to serve.
+const LEAVING_TIME: Duration = Duration::from_millis(3_500);
 
-/// A fault with all that was drawn for it.
+/// A fault with its parameters. Hosts and failure domains are given by index. Upstreams and
+/// customers are given by a number that is taken modulo their count.
 #[derive(Clone, Debug)]
 pub enum Fault {
     /// A host is killed and started again after this time.
     KillHost(usize, Duration),
-    /// All hosts are killed at once.
+    /// All hosts are killed at once and started again after this time.
     KillAllHosts(Duration),
-    /// A host is asked to stop, and started again when it has.
+    /// A host gets SIGTERM and is started again after its exit.
     StopHost(usize),
-    /// A host stands still.
+    /// The process of a host is paused for this time.
     PauseHost(usize, Duration),
-    /// A host is told that its settings have changed.
+    /// A host gets SIGHUP, the signal to reload its settings.
     HangUpHost(usize),
-    /// The store misbehaves.
-    Store(StoreState, Duration),
-    /// The store goes on for the first time, is away for the second, and comes back from a copy made before both;
-    /// upstreams write their entries again after the third.
-    ReturnStore([Duration; 3]),
-    /// The way of a host to the store is disturbed.
-    StoreLink(usize, LinkState, Duration),
-    /// The way of callers to a host is disturbed.
-    CallerLink(usize, LinkState, Duration),
-    /// The ways between a host and the others are disturbed.
-    PeerLinks(usize, LinkState, Duration),
-    /// The way from one failure domain to the upstreams of another is disturbed.
-    UpstreamLinks(usize, usize, LinkState, Duration),
-    /// All ways out of a failure domain are disturbed.
-    CutDomain(usize, LinkState, Duration),
-    /// An upstream misbehaves.
-    Upstream(usize, UpstreamState, Duration),
-    /// An upstream takes only so many requests a second.
+    /// The store is in this mode for this time.
+    Store(StoreMode, Duration),
+    /// The store is restored from a snapshot. After the snapshot the store runs for the first time
+    /// and does not respond for the second, before it is restored. Upstreams register again after
+    /// the third.
+    RestoreStore([Duration; 3]),
+    /// The link from a host to the store is in this mode for this time.
+    StoreLink(usize, LinkMode, Duration),
+    /// The link from callers to a host is in this mode for this time.
+    CallerLink(usize, LinkMode, Duration),
+    /// The links between a host and all other hosts are in this mode for this time.
+    PeerLinks(usize, LinkMode, Duration),
+    /// The links from the first failure domain to the upstreams of the second are in this mode for
+    /// this time.
+    UpstreamLinks(usize, usize, LinkMode, Duration),
+    /// All links into and out of a failure domain are in this mode for this time, apart from those
+    /// of callers.
+    CutDomain(usize, LinkMode, Duration),
+    /// An upstream is in this mode for this time.
+    Upstream(usize, UpstreamMode, Duration),
+    /// An upstream advertises this limit, in requests per second, for this time.
     LimitUpstream(usize, f64, Duration),
-    /// An upstream crashes; another one is started after this time.
+    /// An upstream crashes, and a replacement is started after this time.
     KillUpstream(usize, Duration),
-    /// An upstream says that it leaves, and does.
+    /// An upstream announces that it leaves, and ends later.
     LeaveUpstream(usize),
-    /// A route moves to another service.
+    /// The moving route is moved to the other plain service.
     MoveRoute,
-    /// A key is taken back and another one given.
+    /// The oldest key of a customer is revoked and a new one is issued.
     RevokeKey(usize),
 }
 
-fn link_state(rng: &mut StdRng) -> LinkState {
+fn draw_link_mode(rng: &mut StdRng) -> LinkMode {
     match rng.random_range(0..4) {
-        0 => LinkState::Delayed(Duration::from_millis(rng.random_range(20..400))),
-        1 => LinkState::Silent,
-        2 => LinkState::OneWay,
-        _ => LinkState::Reset,
+        0 => LinkMode::Delayed(Duration::from_millis(rng.random_range(20..400))),
+        1 => LinkMode::Silent,
+        2 => LinkMode::OneWay,
+        _ => LinkMode::Reset,
     }
 }
 
-fn store_state(rng: &mut StdRng) -> StoreState {
+fn draw_store_mode(rng: &mut StdRng) -> StoreMode {
     match rng.random_range(0..6) {
-        0 => StoreState::Slow(Duration::from_millis(rng.random_range(50..700))),
-        1 => StoreState::Unavailable,
-        2 => StoreState::Busy,
-        3 => StoreState::Silent,
-        4 => StoreState::LosesAnswers,
-        _ => StoreState::WritesLate,
+        0 => StoreMode::Slow(Duration::from_millis(rng.random_range(50..700))),
+        1 => StoreMode::Unavailable,
+        2 => StoreMode::Busy,
+        3 => StoreMode::Silent,
+        4 => StoreMode::LosesAnswers,
+        _ => StoreMode::WritesLate,
     }
 }
 
-fn upstream_state(rng: &mut StdRng) -> UpstreamState {
+fn draw_upstream_mode(rng: &mut StdRng) -> UpstreamMode {
     match rng.random_range(0..7) {
-        0 => UpstreamState::Dark,
-        1 => UpstreamState::Slow(Duration::from_millis(rng.random_range(50..1_500))),
-        2 => UpstreamState::TurnsAway,
-        3 => UpstreamState::LosesAnswers,
-        4 => UpstreamState::CutsAnswers,
-        5 => UpstreamState::Fails,
-        _ => UpstreamState::Crosses,
+        0 => UpstreamMode::Silent,
+        1 => UpstreamMode::Slow(Duration::from_millis(rng.random_range(50..1_500))),
+        2 => UpstreamMode::TurnsAway,
+        3 => UpstreamMode::LosesAnswers,
+        4 => UpstreamMode::CutsAnswers,
+        5 => UpstreamMode::Fails,
+        _ => UpstreamMode::AnswersOtherRequest,
     }
 }
 
 impl Fault {
-    /// Draws one for a deployment of this many hosts.
+    /// Draws a fault for a deployment of this many hosts.
     pub(crate) fn draw(rng: &mut StdRng, hosts: usize) -> Self {
         let host = rng.random_range(0..hosts);
         let domain = rng.random_range(0..DOMAINS);
@@ -116,13 +121,13 @@
             2..=4 => Self::StopHost(host),
             5 | 6 => Self::PauseHost(host, time),
             7 => Self::HangUpHost(host),
-            8 | 9 => Self::Store(store_state(rng), time),
-            10 => Self::StoreLink(host, link_state(rng), time),
-            11 => Self::CallerLink(host, link_state(rng), time),
-            12 | 13 => Self::PeerLinks(host, link_state(rng), time),
-            14 | 15 => Self::UpstreamLinks(domain, other, link_state(rng), time),
-            16 => Self::CutDomain(domain, link_state(rng), time),
-            17 | 18 => Self::Upstream(upstream, upstream_state(rng), time),
+            8 | 9 => Self::Store(draw_store_mode(rng), time),
+            10 => Self::StoreLink(host, draw_link_mode(rng), time),
+            11 => Self::CallerLink(host, draw_link_mode(rng), time),
+            12 | 13 => Self::PeerLinks(host, draw_link_mode(rng), time),
+            14 | 15 => Self::UpstreamLinks(domain, other, draw_link_mode(rng), time),
+            16 => Self::CutDomain(domain, draw_link_mode(rng), time),
+            17 | 18 => Self::Upstream(upstream, draw_upstream_mode(rng), time),
             19 | 20 => Self::KillUpstream(upstream, time / 2),
             21 => Self::LeaveUpstream(upstream),
             22 => Self::MoveRoute,
@@ -132,7 +137,7 @@
 }
 
 impl Fault {
-    /// The same, for `factor` times as long.
+    /// Returns the same fault with its durations multiplied by `factor`.
     pub fn stretched(mut self, factor: f64) -> Self {
         match &mut self {
             Self::KillHost(_, time)
@@ -147,7 +152,7 @@
             | Self::Upstream(_, _, time)
             | Self::LimitUpstream(_, _, time)
             | Self::KillUpstream(_, time) => *time = time.mul_f64(factor),
-            Self::ReturnStore(times) => {
+            Self::RestoreStore(times) => {
                 for time in times {
                     *time = time.mul_f64(factor);
                 }
@@ -162,221 +167,247 @@
     }
 }
 
-/// Brings faults about one after the other, without waiting for the end of each, and waits for the
-/// ends of all.
-pub(crate) async fn play(site: &Arc<Site>, faults: Vec<(Duration, Fault)>) {
+/// Injects faults, each after its pause, without waiting for earlier faults to end. Returns when
+/// all have ended.
+pub(crate) async fn inject_all(deployment: &Arc<Deployment>, faults: Vec<(Duration, Fault)>) {
     let mut running = JoinSet::new();
     for (gap, fault) in faults {
         sleep(gap).await;
-        let site = Arc::clone(site);
-        running.spawn(async move { apply(&site, fault).await });
+        let deployment = Arc::clone(deployment);
+        running.spawn(async move { inject(&deployment, fault).await });
     }
     while running.join_next().await.is_some() {}
 }
 
-async fn apply(site: &Arc<Site>, fault: Fault) {
-    let from = site.now();
-    let what = format!("{fault:?}");
+/// Injects one fault, waits for its end and records it.
+async fn inject(deployment: &Arc<Deployment>, fault: Fault) {
+    let from = deployment.now();
+    let printed_fault = format!("{fault:?}");
     let scope = match fault {
         Fault::KillHost(host, down) => {
-            lock(&site.hosts[host]).signal(Signal::SIGKILL);
+            lock(&deployment.hosts[host]).signal(Signal::SIGKILL);
             sleep(down).await;
-            restart(site, host).await;
-            Scope::Hosts(vec![host])
+            restart_host(deployment, host).await;
+            FaultScope::Hosts(vec![host])
         }
         Fault::KillAllHosts(down) => {
-            for host in &site.hosts {
+            for host in &deployment.hosts {
                 lock(host).signal(Signal::SIGKILL);
             }
             sleep(down).await;
-            for host in 0..site.hosts.len() {
-                restart(site, host).await;
+            for host in 0..deployment.hosts.len() {
+                restart_host(deployment, host).await;
             }
-            Scope::Hosts((0..site.hosts.len()).collect())
+            FaultScope::Hosts((0..deployment.hosts.len()).collect())
         }
         Fault::StopHost(host) => {
-            lock(&site.hosts[host]).signal(Signal::SIGTERM);
-            let end = site.now() + STOP_GRACE;
-            while site.now() < end && lock(&site.hosts[host]).is_running() {
+            lock(&deployment.hosts[host]).signal(Signal::SIGTERM);
+            let end = deployment.now() + STOP_GRACE;
+            while deployment.now() < end && lock(&deployment.hosts[host]).is_running() {
                 sleep(Duration::from_millis(20)).await;
             }
-            lock(&site.hosts[host]).signal(Signal::SIGKILL);
-            restart(site, host).await;
-            Scope::Stop(host)
+            lock(&deployment.hosts[host]).signal(Signal::SIGKILL);
+            restart_host(deployment, host).await;
+            FaultScope::PlannedStop(host)
         }
         Fault::PauseHost(host, time) => {
-            lock(&site.hosts[host]).signal(Signal::SIGSTOP);
+            lock(&deployment.hosts[host]).signal(Signal::SIGSTOP);
             sleep(time).await;
-            lock(&site.hosts[host]).signal(Signal::SIGCONT);
-            Scope::Hosts(vec![host])
+            lock(&deployment.hosts[host]).signal(Signal::SIGCONT);
+            FaultScope::Hosts(vec![host])
         }
         Fault::HangUpHost(host) => {
-            lock(&site.hosts[host]).signal(Signal::SIGHUP);
-            Scope::Hosts(Vec::new())
+            lock(&deployment.hosts[host]).signal(Signal::SIGHUP);
+            FaultScope::Hosts(Vec::new())
         }
-        Fault::Store(state, time) => {
-            site.store.set(state);
+        Fault::Store(mode, time) => {
+            deployment.store.set_mode(mode);
             sleep(time).await;
-            site.store.set(StoreState::Well);
-            Scope::Store
+            deployment.store.set_mode(StoreMode::Healthy);
+            FaultScope::Store
         }
-        Fault::ReturnStore([goes_on, away, unwritten]) => {
-            let copy = site.store.copy();
-            sleep(goes_on).await;
-            site.store.set(StoreState::Silent);
-            sleep(away).await;
-            site.store.return_from(copy);
-            site.store.set(StoreState::Well);
-            sleep(unwritten).await;
-            site.store.write_upstreams_again();
-            Scope::Store
+        Fault::RestoreStore([running, down, unregistered]) => {
+            let snapshot = deployment.store.snapshot();
+            sleep(running).await;
+            deployment.store.set_mode(StoreMode::Silent);
+            sleep(down).await;
+            deployment.store.restore(snapshot);
+            deployment.store.set_mode(StoreMode::Healthy);
+            sleep(unregistered).await;
+            deployment.store.reregister_upstreams();
+            FaultScope::Store
         }
-        Fault::StoreLink(host, state, time) => {
-            disturb(&[site.store_links[host].clone()], state, time).await;
-            Scope::Hosts(vec![host])
+        Fault::StoreLink(host, mode, time) => {
+            set_link_mode_for(&[deployment.store_links[host].clone()], mode, time).await;
+            FaultScope::Hosts(vec![host])
         }
-        Fault::CallerLink(host, state, time) => {
-            disturb(&[site.caller_links[host].clone()], state, time).await;
-            Scope::Hosts(vec![host])
+        Fault::CallerLink(host, mode, time) => {
+            set_link_mode_for(&[deployment.caller_links[host].clone()], mode, time).await;
+            FaultScope::Hosts(vec![host])
         }
-        Fault::PeerLinks(host, state, time) => {
-            let touches = |(from, to): &(usize, usize)| *from == host || *to == host;
-            let links = site.peer_links.iter().filter(|(ends, _)| touches(ends));
-            let links: Vec<Link> = links.map(|(_, link)| link.clone()).collect();
-            disturb(&links, state, time).await;
-            Scope::Hosts((0..site.hosts.len()).collect())
+        Fault::PeerLinks(host, mode, time) => {
+            let is_at_host = |(from, to): &(usize, usize)| *from == host || *to == host;
+            let links = deployment
+                .peer_links
+                .iter()
+                .filter(|(ends, _)| is_at_host(ends));
+            let links: Vec<LinkProxy> = links.map(|(_, link)| link.clone()).collect();
+            set_link_mode_for(&links, mode, time).await;
+            FaultScope::Hosts((0..deployment.hosts.len()).collect())
         }
-        Fault::UpstreamLinks(domain, other, state, time) => {
-            let links = upstream_links(site, |from, of| from == domain && of == other);
-            disturb(&links, state, time).await;
-            Scope::Hosts((0..site.hosts.len()).collect())
+        Fault::UpstreamLinks(domain, other, mode, time) => {
+            let links = upstream_links(deployment, |from, of| from == domain && of == other);
+            set_link_mode_for(&links, mode, time).await;
+            FaultScope::Hosts((0..deployment.hosts.len()).collect())
         }
-        Fault::CutDomain(domain, state, time) => {
+        Fault::CutDomain(domain, mode, time) => {
             let is_in = |host: usize| host % DOMAINS == domain;
             let crosses = |(from, to): &(usize, usize)| is_in(*from) != is_in(*to);
-            let peers = site.peer_links.iter().filter(|(ends, _)| crosses(ends));
-            let mut links: Vec<Link> = peers.map(|(_, link)| link.clone()).collect();
-            links.extend(upstream_links(site, |from, of| {
+            let peers = deployment
+                .peer_links
+                .iter()
+                .filter(|(ends, _)| crosses(ends));
+            let mut links: Vec<LinkProxy> = peers.map(|(_, link)| link.clone()).collect();
+            links.extend(upstream_links(deployment, |from, of| {
                 (from == domain) != (of == domain)
             }));
-            let own = (0..site.hosts.len()).filter(|host| is_in(*host));
-            links.extend(own.map(|host| site.store_links[host].clone()));
-            disturb(&links, state, time).await;
-            Scope::Hosts((0..site.hosts.len()).collect())
+            let own = (0..deployment.hosts.len()).filter(|host| is_in(*host));
+            links.extend(own.map(|host| deployment.store_links[host].clone()));
+            set_link_mode_for(&links, mode, time).await;
+            FaultScope::Hosts((0..deployment.hosts.len()).collect())
         }
-        Fault::Upstream(index, state, time) => {
-            let upstream = pick(site, index);
-            upstream.set(state);
+        Fault::Upstream(index, mode, time) => {
+            let upstream = upstream_at(deployment, index);
+            upstream.set_mode(mode);
             sleep(time).await;
-            upstream.set(UpstreamState::Well);
-            Scope::Upstream
+            upstream.set_mode(UpstreamMode::Healthy);
+            FaultScope::Upstream
         }
         Fault::LimitUpstream(index, per_s, time) => {
-            let upstream = pick(site, index);
-            upstream.begin_limit(per_s);
+            let upstream = upstream_at(deployment, index);
+            upstream.start_advertising_limit(per_s);
             sleep(time).await;
-            upstream.end_limit(per_s);
-            site.history.seen().limits.push(NamedLimit {
+            upstream.stop_advertising_limit(per_s);
+            deployment.history.lock().limit_periods.push(LimitPeriod {
                 upstream: upstream.id.clone(),
                 per_s,
                 from,
-                to: site.now(),
+                to: deployment.now(),
             });
-            Scope::Upstream
+            FaultScope::Upstream
         }
         Fault::KillUpstream(index, down) => {
-            let upstream = pick(site, index);
-            upstream.set(UpstreamState::Down);
-            let now = site.now();
-            site.history
-                .seen()
+            let upstream = upstream_at(deployment, index);
+            upstream.set_mode(UpstreamMode::Down);
+            let now = deployment.now();
+            deployment
+                .history
+                .lock()
                 .upstream_ends
                 .insert(upstream.id.clone(), now);
             sleep(down).await;
-            start_another(site, &upstream).await;
-            sleep(LISTED_AFTER_END).await;
-            site.end_upstream(&upstream);
-            Scope::Upstream
+            start_replacement(deployment, &upstream).await;
+            sleep(KILLED_ENTRY_LIFETIME).await;
+            deployment.end_upstream(&upstream);
+            FaultScope::Upstream
         }
         Fault::LeaveUpstream(index) => {
-            let upstream = pick(site, index);
-            start_another(site, &upstream).await;
-            site.list(&upstream, true);
-            site.note(Change::Leaving(upstream.id.clone()));
-            sleep(LEAVING_SERVES).await;
-            site.end_upstream(&upstream);
-            Scope::Upstream
+            let upstream = upstream_at(deployment, index);
+            start_replacement(deployment, &upstream).await;
+            deployment.register_upstream(&upstream, true);
+            deployment.record_change(OperatorChange::UpstreamLeaving(upstream.id.clone()));
+            sleep(LEAVING_TIME).await;
+            deployment.end_upstream(&upstream);
+            FaultScope::Upstream
         }
         Fault::MoveRoute => {
-            site.publish(|published| {
-                published.moving_to = 1 - published.moving_to;
-                Some(Change::Moved(call::MOVING[published.moving_to].to_owned()))
+            deployment.publish_manifest(|manifest_inputs| {
+                manifest_inputs.moving_to = 1 - manifest_inputs.moving_to;
+                Some(OperatorChange::RouteMoved(
+                    call::PLAIN_SERVICES[manifest_inputs.moving_to].to_owned(),
+                ))
             });
             return;
         }
         Fault::RevokeKey(index) => {
-            site.publish(|published| {
-                let version = published.version;
-                let count = published.customers.len();
-                let (_, keys) = &mut published.customers[index % count];
+            deployment.publish_manifest(|manifest_inputs| {
+                let version = manifest_inputs.version;
+                let count = manifest_inputs.customers.len();
+                let (_, keys) = &mut manifest_inputs.customers[index % count];
                 keys.push(format!("key-{}-{version}", index % count));
-                Some(Change::Revoked(keys.remove(0)))
+                Some(OperatorChange::KeyRevoked(keys.remove(0)))
             });
             return;
         }
     };
-    site.note_trouble(&what, from, scope);
+    deployment.record_fault(&printed_fault, from, scope);
 }
 
-/// Disturbs links for some time. The last of several faults on one link decides when it is over.
-async fn disturb(links: &[Link], state: LinkState, time: Duration) {
+/// Sets links to a mode for some time. Where faults overlap on a link, each sets its own mode at
+/// its start and opens the link at its end.
+async fn set_link_mode_for(links: &[LinkProxy], mode: LinkMode, time: Duration) {
     for link in links {
-        link.set(state);
+        link.set_mode(mode);
     }
     sleep(time).await;
     for link in links {
-        link.set(LinkState::Open);
+        link.set_mode(LinkMode::Open);
     }
 }
 
-fn upstream_links(site: &Site, is_hit: impl Fn(usize, usize) -> bool) -> Vec<Link> {
-    let upstreams = lock(&site.upstreams).clone();
-    let links = lock(&site.upstream_links);
-    let hit = links.iter().filter(|((from, id), _)| {
+/// Returns the links to upstreams for which `is_selected` is true of the failure domain of the
+/// hosts and of the failure domain of the upstream.
+fn upstream_links(
+    deployment: &Deployment,
+    is_selected: impl Fn(usize, usize) -> bool,
+) -> Vec<LinkProxy> {
+    let upstreams = lock(&deployment.upstreams).clone();
+    let links = lock(&deployment.upstream_links);
+    let selected = links.iter().filter(|((from, id), _)| {
         let upstream = upstreams.iter().find(|upstream| upstream.id == *id);
-        upstream.is_some_and(|upstream| is_hit(*from, upstream.domain))
+        upstream.is_some_and(|upstream| is_selected(*from, upstream.domain))
     });
-    hit.map(|(_, link)| link.clone()).collect()
+    selected.map(|(_, link)| link.clone()).collect()
 }
 
-fn pick(site: &Site, index: usize) -> Upstream {
-    let upstreams = lock(&site.upstreams);
+/// Returns the upstream with this number, modulo the number of upstreams.
+fn upstream_at(deployment: &Deployment, index: usize) -> UpstreamStandIn {
+    let upstreams = lock(&deployment.upstreams);
     upstreams[index % upstreams.len()].clone()
 }
 
-async fn start_another(site: &Site, like: &Upstream) {
-    if let Err(err) = site.start_upstream(like.service, like.domain).await {
-        println!("soak: no other upstream in the place of {}: {err}", like.id);
+/// Starts another upstream of the same service in the same failure domain.
+async fn start_replacement(deployment: &Deployment, original: &UpstreamStandIn) {
+    if let Err(err) = deployment
+        .start_upstream(original.service, original.domain)
+        .await
+    {
+        println!(
+            "soak: failed to start a replacement of {}: {err}",
+            original.id
+        );
     }
 }
 
-async fn restart(site: &Site, host: usize) {
-    // Another fault may have started it already.
+/// Starts a host again once its process has exited, or gives up after about a second.
+async fn restart_host(deployment: &Deployment, host: usize) {
+    // Another fault may have started the host already.
     for _ in 0..50 {
-        if start_if_ended(site, host) {
+        if start_if_exited(deployment, host) {
             return;
         }
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-fn start_if_ended(site: &Site, host: usize) -> bool {
-    let mut host = lock(&site.hosts[host]);
+/// Starts a host unless its process is running. Returns whether the process was not running.
+fn start_if_exited(deployment: &Deployment, host: usize) -> bool {
+    let mut host = lock(&deployment.hosts[host]);
     if host.is_running() {
         return false;
     }
     if let Err(err) = host.start() {
-        println!("soak: {} does not start: {err}", host.plan.name);
+        println!("soak: failed to start {}: {err}", host.conf.name);
     }
     true
 }
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -1,4 +1,5 @@
-//! What callers, upstreams and the operator saw, from which the promises are checked.
+//! Records what callers, upstreams and the operator observed. The guarantees are checked from these
+//! observations.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -7,170 +8,176 @@
 
 use indexmap::IndexMap;
 
-use crate::call::Kind;
+use crate::call::CallClass;
 
-/// A time since the start of the run.
-pub type At = Duration;
+/// A point in time, as the duration since the start of the soak run.
+pub type Timestamp = Duration;
 
-/// What a caller saw of one attempt.
+/// The outcome of one attempt, as its caller observed it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
-    /// A whole answer.
+pub enum CallerOutcome {
+    /// A complete successful response.
     Success {
-        /// The upstream that signed it.
+        /// The upstream that signed the response.
         signature: String,
-        /// Its body, or the events of a stream in order.
+        /// The body as a single element, or the events of a stream in order.
         body: Vec<String>,
     },
-    /// A failure with this status, and whose it is: signed by an upstream or the host's own.
+    /// A failure with this status, and the upstream that signed the response; none if the host
+    /// itself responded.
     Failure(u16, Option<String>),
-    /// No connection came about.
+    /// The caller could not connect.
     NoConnection,
-    /// The connection broke, or the answer ended early.
-    Cut(String),
-    /// The caller gave up after its time.
-    GaveUp,
-    /// The caller left on purpose.
-    Left,
+    /// The connection broke or the response ended early, with the error.
+    ConnectionBroken(String),
+    /// The caller timed out.
+    TimedOut,
+    /// The caller abandoned the attempt on purpose.
+    Abandoned,
 }
 
 /// One attempt of a caller.
 #[derive(Clone, Debug)]
-pub struct Attempt {
-    /// The kind of call.
-    pub kind: Kind,
-    /// Index of the host.
+pub struct CallerAttempt {
+    /// The class of the call.
+    pub class: CallClass,
+    /// The index of the host.
     pub host: usize,
-    /// The caller's key.
+    /// The key of the caller.
     pub key: String,
     /// How long the caller waits.
     pub deadline: Duration,
-    /// When it was sent.
-    pub sent_at: At,
-    /// When the caller had its answer, or none any more.
-    pub ended_at: At,
-    /// What the caller saw.
-    pub answer: Answer,
+    /// When the attempt was sent.
+    pub sent_at: Timestamp,
+    /// When the caller had the response or stopped waiting.
+    pub ended_at: Timestamp,
+    /// The outcome.
+    pub outcome: CallerOutcome,
 }
 
-/// One run at an upstream.
+/// One run of a request at an upstream.
 #[derive(Clone, Debug)]
-pub struct Run {
-    /// The upstream.
+pub struct UpstreamRun {
+    /// The id of the upstream.
     pub upstream: String,
-    /// Its service.
+    /// The service of the upstream.
     pub service: String,
-    /// When it began.
-    pub arrived_at: At,
-    /// The time that the upstream was given.
+    /// When the run started.
+    pub arrived_at: Timestamp,
+    /// The remaining time that the upstream was given.
     pub deadline: Option<Duration>,
-    /// The customer that it was told.
+    /// The customer that the upstream was given.
     pub customer: Option<String>,
-    /// Whether method, path and body are the caller's.
+    /// Whether method, path and body arrived as the caller sent them.
     pub is_unchanged: bool,
-    /// Whether the caller's key came with it.
+    /// Whether the request contained a caller's key, which must not be forwarded.
     pub has_key: bool,
-    /// The limit of requests a second that its answer names; none if it names none.
-    pub named_limit_per_s: Option<f64>,
+    /// The limit that the response advertises, in requests per second; none if it advertises none.
+    pub advertised_limit_per_s: Option<f64>,
 }
 
-/// What the operator changed.
+/// A change that the operator or an upstream made in the store.
 #[derive(Clone, Debug)]
-pub enum Change {
-    /// A key was taken back.
-    Revoked(String),
-    /// The moving route goes to this service.
-    Moved(String),
-    /// An upstream says that it leaves.
-    Leaving(String),
+pub enum OperatorChange {
+    /// This key was revoked.
+    KeyRevoked(String),
+    /// The route of [`CallClass::Moving`] was moved to this service.
+    RouteMoved(String),
+    /// This upstream announced that it leaves.
+    UpstreamLeaving(String),
 }
 
-/// Whom a fault touches.
+/// What a fault affects.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Scope {
-    /// These hosts, or their ways to callers, each other, the store or upstreams.
+pub enum FaultScope {
+    /// These hosts, or their links to callers, to each other, to the store or to upstreams.
     Hosts(Vec<usize>),
-    /// A host that is stopped as planned.
-    Stop(usize),
+    /// A host that is stopped as planned, by SIGTERM.
+    PlannedStop(usize),
     /// The store.
     Store,
     /// An upstream.
     Upstream,
 }
 
-/// A fault from its begin to its end.
+/// A fault from its start to its end.
 #[derive(Clone, Debug)]
-pub struct Trouble {
-    /// Its begin.
-    pub from: At,
-    /// Its end.
-    pub to: At,
-    /// Whom it touches.
-    pub scope: Scope,
+pub struct FaultRecord {
+    /// When the fault started.
+    pub from: Timestamp,
+    /// When the fault ended.
+    pub to: Timestamp,
+    /// What the fault affects.
+    pub scope: FaultScope,
 }
 
-impl Trouble {
-    /// Whether it overlaps a stretch of time.
-    pub fn overlaps(&self, from: At, to: At) -> bool {
+impl FaultRecord {
+    /// Whether the fault overlaps an interval.
+    pub fn overlaps(&self, from: Timestamp, to: Timestamp) -> bool {
         self.from <= to && self.to >= from
     }
 
-    /// Whether it touches what a host knows or does.
-    pub fn touches(&self, host: usize) -> bool {
+    /// Whether the fault affects what a host knows or does.
+    pub fn affects(&self, host: usize) -> bool {
         match &self.scope {
-            Scope::Hosts(hosts) => hosts.contains(&host),
-            Scope::Stop(stopped) => *stopped == host,
-            Scope::Store => true,
-            Scope::Upstream => false,
+            FaultScope::Hosts(hosts) => hosts.contains(&host),
+            FaultScope::PlannedStop(stopped) => *stopped == host,
+            FaultScope::Store => true,
+            FaultScope::Upstream => false,
         }
     }
 }
 
-/// A limit that an upstream has named in its answers.
+/// A period during which an upstream advertised a rate limit in its responses.
 #[derive(Clone, Debug)]
-pub struct NamedLimit {
-    /// The upstream.
+pub struct LimitPeriod {
+    /// The id of the upstream.
     pub upstream: String,
-    /// Requests a second, from all hosts together.
+    /// The limit for all hosts together, in requests per second.
     pub per_s: f64,
-    /// Its begin.
-    pub from: At,
-    /// Its end.
-    pub to: At,
+    /// When the period started.
+    pub from: Timestamp,
+    /// When the period ended.
+    pub to: Timestamp,
 }
 
-/// All that was seen.
+/// Everything that was observed in a run.
 #[derive(Debug, Default)]
-pub struct Seen {
-    /// Attempts of callers that have ended, by id.
-    pub attempts: IndexMap<String, Attempt>,
-    /// Runs by the id of the attempt.
-    pub runs: IndexMap<String, Vec<Run>>,
-    /// Changes, when the store accepted them.
-    pub changes: Vec<(At, Change)>,
+pub struct Observations {
+    /// Attempts that have ended, by request id.
+    pub attempts: IndexMap<String, CallerAttempt>,
+    /// Runs at upstreams, by request id.
+    pub runs: IndexMap<String, Vec<UpstreamRun>>,
+    /// Changes, each with the time at which the store accepted the change.
+    pub changes: Vec<(Timestamp, OperatorChange)>,
     /// Faults that have ended.
-    pub troubles: Vec<Trouble>,
-    /// Upstreams that ended, and when.
-    pub upstream_ends: IndexMap<String, At>,
-    /// Limits that have ended.
-    pub limits: Vec<NamedLimit>,
+    pub faults: Vec<FaultRecord>,
+    /// When upstreams ended, by upstream id.
+    pub upstream_ends: IndexMap<String, Timestamp>,
+    /// Limit periods that have ended.
+    pub limit_periods: Vec<LimitPeriod>,
 }
 
-impl Seen {
-    /// The troubles that touched a host in a stretch of time.
-    pub fn troubles_of(&self, host: usize, from: At, to: At) -> impl Iterator<Item = &Trouble> {
-        let troubles = self.troubles.iter();
-        troubles.filter(move |trouble| trouble.touches(host) && trouble.overlaps(from, to))
+impl Observations {
+    /// Returns the faults that affected a host in an interval.
+    pub fn faults_affecting(
+        &self,
+        host: usize,
+        from: Timestamp,
+        to: Timestamp,
+    ) -> impl Iterator<Item = &FaultRecord> {
+        let faults = self.faults.iter();
+        faults.filter(move |fault| fault.affects(host) && fault.overlaps(from, to))
     }
 }
 
-/// The history of a run.
+/// The shared record of observations of a run.
 #[derive(Debug, Default)]
-pub struct History(Mutex<Seen>);
+pub struct History(Mutex<Observations>);
 
 impl History {
-    /// All that was seen until now.
-    pub fn seen(&self) -> MutexGuard<'_, Seen> {
+    /// Locks the observations up to now, for reading and adding.
+    pub fn lock(&self) -> MutexGuard<'_, Observations> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/soak/src/host.rs
+++ b/soak/src/host_process.rs
@@ -1,4 +1,4 @@
-//! A host's process: started, stopped, paused and killed from outside.
+//! The process of a host, which is started, stopped, paused and killed from outside.
 
 use std::fs::File;
 use std::io;
@@ -13,36 +13,38 @@
 use nix::sys::signal::Signal;
 use nix::unistd::Pid;
 
-/// A host.
+/// A host in a process of its own.
 #[derive(Debug)]
-pub(crate) struct Host {
-    pub(crate) plan: NodeConf,
+pub(crate) struct HostProcess {
+    pub(crate) conf: NodeConf,
     program: PathBuf,
     dir: PathBuf,
     process: Option<Child>,
-    /// How often it was started.
-    pub(crate) life: u32,
+    /// How often the process was started. The number is part of the names of its files.
+    pub(crate) incarnation: u32,
 }
 
-impl Host {
-    pub(crate) fn new(plan: NodeConf, program: &Path, dir: &Path) -> Self {
+impl HostProcess {
+    pub(crate) fn new(conf: NodeConf, program: &Path, dir: &Path) -> Self {
         Self {
-            plan,
+            conf,
             program: program.to_owned(),
             dir: dir.to_owned(),
             process: None,
-            life: 0,
+            incarnation: 0,
         }
     }
 
-    /// Starts it. Its logs go to files, one a life.
+    /// Starts the process. Each incarnation writes its settings and logs to files of its own.
     pub(crate) fn start(&mut self) -> io::Result<()> {
-        self.life += 1;
-        let file = |what: &str| {
-            self.dir
-                .join(format!("{}.{}.{what}", self.plan.name, self.life))
+        self.incarnation += 1;
+        let file = |extension: &str| {
+            self.dir.join(format!(
+                "{}.{}.{extension}",
+                self.conf.name, self.incarnation
+            ))
         };
-        std::fs::write(file("yaml"), self.plan.settings_text())?;
+        std::fs::write(file("yaml"), self.conf.settings_text())?;
         let process = Command::new(&self.program)
             .arg("--settings")
             .arg(file("yaml"))
@@ -54,7 +56,7 @@
         Ok(())
     }
 
-    /// Sends a signal to the process that this started, if it still runs.
+    /// Sends a signal to the process if it is running.
     pub(crate) fn signal(&mut self, signal: Signal) {
         if self.is_running()
             && let Some(process) = &self.process
@@ -70,14 +72,14 @@
             .is_some_and(|process| matches!(process.try_wait(), Ok(None)))
     }
 
-    /// How it ended by itself, if it has and nobody asked it to.
+    /// Returns the exit code of the process; none if it is running or was killed by a signal.
     pub(crate) fn exit_code(&mut self) -> Option<i32> {
         let process = self.process.as_mut()?;
         process.try_wait().ok().flatten()?.code()
     }
 }
 
-impl Drop for Host {
+impl Drop for HostProcess {
     fn drop(&mut self) {
         if let Some(process) = &mut self.process {
             let _ = process.kill();
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,23 +1,24 @@
-//! A randomized soak: real daemons as processes of their own on loopback, between stand-ins, under
-//! faults that come from outside of them. It checks from what callers and upstreams see whether the
-//! promises are kept. The faults of a run follow from its seed.
+//! A randomized soak test. It runs real daemons as separate processes on loopback, with stand-ins
+//! for the platform's store, the upstreams and the callers, and injects faults from outside the
+//! daemons. From what callers and upstreams observe it checks the guarantees of the system. The
+//! faults of a run are determined by its seed.
 
 pub mod call;
 mod caller;
 pub mod checks;
-mod draws;
+mod deployment;
+mod fault_draws;
 pub mod faults;
 pub mod history;
-mod host;
-mod limits;
-pub mod link;
+mod host_process;
+mod limit_checks;
+pub mod link_proxy;
 mod run;
-mod site;
 pub mod store;
 pub mod upstream;
 
-pub use draws::draw_faults;
-pub use run::Plan;
-pub use run::Verdict;
+pub use deployment::DeploymentSize;
+pub use fault_draws::draw_faults;
+pub use run::SoakConf;
+pub use run::SoakReport;
 pub use run::run;
-pub use site::Size;
--- /dev/null
+++ b/soak/src/link_proxy.rs
@@ -0,0 +1,180 @@
+//! A loopback proxy in front of one address, which can delay, stall or reset the traffic.
+
+use std::net::IpAddr;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use tokio::io::AsyncReadExt;
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpListener;
+use tokio::net::TcpStream;
+use tokio::net::UdpSocket;
+use tokio::net::tcp::OwnedReadHalf;
+use tokio::net::tcp::OwnedWriteHalf;
+use tokio::sync::watch;
+
+/// How a proxy treats the traffic.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum LinkMode {
+    /// Traffic is forwarded.
+    #[default]
+    Open,
+    /// Traffic is forwarded with this delay.
+    Delayed(Duration),
+    /// Traffic stalls in both directions, while connections stay open. Datagrams are dropped.
+    Silent,
+    /// Traffic to the target stalls; traffic from the target is forwarded. Datagrams are dropped.
+    OneWay,
+    /// Existing and new connections are reset. Datagrams are dropped.
+    Reset,
+}
+
+/// A proxy for TCP and UDP on one address.
+#[derive(Clone, Debug)]
+pub(crate) struct LinkProxy {
+    /// The address on which the proxy listens.
+    pub(crate) addr: SocketAddr,
+    mode: Arc<watch::Sender<LinkMode>>,
+}
+
+type ModeReceiver = watch::Receiver<LinkMode>;
+
+/// Maximum number of failed attempts to find a port that is free for both TCP and UDP.
+const MAX_PORT_RETRIES: u32 = 20;
+/// Maximum number of bytes that are forwarded at once.
+const BUFFER_BYTES: usize = 16 << 10;
+
+impl LinkProxy {
+    /// Starts a proxy on a free port of `ip`.
+    pub(crate) async fn start(ip: IpAddr, target: SocketAddr) -> std::io::Result<Self> {
+        let mut failed_attempts = 0;
+        let (listener, socket) = loop {
+            let listener = TcpListener::bind((ip, 0)).await?;
+            match UdpSocket::bind(listener.local_addr()?).await {
+                Ok(socket) => break (listener, socket),
+                Err(err) if failed_attempts == MAX_PORT_RETRIES => return Err(err),
+                Err(_) => failed_attempts += 1,
+            }
+        };
+        let addr = listener.local_addr()?;
+        let mode = Arc::new(watch::Sender::new(LinkMode::Open));
+        tokio::spawn(accept(listener, target, mode.subscribe()));
+        tokio::spawn(proxy_datagrams(socket, target, mode.subscribe()));
+        Ok(Self { addr, mode })
+    }
+
+    /// Changes how the proxy treats the traffic of existing and new connections.
+    pub(crate) fn set_mode(&self, mode: LinkMode) {
+        self.mode.send_replace(mode);
+    }
+}
+
+async fn accept(listener: TcpListener, target: SocketAddr, mode: ModeReceiver) {
+    while let Ok((client, _)) = listener.accept().await {
+        tokio::spawn(proxy_connection(client, target, mode.clone()));
+    }
+}
+
+/// Connects to the target and forwards bytes in both directions.
+async fn proxy_connection(client: TcpStream, target: SocketAddr, mut mode: ModeReceiver) {
+    if *mode.borrow() == LinkMode::Reset {
+        return reset_on_drop(&client);
+    }
+    // A stalled link lets no connection through, so the target must not see one either.
+    let is_open = |mode: &LinkMode| !matches!(mode, LinkMode::Silent | LinkMode::OneWay);
+    if mode.wait_for(is_open).await.is_err() {
+        return;
+    }
+    let Ok(target_stream) = TcpStream::connect(target).await else {
+        return reset_on_drop(&client);
+    };
+    let (_, _) = (client.set_nodelay(true), target_stream.set_nodelay(true));
+    let (client_read, client_write) = client.into_split();
+    let (target_read, target_write) = target_stream.into_split();
+    let to_target = copy_bytes(client_read, target_write, mode.clone(), true);
+    let from_target = copy_bytes(target_read, client_write, mode.clone(), false);
+    let halves_at_end = tokio::select! {
+        _ = mode.wait_for(|mode| *mode == LinkMode::Reset) => None,
+        halves = async { tokio::join!(to_target, from_target) } => Some(halves),
+    };
+    if let Some((
+        (Some(client_read), Some(target_write)),
+        (Some(target_read), Some(client_write)),
+    )) = halves_at_end
+    {
+        // One end broke the connection, so the other end must see a reset.
+        for stream in [
+            client_read.reunite(client_write),
+            target_read.reunite(target_write),
+        ]
+        .into_iter()
+        .flatten()
+        {
+            reset_on_drop(&stream);
+        }
+    }
+}
+
+/// The halves that carried one direction, if it broke; none if it ended regularly.
+type BrokenHalves = (Option<OwnedReadHalf>, Option<OwnedWriteHalf>);
+
+/// Forwards bytes in one direction up to the end of the stream, and then the end itself. Returns
+/// both halves if one of them failed.
+async fn copy_bytes(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    mut mode: ModeReceiver,
+    is_to_target: bool,
+) -> BrokenHalves {
+    let mut buffer = vec![0_u8; BUFFER_BYTES];
+    loop {
+        let Ok(count) = from.read(&mut buffer).await else {
+            return (Some(from), Some(to));
+        };
+        let is_passing = |mode: &LinkMode| match mode {
+            LinkMode::Silent => false,
+            LinkMode::OneWay => !is_to_target,
+            _ => true,
+        };
+        let current = match mode.wait_for(is_passing).await {
+            Ok(current) => *current,
+            Err(_) => return (None, None),
+        };
+        if let LinkMode::Delayed(delay) = current {
+            tokio::time::sleep(delay).await;
+        }
+        if count == 0 {
+            let _ = to.shutdown().await;
+            return (None, None);
+        }
+        if to.write_all(&buffer[..count]).await.is_err() {
+            return (Some(from), Some(to));
+        }
+    }
+}
+
+/// Forwards datagrams to the target. Modes other than open and delayed drop them.
+async fn proxy_datagrams(socket: UdpSocket, target: SocketAddr, mode: ModeReceiver) {
+    let mut buffer = vec![0_u8; 1 << 16];
+    let socket = Arc::new(socket);
+    while let Ok((count, _)) = socket.recv_from(&mut buffer).await {
+        let current = *mode.borrow();
+        let delay = match current {
+            LinkMode::Open => Duration::ZERO,
+            LinkMode::Delayed(delay) => delay,
+            _ => continue,
+        };
+        let (socket, bytes) = (Arc::clone(&socket), buffer[..count].to_vec());
+        tokio::spawn(async move {
+            tokio::time::sleep(delay).await;
+            let _ = socket.send_to(&bytes, target).await;
+        });
+    }
+}
+
+/// Makes the stream send a reset when it is dropped.
+#[allow(deprecated)]
+fn reset_on_drop(stream: &TcpStream) {
+    let _ = stream.set_linger(Some(Duration::ZERO));
+}
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! The soak's command line.
+//! The command line of the soak test.
 
 use std::io;
 use std::path::Path;
@@ -7,43 +7,46 @@
 use std::time::Duration;
 
 use pico_args::Arguments;
-use soak::Plan;
-use soak::Size;
-use soak::checks::Promises;
+use soak::DeploymentSize;
+use soak::SoakConf;
+use soak::checks::GuaranteeSet;
 use tokio::runtime::Builder;
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 
 const USAGE: &str = "
-Runs real daemons on loopback under random faults and checks the promises from outside.
+Runs real daemons on loopback under random faults and checks the guarantees from outside.
 
 Usage:
     soak [--seed N] [--seeds N] [--minutes M] [options]
     soak --help
 
 Options:
-    --seed N        The first seed. Drawn if not given.
-    --seeds N       How many seeds, one after the other. [default: 1]
-    --minutes M     How long faults come, for each seed. [default: 0.5]
-    --stretch X     Faults last X times as long as drawn. [default: 1]
-    --hosts N       Hosts. [default: 6]
-    --engines N     Engines. [default: 12]
-    --instances N   Instances of each plain service. [default: 3]
-    --node FILE     The daemon. [default: banyanarch-node beside this program]
-    --logs DIR      Where logs go, a folder a seed. [default: soak-logs in the system's temporary folder]
+    --seed N        The first seed. [default: random]
+    --seeds N       Number of consecutive seeds to run. [default: 1]
+    --minutes M     How long faults are injected, per seed. [default: 0.5]
+    --stretch X     Factor on the drawn duration of each fault. [default: 1]
+    --hosts N       Number of hosts. [default: 6]
+    --engines N     Number of engines. [default: 12]
+    --instances N   Number of instances of each plain service. [default: 3]
+    --node FILE     The daemon program. [default: banyanarch-node in the directory of this program]
+    --logs DIR      Directory for logs, with one subdirectory per seed.
+                    [default: soak-logs in the system's temporary directory]
 
-Logs of a seed without a broken promise are deleted.
-Exit codes: 0 all promises kept, 1 one was broken, 2 bad command line or no daemon.
+The logs of a seed that broke no guarantee are deleted.
+Exit codes: 0 all guarantees held, 1 a guarantee was broken, 2 invalid command line, daemon program
+not found, or a run that failed to start or was interrupted.
 ";
 
-const EXIT_BAD_USE: u8 = 2;
-/// Broken promises that are printed of one seed.
-const PRINTED_MAX: usize = 20;
+const EXIT_ERROR: u8 = 2;
+/// Maximum number of violations that are printed per seed.
+const PRINTED_VIOLATIONS_MAX: usize = 20;
 
+/// The parsed command line.
 struct Options {
     seed: u64,
     seeds: u64,
-    plan: Plan,
+    conf: SoakConf,
     node: PathBuf,
     logs: PathBuf,
 }
@@ -54,11 +57,11 @@
         print!("{USAGE}");
         return ExitCode::SUCCESS;
     }
-    let options = match options(args) {
+    let options = match parse_options(args) {
         Ok(options) => options,
         Err(problem) => {
             eprint!("soak: {problem}\n{USAGE}");
-            return ExitCode::from(EXIT_BAD_USE);
+            return ExitCode::from(EXIT_ERROR);
         }
     };
     match run_all(&options) {
@@ -66,107 +69,112 @@
         Ok(_) => ExitCode::FAILURE,
         Err(err) => {
             eprintln!("soak: {err}");
-            ExitCode::from(EXIT_BAD_USE)
+            ExitCode::from(EXIT_ERROR)
         }
     }
 }
 
-fn options(mut args: Arguments) -> Result<Options, String> {
-    let said = |err: pico_args::Error| err.to_string();
-    let seed = args.opt_value_from_str("--seed").map_err(said)?;
-    let seeds = args.opt_value_from_str("--seeds").map_err(said)?;
-    let minutes: Option<f64> = args.opt_value_from_str("--minutes").map_err(said)?;
-    let stretch = args.opt_value_from_str("--stretch").map_err(said)?;
-    let hosts = args.opt_value_from_str("--hosts").map_err(said)?;
-    let engines = args.opt_value_from_str("--engines").map_err(said)?;
-    let instances = args.opt_value_from_str("--instances").map_err(said)?;
-    let node = args.opt_value_from_str("--node").map_err(said)?;
-    let logs = args.opt_value_from_str("--logs").map_err(said)?;
+fn parse_options(mut args: Arguments) -> Result<Options, String> {
+    let error_text = |err: pico_args::Error| err.to_string();
+    let seed = args.opt_value_from_str("--seed").map_err(error_text)?;
+    let seeds = args.opt_value_from_str("--seeds").map_err(error_text)?;
+    let minutes: Option<f64> = args.opt_value_from_str("--minutes").map_err(error_text)?;
+    let stretch = args.opt_value_from_str("--stretch").map_err(error_text)?;
+    let hosts = args.opt_value_from_str("--hosts").map_err(error_text)?;
+    let engines = args.opt_value_from_str("--engines").map_err(error_text)?;
+    let instances = args.opt_value_from_str("--instances").map_err(error_text)?;
+    let node = args.opt_value_from_str("--node").map_err(error_text)?;
+    let logs = args.opt_value_from_str("--logs").map_err(error_text)?;
     if let Some(unknown) = args.finish().first() {
-        return Err(format!("{} is unknown", unknown.to_string_lossy()));
+        return Err(format!("unknown argument {}", unknown.to_string_lossy()));
     }
     let faults_for = Duration::try_from_secs_f64(minutes.unwrap_or(0.5) * 60.0);
     let node: PathBuf = match node {
         Some(node) => node,
-        None => beside().map_err(|err| err.to_string())?,
+        None => default_node_path().map_err(|err| err.to_string())?,
     };
     if !node.is_file() {
-        return Err(format!("{} is no daemon; build it first", node.display()));
+        return Err(format!(
+            "daemon program {} not found; build it first",
+            node.display()
+        ));
     }
     Ok(Options {
         seed: seed.unwrap_or_else(|| rand::random_range(0..1_000_000_000)),
         seeds: seeds.unwrap_or(1),
-        plan: Plan {
+        conf: SoakConf {
             seed: 0,
             faults_for: faults_for.map_err(|err| format!("--minutes: {err}"))?,
             stretch: stretch.unwrap_or(1.0),
-            size: Size {
+            size: DeploymentSize {
                 hosts: hosts.unwrap_or(6),
                 engines: engines.unwrap_or(12),
                 instances: instances.unwrap_or(3),
             },
-            promises: Promises::All,
+            guarantees: GuaranteeSet::All,
         },
         node,
         logs: logs.unwrap_or_else(|| std::env::temp_dir().join("soak-logs")),
     })
 }
 
-/// The daemon in the folder of this program.
-fn beside() -> io::Result<PathBuf> {
+/// Returns the path of the daemon in the directory of this program.
+fn default_node_path() -> io::Result<PathBuf> {
     Ok(std::env::current_exe()?.with_file_name("banyanarch-node"))
 }
 
-/// Runs all seeds. Returns how many broke a promise.
+/// Runs all seeds. Returns the number of seeds that broke a guarantee.
 fn run_all(options: &Options) -> io::Result<u64> {
     let mut failed = 0;
     for seed in options.seed..options.seed + options.seeds {
         let dir = options.logs.join(seed.to_string());
         std::fs::create_dir_all(&dir)?;
-        let is_kept = run_seed(
-            &Plan {
+        let has_passed = run_seed(
+            &SoakConf {
                 seed,
-                ..options.plan
+                ..options.conf
             },
             &options.node,
             &dir,
         )?;
-        if is_kept {
+        if has_passed {
             std::fs::remove_dir_all(&dir)?;
         } else {
             println!("seed {seed}: logs are in {}", dir.display());
             failed += 1;
         }
     }
-    println!("{} seeds, {failed} with a broken promise", options.seeds);
+    println!("{} seeds, {failed} with a broken guarantee", options.seeds);
     Ok(failed)
 }
 
-fn run_seed(plan: &Plan, node: &Path, dir: &Path) -> io::Result<bool> {
-    println!("seed {}", plan.seed);
+/// Runs one seed and prints its violations. Returns whether all guarantees held.
+fn run_seed(conf: &SoakConf, node: &Path, dir: &Path) -> io::Result<bool> {
+    println!("seed {}", conf.seed);
     let runtime = Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()?;
-    let verdict = runtime.block_on(async {
+    let report = runtime.block_on(async {
         let mut terminate = signal(SignalKind::terminate())?;
         tokio::select! {
-            verdict = soak::run(plan, node, dir) => verdict,
-            // Dropped, the deployment ends its processes; the default would leave them behind.
+            report = soak::run(conf, node, dir) => report,
+            // Dropping the deployment kills its host processes; the default action of the signal
+            // would leave them running.
             _ = terminate.recv() => Err(io::Error::other("terminated")),
             _ = tokio::signal::ctrl_c() => Err(io::Error::other("interrupted")),
         }
     })?;
-    for broken in verdict.broken.iter().take(PRINTED_MAX) {
-        println!("BROKEN {}: {}", broken.promise, broken.story);
+    for violation in report.violations.iter().take(PRINTED_VIOLATIONS_MAX) {
+        println!("BROKEN {}: {}", violation.guarantee, violation.details);
     }
     println!(
-        "seed {}: {} attempts, {} served, {} faults, {} broken promises",
-        plan.seed,
-        verdict.attempts,
-        verdict.served,
-        verdict.faults,
-        verdict.broken.len()
+        "seed {}: {} attempts, {} served, {} faults, {} broken guarantees",
+        conf.seed,
+        report.attempts,
+        report.served,
+        report.faults,
+        report.violations.len()
     );
-    Ok(verdict.broken.is_empty())
+    Ok(report.violations.is_empty())
 }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,5 @@
-//! One run: a deployment, its callers, the faults of a seed, and the verdict.
+//! One run of the soak test: starts a deployment and its callers, injects the faults of a seed and
+//! checks the guarantees.
 
 use std::io;
 use std::path::Path;
@@ -12,187 +13,205 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use crate::call::Kind;
-use crate::caller::Asked;
+use crate::call::CallClass;
 use crate::caller::Caller;
+use crate::caller::CallerRequest;
 use crate::checks;
-use crate::checks::Broken;
-use crate::checks::Promises;
-use crate::draws::draw_faults;
-use crate::draws::draw_limits;
-use crate::draws::draw_returns;
+use crate::checks::GuaranteeSet;
+use crate::checks::Violation;
+use crate::deployment::Deployment;
+use crate::deployment::DeploymentSize;
+use crate::deployment::lock;
+use crate::fault_draws::draw_faults;
+use crate::fault_draws::draw_limits;
+use crate::fault_draws::draw_restores;
 use crate::faults;
-use crate::history::Answer;
-use crate::history::Attempt;
-use crate::history::Change;
-use crate::site::Site;
-use crate::site::Size;
-use crate::site::lock;
+use crate::history::CallerAttempt;
+use crate::history::CallerOutcome;
+use crate::history::OperatorChange;
 
-/// Until the first fault: hosts have read the manifest and hear each other.
-const START_TIME: Duration = Duration::from_secs(3);
-/// After the last fault has ended, until callers have to be served again.
-const RECOVER_TIME: Duration = Duration::from_secs(6);
-/// How long they are watched then.
-const CALM_TIME: Duration = Duration::from_secs(3);
-/// Callers on each host.
-const CALLERS_A_HOST: usize = 4;
-/// After the last request memory that was set aside lapses.
-const LAPSE_TIME: Duration = Duration::from_millis(4_200);
+/// Time before the first fault, in which hosts read the manifest and discover each other.
+const STARTUP_TIME: Duration = Duration::from_secs(3);
+/// Time from the end of the last fault until callers must be served again.
+const RECOVERY_TIME: Duration = Duration::from_secs(6);
+/// How long callers are observed after the recovery.
+const OBSERVATION_TIME: Duration = Duration::from_secs(3);
+/// Number of callers that start at each host.
+const CALLERS_PER_HOST: usize = 4;
+/// Time from the last request until all memory reservations have been released or have expired.
+const RESERVATION_EXPIRY_TIME: Duration = Duration::from_millis(4_200);
 
-/// What to run.
+/// The configuration of a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
-    /// What the faults are drawn from.
+pub struct SoakConf {
+    /// The seed of all random draws.
     pub seed: u64,
-    /// How long new faults come.
+    /// How long new faults are injected.
     pub faults_for: Duration,
-    /// How many times as long as drawn faults last.
+    /// Factor on the drawn duration of each fault.
     pub stretch: f64,
-    /// How large the deployment is.
-    pub size: Size,
-    /// What is checked.
-    pub promises: Promises,
+    /// The size of the deployment.
+    pub size: DeploymentSize,
+    /// The guarantees that are checked.
+    pub guarantees: GuaranteeSet,
 }
 
-/// What came of it.
+/// The result of a run.
 #[derive(Debug)]
-pub struct Verdict {
-    /// Attempts of callers.
+pub struct SoakReport {
+    /// Number of attempts of callers.
     pub attempts: usize,
-    /// Those of them that were served.
+    /// Number of attempts that were served.
     pub served: usize,
-    /// Faults that were brought about.
+    /// Number of injected faults.
     pub faults: usize,
-    /// Promises that were broken.
-    pub broken: Vec<Broken>,
+    /// Violations of guarantees.
+    pub violations: Vec<Violation>,
 }
 
-/// Plays a seed. Hosts write their logs into `dir`.
-pub async fn run(plan: &Plan, program: &Path, dir: &Path) -> io::Result<Verdict> {
-    let site = Site::start(plan.size, program, dir).await?;
+/// Runs one seed with the daemon `program`. Hosts write their logs into `dir`.
+pub async fn run(conf: &SoakConf, program: &Path, dir: &Path) -> io::Result<SoakReport> {
+    let deployment = Deployment::start(conf.size, program, dir).await?;
     let stop = watch::Sender::new(false);
     let mut callers = JoinSet::new();
-    for index in 0..plan.size.hosts * CALLERS_A_HOST {
-        callers.spawn(call_on(
-            Arc::clone(&site),
-            plan.seed,
+    for index in 0..conf.size.hosts * CALLERS_PER_HOST {
+        callers.spawn(run_caller(
+            Arc::clone(&deployment),
+            conf.seed,
             index,
             stop.subscribe(),
         ));
     }
-    sleep(START_TIME).await;
-    let drawn = draw_faults(plan);
-    let limits = draw_limits(plan);
-    let returns = draw_returns(plan);
-    let faults = drawn.len() + limits.len() + returns.len();
+    sleep(STARTUP_TIME).await;
+    let drawn = draw_faults(conf);
+    let limits = draw_limits(conf);
+    let restores = draw_restores(conf);
+    let faults = drawn.len() + limits.len() + restores.len();
     tokio::join!(
-        faults::play(&site, drawn),
-        faults::play(&site, limits),
-        faults::play(&site, returns)
+        faults::inject_all(&deployment, drawn),
+        faults::inject_all(&deployment, limits),
+        faults::inject_all(&deployment, restores)
     );
-    sleep(RECOVER_TIME).await;
-    let served_from = site.now();
-    sleep(CALM_TIME).await;
+    sleep(RECOVERY_TIME).await;
+    let served_from = deployment.now();
+    sleep(OBSERVATION_TIME).await;
     stop.send_replace(true);
     while callers.join_next().await.is_some() {}
-    sleep(LAPSE_TIME).await;
-    let mut broken = checks::check(&site.history.seen(), plan.promises, served_from);
-    broken.extend(leftovers(&site));
-    let seen = site.history.seen();
-    let is_served = |attempt: &&Attempt| matches!(attempt.answer, Answer::Success { .. });
-    Ok(Verdict {
-        attempts: seen.attempts.len(),
-        served: seen.attempts.values().filter(is_served).count(),
+    sleep(RESERVATION_EXPIRY_TIME).await;
+    let mut violations = checks::check(&deployment.history.lock(), conf.guarantees, served_from);
+    violations.extend(check_final_state(&deployment));
+    let observations = deployment.history.lock();
+    let is_served =
+        |attempt: &&CallerAttempt| matches!(attempt.outcome, CallerOutcome::Success { .. });
+    Ok(SoakReport {
+        attempts: observations.attempts.len(),
+        served: observations.attempts.values().filter(is_served).count(),
         faults,
-        broken,
+        violations,
     })
 }
 
-/// Memory that is still set aside, and hosts that ended by themselves.
-fn leftovers(site: &Site) -> Vec<Broken> {
-    let upstreams = lock(&site.upstreams);
-    let holding = upstreams
+/// Returns violations for memory that is still reserved and for hosts that exited by themselves.
+fn check_final_state(deployment: &Deployment) -> Vec<Violation> {
+    let upstreams = lock(&deployment.upstreams);
+    let with_reservations = upstreams
         .iter()
-        .filter(|upstream| upstream.reservations() > 0);
-    let leaks = holding.map(|upstream| Broken {
-        promise: "no engine loses memory for good",
-        story: format!("{} of {}", upstream.reservations(), upstream.id),
+        .filter(|upstream| upstream.reservation_count() > 0);
+    let leaks = with_reservations.map(|upstream| Violation {
+        guarantee: "no engine leaks reserved memory",
+        details: format!(
+            "{} reservations at {}",
+            upstream.reservation_count(),
+            upstream.id
+        ),
     });
-    let ended = site.hosts.iter().filter_map(|host| {
+    let exited = deployment.hosts.iter().filter_map(|host| {
         let mut host = lock(host);
         let code = host.exit_code()?;
-        Some(Broken {
-            promise: "a host does not end by itself",
-            story: format!("{} with {code}", host.plan.name),
+        Some(Violation {
+            guarantee: "no host exits by itself",
+            details: format!("{} exited with code {code}", host.conf.name),
         })
     });
-    leaks.chain(ended).collect()
+    leaks.chain(exited).collect()
 }
 
-/// One caller, until it is told to stop.
-async fn call_on(site: Arc<Site>, seed: u64, index: usize, stop: watch::Receiver<bool>) {
+/// Runs one caller until `stop` becomes true.
+async fn run_caller(
+    deployment: Arc<Deployment>,
+    seed: u64,
+    index: usize,
+    stop: watch::Receiver<bool>,
+) {
     let mut rng =
         StdRng::seed_from_u64(seed ^ (index as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15));
     let mut caller = Caller::default();
-    let mut host = index % site.hosts.len();
-    let mut old_keys: Vec<String> = Vec::new();
+    let mut host = index % deployment.hosts.len();
+    let mut revoked_keys: Vec<String> = Vec::new();
     for count in 0.. {
         if *stop.borrow() {
             return;
         }
         sleep(Duration::from_millis(rng.random_range(20..200))).await;
         let request = format!("{index:04x}{count:06x}");
-        let kind = match rng.random_range(0..100) {
-            0..30 => Kind::Safe,
-            30..50 => Kind::Once,
-            50..70 => Kind::Moving,
-            // More would be more than the engines say they can read, and rightly turned away.
-            70..98 => Kind::Short,
-            _ => Kind::Long,
+        let class = match rng.random_range(0..100) {
+            0..30 => CallClass::Idempotent,
+            30..50 => CallClass::AtMostOnce,
+            50..70 => CallClass::Moving,
+            // A larger share of prompts would exceed the prefill capacity that the engines
+            // advertise, and hosts would be right to refuse some of them.
+            70..98 => CallClass::ShortPrompt,
+            _ => CallClass::LongPrompt,
         };
-        let key = draw_key(&site, &mut old_keys, &mut rng);
-        let leaves = rng.random_ratio(1, 25);
-        let asked = Asked {
+        let key = draw_key(&deployment, &mut revoked_keys, &mut rng);
+        let is_abandoned = rng.random_ratio(1, 25);
+        let caller_request = CallerRequest {
             request: &request,
-            kind,
+            class,
             key: &key,
-            leaves_after: leaves.then(|| Duration::from_millis(rng.random_range(5..500))),
+            abandoned_after: is_abandoned.then(|| Duration::from_millis(rng.random_range(5..500))),
         };
-        let sent_at = site.now();
-        let answer = caller.attempt(site.caller_links[host].addr, &asked).await;
-        let goes_elsewhere = !matches!(answer, Answer::Success { .. }) && rng.random_ratio(1, 2);
-        let attempt = Attempt {
-            kind,
+        let sent_at = deployment.now();
+        let outcome = caller
+            .attempt(deployment.caller_links[host].addr, &caller_request)
+            .await;
+        let switches_host =
+            !matches!(outcome, CallerOutcome::Success { .. }) && rng.random_ratio(1, 2);
+        let attempt = CallerAttempt {
+            class,
             host,
             key,
-            deadline: kind.timeout(),
+            deadline: class.timeout(),
             sent_at,
-            ended_at: site.now(),
-            answer,
+            ended_at: deployment.now(),
+            outcome,
         };
-        site.history.seen().attempts.insert(request, attempt);
-        if goes_elsewhere {
-            host = rng.random_range(0..site.hosts.len());
+        deployment.history.lock().attempts.insert(request, attempt);
+        if switches_host {
+            host = rng.random_range(0..deployment.hosts.len());
         }
     }
 }
 
-/// A key in force, or now and then one that was taken back.
-fn draw_key(site: &Site, old_keys: &mut Vec<String>, rng: &mut StdRng) -> String {
+/// Draws a valid key, or one time in twenty a revoked key if there is one.
+fn draw_key(deployment: &Deployment, revoked_keys: &mut Vec<String>, rng: &mut StdRng) -> String {
     if rng.random_ratio(1, 20) {
-        let seen = site.history.seen();
-        let revoked = seen.changes.iter().filter_map(|(_, change)| match change {
-            Change::Revoked(key) => Some(key.clone()),
-            _ => None,
-        });
-        old_keys.clear();
-        old_keys.extend(revoked);
-        if !old_keys.is_empty() {
-            return old_keys[rng.random_range(0..old_keys.len())].clone();
+        let observations = deployment.history.lock();
+        let revoked = observations
+            .changes
+            .iter()
+            .filter_map(|(_, change)| match change {
+                OperatorChange::KeyRevoked(key) => Some(key.clone()),
+                _ => None,
+            });
+        revoked_keys.clear();
+        revoked_keys.extend(revoked);
+        if !revoked_keys.is_empty() {
+            return revoked_keys[rng.random_range(0..revoked_keys.len())].clone();
         }
     }
-    let published = lock(&site.published);
-    let (_, keys) = &published.customers[rng.random_range(0..published.customers.len())];
+    let manifest_inputs = lock(&deployment.manifest_inputs);
+    let (_, keys) =
+        &manifest_inputs.customers[rng.random_range(0..manifest_inputs.customers.len())];
     keys.last().cloned().unwrap_or_default()
 }
--- a/soak/src/store.rs
+++ b/soak/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store, one listener for each host, and how it misbehaves.
+//! A stand-in for the platform's store, with one listener for each host and simulated failures.
 
 use std::convert::Infallible;
 use std::net::IpAddr;
@@ -25,127 +25,134 @@
 use serde_json::Value;
 use tokio::net::TcpListener;
 
-/// What the store does with calls.
+/// How the store handles the calls of hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum StoreState {
-    /// It answers.
+pub enum StoreMode {
+    /// The store responds.
     #[default]
-    Well,
-    /// It answers later.
+    Healthy,
+    /// The store responds after this delay.
     Slow(Duration),
-    /// It says that nothing was done.
+    /// The store responds with status 503 and applies nothing.
     Unavailable,
-    /// It says that there are too many calls.
+    /// The store responds with status 429 and applies nothing.
     Busy,
-    /// It does not answer, and does nothing.
+    /// The store neither responds nor applies anything.
     Silent,
-    /// Writes are done; their answers are lost.
+    /// The store applies writes but does not respond to them. Reads work.
     LosesAnswers,
-    /// Writes are done a second after their connection was closed.
+    /// The store applies writes a second late, even if the connection has been closed, and does not
+    /// respond to them. Reads work.
     WritesLate,
 }
 
-/// A call that lost its answer was done, or is done this much later.
-const LATE_BY: Duration = Duration::from_secs(1);
+/// Delay of writes in [`StoreMode::WritesLate`].
+const LATE_WRITE_DELAY: Duration = Duration::from_secs(1);
 
-type Kinds = IndexMap<String, IndexMap<String, (u64, Value)>>;
-/// Addresses as one host sees them.
-pub(crate) type SeenAs = IndexMap<SocketAddr, SocketAddr>;
+/// Objects by kind and name, each with its revision and spec.
+type ObjectsByKind = IndexMap<String, IndexMap<String, (u64, Value)>>;
+/// The addresses under which one host reaches others, by their real addresses.
+pub(crate) type AddressMap = IndexMap<SocketAddr, SocketAddr>;
 
+/// The content and the mode of the store.
 #[derive(Default)]
-struct State {
+struct StoreData {
     era: u16,
-    kinds: Kinds,
+    objects_by_kind: ObjectsByKind,
     revision: u64,
-    state: StoreState,
-    /// Upstreams' entries that were lost by a return and are not written again yet; none for one that has ended.
-    unwritten: IndexMap<String, Option<Value>>,
+    mode: StoreMode,
+    /// Changes of upstream entries that a restore undid and that have not been made again yet, by
+    /// upstream id: the spec of the entry; none if the upstream has ended since the snapshot.
+    pending_registrations: IndexMap<String, Option<Value>>,
 }
 
-/// What the store held once.
-pub(crate) struct Copy {
-    kinds: Kinds,
+/// The content of the store at some time.
+pub(crate) struct StoreSnapshot {
+    objects_by_kind: ObjectsByKind,
     revision: u64,
 }
 
-/// The store.
+/// A stand-in for the store, shared by its listeners.
 #[derive(Clone, Default)]
-pub(crate) struct Store(Arc<Mutex<State>>);
+pub(crate) struct StoreStandIn(Arc<Mutex<StoreData>>);
 
-impl Store {
-    fn lock(&self) -> MutexGuard<'_, State> {
+impl StoreStandIn {
+    fn lock(&self) -> MutexGuard<'_, StoreData> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn set(&self, state: StoreState) {
-        self.lock().state = state;
+    pub(crate) fn set_mode(&self, mode: StoreMode) {
+        self.lock().mode = mode;
     }
 
-    /// What it holds now.
-    pub(crate) fn copy(&self) -> Copy {
-        let state = self.lock();
-        Copy {
-            kinds: state.kinds.clone(),
-            revision: state.revision,
+    /// Returns a snapshot of the current content.
+    pub(crate) fn snapshot(&self) -> StoreSnapshot {
+        let data = self.lock();
+        StoreSnapshot {
+            objects_by_kind: data.objects_by_kind.clone(),
+            revision: data.revision,
         }
     }
 
-    /// Comes back from an older copy in the next era. The operator writes the manifest again at once.
-    pub(crate) fn return_from(&self, copy: Copy) {
-        let mut state = self.lock();
-        let mut lost = std::mem::replace(&mut state.kinds, copy.kinds);
-        state.revision = copy.revision;
-        state.era += 1;
+    /// Restores an older snapshot and starts the next era. The latest manifest is written again at
+    /// once, as the operator would do.
+    pub(crate) fn restore(&self, snapshot: StoreSnapshot) {
+        let mut data = self.lock();
+        let mut lost = std::mem::replace(&mut data.objects_by_kind, snapshot.objects_by_kind);
+        data.revision = snapshot.revision;
+        data.era += 1;
         let (kind, name) = stand_in::MANIFEST;
         let manifest = lost.get_mut(kind).and_then(|all| all.swap_remove(name));
         if let Some((_, spec)) = manifest {
-            state.put(kind, name, spec);
+            data.put(kind, name, spec);
         }
-        let copied = state.kinds.get(stand_in::UPSTREAMS_KIND);
-        let ended = copied.into_iter().flat_map(|copied| copied.keys());
-        state.unwritten = ended.map(|name| (name.clone(), None)).collect();
+        let saved = data.objects_by_kind.get(stand_in::UPSTREAMS_KIND);
+        let saved_names = saved.into_iter().flat_map(|saved| saved.keys());
+        data.pending_registrations = saved_names.map(|name| (name.clone(), None)).collect();
         let lost = lost.swap_remove(stand_in::UPSTREAMS_KIND);
         let lost = lost.into_iter().flatten();
         let lost = lost.map(|(name, (_, spec))| (name, Some(spec)));
-        state.unwritten.extend(lost);
+        data.pending_registrations.extend(lost);
     }
 
-    /// Upstreams write their entries again; those that ended since the copy was made have none.
-    pub(crate) fn write_upstreams_again(&self) {
-        let mut state = self.lock();
-        for (name, spec) in std::mem::take(&mut state.unwritten) {
+    /// Writes the entries of upstreams again that a restore undid, and removes the entries of
+    /// upstreams that ended since the snapshot.
+    pub(crate) fn reregister_upstreams(&self) {
+        let mut data = self.lock();
+        for (name, spec) in std::mem::take(&mut data.pending_registrations) {
             match spec {
-                Some(spec) => state.put(stand_in::UPSTREAMS_KIND, &name, spec),
-                None => state.remove(stand_in::UPSTREAMS_KIND, &name),
+                Some(spec) => data.put(stand_in::UPSTREAMS_KIND, &name, spec),
+                None => data.remove(stand_in::UPSTREAMS_KIND, &name),
             }
         }
     }
 
-    /// Writes an object, as the operator or an upstream does: that always works.
+    /// Writes an object as the operator or an upstream does. The mode does not affect these writes.
     pub(crate) fn put(&self, kind: &str, name: &str, spec: Value) {
         self.lock().put(kind, name, spec);
     }
 
+    /// Removes an object as an upstream does. The mode does not affect removals.
     pub(crate) fn remove(&self, kind: &str, name: &str) {
         self.lock().remove(kind, name);
     }
 
-    /// Serves one host, which sees other addresses in the place of some.
+    /// Serves one host. Addresses in the responses are replaced as `address_map` says.
     pub(crate) async fn serve(
         &self,
         ip: IpAddr,
-        seen_as: Arc<Mutex<SeenAs>>,
+        address_map: Arc<Mutex<AddressMap>>,
     ) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind((ip, 0)).await?;
         let addr = listener.local_addr()?;
         let store = self.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (store, seen_as) = (store.clone(), Arc::clone(&seen_as));
+                let (store, address_map) = (store.clone(), Arc::clone(&address_map));
                 let service = service_fn(move |req| {
-                    let (store, seen_as) = (store.clone(), Arc::clone(&seen_as));
+                    let (store, address_map) = (store.clone(), Arc::clone(&address_map));
                     async move {
-                        let mut res = store.answer(req, &seen_as).await?;
+                        let mut res = store.handle(req, &address_map).await?;
                         stand_in::set_store_era(res.headers_mut(), store.lock().era);
                         Ok::<_, Infallible>(res)
                     }
@@ -157,10 +164,10 @@
         Ok(addr)
     }
 
-    async fn answer(
+    async fn handle(
         &self,
         req: Request<Incoming>,
-        seen_as: &Mutex<SeenAs>,
+        address_map: &Mutex<AddressMap>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         let (head, body) = req.into_parts();
         let body = body
@@ -171,83 +178,88 @@
         let Some(call) = StoreCall::parse(&head.method, head.uri.path(), &body) else {
             return Ok(response(StatusCode::BAD_REQUEST, &Value::Null));
         };
-        let state = self.lock().state;
-        match state {
-            StoreState::Well => {}
-            StoreState::Slow(delay) => tokio::time::sleep(delay).await,
-            StoreState::Unavailable => {
+        let mode = self.lock().mode;
+        match mode {
+            StoreMode::Healthy => {}
+            StoreMode::Slow(delay) => tokio::time::sleep(delay).await,
+            StoreMode::Unavailable => {
                 return Ok(response(StatusCode::SERVICE_UNAVAILABLE, &Value::Null));
             }
-            StoreState::Busy => return Ok(response(StatusCode::TOO_MANY_REQUESTS, &Value::Null)),
-            StoreState::Silent => std::future::pending().await,
-            StoreState::LosesAnswers if call.is_write() => {
-                self.lock().apply(&call, &SeenAs::default());
+            StoreMode::Busy => return Ok(response(StatusCode::TOO_MANY_REQUESTS, &Value::Null)),
+            StoreMode::Silent => std::future::pending().await,
+            StoreMode::LosesAnswers if call.is_write() => {
+                self.lock().apply(&call, &AddressMap::default());
                 std::future::pending::<()>().await;
             }
-            StoreState::WritesLate if call.is_write() => {
+            StoreMode::WritesLate if call.is_write() => {
                 let (store, call) = (self.clone(), call.clone());
                 tokio::spawn(async move {
-                    tokio::time::sleep(LATE_BY).await;
-                    store.lock().apply(&call, &SeenAs::default());
+                    tokio::time::sleep(LATE_WRITE_DELAY).await;
+                    store.lock().apply(&call, &AddressMap::default());
                 });
                 std::future::pending::<()>().await;
             }
-            StoreState::LosesAnswers | StoreState::WritesLate => {}
+            StoreMode::LosesAnswers | StoreMode::WritesLate => {}
         }
-        let seen_as = seen_as
+        let address_map = address_map
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
-        let (status, body) = self.lock().apply(&call, &seen_as);
+        let (status, body) = self.lock().apply(&call, &address_map);
         Ok(response(status, &body))
     }
 }
 
-impl State {
+impl StoreData {
     fn put(&mut self, kind: &str, name: &str, spec: Value) {
         if kind == stand_in::UPSTREAMS_KIND {
-            self.unwritten.swap_remove(name);
+            self.pending_registrations.swap_remove(name);
         }
         self.revision += 1;
-        let objects = self.kinds.entry(kind.to_owned()).or_default();
+        let objects = self.objects_by_kind.entry(kind.to_owned()).or_default();
         objects.insert(name.to_owned(), (self.revision, spec));
     }
 
     fn remove(&mut self, kind: &str, name: &str) {
         if kind == stand_in::UPSTREAMS_KIND {
-            self.unwritten.swap_remove(name);
+            self.pending_registrations.swap_remove(name);
         }
-        if let Some(objects) = self.kinds.get_mut(kind) {
+        if let Some(objects) = self.objects_by_kind.get_mut(kind) {
             objects.shift_remove(name);
         }
     }
 
-    fn apply(&mut self, call: &StoreCall, seen_as: &SeenAs) -> (StatusCode, Value) {
+    /// Applies a call and returns the status and the body of the response.
+    fn apply(&mut self, call: &StoreCall, address_map: &AddressMap) -> (StatusCode, Value) {
         let object = |name: &str, revision: u64, spec: &Value| {
             let mut spec = spec.clone();
-            let moved = |addr| seen_as.get(&addr).copied().unwrap_or(addr);
-            stand_in::rewrite_addresses(&mut spec, moved);
+            let rewrite = |addr| address_map.get(&addr).copied().unwrap_or(addr);
+            stand_in::rewrite_addresses(&mut spec, rewrite);
             stand_in::object_json(name, revision, &spec)
         };
-        let found = |kind: &str, name: &str| {
-            let objects = self.kinds.get(kind);
+        let exists = |kind: &str, name: &str| {
+            let objects = self.objects_by_kind.get(kind);
             objects.is_some_and(|objects| objects.contains_key(name))
         };
         match call {
             StoreCall::List(kind) => {
-                let objects = self.kinds.get(kind);
+                let objects = self.objects_by_kind.get(kind);
                 let entries = objects.into_iter().flatten();
                 let entries = entries.map(|(name, (revision, spec))| object(name, *revision, spec));
                 let entries: Vec<Value> = entries.collect();
                 (StatusCode::OK, stand_in::list_json(&entries, self.revision))
             }
             StoreCall::Get(kind, name) => {
-                match self.kinds.get(kind).and_then(|objects| objects.get(name)) {
+                match self
+                    .objects_by_kind
+                    .get(kind)
+                    .and_then(|objects| objects.get(name))
+                {
                     Some((revision, spec)) => (StatusCode::OK, object(name, *revision, spec)),
                     None => (StatusCode::NOT_FOUND, Value::Null),
                 }
             }
-            StoreCall::Create(kind, name, _) if found(kind, name) => {
+            StoreCall::Create(kind, name, _) if exists(kind, name) => {
                 (StatusCode::CONFLICT, Value::Null)
             }
             StoreCall::Create(kind, name, spec) | StoreCall::Replace(kind, name, spec) => {
--- a/soak/src/upstream.rs
+++ b/soak/src/upstream.rs
@@ -1,4 +1,5 @@
-//! Upstreams: plain services and engines that answer right, or misbehave in the ways that real ones do.
+//! Stand-ins for upstreams: plain services and engines that respond correctly, or fail in the ways
+//! that real upstreams do.
 
 use std::convert::Infallible;
 use std::net::IpAddr;
@@ -31,82 +32,83 @@
 use tokio::time::Instant;
 
 use crate::call;
-use crate::history::At;
 use crate::history::History;
-use crate::history::Run;
+use crate::history::Timestamp;
+use crate::history::UpstreamRun;
 
-/// What an upstream does.
+/// How an upstream handles requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum UpstreamState {
-    /// It answers right.
+pub enum UpstreamMode {
+    /// The upstream responds correctly.
     #[default]
-    Well,
-    /// It has crashed: its connections break and new ones are refused.
+    Healthy,
+    /// The upstream has crashed: its connections are reset and new ones are refused.
     Down,
-    /// It says nothing on any connection.
-    Dark,
-    /// It takes this much longer.
+    /// The upstream accepts connections but sends nothing.
+    Silent,
+    /// Responses start this much later.
     Slow(Duration),
-    /// It says that it did not run anything.
+    /// The upstream runs nothing and responds that the request was not run.
     TurnsAway,
-    /// It runs requests and breaks the connection in place of the answer.
+    /// The upstream runs requests and breaks the connection in place of a response.
     LosesAnswers,
-    /// It breaks off in the middle of answers.
+    /// The upstream breaks the connection in the middle of responses.
     CutsAnswers,
-    /// It fails requests that it ran.
+    /// The upstream runs requests and responds with status 500.
     Fails,
-    /// It answers another request than the one it was asked.
-    Crosses,
+    /// The response names another request than the one that was sent.
+    AnswersOtherRequest,
 }
 
-/// How long a plain call takes, and a step of an engine.
-const WORK_TIME: Duration = Duration::from_millis(25);
-/// Between two events of an answer.
+/// Time until a response starts.
+const PROCESSING_TIME: Duration = Duration::from_millis(25);
+/// Time between two events of a stream.
 const EVENT_INTERVAL: Duration = Duration::from_millis(30);
 
 type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// One upstream from its start to its end.
+/// A stand-in for one upstream, from its start to its end.
 #[derive(Clone)]
-pub(crate) struct Upstream {
+pub(crate) struct UpstreamStandIn {
     pub(crate) id: String,
     pub(crate) service: &'static str,
     pub(crate) domain: usize,
     pub(crate) addr: SocketAddr,
-    shared: Arc<Shared>,
+    shared: Arc<UpstreamShared>,
 }
 
-struct Shared {
+/// The part of an upstream that its connections share.
+struct UpstreamShared {
     id: String,
     service: &'static str,
-    began: Instant,
+    started_at: Instant,
     history: Arc<History>,
-    state: watch::Sender<UpstreamState>,
-    /// Requests a second that it says it takes; none if it says nothing.
-    limit: Mutex<Option<f64>>,
-    /// When each reservation lapses.
-    reserved: Mutex<IndexMap<String, At>>,
+    mode: watch::Sender<UpstreamMode>,
+    /// The limit that responses advertise, in requests per second; none if they advertise none.
+    advertised_limit_per_s: Mutex<Option<f64>>,
+    /// When each reservation expires, by name.
+    reservation_ends: Mutex<IndexMap<String, Timestamp>>,
 }
 
-impl Upstream {
+impl UpstreamStandIn {
     pub(crate) async fn start(
         id: String,
         service: &'static str,
         domain: usize,
         ip: IpAddr,
-        began: Instant,
+        started_at: Instant,
         history: Arc<History>,
     ) -> std::io::Result<Self> {
         let listener = TcpListener::bind((ip, 0)).await?;
         let addr = listener.local_addr()?;
-        let shared = Arc::new(Shared {
+        let shared = Arc::new(UpstreamShared {
             id: id.clone(),
             service,
-            began,
+            started_at,
             history,
-            state: watch::Sender::new(UpstreamState::Well),
-            limit: Mutex::default(),
-            reserved: Mutex::default(),
+            mode: watch::Sender::new(UpstreamMode::Healthy),
+            advertised_limit_per_s: Mutex::default(),
+            reservation_ends: Mutex::default(),
         });
         tokio::spawn(Arc::clone(&shared).accept(listener));
         Ok(Self {
@@ -118,39 +120,39 @@
         })
     }
 
-    pub(crate) fn set(&self, state: UpstreamState) {
-        self.shared.state.send_replace(state);
+    pub(crate) fn set_mode(&self, mode: UpstreamMode) {
+        self.shared.mode.send_replace(mode);
     }
 
-    /// Names a limit from now on, in place of another one.
-    pub(crate) fn begin_limit(&self, per_s: f64) {
-        *self.shared.limit() = Some(per_s);
+    /// Advertises a limit in requests per second from now on, in place of any other limit.
+    pub(crate) fn start_advertising_limit(&self, per_s: f64) {
+        *self.shared.advertised_limit() = Some(per_s);
     }
 
-    /// Names this limit no more.
-    pub(crate) fn end_limit(&self, per_s: f64) {
-        let mut limit = self.shared.limit();
+    /// Stops advertising this limit. Another limit that has replaced it stays.
+    pub(crate) fn stop_advertising_limit(&self, per_s: f64) {
+        let mut limit = self.shared.advertised_limit();
         if *limit == Some(per_s) {
             *limit = None;
         }
     }
 
-    /// Tokens that are set aside now.
-    pub(crate) fn reservations(&self) -> usize {
-        let now = self.shared.began.elapsed();
-        let mut reserved = self.shared.reservations();
-        reserved.retain(|_, until| *until > now);
-        reserved.len()
+    /// Returns the number of memory reservations that have not expired.
+    pub(crate) fn reservation_count(&self) -> usize {
+        let now = self.shared.started_at.elapsed();
+        let mut reservation_ends = self.shared.reservation_ends();
+        reservation_ends.retain(|_, until| *until > now);
+        reservation_ends.len()
     }
 }
 
-impl Shared {
+impl UpstreamShared {
     async fn accept(self: Arc<Self>, listener: TcpListener) {
-        let mut state = self.state.subscribe();
+        let mut mode = self.mode.subscribe();
         loop {
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
-                _ = state.wait_for(|state| *state == UpstreamState::Down) => return,
+                _ = mode.wait_for(|mode| *mode == UpstreamMode::Down) => return,
             };
             let Ok((stream, _)) = accepted else { return };
             tokio::spawn(Arc::clone(&self).serve(stream));
@@ -158,27 +160,27 @@
     }
 
     async fn serve(self: Arc<Self>, stream: TcpStream) {
-        // The drop of the stream is a reset, so that a crash does not look like an end.
+        // Dropping the stream sends a reset, so that a crash does not look like a regular close.
         #[allow(deprecated)]
         let _ = stream.set_linger(Some(Duration::ZERO));
         let _ = stream.set_nodelay(true);
-        let mut state = self.state.subscribe();
+        let mut mode = self.mode.subscribe();
         let shared = Arc::clone(&self);
-        let service = service_fn(move |req| Arc::clone(&shared).answer(req));
+        let service = service_fn(move |req| Arc::clone(&shared).handle(req));
         let conn = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         tokio::select! {
             _ = conn => {}
-            _ = state.wait_for(|state| *state == UpstreamState::Down) => {}
+            _ = mode.wait_for(|mode| *mode == UpstreamMode::Down) => {}
         }
     }
 
-    async fn answer(
+    async fn handle(
         self: Arc<Self>,
         req: Request<Incoming>,
     ) -> Result<Response<Body>, std::io::Error> {
-        let mut state = self.state.subscribe();
-        let seen = state.wait_for(|state| *state != UpstreamState::Dark).await;
-        let state = seen.map_or(UpstreamState::Down, |seen| *seen);
+        let mut mode = self.mode.subscribe();
+        let current = mode.wait_for(|mode| *mode != UpstreamMode::Silent).await;
+        let mode = current.map_or(UpstreamMode::Down, |current| *current);
         let (head, body) = req.into_parts();
         let body = body
             .collect()
@@ -186,123 +188,148 @@
             .map_err(std::io::Error::other)?
             .to_bytes();
         if let Some(order) = EngineOrder::parse(&body) {
-            return Ok(self.obey(order));
+            return Ok(self.execute_order(order));
         }
         if stand_in::is_report_request(&head.method, head.uri.path()) {
-            return Ok(whole(StatusCode::OK, stand_in::report_json().to_string()));
+            return Ok(full_response(
+                StatusCode::OK,
+                stand_in::report_json().to_string(),
+            ));
         }
-        let arrived = ForwardedHead::parse(&head.headers);
-        let request = arrived.request.clone();
-        let is_other = arrived.upstream.as_ref().is_some_and(|id| *id != self.id);
-        let lacks_memory = !self.holds_own(&arrived);
-        if is_other || lacks_memory || state == UpstreamState::TurnsAway {
-            let status = if is_other {
+        let forwarded = ForwardedHead::parse(&head.headers);
+        let request = forwarded.request.clone();
+        let is_for_other = forwarded.upstream.as_ref().is_some_and(|id| *id != self.id);
+        let lacks_memory = !self.holds_reservation(&forwarded);
+        if is_for_other || lacks_memory || mode == UpstreamMode::TurnsAway {
+            let status = if is_for_other {
                 StatusCode::MISDIRECTED_REQUEST
             } else {
                 StatusCode::SERVICE_UNAVAILABLE
             };
-            let mut res = whole(status, String::new());
+            let mut res = full_response(status, String::new());
             stand_in::mark_not_executed(res.headers_mut(), &request);
             return Ok(res);
         }
-        self.record(&head, &body, &arrived);
-        let slow = if let UpstreamState::Slow(by) = state {
-            by
+        self.record(&head, &body, &forwarded);
+        let delay = if let UpstreamMode::Slow(delay) = mode {
+            delay
         } else {
             Duration::ZERO
         };
-        tokio::time::sleep(WORK_TIME + slow).await;
-        if state == UpstreamState::LosesAnswers {
-            return Err(std::io::Error::other("the answer is lost"));
+        tokio::time::sleep(PROCESSING_TIME + delay).await;
+        if mode == UpstreamMode::LosesAnswers {
+            return Err(std::io::Error::other(
+                "response dropped by the mode of the stand-in",
+            ));
         }
-        let mut res = match state {
-            UpstreamState::Fails => whole(StatusCode::INTERNAL_SERVER_ERROR, "failed".to_owned()),
-            _ if self.service == call::ENGINES => self.stream(&arrived, state),
-            UpstreamState::CutsAnswers => cut_short(&call::whole_answer(&request, &self.id)),
-            _ => whole(StatusCode::OK, call::whole_answer(&request, &self.id)),
+        let mut res = match mode {
+            UpstreamMode::Fails => {
+                full_response(StatusCode::INTERNAL_SERVER_ERROR, "failed".to_owned())
+            }
+            _ if self.service == call::ENGINE_SERVICE => self.event_stream(&forwarded, mode),
+            UpstreamMode::CutsAnswers => {
+                truncated_response(&call::plain_response_body(&request, &self.id))
+            }
+            _ => full_response(
+                StatusCode::OK,
+                call::plain_response_body(&request, &self.id),
+            ),
         };
-        let answered = if state == UpstreamState::Crosses {
+        let named_request = if mode == UpstreamMode::AnswersOtherRequest {
             "another"
         } else {
             request.as_str()
         };
-        stand_in::mark_executed(res.headers_mut(), answered, &self.id);
-        if let Some(per_s) = *self.limit() {
+        stand_in::mark_executed(res.headers_mut(), named_request, &self.id);
+        if let Some(per_s) = *self.advertised_limit() {
             stand_in::set_request_limit(res.headers_mut(), per_s);
         }
         Ok(res)
     }
 
-    /// Whether the memory is still set aside that a request names as its own here.
-    fn holds_own(&self, arrived: &ForwardedHead) -> bool {
-        let now = self.began.elapsed();
-        let reserved = self.reservations();
-        let own = arrived.helpers.first().and_then(|(_, name)| name.as_ref());
-        own.is_none_or(|name| reserved.get(name).is_some_and(|until| *until > now))
+    /// Whether the reservation that a request names for its recipient is still valid; true if the
+    /// request names none. The recipient is the first entry of the helpers.
+    fn holds_reservation(&self, forwarded: &ForwardedHead) -> bool {
+        let now = self.started_at.elapsed();
+        let reservation_ends = self.reservation_ends();
+        let reservation = forwarded
+            .helpers
+            .first()
+            .and_then(|(_, name)| name.as_ref());
+        reservation.is_none_or(|name| reservation_ends.get(name).is_some_and(|until| *until > now))
     }
 
-    fn record(&self, head: &hyper::http::request::Parts, body: &Bytes, arrived: &ForwardedHead) {
+    /// Records a run of a request.
+    fn record(&self, head: &hyper::http::request::Parts, body: &Bytes, forwarded: &ForwardedHead) {
         let path = head.uri.path();
-        let question = call::question(&arrived.request);
-        let is_path = call::Kind::ALL
+        let expected_body = call::request_body(&forwarded.request);
+        let is_path_unchanged = call::CallClass::ALL
             .iter()
-            .any(|kind| path == format!("/{}/x", kind.route()));
-        let run = Run {
+            .any(|class| path == format!("/{}/x", class.route_name()));
+        let run = UpstreamRun {
             upstream: self.id.clone(),
             service: self.service.to_owned(),
-            arrived_at: self.began.elapsed(),
-            deadline: arrived.deadline,
-            customer: arrived.customer.clone(),
-            is_unchanged: is_path && head.method == "POST" && body == question.as_bytes(),
-            has_key: arrived.has_key,
-            named_limit_per_s: *self.limit(),
+            arrived_at: self.started_at.elapsed(),
+            deadline: forwarded.deadline,
+            customer: forwarded.customer.clone(),
+            is_unchanged: is_path_unchanged
+                && head.method == "POST"
+                && body == expected_body.as_bytes(),
+            has_key: forwarded.has_key,
+            advertised_limit_per_s: *self.advertised_limit(),
         };
-        let mut seen = self.history.seen();
-        seen.runs
-            .entry(arrived.request.clone())
+        let mut observations = self.history.lock();
+        observations
+            .runs
+            .entry(forwarded.request.clone())
             .or_default()
             .push(run);
     }
 
-    fn obey(&self, order: EngineOrder) -> Response<Body> {
-        let now = self.began.elapsed();
-        let mut reserved = self.reservations();
-        reserved.retain(|_, until| *until > now);
+    /// Executes an order to reserve or release memory.
+    fn execute_order(&self, order: EngineOrder) -> Response<Body> {
+        let now = self.started_at.elapsed();
+        let mut reservation_ends = self.reservation_ends();
+        reservation_ends.retain(|_, until| *until > now);
         match order {
             EngineOrder::Reserve { id, hold_ms, .. } => {
                 let until = now + Duration::from_millis(hold_ms);
-                reserved.insert(id, until);
+                reservation_ends.insert(id, until);
             }
             EngineOrder::Release { id } => {
-                reserved.shift_remove(&id);
+                reservation_ends.shift_remove(&id);
             }
         }
-        whole(StatusCode::OK, "{}".to_owned())
+        full_response(StatusCode::OK, "{}".to_owned())
     }
 
-    /// The events after the one that the caller has.
-    fn stream(self: &Arc<Self>, arrived: &ForwardedHead, state: UpstreamState) -> Response<Body> {
+    /// Returns a stream of the events after the last one that the caller has received.
+    fn event_stream(
+        self: &Arc<Self>,
+        forwarded: &ForwardedHead,
+        mode: UpstreamMode,
+    ) -> Response<Body> {
         let (sender, receiver) = mpsc::channel::<Result<Frame<Bytes>, std::io::Error>>(1);
-        let request = arrived.request.clone();
-        let first = arrived.last_event.unwrap_or(0) + 1;
+        let request = forwarded.request.clone();
+        let first = forwarded.last_event.unwrap_or(0) + 1;
         let last = call::event_count(&request);
         let shared = Arc::clone(self);
         tokio::spawn(async move {
-            let mut seen = shared.state.subscribe();
+            let mut mode_updates = shared.mode.subscribe();
             for id in first..=last {
                 tokio::time::sleep(EVENT_INTERVAL).await;
-                if seen
-                    .wait_for(|state| *state != UpstreamState::Dark)
+                if mode_updates
+                    .wait_for(|mode| *mode != UpstreamMode::Silent)
                     .await
                     .is_err()
                 {
                     return;
                 }
-                let event = format!("id: {id}\ndata: {}\n\n", call::event(&request, id));
-                if state == UpstreamState::CutsAnswers && id == first + 2 {
+                let event = format!("id: {id}\ndata: {}\n\n", call::event_data(&request, id));
+                if mode == UpstreamMode::CutsAnswers && id == first + 2 {
                     let half = Bytes::copy_from_slice(&event.as_bytes()[..9]);
                     let _ = sender.send(Ok(Frame::data(half))).await;
-                    let _ = sender.send(Err(std::io::Error::other("cut"))).await;
+                    let _ = sender.send(Err(std::io::Error::other("truncated"))).await;
                     return;
                 }
                 if sender
@@ -318,15 +345,20 @@
         Response::new(frames.boxed_unsync())
     }
 
-    fn limit(&self) -> std::sync::MutexGuard<'_, Option<f64>> {
-        self.limit.lock().unwrap_or_else(PoisonError::into_inner)
+    fn advertised_limit(&self) -> std::sync::MutexGuard<'_, Option<f64>> {
+        self.advertised_limit_per_s
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn reservations(&self) -> std::sync::MutexGuard<'_, IndexMap<String, At>> {
-        self.reserved.lock().unwrap_or_else(PoisonError::into_inner)
+    fn reservation_ends(&self) -> std::sync::MutexGuard<'_, IndexMap<String, Timestamp>> {
+        self.reservation_ends
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
+/// Adapts a channel of frames to a stream.
 struct FrameStream(mpsc::Receiver<Result<Frame<Bytes>, std::io::Error>>);
 
 impl futures_util::Stream for FrameStream {
@@ -340,7 +372,8 @@
     }
 }
 
-fn whole(status: StatusCode, text: String) -> Response<Body> {
+/// Returns a response with a complete body.
+fn full_response(status: StatusCode, text: String) -> Response<Body> {
     let body = http_body_util::Full::new(Bytes::from(text));
     let body = body
         .map_err(|never: Infallible| match never {})
@@ -350,12 +383,12 @@
     res
 }
 
-/// An answer that says how long it is and breaks off before.
-fn cut_short(text: &str) -> Response<Body> {
+/// Returns a response whose body ends with an error after half of its content length.
+fn truncated_response(text: &str) -> Response<Body> {
     let half = Bytes::copy_from_slice(&text.as_bytes()[..text.len() / 2]);
     let (sender, receiver) = mpsc::channel(2);
     let _ = sender.try_send(Ok(Frame::data(half)));
-    let _ = sender.try_send(Err(std::io::Error::other("cut")));
+    let _ = sender.try_send(Err(std::io::Error::other("truncated")));
     let mut res = Response::new(StreamBody::new(FrameStream(receiver)).boxed_unsync());
     let len = hyper::header::HeaderValue::from(text.len());
     res.headers_mut().insert(hyper::header::CONTENT_LENGTH, len);
--- a/soak/tests/short.rs
+++ b/soak/tests/short.rs
@@ -1,58 +1,58 @@
-//! A short run of real daemons, and what the checks find in made-up histories.
+//! A short run of real daemons, and tests of the checks on constructed observations.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
-use soak::Plan;
-use soak::Size;
+use soak::DeploymentSize;
+use soak::SoakConf;
 use soak::call;
-use soak::call::Kind;
-use soak::checks::Promises;
+use soak::call::CallClass;
+use soak::checks::GuaranteeSet;
 use soak::checks::check;
 use soak::draw_faults;
-use soak::history::Answer;
-use soak::history::Attempt;
-use soak::history::Change;
-use soak::history::NamedLimit;
-use soak::history::Run;
-use soak::history::Scope;
-use soak::history::Seen;
-use soak::history::Trouble;
+use soak::history::CallerAttempt;
+use soak::history::CallerOutcome;
+use soak::history::FaultRecord;
+use soak::history::FaultScope;
+use soak::history::LimitPeriod;
+use soak::history::Observations;
+use soak::history::OperatorChange;
+use soak::history::UpstreamRun;
 use yare::parameterized;
 
-const SIZE: Size = Size {
+const SIZE: DeploymentSize = DeploymentSize {
     hosts: 3,
     engines: 4,
     instances: 2,
 };
 
-fn plan(seed: u64, faults_for_s: u64, promises: Promises) -> Plan {
-    Plan {
+fn conf(seed: u64, faults_for_s: u64, guarantees: GuaranteeSet) -> SoakConf {
+    SoakConf {
         seed,
         faults_for: Duration::from_secs(faults_for_s),
         size: SIZE,
-        promises,
+        guarantees,
         stretch: 1.0,
     }
 }
 
-/// The daemon, which the build puts beside the folder of the tests.
-fn daemon() -> PathBuf {
+/// Returns the path of the daemon program, which the build puts beside the directory of the tests.
+fn daemon_path() -> PathBuf {
     let test = std::env::current_exe().unwrap();
-    let folder = test.parent().unwrap().parent().unwrap();
-    let daemon = folder.join("banyanarch-node");
+    let build_dir = test.parent().unwrap().parent().unwrap();
+    let daemon = build_dir.join("banyanarch-node");
     assert!(
         daemon.is_file(),
-        "{} is built with the workspace",
+        "{} not found; build the workspace first",
         daemon.display()
     );
     daemon
 }
 
-/// Hosts are killed, stopped and paused, links and the store misbehave, routes move and keys are taken
-/// back while callers go on. What is checked here holds however slow the machine is.
+/// Hosts are killed, stopped and paused, links and the store fail, routes are moved and keys are
+/// revoked under load. Only the guarantees that hold however slow the machine is are checked.
 #[test]
-fn what_must_always_hold_is_kept_under_faults() {
+fn safety_guarantees_hold_under_faults() {
     let dir = std::env::temp_dir().join(format!("soak-test-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -60,19 +60,21 @@
         .enable_all()
         .build()
         .unwrap();
-    let plan = plan(7, 8, Promises::Safety);
-    let verdict = runtime.block_on(soak::run(&plan, &daemon(), &dir)).unwrap();
+    let conf = conf(7, 8, GuaranteeSet::Safety);
+    let report = runtime
+        .block_on(soak::run(&conf, &daemon_path(), &dir))
+        .unwrap();
     std::fs::remove_dir_all(&dir).unwrap();
-    assert!(verdict.broken.is_empty(), "{:#?}", verdict.broken);
-    assert!(verdict.faults > 0 && verdict.served > 0, "{verdict:?}");
+    assert!(report.violations.is_empty(), "{:#?}", report.violations);
+    assert!(report.faults > 0 && report.served > 0, "{report:?}");
 }
 
 #[test]
 fn a_seed_draws_the_same_faults_each_time() {
-    let first = draw_faults(&plan(5, 60, Promises::All));
-    let second = draw_faults(&plan(5, 60, Promises::All));
+    let first = draw_faults(&conf(5, 60, GuaranteeSet::All));
+    let second = draw_faults(&conf(5, 60, GuaranteeSet::All));
     assert_eq!(format!("{first:?}"), format!("{second:?}"));
-    let other = draw_faults(&plan(6, 60, Promises::All));
+    let other = draw_faults(&conf(6, 60, GuaranteeSet::All));
     assert_ne!(format!("{first:?}"), format!("{other:?}"));
 }
 
@@ -82,215 +84,239 @@
     Duration::from_millis(ms)
 }
 
-fn attempt(kind: Kind, answer: Answer) -> Attempt {
-    Attempt {
-        kind,
+fn attempt(class: CallClass, outcome: CallerOutcome) -> CallerAttempt {
+    CallerAttempt {
+        class,
         host: 0,
         key: "key-1-0".to_owned(),
-        deadline: kind.timeout(),
+        deadline: class.timeout(),
         sent_at: at(10_000),
         ended_at: at(10_100),
-        answer,
+        outcome,
     }
 }
 
-fn run(arrived_ms: u64) -> Run {
-    Run {
+fn run_at(arrived_ms: u64) -> UpstreamRun {
+    UpstreamRun {
         upstream: "u001".to_owned(),
-        service: call::MOVING[0].to_owned(),
+        service: call::PLAIN_SERVICES[0].to_owned(),
         arrived_at: at(arrived_ms),
         deadline: Some(at(2_900)),
         customer: Some("customer-1".to_owned()),
         is_unchanged: true,
         has_key: false,
-        named_limit_per_s: None,
+        advertised_limit_per_s: None,
     }
 }
 
-fn served(kind: Kind) -> (Attempt, Vec<Run>) {
-    let body = vec![call::whole_answer(REQUEST, "u001")];
-    let answer = Answer::Success {
+fn served(class: CallClass) -> (CallerAttempt, Vec<UpstreamRun>) {
+    let body = vec![call::plain_response_body(REQUEST, "u001")];
+    let outcome = CallerOutcome::Success {
         signature: "u001".to_owned(),
         body,
     };
-    (attempt(kind, answer), vec![run(10_010)])
+    (attempt(class, outcome), vec![run_at(10_010)])
 }
 
-fn promises_broken(
-    attempt: Attempt,
-    runs: Vec<Run>,
-    changes: Vec<(Duration, Change)>,
+fn violated_guarantees(
+    attempt: CallerAttempt,
+    runs: Vec<UpstreamRun>,
+    changes: Vec<(Duration, OperatorChange)>,
 ) -> Vec<&'static str> {
-    let mut seen = Seen::default();
-    seen.attempts.insert(REQUEST.to_owned(), attempt);
-    seen.runs.insert(REQUEST.to_owned(), runs);
-    seen.changes = changes;
-    let broken = check(&seen, Promises::All, at(10_000));
-    let of_request = broken
+    let mut observations = Observations::default();
+    observations.attempts.insert(REQUEST.to_owned(), attempt);
+    observations.runs.insert(REQUEST.to_owned(), runs);
+    observations.changes = changes;
+    let violations = check(&observations, GuaranteeSet::All, at(10_000));
+    let of_request = violations
         .iter()
-        .filter(|broken| !broken.promise.starts_with("when all"));
-    of_request.map(|broken| broken.promise).collect()
+        .filter(|violation| !violation.guarantee.starts_with("callers are served"));
+    of_request.map(|violation| violation.guarantee).collect()
 }
 
 #[test]
-fn a_right_answer_breaks_no_promise() {
-    let (attempt, runs) = served(Kind::Safe);
-    assert!(promises_broken(attempt, runs, Vec::new()).is_empty());
+fn a_correct_response_violates_no_guarantee() {
+    let (attempt, runs) = served(CallClass::Idempotent);
+    assert!(violated_guarantees(attempt, runs, Vec::new()).is_empty());
 }
 
-fn body_of_another() -> (Attempt, Vec<Run>) {
-    let (mut attempt, runs) = served(Kind::Safe);
-    attempt.answer = Answer::Success {
+fn response_to_another_request() -> (CallerAttempt, Vec<UpstreamRun>) {
+    let (mut attempt, runs) = served(CallClass::Idempotent);
+    attempt.outcome = CallerOutcome::Success {
         signature: "u001".to_owned(),
-        body: vec![call::whole_answer("another", "u001")],
+        body: vec![call::plain_response_body("another", "u001")],
     };
     (attempt, runs)
 }
 
-fn event_missing() -> (Attempt, Vec<Run>) {
+fn first_event_missing() -> (CallerAttempt, Vec<UpstreamRun>) {
     let events = (2..=call::event_count(REQUEST))
-        .map(|id| format!("id: {id}\ndata: {}", call::event(REQUEST, id)));
-    let answer = Answer::Success {
+        .map(|id| format!("id: {id}\ndata: {}", call::event_data(REQUEST, id)));
+    let outcome = CallerOutcome::Success {
         signature: "u001".to_owned(),
         body: events.collect(),
     };
-    (attempt(Kind::Short, answer), vec![run(10_010)])
+    (
+        attempt(CallClass::ShortPrompt, outcome),
+        vec![run_at(10_010)],
+    )
 }
 
-fn not_run_but_ran() -> (Attempt, Vec<Run>) {
+fn ran_but_reported_not_run() -> (CallerAttempt, Vec<UpstreamRun>) {
     (
-        attempt(Kind::Safe, Answer::Failure(503, None)),
-        vec![run(12_000)],
+        attempt(CallClass::Idempotent, CallerOutcome::Failure(503, None)),
+        vec![run_at(12_000)],
     )
 }
 
-fn ran_twice() -> (Attempt, Vec<Run>) {
-    let (attempt, mut runs) = served(Kind::Once);
-    runs.push(run(10_050));
+fn ran_twice() -> (CallerAttempt, Vec<UpstreamRun>) {
+    let (attempt, mut runs) = served(CallClass::AtMostOnce);
+    runs.push(run_at(10_050));
     (attempt, runs)
 }
 
-fn of_another_customer() -> (Attempt, Vec<Run>) {
-    let (attempt, mut runs) = served(Kind::Safe);
+fn run_for_another_customer() -> (CallerAttempt, Vec<UpstreamRun>) {
+    let (attempt, mut runs) = served(CallClass::Idempotent);
     runs[0].customer = Some("customer-2".to_owned());
     (attempt, runs)
 }
 
-fn never_ended() -> (Attempt, Vec<Run>) {
-    let mut attempt = attempt(Kind::Safe, Answer::GaveUp);
+fn ended_after_deadline() -> (CallerAttempt, Vec<UpstreamRun>) {
+    let mut attempt = attempt(CallClass::Idempotent, CallerOutcome::TimedOut);
     attempt.ended_at = at(15_000);
-    (attempt, vec![run(10_010)])
+    (attempt, vec![run_at(10_010)])
 }
 
-fn too_much_time() -> (Attempt, Vec<Run>) {
-    let (attempt, mut runs) = served(Kind::Safe);
+fn deadline_too_long() -> (CallerAttempt, Vec<UpstreamRun>) {
+    let (attempt, mut runs) = served(CallClass::Idempotent);
     runs[0].deadline = Some(at(9_000));
     (attempt, runs)
 }
 
 #[parameterized(
-    is_body_of_another = { body_of_another(), "an answer is whole and the request's own" },
-    is_event_missing = { event_missing(), "an answer is whole and the request's own" },
-    is_not_run_but_ran = { not_run_but_ran(), "not run is true" },
-    is_ran_twice = { ran_twice(), "what may not be repeated runs once" },
-    is_of_another_customer = { of_another_customer(), "requests arrive as they were sent" },
-    is_never_ended = { never_ended(), "a request ends within its time" },
-    is_too_much_time = { too_much_time(), "upstreams are given no more time than is left" },
+    is_response_to_another_request = { response_to_another_request(), "a response is complete and belongs to its request" },
+    is_first_event_missing = { first_event_missing(), "a response is complete and belongs to its request" },
+    is_ran_but_reported_not_run = { ran_but_reported_not_run(), "a request reported as not run has not run" },
+    is_ran_twice = { ran_twice(), "a request that must not be repeated runs at most once" },
+    is_run_for_another_customer = { run_for_another_customer(), "upstreams receive requests unchanged" },
+    is_ended_after_deadline = { ended_after_deadline(), "a request ends by its deadline" },
+    is_deadline_too_long = { deadline_too_long(), "upstreams are given no more than the remaining time" },
 )]
-fn a_broken_promise_is_found(case: (Attempt, Vec<Run>), promise: &str) {
+fn a_violation_is_found(case: (CallerAttempt, Vec<UpstreamRun>), guarantee: &str) {
     let (attempt, runs) = case;
-    let broken = promises_broken(attempt, runs, Vec::new());
-    assert!(broken.contains(&promise), "{broken:?}");
+    let violations = violated_guarantees(attempt, runs, Vec::new());
+    assert!(violations.contains(&guarantee), "{violations:?}");
 }
 
 #[parameterized(
-    key = { Kind::Safe, Change::Revoked("key-1-0".to_owned()), 4_000, "keys that were taken back stop working" },
-    route = { Kind::Moving, Change::Moved(call::MOVING[1].to_owned()), 6_000, "a manifest is in force within its time" },
-    upstream = { Kind::Safe, Change::Leaving("u001".to_owned()), 6_000, "an upstream that leaves gets nothing new" },
+    key = { CallClass::Idempotent, OperatorChange::KeyRevoked("key-1-0".to_owned()), 4_000, "revoked keys stop working" },
+    route = { CallClass::Moving, OperatorChange::RouteMoved(call::PLAIN_SERVICES[1].to_owned()), 6_000, "a manifest change takes effect in time" },
+    upstream = { CallClass::Idempotent, OperatorChange::UpstreamLeaving("u001".to_owned()), 6_000, "a leaving upstream gets no new requests" },
 )]
-fn a_change_that_is_not_in_force_is_found(
-    kind: Kind,
-    change: Change,
+fn a_change_that_is_in_force_late_is_found(
+    class: CallClass,
+    change: OperatorChange,
     changed_ms: u64,
-    promise: &str,
+    guarantee: &str,
 ) {
-    let (attempt, runs) = served(kind);
-    let late = promises_broken(
+    let (attempt, runs) = served(class);
+    let with_late_run = violated_guarantees(
         attempt.clone(),
         runs.clone(),
         vec![(at(changed_ms), change.clone())],
     );
-    assert_eq!(late, [promise]);
-    let soon = promises_broken(attempt, runs, vec![(at(9_000), change)]);
-    assert!(soon.is_empty(), "{soon:?}");
+    assert_eq!(with_late_run, [guarantee]);
+    let with_early_run = violated_guarantees(attempt, runs, vec![(at(9_000), change)]);
+    assert!(with_early_run.is_empty(), "{with_early_run:?}");
 }
 
 #[test]
-fn a_planned_stop_must_not_cut_requests_off_but_other_faults_may() {
-    let mut cut = attempt(Kind::Safe, Answer::Cut("closed".to_owned()));
-    cut.ended_at = at(10_300);
-    let trouble = |scope| Trouble {
+fn a_planned_stop_must_not_interrupt_requests_but_other_faults_may() {
+    let mut interrupted = attempt(
+        CallClass::Idempotent,
+        CallerOutcome::ConnectionBroken("closed".to_owned()),
+    );
+    interrupted.ended_at = at(10_300);
+    let fault = |scope| FaultRecord {
         from: at(10_050),
         to: at(11_000),
         scope,
     };
-    let broken_with = |cut: &Attempt, troubles: Vec<Trouble>| {
-        let mut seen = Seen::default();
-        seen.attempts.insert(REQUEST.to_owned(), cut.clone());
-        seen.troubles = troubles;
-        let broken = check(&seen, Promises::All, at(20_000));
-        broken
+    let is_stop_violated = |interrupted: &CallerAttempt, faults: Vec<FaultRecord>| {
+        let mut observations = Observations::default();
+        observations
+            .attempts
+            .insert(REQUEST.to_owned(), interrupted.clone());
+        observations.faults = faults;
+        let violations = check(&observations, GuaranteeSet::All, at(20_000));
+        violations
             .iter()
-            .any(|broken| broken.promise == "a planned stop cuts no request off")
+            .any(|violation| violation.guarantee == "a planned stop interrupts no request")
     };
-    assert!(broken_with(&cut, vec![trouble(Scope::Stop(0))]));
-    let others = vec![trouble(Scope::Stop(0)), trouble(Scope::Upstream)];
-    assert!(!broken_with(&cut, others));
-    // Seed 1032: sent between the end of a process and its next start, over a proxy that accepts.
-    cut.ended_at = at(10_001);
-    assert!(!broken_with(&cut, vec![trouble(Scope::Stop(0))]));
+    assert!(is_stop_violated(
+        &interrupted,
+        vec![fault(FaultScope::PlannedStop(0))]
+    ));
+    let others = vec![
+        fault(FaultScope::PlannedStop(0)),
+        fault(FaultScope::Upstream),
+    ];
+    assert!(!is_stop_violated(&interrupted, others));
+    // Seed 1032: a request was sent between the exit of a process and its next start, when the link
+    // proxy still accepts connections.
+    interrupted.ended_at = at(10_001);
+    assert!(!is_stop_violated(
+        &interrupted,
+        vec![fault(FaultScope::PlannedStop(0))]
+    ));
 }
 
-/// Whether the limit's promise is broken by so many requests of one host, one each tenth of a second, in `host_trouble`.
-fn is_limit_broken(requests: u64, host_trouble: Option<Trouble>) -> bool {
-    let mut seen = Seen::default();
+/// Whether this number of requests of one host, one every 100 ms, violates the guarantee of rate
+/// limits while `host_fault` affects the host.
+fn is_limit_violated(requests: u64, host_fault: Option<FaultRecord>) -> bool {
+    let mut observations = Observations::default();
     for index in 0..requests {
-        let (caller, _) = served(Kind::ALL[0]);
+        let (caller, _) = served(CallClass::ALL[0]);
         let request = format!("{index:04}{}", &REQUEST[4..]);
-        let limited = Run {
-            named_limit_per_s: Some(1.0),
-            ..run(10_000 + index * 100)
+        let limited = UpstreamRun {
+            advertised_limit_per_s: Some(1.0),
+            ..run_at(10_000 + index * 100)
         };
-        seen.attempts.insert(request.clone(), caller);
-        seen.runs.insert(request, vec![limited]);
+        observations.attempts.insert(request.clone(), caller);
+        observations.runs.insert(request, vec![limited]);
     }
-    seen.limits = vec![NamedLimit {
+    observations.limit_periods = vec![LimitPeriod {
         upstream: "u001".to_owned(),
         per_s: 1.0,
         from: at(9_900),
         to: at(30_000),
     }];
-    seen.troubles.extend(host_trouble);
-    let broken = check(&seen, Promises::All, at(10_000));
-    let mut promises = broken.iter().map(|broken| broken.promise);
-    promises.any(|promise| promise == "an upstream that names a limit gets no more")
+    observations.faults.extend(host_fault);
+    let violations = check(&observations, GuaranteeSet::All, at(10_000));
+    let mut guarantees = violations.iter().map(|violation| violation.guarantee);
+    guarantees
+        .any(|guarantee| guarantee == "an upstream gets no more requests than its advertised limit")
 }
 
-/// The check of limits finds nothing, or blames hosts that were down or had not heard yet.
+/// Guards against a check that never finds an exceeded limit, or that counts requests of hosts that
+/// were paused or could not know the limit yet.
 #[test]
-fn a_limit_is_kept_from_three_seconds_on_by_hosts_without_trouble() {
-    assert!(is_limit_broken(60, None));
-    assert!(!is_limit_broken(30, None), "not yet bound");
-    let paused = Trouble {
+fn a_limit_is_enforced_after_three_seconds_by_hosts_without_faults() {
+    assert!(is_limit_violated(60, None));
+    assert!(
+        !is_limit_violated(30, None),
+        "the limit is not yet enforced"
+    );
+    let paused = FaultRecord {
         from: at(12_000),
         to: at(13_000),
-        scope: Scope::Hosts(vec![0]),
+        scope: FaultScope::Hosts(vec![0]),
     };
-    assert!(!is_limit_broken(60, Some(paused)));
-    let store = Trouble {
+    assert!(!is_limit_violated(60, Some(paused)));
+    let store = FaultRecord {
         from: at(12_000),
         to: at(13_000),
-        scope: Scope::Store,
+        scope: FaultScope::Store,
     };
-    assert!(is_limit_broken(60, Some(store)));
+    assert!(is_limit_violated(60, Some(store)));
 }
