--- a/src/gateway/call_dispatcher.rs
+++ b/src/gateway/call_dispatcher.rs
@@ -295,7 +295,7 @@
             self.gateway.health_changed.notify_one();
             self.gateway.broadcast_now.notify_one();
         }
-        self.gateway.metrics.fault(fault.name());
+        self.gateway.metrics.record_fault(fault.name());
         self.gateway.log.record(DecisionEvent::UpstreamFault {
             request: self.call.head.request.clone(),
             upstream: upstream.id.to_string(),
@@ -403,7 +403,7 @@
     }
 
     fn log_send(&self, placement: &SendPlan, now: Instant) {
-        self.gateway.metrics.sent(self.arrivals > 0);
+        self.gateway.metrics.record_send(self.arrivals > 0);
         self.gateway.log.record(DecisionEvent::Sent {
             request: self.call.head.request.clone(),
             upstream: placement.upstream.id.to_string(),
--- a/src/gateway/dependency.rs
+++ b/src/gateway/dependency.rs
@@ -129,7 +129,7 @@
     fn on_success(&mut self, requested_at: Instant) {
         let now = self.gateway.clock.now();
         let took = now.saturating_duration_since(requested_at);
-        self.gateway.metrics.catalog_call(self.name, took);
+        self.gateway.metrics.record_catalog_call(self.name, took);
         self.failures = 0;
         self.platform_due_at = None;
         if let Some(lost_at) = self.lost_at.take() {
@@ -151,7 +151,7 @@
     fn on_failure(&mut self, requested_at: Instant, err: &CatalogError) {
         let now = self.gateway.clock.now();
         let took = now.saturating_duration_since(requested_at);
-        self.gateway.metrics.catalog_call(self.name, took);
+        self.gateway.metrics.record_catalog_call(self.name, took);
         self.failures += 1;
         self.failed_at = Some(now);
         self.platform_due_at = Some(now + self.interval(RETRY_INTERVAL));
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -202,7 +202,7 @@
 
     fn on_malformed_limit(&self, upstream: &UpstreamId, value: &str) {
         let now = self.clock.now();
-        self.metrics.fault("malformed_limit");
+        self.metrics.record_fault("malformed_limit");
         if self.rate_limits.should_log_malformed(upstream, now) {
             self.log.record(DecisionEvent::LimitMalformed {
                 upstream: upstream.to_string(),
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -118,7 +118,7 @@
     if before == ObjectVersion::default() || before.era() == current.era() {
         return;
     }
-    gateway.metrics.store_returned();
+    gateway.metrics.record_store_return();
     gateway.log.record(DecisionEvent::StoreReturned {
         former_era: before.era().0,
         era: current.era().0,
