--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -61,7 +61,7 @@
     }
 
     /// Records the outcome of a request.
-    pub fn ended(&self, customer: Option<&CustomerId>, kind: &'static str, outcome: &str) {
+    pub fn record_request(&self, customer: Option<&CustomerId>, kind: &'static str, outcome: &str) {
         let outcome = KeyValue::new("outcome", outcome.to_owned());
         self.requests.add(
             1,
@@ -74,18 +74,23 @@
     }
 
     /// Records a send. `is_retry` tells whether the request had been sent before.
-    pub fn sent(&self, is_retry: bool) {
+    pub fn record_send(&self, is_retry: bool) {
         self.sends.add(1, &[KeyValue::new("retry", is_retry)]);
     }
 
     /// Records a fault of an upstream.
-    pub fn fault(&self, fault: &'static str) {
+    pub fn record_fault(&self, fault: &'static str) {
         self.faults.add(1, &[KeyValue::new("fault", fault)]);
     }
 
     /// Records the time from the arrival of a request to its response, or to the first event of a
     /// stream.
-    pub fn first_event(&self, customer: Option<&CustomerId>, kind: CallKind, took: Duration) {
+    pub fn record_first_event(
+        &self,
+        customer: Option<&CustomerId>,
+        kind: CallKind,
+        took: Duration,
+    ) {
         let labels = [
             customer_label(customer),
             KeyValue::new("class", kind.name()),
@@ -94,20 +99,20 @@
     }
 
     /// Records the longest pause between two events of a stream.
-    pub fn longest_pause(&self, customer: Option<&CustomerId>, took: Duration) {
+    pub fn record_longest_pause(&self, customer: Option<&CustomerId>, took: Duration) {
         self.pause
             .record(took.as_secs_f64(), &[customer_label(customer)]);
     }
 
     /// Records that the store of the platform was restored from an older copy.
-    pub fn store_returned(&self) {
+    pub fn record_store_return(&self) {
         self.store_returns.add(1, &[]);
     }
 
     /// Records the duration of a call to the platform's catalog.
-    pub fn catalog_call(&self, what: &'static str, took: Duration) {
+    pub fn record_catalog_call(&self, call: &'static str, took: Duration) {
         self.catalog
-            .record(took.as_secs_f64(), &[KeyValue::new("call", what)]);
+            .record(took.as_secs_f64(), &[KeyValue::new("call", call)]);
     }
 
     /// Renders all metrics in the Prometheus text format.
