--- a/src/gateway/request_tracker.rs
+++ b/src/gateway/request_tracker.rs
@@ -72,7 +72,7 @@
         self.first_event = Some(took);
         if let Some(kind) = self.kind {
             let metrics = &self.gateway.metrics;
-            metrics.first_event(self.customer.as_ref(), kind, took);
+            metrics.record_first_event(self.customer.as_ref(), kind, took);
         }
     }
 
@@ -90,10 +90,10 @@
         let kind = self.kind.map_or("none", CallKind::name);
         self.gateway
             .metrics
-            .ended(self.customer.as_ref(), kind, outcome);
+            .record_request(self.customer.as_ref(), kind, outcome);
         if self.kind.is_some_and(CallKind::is_stream) && self.first_event.is_some() {
             let metrics = &self.gateway.metrics;
-            metrics.longest_pause(self.customer.as_ref(), self.longest_pause);
+            metrics.record_longest_pause(self.customer.as_ref(), self.longest_pause);
         }
         let now = self.gateway.clock.now();
         self.gateway.log.record(DecisionEvent::Ended {
