--- a/src/gateway/call_dispatcher.rs
+++ b/src/gateway/call_dispatcher.rs
@@ -338,7 +338,7 @@
     fn sends(&self) -> SendHistory<'_> {
         SendHistory {
             tried: &self.tried,
-            has_run: self.runs > 0,
+            may_have_run: self.runs > 0,
             waits_for_limit: self.limit_wait.is_some(),
         }
     }
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -72,7 +72,7 @@
     /// The upstreams that the call was sent to.
     pub(crate) tried: &'a [UpstreamId],
     /// Whether one of these upstreams may have run the call.
-    pub(crate) has_run: bool,
+    pub(crate) may_have_run: bool,
     /// Whether the call is already waiting for the limit of an upstream.
     pub(crate) waits_for_limit: bool,
 }
@@ -126,7 +126,7 @@
     limits: &LimitStates,
     now: Instant,
 ) -> PlacementDecision {
-    let patience = if sends.has_run {
+    let patience = if sends.may_have_run {
         call.time_left(now)
     } else {
         call.objective_left(now).min(call.time_left(now))
@@ -185,7 +185,7 @@
 ) -> EngineRequest {
     let route = gateway.update_route();
     // The caller of an interrupted stream waits for the next event, however late.
-    let patience_min = if sends.has_run {
+    let patience_min = if sends.may_have_run {
         call.patience()
     } else {
         Duration::ZERO
