--- a/src/decide/ejection.rs
+++ b/src/decide/ejection.rs
@@ -13,17 +13,19 @@
 use crate::decide::AttemptOutcome;
 use crate::decide::UpstreamInfo;
 
-/// Consecutive failures that eject an upstream. A single failure may be caused by the request, and
-/// two may be a coincidence.
+/// The number of consecutive failures that eject an upstream. A single failure may be caused by the
+/// request, and two may be a coincidence.
 const CONSECUTIVE_FAILURES_MAX: u32 = 3;
-/// Consecutive refusals that count as one failure. A healthy engine refuses requests while it is
-/// full.
+/// The number of refusals without a completed attempt in between that count as one failure. A
+/// healthy engine refuses requests while it is full.
 const REFUSALS_PER_FAILURE: u32 = 10;
+/// How long the first ejection lasts.
 const PAUSE_FIRST: Duration = Duration::from_secs(2);
+/// The longest ejection before a probe.
 const PAUSE_MAX: Duration = Duration::from_secs(60);
-/// Consecutive probes that must succeed before an upstream is reinstated.
+/// The number of consecutive probes that must succeed before an upstream is reinstated.
 const PROBE_SUCCESSES_REQUIRED: u32 = 2;
-/// Time after which an unfinished probe no longer blocks the next one.
+/// The time after which an unfinished probe no longer blocks the next one.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Which requests an upstream may receive.
@@ -37,57 +39,64 @@
     Denied,
 }
 
-/// The ejection state of one upstream.
+/// The ejection state of one upstream, with the counts that lead to it.
 #[derive(Clone, Debug, Default)]
 pub struct Ejection {
-    state: State,
+    state: EjectionState,
+    /// Consecutive failures.
     failures: u32,
+    /// Refusals since the last completed attempt that have not counted as a failure yet.
     refusals: u32,
     /// Consecutive ejections with no reinstatement in between.
     consecutive_ejections: u32,
 }
 
+/// Whether an upstream is active, ejected, or being probed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-enum State {
+enum EjectionState {
+    /// The upstream receives all requests.
     #[default]
     Active,
-    Ejected {
-        until: Instant,
-    },
+    /// The upstream receives no requests until `until`, and then one probe.
+    Ejected { until: Instant },
+    /// The upstream receives one probe at a time.
     Probing {
+        /// Consecutive successful probes.
         succeeded: u32,
+        /// When the running probe was sent; none if no probe is running.
         sent_at: Option<Instant>,
     },
 }
 
-/// The consequence of the end of an attempt.
+/// What the caller of [`Ejection::on_end`] has to do after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionAction {
-    /// The state of the upstream does not change.
+    /// Nothing: the upstream is neither ejected nor reinstated.
     NoChange,
-    /// The upstream should be ejected unless too many upstreams are ejected already.
+    /// Call [`Ejection::eject`], unless too many upstreams are ejected already.
     Eject,
-    /// All required probes have succeeded. The upstream is active again and warms up.
+    /// Start the warm-up of the upstream, which is active again: all required probes have
+    /// succeeded.
     Reinstate,
 }
 
 impl Ejection {
-    /// Which requests the upstream may receive at `now`: none while it is leaving.
-    pub fn access_of(&self, seen: &UpstreamInfo, now: Instant) -> Access {
-        if seen.is_live() {
+    /// Which requests the upstream may receive at `now`: none while the upstream is leaving.
+    pub fn access_of(&self, upstream: &UpstreamInfo, now: Instant) -> Access {
+        if upstream.is_live() {
             self.access(now)
         } else {
             Access::Denied
         }
     }
 
-    /// Which requests the upstream may receive at `now`, whether or not it is leaving.
+    /// Which requests the upstream may receive at `now`, whether or not the upstream is leaving.
     pub fn access(&self, now: Instant) -> Access {
         match self.state {
-            State::Active => Access::Full,
-            State::Ejected { until } if now < until => Access::Denied,
-            State::Ejected { .. } => Access::Probe,
-            State::Probing { sent_at, .. } => {
+            EjectionState::Active => Access::Full,
+            EjectionState::Ejected { until } if now < until => Access::Denied,
+            EjectionState::Ejected { .. } => Access::Probe,
+            EjectionState::Probing { sent_at, .. } => {
                 let is_pending = |at| now.saturating_duration_since(at) < PROBE_TIMEOUT;
                 if sent_at.is_some_and(is_pending) {
                     Access::Denied
@@ -100,33 +109,35 @@
 
     /// Whether the upstream is ejected or being probed.
     pub fn is_ejected(&self) -> bool {
-        self.state != State::Active
+        self.state != EjectionState::Active
     }
 
     /// When an ejected upstream may be probed; none if the upstream is active or being probed.
     pub fn probe_at(&self) -> Option<Instant> {
         match self.state {
-            State::Ejected { until } => Some(until),
-            State::Active | State::Probing { .. } => None,
+            EjectionState::Ejected { until } => Some(until),
+            EjectionState::Active | EjectionState::Probing { .. } => None,
         }
     }
 
-    /// Records that a request was granted to the upstream. On an ejected upstream this is a probe.
+    /// Records that a request was granted to the upstream. If the upstream is ejected, the request
+    /// is a probe.
     pub fn on_grant(&mut self, now: Instant) {
         let succeeded = match self.state {
-            State::Active => return,
-            State::Ejected { .. } => 0,
-            State::Probing { succeeded, .. } => succeeded,
+            EjectionState::Active => return,
+            EjectionState::Ejected { .. } => 0,
+            EjectionState::Probing { succeeded, .. } => succeeded,
         };
-        self.state = State::Probing {
+        self.state = EjectionState::Probing {
             succeeded,
             sent_at: Some(now),
         };
     }
 
-    /// Records the end of an attempt on the upstream.
-    pub fn on_end(&mut self, ended: AttemptOutcome) -> EjectionAction {
-        match ended {
+    /// Records the end of an attempt on the upstream. An upstream that is to be ejected stays in
+    /// its state until [`Self::eject`] is called.
+    pub fn on_end(&mut self, outcome: AttemptOutcome) -> EjectionAction {
+        match outcome {
             AttemptOutcome::Completed => self.on_success(),
             AttemptOutcome::Cancelled => EjectionAction::NoChange,
             AttemptOutcome::Failed | AttemptOutcome::NotSent => self.on_failure(),
@@ -142,7 +153,7 @@
             .min(PAUSE_MAX);
         self.consecutive_ejections += 1;
         self.failures = 0;
-        self.state = State::Ejected {
+        self.state = EjectionState::Ejected {
             until: now + pause.mul_f64(rng.random_range(0.75..1.25)),
         };
     }
@@ -150,25 +161,25 @@
     fn on_success(&mut self) -> EjectionAction {
         self.failures = 0;
         self.refusals = 0;
-        let State::Probing { succeeded, .. } = self.state else {
+        let EjectionState::Probing { succeeded, .. } = self.state else {
             return EjectionAction::NoChange;
         };
         if succeeded + 1 < PROBE_SUCCESSES_REQUIRED {
-            self.state = State::Probing {
+            self.state = EjectionState::Probing {
                 succeeded: succeeded + 1,
                 sent_at: None,
             };
             return EjectionAction::NoChange;
         }
-        self.state = State::Active;
+        self.state = EjectionState::Active;
         self.consecutive_ejections = 0;
         EjectionAction::Reinstate
     }
 
     fn on_failure(&mut self) -> EjectionAction {
         self.failures += 1;
-        let is_probe = matches!(self.state, State::Probing { .. });
-        let is_active = self.state == State::Active;
+        let is_probe = matches!(self.state, EjectionState::Probing { .. });
+        let is_active = self.state == EjectionState::Active;
         if is_probe || (is_active && self.failures >= CONSECUTIVE_FAILURES_MAX) {
             EjectionAction::Eject
         } else {
@@ -176,6 +187,7 @@
         }
     }
 
+    /// Counts a refusal. Every [`REFUSALS_PER_FAILURE`]th one counts as a failure.
     fn on_refusal(&mut self) -> EjectionAction {
         self.refusals += 1;
         if self.refusals < REFUSALS_PER_FAILURE {
--- a/src/decide/health_tracker.rs
+++ b/src/decide/health_tracker.rs
@@ -87,17 +87,23 @@
 #[derive(Clone, Debug)]
 struct UpstreamRecord {
     domain: FailureDomainId,
+    /// Connection failures and silences since the upstream was last reached, each of which doubles
+    /// the pause.
     failures: u32,
+    /// When the current pause ends. During a pause the upstream receives no requests.
     paused_until: Option<Instant>,
     /// Whether the last connection could not be established. The upstream receives no requests
     /// until a connection succeeds.
     is_unreachable: bool,
-    /// When this host itself last failed to connect; none if it only knows from other hosts.
+    /// When this host itself last failed to connect; none if it has not since the upstream was last
+    /// reached.
     failed_at: Option<Instant>,
+    /// When the upstream last responded to this host.
     responded_at: Option<Instant>,
     /// When the upstream was last unreachable or broke a connection. Kept after it is reached
     /// again.
     lost_at: Option<Instant>,
+    /// The moving average of the fraction of failed requests, from 0 to 1.
     failure_rate: f64,
 }
 
@@ -136,9 +142,12 @@
 struct DomainRecord {
     /// Connection timeouts since the last response from the domain.
     timeouts: u32,
+    /// When a connection last timed out, another host reported the domain as unreachable, or the
+    /// domain was probed.
     last_timeout_at: Option<Instant>,
     /// When a connection of this host itself last timed out.
     failed_at: Option<Instant>,
+    /// When an upstream of the domain was last reached by this host.
     responded_at: Option<Instant>,
 }
 
@@ -154,6 +163,7 @@
     }
 }
 
+/// Whether `at` is less than `within` before `now`; false if there is no such time.
 fn is_within(at: Option<Instant>, within: Duration, now: Instant) -> bool {
     at.is_some_and(|at| now.saturating_duration_since(at) < within)
 }
@@ -167,7 +177,9 @@
 }
 
 impl HealthTracker {
-    /// Records a fault of an upstream.
+    /// Records a fault of an upstream, which raises the failure rate and may start a pause. If a
+    /// connection failed, the upstream counts as unreachable; after [`DOMAIN_TIMEOUT_THRESHOLD`]
+    /// connection timeouts its domain does.
     pub fn on_fault(
         &mut self,
         upstream: &UpstreamId,
@@ -205,7 +217,7 @@
         }
     }
 
-    /// Records that an upstream responded.
+    /// Records that an upstream responded. The upstream and its domain count as reachable again.
     pub fn on_response(&mut self, upstream: &UpstreamId, domain: &FailureDomainId, now: Instant) {
         let record = self.record(upstream, domain);
         record.on_reached();
@@ -214,7 +226,8 @@
         self.on_domain_reached(domain, now);
     }
 
-    /// Records that a connection to an upstream was established.
+    /// Records that a connection to an upstream was established. The upstream and its domain count
+    /// as reachable again; the failure rate stays.
     pub fn on_connected(&mut self, upstream: &UpstreamId, now: Instant) {
         let Some(record) = self.upstreams.get_mut(upstream) else {
             return;
@@ -241,7 +254,8 @@
         record.pause(PAUSE_BASE, now);
     }
 
-    /// When the upstream was last unreachable or broke a connection, as far as this host knows.
+    /// When the upstream was last unreachable or broke a connection, as far as this host knows;
+    /// none if that never happened. The time is kept after the upstream is reached again.
     pub fn lost_at(&self, upstream: &UpstreamId) -> Option<Instant> {
         self.upstreams.get(upstream)?.lost_at
     }
@@ -277,7 +291,8 @@
         reported.map(|(domain, _)| domain)
     }
 
-    /// The upstreams to probe now. Each is returned once per pause.
+    /// Returns the upstreams to probe now and starts their next pause, so that each is returned
+    /// once per pause. Of an unreachable domain only one upstream is returned.
     pub fn take_due_probes(&mut self, now: Instant) -> Vec<UpstreamId> {
         let domains = &mut self.domains;
         let mut due: Vec<UpstreamId> = Vec::new();
@@ -321,7 +336,8 @@
             .min()
     }
 
-    /// Whether the upstream may receive requests at `now`.
+    /// Whether the upstream may receive requests at `now`: it is reachable and not paused, and its
+    /// domain is reachable.
     pub fn is_usable(&self, upstream: &UpstreamId, domain: &FailureDomainId, now: Instant) -> bool {
         let record = self.upstreams.get(upstream);
         let is_suspended = record.is_some_and(|r| r.is_unreachable || r.is_paused(now));
--- a/src/decide/poison.rs
+++ b/src/decide/poison.rs
@@ -1,7 +1,7 @@
 //! Detection and refusal of requests that crash every upstream that runs them.
 //!
-//! Load condition: a caller, or a retry, sends such a request again and again. Without this list it
-//! crashes one engine after another, together with all other requests that run there.
+//! Load condition: a caller, or a retry, sends such a request again and again. Without this list
+//! the request crashes one engine after another, together with all other requests that run there.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,13 +12,13 @@
 use crate::decide::RequestFingerprint;
 use crate::units::AttemptId;
 
-/// Crashes after which a request is refused. One crash may be the upstream's own fault, and a
-/// second crash, of another attempt elsewhere, points to the request. Two is the minimum that
-/// distinguishes the two cases.
+/// The number of crashes after which a request is refused. One crash may be the upstream's own
+/// fault, and a second crash, of another attempt elsewhere, points to the request. Two is the
+/// minimum that distinguishes the two cases.
 const CRASHES_MAX: usize = 2;
-/// Fingerprints kept in memory, about 100 bytes each.
+/// The number of fingerprints kept in memory, about 100 bytes each.
 const FINGERPRINTS_MAX: usize = 8_192;
-/// Fingerprints dropped together when the list is full.
+/// The number of fingerprints dropped together when the list is full.
 const DROP_BATCH: usize = 1_024;
 /// How long after its last crash a fingerprint is kept: longer than callers go on retrying, and
 /// short enough that a repaired engine receives the request again the same day.
@@ -27,7 +27,7 @@
 /// The requests that crash upstreams, as far as one host knows.
 #[derive(Debug)]
 pub struct PoisonList {
-    fingerprints: IndexMap<RequestFingerprint, Crashes>,
+    fingerprints: IndexMap<RequestFingerprint, CrashRecord>,
     crashes_max: usize,
     retention: Duration,
 }
@@ -38,9 +38,12 @@
     }
 }
 
+/// The known crashes of one request.
 #[derive(Debug)]
-struct Crashes {
+struct CrashRecord {
+    /// The attempts during which an upstream crashed, at most `crashes_max`.
     attempts: Vec<AttemptId>,
+    /// When this host learned of the last of these attempts.
     last_at: Instant,
 }
 
@@ -50,8 +53,8 @@
         Self::default()
     }
 
-    /// An empty list that refuses a request from its `crashes_max`th crash on, until `retention` has
-    /// passed since the last crash.
+    /// An empty list that refuses a request from its `crashes_max`th crash on, until `retention`
+    /// has passed since the last crash.
     pub fn with_bounds(crashes_max: usize, retention: Duration) -> Self {
         Self {
             fingerprints: IndexMap::new(),
@@ -61,7 +64,7 @@
     }
 
     /// Records that the upstream of an attempt crashed while the attempt ran. Returns the reports
-    /// to send to other hosts; empty if they have the crash already.
+    /// to send to other hosts; empty if this host knew of the crash already.
     pub fn on_crash(
         &mut self,
         fingerprints: &[RequestFingerprint],
@@ -72,36 +75,36 @@
             fingerprint: *fingerprint,
             attempts: vec![attempt],
         });
-        reports.filter(|poison| self.merge(poison, now)).collect()
+        reports.filter(|report| self.merge(report, now)).collect()
     }
 
     /// Merges a report of another host. Returns whether the report contained anything new.
-    pub fn merge(&mut self, poison: &PoisonReport, now: Instant) -> bool {
-        self.evict_if_full(poison.fingerprint, now);
-        let crashes = self
+    pub fn merge(&mut self, report: &PoisonReport, now: Instant) -> bool {
+        self.evict_if_full(report.fingerprint, now);
+        let record = self
             .fingerprints
-            .entry(poison.fingerprint)
-            .or_insert_with(|| Crashes {
+            .entry(report.fingerprint)
+            .or_insert_with(|| CrashRecord {
                 attempts: Vec::with_capacity(self.crashes_max),
                 last_at: now,
             });
-        let known = crashes.attempts.len();
-        for attempt in &poison.attempts {
-            let is_known = crashes.attempts.contains(attempt);
-            if !is_known && crashes.attempts.len() < self.crashes_max {
-                crashes.attempts.push(*attempt);
-                crashes.last_at = now;
+        let known = record.attempts.len();
+        for attempt in &report.attempts {
+            let is_known = record.attempts.contains(attempt);
+            if !is_known && record.attempts.len() < self.crashes_max {
+                record.attempts.push(*attempt);
+                record.last_at = now;
             }
         }
-        crashes.attempts.len() > known
+        record.attempts.len() > known
     }
 
     /// Whether a request with any of these fingerprints is to be refused.
     pub fn is_poison(&self, fingerprints: &[RequestFingerprint], now: Instant) -> bool {
         fingerprints.iter().any(|fingerprint| {
-            let crashes = self.fingerprints.get(fingerprint);
-            crashes.is_some_and(|c| {
-                c.attempts.len() >= self.crashes_max && !c.is_expired(self.retention, now)
+            let record = self.fingerprints.get(fingerprint);
+            record.is_some_and(|record| {
+                record.attempts.len() >= self.crashes_max && !record.is_expired(self.retention, now)
             })
         })
     }
@@ -117,15 +120,16 @@
         self.fingerprints.is_empty()
     }
 
-    /// All current reports, for a host that has just started.
+    /// A report of every request on the list whose last crash is within the retention, for a host
+    /// that has just started.
     pub fn all(&self, now: Instant) -> Vec<PoisonReport> {
         let kept = self
             .fingerprints
             .iter()
-            .filter(|(_, c)| !c.is_expired(self.retention, now));
-        kept.map(|(fingerprint, crashes)| PoisonReport {
+            .filter(|(_, record)| !record.is_expired(self.retention, now));
+        kept.map(|(fingerprint, record)| PoisonReport {
             fingerprint: *fingerprint,
-            attempts: crashes.attempts.clone(),
+            attempts: record.attempts.clone(),
         })
         .collect()
     }
@@ -140,7 +144,7 @@
         }
         let retention = self.retention;
         self.fingerprints
-            .retain(|_, crashes| !crashes.is_expired(retention, now));
+            .retain(|_, record| !record.is_expired(retention, now));
         let surplus = self
             .fingerprints
             .len()
@@ -149,7 +153,7 @@
     }
 }
 
-impl Crashes {
+impl CrashRecord {
     fn is_expired(&self, retention: Duration, now: Instant) -> bool {
         now.saturating_duration_since(self.last_at) > retention
     }
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,6 +1,6 @@
 //! Retries: which failed attempts are retried, when, and how many in total.
 //!
-//! Load condition: upstreams fail or refuse, and each failure asks for another attempt. Without a
+//! Load condition: upstreams fail or refuse, and each failure leads to another attempt. Without a
 //! budget an outage multiplies the load on the remaining upstreams by the number of attempts, and
 //! the overload outlasts the outage.
 
@@ -15,24 +15,28 @@
 use crate::decide::GiveUpReason;
 use crate::decide::RetryDecision;
 
-/// Attempts of one request in total. The second finds another upstream, and the third covers a
-/// second failure. More attempts only delay the error response.
+/// The number of attempts of one request in total. The second finds another upstream, and the third
+/// covers a second failure. More attempts only delay the error response.
 const ATTEMPTS_MAX: u32 = 3;
-/// Upper bound on retries as a fraction of a service's first attempts in the long run.
+/// The upper bound on retries as a fraction of a service's first attempts in the long run.
 const RETRY_RATIO: f64 = 0.2;
-/// Retries that may be made at once. Covers the loss of one upstream together with its batch.
+/// The number of retries that may be made at once, which covers the loss of one upstream together
+/// with its batch.
 const TOKENS_MAX: f64 = 32.0;
-/// Retries per second that are always allowed, for services with little traffic.
+/// The number of retries per second that are always allowed, for services with little traffic.
 const TOKENS_PER_SECOND: f64 = 0.5;
+/// The upper bound on the pause before the first retry, which doubles with each further retry.
 const BACKOFF_BASE: Duration = Duration::from_millis(20);
+/// The upper bound on the pause before any retry, unless the upstream asks for a longer one.
 const BACKOFF_MAX: Duration = Duration::from_secs(2);
-/// Minimum time before the deadline for another attempt. A shorter attempt would only waste the
+/// The minimum time before the deadline for another attempt. A shorter attempt would only waste the
 /// work of the upstream.
 const TIME_LEFT_MIN: Duration = Duration::from_millis(100);
 
 /// One host's retry budget for one service or model, a token bucket.
 #[derive(Debug)]
 pub struct RetryBudget {
+    /// The number of retries that may be made now.
     tokens: f64,
     refilled_at: Instant,
     rng: StdRng,
@@ -53,8 +57,7 @@
         self.add_tokens(RETRY_RATIO);
     }
 
-    /// Decides whether a failed attempt is retried. A [`RetryDecision::Retry`] has been taken from
-    /// the budget.
+    /// Decides whether a failed attempt is retried, and takes the retry from the budget if so.
     pub fn decide(&mut self, failed: &FailedAttempt, now: Instant) -> RetryDecision {
         self.refill(now);
         if let Some(reason) = give_up_reason(failed) {
@@ -71,9 +74,9 @@
         RetryDecision::Retry { after }
     }
 
-    /// The pause before a retry: jittered between half of an exponentially growing bound and the
-    /// whole, so that requests that failed together do not return together, and never shorter than
-    /// the upstream asked for.
+    /// The pause before a retry, jittered between half of an exponentially growing bound and the
+    /// bound itself, so that requests that failed together do not return together. The pause is
+    /// never shorter than the upstream asked for.
     fn backoff(&mut self, failed: &FailedAttempt) -> Duration {
         let exponent = failed.attempts.saturating_sub(1).min(16);
         let bound = BACKOFF_BASE.saturating_mul(1 << exponent).min(BACKOFF_MAX);
@@ -92,6 +95,7 @@
     }
 }
 
+/// Why the attempt must not be retried, whatever the budget and the deadline; none if it may be.
 fn give_up_reason(failed: &FailedAttempt) -> Option<GiveUpReason> {
     if failed.response_started {
         return Some(GiveUpReason::ResponseStarted);
--- a/src/decide/retry_after.rs
+++ b/src/decide/retry_after.rs
@@ -5,12 +5,14 @@
 use rand::Rng;
 use rand::rngs::StdRng;
 
-/// A shorter time would bring the caller back into the same queue.
+/// The minimum before jitter. A shorter time would bring the caller back into the same queue.
 const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
-/// A longer time would keep callers away for longer than most overloads last.
+/// The maximum before jitter. A longer time would keep callers away for longer than most overloads
+/// last.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(60);
 
-/// The time until the queue has drained, plus a jitter of up to the same length.
+/// The time after which a refused caller should retry: the time `drain` until the queue has
+/// drained, within bounds, plus a jitter of up to the same length.
 ///
 /// Load condition: many callers are refused at the same moment. Without jitter all of them return
 /// at the same moment, and the next wave is refused as well.
--- a/src/decide/retry_decision.rs
+++ b/src/decide/retry_decision.rs
@@ -5,10 +5,10 @@
 
 use crate::decide::RefuseReason;
 
-/// A failed attempt as seen by the entry host that made it.
+/// A failed attempt as known to the host that made it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedAttempt {
-    /// Attempts of the request so far, including this one.
+    /// The number of attempts of the request so far, including this one.
     pub attempts: u32,
     /// Whether the upstream certainly did not run the request.
     pub did_not_run: bool,
--- a/src/decide/retry_window.rs
+++ b/src/decide/retry_window.rs
@@ -17,9 +17,9 @@
 /// The bound on retries for all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBound {
-    /// Retries allowed per request.
+    /// The number of retries allowed per request.
     pub per_request: f64,
-    /// Retries allowed in one window in addition to those earned by requests.
+    /// The number of retries allowed in one window in addition to those earned by requests.
     pub allowance: f64,
     /// The length of the sliding window.
     pub window: Duration,
@@ -33,13 +33,13 @@
 }
 
 impl RetryWindow {
-    /// Records a caller's request.
+    /// Records a caller's request, which earns a fraction of a retry.
     pub fn on_request(&mut self, bound: &RetryBound, now: Instant) {
         drop_expired(&mut self.requests, bound.window, now);
         self.requests.push_back(now);
     }
 
-    /// Takes one retry from the budget and returns whether it is allowed. `hosts` is the number of
+    /// Returns whether a retry is allowed now, and counts the retry if so. `hosts` is the number of
     /// hosts that share the allowance.
     pub fn try_retry(&mut self, bound: &RetryBound, hosts: usize, now: Instant) -> bool {
         drop_expired(&mut self.requests, bound.window, now);
@@ -55,6 +55,7 @@
     }
 }
 
+/// Drops the times that are more than `window` before `now`.
 fn drop_expired(times: &mut VecDeque<Instant>, window: Duration, now: Instant) {
     while times
         .front()
--- a/src/decide/warm_up.rs
+++ b/src/decide/warm_up.rs
@@ -8,9 +8,9 @@
 
 /// The fraction of the slots available in each step.
 const STEPS: [f64; 4] = [0.125, 0.25, 0.5, 1.0];
-/// Successful attempts that complete a step.
+/// The number of successful attempts that complete a step.
 const SUCCESSES_PER_STEP: u32 = 4;
-/// Time without a failure after which a step also completes, so that an upstream with little
+/// The time without a failure after which a step also completes, so that an upstream with little
 /// traffic warms up too.
 const STEP_DURATION_MAX: Duration = Duration::from_secs(10);
 
@@ -18,7 +18,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUp {
     step: usize,
+    /// The number of successful attempts since `since`.
     successes: u32,
+    /// When the warm-up began or successful attempts last completed a step.
     since: Instant,
 }
 
@@ -54,7 +56,7 @@
         self.step_at(now) * 2 >= STEPS.len()
     }
 
-    /// Records a completed attempt.
+    /// Records a successful attempt.
     pub fn on_success(&mut self, now: Instant) {
         self.step = self.step_at(now);
         self.successes += 1;
