--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -50,21 +50,21 @@
 }
 
 impl Call {
-    /// The time left until the deadline.
+    /// The time left until the deadline; zero after it.
     pub fn time_left(&self, now: Instant) -> Duration {
         self.deadline.saturating_duration_since(now)
     }
 
-    /// The time left until the response is late.
+    /// The time left until the response is late by the objective of the route; zero after that.
     pub fn objective_left(&self, now: Instant) -> Duration {
         (self.arrived_at + self.route.objective).saturating_duration_since(now)
     }
 
-    /// How long the caller of an interrupted stream waits for the next event. Callers wait longer
-    /// than this.
+    /// A lower bound on how long the caller of an interrupted stream waits for the next event.
     ///
-    /// Failure guarded against: an engine dies under load. Its responses are late by then, and are
-    /// refused because they are late although they could be resumed.
+    /// Failure guarded against: an engine dies under load. Its streams are late by then, and
+    /// without this minimum they would be refused as late although another engine could resume
+    /// them.
     pub fn patience(&self) -> Duration {
         (self.route.objective * 2).max(STREAM_PATIENCE_MIN)
     }
@@ -76,7 +76,8 @@
         (self.arrived_at + patience).saturating_duration_since(now + TRANSIT_MARGIN)
     }
 
-    /// The fingerprint that recognises this call when a caller sends it again.
+    /// The fingerprint of the call: a hash of method, URI, customer and body, by which the call is
+    /// recognised when a caller sends it again.
     pub fn fingerprint(&self) -> RequestFingerprint {
         let customer = self.customer.as_ref().map_or("", CustomerId::as_str);
         let mut text = format!("{}\n{}\n{customer}\n", self.method, self.uri).into_bytes();
--- a/src/gateway/decision_event.rs
+++ b/src/gateway/decision_event.rs
@@ -28,7 +28,7 @@
     },
     /// The host has stopped.
     Stopped {
-        /// The number of requests that were cut off.
+        /// The number of requests that were still running and were cut off.
         cut: u64,
     },
     /// The settings file was read again.
@@ -53,11 +53,11 @@
         joined: Vec<String>,
         /// The upstreams that were removed from the list or are leaving.
         left: Vec<String>,
-        /// The former upstreams that have restarted under the same name.
+        /// The ids of the former incarnations of upstreams that have restarted under the same name.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         restarted: Vec<String>,
     },
-    /// Updates of other hosts arrive by a different route.
+    /// The route by which updates of other hosts arrive has changed.
     #[serde(rename = "news_route")]
     UpdateRouteChanged {
         /// The host that forwards updates of other failure domains; none if all hosts send to each
@@ -68,8 +68,9 @@
         /// The maximum age of updates of other failure domains when none is lost, in ms.
         far_age_ms: u64,
     },
-    /// The store of the platform was restored from an older copy. Later writes are lost, and its
-    /// revisions go back. This host reads its cached state again and registers itself again.
+    /// The store of the platform was restored from an older copy. Writes after the copy are lost,
+    /// and the revisions of the store go back. This host reads its cached state again and registers
+    /// itself again.
     StoreReturned {
         /// The era of the store before.
         former_era: u16,
@@ -113,16 +114,16 @@
     UpstreamLimit {
         /// The id of the upstream.
         upstream: String,
-        /// The requests per second that the upstream accepts from all hosts together; none if it has
-        /// no limit.
+        /// The requests per second that the upstream accepts from all hosts together; none if it
+        /// has no limit.
         limit_per_s: Option<f64>,
         /// The host or collector that reported the limit; none if a response to this host did.
         told_by: Option<String>,
         /// The time since the upstream advertised the limit, in ms.
         age_ms: u64,
     },
-    /// An upstream advertises a limit that is not a rate. The known limit stays. Logged at most once
-    /// in ten seconds per upstream.
+    /// An upstream advertises a limit that is not a rate. The known limit stays. Logged at most
+    /// once in ten seconds per upstream.
     LimitMalformed {
         /// The id of the upstream.
         upstream: String,
@@ -242,8 +243,8 @@
         status: u16,
         /// The time since the request arrived, in ms.
         elapsed_ms: u64,
-        /// The time from the arrival to the first event of the response, in ms; none if there was no
-        /// event.
+        /// The time from the arrival to the first event of the response, in ms; none if there was
+        /// no event.
         first_event_ms: Option<u64>,
         /// The longest pause between two events of the response, in ms.
         longest_pause_ms: u64,
--- a/src/gateway/decision_log.rs
+++ b/src/gateway/decision_log.rs
@@ -17,64 +17,74 @@
 use crate::units::HostId;
 use crate::units::whole_millis;
 
-/// The capacity of the buffer in lines, about 300 bytes each. Holds one second of output of a host
-/// under its heaviest load.
-const PENDING_MAX: usize = 2_048;
-/// The part of the capacity that is reserved for lines of failures.
+/// The capacity of the buffer in events, about 300 bytes each as lines. Holds one second of output
+/// of a host under its heaviest load.
+const BUFFERED_EVENTS_MAX: usize = 2_048;
+/// The part of the capacity that is reserved for events of failures and of the host itself.
 const RESERVED_FOR_FAILURES: usize = 512;
-/// How long lines are collected before they are written together. Each write, and each wake-up of
+/// How long events are collected before they are written together. Each write, and each wake-up of
 /// the writer, costs processor time.
 const BATCH_INTERVAL: Duration = Duration::from_millis(200);
 
+/// One line of the log.
 #[derive(Serialize)]
-struct Line<'a> {
+struct EventLine<'a> {
     wall_ms: u64,
     host: &'a HostId,
     #[serde(flatten)]
     event: &'a DecisionEvent,
 }
 
+/// The line that states how many events were dropped since the last write.
 #[derive(Serialize)]
-struct DroppedLine<'a> {
+struct DroppedEventsLine<'a> {
     wall_ms: u64,
     host: &'a HostId,
     event: &'static str,
     lines: u64,
 }
 
+/// The events that are not written yet.
 #[derive(Default)]
-struct Pending {
-    lines: Vec<(u64, DecisionEvent)>,
+struct EventBuffer {
+    /// The events with the time of each, in ms since the Unix epoch.
+    events: Vec<(u64, DecisionEvent)>,
+    /// The number of events dropped since the last write.
     dropped: u64,
+    /// The number of events dropped since the start.
     dropped_total: u64,
+    /// Whether the writer has to end after its next write.
     is_closed: bool,
 }
 
-struct Shared {
+/// The buffer between the requests of the host and the writer thread.
+struct SharedBuffer {
     host: HostId,
-    pending: Mutex<Pending>,
+    buffer: Mutex<EventBuffer>,
+    /// Notified when the buffer has its first event or is closed.
     arrived: Condvar,
 }
 
-impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Pending> {
-        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
+impl SharedBuffer {
+    fn lock(&self) -> MutexGuard<'_, EventBuffer> {
+        self.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The decision log of one host.
+/// The decision log of one host: a bounded buffer of events and a thread that writes them as lines
+/// of JSON. Recording an event never waits for the output.
 pub struct DecisionLog {
     clock: Arc<dyn Clock>,
-    shared: Arc<Shared>,
+    shared: Arc<SharedBuffer>,
     writer: Mutex<Option<thread::JoinHandle<()>>>,
 }
 
 impl DecisionLog {
-    /// Creates a log with a thread of its own that writes the lines to `out`.
+    /// Creates a log whose thread writes the lines to `out`.
     pub fn new(host: HostId, clock: Arc<dyn Clock>, out: Box<dyn Write + Send>) -> Self {
-        let shared = Arc::new(Shared {
+        let shared = Arc::new(SharedBuffer {
             host,
-            pending: Mutex::default(),
+            buffer: Mutex::default(),
             arrived: Condvar::new(),
         });
         let writer_shared = Arc::clone(&shared);
@@ -90,31 +100,32 @@
     pub fn record(&self, event: DecisionEvent) {
         let wall = self.clock.wall().duration_since(UNIX_EPOCH);
         let wall_ms = whole_millis(wall.unwrap_or_default());
-        let mut pending = self.shared.lock();
+        let mut buffer = self.shared.lock();
         let capacity = if event.has_priority() {
-            PENDING_MAX
+            BUFFERED_EVENTS_MAX
         } else {
-            PENDING_MAX - RESERVED_FOR_FAILURES
+            BUFFERED_EVENTS_MAX - RESERVED_FOR_FAILURES
         };
-        if pending.lines.len() >= capacity {
-            pending.dropped += 1;
-            pending.dropped_total += 1;
+        if buffer.events.len() >= capacity {
+            buffer.dropped += 1;
+            buffer.dropped_total += 1;
             return;
         }
-        pending.lines.push((wall_ms, event));
-        let is_first = pending.lines.len() == 1;
-        drop(pending);
+        buffer.events.push((wall_ms, event));
+        let is_first = buffer.events.len() == 1;
+        drop(buffer);
         if is_first {
             self.shared.arrived.notify_one();
         }
     }
 
-    /// The number of lines dropped since the start.
+    /// The number of events dropped since the start.
     pub fn dropped_total(&self) -> u64 {
         self.shared.lock().dropped_total
     }
 
-    /// Writes all buffered lines and ends the writer thread.
+    /// Writes all buffered events and waits until the writer thread has ended. Later events are not
+    /// written.
     pub fn close(&self) {
         self.shared.lock().is_closed = true;
         self.shared.arrived.notify_one();
@@ -131,22 +142,23 @@
     }
 }
 
-fn write_all(shared: &Shared, mut out: Box<dyn Write + Send>) {
+/// Writes events until the log is closed or the output fails.
+fn write_all(shared: &SharedBuffer, mut out: Box<dyn Write + Send>) {
     loop {
-        let (lines, dropped, is_closed) = take_lines(shared);
-        let mut text = Vec::with_capacity(lines.len() * 300);
-        for (wall_ms, event) in &lines {
-            let line = Line {
+        let (events, dropped, is_closed) = take_events(shared);
+        let mut text = Vec::with_capacity(events.len() * 300);
+        for (wall_ms, event) in &events {
+            let line = EventLine {
                 wall_ms: *wall_ms,
                 host: &shared.host,
                 event,
             };
             append(&mut text, &line);
         }
-        if let Some((last_ms, _)) = lines.last()
+        if let Some((last_ms, _)) = events.last()
             && dropped > 0
         {
-            let line = DroppedLine {
+            let line = DroppedEventsLine {
                 wall_ms: *last_ms,
                 host: &shared.host,
                 event: "lines_dropped",
@@ -166,24 +178,30 @@
     }
 }
 
-fn take_lines(shared: &Shared) -> (Vec<(u64, DecisionEvent)>, u64, bool) {
-    let pending = shared.lock();
-    let pending = shared
+/// Waits for events or the end of the log, lets further events collect unless the log has ended,
+/// and takes all. Returns the events with their times, the number of dropped ones, and whether the
+/// log has ended.
+fn take_events(shared: &SharedBuffer) -> (Vec<(u64, DecisionEvent)>, u64, bool) {
+    let buffer = shared.lock();
+    let buffer = shared
         .arrived
-        .wait_while(pending, |w| w.lines.is_empty() && !w.is_closed)
+        .wait_while(buffer, |buffer| {
+            buffer.events.is_empty() && !buffer.is_closed
+        })
         .unwrap_or_else(PoisonError::into_inner);
-    if !pending.is_closed {
-        drop(pending);
+    if !buffer.is_closed {
+        drop(buffer);
         thread::sleep(BATCH_INTERVAL);
     } else {
-        drop(pending);
+        drop(buffer);
     }
-    let mut pending = shared.lock();
-    let lines = std::mem::take(&mut pending.lines);
-    let dropped = std::mem::take(&mut pending.dropped);
-    (lines, dropped, pending.is_closed)
+    let mut buffer = shared.lock();
+    let events = std::mem::take(&mut buffer.events);
+    let dropped = std::mem::take(&mut buffer.dropped);
+    (events, dropped, buffer.is_closed)
 }
 
+/// Appends a line of JSON to `text`. A line that cannot be serialized is left out.
 fn append(text: &mut Vec<u8>, line: &impl Serialize) {
     let len = text.len();
     match serde_json::to_writer(&mut *text, line) {
--- a/src/gateway/error.rs
+++ b/src/gateway/error.rs
@@ -5,7 +5,7 @@
 
 use crate::observe::ObserveError;
 
-/// An error that ends a gateway.
+/// An error that prevents a gateway from starting, or ends it.
 #[derive(Debug)]
 pub enum GatewayError {
     /// An address cannot be bound: the purpose of the address, and the error.
--- a/src/gateway/event_splitter.rs
+++ b/src/gateway/event_splitter.rs
@@ -8,11 +8,14 @@
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// A buffer of the bytes received from a stream and not forwarded yet.
+/// Splits the bytes of a stream into complete events, and buffers the incomplete one at the end.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
+    /// The bytes received and not forwarded yet.
     pending: BytesMut,
+    /// The number of these bytes that were searched for the end of an event.
     scanned: usize,
+    /// The id of the last complete event that had one.
     last_id: Option<String>,
 }
 
@@ -40,13 +43,14 @@
         self.scanned = 0;
     }
 
-    /// The id of the last event returned by [`Self::push`].
+    /// The id of the last event with an id that [`Self::push`] has returned; none if there was
+    /// none.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// The end of the last complete event, which an empty line terminates. Lines end with LF or CR
-    /// LF.
+    /// The end of the last complete event in the buffer; none if there is no complete event. An
+    /// empty line ends an event, and lines end with LF or CR LF.
     fn last_event_end(&mut self) -> Option<usize> {
         let from = self.scanned.saturating_sub(3);
         let tail = &self.pending[from..];
--- a/src/gateway/handler.rs
+++ b/src/gateway/handler.rs
@@ -40,7 +40,7 @@
 /// allows another upstream to be tried when the response breaks off.
 const BUFFERED_RESPONSE_MAX: usize = 8 << 20;
 
-/// Handles one request.
+/// Handles one request and returns the response for the caller.
 pub(crate) async fn handle(
     gateway: Arc<Gateway>,
     req: Request<Incoming>,
@@ -52,7 +52,7 @@
         Ok(call) => {
             tracker.on_admitted(&call);
             gateway.count_request(&call.service);
-            serve(&gateway, call, tracker).await
+            serve_call(&gateway, call, tracker).await
         }
         Err((request, refusal)) => local_response(&gateway, &request, &refusal, tracker),
     };
@@ -101,7 +101,8 @@
     Ok(call)
 }
 
-/// Finds the route and the customer of a request.
+/// Finds the route, the service and the customer of a request. The body of the returned call is
+/// still empty.
 fn route_call(
     gateway: &Gateway,
     routes: &RouteTable,
@@ -157,7 +158,9 @@
     })
 }
 
-async fn serve(
+/// Sends an admitted call to upstreams and builds the response for the caller. A call whose
+/// response breaks off before any of it was forwarded is sent again if it may run again.
+async fn serve_call(
     gateway: &Arc<Gateway>,
     call: Call,
     mut tracker: RequestTracker,
@@ -174,7 +177,7 @@
         if call.route.kind.is_stream() && response.head.status.is_success() {
             return stream_response(dispatcher, response, tracker);
         }
-        match full_response(&dispatcher, *response).await {
+        match read_full_response(&dispatcher, *response).await {
             Ok(res) => {
                 tracker.on_first_event(gateway.clock.now());
                 let outcome = if res.status().is_success() {
@@ -194,6 +197,7 @@
     }
 }
 
+/// Builds the response whose body relays the stream of an upstream, event by event.
 fn stream_response(
     dispatcher: CallDispatcher,
     mut response: Box<UpstreamResponse>,
@@ -216,9 +220,10 @@
     res
 }
 
-/// Reads a response to its end. On failure returns the refusal for the caller, or none if the call
-/// may be sent again.
-async fn full_response(
+/// Reads a response to its end, up to [`BUFFERED_RESPONSE_MAX`], and records that the upstream
+/// served the call or broke the connection. On failure returns the refusal for the caller, or none
+/// if the call may be sent again.
+async fn read_full_response(
     dispatcher: &CallDispatcher,
     response: UpstreamResponse,
 ) -> Result<Response<ResponseBody>, Option<CallRefusal>> {
@@ -251,6 +256,7 @@
     }
 }
 
+/// Builds the response to a call that no upstream responds to, and records the end of the request.
 fn local_response(
     gateway: &Gateway,
     request: &str,
--- a/src/gateway/header_codec.rs
+++ b/src/gateway/header_codec.rs
@@ -17,19 +17,19 @@
 pub struct RequestHead {
     /// The caller's id of this attempt; empty if none was given.
     pub request: String,
-    /// How long the caller will wait.
+    /// How long the caller will wait; none if the caller states no limit.
     pub deadline: Option<Duration>,
-    /// The secret key of the customer.
+    /// The secret key of the customer, if given.
     pub key: Option<String>,
-    /// The length of the prompt.
+    /// The length of the prompt in tokens.
     pub prompt: Tokens,
-    /// The maximum length of the response.
+    /// The maximum length of the response in tokens.
     pub output: Tokens,
     /// The id of the last event of an earlier response that the caller has received.
     pub last_event: Option<String>,
 }
 
-/// What the head of a call forwarded to an upstream contains besides the caller's headers.
+/// What the head of a call that is forwarded to an upstream contains besides the caller's headers.
 #[derive(Clone, Debug)]
 pub struct ForwardHead<'a> {
     /// The intended upstream. A different upstream at its address must refuse the call.
@@ -67,7 +67,7 @@
     pub is_for_request: bool,
     /// The upstream that the refusal is about, if this is not the one the call was sent to.
     pub at_fault: Option<SocketAddr>,
-    /// The limit on requests per second that the upstream advertises.
+    /// The limit on requests per second that the upstream advertises in this response.
     pub limit: AdvertisedLimit,
 }
 
--- a/src/gateway/load_guard.rs
+++ b/src/gateway/load_guard.rs
@@ -10,11 +10,14 @@
 pub(crate) struct LoadGuard {
     gateway: Arc<Gateway>,
     loads: Vec<(UpstreamId, RequestLoad)>,
-    /// Avoids locking the ledger at each event after the first.
+    /// Whether the prefill has been recorded as done. Spares locking the ledger at each event after
+    /// the first.
     is_prefilled: bool,
 }
 
 impl LoadGuard {
+    /// Adds the loads to the ledger, counts the send against the upstreams' limits, and has the new
+    /// load broadcast: at once if it includes prefill.
     pub(crate) fn new(gateway: &Arc<Gateway>, loads: Vec<(UpstreamId, RequestLoad)>) -> Self {
         let now = gateway.clock.now();
         let mut ledger = gateway.ledger();
@@ -41,7 +44,7 @@
 }
 
 impl LoadGuard {
-    /// Records that the prompt has been prefilled.
+    /// Records that the prompt has been prefilled. Only the first call has an effect.
     pub(crate) fn on_prefill_done(&mut self) {
         if self.is_prefilled {
             return;
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Records the outcome of a request.
+    /// Records the outcome of a request. `kind` is the name of the kind of call.
     pub fn record_request(&self, customer: Option<&CustomerId>, kind: &'static str, outcome: &str) {
         let outcome = KeyValue::new("outcome", outcome.to_owned());
         self.requests.add(
@@ -73,12 +73,13 @@
         );
     }
 
-    /// Records a send. `is_retry` tells whether the request had been sent before.
+    /// Records that a request was sent to an upstream. `is_retry` tells whether the request had
+    /// been sent before.
     pub fn record_send(&self, is_retry: bool) {
         self.sends.add(1, &[KeyValue::new("retry", is_retry)]);
     }
 
-    /// Records a fault of an upstream.
+    /// Records a fault of an upstream. `fault` is its name.
     pub fn record_fault(&self, fault: &'static str) {
         self.faults.add(1, &[KeyValue::new("fault", fault)]);
     }
@@ -109,7 +110,7 @@
         self.store_returns.add(1, &[]);
     }
 
-    /// Records the duration of a call to the platform's catalog.
+    /// Records the duration of a call to the platform's catalog. `call` is the name of the call.
     pub fn record_catalog_call(&self, call: &'static str, took: Duration) {
         self.catalog
             .record(took.as_secs_f64(), &[KeyValue::new("call", call)]);
--- a/src/gateway/pages.rs
+++ b/src/gateway/pages.rs
@@ -6,7 +6,7 @@
 use crate::daemon::Pages;
 use crate::gateway::Gateway;
 
-/// The pages of a gateway.
+/// The pages of a gateway: liveness, readiness and metrics.
 pub(crate) struct GatewayPages(pub(crate) std::sync::Arc<Gateway>);
 
 impl Pages for GatewayPages {
@@ -17,7 +17,7 @@
             "/readyz" if gateway.is_ready() => Some(Page::text(StatusCode::OK, "ready\n")),
             "/readyz" => Some(Page::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")),
             "/metrics" => Some(match gateway.metrics.render() {
-                Ok(text) => Page::text(StatusCode::OK, text + &extra_metrics(gateway)),
+                Ok(text) => Page::text(StatusCode::OK, text + &unregistered_metrics(gateway)),
                 Err(err) => Page::text(StatusCode::INTERNAL_SERVER_ERROR, format!("{err}\n")),
             }),
             _ => None,
@@ -25,8 +25,9 @@
     }
 }
 
-/// Counters kept outside the metrics registry, in the Prometheus text format.
-fn extra_metrics(gateway: &Gateway) -> String {
+/// Renders the gauge and the counter that are kept outside the metrics registry, in the Prometheus
+/// text format.
+fn unregistered_metrics(gateway: &Gateway) -> String {
     format!(
         "# TYPE banyanarch_gateway_in_flight gauge\nbanyanarch_gateway_in_flight {}\n\
          # TYPE banyanarch_gateway_log_lines_dropped_total counter\n\
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -38,6 +38,7 @@
 
 /// The upstreams of one send.
 pub(crate) struct SendPlan {
+    /// The upstream that responds. For a prompt on several engines this is the leader.
     pub(crate) upstream: ListedUpstream,
     /// Engines that prefill a part of the prompt and hold nothing of it.
     pub(crate) helpers: Vec<HelperAddr>,
@@ -45,6 +46,7 @@
     pub(crate) reservations: Vec<EngineReservation>,
     /// The load that the send adds to each upstream, the leader first.
     pub(crate) loads: Vec<(UpstreamId, RequestLoad)>,
+    /// The forecast time from the send until the first event; zero for plain services.
     pub(crate) forecast: Duration,
     /// The limit that the upstream advertises, if any.
     pub(crate) limit: Option<RateLimitRecord>,
@@ -60,10 +62,13 @@
 
 /// What to do with a call now.
 pub(crate) enum PlacementDecision {
+    /// Send the call to the upstreams of this plan.
     Send(Box<SendPlan>),
+    /// Decide again after this time.
     Wait(Duration),
-    /// Wait until the limit of an upstream allows one more request.
+    /// Wait this long, until the limit of an upstream allows one more request.
     WaitForLimit(Duration),
+    /// Refuse the call.
     Refuse(CallRefusal),
 }
 
@@ -77,7 +82,8 @@
     pub(crate) waits_for_limit: bool,
 }
 
-/// Chooses among the upstreams of a call's service.
+/// Decides whether a call is sent now, and to which upstreams of its service, or waits, or is
+/// refused.
 pub(crate) fn decide_placement(
     gateway: &Gateway,
     call: &Call,
@@ -91,7 +97,7 @@
         return PlacementDecision::Refuse(CallRefusal::NoManifest);
     };
     let listed = by_service.get(&call.service);
-    let usable = usable(gateway, listed.map_or(&[], Vec::as_slice), sends.tried, now);
+    let usable = usable_upstreams(gateway, listed.map_or(&[], Vec::as_slice), sends.tried, now);
     let model = engine_model(&routes, call);
     let mut limits = LimitStates::of(gateway, &usable, now);
     loop {
@@ -162,7 +168,7 @@
     if request.class(model) == PromptClass::Short {
         return None;
     }
-    let usable = usable(gateway, listed, sends.tried, now);
+    let usable = usable_upstreams(gateway, listed, sends.tried, now);
     let limits = LimitStates::of(gateway, &usable, now);
     let views = engine_views(gateway, &usable, &limits, now);
     let (near, all) = count_engines(model, &views, &request);
@@ -176,6 +182,7 @@
     call.route.kind.is_stream().then_some(model)
 }
 
+/// The request that the choice of engines is made for.
 fn engine_request(
     gateway: &Gateway,
     routes: &RouteTable,
@@ -206,7 +213,7 @@
 
 /// The upstreams that may receive a call: the untried ones that are healthy, or all untried ones if
 /// none is healthy.
-fn usable<'a>(
+fn usable_upstreams<'a>(
     gateway: &Gateway,
     listed: &'a [ListedUpstream],
     tried: &[UpstreamId],
@@ -222,6 +229,7 @@
     if healthy.is_empty() { untried } else { healthy }
 }
 
+/// Chooses an instance of a plain service.
 fn decide_among_instances(
     gateway: &Gateway,
     usable: &[&ListedUpstream],
@@ -243,7 +251,7 @@
     drop(ledger);
     drop(health);
     let chosen = choose_instance(&views, rand::random());
-    let Some(upstream) = chosen.and_then(|id| find(usable, id)) else {
+    let Some(upstream) = chosen.and_then(|id| find_upstream(usable, id)) else {
         return no_upstream();
     };
     let load = RequestLoad {
@@ -265,6 +273,7 @@
     }))
 }
 
+/// Chooses the engines of a prompt.
 fn decide_among_engines(
     call: &Call,
     model: &EngineModel,
@@ -306,6 +315,7 @@
     views.collect()
 }
 
+/// Adds addresses and loads to a plan that names engines by id.
 fn engine_send_plan(
     call: &Call,
     model: &EngineModel,
@@ -314,20 +324,22 @@
     usable: &[&ListedUpstream],
     now: Instant,
 ) -> PlacementDecision {
-    let Some(upstream) = find(usable, &plan.leader) else {
+    let Some(upstream) = find_upstream(usable, &plan.leader) else {
         return no_upstream();
     };
     let mut helpers = Vec::new();
     let mut reservations = Vec::new();
-    if let Some(reserve) = plan.reservation(&plan.leader) {
-        reservations.push(EngineReservation::new(upstream, reserve.tokens));
+    if let Some(reservation) = plan.reservation(&plan.leader) {
+        reservations.push(EngineReservation::new(upstream, reservation.tokens));
     }
     for id in &plan.helpers {
-        let Some(helper) = find(usable, id) else {
+        let Some(helper) = find_upstream(usable, id) else {
             continue;
         };
         match plan.reservation(id) {
-            Some(reserve) => reservations.push(EngineReservation::new(helper, reserve.tokens)),
+            Some(reservation) => {
+                reservations.push(EngineReservation::new(helper, reservation.tokens));
+            }
             None => helpers.push(HelperAddr {
                 addr: helper.addr,
                 reservation: None,
@@ -344,10 +356,11 @@
     }))
 }
 
-fn find<'a>(usable: &[&'a ListedUpstream], id: &UpstreamId) -> Option<&'a ListedUpstream> {
+fn find_upstream<'a>(usable: &[&'a ListedUpstream], id: &UpstreamId) -> Option<&'a ListedUpstream> {
     usable.iter().find(|upstream| upstream.id == *id).copied()
 }
 
+/// The refusal of a call that no upstream is left for.
 fn no_upstream() -> PlacementDecision {
     PlacementDecision::Refuse(CallRefusal::Overload {
         reason: RefuseReason::NoUpstream,
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -51,6 +51,7 @@
         }
     }
 
+    /// Locks the state of the limits.
     pub(crate) fn tracker(&self) -> MutexGuard<'_, RateLimitTracker> {
         self.tracker.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -78,10 +79,13 @@
         self.lock_waiting().get(service).copied().unwrap_or(0)
     }
 
+    /// Counts one more call of a service that waits for a limit, until [`Self::end_wait`] is
+    /// called.
     pub(crate) fn begin_wait(&self, service: &ServiceId) {
         *self.lock_waiting().entry(service.clone()).or_default() += 1;
     }
 
+    /// Counts one call less that waits for a limit.
     pub(crate) fn end_wait(&self, service: &ServiceId) {
         if let Some(waiting) = self.lock_waiting().get_mut(service) {
             *waiting = waiting.saturating_sub(1);
@@ -99,7 +103,8 @@
             .retain(|upstream, _| is_listed(upstream));
     }
 
-    /// Whether a malformed limit of the upstream is to be logged now.
+    /// Whether a malformed limit of the upstream is to be logged now. If so, the next ones are not
+    /// for [`MALFORMED_LOG_INTERVAL`].
     fn should_log_malformed(&self, upstream: &UpstreamId, now: Instant) -> bool {
         let mut logged = self.malformed_logged();
         let is_due = logged
@@ -118,7 +123,8 @@
 }
 
 impl Gateway {
-    /// Records the limit that an upstream's response advertises. A malformed limit changes nothing.
+    /// Records the limit that an upstream's response advertises. A changed limit is logged and
+    /// triggers a broadcast; a malformed one is logged and changes nothing.
     pub(crate) fn on_response_limit(&self, upstream: &UpstreamId, advertised: &AdvertisedLimit) {
         let limit = match advertised {
             AdvertisedLimit::Absent => return,
@@ -138,7 +144,8 @@
         }
     }
 
-    /// Records the limit of an upstream as reported by another host or a collector.
+    /// Records the limit of an upstream as reported by another host or a collector. A changed limit
+    /// is logged and triggers a broadcast.
     pub(crate) fn on_limit_report(
         &self,
         source: &LoadSource,
@@ -200,6 +207,7 @@
         route.local_age_max.max(route.remote_age_max) + BROADCAST_LATENCY
     }
 
+    /// Counts a malformed limit, and logs it unless one of the upstream was logged recently.
     fn on_malformed_limit(&self, upstream: &UpstreamId, value: &str) {
         let now = self.clock.now();
         self.metrics.record_fault("malformed_limit");
--- a/src/gateway/request_tracker.rs
+++ b/src/gateway/request_tracker.rs
@@ -8,7 +8,7 @@
 use crate::gateway::Call;
 use crate::gateway::DecisionEvent;
 use crate::gateway::Gateway;
-use crate::gateway::shared::InFlight;
+use crate::gateway::shared::InFlightRequest;
 use crate::routing::CallKind;
 use crate::units::CustomerId;
 use crate::units::Generation;
@@ -17,7 +17,8 @@
 /// The status logged for a request whose caller disconnected before the response.
 const STATUS_CALLER_GONE: u16 = 499;
 
-/// The progress of one request from its head to its end.
+/// The progress of one request from its head to its end. If a tracker is dropped unfinished, the
+/// caller has disconnected, and this is recorded as the end.
 pub(crate) struct RequestTracker {
     gateway: Arc<Gateway>,
     request: String,
@@ -25,11 +26,13 @@
     customer: Option<CustomerId>,
     kind: Option<CallKind>,
     arrived_at: Instant,
+    /// The time from the arrival to the first event of the response.
     first_event: Option<Duration>,
     longest_pause: Duration,
+    /// The generation of the manifest at the arrival.
     generation: Generation,
     is_finished: bool,
-    _in_flight: InFlight,
+    _in_flight: InFlightRequest,
 }
 
 impl RequestTracker {
@@ -49,7 +52,7 @@
             longest_pause: Duration::ZERO,
             generation: generation.unwrap_or_default(),
             is_finished: false,
-            _in_flight: gateway.enter(),
+            _in_flight: gateway.count_in_flight(),
         }
     }
 
@@ -81,7 +84,8 @@
         self.longest_pause = self.longest_pause.max(pause);
     }
 
-    /// Records the end of the request. Only the first call has an effect.
+    /// Records the end of the request in the metrics and the decision log. Only the first call has
+    /// an effect.
     pub(crate) fn finish(&mut self, outcome: &str, status: u16) {
         if self.is_finished {
             return;
--- a/src/gateway/reservation.rs
+++ b/src/gateway/reservation.rs
@@ -1,4 +1,4 @@
-//! Memory reservations on several engines for one prompt, from the order to its release.
+//! Memory reservations on several engines for one prompt, from the first order to the release.
 //!
 //! An engine frees reserved memory when the reservation expires and not when the request ends. A
 //! reservation is therefore short and is renewed during the request: if this host dies, the engines
@@ -26,7 +26,7 @@
 const RESERVATION_TTL: Duration = Duration::from_millis(3_400);
 /// The time between two renewals. Two renewals may be lost before the reservation expires.
 const RENEW_INTERVAL: Duration = Duration::from_millis(1_100);
-/// Release orders sent in total. If all fail, the reservation expires.
+/// The number of release orders that are sent if none is answered. The reservation then expires.
 const RELEASE_ATTEMPTS_MAX: u32 = 3;
 /// The pause between two release orders.
 const RELEASE_RETRY_INTERVAL: Duration = Duration::from_millis(300);
@@ -34,13 +34,18 @@
 /// The reservation on one engine.
 #[derive(Clone, Debug)]
 pub(crate) struct EngineReservation {
+    /// The id of the engine.
     pub(crate) id: UpstreamId,
+    /// The address of the engine.
     pub(crate) engine: SocketAddr,
+    /// A random name by which the engine knows the reservation.
     pub(crate) name: String,
+    /// The memory to reserve, in tokens.
     pub(crate) tokens: Tokens,
 }
 
 impl EngineReservation {
+    /// A reservation that is still to be ordered from the engine.
     pub(crate) fn new(engine: &ListedUpstream, tokens: Tokens) -> Self {
         let name = format!("b{:016x}", rand::random::<u64>());
         Self {
@@ -51,7 +56,8 @@
         }
     }
 
-    pub(crate) fn helper(&self) -> HelperAddr {
+    /// The address of the engine and the name of the reservation, for the head of the call.
+    pub(crate) fn helper_addr(&self) -> HelperAddr {
         HelperAddr {
             addr: self.engine,
             reservation: Some(self.name.clone()),
@@ -59,16 +65,18 @@
     }
 }
 
-/// The reservations on all engines of one prompt, released on drop.
+/// The reservations on all engines of one prompt, renewed until the guard is dropped and released
+/// then. The leader's reservation is first.
 pub(crate) struct ReservationGuard {
     gateway: Arc<Gateway>,
     reservations: Vec<EngineReservation>,
+    /// The task that renews the reservations; none until all have been made.
     renewal: Option<JoinHandle<()>>,
 }
 
 impl ReservationGuard {
-    /// Reserves memory on all engines or on none. If any engine refuses, the refused reservations
-    /// are returned.
+    /// Reserves memory on all engines or on none. If any order fails, the failed ones are logged
+    /// and returned, and all are released.
     pub(crate) async fn acquire(
         gateway: &Arc<Gateway>,
         request: &str,
@@ -106,7 +114,7 @@
 }
 
 impl ReservationGuard {
-    /// The reservations on the single engines.
+    /// The reservations, one for each engine.
     pub(crate) fn reservations(&self) -> &[EngineReservation] {
         &self.reservations
     }
@@ -126,6 +134,7 @@
     }
 }
 
+/// Orders the memory of a reservation from its engine, or renews the reservation.
 async fn reserve(
     gateway: &Gateway,
     reservation: &EngineReservation,
@@ -141,10 +150,10 @@
         .await
 }
 
-/// Renews the leader's reservation, and the others only if the leader responds. A leader that has
-/// lost power leaves its connections open, and this host goes on waiting for it. If the other
-/// reservations were renewed meanwhile, their memory would stay reserved for a request that ended
-/// long ago.
+/// Renews reservations until the task is aborted: first the leader's, and the others only if the
+/// leader responds. A leader that has lost power leaves its connections open, and this host goes on
+/// waiting for it. If the other reservations were renewed meanwhile, their memory would stay
+/// reserved for a request that ended long ago.
 async fn renew(gateway: Arc<Gateway>, reservations: Vec<EngineReservation>) {
     let Some((leader, others)) = reservations.split_first() else {
         return;
@@ -163,12 +172,14 @@
         .await
         {
             if let Err(err) = renewed {
-                log::warn!("reservation: cannot renew: {err}");
+                log::warn!("reservation: cannot renew the reservation of a helper: {err}");
             }
         }
     }
 }
 
+/// Releases a reservation. The order is repeated if the engine does not answer, up to
+/// [`RELEASE_ATTEMPTS_MAX`] times in total.
 async fn release(gateway: Arc<Gateway>, reservation: EngineReservation) {
     for _ in 0..RELEASE_ATTEMPTS_MAX {
         match gateway
--- a/src/gateway/response_body.rs
+++ b/src/gateway/response_body.rs
@@ -24,17 +24,17 @@
 
 impl std::error::Error for TruncatedResponse {}
 
-/// A complete body, or one that arrives in chunks. Dropping it before its end cancels the work at
-/// the upstream.
+/// The body of a response to a caller: complete, or a stream that is relayed from an upstream.
+/// Dropping a stream before its end cancels the work at the upstream.
 pub enum ResponseBody {
-    /// The complete body; none once it was taken.
+    /// The complete body; none if it is empty or has been sent.
     Full(Option<Bytes>),
     /// The chunks of a stream.
     Stream(BoxStream<'static, Result<Bytes, TruncatedResponse>>),
 }
 
 impl ResponseBody {
-    /// Creates a complete body.
+    /// Creates a complete body from these bytes.
     pub fn full(bytes: impl Into<Bytes>) -> Self {
         let bytes = bytes.into();
         Self::Full((!bytes.is_empty()).then_some(bytes))
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -25,8 +25,8 @@
 use crate::gateway::server::serve_callers;
 use crate::gateway::sync;
 
-/// The timeout for removing this host from the list. The removal is optional: other hosts detect a
-/// stopped host by its silence.
+/// The timeout for removing this host from the platform's list. The removal is optional: other
+/// hosts detect a stopped host by its silence.
 const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Reads the settings file again and returns a description of the result.
@@ -60,7 +60,7 @@
     catalog: Arc<dyn Catalog>,
     listeners: Listeners,
 ) -> Result<(), GatewayError> {
-    let desk: Arc<dyn ExchangeHandler> = Arc::<Gateway>::clone(&gateway);
+    let exchange_handler: Arc<dyn ExchangeHandler> = Arc::<Gateway>::clone(&gateway);
     let exchange_addr = listeners.exchange.local_addr();
     let exchange_addr = exchange_addr.map_err(|err| GatewayError::Bind("exchange", err))?;
     gateway.log.record(DecisionEvent::Started {
@@ -69,7 +69,7 @@
     });
     let pages = Arc::new(GatewayPages(Arc::clone(&gateway)));
     let mut tasks = tokio::task::JoinSet::new();
-    tasks.spawn(Exchange::new(listeners.exchange, desk).run());
+    tasks.spawn(Exchange::new(listeners.exchange, exchange_handler).run());
     tasks.spawn(serve_reads(Arc::clone(&gateway), listeners.share));
     tasks.spawn(sync::sync_routes(
         Arc::clone(&gateway),
@@ -98,6 +98,8 @@
     Ok(())
 }
 
+/// Begins the shutdown at SIGTERM, and reloads the settings at SIGHUP. Returns at the first signal
+/// after the grace period.
 async fn handle_signals(
     gateway: Arc<Gateway>,
     mut terminate: Signal,
@@ -118,7 +120,7 @@
     }
 }
 
-/// Removes this host from the list when its shutdown begins.
+/// Waits until the shutdown is requested, then removes this host from the platform's list of hosts.
 async fn withdraw(gateway: Arc<Gateway>, catalog: Arc<dyn Catalog>) {
     gateway.shutdown_requested().await;
     let host = gateway.conf.host.clone();
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -31,27 +31,28 @@
 /// The timeout for connections to upstreams. The transit time inside a site is at most 3 ms, and an
 /// upstream accepts a connection within a millisecond. If a connection takes this long, the
 /// upstream is dead or partitioned, or the first packet was lost and is sent again after a second.
-/// Another upstream is faster in all three cases, and a clause, which has 300 ms, is still on time
-/// there.
+/// Another upstream is faster in all three cases, and a call with the users' strictest objective,
+/// 300 ms, is still on time there.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 /// The minimum time after which an idempotent call without a response is sent to another upstream:
 /// ten times the duration of calls to plain services.
 const RESPONSE_TIMEOUT_MIN: Duration = Duration::from_millis(600);
-/// The time beyond three times its forecast after which the first event of a stream is requested
-/// from another engine. Shorter than the two seconds after which callers give up.
+/// How long the first event of a stream may be overdue, beyond three times its forecast, before it
+/// is requested from another engine. Shorter than the two seconds after which callers give up.
 const FIRST_EVENT_MARGIN: Duration = Duration::from_millis(1_000);
-/// The minimum timeout for the first event of a stream, as a multiple of its objective.
+/// The minimum timeout for the first event of a stream, as a multiple of the objective of its
+/// route.
 const FIRST_EVENT_OBJECTIVES_MIN: f64 = 2.5;
 
 /// The error of a call whose upstream has restarted since the call was sent.
 pub(crate) const UPSTREAM_RESTARTED: &str = "the upstream has restarted";
 
-/// A response of an upstream. Its body is still to be read.
+/// A response of an upstream whose body is still to be read.
 pub(crate) struct UpstreamResponse {
     pub(crate) head: response::Parts,
     pub(crate) body: OneShotBody,
     pub(crate) upstream: ListedUpstream,
-    /// The time from the send until the first event as forecast.
+    /// The forecast time from the send until the first event.
     pub(crate) forecast: Duration,
     pub(crate) sent_at: Instant,
     /// Counts the load on the upstream until the body has been read.
@@ -62,6 +63,7 @@
 
 /// The outcome of one send.
 pub(crate) enum SendOutcome {
+    /// The upstream has responded.
     Answered(Box<UpstreamResponse>),
     /// The upstream did not run the call and never will.
     NotRun {
@@ -70,11 +72,13 @@
         arrived: bool,
         /// The upstream that the refusal is about, if this is not the one the call was sent to.
         at_fault: Option<SocketAddr>,
+        /// The cause, for the decision log.
         why: String,
     },
     /// The upstream may have run the call, and there is no response.
     Lost {
         fault: UpstreamFault,
+        /// The cause, for the decision log.
         why: String,
     },
 }
@@ -83,14 +87,16 @@
 pub(crate) struct PendingSend<'a> {
     pub(crate) gateway: &'a Arc<Gateway>,
     pub(crate) call: &'a Call,
-    /// The event after which a stream is to be resumed.
+    /// The id of the event after which a stream is to be resumed.
     pub(crate) last_event: Option<&'a str>,
     /// Whether no other upstream may receive the call after this one.
     pub(crate) is_last: bool,
 }
 
 impl PendingSend<'_> {
-    /// Sends the call and waits for the head of the response.
+    /// Sends the call and waits for the head of the response. The load of the call is counted from
+    /// here on, and a limit that the response advertises is recorded. On any failure the load and
+    /// the reservations are released.
     pub(crate) async fn send(
         &self,
         plan: SendPlan,
@@ -101,7 +107,8 @@
         let load = LoadGuard::new(self.gateway, plan.loads);
         let upstream = plan.upstream;
         let reservations = reservation.iter().flat_map(ReservationGuard::reservations);
-        let mut helpers: Vec<HelperAddr> = reservations.map(EngineReservation::helper).collect();
+        let mut helpers: Vec<HelperAddr> =
+            reservations.map(EngineReservation::helper_addr).collect();
         helpers.extend(plan.helpers);
         let head = ForwardHead {
             upstream: &upstream.name,
@@ -166,6 +173,7 @@
         }))
     }
 
+    /// Builds the HTTP request for the upstream.
     fn request(&self, head: &ForwardHead<'_>) -> Request<Full<Bytes>> {
         let mut req = Request::new(Full::new(self.call.body.clone()));
         *req.method_mut() = self.call.method.clone();
@@ -203,6 +211,8 @@
     late_after.max(forecast * 3 + FIRST_EVENT_MARGIN)
 }
 
+/// The outcome of a send that failed with this error. If no connection was made or the request was
+/// not written, the upstream did not run the call; otherwise it may have.
 fn outcome_of_error(err: &OneShotError) -> SendOutcome {
     let why = err.to_string();
     match err {
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -32,7 +32,8 @@
 /// The minimum buffer that hyper requires for a head.
 const HEAD_BUFFER_MIN: usize = 8 << 10;
 
-/// Serves callers until the shutdown has completed or the grace period is over.
+/// Serves callers until a shutdown is requested and all requests have ended, or the grace period is
+/// over.
 pub(crate) async fn serve_callers(gateway: Arc<Gateway>, listener: TcpListener) {
     let graceful = GracefulShutdown::new();
     let refusing = wait_for_phase(&gateway, ShutdownPhase::Refusing);
@@ -63,6 +64,7 @@
     }
 }
 
+/// Accepts the next connection. Errors are logged, and accepting is tried again.
 async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
@@ -75,9 +77,9 @@
     }
 }
 
-type Conn = http1::Connection<TokioIo<TcpStream>, CallerService>;
+type CallerConnection = http1::Connection<TokioIo<TcpStream>, CallerService>;
 
-/// Handles the requests of one connection.
+/// The service that handles the requests of one caller connection.
 struct CallerService(Arc<Gateway>);
 
 impl Service<Request<Incoming>> for CallerService {
@@ -90,7 +92,8 @@
     }
 }
 
-fn connection(gateway: &Arc<Gateway>, stream: TcpStream) -> Option<Conn> {
+/// Prepares serving a connection; none if the caller has closed it already.
+fn connection(gateway: &Arc<Gateway>, stream: TcpStream) -> Option<CallerConnection> {
     if let Err(err) = stream.set_nodelay(true) {
         debug!("gateway: connection closed right after it was accepted: {err}");
         return None;
@@ -111,6 +114,7 @@
     Some(conn)
 }
 
+/// Serves a connection in a task of its own.
 fn spawn(conn: impl Future<Output = Result<(), hyper::Error>> + Send + 'static) {
     tokio::spawn(async move {
         if let Err(err) = conn.await {
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -37,13 +37,13 @@
 use crate::gateway::upstream_incarnations::UpstreamIncarnations;
 use crate::units::ServiceId;
 
-/// Crashes after which a request is refused. Callers of the gateway send no key that distinguishes
-/// their requests, so requests with the same content that ran concurrently when an upstream died
-/// count as one request. Two crashes can be a coincidence; three in a row without a response are
-/// not.
+/// The number of crashes after which a request is refused. Callers of the gateway send no key that
+/// distinguishes their requests, so requests with the same content that ran concurrently when an
+/// upstream died count as one request. Two crashes can be a coincidence; three in a row without a
+/// response are not.
 const POISON_CRASHES_MAX: usize = 3;
-/// How long such a request is refused after its last crash. The time is short because a request
-/// that was refused by coincidence is then served again, and one that does crash its upstream is
+/// How long a request that crashes upstreams is refused after its last crash. The time is short so
+/// that a request refused by coincidence is served again; one that does crash its upstream is
 /// refused again soon.
 const POISON_RETENTION: Duration = Duration::from_secs(30);
 
@@ -59,7 +59,7 @@
     pub conf: GatewayConf,
     /// The clock of the host.
     pub clock: Arc<dyn Clock>,
-    /// The headers of the platform.
+    /// The parser and writer of the headers of the platform.
     pub header_codec: Arc<dyn HeaderCodec>,
     /// The client for orders to engines.
     pub engine_client: Arc<dyn EngineClient>,
@@ -97,6 +97,8 @@
     pub(crate) upstreams_changed: Notify,
     /// Notified when an update arrives from a host that is not on the list.
     pub(crate) hosts_changed: Notify,
+    /// The number of updates that this host has sent, from which an update takes its sequence
+    /// number.
     pub(crate) updates_sent: AtomicU64,
     update_route: Mutex<UpdateRoute>,
     logged_route: Mutex<UpdateRoute>,
@@ -157,12 +159,12 @@
         }
     }
 
-    /// The load that all hosts put on upstreams.
+    /// Locks the load that all hosts put on upstreams.
     pub fn ledger(&self) -> MutexGuard<'_, LoadLedger> {
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The health of upstreams as this host knows it.
+    /// Locks the health of upstreams as this host knows it.
     pub fn health(&self) -> MutexGuard<'_, HealthTracker> {
         self.health.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -192,26 +194,27 @@
         *current = route;
     }
 
-    /// The requests that crash upstreams.
+    /// Locks the list of requests that crash upstreams.
     pub fn poison(&self) -> MutexGuard<'_, PoisonList> {
         self.poison.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Adds crashes that this host has detected to its next broadcasts.
-    pub(crate) fn broadcast_crashes(&self, crashes: Vec<PoisonReport>) {
+    pub(crate) fn broadcast_crashes(&self, reports: Vec<PoisonReport>) {
         let now = self.clock.now();
         let mut recent = self.crashes.lock().unwrap_or_else(PoisonError::into_inner);
-        recent.extend(crashes.into_iter().map(|poison| (now, poison)));
+        recent.extend(reports.into_iter().map(|report| (now, report)));
         drop(recent);
         self.load_changed.notify_one();
     }
 
-    /// The crashes that this host has detected within [`CRASH_BROADCAST_FOR`].
+    /// The crashes that this host has detected within the last [`CRASH_BROADCAST_FOR`]. Older ones
+    /// are dropped.
     pub(crate) fn recent_crashes(&self) -> Vec<PoisonReport> {
         let now = self.clock.now();
         let mut recent = self.crashes.lock().unwrap_or_else(PoisonError::into_inner);
         recent.retain(|(at, _)| now.saturating_duration_since(*at) < CRASH_BROADCAST_FOR);
-        recent.iter().map(|(_, poison)| poison.clone()).collect()
+        recent.iter().map(|(_, report)| report.clone()).collect()
     }
 
     /// Records a caller's request to a service for the retry budget.
@@ -232,8 +235,9 @@
         window.try_retry(&self.conf.retry_bound, hosts, now)
     }
 
-    /// Whether a call may be sent now: its key is still valid, and this host's view of the keys is
-    /// recent enough. Checked right before each send, since a call may have waited.
+    /// Whether a call may be sent now: it has no customer, or its key is still valid, and the view
+    /// of the keys on this host is recent enough. Checked right before each send, since a call may
+    /// have waited.
     pub fn may_send(&self, call: &Call) -> bool {
         if call.customer.is_none() {
             return true;
@@ -282,7 +286,7 @@
         }
     }
 
-    /// Waits until a shutdown has been requested.
+    /// Waits until a shutdown is requested.
     pub async fn shutdown_requested(&self) {
         let mut requested = self.shutdown_requested_at.subscribe();
         // Fails only when the sender is dropped, which exists as long as this host.
@@ -301,20 +305,20 @@
     }
 
     /// Counts a request as in flight until the guard is dropped.
-    pub fn enter(self: &Arc<Self>) -> InFlight {
+    pub fn count_in_flight(self: &Arc<Self>) -> InFlightRequest {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
-        InFlight {
+        InFlightRequest {
             gateway: Arc::clone(self),
         }
     }
 }
 
-/// Counts one request as in flight until it is dropped.
-pub struct InFlight {
+/// A guard that counts one request as in flight until the guard is dropped.
+pub struct InFlightRequest {
     gateway: Arc<Gateway>,
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.gateway.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
--- a/src/gateway/shutdown.rs
+++ b/src/gateway/shutdown.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// How long a stopping host goes on accepting requests on existing and new connections. The
-/// balancer checks readiness once a second and removes a host after two failed checks, and
-/// connections already on their way still arrive after that. The response to a long request
-/// accepted later than this would be truncated when the process ends.
+/// How long a host that was asked to stop goes on serving new requests, on existing and new
+/// connections. The balancer checks readiness once a second and removes a host after two failed
+/// checks, and connections already on their way still arrive after that. The response to a long
+/// request accepted later than this would be truncated when the process ends.
 const ACCEPT_DURATION: Duration = Duration::from_millis(2_600);
 /// The part of the grace period reserved for the exit of the process before it is killed: the last
 /// lines of the log are collected and written, which takes up to half a second on a busy host.
 const EXIT_MARGIN: Duration = Duration::from_millis(800);
 
-/// The phase of a host between serving and exit, in order.
+/// The phases of a host from serving to its exit, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
     /// The host serves requests.
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -26,19 +26,26 @@
 /// A stream that is being forwarded to a caller.
 pub(crate) struct StreamRelay {
     dispatcher: CallDispatcher,
+    /// The response that is being relayed; none after it failed.
     current: Option<Box<UpstreamResponse>>,
     splitter: EventSplitter,
     tracker: RequestTracker,
-    last_chunk_at: Instant,
+    /// When the last events were forwarded, or the call was last sent if that is later.
+    last_event_at: Instant,
+    /// Whether an event has been forwarded.
     has_event: bool,
     is_finished: bool,
 }
 
 /// The next input from an engine.
 enum NextChunk {
+    /// Bytes, which need not end with an event.
     Data(Bytes),
+    /// The end of the response.
     End,
+    /// The engine failed, with the fault and its cause.
     Broken(UpstreamFault, String),
+    /// The deadline of the call has passed.
     DeadlineExceeded,
 }
 
@@ -48,19 +55,20 @@
         response: Box<UpstreamResponse>,
         tracker: RequestTracker,
     ) -> Self {
-        let last_chunk_at = response.sent_at;
+        let last_event_at = response.sent_at;
         Self {
             dispatcher,
             current: Some(response),
             splitter: EventSplitter::default(),
             tracker,
-            last_chunk_at,
+            last_event_at,
             has_event: false,
             is_finished: false,
         }
     }
 
-    /// The next complete events; none at the end of the stream.
+    /// The next complete events; none at the end of the stream. An error means that the stream
+    /// cannot be completed.
     pub(crate) async fn next(&mut self) -> Option<Result<Bytes, TruncatedResponse>> {
         if self.is_finished {
             return None;
@@ -94,6 +102,7 @@
         }
     }
 
+    /// Waits for the next input from the engine.
     async fn next_chunk(&mut self) -> NextChunk {
         let now = self.dispatcher.gateway.clock.now();
         let time_left = self.dispatcher.call.time_left(now);
@@ -122,7 +131,8 @@
         }
     }
 
-    /// How long the engine may remain silent; none where no other engine may resume the stream.
+    /// How much longer the engine may remain silent; none where no other engine may resume the
+    /// stream.
     fn silence_budget(&self, now: Instant) -> Option<Duration> {
         if !self.dispatcher.may_run_again() {
             return None;
@@ -135,15 +145,16 @@
         } else {
             pause.max(first_event_timeout(&self.dispatcher.call, forecast))
         };
-        let silent = now.saturating_duration_since(self.last_chunk_at);
+        let silent = now.saturating_duration_since(self.last_event_at);
         Some(allowed.saturating_sub(silent).max(Duration::from_millis(1)))
     }
 
+    /// Records that events are about to be forwarded.
     fn on_events(&mut self) {
         let now = self.dispatcher.gateway.clock.now();
         if self.has_event {
             self.tracker
-                .on_pause(now.saturating_duration_since(self.last_chunk_at));
+                .on_pause(now.saturating_duration_since(self.last_event_at));
         } else {
             self.tracker.on_first_event(now);
         }
@@ -151,12 +162,13 @@
             response.load.on_prefill_done();
         }
         self.has_event = true;
-        self.last_chunk_at = now;
+        self.last_event_at = now;
     }
 
-    /// Sends the call to another engine, which resumes the stream after the last event that was
-    /// forwarded. The incomplete event after it is discarded, since the other engine sends this
-    /// event again from its beginning.
+    /// Records the fault and sends the call to another engine, which resumes the stream after the
+    /// last event that was forwarded. Returns false if no engine resumes the stream. An incomplete
+    /// event after the last forwarded one is discarded, since the other engine sends this event
+    /// again from its beginning.
     async fn fail_over(&mut self, fault: UpstreamFault, why: String) -> bool {
         // Closes the connection to the failed engine first: two engines must not write the same
         // response.
@@ -171,7 +183,7 @@
         let last_event = self.splitter.last_id().map(str::to_owned);
         match self.dispatcher.dispatch(last_event.as_deref()).await {
             DispatchOutcome::Answered(response) if response.head.status.is_success() => {
-                self.last_chunk_at = response.sent_at;
+                self.last_event_at = response.sent_at;
                 self.current = Some(response);
                 true
             }
@@ -179,6 +191,7 @@
         }
     }
 
+    /// Ends the stream without completing it.
     fn truncate(&mut self, outcome: &str) -> Result<Bytes, TruncatedResponse> {
         self.current = None;
         self.finish(outcome);
