--- a/tests/decide_retry.rs
+++ b/tests/decide_retry.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_provably_did_not_run_is_repeated_although_it_may_not_run_twice() {
+fn an_attempt_that_did_not_run_is_retried_although_its_request_may_not_run_twice() {
     let now = Instant::now();
     let attempt = FailedAttempt {
         is_repeatable: false,
@@ -114,13 +114,13 @@
     assert!(there.is_poison(&[fingerprint()], now));
     reports
         .iter()
-        .for_each(|poison| assert!(here.merge(poison, now)));
+        .for_each(|report| assert!(here.merge(report, now)));
     assert!(here.is_poison(&[fingerprint()], now));
     let mut fresh = PoisonList::new();
     here.all(now)
         .iter()
         .rev()
-        .for_each(|poison| assert!(fresh.merge(poison, now)));
+        .for_each(|report| assert!(fresh.merge(report, now)));
     assert!(fresh.is_poison(&[fingerprint()], now));
     assert!(!fresh.is_poison(&[fingerprint()], now + Duration::from_secs(7_200)));
 }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -98,7 +98,7 @@
 }
 
 #[tokio::test]
-async fn a_host_that_knows_no_manifest_turns_calls_away_and_is_not_ready() {
+async fn a_host_without_a_manifest_refuses_calls_and_is_not_ready() {
     let host = TestHost::start("host", &Arc::new(FakeCatalog::default())).await;
     let res = host.call(request("/safe/1")).await;
     assert_eq!(status(&res), 503);
@@ -121,7 +121,7 @@
 }
 
 #[tokio::test]
-async fn a_call_that_was_turned_away_goes_to_another_upstream() {
+async fn a_refused_call_is_sent_to_another_upstream() {
     let (host, a, b) =
         host_with_two_upstreams("app", ScriptStep::Refuse, ScriptStep::Respond(200, "ok")).await;
     for _ in 0..4 {
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test]
-async fn a_call_that_all_turned_away_is_answered_as_not_run() {
+async fn a_call_that_all_upstreams_refuse_is_answered_as_not_run() {
     let (host, _, _) = host_with_two_upstreams("app", ScriptStep::Refuse, ScriptStep::Refuse).await;
     let res = host.call(request("/once/1")).await;
     assert_eq!(status(&res), 503);
@@ -165,7 +165,7 @@
 /// state that the decision was based on: the number of upstreams, the hosts whose load was known,
 /// and the age of the manifest.
 #[tokio::test]
-async fn a_refusal_is_logged_with_what_decided_it() {
+async fn a_refusal_is_logged_with_the_state_it_was_based_on() {
     let catalog = FakeCatalog::new(table(1));
     let host = TestHost::start("host", &catalog).await;
     let res = host.call(request("/safe/1")).await;
@@ -295,8 +295,8 @@
 #[tokio::test]
 async fn the_upstream_connection_is_closed_when_the_caller_disconnects() {
     let (host, upstream, _) = host_with_one_upstream("app", ScriptStep::Hang).await;
-    let asked = tokio::time::timeout(Duration::from_millis(300), host.call(request("/once/1")));
-    assert!(asked.await.is_err());
+    let call = tokio::time::timeout(Duration::from_millis(300), host.call(request("/once/1")));
+    assert!(call.await.is_err());
     wait_until(|| upstream.early_disconnects() == 1).await;
     wait_until(|| host.gateway.in_flight() == 0).await;
 }
@@ -338,7 +338,7 @@
 /// Failure: a customer's key was stolen and revoked. One host cannot reach the platform, does not
 /// learn of the revocation, and goes on serving the thief.
 #[tokio::test]
-async fn a_host_that_cannot_renew_its_knowledge_serves_no_keys() {
+async fn a_host_that_cannot_renew_its_key_lease_serves_no_calls_with_keys() {
     let catalog = FakeCatalog::new(table(1));
     let upstream = ScriptedUpstream::start([ScriptStep::Respond(200, "ok")]).await;
     catalog.list("a", "app", upstream.addr);
@@ -357,7 +357,7 @@
 }
 
 #[tokio::test]
-async fn a_key_that_was_taken_back_stops_working() {
+async fn a_revoked_key_stops_working() {
     let (host, _, catalog) = host_with_one_upstream("app", ScriptStep::Respond(200, "ok")).await;
     assert_eq!(
         status(&host.call(request_of("key-2", "/safe/1")).await),
@@ -420,7 +420,7 @@
 /// because the process is killed before the response ends. The balancer still sent connections to
 /// the host since too few other hosts were in rotation.
 #[tokio::test]
-async fn a_host_that_has_no_time_left_turns_new_calls_away_as_not_run() {
+async fn a_host_that_is_about_to_exit_refuses_new_calls_as_not_run() {
     let (host, upstream, _) = host_with_one_upstream(
         "app",
         ScriptStep::RespondAfter(Duration::from_secs(5), "late"),
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -33,7 +33,7 @@
     catalog.list("a", "app", upstream.addr);
     let host = TestHost::start("host", &catalog).await;
     let former: UpstreamId = "a".parse().unwrap();
-    let share = RequestLoad {
+    let request_load = RequestLoad {
         takes_slot: true,
         is_short: true,
         pause: None,
@@ -43,7 +43,9 @@
         prefill_due: None,
     };
     let now = Instant::now();
-    host.gateway.ledger().start_request(&former, &share, now);
+    host.gateway
+        .ledger()
+        .start_request(&former, &request_load, now);
     let domain = "here".parse().unwrap();
     for _ in 0..4 {
         let fault = UpstreamFault::ConnectRefused;
--- a/tests/gateway_world/catalog.rs
+++ b/tests/gateway_world/catalog.rs
@@ -26,8 +26,9 @@
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
 
+/// The state of the platform that all links read.
 #[derive(Clone, Default)]
-struct State {
+struct PlatformState {
     era: StoreEra,
     /// All manifests that were ever published. The text of a manifest is its index here.
     routes: Vec<RouteTable>,
@@ -42,7 +43,7 @@
     hosts: Vec<ListedHost>,
 }
 
-impl State {
+impl PlatformState {
     fn change(&mut self, listed: ListedUpstream) {
         self.upstreams.retain(|known| known.name != listed.name);
         self.upstreams.push(listed.clone());
@@ -59,12 +60,12 @@
 }
 
 /// A snapshot of the state of the platform.
-pub struct Snapshot(State);
+pub struct Snapshot(PlatformState);
 
-/// A connection to the platform, shared by all hosts or used by one.
+/// A link to the platform, shared by all hosts or used by one.
 #[derive(Default)]
 pub struct FakeCatalog {
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<PlatformState>>,
     is_unreachable: AtomicBool,
     reads: AtomicUsize,
     whole_reads: AtomicUsize,
@@ -153,7 +154,7 @@
         let mut state = self.state.lock().unwrap();
         let era = StoreEra(state.era.0 + 1);
         let routes = std::mem::take(&mut state.routes);
-        *state = State {
+        *state = PlatformState {
             era,
             routes,
             ..copy.0
@@ -179,7 +180,7 @@
         self.state.lock().unwrap().hosts.clone()
     }
 
-    fn respond<T>(&self, read: impl FnOnce(&mut State) -> T) -> Result<T, CatalogError> {
+    fn respond<T>(&self, read: impl FnOnce(&mut PlatformState) -> T) -> Result<T, CatalogError> {
         let mut state = self.state.lock().unwrap();
         if self.is_unreachable.load(Ordering::Relaxed) {
             return Err(CatalogError::NoAnswer("unreachable".to_owned()));
@@ -192,7 +193,7 @@
     async fn wait(
         &self,
         watch: Option<Watch>,
-        version: impl Fn(&State) -> usize,
+        version: impl Fn(&PlatformState) -> usize,
     ) -> Result<ObjectVersion, CatalogError> {
         let last = || self.respond(|state| ObjectVersion::in_era(state.era, version(state) as u64));
         let Some(watch) = watch else {
--- a/tests/gateway_world/upstream.rs
+++ b/tests/gateway_world/upstream.rs
@@ -54,8 +54,9 @@
     }
 }
 
+/// The rest of the script, and what the upstream has recorded.
 #[derive(Default)]
-struct State {
+struct ScriptState {
     script: VecDeque<ScriptStep>,
     arrivals: Vec<Arrival>,
     early_disconnects: usize,
@@ -67,15 +68,15 @@
 #[derive(Clone)]
 pub struct ScriptedUpstream {
     pub addr: SocketAddr,
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<ScriptState>>,
 }
 
 impl ScriptedUpstream {
     pub async fn start(script: impl IntoIterator<Item = ScriptStep>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let state = State {
+        let state = ScriptState {
             script: script.into_iter().collect(),
-            ..State::default()
+            ..ScriptState::default()
         };
         let upstream = Self {
             addr: listener.local_addr().unwrap(),
