--- a/src/decide/ejection.rs
+++ b/src/decide/ejection.rs
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Ejects the upstream. The pause doubles with each consecutive ejection, up to [`PAUSE_MAX`],
+    /// Ejects the upstream. The pause doubles with each consecutive ejection, up to `PAUSE_MAX`,
     /// and is jittered by a quarter.
     pub fn eject(&mut self, now: Instant, rng: &mut StdRng) {
         let pause = PAUSE_FIRST
@@ -158,6 +158,7 @@
         };
     }
 
+    /// Resets the counts, and reinstates an upstream whose probes have all succeeded.
     fn on_success(&mut self) -> EjectionAction {
         self.failures = 0;
         self.refusals = 0;
@@ -176,6 +177,7 @@
         EjectionAction::Reinstate
     }
 
+    /// Counts a failure. The failure of a probe ejects the upstream again at once.
     fn on_failure(&mut self) -> EjectionAction {
         self.failures += 1;
         let is_probe = matches!(self.state, EjectionState::Probing { .. });
@@ -187,7 +189,8 @@
         }
     }
 
-    /// Counts a refusal. Every [`REFUSALS_PER_FAILURE`]th one counts as a failure.
+    /// Counts a refusal. Every [`REFUSALS_PER_FAILURE`]th one without a completed attempt in
+    /// between counts as a failure.
     fn on_refusal(&mut self) -> EjectionAction {
         self.refusals += 1;
         if self.refusals < REFUSALS_PER_FAILURE {
--- a/src/decide/health_tracker.rs
+++ b/src/decide/health_tracker.rs
@@ -121,6 +121,7 @@
         }
     }
 
+    /// Pauses the upstream for at least this long.
     fn pause(&mut self, pause: Duration, now: Instant) {
         self.paused_until = self.paused_until.max(Some(now + pause));
     }
@@ -129,6 +130,7 @@
         self.paused_until.is_some_and(|until| until > now)
     }
 
+    /// Ends the pause and marks the upstream as reachable.
     fn on_reached(&mut self) {
         self.failures = 0;
         self.paused_until = None;
@@ -178,7 +180,7 @@
 
 impl HealthTracker {
     /// Records a fault of an upstream, which raises the failure rate and may start a pause. If a
-    /// connection failed, the upstream counts as unreachable; after [`DOMAIN_TIMEOUT_THRESHOLD`]
+    /// connection failed, the upstream counts as unreachable; after `DOMAIN_TIMEOUT_THRESHOLD`
     /// connection timeouts its domain does.
     pub fn on_fault(
         &mut self,
@@ -363,12 +365,14 @@
             .retain(|domain, _| upstreams.values().any(|record| record.domain == *domain));
     }
 
+    /// Marks a failure domain as reachable.
     fn on_domain_reached(&mut self, domain: &FailureDomainId, now: Instant) {
         let domain_record = self.domains.entry(domain.clone()).or_default();
         domain_record.timeouts = 0;
         domain_record.responded_at = Some(now);
     }
 
+    /// The record of an upstream, created if there is none yet.
     fn record(&mut self, upstream: &UpstreamId, domain: &FailureDomainId) -> &mut UpstreamRecord {
         let new = || UpstreamRecord::new(domain);
         self.upstreams.entry(upstream.clone()).or_insert_with(new)
--- a/src/decide/poison.rs
+++ b/src/decide/poison.rs
@@ -28,7 +28,9 @@
 #[derive(Debug)]
 pub struct PoisonList {
     fingerprints: IndexMap<RequestFingerprint, CrashRecord>,
+    /// The number of crashes from which on a request is refused.
     crashes_max: usize,
+    /// How long a request is refused after its last crash.
     retention: Duration,
 }
 
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Records the first attempt of a request, which adds [`RETRY_RATIO`] of a retry to the budget.
+    /// Records the first attempt of a request, which adds `RETRY_RATIO` of a retry to the budget.
     pub fn on_first_attempt(&mut self) {
         self.add_tokens(RETRY_RATIO);
     }
@@ -84,6 +84,7 @@
         jittered.max(failed.retry_after.unwrap_or_default())
     }
 
+    /// Adds the retries that are always allowed for the time since the last refill.
     fn refill(&mut self, now: Instant) {
         let elapsed = now.saturating_duration_since(self.refilled_at);
         self.refilled_at = now;
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -122,6 +122,7 @@
     }
 }
 
+/// The label with the name of the customer, or "none".
 fn customer_label(customer: Option<&CustomerId>) -> KeyValue {
     let name = customer.map_or("none", CustomerId::as_str);
     KeyValue::new("customer", name.to_owned())
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -116,6 +116,7 @@
         is_due
     }
 
+    /// Locks the times at which malformed limits were last logged.
     fn malformed_logged(&self) -> MutexGuard<'_, IndexMap<UpstreamId, Instant>> {
         let logged = self.malformed_logged_at.lock();
         logged.unwrap_or_else(PoisonError::into_inner)
--- a/src/gateway/request_tracker.rs
+++ b/src/gateway/request_tracker.rs
@@ -36,6 +36,7 @@
 }
 
 impl RequestTracker {
+    /// Starts tracking a request, which counts as in flight until the tracker is dropped.
     pub(crate) fn new(gateway: &Arc<Gateway>, arrived_at: Instant) -> Self {
         let generation = gateway
             .platform_view
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -108,6 +108,7 @@
     pub(crate) slowdowns: Slowdowns,
     /// The rate limits of upstreams.
     pub(crate) rate_limits: RateLimits,
+    /// The crashes that this host has detected recently, with the time of each.
     crashes: Mutex<VecDeque<(Instant, PoisonReport)>>,
 }
 
@@ -181,11 +182,13 @@
         route.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
+    /// Records which route was written to the decision log.
     pub(crate) fn set_logged_route(&self, route: UpdateRoute) {
         let logged = self.logged_route.lock();
         *logged.unwrap_or_else(PoisonError::into_inner) = route;
     }
 
+    /// Sets the route by which updates of other hosts arrive.
     pub(crate) fn set_update_route(&self, route: UpdateRoute) {
         let mut current = self
             .update_route
@@ -249,6 +252,7 @@
             && self.knows_key(call)
     }
 
+    /// Whether the key of the call still belongs to its customer.
     fn knows_key(&self, call: &Call) -> bool {
         let routes = self.platform_view.routes();
         let key = call.head.key.as_deref().unwrap_or_default();
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -198,6 +198,7 @@
         Err(TruncatedResponse)
     }
 
+    /// Records the end of the request with status 200, which the caller has received already.
     fn finish(&mut self, outcome: &str) {
         self.is_finished = true;
         self.tracker.finish(outcome, 200);
