--- a/src/gateway/call_dispatcher.rs
+++ b/src/gateway/call_dispatcher.rs
@@ -191,14 +191,14 @@
                 fault,
                 arrived,
                 at_fault,
-                why,
+                cause,
             } => {
                 if let Some(addr) = at_fault {
                     self.on_helper_fault(addr);
                 }
                 self.not_run += 1;
                 self.arrivals += u32::from(arrived);
-                self.on_fault(&upstream, fault, &why);
+                self.on_fault(&upstream, fault, &cause);
                 if self.not_run > NOT_RUN_SENDS_MAX {
                     let refusal = CallRefusal::Overload {
                         reason: RefuseReason::NoUpstream,
@@ -208,10 +208,10 @@
                 }
                 None
             }
-            SendOutcome::Lost { fault, why } => {
+            SendOutcome::Lost { fault, cause } => {
                 self.arrivals += 1;
                 self.runs += 1;
-                self.on_connection_lost(&upstream, fault, &why);
+                self.on_connection_lost(&upstream, fault, &cause);
                 if self.may_run_again() {
                     return None;
                 }
@@ -264,9 +264,9 @@
         &self,
         upstream: &ListedUpstream,
         fault: UpstreamFault,
-        why: &str,
+        cause: &str,
     ) {
-        self.on_fault(upstream, fault, why);
+        self.on_fault(upstream, fault, cause);
         if fault == UpstreamFault::Broken {
             let now = self.gateway.clock.now();
             let attempt = AttemptId(rand::random());
@@ -286,7 +286,7 @@
         }
     }
 
-    fn on_fault(&self, upstream: &ListedUpstream, fault: UpstreamFault, why: &str) {
+    fn on_fault(&self, upstream: &ListedUpstream, fault: UpstreamFault, cause: &str) {
         let now = self.gateway.clock.now();
         self.gateway
             .health()
@@ -299,7 +299,7 @@
         self.gateway.log.record(DecisionEvent::UpstreamFault {
             request: self.call.head.request.clone(),
             upstream: upstream.id.to_string(),
-            fault: format!("{}: {why}", fault.name()),
+            fault: format!("{}: {cause}", fault.name()),
             elapsed_ms: whole_millis(now.saturating_duration_since(self.call.arrived_at)),
         });
     }
--- a/src/gateway/handler.rs
+++ b/src/gateway/handler.rs
@@ -234,7 +234,7 @@
         ..
     } = response;
     let read = Limited::new(body, BUFFERED_RESPONSE_MAX).collect();
-    let why = match timeout_at(dispatcher.call.deadline.into(), read).await {
+    let cause = match timeout_at(dispatcher.call.deadline.into(), read).await {
         Err(_) => return Err(Some(CallRefusal::DeadlineExceeded)),
         Ok(Ok(body)) => {
             dispatcher.on_served();
@@ -248,7 +248,7 @@
         }
         Ok(Err(err)) => err.to_string(),
     };
-    dispatcher.on_connection_lost(&upstream, UpstreamFault::Broken, &why);
+    dispatcher.on_connection_lost(&upstream, UpstreamFault::Broken, &cause);
     if dispatcher.may_run_again() {
         Err(None)
     } else {
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -73,13 +73,13 @@
         /// The upstream that the refusal is about, if this is not the one the call was sent to.
         at_fault: Option<SocketAddr>,
         /// The cause, for the decision log.
-        why: String,
+        cause: String,
     },
     /// The upstream may have run the call, and there is no response.
     Lost {
         fault: UpstreamFault,
         /// The cause, for the decision log.
-        why: String,
+        cause: String,
     },
 }
 
@@ -124,7 +124,7 @@
             () = self.gateway.incarnations.wait_until_lost(&upstream.id, now) => {
                 return SendOutcome::Lost {
                     fault: UpstreamFault::Broken,
-                    why: UPSTREAM_RESTARTED.to_owned(),
+                    cause: UPSTREAM_RESTARTED.to_owned(),
                 };
             }
         };
@@ -134,7 +134,7 @@
             Err(_) => {
                 return SendOutcome::Lost {
                     fault: UpstreamFault::Silent,
-                    why: "no response in time".to_owned(),
+                    cause: "no response in time".to_owned(),
                 };
             }
         };
@@ -149,7 +149,7 @@
                 fault: UpstreamFault::RequestRefused,
                 arrived: true,
                 at_fault: response.at_fault.filter(|addr| *addr != upstream.addr),
-                why: format!("refused with {}", head.status),
+                cause: format!("refused with {}", head.status),
             };
         }
         let is_valid = response.is_signed
@@ -159,7 +159,7 @@
         if !is_valid {
             return SendOutcome::Lost {
                 fault: UpstreamFault::Failed,
-                why: format!("{} is no valid response to this request", head.status),
+                cause: format!("{} is no valid response to this request", head.status),
             };
         }
         SendOutcome::Answered(Box::new(UpstreamResponse {
@@ -214,23 +214,23 @@
 /// The outcome of a send that failed with this error. If no connection was made or the request was
 /// not written, the upstream did not run the call; otherwise it may have.
 fn outcome_of_error(err: &OneShotError) -> SendOutcome {
-    let why = err.to_string();
+    let cause = err.to_string();
     match err {
         OneShotError::ConnectTimeout => SendOutcome::NotRun {
             fault: UpstreamFault::ConnectTimeout,
             arrived: false,
             at_fault: None,
-            why,
+            cause,
         },
         OneShotError::ConnectFailed(_) | OneShotError::NotSent(_) => SendOutcome::NotRun {
             fault: UpstreamFault::ConnectRefused,
             arrived: false,
             at_fault: None,
-            why,
+            cause,
         },
         OneShotError::ConnectionBroken(_) | OneShotError::Timeout => SendOutcome::Lost {
             fault: UpstreamFault::Broken,
-            why,
+            cause,
         },
     }
 }
--- a/src/gateway/stream_relay.rs
+++ b/src/gateway/stream_relay.rs
@@ -87,13 +87,13 @@
                     return None;
                 }
                 NextChunk::End => {
-                    let why = "ended in the middle of an event".to_owned();
-                    if !self.fail_over(UpstreamFault::Broken, why).await {
+                    let cause = "ended in the middle of an event".to_owned();
+                    if !self.fail_over(UpstreamFault::Broken, cause).await {
                         return Some(self.truncate("broken"));
                     }
                 }
-                NextChunk::Broken(fault, why) => {
-                    if !self.fail_over(fault, why).await {
+                NextChunk::Broken(fault, cause) => {
+                    if !self.fail_over(fault, cause).await {
                         return Some(self.truncate("broken"));
                     }
                 }
@@ -169,12 +169,12 @@
     /// last event that was forwarded. Returns false if no engine resumes the stream. An incomplete
     /// event after the last forwarded one is discarded, since the other engine sends this event
     /// again from its beginning.
-    async fn fail_over(&mut self, fault: UpstreamFault, why: String) -> bool {
+    async fn fail_over(&mut self, fault: UpstreamFault, cause: String) -> bool {
         // Closes the connection to the failed engine first: two engines must not write the same
         // response.
         if let Some(failed) = self.current.take() {
             self.dispatcher
-                .on_connection_lost(&failed.upstream, fault, &why);
+                .on_connection_lost(&failed.upstream, fault, &cause);
         }
         if !self.dispatcher.may_run_again() {
             return false;
