--- a/src/decide/poison.rs
+++ b/src/decide/poison.rs
@@ -24,7 +24,7 @@
 /// short enough that a repaired engine receives the request again the same day.
 const RETENTION: Duration = Duration::from_secs(3_600);
 
-/// The requests that crash upstreams, as far as one host knows.
+/// The requests during which upstreams crashed, as far as one host knows, with their crashes.
 #[derive(Debug)]
 pub struct PoisonList {
     fingerprints: IndexMap<RequestFingerprint, CrashRecord>,
@@ -80,7 +80,9 @@
         reports.filter(|report| self.merge(report, now)).collect()
     }
 
-    /// Merges a report of another host. Returns whether the report contained anything new.
+    /// Merges a report of another host, of which at most `crashes_max` crashes are kept. Returns
+    /// whether the report contained anything new. If the list is full, the oldest entries are
+    /// dropped.
     pub fn merge(&mut self, report: &PoisonReport, now: Instant) -> bool {
         self.evict_if_full(report.fingerprint, now);
         let record = self
--- a/src/decide/poison_report.rs
+++ b/src/decide/poison_report.rs
@@ -5,7 +5,7 @@
 use crate::units::CustomerId;
 use crate::units::IdempotencyKey;
 
-/// Identifies a request when it is sent again.
+/// A hash that identifies a request when it is sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RequestFingerprint {
     /// The hash of the body.
--- a/src/gateway/call_refusal.rs
+++ b/src/gateway/call_refusal.rs
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The time after which the caller should retry, if a retry can help.
+    /// The time after which the caller should retry; none if a retry cannot help.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::NoManifest | Self::Stopping | Self::StaleKnowledge => Some(RETRY_AFTER_HOST),
@@ -96,7 +96,8 @@
         }
     }
 
-    /// The response for the caller.
+    /// The response for the caller, with the reason as its text and the time to wait as
+    /// `Retry-After` in seconds.
     pub fn response(&self) -> Response<ResponseBody> {
         let text = match self {
             Self::InvalidHead(problem) => format!("{}: {problem}\n", self.name()),
