--- a/src/decide/engines/plan.rs
+++ b/src/decide/engines/plan.rs
@@ -23,7 +23,7 @@
 /// The engines for one request, with what each of them does.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EnginePlan {
-    /// The engine that gets the request, reads the first part of the prompt and writes the answer.
+    /// The engine that gets the request, reads one part of the prompt and writes the answer.
     pub leader: UpstreamId,
     /// The engines that read the other parts of the prompt.
     pub helpers: Vec<UpstreamId>,
--- a/src/decide/shipped/engines.rs
+++ b/src/decide/shipped/engines.rs
@@ -53,7 +53,7 @@
 /// Upper bound of the expected duration of a grant. A longer forecast counts as never.
 const EXPECTED_TIME_MAX: Duration = Duration::from_secs(86_400);
 /// The shortest time between two polls while requests wait. An engine that becomes ready in the
-/// meantime is still busy with the backlog that [`Tuning::headroom`](crate::decide::Tuning) allows.
+/// meantime is still busy with the backlog that the tuning's headroom allows.
 const WAKE_MIN: Duration = Duration::from_millis(2);
 /// The longest time between two polls while requests wait, so that time-dependent state advances.
 const WAKE_MAX: Duration = Duration::from_millis(100);
--- a/tests/decide_engines.rs
+++ b/tests/decide_engines.rs
@@ -330,14 +330,14 @@
     let reserved: u64 = plan
         .reservations
         .iter()
-        .map(|reserve| reserve.tokens.0)
+        .map(|reservation| reservation.tokens.0)
         .sum();
     assert_eq!(reserved, 901_600);
     assert_eq!(plan.reservations.len(), 3, "no more engines than it needs");
     assert_eq!(plan.reservations[0].engine, plan.leader);
-    for reserve in &plan.reservations[1..] {
-        assert!(plan.helpers.contains(&reserve.engine));
-        assert!(reserve.tokens.0 <= 436_500);
+    for reservation in &plan.reservations[1..] {
+        assert!(plan.helpers.contains(&reservation.engine));
+        assert!(reservation.tokens.0 <= 436_500);
     }
 }
 
@@ -351,7 +351,7 @@
     let reserved: u64 = plan
         .reservations
         .iter()
-        .map(|reserve| reserve.tokens.0)
+        .map(|reservation| reservation.tokens.0)
         .sum();
     assert_eq!(reserved, 211_600);
     let mut full = engines(23);
@@ -379,8 +379,8 @@
         engines[leader].load.in_flight += 1;
         engines[leader].load.strictest_pause = Some(ms(800));
         engines[leader].load.prefill_backlog += plan.part_time;
-        for reserve in &plan.reservations {
-            engines[index(&reserve.engine)].load.held_tokens += reserve.tokens;
+        for reservation in &plan.reservations {
+            engines[index(&reservation.engine)].load.held_tokens += reservation.tokens;
         }
         leaders.push(leader);
         helpers.extend(plan.helpers.iter().map(index));
@@ -587,7 +587,7 @@
     assert!(
         plan.reservations
             .iter()
-            .all(|reserve| index(&reserve.engine) < 20),
+            .all(|reservation| index(&reservation.engine) < 20),
         "{plan:?}"
     );
 }
@@ -634,9 +634,9 @@
         engine.load.refused_tokens = Some(Tokens(50_000));
     }
     let plan = plan(choose_engines(&model(), &engines, &request(300_000)));
-    let exceeds_refusal = |reserve: &MemoryReservation| {
-        let is_refused = index(&reserve.engine) < 20;
-        is_refused && reserve.tokens >= Tokens(50_000)
+    let exceeds_refusal = |reservation: &MemoryReservation| {
+        let is_refused = index(&reservation.engine) < 20;
+        is_refused && reservation.tokens >= Tokens(50_000)
     };
     assert!(!plan.reservations.iter().any(exceeds_refusal), "{plan:?}");
 }
@@ -650,9 +650,9 @@
     engines[1].limit = LimitState::Open;
     let short = plan(choose_engines(&model(), &engines, &request(5_000)));
     assert_ne!(index(&short.leader), 0);
-    for draw in 0..20 {
+    for shuffle_seed in 0..20 {
         let long = EngineRequest {
-            shuffle_seed: draw,
+            shuffle_seed,
             ..request(210_000)
         };
         let long = plan(choose_engines(&model(), &engines, &long));
--- a/tests/decide_engines_near.rs
+++ b/tests/decide_engines_near.rs
@@ -50,7 +50,7 @@
     (0..ENGINES).map(engine).collect()
 }
 
-fn request(prompt: u64, draw: u32) -> EngineRequest {
+fn request(prompt: u64, shuffle_seed: u32) -> EngineRequest {
     EngineRequest {
         prompt: Tokens(prompt),
         output: Tokens(1_800),
@@ -61,7 +61,7 @@
         local_load_age_max: ms(97),
         remote_load_age_max: ms(100),
         spans_domains: false,
-        shuffle_seed: draw,
+        shuffle_seed,
     }
 }
 
@@ -81,8 +81,12 @@
 /// by reports from other domains that were 40 ms old, and all filled the same engines.
 #[test]
 fn short_prompts_stay_in_their_domain_while_it_is_as_good_as_others() {
-    for draw in 0..50 {
-        let plan = sent(choose_engines(&model(), &engines(), &request(5_000, draw)));
+    for shuffle_seed in 0..50 {
+        let plan = sent(choose_engines(
+            &model(),
+            &engines(),
+            &request(5_000, shuffle_seed),
+        ));
         assert!(plan.as_ref().is_some_and(is_near), "{plan:?}");
     }
 }
@@ -95,8 +99,12 @@
     for engine in engines.iter_mut().filter(|engine| engine.is_near) {
         engine.load.prefill_backlog = ms(150);
     }
-    for draw in 0..50 {
-        let plan = sent(choose_engines(&model(), &engines, &request(5_000, draw)));
+    for shuffle_seed in 0..50 {
+        let plan = sent(choose_engines(
+            &model(),
+            &engines,
+            &request(5_000, shuffle_seed),
+        ));
         assert!(plan.is_some_and(|plan| !is_near(&plan)));
     }
 }
@@ -110,8 +118,8 @@
     for engine in engines.iter_mut().filter(|engine| engine.is_near) {
         engine.load.prefill_backlog = ms(1_500);
     }
-    let choices =
-        (0..1_200).map(|draw| choose_engines(&model(), &engines, &request(300_000, draw)));
+    let choices = (0..1_200)
+        .map(|shuffle_seed| choose_engines(&model(), &engines, &request(300_000, shuffle_seed)));
     let plans: Vec<EnginePlan> = choices.filter_map(sent).collect();
     assert!(
         (50..=200).contains(&plans.len()),
@@ -137,10 +145,10 @@
         engine.load.in_flight = 1;
         engine.load.strictest_pause = Some(ms(250));
     }
-    for draw in 1..12 {
+    for shuffle_seed in 1..12 {
         let late = EngineRequest {
             objective_left: Duration::ZERO,
-            ..request(700_000, draw)
+            ..request(700_000, shuffle_seed)
         };
         let plan = sent(choose_engines(&model(), &engines, &late));
         let plan = plan.expect("sent to idle engines");
--- a/tests/engine_world/engine.rs
+++ b/tests/engine_world/engine.rs
@@ -17,7 +17,7 @@
     left_tokens: f64,
 }
 
-/// An answer that is being written.
+/// An answer that is being written or is ready to be.
 #[derive(Clone, Debug)]
 struct Writer {
     request: usize,
@@ -44,8 +44,10 @@
     /// Requests whose parts have all been read and that wait for a slot.
     ready_writers: VecDeque<Writer>,
     pass: Option<PassEnd>,
+    /// Memory that is reserved for prompts, in tokens.
     pub reserved_tokens: u64,
-    /// Prompts of other engines that this engine helps to read or holds a part of.
+    /// Number of prompts answered by other engines that this engine helps to read or holds a part
+    /// of.
     pub helping: u32,
 }
 
@@ -75,12 +77,13 @@
         });
     }
 
+    /// Whether no pass is running.
     pub fn is_idle(&self) -> bool {
         self.pass.is_none()
     }
 
     /// Begins a pass if there is work, and returns its duration.
-    pub fn begin(&mut self, model: &EngineModel, slowdown: Slowdown) -> Option<Duration> {
+    pub fn begin_pass(&mut self, model: &EngineModel, slowdown: Slowdown) -> Option<Duration> {
         while self.writers.len() < model.slots as usize
             && let Some(writer) = self.ready_writers.pop_front()
         {
@@ -106,17 +109,19 @@
         }
         self.writers.retain(|writer| writer.events_left > 0);
         self.pass = Some(end);
-        let took_ms = f64::from(steps) * step_ms + read_ms;
-        Some(slowdown.scale(Duration::from_secs_f64(took_ms / 1e3)))
+        let duration_ms = f64::from(steps) * step_ms + read_ms;
+        Some(slowdown.scale(Duration::from_secs_f64(duration_ms / 1e3)))
     }
 
-    /// Ends the current pass.
-    pub fn end(&mut self) -> PassEnd {
+    /// Ends the current pass and returns its results.
+    pub fn end_pass(&mut self) -> PassEnd {
         self.pass.take().unwrap_or_default()
     }
 
+    /// Reads up to `tokens_left` tokens of the waiting parts, those of other engines' prompts
+    /// first. Adds the parts that have been read to `end`, and returns the time in ms.
     fn read(&mut self, mut tokens_left: f64, end: &mut PassEnd) -> f64 {
-        let mut took_ms = 0.0;
+        let mut duration_ms = 0.0;
         while tokens_left > 0.5 {
             let queue = if self.helper_parts.is_empty() {
                 &mut self.own_parts
@@ -131,12 +136,12 @@
             part.left_tokens -= tokens;
             part.left_ms -= ms;
             tokens_left -= tokens;
-            took_ms += ms;
+            duration_ms += ms;
             if part.left_tokens <= 0.5 {
                 end.read.push(part.request);
                 queue.pop_front();
             }
         }
-        took_ms
+        duration_ms
     }
 }
--- a/tests/engine_world/host.rs
+++ b/tests/engine_world/host.rs
@@ -1,4 +1,4 @@
-//! A simulated host, with its account of all work and its choice of engines.
+//! A simulated host, with its load ledger and its choice of engines.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,7 +16,7 @@
 
 use super::load::Site;
 
-/// A report of one host about its work.
+/// A report of one host about its own load.
 #[derive(Clone, Debug)]
 pub struct LoadReport {
     pub host: HostId,
@@ -24,6 +24,7 @@
     pub loads: IndexMap<UpstreamId, HostLoad>,
 }
 
+/// A simulated host.
 pub struct Host {
     pub id: HostId,
     pub domain: usize,
--- a/tests/engine_world/load.rs
+++ b/tests/engine_world/load.rs
@@ -1,4 +1,4 @@
-//! Sites and the requests that their callers send.
+//! The sites of the simulation and the requests that their callers send.
 
 use std::time::Duration;
 
@@ -14,14 +14,18 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     pub name: &'static str,
+    /// Requests per second.
     pub per_s: f64,
     pub prompt_mean: f64,
     pub prompt_spread: f64,
     pub prompt_max: f64,
     pub events_mean: f64,
     pub events_spread: f64,
+    /// Time in which the first event is on time.
     pub objective: Duration,
+    /// Longest pause between two events that callers accept.
     pub pause: Duration,
+    /// Time that callers wait for the whole answer.
     pub timeout: Duration,
     /// Worth of an answer of mean length that is on time; a late answer is worth a quarter.
     pub worth: f64,
@@ -65,7 +69,7 @@
     pub known_after: Duration,
 }
 
-/// Hosts and engines of one deployment.
+/// The hosts and engines of one deployment, and the requests of its callers.
 #[derive(Clone, Debug)]
 pub struct Site {
     pub hosts: usize,
@@ -82,7 +86,7 @@
     pub remote_load_age_max: Duration,
     /// Shortest interval between urgent reports about requests that were just sent.
     pub urgent_interval: Duration,
-    /// Number of urgent reports in a row before they have to keep `report_interval`.
+    /// Number of urgent reports that a host may send ahead of its even interval.
     pub urgent_burst: u32,
     pub slow: Option<SlowPeriod>,
 }
@@ -309,6 +313,7 @@
 }
 
 impl Load {
+    /// Draws the requests of all phases from a seed.
     pub fn draw(site: &Site, phases: &[Phase], seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut requests = Vec::new();
@@ -329,6 +334,7 @@
     }
 }
 
+/// Time in seconds until the next arrival at a rate per second.
 fn gap_s(rng: &mut StdRng, rate: f64) -> f64 {
     -(1.0 - rng.random::<f64>()).ln() / rate
 }
@@ -343,17 +349,17 @@
 
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 fn request(site: &Site, class: usize, at_s: f64, rng: &mut StdRng) -> Request {
-    let kind = &site.classes[class];
-    let prompt = log_normal(rng, kind.prompt_mean, kind.prompt_spread).clamp(40.0, kind.prompt_max);
-    let most = kind.events_mean * 2.5;
-    let events = log_normal(rng, kind.events_mean, kind.events_spread).clamp(1.0, most);
-    let weight = (0.3 + 0.7 * prompt / kind.prompt_mean).min(4.0);
+    let spec = &site.classes[class];
+    let prompt = log_normal(rng, spec.prompt_mean, spec.prompt_spread).clamp(40.0, spec.prompt_max);
+    let events_max = spec.events_mean * 2.5;
+    let events = log_normal(rng, spec.events_mean, spec.events_spread).clamp(1.0, events_max);
+    let weight = (0.3 + 0.7 * prompt / spec.prompt_mean).min(4.0);
     Request {
         class,
         arrives: secs(at_s),
         prompt: Tokens(prompt as u64),
-        output_max: Tokens((most as u64) * u64::from(site.model.stride)),
+        output_max: Tokens((events_max as u64) * u64::from(site.model.stride)),
         events: events as u32,
-        worth: kind.worth * weight,
+        worth: spec.worth * weight,
     }
 }
--- a/tests/engine_world/run_results.rs
+++ b/tests/engine_world/run_results.rs
@@ -1,15 +1,18 @@
-//! The results of a run, as its callers see them.
+//! The results of a simulated run, as its callers see them.
 
 use std::fmt;
 use std::time::Duration;
 
 use super::load::Class;
 
-/// How one request ended.
+/// How one request ended, as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ended {
+    /// The first event and all pauses met the objectives of the class.
     OnTime,
+    /// The request was answered, but its first event or a pause was too long.
     Late,
+    /// The request was not answered.
     Refused,
 }
 
@@ -17,14 +20,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
     pub class: usize,
-    pub ended: Ended,
+    pub result: Ended,
     /// Number of times that the request was refused.
     pub refusals: u32,
-    /// Sends that an engine rejected because a helper had no free helper slot.
+    /// Number of sends that an engine rejected because a helper had no free helper slot.
     pub rejected_sends: u32,
+    /// Worth of the answer if it is on time.
     pub worth: f64,
     pub prompt_tokens: f64,
+    /// Time from the last send to the first event.
     pub first_event: Option<Duration>,
+    /// The forecast of that time.
     pub forecast: Duration,
 }
 
@@ -41,80 +47,89 @@
         earned(self.outcomes.iter().filter(|o| o.class == class))
     }
 
+    /// The worth that was earned by all classes, as a fraction of what could be earned.
     pub fn earned_all(&self) -> f64 {
         earned(self.outcomes.iter())
     }
 
     /// The worth of requests that were refused, retried and not served, as a fraction of all worth.
     pub fn refused_again(&self) -> f64 {
-        let again = |o: &&Outcome| o.refusals > 0 && o.ended == Ended::Refused;
+        let again = |o: &&Outcome| o.refusals > 0 && o.result == Ended::Refused;
         let lost: f64 = self.outcomes.iter().filter(again).map(|o| o.worth).sum();
-        let owed: f64 = self.outcomes.iter().map(|o| o.worth).sum();
-        lost / owed.max(1e-9)
+        let possible: f64 = self.outcomes.iter().map(|o| o.worth).sum();
+        lost / possible.max(1e-9)
     }
 
-    pub fn part(&self, class: usize, ended: Ended) -> f64 {
-        let of = self.outcomes.iter().filter(|o| o.class == class);
-        let count = of.clone().filter(|o| o.ended == ended).count();
-        count as f64 / of.count().max(1) as f64
+    /// The fraction of the requests of a class that ended like this.
+    pub fn part(&self, class: usize, result: Ended) -> f64 {
+        let outcomes = self.outcomes.iter().filter(|o| o.class == class);
+        let count = outcomes.clone().filter(|o| o.result == result).count();
+        count as f64 / outcomes.count().max(1) as f64
     }
 
     /// The fractions of requests that were served, on time or late: of the largest tenth of a
     /// class, of the fifth below it and of the whole class.
     pub fn served_by_size(&self, class: usize) -> (f64, f64, f64) {
-        let mut of: Vec<&Outcome> = self.outcomes.iter().filter(|o| o.class == class).collect();
-        of.sort_by(|a, b| b.prompt_tokens.total_cmp(&a.prompt_tokens));
+        let mut outcomes: Vec<&Outcome> =
+            self.outcomes.iter().filter(|o| o.class == class).collect();
+        outcomes.sort_by(|a, b| b.prompt_tokens.total_cmp(&a.prompt_tokens));
         let served = |part: &[&Outcome]| {
-            let count = part.iter().filter(|o| o.ended != Ended::Refused).count();
+            let count = part.iter().filter(|o| o.result != Ended::Refused).count();
             count as f64 / part.len().max(1) as f64
         };
-        let (tenth, third) = (of.len() / 10, of.len() * 3 / 10);
-        (served(&of[..tenth]), served(&of[tenth..third]), served(&of))
+        let (tenth, third) = (outcomes.len() / 10, outcomes.len() * 3 / 10);
+        (
+            served(&outcomes[..tenth]),
+            served(&outcomes[tenth..third]),
+            served(&outcomes),
+        )
     }
 
     /// The fractions of the possible worth that were earned: by the largest tenth of a class, by
     /// the fifth below it and by the rest.
     pub fn earned_by_size(&self, class: usize) -> (f64, f64, f64) {
-        let mut of: Vec<&Outcome> = self.outcomes.iter().filter(|o| o.class == class).collect();
-        of.sort_by(|a, b| b.prompt_tokens.total_cmp(&a.prompt_tokens));
-        let (tenth, third) = (of.len() / 10, of.len() * 3 / 10);
+        let mut outcomes: Vec<&Outcome> =
+            self.outcomes.iter().filter(|o| o.class == class).collect();
+        outcomes.sort_by(|a, b| b.prompt_tokens.total_cmp(&a.prompt_tokens));
+        let (tenth, third) = (outcomes.len() / 10, outcomes.len() * 3 / 10);
         let earned = |part: &[&Outcome]| earned(part.iter().copied());
         (
-            earned(&of[..tenth]),
-            earned(&of[tenth..third]),
-            earned(&of[third..]),
+            earned(&outcomes[..tenth]),
+            earned(&outcomes[tenth..third]),
+            earned(&outcomes[third..]),
         )
     }
 
-    /// Sends that engines rejected because a helper had no free helper slot.
+    /// Number of sends that engines rejected because a helper had no free helper slot.
     pub fn rejected_sends(&self) -> u32 {
         self.outcomes.iter().map(|o| o.rejected_sends).sum()
     }
 
-    /// A quantile of the forecast error in ms: the time from the forecast of the last send to the
-    /// first event, negative if the event came earlier.
+    /// A quantile of the forecast error in ms: how much later than forecast the first event came,
+    /// negative if it came earlier. The forecast is that of the last send.
     pub fn error_ms(&self, class: usize, quantile: f64) -> f64 {
-        let of = self.outcomes.iter().filter(|o| o.class == class);
-        let errors = of.filter_map(|o| {
+        let outcomes = self.outcomes.iter().filter(|o| o.class == class);
+        let errors = outcomes.filter_map(|o| {
             let first = o.first_event?;
             Some((first.as_secs_f64() - o.forecast.as_secs_f64()) * 1e3)
         });
         let mut errors: Vec<f64> = errors.collect();
         errors.sort_by(f64::total_cmp);
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let place = (quantile * errors.len().saturating_sub(1) as f64) as usize;
-        errors.get(place).copied().unwrap_or(0.0)
+        let index = (quantile * errors.len().saturating_sub(1) as f64) as usize;
+        errors.get(index).copied().unwrap_or(0.0)
     }
 }
 
-fn earned<'a>(of: impl Iterator<Item = &'a Outcome> + Clone) -> f64 {
-    let owed: f64 = of.clone().map(|o| o.worth).sum();
-    let got = of.map(|o| match o.ended {
+/// The worth that was earned by these outcomes, as a fraction of what could be earned.
+fn earned<'a>(outcomes: impl Iterator<Item = &'a Outcome> + Clone) -> f64 {
+    let possible: f64 = outcomes.clone().map(|o| o.worth).sum();
+    let earned = outcomes.map(|o| match o.result {
         Ended::OnTime => o.worth,
         Ended::Late => o.worth / 4.0,
         Ended::Refused => 0.0,
     });
-    got.sum::<f64>() / owed.max(1e-9)
+    earned.sum::<f64>() / possible.max(1e-9)
 }
 
 impl fmt::Display for RunResults {
--- a/tests/engine_world/world.rs
+++ b/tests/engine_world/world.rs
@@ -1,4 +1,4 @@
-//! Runs a load: callers, hosts, engines and the reports between hosts.
+//! The event loop of the simulation: callers, hosts, engines and the reports between hosts.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -33,23 +33,32 @@
 /// The most sends of one prompt that engines may reject. Each counts against the retry budget of
 /// the host.
 const REJECTED_SENDS_MAX: u32 = 2;
-/// Retry time of a caller whose request was rejected by engines too often.
+/// Time after which a caller retries whose request was rejected by engines too often.
 const NO_ENGINE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
+/// An event of the simulation, with the index of the request, engine, host or report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Event {
+    /// A request arrives at a host.
     Arrive(usize),
+    /// The host of a request chooses engines.
     Decide(usize),
-    MemoryReservation(usize),
+    /// The engines of a request answer the reservations of memory.
+    Reserve(usize),
+    /// A request reaches its engines.
     Start(usize),
+    /// An engine ends its pass.
     PassEnds(usize),
+    /// A host sends its load report.
     SendReport(usize),
+    /// A load report reaches the hosts of the sender's domain.
     ReceiveReport(usize),
+    /// A load report reaches the hosts of other domains.
     ReceiveFarReport(usize),
 }
 
 /// The state of one request.
-struct Run {
+struct RequestState {
     host: usize,
     /// When the request reached its current host.
     arrived: Duration,
@@ -73,14 +82,14 @@
 pub struct World {
     site: Site,
     load: Load,
-    base: Instant,
+    started_at: Instant,
     now: Duration,
     rng: StdRng,
     events: EventQueue<Event>,
     hosts: Vec<Host>,
     engines: Vec<Engine>,
     ids: Vec<UpstreamId>,
-    runs: Vec<Run>,
+    states: Vec<RequestState>,
     reports: Vec<LoadReport>,
 }
 
@@ -101,7 +110,7 @@
 
     fn new(site: Site, load: Load, seed: u64) -> Self {
         let ids = (0..site.engines).map(|index| format!("e{index:03}").parse().unwrap());
-        let run = |_: &_| Run {
+        let state = |_: &_| RequestState {
             host: 0,
             arrived: Duration::ZERO,
             plan: None,
@@ -119,12 +128,12 @@
         };
         Self {
             ids: ids.collect(),
-            runs: load.requests.iter().map(run).collect(),
+            states: load.requests.iter().map(state).collect(),
             hosts: (0..site.hosts)
                 .map(|i| Host::new(i, i % site.domains))
                 .collect(),
             engines: (0..site.engines).map(|_| Engine::default()).collect(),
-            base: Instant::now(),
+            started_at: Instant::now(),
             now: Duration::ZERO,
             rng: StdRng::seed_from_u64(seed),
             events: EventQueue::default(),
@@ -138,19 +147,20 @@
         self.events.push(at, event);
     }
 
+    /// The simulated time as an instant.
     fn instant(&self) -> Instant {
-        self.base + self.now
+        self.started_at + self.now
     }
 
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive(request) => {
-                self.runs[request].host = self.rng.random_range(0..self.hosts.len());
-                self.runs[request].arrived = self.now;
+                self.states[request].host = self.rng.random_range(0..self.hosts.len());
+                self.states[request].arrived = self.now;
                 self.decide(request);
             }
             Event::Decide(request) => self.decide(request),
-            Event::MemoryReservation(request) => self.reserve(request),
+            Event::Reserve(request) => self.reserve(request),
             Event::Start(request) => self.start(request),
             Event::PassEnds(engine) => self.finish_pass(engine),
             Event::SendReport(host) => self.send_report(host),
@@ -159,15 +169,16 @@
         }
     }
 
+    /// Lets the host of a request choose engines, and acts on the choice.
     fn decide(&mut self, request: usize) {
         let spec = &self.load.requests[request];
         let class = &self.site.classes[spec.class];
-        let run = &self.runs[request];
-        let waited = self.now - run.arrived;
+        let state = &self.states[request];
+        let waited = self.now - state.arrived;
         let since_first = self.now - spec.arrives;
         let time_left = class.timeout.saturating_sub(since_first);
         if time_left.is_zero() {
-            self.runs[request].outcome = Some(Ended::Refused);
+            self.states[request].outcome = Some(Ended::Refused);
             return;
         }
         let now = self.instant();
@@ -185,21 +196,21 @@
             shuffle_seed: self.rng.random(),
         };
         let choice =
-            self.hosts[run.host].choose(&self.site, &self.ids, &engine_request, self.now, now);
+            self.hosts[state.host].choose(&self.site, &self.ids, &engine_request, self.now, now);
         match choice {
             EngineChoice::Send(plan) => {
                 let pause = class.pause;
-                self.runs[request].request_loads =
+                self.states[request].request_loads =
                     plan.request_loads(&self.site.model, &engine_request, Some(pause), now);
                 let has_reservations = !plan.reservations.is_empty();
-                self.runs[request].plan = Some(plan);
-                self.runs[request].sent_at = self.now;
+                self.states[request].plan = Some(plan);
+                self.states[request].sent_at = self.now;
                 let delay = if has_reservations {
                     NETWORK_DELAY
                 } else {
                     Duration::ZERO
                 };
-                self.push(self.now + delay, Event::MemoryReservation(request));
+                self.push(self.now + delay, Event::Reserve(request));
             }
             EngineChoice::Wait(wait) => {
                 let wait = wait.mul_f64(self.rng.random_range(0.5..1.5));
@@ -209,9 +220,10 @@
         }
     }
 
-    /// Reserves memory and adds the request to its host's load ledger.
+    /// Reserves memory at the engines and adds the request to its host's load ledger. If an engine
+    /// lacks the memory, the host chooses again later.
     fn reserve(&mut self, request: usize) {
-        let plan = self.runs[request].plan.clone().unwrap();
+        let plan = self.states[request].plan.clone().unwrap();
         let limit = self.site.model.memory_tokens.0;
         let is_full = plan.reservations.iter().any(|reservation| {
             let engine = &self.engines[self.index(&reservation.engine)];
@@ -226,23 +238,24 @@
             self.engines[index].reserved_tokens += reservation.tokens.0;
         }
         let now = self.instant();
-        let host = self.runs[request].host;
-        for (engine, load) in &self.runs[request].request_loads {
+        let host = self.states[request].host;
+        for (engine, load) in &self.states[request].request_loads {
             self.hosts[host].ledger.start_request(engine, load, now);
         }
         self.schedule_report(host, true);
         self.push(self.now + NETWORK_DELAY, Event::Start(request));
     }
 
+    /// Gives the parts of a prompt to its engines, unless a helper rejects its part.
     fn start(&mut self, request: usize) {
-        let plan = self.runs[request].plan.clone().unwrap();
+        let plan = self.states[request].plan.clone().unwrap();
         if !self.claim_helpers(request, &plan) {
             self.reject_send(request);
             return;
         }
         let tokens = self.load.requests[request].prompt.as_f64();
         let count = plan.helpers.len() + 1;
-        self.runs[request].parts_left = count;
+        self.states[request].parts_left = count;
         let read_ms = plan.part_time.as_secs_f64() * 1e3;
         let engines = [&plan.leader].into_iter().chain(&plan.helpers);
         let engines: Vec<usize> = engines.map(|id| self.index(id)).collect();
@@ -263,38 +276,40 @@
         }
         for (engine, id) in helpers.into_iter().zip(&plan.helpers) {
             self.engines[engine].helping += 1;
-            let run = &mut self.runs[request];
+            let state = &mut self.states[request];
             if plan.reservation(id).is_some() {
-                run.helpers_until_end.push(engine);
+                state.helpers_until_end.push(engine);
             } else {
-                run.helpers_until_read.push(engine);
+                state.helpers_until_read.push(engine);
             }
         }
         true
     }
 
+    /// Begins a pass of an engine that is idle and has work.
     fn start_pass(&mut self, engine: usize) {
         let slowdown = self.site.slowdown(engine, self.now);
         if self.engines[engine].is_idle()
-            && let Some(took) = self.engines[engine].begin(&self.site.model, slowdown)
+            && let Some(duration) = self.engines[engine].begin_pass(&self.site.model, slowdown)
         {
-            self.push(self.now + took, Event::PassEnds(engine));
+            self.push(self.now + duration, Event::PassEnds(engine));
         }
     }
 
+    /// Ends the pass of an engine, applies the results and begins the next pass.
     fn finish_pass(&mut self, engine: usize) {
-        let end = self.engines[engine].end();
+        let end = self.engines[engine].end_pass();
         for (request, is_last) in end.written {
             self.on_event(request, is_last);
         }
         for request in end.read {
-            self.runs[request].parts_left -= 1;
-            if self.runs[request].parts_left == 0 {
-                let leader = self.runs[request].plan.as_ref().unwrap().leader.clone();
+            self.states[request].parts_left -= 1;
+            if self.states[request].parts_left == 0 {
+                let leader = self.states[request].plan.as_ref().unwrap().leader.clone();
                 let leader = self.index(&leader);
                 let spec = &self.load.requests[request];
                 let (events, context) = (spec.events, spec.prompt.as_f64());
-                let parts = self.parts(request);
+                let parts = self.part_count(request);
                 if parts > 1.0 {
                     self.engines[leader].push_writer(request, events, context / parts);
                     self.start_pass(leader);
@@ -310,34 +325,35 @@
         self.start_pass(engine);
     }
 
-    fn parts(&self, request: usize) -> f64 {
-        let plan = self.runs[request].plan.as_ref().unwrap();
+    fn part_count(&self, request: usize) -> f64 {
+        let plan = self.states[request].plan.as_ref().unwrap();
         (plan.helpers.len() + 1) as f64
     }
 
+    /// Delivers an event of an answer to the caller.
     fn on_event(&mut self, request: usize, is_last: bool) {
         let now = self.now;
-        let run = &mut self.runs[request];
-        if run.first_event.is_none() {
-            run.first_event = Some(now);
-            for (engine, load) in &mut run.request_loads {
-                self.hosts[run.host].ledger.finish_prefill(engine, load);
+        let state = &mut self.states[request];
+        if state.first_event.is_none() {
+            state.first_event = Some(now);
+            for (engine, load) in &mut state.request_loads {
+                self.hosts[state.host].ledger.finish_prefill(engine, load);
             }
-            for engine in std::mem::take(&mut run.helpers_until_read) {
+            for engine in std::mem::take(&mut state.helpers_until_read) {
                 self.engines[engine].helping -= 1;
             }
         } else {
-            run.longest_pause = run.longest_pause.max(now - run.last_event);
+            state.longest_pause = state.longest_pause.max(now - state.last_event);
         }
-        run.last_event = now;
+        state.last_event = now;
         if !is_last {
             return;
         }
         let spec = &self.load.requests[request];
         let class = &self.site.classes[spec.class];
-        let first = run.first_event.unwrap_or(now) + CALLER_ROUND_TRIP - spec.arrives;
-        let is_on_time = first <= class.objective && run.longest_pause <= class.pause;
-        run.outcome = Some(if is_on_time {
+        let first = state.first_event.unwrap_or(now) + CALLER_ROUND_TRIP - spec.arrives;
+        let is_on_time = first <= class.objective && state.longest_pause <= class.pause;
+        state.outcome = Some(if is_on_time {
             Ended::OnTime
         } else {
             Ended::Late
@@ -347,16 +363,16 @@
 
     /// Removes a request from its host's load ledger and from its engines.
     fn end_work(&mut self, request: usize) {
-        let host = self.runs[request].host;
-        for (engine, load) in std::mem::take(&mut self.runs[request].request_loads) {
+        let host = self.states[request].host;
+        for (engine, load) in std::mem::take(&mut self.states[request].request_loads) {
             self.hosts[host].ledger.end_request(&engine, &load);
         }
-        let plan = self.runs[request].plan.clone().unwrap();
+        let plan = self.states[request].plan.clone().unwrap();
         for reservation in &plan.reservations {
             let index = self.index(&reservation.engine);
             self.engines[index].reserved_tokens -= reservation.tokens.0;
         }
-        for engine in std::mem::take(&mut self.runs[request].helpers_until_end) {
+        for engine in std::mem::take(&mut self.states[request].helpers_until_end) {
             self.engines[engine].helping -= 1;
         }
         self.schedule_report(host, false);
@@ -366,8 +382,8 @@
     /// has slots.
     fn reject_send(&mut self, request: usize) {
         self.end_work(request);
-        self.runs[request].rejected_sends += 1;
-        if self.runs[request].rejected_sends > REJECTED_SENDS_MAX {
+        self.states[request].rejected_sends += 1;
+        if self.states[request].rejected_sends > REJECTED_SENDS_MAX {
             self.refuse(request, NO_ENGINE_RETRY_AFTER);
         } else {
             self.push(self.now + NETWORK_DELAY, Event::Decide(request));
@@ -379,13 +395,13 @@
         let spec = &self.load.requests[request];
         let class = &self.site.classes[spec.class];
         let time_left = class.timeout.saturating_sub(self.now - spec.arrives);
-        self.runs[request].refusals += 1;
-        let is_first_refusal = self.runs[request].refusals == 1;
+        self.states[request].refusals += 1;
+        let is_first_refusal = self.states[request].refusals == 1;
         if is_first_refusal && retry_after < time_left {
             let after = retry_after.min(time_left / 3);
             self.push(self.now + after, Event::Arrive(request));
         } else {
-            self.runs[request].outcome = Some(Ended::Refused);
+            self.states[request].outcome = Some(Ended::Refused);
         }
     }
 
@@ -393,9 +409,9 @@
     fn schedule_report(&mut self, host: usize, is_urgent: bool) {
         let (interval, burst) = (self.site.report_interval, self.site.urgent_burst);
         let last_report_at = self.hosts[host].last_report_at;
-        let due = if is_urgent {
-            let due = last_report_at.map_or(self.now, |at| at + self.site.urgent_interval);
-            due.max(
+        let send_at = if is_urgent {
+            let send_at = last_report_at.map_or(self.now, |at| at + self.site.urgent_interval);
+            send_at.max(
                 self.hosts[host]
                     .next_even_report_at
                     .saturating_sub(interval * burst),
@@ -403,13 +419,17 @@
         } else {
             last_report_at.map_or(self.now, |at| at + interval)
         };
-        let due = due.max(self.now);
-        if self.hosts[host].next_report_at.is_none_or(|at| due < at) {
-            self.hosts[host].next_report_at = Some(due);
-            self.push(due, Event::SendReport(host));
+        let send_at = send_at.max(self.now);
+        if self.hosts[host]
+            .next_report_at
+            .is_none_or(|at| send_at < at)
+        {
+            self.hosts[host].next_report_at = Some(send_at);
+            self.push(send_at, Event::SendReport(host));
         }
     }
 
+    /// Sends the load report of a host if it is scheduled for now.
     fn send_report(&mut self, host: usize) {
         if self.hosts[host].next_report_at != Some(self.now) {
             return;
@@ -453,21 +473,22 @@
         }
     }
 
+    /// The index of the engine with this id.
     fn index(&self, id: &UpstreamId) -> usize {
         id.as_str()[1..].parse().unwrap()
     }
 
     fn results(self) -> RunResults {
-        let runs = self.runs.iter().zip(&self.load.requests);
-        let outcomes = runs.map(|(run, spec)| Outcome {
+        let states = self.states.iter().zip(&self.load.requests);
+        let outcomes = states.map(|(state, spec)| Outcome {
             class: spec.class,
-            ended: run.outcome.unwrap_or(Ended::Refused),
-            refusals: run.refusals,
-            rejected_sends: run.rejected_sends,
+            result: state.outcome.unwrap_or(Ended::Refused),
+            refusals: state.refusals,
+            rejected_sends: state.rejected_sends,
             worth: spec.worth,
             prompt_tokens: spec.prompt.as_f64(),
-            first_event: run.first_event.map(|at| at.saturating_sub(run.sent_at)),
-            forecast: run.plan.as_ref().map_or(Duration::ZERO, |p| p.forecast),
+            first_event: state.first_event.map(|at| at.saturating_sub(state.sent_at)),
+            forecast: state.plan.as_ref().map_or(Duration::ZERO, |p| p.forecast),
         });
         RunResults {
             outcomes: outcomes.collect(),
