--- a/examples/engine_loads/main.rs
+++ b/examples/engine_loads/main.rs
@@ -14,11 +14,11 @@
 use std::time::Duration;
 
 use banyanarch::units::Slowdown;
-use engine_world::Ended;
 use engine_world::LONG;
 use engine_world::Load;
 use engine_world::MEDIUM;
 use engine_world::Phase;
+use engine_world::RequestResult;
 use engine_world::RunResults;
 use engine_world::SHORT;
 use engine_world::Site;
@@ -57,15 +57,15 @@
          (largest tenth {:.2} fifth {:.2} rest {:.2} late {:.2}) largest tenth served {:.2} of all {:.2} \
          turned away {:.0} forecast error \
          medium {:.0} {:.0} long {:.0} {:.0} ms (median, 90th percentile)",
-        mean(&RunResults::earned_all),
-        mean(&|tally| tally.earned_all() - REFUSED_AGAIN_COST * tally.refused_again()),
+        mean(&RunResults::earned_in_total),
+        mean(&|tally| tally.earned_in_total() - REFUSED_AGAIN_COST * tally.refused_again()),
         mean(&|tally| tally.earned(SHORT)),
         mean(&|tally| tally.earned(MEDIUM)),
         mean(&|tally| tally.earned(LONG)),
         mean(&|tally| tally.earned_by_size(LONG).0),
         mean(&|tally| tally.earned_by_size(LONG).1),
         mean(&|tally| tally.earned_by_size(LONG).2),
-        mean(&|tally| tally.part(LONG, Ended::Late)),
+        mean(&|tally| tally.fraction(LONG, RequestResult::Late)),
         mean(&|tally| tally.served_by_size(LONG).0),
         mean(&|tally| tally.served_by_size(LONG).2),
         mean(&|tally| f64::from(tally.rejected_sends())),
--- a/tests/decide_engine_load.rs
+++ b/tests/decide_engine_load.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use banyanarch::units::Slowdown;
-use engine_world::Ended;
 use engine_world::LONG;
 use engine_world::Load;
 use engine_world::MEDIUM;
 use engine_world::Phase;
+use engine_world::RequestResult;
 use engine_world::RunResults;
 use engine_world::SHORT;
 use engine_world::Site;
@@ -37,7 +37,7 @@
         &Phase::alternating(9.0, LONG_RATE_FACTOR),
         1,
     );
-    assert!(results.earned_all() > 0.88, "{results}");
+    assert!(results.earned_in_total() > 0.88, "{results}");
     assert!(results.earned(SHORT) > 0.92, "{results}");
     assert!(results.earned(MEDIUM) > 0.95, "{results}");
     assert!(results.earned(LONG) > 0.80, "{results}");
@@ -50,7 +50,7 @@
         &Phase::alternating(5.0, LONG_RATE_FACTOR),
         1,
     );
-    assert!(results.earned_all() > 0.90, "{results}");
+    assert!(results.earned_in_total() > 0.90, "{results}");
     assert!(results.earned(LONG) > 0.88, "{results}");
     assert!(results.error_ms(LONG, 0.5) < 400.0, "{results}");
 }
@@ -64,7 +64,7 @@
         &Phase::alternating(4.0, LONG_RATE_FACTOR),
         1,
     );
-    assert!(results.earned_all() > 0.90, "{results}");
+    assert!(results.earned_in_total() > 0.90, "{results}");
     assert!(results.earned(SHORT) > 0.92, "{results}");
     assert!(results.earned(LONG) > 0.88, "{results}");
 }
@@ -82,7 +82,7 @@
             seed,
         );
         let (largest_tenth, _, _) = results.served_by_size(LONG);
-        sums.0 += results.earned_all() / 6.0;
+        sums.0 += results.earned_in_total() / 6.0;
         sums.1 += results.earned(LONG) / 6.0;
         sums.2 += largest_tenth / 6.0;
     }
@@ -131,8 +131,8 @@
     }];
     let results = run(&Site::small(), &phases, 4);
     let (on_time, late) = (
-        results.part(LONG, Ended::OnTime),
-        results.part(LONG, Ended::Late),
+        results.fraction(LONG, RequestResult::OnTime),
+        results.fraction(LONG, RequestResult::Late),
     );
     assert!(on_time > 0.35, "{results}");
     assert!(late < on_time / 2.0, "{results}");
@@ -180,9 +180,9 @@
     let (mut informed, mut uninformed) = (0.0, 0.0);
     for seed in 1..=3 {
         let known = with_slow_engines(Duration::from_millis(800));
-        informed += run(&known, &phases, seed).earned_all() / 3.0;
+        informed += run(&known, &phases, seed).earned_in_total() / 3.0;
         let never = with_slow_engines(Duration::from_secs(1_000));
-        uninformed += run(&never, &phases, seed).earned_all() / 3.0;
+        uninformed += run(&never, &phases, seed).earned_in_total() / 3.0;
     }
     assert!(
         informed > uninformed + 0.03,
--- a/tests/engine_world/mod.rs
+++ b/tests/engine_world/mod.rs
@@ -19,6 +19,6 @@
 pub use load::SHORT;
 pub use load::Site;
 pub use load::SlowPeriod;
-pub use run_results::Ended;
+pub use run_results::RequestResult;
 pub use run_results::RunResults;
 pub use world::World;
--- a/tests/engine_world/run_results.rs
+++ b/tests/engine_world/run_results.rs
@@ -7,7 +7,7 @@
 
 /// How one request ended, as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ended {
+pub enum RequestResult {
     /// The first event and all pauses met the objectives of the class.
     OnTime,
     /// The request was answered, but its first event or a pause was too long.
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
     pub class: usize,
-    pub result: Ended,
+    pub result: RequestResult,
     /// Number of times that the request was refused.
     pub refusals: u32,
     /// Number of sends that an engine rejected because a helper had no free helper slot.
@@ -48,20 +48,20 @@
     }
 
     /// The worth that was earned by all classes, as a fraction of what could be earned.
-    pub fn earned_all(&self) -> f64 {
+    pub fn earned_in_total(&self) -> f64 {
         earned(self.outcomes.iter())
     }
 
     /// The worth of requests that were refused, retried and not served, as a fraction of all worth.
     pub fn refused_again(&self) -> f64 {
-        let again = |o: &&Outcome| o.refusals > 0 && o.result == Ended::Refused;
+        let again = |o: &&Outcome| o.refusals > 0 && o.result == RequestResult::Refused;
         let lost: f64 = self.outcomes.iter().filter(again).map(|o| o.worth).sum();
         let possible: f64 = self.outcomes.iter().map(|o| o.worth).sum();
         lost / possible.max(1e-9)
     }
 
     /// The fraction of the requests of a class that ended like this.
-    pub fn part(&self, class: usize, result: Ended) -> f64 {
+    pub fn fraction(&self, class: usize, result: RequestResult) -> f64 {
         let outcomes = self.outcomes.iter().filter(|o| o.class == class);
         let count = outcomes.clone().filter(|o| o.result == result).count();
         count as f64 / outcomes.count().max(1) as f64
@@ -74,7 +74,10 @@
             self.outcomes.iter().filter(|o| o.class == class).collect();
         outcomes.sort_by(|a, b| b.prompt_tokens.total_cmp(&a.prompt_tokens));
         let served = |part: &[&Outcome]| {
-            let count = part.iter().filter(|o| o.result != Ended::Refused).count();
+            let count = part
+                .iter()
+                .filter(|o| o.result != RequestResult::Refused)
+                .count();
             count as f64 / part.len().max(1) as f64
         };
         let (tenth, third) = (outcomes.len() / 10, outcomes.len() * 3 / 10);
@@ -125,24 +128,24 @@
 fn earned<'a>(outcomes: impl Iterator<Item = &'a Outcome> + Clone) -> f64 {
     let possible: f64 = outcomes.clone().map(|o| o.worth).sum();
     let earned = outcomes.map(|o| match o.result {
-        Ended::OnTime => o.worth,
-        Ended::Late => o.worth / 4.0,
-        Ended::Refused => 0.0,
+        RequestResult::OnTime => o.worth,
+        RequestResult::Late => o.worth / 4.0,
+        RequestResult::Refused => 0.0,
     });
     earned.sum::<f64>() / possible.max(1e-9)
 }
 
 impl fmt::Display for RunResults {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "earned {:.3}", self.earned_all())?;
+        write!(f, "earned {:.3}", self.earned_in_total())?;
         for (index, class) in self.classes.iter().enumerate() {
             write!(
                 f,
                 " | {} {:.3} late {:.3} refused {:.3} error p50 {:.0} p95 {:.0} ms",
                 class.name,
                 self.earned(index),
-                self.part(index, Ended::Late),
-                self.part(index, Ended::Refused),
+                self.fraction(index, RequestResult::Late),
+                self.fraction(index, RequestResult::Refused),
                 self.error_ms(index, 0.5),
                 self.error_ms(index, 0.95),
             )?;
--- a/tests/engine_world/world.rs
+++ b/tests/engine_world/world.rs
@@ -19,8 +19,8 @@
 use super::host::LoadReport;
 use super::load::Load;
 use super::load::Site;
-use super::run_results::Ended;
 use super::run_results::Outcome;
+use super::run_results::RequestResult;
 use super::run_results::RunResults;
 
 /// Delay of a message from a host to an engine or another host, including the time to connect.
@@ -75,7 +75,7 @@
     helpers_until_read: Vec<usize>,
     /// Engines that hold a part of the prompt until the answer ends.
     helpers_until_end: Vec<usize>,
-    outcome: Option<Ended>,
+    outcome: Option<RequestResult>,
 }
 
 /// A simulated site under a load.
@@ -178,7 +178,7 @@
         let since_first = self.now - spec.arrives;
         let time_left = class.timeout.saturating_sub(since_first);
         if time_left.is_zero() {
-            self.states[request].outcome = Some(Ended::Refused);
+            self.states[request].outcome = Some(RequestResult::Refused);
             return;
         }
         let now = self.instant();
@@ -354,9 +354,9 @@
         let first = state.first_event.unwrap_or(now) + CALLER_ROUND_TRIP - spec.arrives;
         let is_on_time = first <= class.objective && state.longest_pause <= class.pause;
         state.outcome = Some(if is_on_time {
-            Ended::OnTime
+            RequestResult::OnTime
         } else {
-            Ended::Late
+            RequestResult::Late
         });
         self.end_work(request);
     }
@@ -401,7 +401,7 @@
             let after = retry_after.min(time_left / 3);
             self.push(self.now + after, Event::Arrive(request));
         } else {
-            self.states[request].outcome = Some(Ended::Refused);
+            self.states[request].outcome = Some(RequestResult::Refused);
         }
     }
 
@@ -482,7 +482,7 @@
         let states = self.states.iter().zip(&self.load.requests);
         let outcomes = states.map(|(state, spec)| Outcome {
             class: spec.class,
-            result: state.outcome.unwrap_or(Ended::Refused),
+            result: state.outcome.unwrap_or(RequestResult::Refused),
             refusals: state.refusals,
             rejected_sends: state.rejected_sends,
             worth: spec.worth,
