--- a/src/decide/engines/mod.rs
+++ b/src/decide/engines/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! Engines serve prompts of a thousand to a million tokens side by side. If one engine reads a long
 //! prompt alone, all answers on that engine stop for seconds, and the long prompt itself is late.
-//! Therefore short prompts are packed onto as few engines as can carry them ([`boundary`]), and the
+//! Therefore short prompts are packed onto as few engines as can serve them ([`boundary`]), and the
 //! other engines read long prompts together in equal parts. An engine gets no part that would
 //! lengthen the pauses in an answer beyond what the caller accepts
 //! ([`EngineView::prefill_headroom`]).
--- a/src/decide/own_load.rs
+++ b/src/decide/own_load.rs
@@ -35,7 +35,8 @@
 }
 
 impl OwnLoad {
-    /// Creates a record without load. To peers it is reported like one that has just sent a prompt.
+    /// Creates a record without load, which is still reported to other hosts for
+    /// [`PREFILL_REPORTED_FOR`].
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             in_flight: 0,
--- a/tests/decide_engines.rs
+++ b/tests/decide_engines.rs
@@ -49,7 +49,7 @@
     (0..count).map(engine).collect()
 }
 
-/// Gives all engines this read backlog, with the earliest first event due in `due`.
+/// Gives all engines this read backlog, and prompts being read whose first event is due in `due`.
 fn set_backlog(engines: &mut [EngineView], backlog: Duration, due: Option<Duration>) {
     for engine in engines {
         engine.load.prefill_backlog = backlog;
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn short_prompts_stay_on_the_first_engines_and_long_ones_off_them() {
+fn short_prompts_go_to_the_first_engines_and_long_ones_to_the_others() {
     let mut engines = engines(23);
     for engine in &mut engines[..4] {
         set_short_answers(engine, 6);
@@ -495,8 +495,8 @@
     assert_eq!(request.class(&model()), class);
 }
 
-/// Without the state that the host saw, a correct refusal cannot be told from a wrong one in the
-/// log.
+/// The counts go to the decision log. Without them a correct refusal could not be told from a wrong
+/// one there.
 #[test]
 fn engines_are_counted_by_what_they_could_do_for_a_prompt() {
     let mut engines = engines(20);
@@ -560,7 +560,7 @@
 /// answers could be written only by one of the few engines for long answers, each of which was
 /// writing one.
 #[test]
-fn a_late_prompt_of_the_longest_is_answered_by_an_idle_engine_if_no_other_can() {
+fn the_longest_late_prompts_are_answered_by_an_idle_engine_if_no_other_can() {
     let plan = plan(choose_engines(
         &model(),
         &half_idle(),
@@ -598,7 +598,7 @@
     enough_time = { 9_000, true },
     too_short_for_idle_engines = { 3_500, false },
 )]
-fn a_deadline_is_judged_by_what_idle_engines_could_do(left_ms: u64, waits: bool) {
+fn a_late_prompt_waits_while_idle_engines_could_meet_its_deadline(left_ms: u64, waits: bool) {
     let mut engines = engines(40);
     for engine in &mut engines[..36] {
         set_short_answers(engine, 9);
--- a/tests/decide_engines_near.rs
+++ b/tests/decide_engines_near.rs
@@ -65,6 +65,7 @@
     }
 }
 
+/// The plan if the choice is to send the request.
 fn sent(choice: EngineChoice) -> Option<EnginePlan> {
     match choice {
         EngineChoice::Send(plan) => Some(plan),
@@ -72,6 +73,7 @@
     }
 }
 
+/// Whether the leader is in the domain of the host that chooses.
 fn is_near(plan: &EnginePlan) -> bool {
     let leader: usize = plan.leader.as_str()[1..].parse().unwrap();
     leader % DOMAINS == OWN_DOMAIN
