--- a/src/decide/engines/boundary.rs
+++ b/src/decide/engines/boundary.rs
@@ -3,7 +3,7 @@
 use crate::decide::EngineModel;
 use crate::decide::engines::EngineView;
 
-/// Fraction of an engine's slots that short prompts fill before the next engine is opened to them.
+/// Fraction of an engine's slots that short prompts fill before the next engine is used for them.
 /// The remaining slots absorb a burst until the boundary has moved.
 const SHORT_FILL_FRACTION: f64 = 0.7;
 /// Fraction of all engines that is always kept for long prompts.
--- a/src/decide/engines/group.rs
+++ b/src/decide/engines/group.rs
@@ -22,7 +22,7 @@
 /// Cost of making the pauses of one answer too long, expressed as time to the first event.
 ///
 /// The cost only serves to compare groups, since no prompt is sent to a group that makes a pause
-/// too long. A prompt rather waits for a fast group with few answers than uses a slow group.
+/// too long. A prompt should wait for a fast group with few answers rather than use a slow group.
 const LONG_PAUSE_COST: Duration = Duration::from_millis(50);
 
 /// A group of engines that could read a prompt together.
--- a/src/decide/engines/leader.rs
+++ b/src/decide/engines/leader.rs
@@ -12,10 +12,11 @@
 /// Chooses the leader among the `engines` with a free slot; `None` if no engine qualifies.
 ///
 /// For a long prompt the leader is the first engine that has the memory for its share and accepts
-/// its part, so that the answers to long prompts gather on few engines. A choice that spans domains
-/// picks one of these engines at random. If no engine has the memory, the leader is the engine with
-/// the least memory in use. For a medium prompt the leader is the engine with the shortest backlog
-/// out of those with enough memory, preferably one whose pauses do not become too long.
+/// its part, so that the answers to long prompts are concentrated on few engines. A choice that
+/// spans domains picks one of these engines at random. If no engine has the memory, the leader is
+/// the engine with the least memory in use. For a medium prompt the leader is the engine with the
+/// shortest backlog out of those with enough memory, preferably one whose pauses do not become too
+/// long.
 pub(super) fn choose_leader<'a>(
     model: &EngineModel,
     engines: &'a [EngineView],
--- a/src/decide/engines/locality.rs
+++ b/src/decide/engines/locality.rs
@@ -47,10 +47,10 @@
         return choose_from(model, engines, &far_request);
     }
     let near = choose_from(model, &near, request);
-    // A domain seldom has as many idle engines as one of the longest prompts needs. When late ones
-    // waited for near engines, two thirds of the longest tenth were refused at their deadline.
-    // Those that can still be on time do wait: sent anywhere at once, they would take the engines
-    // of other long prompts.
+    // A domain seldom has as many idle engines as one of the longest prompts needs. When late
+    // prompts of that length waited for near engines, two thirds of the longest tenth were refused
+    // at their deadline. Prompts that can still be on time do wait: sent to any domain at once,
+    // they would take the engines of other long prompts.
     let may_use_all_engines = needs_idle_engines(model, request)
         || request.shuffle_seed.is_multiple_of(FAR_CHOICE_INTERVAL);
     if matches!(near, EngineChoice::Wait(_)) && !may_use_all_engines {
--- a/src/decide/engines/long.rs
+++ b/src/decide/engines/long.rs
@@ -146,7 +146,7 @@
 /// When engines got more long prompts for some seconds than they could read, refused prompts came
 /// back as new ones and were refused again, the longest first. Half of the longest tenth were never
 /// served, although most callers wait long enough for engines to become free. A prompt that cannot
-/// be read before its caller leaves is refused at once.
+/// be read before its caller stops waiting is refused at once.
 fn choose_for_late_prompt(best: Group<'_>, request: &EngineRequest) -> EngineChoice {
     if best.forecast > request.patience_left {
         return EngineChoice::refuse(RefuseReason::QueueFull, best.backlog);
--- a/src/decide/engines/parts.rs
+++ b/src/decide/engines/parts.rs
@@ -12,7 +12,7 @@
 /// within a pause of 200 ms.
 const PART_TIME_TARGET: Duration = Duration::from_millis(60);
 /// The longest part that is read on an engine that also writes answers. Callers accept pauses of at
-/// most a second, which also has to cover a pass and the work of other hosts.
+/// most a second, which also has to cover a pass and the prompts of other hosts.
 const PART_TIME_BESIDE_ANSWERS_MAX: Duration = Duration::from_millis(800);
 /// The most engines that read or hold one prompt, including the leader.
 pub(super) const GROUP_SIZE_MAX: usize = 16;
--- a/src/decide/own_load.rs
+++ b/src/decide/own_load.rs
@@ -12,7 +12,7 @@
 use crate::units::Tokens;
 
 /// How long a host goes on reporting the prefill that it has sent to an upstream when it has no
-/// other load there. The time covers several reports, so that a lost one is made up for.
+/// other load there. The time covers several reports, so that a lost report does no harm.
 const PREFILL_REPORTED_FOR: Duration = Duration::from_secs(1);
 
 /// The load at one upstream of the requests that this host has sent there.
