--- a/src/decide/engines/long.rs
+++ b/src/decide/engines/long.rs
@@ -62,7 +62,7 @@
 ) -> Option<Group<'a>> {
     let (short_side, long_side) = match engines.split_at(short_engines) {
         (short_side, []) => (short_side, engines),
-        candidates => candidates,
+        sides => sides,
     };
     let (helpers, long_leaders) = split_long_side(long_side);
     let needs_idle = needs_idle_engines(model, request);
