--- a/tests/cmd_check.rs
+++ b/tests/cmd_check.rs
@@ -31,13 +31,13 @@
     let dir = WorkDir::new();
     dir.write_file("m.yaml", &MANIFEST.replace("rank: 2", "rank: 1"));
     dir.write_file("h.yaml", &HOST_1.replace("level: info", "level: loud"));
-    let output = dir.run(&["check", "m.yaml", "h.yaml", "gone.yaml"]);
+    let output = dir.run(&["check", "m.yaml", "h.yaml", "missing.yaml"]);
     assert_eq!(output.code, 2);
     assert_eq!(
         output.stderr,
         "m.yaml:32: priorities[2].rank: `1` is taken by priorities[1].rank\n\
          h.yaml:37: logs.level: must be one of off, error, warn, info, debug, trace\n\
-         gone.yaml:1: (file): can't be read: No such file or directory (os error 2)\n"
+         missing.yaml:1: (file): can't be read: No such file or directory (os error 2)\n"
     );
 }
 
--- a/tests/cmd_explain.rs
+++ b/tests/cmd_explain.rs
@@ -138,8 +138,8 @@
         ended("long", 1_500, "served", "2400"),
         sent("short", 5_200, 4_000, 0, 200),
         ended("short", 5_400, "served", "150"),
-        ended("turned-away", 5_900, "deadline", "null"),
-        refused("turned-away", 5_900, 40),
+        ended("refused-at-once", 5_900, "deadline", "null"),
+        refused("refused-at-once", 5_900, 40),
         refused("waited", 5_900, 8_000),
     ];
     dir.write_file("host.log", &lines.join("\n"));
--- a/tests/cmd_host.rs
+++ b/tests/cmd_host.rs
@@ -54,13 +54,13 @@
         "/explain/0000000000000000000000000000000a",
         r#"{"steps":[{"wall_ms":1040,"what":"granted","place":"engine-3","why":"prefix"}]}"#,
     )]);
-    let gone = TcpListener::bind("127.0.0.1:0")
+    let unreachable = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let (entry, home, gone) = (entry.to_string(), home.to_string(), gone.to_string());
+    let (entry, home, unreachable) = (entry.to_string(), home.to_string(), unreachable.to_string());
     let dir = WorkDir::new();
-    let hosts = ["--host", &home, "--host", &entry, "--host", &gone];
+    let hosts = ["--host", &home, "--host", &entry, "--host", &unreachable];
     let output = dir.run(&[&["explain", REQUEST], &hosts[..]].concat());
     assert_eq!(output.code, 0, "{output:?}");
     let lines: Vec<&str> = output.stdout.lines().map(str::trim).collect();
@@ -71,11 +71,13 @@
         format!("40 ms  {home:15}  granted  engine-3  prefix")
     );
     assert!(lines[3].starts_with("90 ms  hall-a-1") && lines[3].ends_with("dispatched  engine-3"));
-    assert!(output.stderr.contains(&gone) && output.stderr.contains("its steps are missing"));
+    assert!(
+        output.stderr.contains(&unreachable) && output.stderr.contains("its steps are missing")
+    );
 
     let output = dir.run(&["explain", &REQUEST.replace('a', "b"), "--host", &entry]);
     assert_eq!(output.code, 1, "{output:?}");
-    let output = dir.run(&["explain", REQUEST, "--host", &gone]);
+    let output = dir.run(&["explain", REQUEST, "--host", &unreachable]);
     assert_eq!(output.code, 3, "{output:?}");
 }
 
