--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -30,7 +30,7 @@
 mod listeners;
 mod load_guard;
 mod metrics;
-mod news;
+mod exchange_handler;
 mod pages;
 mod placement;
 mod platform_view;
