--- a/src/cmd/log_story.rs
+++ b/src/cmd/log_story.rs
@@ -5,7 +5,7 @@
 use crate::cmd::log_causes::cause;
 use crate::cmd::logs::Line;
 use crate::gateway::DecisionEvent;
-use crate::gateway::EngineSurveyRecord;
+use crate::gateway::EngineCountsRecord;
 
 /// What the logs know of one request, in order.
 pub(crate) struct Story<'a> {
@@ -87,7 +87,7 @@
 fn write_seen(
     f: &mut fmt::Formatter<'_>,
     name: &str,
-    seen: Option<&EngineSurveyRecord>,
+    seen: Option<&EngineCountsRecord>,
 ) -> fmt::Result {
     match seen {
         Some(seen) => write!(f, "\n                     {name}: {seen}"),
--- a/src/gateway/decision_event.rs
+++ b/src/gateway/decision_event.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::gateway::EngineSurveyRecord;
+use crate::gateway::EngineCountsRecord;
 use crate::gateway::RateLimitRecord;
 
 /// A decision about a request, or a change in the state of the host. Each event is written as one
@@ -188,9 +188,9 @@
         /// The number of placement decisions so far.
         choices: u32,
         /// The engines in the failure domain of this host.
-        near: Box<EngineSurveyRecord>,
+        near: Box<EngineCountsRecord>,
         /// All engines of the service.
-        all: Box<EngineSurveyRecord>,
+        all: Box<EngineCountsRecord>,
     },
     /// This host refused a request, with the state that the decision was based on.
     Refused {
@@ -213,10 +213,10 @@
         /// For a prompt that several engines can share, the engines in the failure domain of this
         /// host.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        near: Option<Box<EngineSurveyRecord>>,
+        near: Option<Box<EngineCountsRecord>>,
         /// For a prompt that several engines can share, all engines of the service.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        all: Option<Box<EngineSurveyRecord>>,
+        all: Option<Box<EngineCountsRecord>>,
         /// The time after which the caller was asked to retry, in ms.
         retry_after_ms: u64,
         /// The number of listed upstreams of the service.
--- a/src/gateway/engine_counts_record.rs
+++ b/src/gateway/engine_counts_record.rs
@@ -12,7 +12,7 @@
 /// Engines of a service as one host knew them, counted by what they could do for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
-pub struct EngineSurveyRecord {
+pub struct EngineCountsRecord {
     /// Engines that may get work.
     pub engines: usize,
     /// Engines that are reserved for short prompts.
@@ -51,7 +51,7 @@
     pub makes_late: bool,
 }
 
-impl From<EngineCounts> for EngineSurveyRecord {
+impl From<EngineCounts> for EngineCountsRecord {
     fn from(survey: EngineCounts) -> Self {
         Self {
             engines: survey.engines,
@@ -79,7 +79,7 @@
     }
 }
 
-impl fmt::Display for EngineSurveyRecord {
+impl fmt::Display for EngineCountsRecord {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -17,7 +17,7 @@
 use crate::decide::engines::count_engines;
 use crate::gateway::Call;
 use crate::gateway::CallRefusal;
-use crate::gateway::EngineSurveyRecord;
+use crate::gateway::EngineCountsRecord;
 use crate::gateway::Gateway;
 use crate::gateway::HelperAddr;
 use crate::gateway::ListedUpstream;
@@ -153,7 +153,7 @@
     call: &Call,
     sends: &SendHistory<'_>,
     now: Instant,
-) -> Option<(EngineSurveyRecord, EngineSurveyRecord)> {
+) -> Option<(EngineCountsRecord, EngineCountsRecord)> {
     let routes = gateway.platform_view.routes()?;
     let model = engine_model(&routes, call)?;
     let by_service = gateway.platform_view.upstreams()?;
