--- a/src/gateway/platform_view.rs
+++ b/src/gateway/platform_view.rs
@@ -113,7 +113,7 @@
     }
 
     /// Whether an upstream is listed.
-    pub fn is_listed(&self, id: &UpstreamId) -> bool {
+    pub fn is_usable(&self, id: &UpstreamId) -> bool {
         let upstreams = self.upstreams();
         upstreams.is_some_and(|by_service| by_service.values().flatten().any(|u| u.id == *id))
     }
--- a/tests/cmd_explain.rs
+++ b/tests/cmd_explain.rs
@@ -41,7 +41,7 @@
     let is_listed = || {
         host.gateway
             .platform_view
-            .is_listed(&"lost".parse().unwrap())
+            .is_usable(&"lost".parse().unwrap())
     };
     wait_until(is_listed).await;
     host.call(named("r-lost", "key-1", "/once/1")).await;
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -327,7 +327,7 @@
     catalog.list("b", "app", staying.addr);
     let host = TestHost::start("host", &catalog).await;
     catalog.mark_leaving("a");
-    wait_until(|| !host.gateway.platform_view.is_listed(&"a".parse().unwrap())).await;
+    wait_until(|| !host.gateway.platform_view.is_usable(&"a".parse().unwrap())).await;
     let before = leaving.arrivals().len();
     for _ in 0..6 {
         assert_eq!(status(&host.call(request("/safe/1")).await), 200);
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -20,7 +20,7 @@
 use indexmap::IndexMap;
 
 fn is_listed(host: &TestHost, id: &UpstreamId) -> bool {
-    host.gateway.platform_view.is_listed(id)
+    host.gateway.platform_view.is_usable(id)
 }
 
 /// Failure: an engine restarts within a second under its old id and gets no work for seconds,
--- a/tests/gateway_versions.rs
+++ b/tests/gateway_versions.rs
@@ -128,7 +128,7 @@
     tokio::spawn(serve_reads(listener, read.addr));
     tokio::spawn(keep_host_alive(Arc::clone(&host.gateway)));
     catalog.register_host(previous).await.unwrap();
-    wait_until(|| host.gateway.platform_view.is_listed(&"b".parse().unwrap())).await;
+    wait_until(|| host.gateway.platform_view.is_usable(&"b".parse().unwrap())).await;
     let res = host.call(request("/safe/1")).await;
     assert_eq!(res.body().as_ref(), b"read");
     assert_eq!(read.arrivals()[0].header("test-upstream"), Some("b"));
