--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -70,7 +70,7 @@
     let pages = Arc::new(GatewayPages(Arc::clone(&gateway)));
     let mut tasks = tokio::task::JoinSet::new();
     tasks.spawn(Exchange::new(listeners.exchange, desk).run());
-    tasks.spawn(serve_reads(Arc::clone(&gateway), listeners.share));
+    tasks.spawn(serve_reads(Arc::clone(&gateway), listeners.catalog_sharing));
     tasks.spawn(sync::sync_routes(
         Arc::clone(&gateway),
         Arc::clone(&catalog),
