--- a/src/gateway/listeners.rs
+++ b/src/gateway/listeners.rs
@@ -21,18 +21,18 @@
     pub exchange: UdpSocket,
     /// Requests of other hosts for the lists that this one has read; on the same port as
     /// `exchange`.
-    pub share: TcpListener,
+    pub catalog_sharing: TcpListener,
 }
 
 impl Listeners {
     /// Binds all sockets.
     pub async fn bind(conf: &GatewayConf) -> Result<Self, GatewayError> {
-        let share = listen("requests of other hosts", conf.exchange_addr).await?;
-        let exchange_addr = share.local_addr();
+        let catalog_sharing = listen("requests of other hosts", conf.exchange_addr).await?;
+        let exchange_addr = catalog_sharing.local_addr();
         let exchange_addr = exchange_addr.map_err(|err| GatewayError::Bind("news", err))?;
         let exchange = UdpSocket::bind(exchange_addr).await;
         Ok(Self {
-            share,
+            catalog_sharing,
             ready: listen("readiness", conf.ready_addr).await?,
             metrics: listen("metrics", conf.metrics_addr).await?,
             callers: listen("callers", conf.callers_addr).await?,
