--- a/src/gateway/exchange_handler.rs
+++ b/src/gateway/exchange_handler.rs
@@ -106,7 +106,7 @@
         if host == self.conf.host {
             return;
         }
-        if !self.platform_view.is_host(&host) {
+        if !self.platform_view.is_known_host(&host) {
             self.hosts_changed.notify_one();
         }
         for poison in update.poisons.iter().filter_map(decode_poison) {
--- a/src/gateway/platform_view.rs
+++ b/src/gateway/platform_view.rs
@@ -124,7 +124,7 @@
     }
 
     /// Whether a host is on the list.
-    pub fn is_host(&self, host: &HostId) -> bool {
+    pub fn is_known_host(&self, host: &HostId) -> bool {
         let names = self.host_names.read();
         names.unwrap_or_else(PoisonError::into_inner).contains(host)
     }
