--- a/src/gateway/advertised_limit.rs
+++ b/src/gateway/advertised_limit.rs
@@ -1,4 +1,4 @@
-//! The rate limit that an upstream advertises in its answers.
+//! Rate limits that upstreams advertise in their answers.
 
 use crate::units::RequestsPerSecond;
 
@@ -14,6 +14,6 @@
     Unlimited,
     /// The upstream accepts this many requests a second.
     Limited(RequestsPerSecond),
-    /// The limit is not a rate; the start of its text.
+    /// The limit is not a valid rate. Contains the start of its text.
     Malformed(String),
 }
--- a/src/gateway/broadcast_hosts.rs
+++ b/src/gateway/broadcast_hosts.rs
@@ -1,4 +1,4 @@
-//! The hosts to which this one broadcasts its load.
+//! The hosts to which this one broadcasts its updates.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,8 +8,8 @@
 use crate::exchange::ListedHost;
 use crate::units::HostId;
 
-/// How long a host that has left the list still gets broadcasts: longer than a restart takes, and
-/// than the list lags.
+/// How long a host that has left the list still gets broadcasts. A restart takes less time, and the
+/// list lags by less.
 const DEPARTED_RETENTION: Duration = Duration::from_secs(10);
 
 /// The hosts on the platform's list, this one, and those that left the list recently.
--- a/src/gateway/catalog.rs
+++ b/src/gateway/catalog.rs
@@ -1,4 +1,5 @@
-//! The interface to the lists of the platform: the manifest's routes, the upstreams and the hosts.
+//! The interface through which a gateway reads the lists of the platform: the manifest, the upstreams
+//! and the hosts.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -15,7 +16,8 @@
 use crate::units::UpstreamId;
 use crate::units::UpstreamName;
 
-/// An upstream on the platform's list.
+/// An upstream on the platform's list: its identity, its address, and how many requests it processes
+/// concurrently.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedUpstream {
     /// The id of the upstream's incarnation, new with each start.
@@ -30,7 +32,7 @@
     pub domain: FailureDomainId,
     /// Number of requests that the upstream processes concurrently.
     pub slots: u32,
-    /// Whether the upstream is leaving: it gets no new requests.
+    /// Whether the upstream is leaving. It is still listed, but gets no new requests.
     pub is_leaving: bool,
 }
 
@@ -39,14 +41,15 @@
 pub enum UpstreamChange {
     /// The upstream is new, or its entry has changed.
     Upserted(ListedUpstream),
-    /// The upstream is no longer listed, or its entry no longer names an upstream.
+    /// The upstream is no longer listed, or its entry no longer describes an upstream.
     Removed(UpstreamName),
 }
 
-/// A watch: a read that waits for changes after a known one.
+/// The parameters of a watch, a read for which the platform waits until there are changes after a
+/// known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Watch {
-    /// The platform's last known change.
+    /// The last change that the caller knows.
     pub since: ObjectVersion,
     /// How long the platform is to wait for a change; it responds as soon as there is one.
     pub wait: Duration,
@@ -57,12 +60,12 @@
 pub struct CatalogRead<T> {
     /// The content.
     pub value: T,
-    /// The platform's last change that the content includes, after which the next read can resume;
-    /// none if it can't.
+    /// The last change that the content includes, after which a watch can resume; none if the next
+    /// read must be a full one.
     pub as_of: Option<ObjectVersion>,
 }
 
-/// The manifest, if its version differs from the caller's.
+/// The result of a read of the manifest: its text only if its version differs from the caller's.
 #[derive(Clone, Debug)]
 pub enum RoutesRead {
     /// The manifest still has the known version.
@@ -76,12 +79,12 @@
     },
 }
 
-/// The upstreams, in full or as a delta.
+/// The result of a read of the upstreams: the full list, or a delta.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpstreamsRead {
     /// All upstreams.
     Snapshot(Vec<ListedUpstream>),
-    /// The changes since the read before, in order.
+    /// The changes after [`Watch::since`], in order; empty if there were none.
     Delta(Vec<UpstreamChange>),
 }
 
@@ -94,7 +97,7 @@
     Rejected(String),
     /// No response arrived. A write may have been done, or may still be done.
     NoAnswer(String),
-    /// The response can't be decoded: the object, and what is wrong with which field.
+    /// The response can't be decoded. Names the object, and the field with its fault.
     Malformed(String),
     /// The platform no longer keeps the changes after the requested one.
     HistoryExpired,
@@ -116,10 +119,11 @@
 
 impl std::error::Error for CatalogError {}
 
-/// The platform's lists. Every response shows what is true at some moment after the call began.
+/// The platform's lists. Every response shows what was true at some moment after the call began.
 pub trait Catalog: Send + Sync {
-    /// Reads the manifest, of which the caller has the version `known`. A response to a watch that
-    /// contains changes may not contain all of them.
+    /// Reads the manifest as text, unless its version is still `known`, the one that the caller has.
+    /// With a watch, the platform responds when the manifest changes or the wait ends. A manifest
+    /// that is returned to a watch may already have been replaced by a newer one.
     fn routes(
         &self,
         known: Option<ObjectVersion>,
@@ -129,8 +133,8 @@
     /// Decodes the text of a manifest.
     fn decode_routes(&self, text: &str) -> Result<RouteTable, CatalogError>;
 
-    /// Reads all upstreams, or with a watch their changes. A response that contains changes may not
-    /// contain all of them.
+    /// Reads all upstreams, or with a watch their changes, for which the platform waits. A delta that
+    /// is not empty may lack the latest changes.
     fn upstreams(
         &self,
         watch: Option<Watch>,
@@ -139,7 +143,7 @@
     /// Reads all hosts; the response may be seconds old.
     fn hosts(&self) -> BoxFuture<'_, Result<Vec<ListedHost>, CatalogError>>;
 
-    /// Puts a host on the list and replaces the entry that has the same name.
+    /// Adds a host to the list. An entry with the same name is replaced.
     fn register_host(&self, host: ListedHost) -> BoxFuture<'_, Result<(), CatalogError>>;
 
     /// Removes a host from the list.
--- a/src/gateway/dependency.rs
+++ b/src/gateway/dependency.rs
@@ -1,4 +1,5 @@
-//! A dependency of this host: when to call it again, and the log events of its loss and recovery.
+//! The state of a list of the platform on which this host depends: when to read it again, and the log
+//! events of its loss and recovery.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,25 +15,27 @@
 use crate::gateway::catalog_sharing::ReadSource;
 use crate::units::whole_millis;
 
-/// Interval after a failed call, for each host that shares the retries with this one. It is shorter
-/// than the interval after successful calls, since the lists get older.
+/// Interval after a failed call to the platform. It is multiplied by the number of hosts that share
+/// the retries, and is shorter than the interval after successful calls, since the lists get older.
 pub(super) const RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// The longest retry interval of a host that retries alone; keys are served for 4.5 s after the
-/// last successful call.
+/// The longest retry interval of a host that retries alone. Keys are served for 4.5 s after the last
+/// successful call, so several retries fit into that time.
 const RETRY_INTERVAL_MAX: Duration = Duration::from_secs(1);
-/// Time per host of the fleet over which hosts spread their calls to the platform when no other
-/// host had a fresh list: one of them may be about to read. With 80 hosts this is at most 0.4 s,
-/// while keys are served for three seconds more.
+/// Time per host of the fleet over which hosts spread their calls to the platform if no other host
+/// has a fresh list, since another host may be about to read it. With 80 hosts the delay is at most
+/// 0.4 s, and keys are served for three seconds more.
 const SPREAD_PER_HOST: Duration = Duration::from_millis(5);
 
-/// The state of one dependency.
+/// Whether the platform responds to the reads of one of its lists, and when it may be called next.
 pub(super) struct Dependency {
     gateway: Arc<Gateway>,
+    /// The list's name in the decision log and in metrics.
     name: &'static str,
+    /// When the first of the current run of failures was recorded; none while calls succeed.
     lost_at: Option<Instant>,
     /// Failed calls since the last successful one.
     failures: u32,
-    /// When the platform itself may be called again; none while reads succeed.
+    /// When the platform itself may be called again after a failed read; none while reads succeed.
     platform_due_at: Option<Instant>,
     /// When a call to the platform last failed.
     failed_at: Option<Instant>,
@@ -50,35 +53,36 @@
         }
     }
 
-    /// How long to wait before the next call to the platform. `answered` is the interval after a
-    /// successful call.
+    /// How long to wait before the next call to the platform: `after_success` if the last call
+    /// succeeded, otherwise a retry interval with jitter.
     ///
     /// If the platform rejects all hosts of a fleet for some seconds, independent hosts would each
     /// call it four times a second. Instead, all hosts of a failure domain that have no fresh lists
-    /// together call as often as one would alone; the first one that gets a response reports it to
-    /// the others.
-    pub(super) fn interval(&self, answered: Duration) -> Duration {
+    /// together call as often as one would alone. The first one that gets a response broadcasts the
+    /// age of its lists to the others.
+    pub(super) fn interval(&self, after_success: Duration) -> Duration {
         let Some(doublings) = self.failures.checked_sub(1) else {
-            return answered;
+            return after_success;
         };
-        let alone = RETRY_INTERVAL
+        let own_backoff = RETRY_INTERVAL
             .saturating_mul(1 << doublings.min(8))
             .min(RETRY_INTERVAL_MAX);
-        let together = RETRY_INTERVAL
+        let shared_interval = RETRY_INTERVAL
             .saturating_mul(self.gateway.reader_selector.retrying_hosts(&self.gateway));
         // Hosts that lost the platform at the same time must not call it at the same time.
-        if together <= alone {
-            alone.mul_f64(rand::random_range(0.75..1.25))
+        if shared_interval <= own_backoff {
+            own_backoff.mul_f64(rand::random_range(0.75..1.25))
         } else {
-            together
+            shared_interval
                 .mul_f64(rand::random_range(0.0..2.0))
                 .max(RETRY_INTERVAL)
         }
     }
 
-    /// Waits until the next read, which is due at `due_at` if the last one succeeded, and returns
-    /// its source.
-    pub(super) async fn next_read(&self, due_at: Instant, wakeup: &Notify) -> ReadSource {
+    /// Waits until the next read is due or `wakeup` is notified, and returns the source of that read.
+    /// The read is due at `due_at` if the last one succeeded, otherwise when the platform may be
+    /// called again.
+    pub(super) async fn wait_for_next_read(&self, due_at: Instant, wakeup: &Notify) -> ReadSource {
         let Some(due_at) = self.platform_due_at else {
             tokio::select! {
                 () = sleep_until(due_at.into()) => {}
@@ -92,8 +96,8 @@
         }
     }
 
-    /// The source of a read that was woken early: either another read of this host has succeeded,
-    /// or another host has fresh lists.
+    /// The source of a read that was woken before it was due: the platform if this host has reached
+    /// it since the last failure, otherwise the peers, one of which has fresh lists.
     fn source_after_wakeup(&self) -> ReadSource {
         if self.gateway.reader_selector.platform_reached_at() > self.failed_at {
             ReadSource::Platform
@@ -102,9 +106,10 @@
         }
     }
 
-    /// Records the result of a read that was requested at `requested_at`.
-    pub(super) fn on_read<T>(&mut self, requested_at: Instant, read: &Result<T, ReadError>) {
-        match read {
+    /// Records the result of a read that was requested at `requested_at`. If no peer has a fresh list,
+    /// the platform is to be called after a random delay.
+    pub(super) fn on_read<T>(&mut self, requested_at: Instant, result: &Result<T, ReadError>) {
+        match result {
             Ok(_) => self.on_success(requested_at),
             Err(ReadError::Catalog(err)) => self.on_failure(requested_at, err),
             Err(ReadError::PeersStale) => {
@@ -118,9 +123,9 @@
         }
     }
 
-    /// Records the result of a call to the platform.
-    pub(super) fn on_call<T>(&mut self, requested_at: Instant, called: &Result<T, CatalogError>) {
-        match called {
+    /// Records the result of a call to the platform that was sent at `requested_at`.
+    pub(super) fn on_call<T>(&mut self, requested_at: Instant, result: &Result<T, CatalogError>) {
+        match result {
             Ok(_) => self.on_success(requested_at),
             Err(err) => self.on_failure(requested_at, err),
         }
--- a/src/gateway/engine_client.rs
+++ b/src/gateway/engine_client.rs
@@ -29,17 +29,17 @@
 
 impl std::error::Error for EngineClientError {}
 
-/// An engine's report on itself, some hundred ms old.
+/// An engine's report on its own speed, some hundred milliseconds old.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineReport {
     /// How much slower the engine works than its model predicts.
     pub slowdown: Slowdown,
 }
 
-/// Sends orders for engines' memory, and requests for reports.
+/// Sends orders to reserve the memory of engines, and requests for reports on their speed.
 pub trait EngineClient: Send + Sync {
-    /// Reserves memory under a name for `hold`, counted from the arrival of the order, or renews
-    /// the reservation. The memory is free immediately or the order is refused.
+    /// Reserves memory under a name for `hold`, counted from the arrival of the order, or renews the
+    /// reservation of that name. An engine whose memory is not free refuses the order at once.
     fn reserve<'a>(
         &'a self,
         engine: SocketAddr,
@@ -48,7 +48,7 @@
         hold: Duration,
     ) -> BoxFuture<'a, Result<(), EngineClientError>>;
 
-    /// Requests a report from an engine.
+    /// Requests a report from the engine at this address.
     fn report(&self, engine: SocketAddr) -> BoxFuture<'_, Result<EngineReport, EngineClientError>>;
 
     /// Releases the reservation with this name.
--- a/src/gateway/engine_counts_record.rs
+++ b/src/gateway/engine_counts_record.rs
@@ -1,4 +1,4 @@
-//! The input of a choice of engines, as recorded in the decision log.
+//! Counts of the engines that a choice was made from, as recorded in the decision log.
 
 use std::fmt;
 
@@ -9,7 +9,8 @@
 use crate::decide::engines::EngineCounts;
 use crate::units::whole_millis;
 
-/// Engines of a service as one host knew them, counted by what they could do for one request.
+/// The decision log's record of [`EngineCounts`]: engines of a service as one host knew them,
+/// counted by what they could do for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct EngineCountsRecord {
@@ -19,25 +20,26 @@
     pub short_side: usize,
     /// Engines with a free slot for one more answer.
     pub with_place: usize,
-    /// Engines that may be a helper of one more prompt.
+    /// Engines that may be a helper for one more prompt.
     #[serde(default)]
     pub can_help: usize,
-    /// Engines with memory for one share of the prompt.
+    /// Engines with memory for one share of the prompt and its answer.
     pub with_memory: usize,
-    /// Engines that can read a smallest part without stretching a pause too far.
+    /// Engines that can read the smallest part without lengthening the pauses of an answer too far.
     pub with_room: usize,
-    /// Engines with room that have nothing left to read.
+    /// Engines counted in `with_room` that have no backlog.
     pub idle: usize,
-    /// The best group that could be formed; none if none could.
+    /// The best group that could be formed; none if no group has the slots and the memory.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub best: Option<EngineGroupRecord>,
 }
 
-/// A group of engines that could read a prompt together.
+/// The decision log's record of a [`BestGroup`]: a group of engines that could read a prompt
+/// together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub struct EngineGroupRecord {
-    /// Number of engines of the group.
+    /// Number of engines in the group.
     pub engines: usize,
     /// Expected time until the first event, in ms.
     pub forecast_ms: u64,
@@ -47,21 +49,21 @@
     pub backlog_ms: u64,
     /// Number of answers whose pauses would have been stretched too far.
     pub stretched: u32,
-    /// Whether the group would have made another prompt late.
+    /// Whether the group would have made another prompt late that was already being read.
     pub makes_late: bool,
 }
 
 impl From<EngineCounts> for EngineCountsRecord {
-    fn from(survey: EngineCounts) -> Self {
+    fn from(counts: EngineCounts) -> Self {
         Self {
-            engines: survey.engines,
-            short_side: survey.short_side,
-            with_place: survey.with_place,
-            can_help: survey.can_help,
-            with_memory: survey.with_memory,
-            with_room: survey.with_room,
-            idle: survey.idle,
-            best: survey.best.map(EngineGroupRecord::from),
+            engines: counts.engines,
+            short_side: counts.short_side,
+            with_place: counts.with_place,
+            can_help: counts.can_help,
+            with_memory: counts.with_memory,
+            with_room: counts.with_room,
+            idle: counts.idle,
+            best: counts.best.map(EngineGroupRecord::from),
         }
     }
 }
--- a/src/gateway/engine_reports.rs
+++ b/src/gateway/engine_reports.rs
@@ -1,9 +1,10 @@
 //! Polls engines for reports on their speed.
 //!
-//! If a fifth of the engines works at a third of its speed for some seconds and goes on getting as
-//! much work as the others, every answer there pauses for too long, and prompts that several
-//! engines read wait for the slowest of them. So one host of each failure domain polls its engines
-//! and broadcasts the result, and placement takes the actual speed of each engine into account.
+//! If a fifth of the engines works at a third of the normal speed for some seconds and goes on
+//! getting as much work as the others, every answer there pauses for too long, and prompts that
+//! several engines read wait for the slowest of them. So one host of each failure domain polls the
+//! engines of the domain and broadcasts the result, and placement takes the actual speed of each
+//! engine into account.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,15 +20,16 @@
 use crate::gateway::ListedUpstream;
 
 /// Interval between two polls of an engine that has work. A report is up to 200 ms old, so all
-/// hosts know of a slow engine after a second and a half at most. Polling twice as often would cost
+/// hosts know of a slow engine after 1.5 s at most. Polling twice as often would cost
 /// engines more connections than requests do at night.
 const POLL_INTERVAL: Duration = Duration::from_millis(1_200);
-/// Shortest time between two polls of one host; each costs it a connection, a tenth of a
-/// millisecond. In domains with more engines than this allows, each engine is polled less often.
+/// Shortest time between two polls by one host, each of which costs it a connection and 0.1 ms. In
+/// domains with more engines than fit into [`POLL_INTERVAL`] at this spacing, each engine is polled
+/// less often.
 const POLL_SPACING_MIN: Duration = Duration::from_millis(5);
 
-/// Polls the engines of this failure domain for as long as the process runs, while this host is the
-/// one that is to poll.
+/// Polls the engines of this failure domain for as long as the process runs. Does nothing while
+/// another host of the domain is the one that polls.
 pub(crate) async fn poll_engine_reports(gateway: Arc<Gateway>) {
     loop {
         let started_at = gateway.clock.now();
@@ -44,7 +46,8 @@
     }
 }
 
-/// Whether this host is the one of its domain that polls: the strongest of those that are alive.
+/// Whether this host is the one that polls for its failure domain: the strongest of the domain's
+/// hosts that are alive.
 fn is_polling_host(gateway: &Gateway) -> bool {
     let now = gateway.clock.now();
     let hosts = gateway.platform_view.hosts();
@@ -57,7 +60,8 @@
     strongest_host(hosts.iter().filter(is_alive)).is_some_and(|polling| polling.host == *own)
 }
 
-/// The engines of this failure domain that have work, as far as this host knows.
+/// The engines of this failure domain that have work, as far as this host knows; empty before the
+/// first reads of the platform.
 fn busy_engines(gateway: &Gateway) -> Vec<ListedUpstream> {
     let (Some(routes), Some(by_service)) = (
         gateway.platform_view.routes(),
@@ -76,12 +80,15 @@
     busy.cloned().collect()
 }
 
+/// Requests a report from one engine and records it. A change of the engine's speed is logged and
+/// broadcast at once; an engine that does not respond keeps its last report until that expires.
 async fn poll_engine(gateway: Arc<Gateway>, engine: ListedUpstream) {
     let report = match gateway.engine_client.report(engine.addr).await {
         Ok(report) => report,
         Err(err) => {
-            // Whether the engine can be reached is found out by the sends of requests.
-            debug!("engine reports: no report of {}: {err}", engine.id);
+            // Not recorded as a fault: whether the engine can be reached is detected when requests
+            // are sent to it.
+            debug!("engine reports: no report from {}: {err}", engine.id);
             return;
         }
     };
--- a/src/gateway/exchange_handler.rs
+++ b/src/gateway/exchange_handler.rs
@@ -1,4 +1,5 @@
-//! What a gateway broadcasts to the other hosts, and how it applies their broadcasts.
+//! A gateway's [`ExchangeHandler`]: the updates that it broadcasts to the other hosts, and how it
+//! applies their updates.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -41,7 +42,7 @@
 use crate::units::whole_millis;
 use crate::units::whole_millis_u32;
 
-/// Largest number of poison reports in one message, the latest ones. 64 take 4 KB.
+/// Largest number of poison reports in one update; the latest are sent. 64 reports take 4 KB.
 const POISON_REPORTS_MAX: usize = 64;
 
 impl ExchangeHandler for Gateway {
@@ -66,11 +67,11 @@
         let poisons = poisons.split_off(surplus);
         let (routes_version, upstreams_version) = self.catalog_cache.versions();
         let health = self.health();
-        let unreachable = health
+        let unreachable_upstreams = health
             .unreachable_upstreams(now)
             .map(ToString::to_string)
             .collect();
-        let cut_off = health
+        let unreachable_domains = health
             .unreachable_domains(now)
             .map(ToString::to_string)
             .collect();
@@ -84,8 +85,8 @@
                 .reports(now)
                 .map(limit_entry)
                 .collect(),
-            unreachable_upstreams: unreachable,
-            unreachable_domains: cut_off,
+            unreachable_upstreams,
+            unreachable_domains,
             routes_version,
             upstreams_version,
             host: self.conf.host.to_string(),
@@ -97,10 +98,13 @@
         }
     }
 
+    /// Applies an update of another host: its load, and its reports on requests that crash upstreams,
+    /// slow engines, rate limits and unreachable upstreams. Wakes the tasks that read the platform if
+    /// the sender is not a known host or has newer lists.
     fn on_update(&self, update: HostUpdate) {
         let now = self.clock.now();
         let Ok(host) = update.host.parse::<HostId>() else {
-            warn!("exchange: a message without a valid host name");
+            warn!("exchange: an update without a valid host name");
             return;
         };
         if host == self.conf.host {
@@ -119,7 +123,7 @@
             MessageScope::Domain => LoadSource::Collector(host),
             MessageScope::Host | MessageScope::Relay => LoadSource::Host(host),
         };
-        let extent = if update.is_partial {
+        let kind = if update.is_partial {
             LoadUpdateKind::Delta
         } else {
             LoadUpdateKind::Snapshot
@@ -140,7 +144,7 @@
             }
         }
         let mut ledger = self.ledger();
-        ledger.record_loads(source, update.incarnation, extent, loads, now);
+        ledger.record_loads(source, update.incarnation, kind, loads, now);
     }
 
     fn hosts(&self) -> Arc<Vec<ListedHost>> {
@@ -169,8 +173,9 @@
 }
 
 impl Gateway {
-    /// Applies a peer's list of unreachable upstreams. Only peers of this failure domain count: a
-    /// host of another domain reaches upstreams by other network paths.
+    /// Applies a peer's reports of unreachable upstreams and failure domains. Only reports of hosts of
+    /// this failure domain count, since a host of another one reaches upstreams by other network
+    /// paths.
     fn apply_unreachable(&self, host: &HostId, update: &HostUpdate, now: Instant) {
         if update.unreachable_upstreams.is_empty() && update.unreachable_domains.is_empty() {
             return;
@@ -204,6 +209,7 @@
         self.health_changed.notify_one();
     }
 
+    /// The age of this host's lists in ms plus one; 0 if they were not all read yet.
     fn list_age_plus_one_ms(&self) -> u32 {
         let now = self.clock.since_boot();
         let age = self
@@ -213,8 +219,8 @@
         age.map_or(0, |age| whole_millis_u32(age).saturating_add(1))
     }
 
-    /// Records the reported age of a host's lists. If this host's own lists are stale, the tasks
-    /// that read the platform are woken to read from that host.
+    /// Records the age that a host reports of its lists. If these are fresh and this host's own lists
+    /// are stale, the tasks that read the platform are woken to read from that host.
     fn apply_list_age(&self, host: &HostId, update: &HostUpdate, now: Instant) {
         let Some(age_ms) = update.confirmed_age_plus_one_ms.checked_sub(1) else {
             return;
@@ -231,7 +237,8 @@
         }
     }
 
-    /// Wakes the tasks that read the platform if the host that reads for this one has a newer list.
+    /// Wakes the tasks that read the platform if the host that was selected to read for this one has
+    /// a newer manifest or another list of upstreams.
     fn apply_versions(&self, host: &HostId, update: &HostUpdate) {
         let (routes, upstreams) = self.catalog_cache.versions();
         let has_upstreams = update.upstreams_version != 0 && update.upstreams_version != upstreams;
@@ -263,8 +270,8 @@
     }
 }
 
-/// The upstream that a load belongs to; none if this host does not know it yet, in which case this
-/// host does not choose it either.
+/// The upstream that a load belongs to; none if the entry identifies it only by a hash that this host
+/// does not know. This host does not choose such an upstream, so it does not need the load.
 fn resolve_upstream(
     entry: &LoadEntry,
     by_hash: &IndexMap<UpstreamHash, UpstreamId>,
@@ -324,6 +331,7 @@
     }
 }
 
+/// The time in whole microseconds, saturating.
 fn whole_micros(time: Duration) -> u64 {
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
@@ -340,6 +348,7 @@
     }
 }
 
+/// Decodes a poison report; none if the content hash is malformed. Malformed attempts are left out.
 fn decode_poison(entry: &PoisonEntry) -> Option<PoisonReport> {
     let number = |bytes: &Vec<u8>| Some(u128::from_be_bytes(bytes.as_slice().try_into().ok()?));
     let attempts = entry.attempts.iter().filter_map(number).map(AttemptId);
--- a/src/gateway/freshness.rs
+++ b/src/gateway/freshness.rs
@@ -8,32 +8,33 @@
 
 use std::time::Duration;
 
-/// The fraction of the lease that is used, to allow for timers that fire late and clocks that
-/// drift.
+/// The fraction of the lease for which requests with keys are accepted. The rest allows for timers
+/// that fire late and clocks that drift.
 const LEASE_FRACTION: f64 = 0.9;
-/// Largest age of the manifest with which a caller may be told that a route or key does not exist,
-/// since a newer manifest may contain it. Three consecutive reads may fail before this age is
-/// reached.
+/// Age of the manifest from which on callers are not told that a route or key does not exist, since a
+/// newer manifest may contain it. Three consecutive reads may fail before this age is reached.
 const REJECT_AGE_MAX: Duration = Duration::from_millis(2_500);
 
-/// When the manifest in force was last confirmed to be the newest one.
+/// When the manifest in force was last confirmed to be the newest one. All times are since boot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Freshness {
     confirmed_at: Option<Duration>,
 }
 
 impl Freshness {
-    /// Records that a read requested at `requested_at`, time since boot, succeeded.
+    /// Records that a read that was requested at `requested_at` confirmed the manifest. An earlier
+    /// time than the recorded one has no effect.
     pub fn confirm(&mut self, requested_at: Duration) {
         self.confirmed_at = self.confirmed_at.max(Some(requested_at));
     }
 
-    /// The age of the last confirmation; none before the first read.
+    /// The time since the last confirmation; none before the first one.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         Some(now.saturating_sub(self.confirmed_at?))
     }
 
-    /// Whether requests with keys may be sent.
+    /// Whether a lease of this duration has not expired at `now`, so that requests with keys may be
+    /// sent. Without a limited lease they may be sent from the first confirmation on.
     pub fn holds_lease(&self, lease: Option<Duration>, now: Duration) -> bool {
         match (lease, self.age(now)) {
             (_, None) => false,
@@ -42,7 +43,8 @@
         }
     }
 
-    /// Whether the absence of a route or key is certain.
+    /// Whether the manifest is recent enough at `now` to tell a caller that a route or key does not
+    /// exist.
     pub fn may_reject(&self, now: Duration) -> bool {
         self.age(now).is_some_and(|age| age < REJECT_AGE_MAX)
     }
--- a/src/gateway/leaving_upstreams.rs
+++ b/src/gateway/leaving_upstreams.rs
@@ -8,12 +8,12 @@
 use crate::gateway::ListedUpstream;
 use crate::units::UpstreamId;
 
-/// How long an announcement is kept. Longer than a store that was restored from an older copy lists
-/// these upstreams as not leaving.
+/// How long an announcement is remembered. A store that was restored from an older copy lists these
+/// upstreams as not leaving for a shorter time.
 const RETENTION: Duration = Duration::from_secs(60);
 
-/// Incarnations of upstreams that have announced that they are leaving, and when they were last
-/// listed so.
+/// Incarnations of upstreams that have announced that they are leaving, with the time at which each
+/// was last listed as leaving.
 ///
 /// Without this record, hosts would send to an upstream again if the store is restored from a copy
 /// that was made before its announcement.
@@ -21,7 +21,8 @@
 pub(crate) struct LeavingUpstreams(IndexMap<UpstreamId, Instant>);
 
 impl LeavingUpstreams {
-    /// Returns the list with all upstreams marked that have announced that they are leaving.
+    /// Records the upstreams that are listed as leaving, and returns the list with all upstreams
+    /// marked that have announced it within [`RETENTION`].
     pub(crate) fn mark(
         &mut self,
         mut listed: Vec<ListedUpstream>,
--- a/src/gateway/limit_wait.rs
+++ b/src/gateway/limit_wait.rs
@@ -13,6 +13,7 @@
 }
 
 impl LimitWait {
+    /// Counts one more waiting call for the service.
     pub(crate) fn new(gateway: &Arc<Gateway>, service: &ServiceId) -> Self {
         gateway.rate_limits.begin_wait(service);
         Self {
--- a/src/gateway/listeners.rs
+++ b/src/gateway/listeners.rs
@@ -1,4 +1,4 @@
-//! The sockets of a host.
+//! The sockets on which a host listens.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use crate::gateway::GatewayConf;
 use crate::gateway::GatewayError;
 
-/// All sockets that a host listens on.
+/// All sockets on which a host listens.
 #[derive(Debug)]
 pub struct Listeners {
     /// Requests of callers.
@@ -17,31 +17,32 @@
     pub ready: TcpListener,
     /// Scrapes of metrics.
     pub metrics: TcpListener,
-    /// Broadcasts of other hosts.
+    /// Updates that other hosts broadcast.
     pub exchange: UdpSocket,
-    /// Requests of other hosts for the lists that this one has read; on the same port as
-    /// `exchange`.
+    /// Requests of other hosts for the lists of the platform that this one has read. The TCP port
+    /// has the same number as the UDP port of `exchange`.
     pub catalog_sharing: TcpListener,
 }
 
 impl Listeners {
-    /// Binds all sockets.
+    /// Binds all sockets to the configured addresses.
     pub async fn bind(conf: &GatewayConf) -> Result<Self, GatewayError> {
         let catalog_sharing = listen("requests of other hosts", conf.exchange_addr).await?;
         let exchange_addr = catalog_sharing.local_addr();
-        let exchange_addr = exchange_addr.map_err(|err| GatewayError::Bind("news", err))?;
+        let exchange_addr = exchange_addr.map_err(|err| GatewayError::Bind("exchange", err))?;
         let exchange = UdpSocket::bind(exchange_addr).await;
         Ok(Self {
             catalog_sharing,
             ready: listen("readiness", conf.ready_addr).await?,
             metrics: listen("metrics", conf.metrics_addr).await?,
             callers: listen("callers", conf.callers_addr).await?,
-            exchange: exchange.map_err(|err| GatewayError::Bind("news", err))?,
+            exchange: exchange.map_err(|err| GatewayError::Bind("exchange", err))?,
         })
     }
 }
 
-async fn listen(what: &'static str, addr: SocketAddr) -> Result<TcpListener, GatewayError> {
+/// Listens on a TCP address. `purpose` names the address in the error.
+async fn listen(purpose: &'static str, addr: SocketAddr) -> Result<TcpListener, GatewayError> {
     let listener = TcpListener::bind(addr).await;
-    listener.map_err(|err| GatewayError::Bind(what, err))
+    listener.map_err(|err| GatewayError::Bind(purpose, err))
 }
--- a/src/gateway/platform_view.rs
+++ b/src/gateway/platform_view.rs
@@ -1,5 +1,5 @@
-//! The state of the platform as a gateway last read it, written by the tasks that read the platform
-//! and read by every request. Each part has its own lock.
+//! The state of the platform as a gateway last read it. The tasks that read the platform write it, and
+//! every request reads it. Each part has its own lock.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -21,7 +21,7 @@
 use crate::units::ServiceId;
 use crate::units::UpstreamId;
 
-/// The upstreams that may be sent to, by service, each list sorted by id.
+/// The upstreams that may get requests, by service. Each list is sorted by id.
 pub type UpstreamsByService = IndexMap<ServiceId, Vec<ListedUpstream>>;
 
 /// The state of the platform as a gateway last read it.
@@ -30,7 +30,7 @@
     routes: RwLock<Option<Arc<RouteTable>>>,
     freshness: Mutex<Freshness>,
     upstreams: RwLock<Option<Arc<UpstreamsByService>>>,
-    /// The upstreams by the hashes that hosts use for them in their messages.
+    /// The upstreams by the hashes that hosts use for them in their updates.
     upstreams_by_hash: RwLock<Arc<IndexMap<UpstreamHash, UpstreamId>>>,
     hosts: RwLock<Arc<Vec<ListedHost>>>,
     host_names: RwLock<IndexSet<HostId>>,
@@ -45,7 +45,8 @@
             .clone()
     }
 
-    /// Puts a manifest in force unless it is already, or a newer one is.
+    /// Puts a manifest in force unless a manifest of the same or a later generation is in force.
+    /// Returns which of these was the case.
     pub fn set_routes(&self, routes: RouteTable) -> RoutesUpdate {
         let mut current = self.routes.write().unwrap_or_else(PoisonError::into_inner);
         let in_force = current.as_ref().map(|current| current.generation);
@@ -59,17 +60,18 @@
         }
     }
 
-    /// How fresh the manifest is.
+    /// When the manifest in force was last confirmed.
     pub fn freshness(&self) -> Freshness {
         *self.lock_freshness()
     }
 
-    /// Records that a read of the manifest, requested at this time since boot, succeeded.
+    /// Records that a read, requested at this time since boot, confirmed the manifest in force.
     pub fn confirm_fresh(&self, requested_at: Duration) {
         self.lock_freshness().confirm(requested_at);
     }
 
-    /// The upstreams; none before the first read.
+    /// The upstreams that may get requests, without those that are leaving; none before the first
+    /// read.
     pub fn upstreams(&self) -> Option<Arc<UpstreamsByService>> {
         self.upstreams
             .read()
@@ -77,8 +79,7 @@
             .clone()
     }
 
-    /// Replaces the upstreams, omitting those that are leaving. Returns the number of the remaining
-    /// ones.
+    /// Replaces the upstreams by those of a list that are not leaving. Returns the number of these.
     pub fn set_upstreams(&self, listed: Vec<ListedUpstream>) -> usize {
         let mut by_service = UpstreamsByService::new();
         let staying = listed.into_iter().filter(|upstream| !upstream.is_leaving);
@@ -106,30 +107,31 @@
         count
     }
 
-    /// The upstreams that may be sent to, by their hashes.
+    /// The upstreams that may get requests, by the hashes that hosts use for them in their updates.
     pub fn upstreams_by_hash(&self) -> Arc<IndexMap<UpstreamHash, UpstreamId>> {
         let by_hash = self.upstreams_by_hash.read();
         Arc::clone(&by_hash.unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Whether an upstream is listed.
+    /// Whether an upstream may get requests: it is listed and not leaving.
     pub fn is_usable(&self, id: &UpstreamId) -> bool {
         let upstreams = self.upstreams();
         upstreams.is_some_and(|by_service| by_service.values().flatten().any(|u| u.id == *id))
     }
 
-    /// The hosts on the platform's list, this one included.
+    /// The hosts with which this one exchanges updates: those on the platform's list, this one, and
+    /// those that left the list recently; empty before the first read.
     pub fn hosts(&self) -> Arc<Vec<ListedHost>> {
         Arc::clone(&self.hosts.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Whether a host is on the list.
+    /// Whether a host is one of [`PlatformView::hosts`].
     pub fn is_known_host(&self, host: &HostId) -> bool {
         let names = self.host_names.read();
         names.unwrap_or_else(PoisonError::into_inner).contains(host)
     }
 
-    /// Replaces the list of hosts.
+    /// Replaces the hosts with which this one exchanges updates.
     pub fn set_hosts(&self, hosts: Vec<ListedHost>) {
         let names = hosts.iter().map(|listed| listed.host.clone()).collect();
         *self
--- a/src/gateway/probe.rs
+++ b/src/gateway/probe.rs
@@ -1,5 +1,5 @@
-//! Probes upstreams that could not be reached by connecting to them, so that no caller's request
-//! has to.
+//! Probes upstreams that could not be reached. A probe opens a connection, so that no request of a
+//! caller has to find out whether the upstream can be reached again.
 
 use std::sync::Arc;
 
@@ -13,8 +13,8 @@
 use crate::gateway::send::CONNECT_TIMEOUT;
 use crate::units::UpstreamId;
 
-/// Probes upstreams when they are due for as long as the process runs; sleeps while all can be
-/// reached.
+/// Probes unreachable upstreams, each when its probe is due, for as long as the process runs. Sleeps
+/// while all upstreams can be reached.
 pub(crate) async fn probe_unreachable(gateway: Arc<Gateway>) {
     loop {
         let due = gateway.health().take_due_probes(gateway.clock.now());
@@ -22,19 +22,20 @@
             tokio::spawn(probe_upstream(Arc::clone(&gateway), upstream));
         }
         let next = gateway.health().next_probe_at();
-        let is_due = async {
+        let wait_until_due = async {
             match next {
                 Some(at) => sleep_until(at.into()).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
-            () = is_due => {}
+            () = wait_until_due => {}
             () = gateway.health_changed.notified() => {}
         }
     }
 }
 
+/// Connects to an upstream and records whether that succeeded.
 async fn probe_upstream(gateway: Arc<Gateway>, upstream: ListedUpstream) {
     let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(upstream.addr)).await;
     let now = gateway.clock.now();
@@ -52,6 +53,7 @@
     gateway.health_changed.notify_one();
 }
 
+/// The upstream with this id; none if it is no longer listed or is leaving.
 fn find_listed(gateway: &Gateway, id: &UpstreamId) -> Option<ListedUpstream> {
     let by_service = gateway.platform_view.upstreams()?;
     let mut all = by_service.values().flatten();
--- a/src/gateway/rate_limit_record.rs
+++ b/src/gateway/rate_limit_record.rs
@@ -11,7 +11,8 @@
 pub struct RateLimitRecord {
     /// The requests a second that the upstream accepts from all hosts together.
     pub per_s: f64,
-    /// Requests that all hosts have sent to the upstream in the four seconds before.
+    /// Requests that all hosts had sent to the upstream in the four seconds before, as far as this
+    /// host knew.
     pub sent_in_window: u32,
     /// Number of hosts on the list.
     pub hosts_listed: usize,
--- a/src/gateway/slowdowns.rs
+++ b/src/gateway/slowdowns.rs
@@ -13,14 +13,17 @@
 
 /// How long a report of an engine's slowdown counts: more than two poll intervals.
 const REPORT_VALIDITY: Duration = Duration::from_millis(3_000);
-/// Largest slowdown at which an engine counts as normal: its forecasts are off by more anyway.
+/// Largest slowdown factor at which an engine counts as normal, since forecasts of its speed are off
+/// by more than this anyway.
 const NORMAL_FACTOR_MAX: f64 = 1.15;
-/// A change by less than this factor is not broadcast early.
+/// Smallest factor between two slowdowns of an engine at which the change is broadcast at once.
 const CHANGE_FACTOR_MIN: f64 = 1.25;
 
+/// The latest slowdown that was reported for one engine.
 #[derive(Clone, Copy, Debug)]
 struct KnownSlowdown {
     slowdown: Slowdown,
+    /// When this host received the report.
     at: Instant,
     /// Whether this host polled the engine itself.
     is_own: bool,
@@ -45,7 +48,8 @@
 pub(crate) struct Slowdowns(Mutex<IndexMap<UpstreamId, KnownSlowdown>>);
 
 impl Slowdowns {
-    /// Records an engine's report to this host. Returns whether it is to be broadcast early.
+    /// Records an engine's report to this host. Returns whether the change since the last report is
+    /// to be broadcast at once. An engine of normal speed is removed.
     pub(crate) fn on_report(&self, engine: &UpstreamId, slowdown: Slowdown, now: Instant) -> bool {
         let mut known = self.lock();
         let before = known.get(engine).map(|known| known.slowdown);
@@ -59,7 +63,8 @@
         })
     }
 
-    /// Records what another host reported of an engine.
+    /// Records the slowdown of an engine that another host has reported. A valid report to this host
+    /// itself takes precedence.
     pub(crate) fn on_peer_report(&self, engine: &UpstreamId, slowdown: Slowdown, now: Instant) {
         let mut known = self.lock();
         if known
@@ -71,8 +76,8 @@
         known.insert(engine.clone(), KnownSlowdown::new(slowdown, false, now));
     }
 
-    /// The engines that are slow, usually none. Copied once for a choice among thousands of
-    /// engines.
+    /// The slowdowns of all engines whose reports are valid at `now`, usually none. The copy is made
+    /// once for a choice, which may be among thousands of engines, to lock once.
     pub(crate) fn current(&self, now: Instant) -> IndexMap<UpstreamId, Slowdown> {
         let known = self.lock();
         let valid = known.iter().filter(|(_, known)| known.is_valid(now));
@@ -81,7 +86,8 @@
             .collect()
     }
 
-    /// The slow engines that this host has polled itself, for its broadcasts.
+    /// The slowdowns that this host found by its own polls, for its broadcasts. Drops all reports that
+    /// are not valid any more.
     pub(crate) fn own(&self, now: Instant) -> Vec<(UpstreamId, Slowdown)> {
         let mut known = self.lock();
         known.retain(|_, known| known.is_valid(now));
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -37,19 +37,19 @@
 /// change. A change has to be in force, and an upstream that is leaving must get no more requests,
 /// within 2 s: this interval leaves time for one failed read.
 const READ_INTERVAL: Duration = WATCH_WAIT;
-/// Interval between two reads of the hosts, which change rarely. Messages for a host that is
-/// missing from the list are lost until the next read, or until a message of that host arrives.
+/// Interval between two reads of the hosts, which change rarely. A host that is missing from the list
+/// gets no updates until the next read, which an update of that host triggers early.
 const HOSTS_INTERVAL: Duration = Duration::from_millis(2_000);
-/// Shortest interval between two reads of the hosts that are triggered by messages of hosts that are not
-/// on the list.
+/// Shortest interval between two reads of the hosts that are triggered by updates of unknown hosts.
 const UNLISTED_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Reads the manifest for as long as the process runs.
+/// Reads the manifest, puts each newer one in force, and renews the lease on it, for as long as the
+/// process runs.
 pub(crate) async fn sync_routes(gateway: Arc<Gateway>, catalog: Arc<dyn Catalog>) {
     let mut reader = CatalogReader::new(Arc::clone(&gateway), Arc::clone(&catalog));
     let mut dependency = Dependency::new(&gateway, "manifest");
-    // A manifest that can't be decoded, or that is older than the one in force, is not put in
-    // force, so reading it again renews no lease.
+    // Whether the manifest that was read last is in force. One that can't be decoded or is older than
+    // the one in force is not put in force, and reading it again renews no lease.
     let mut is_in_force = true;
     let mut source = ReadSource::Any;
     loop {
@@ -73,11 +73,11 @@
         }
         let due_at = next_read_at(requested_at, has_more);
         let wakeup = &gateway.routes_changed;
-        source = dependency.next_read(due_at, wakeup).await;
+        source = dependency.wait_for_next_read(due_at, wakeup).await;
     }
 }
 
-/// When the next read is due after one that succeeded.
+/// When the next read is due after one that succeeded: at once if newer content may follow.
 fn next_read_at(requested_at: Instant, has_more: bool) -> Instant {
     if has_more {
         requested_at
@@ -86,7 +86,8 @@
     }
 }
 
-/// Puts a manifest in force unless a newer one is. Returns whether it is in force now.
+/// Puts a manifest in force unless a newer one is, and logs the result. Returns whether the manifest
+/// is in force now.
 fn apply_manifest(gateway: &Gateway, routes: RouteTable) -> bool {
     let generation = routes.generation;
     let event = DecisionEvent::ManifestInForce {
@@ -111,8 +112,8 @@
     }
 }
 
-/// Logs that the store was restored from an older copy if the cached manifest is of another era
-/// than the one before.
+/// If the cached manifest is of another era than the version `before`, the store was restored from an
+/// older copy: logs this, and wakes the tasks that read the upstreams and the hosts.
 fn log_store_return(gateway: &Gateway, before: ObjectVersion) {
     let current = gateway.catalog_cache.routes_version();
     if before == ObjectVersion::default() || before.era() == current.era() {
@@ -129,7 +130,7 @@
     gateway.hosts_changed.notify_one();
 }
 
-/// Reads the upstreams for as long as the process runs.
+/// Reads the upstreams and applies their changes for as long as the process runs.
 pub(crate) async fn sync_upstreams(gateway: Arc<Gateway>, catalog: Arc<dyn Catalog>) {
     let mut reader = CatalogReader::new(Arc::clone(&gateway), catalog);
     let mut known: IndexSet<UpstreamId> = IndexSet::new();
@@ -149,11 +150,12 @@
         }
         let due_at = next_read_at(requested_at, has_more);
         let wakeup = &gateway.upstreams_changed;
-        source = dependency.next_read(due_at, wakeup).await;
+        source = dependency.wait_for_next_read(due_at, wakeup).await;
     }
 }
 
-/// Applies a list of upstreams. `before` and the result are the upstreams that are not leaving.
+/// Applies a list of upstreams: replaces the usable ones, drops the state of all others, and logs
+/// which ones joined and left. `before` and the result are the upstreams that are not leaving.
 fn apply_upstreams(
     gateway: &Gateway,
     listed: Vec<ListedUpstream>,
@@ -200,7 +202,8 @@
     }
 }
 
-/// Registers this host and reads the others for as long as the process runs.
+/// Registers this host on the platform's list and reads the other hosts for as long as the process
+/// runs.
 pub(crate) async fn sync_hosts(
     gateway: Arc<Gateway>,
     catalog: Arc<dyn Catalog>,
@@ -244,10 +247,10 @@
         }
         gateway.ledger().expire_peers(gateway.clock.now());
         let interval = hosts_interval(&gateway, is_registered, &dependency);
-        let soonest = interval.min(UNLISTED_INTERVAL);
-        sleep(soonest).await;
+        let interval_min = interval.min(UNLISTED_INTERVAL);
+        sleep(interval_min).await;
         tokio::select! {
-            () = sleep(interval - soonest) => {}
+            () = sleep(interval - interval_min) => {}
             () = gateway.hosts_changed.notified(), if is_registered => {}
         }
     }
@@ -257,11 +260,11 @@
 fn hosts_interval(gateway: &Gateway, is_registered: bool, dependency: &Dependency) -> Duration {
     let now = gateway.clock.now();
     if !is_registered {
-        // Until this host is on the list, no host sends messages here.
+        // Until this host is on the list, other hosts send it no updates.
         dependency.interval(RETRY_INTERVAL)
     } else if gateway.ledger().live_peer_count(now) == 0 {
         // If all hosts start together, the first read returns few of them, and a host that knows no
-        // other reads everything from the platform itself.
+        // others reads everything from the platform itself.
         dependency
             .interval(UNLISTED_INTERVAL)
             .max(UNLISTED_INTERVAL)
--- a/src/gateway/upstream_incarnations.rs
+++ b/src/gateway/upstream_incarnations.rs
@@ -1,4 +1,4 @@
-//! Incarnations of upstreams that have ended because the same upstream has started again.
+//! The incarnations of upstreams. An incarnation ends when the same upstream starts again.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -11,11 +11,11 @@
 use crate::units::UpstreamId;
 use crate::units::UpstreamName;
 
-/// Number of names and ended incarnations that are kept, the latest. Far more than the upstreams of
-/// the largest deployment that restart within the longest call.
+/// Largest number of names and of ended incarnations that are kept; the oldest are dropped. In the
+/// largest deployment far fewer upstreams restart within the longest call.
 const ENTRIES_MAX: usize = 2_048;
 
-/// The latest incarnation of each upstream, and those that have ended.
+/// The latest incarnation of each upstream, and the calls that were lost with those that have ended.
 ///
 /// When a partitioned upstream restarts, the connections of its former incarnation stay silent, and
 /// calls that were sent there would wait for their timeouts although no response will come. A call
@@ -25,7 +25,8 @@
 #[derive(Debug)]
 pub(crate) struct UpstreamIncarnations {
     latest: Mutex<IndexMap<UpstreamName, UpstreamId>>,
-    /// Calls that were sent to an incarnation before its instant are lost.
+    /// The ended incarnations that were unreachable, each with the time at which this was last found.
+    /// Calls that were sent to an incarnation before that time are lost.
     losses: watch::Sender<IndexMap<UpstreamId, Instant>>,
 }
 
@@ -67,7 +68,8 @@
         ended
     }
 
-    /// Waits until a call that was sent to an incarnation at `sent_at` is lost with it.
+    /// Waits until a call that was sent to an incarnation at `sent_at` is lost: the incarnation has
+    /// ended, and was found to be unreachable after the call was sent. Otherwise never returns.
     pub(crate) async fn wait_until_lost(&self, upstream: &UpstreamId, sent_at: Instant) {
         let mut losses = self.losses.subscribe();
         let is_lost = |losses: &IndexMap<UpstreamId, Instant>| {
