--- a/src/gateway/advertised_limit.rs
+++ b/src/gateway/advertised_limit.rs
@@ -6,11 +6,11 @@
 /// together.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum AdvertisedLimit {
-    /// The answer advertises no valid limit: it is not the upstream's own, or the request did not
-    /// run.
+    /// The answer tells nothing of the limit: it does not come from the upstream itself, or it has
+    /// no limit and the request did not run.
     #[default]
     Absent,
-    /// The upstream accepts any number of requests.
+    /// The upstream accepts any number of requests: it ran the request and advertised no limit.
     Unlimited,
     /// The upstream accepts this many requests a second.
     Limited(RequestsPerSecond),
--- a/src/gateway/call_dispatcher.rs
+++ b/src/gateway/call_dispatcher.rs
@@ -1,4 +1,4 @@
-//! Sends one call to upstreams until one answers or no further send is allowed.
+//! Dispatch of one call: sends it to upstreams until one answers or no further send is allowed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,12 +27,13 @@
 use crate::units::UpstreamId;
 use crate::units::whole_millis;
 
-/// Largest number of sends of one call that were not run, in addition to those that may have run.
-/// Each costs a round trip.
+/// Largest number of sends of one call that were certainly not run; at the next one the call is
+/// refused. Each costs a round trip. Sends that may have run are limited separately.
 const NOT_RUN_SENDS_MAX: u32 = 5;
-/// Delay after an engine refused a reservation; several intervals of the broadcasts between hosts.
+/// Delay after an engine refused a reservation. It spans several broadcasts of the other hosts, so
+/// the next choice is made with newer loads.
 const RESERVE_RETRY_DELAY: Duration = Duration::from_millis(40);
-/// A prompt that has waited for this long is logged with the engines that it waits for.
+/// Waiting time after which a prompt is logged with the engines that it waits for.
 const LONG_WAIT: Duration = Duration::from_secs(1);
 /// Time after which a caller may retry a request that crashes upstreams: until then some hosts may
 /// still remember its other sends.
@@ -46,22 +47,25 @@
     Refused(CallRefusal),
 }
 
-/// Dispatches a call and keeps track of its sends.
+/// Dispatches one call and keeps track of its sends: which upstreams were tried, and how many sends
+/// have run.
 pub(crate) struct CallDispatcher {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) call: Arc<Call>,
+    /// The upstreams that the call was sent to, in order.
     tried: Vec<UpstreamId>,
-    /// Number of sends that reached an upstream; reset when the next retry is already paid for.
+    /// Number of sends that reached an upstream. If it is not 0, the next send is a retry that the
+    /// retry budget must allow; it is reset when the budget has allowed that retry already.
     arrivals: u32,
     /// Number of sends that were certainly not run.
     not_run: u32,
     /// Number of sends that may have run.
     runs: u32,
-    /// Number of choices of upstreams.
+    /// Number of times that the upstreams were compared to choose one.
     choices: u32,
     /// Whether the waiting of the call was logged.
     is_wait_logged: bool,
-    /// Counts the call among those that wait for the rate limit of an upstream.
+    /// Counts the call among those that wait for the rate limits of the upstreams, while it does.
     limit_wait: Option<LimitWait>,
 }
 
@@ -80,7 +84,8 @@
         }
     }
 
-    /// Whether the call may be run once more.
+    /// Whether the call may be run once more: it has not run yet, or it is repeatable and has not
+    /// run as often as its route allows.
     pub(crate) fn may_run_again(&self) -> bool {
         self.runs == 0 || (self.call.route.kind.is_repeatable() && self.runs < self.runs_max())
     }
@@ -89,7 +94,8 @@
         self.call.route.runs_max.max(1)
     }
 
-    /// Sends the call until an upstream answers. A resumed stream continues after `last_event`.
+    /// Sends the call until an upstream answers, or refuses it when no further send is allowed.
+    /// Waits while no upstream has capacity. A resumed stream continues after `last_event`.
     pub(crate) async fn dispatch(&mut self, last_event: Option<&str>) -> DispatchOutcome {
         loop {
             let now = self.gateway.clock.now();
@@ -147,7 +153,8 @@
         tokio::time::sleep(wait.min(self.call.time_left(now))).await;
     }
 
-    /// Sends the call once. Returns the final outcome, or none if the call is to be sent again.
+    /// Sends the call once and records the result for the upstream. Returns the final outcome, or
+    /// none if the call is to be sent again.
     async fn send_once(
         &mut self,
         placement: SendPlan,
@@ -181,7 +188,8 @@
                     && self.has_time_for_retry()
                     && self.gateway.try_retry(&self.call.service);
                 if is_retried {
-                    // The retry is paid for here, so the next send must not pay for it again.
+                    // The retry budget was charged here and must not be charged again by the next
+                    // send.
                     self.arrivals = 0;
                     return None;
                 }
@@ -227,8 +235,12 @@
         }
     }
 
-    /// Reserves the memory that a placement needs. Without the reservation nothing is sent, and the
-    /// engines that refused are not asked for as much again immediately.
+    /// Reserves the engine memory that a placement needs. Returns the guard of the reservation, or
+    /// `Some(None)` if the placement needs none.
+    ///
+    /// Returns none if an engine refused: then nothing may be sent. The refusals are recorded, so
+    /// that these engines are not asked for as much again immediately, and the function returns
+    /// only after [`RESERVE_RETRY_DELAY`].
     async fn reserve(&self, placement: &SendPlan) -> Option<Option<ReservationGuard>> {
         if placement.reservations.is_empty() {
             return Some(None);
@@ -245,6 +257,7 @@
         }
     }
 
+    /// Records that engines had too little free memory for these reservations.
     fn on_reservation_refused(&self, refused: &[EngineReservation]) {
         let now = self.gateway.clock.now();
         let mut ledger = self.gateway.ledger();
@@ -253,13 +266,17 @@
         }
     }
 
+    /// Whether the call is refused because it has crashed upstreams, according to the known
+    /// reports.
     fn is_poison(&self, now: Instant) -> bool {
         let poison = self.gateway.poison();
-        // Hashing a body takes a tenth of a millisecond, so it is done only if there are any poison reports.
+        // Hashing a body takes 0.1 ms, so it is done only if there are any poison reports.
         !poison.is_empty() && poison.is_poison(&[self.call.fingerprint()], now)
     }
 
-    /// Records that the connection to an upstream broke while the call may have been running.
+    /// Records that the connection to an upstream was lost while the call may have been running. If
+    /// the connection broke, the call may have crashed the upstream, and the report of this is
+    /// broadcast.
     pub(crate) fn on_connection_lost(
         &self,
         upstream: &ListedUpstream,
@@ -278,7 +295,7 @@
         }
     }
 
-    /// Records that the call was served, so it does not crash upstreams.
+    /// Removes the reports of crashes by the call, which has been served.
     pub(crate) fn on_served(&self) {
         let mut poison = self.gateway.poison();
         if !poison.is_empty() {
@@ -286,6 +303,8 @@
         }
     }
 
+    /// Records a fault of an upstream. If the upstream is unreachable, the fault is broadcast at
+    /// once.
     fn on_fault(&self, upstream: &ListedUpstream, fault: UpstreamFault, why: &str) {
         let now = self.gateway.clock.now();
         self.gateway
@@ -304,7 +323,8 @@
         });
     }
 
-    /// Records a fault of the helper because of which another engine turned a prompt away.
+    /// Records a fault of the helper at this address, because of which another engine refused a
+    /// prompt.
     fn on_helper_fault(&self, addr: std::net::SocketAddr) {
         let Some(by_service) = self.gateway.platform_view.upstreams() else {
             return;
@@ -320,7 +340,8 @@
         }
     }
 
-    /// The refusal for the caller. It says that the call has not run only if that is certain.
+    /// Returns the refusal for the caller, which says that the call has not run only if that is
+    /// certain. Logs a refusal because of overload.
     fn refuse(&self, refusal: CallRefusal) -> CallRefusal {
         if let CallRefusal::Overload {
             reason,
@@ -335,6 +356,7 @@
         refusal
     }
 
+    /// The sends so far, as the choice of an upstream needs them.
     fn sends(&self) -> SendHistory<'_> {
         SendHistory {
             tried: &self.tried,
@@ -343,7 +365,8 @@
         }
     }
 
-    /// Logs once what a prompt that has waited for [`LONG_WAIT`] waits for.
+    /// Logs, once for each call, the engines that a prompt waits for after it has waited for
+    /// [`LONG_WAIT`].
     fn log_long_wait(&mut self, now: Instant) {
         let waited = now.saturating_duration_since(self.call.arrived_at);
         if self.is_wait_logged || waited < LONG_WAIT {
@@ -397,6 +420,7 @@
         }
     }
 
+    /// Whether more time is left than half of the route's objective.
     fn has_time_for_retry(&self) -> bool {
         let left = self.call.time_left(self.gateway.clock.now());
         left > self.call.route.objective / 2
--- a/src/gateway/catalog.rs
+++ b/src/gateway/catalog.rs
@@ -1,5 +1,5 @@
-//! The interface through which a gateway reads the lists of the platform: the manifest, the upstreams
-//! and the hosts.
+//! The interface through which a gateway reads the lists of the platform: the manifest, the
+//! upstreams and the hosts.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -16,8 +16,8 @@
 use crate::units::UpstreamId;
 use crate::units::UpstreamName;
 
-/// An upstream on the platform's list: its identity, its address, and how many requests it processes
-/// concurrently.
+/// An upstream on the platform's list: its identity, its address, and how many requests it
+/// processes concurrently.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedUpstream {
     /// The id of the upstream's incarnation, new with each start.
@@ -121,9 +121,9 @@
 
 /// The platform's lists. Every response shows what was true at some moment after the call began.
 pub trait Catalog: Send + Sync {
-    /// Reads the manifest as text, unless its version is still `known`, the one that the caller has.
-    /// With a watch, the platform responds when the manifest changes or the wait ends. A manifest
-    /// that is returned to a watch may already have been replaced by a newer one.
+    /// Reads the manifest as text, unless its version is still `known`, the one that the caller
+    /// has. With a watch, the platform responds when the manifest changes or the wait ends. A
+    /// manifest that is returned to a watch may already have been replaced by a newer one.
     fn routes(
         &self,
         known: Option<ObjectVersion>,
@@ -133,8 +133,8 @@
     /// Decodes the text of a manifest.
     fn decode_routes(&self, text: &str) -> Result<RouteTable, CatalogError>;
 
-    /// Reads all upstreams, or with a watch their changes, for which the platform waits. A delta that
-    /// is not empty may lack the latest changes.
+    /// Reads all upstreams, or with a watch their changes, for which the platform waits. A delta
+    /// that is not empty may lack the latest changes.
     fn upstreams(
         &self,
         watch: Option<Watch>,
--- a/src/gateway/catalog_sharing/catalog_cache.rs
+++ b/src/gateway/catalog_sharing/catalog_cache.rs
@@ -22,7 +22,7 @@
 use crate::units::ObjectVersion;
 use crate::units::whole_millis;
 
-/// A list with the time since boot at which it was last confirmed to be the newest.
+/// A list with its version and the time since boot at which it was last confirmed to be current.
 #[derive(Clone, Debug)]
 struct Confirmed<T> {
     version: u64,
@@ -37,23 +37,26 @@
     }
 }
 
+/// The lists that were read last, with their versions and confirmations.
 #[derive(Debug, Default)]
 struct Lists {
     routes: Option<Confirmed<String>>,
     upstreams: UpstreamList,
-    /// The version that the reading host gave this list; 0 if the next response must be the full
-    /// list. A host of the previous version computes another number.
+    /// The version that the host from which the list was read gave it; 0 if the next response must
+    /// be the full list. It differs from the version of `upstreams` if that host runs the previous
+    /// version of the program, which computes it in another way.
     upstreams_version: u64,
     upstreams_confirmed_at: Option<Duration>,
     hosts: Option<Confirmed<Vec<ListedHost>>>,
 }
 
-/// The lists that were read last.
+/// The cached lists, which this host uses itself and sends to its peers.
 #[derive(Debug, Default)]
 pub(crate) struct CatalogCache(Mutex<Lists>);
 
 impl CatalogCache {
-    /// Stores a newer manifest. A confirmation of the manifest before it applies to this one too.
+    /// Stores a newer manifest, confirmed at this time since boot. If the manifest before it was
+    /// confirmed later, that time is kept, since it holds for the newer one too.
     pub(crate) fn set_routes(&self, version: u64, text: String, confirmed_at: Duration) {
         let mut lists = self.lock();
         let before = lists.routes.as_ref().map(|routes| routes.confirmed_at);
@@ -71,7 +74,8 @@
         }
     }
 
-    /// Replaces all upstreams. Returns whether the list has changed.
+    /// Replaces all upstreams by those that were current at this time since boot. Returns whether
+    /// the list has changed.
     pub(crate) fn replace_upstreams(
         &self,
         listed: &[ListedUpstream],
@@ -84,7 +88,8 @@
         has_changed
     }
 
-    /// Applies changes of the upstreams. Returns whether the list has changed.
+    /// Applies changes of the upstreams, without confirming that the list is current. Returns
+    /// whether the list has changed.
     pub(crate) fn apply_changes(&self, changes: Vec<UpstreamChange>) -> bool {
         let mut lists = self.lock();
         let has_changed = lists.upstreams.apply(changes);
@@ -92,8 +97,9 @@
         has_changed
     }
 
-    /// Applies the response of another host to a request for upstreams. Returns whether the list
-    /// has changed.
+    /// Applies the response of another host to a request for upstreams. If the result of a delta
+    /// does not have the announced version, the next request is for the full list. Returns whether
+    /// the list has changed.
     pub(crate) fn apply_response(&self, response: &ReadResponse, confirmed_at: Duration) -> bool {
         let listed = response.upstreams.iter().filter_map(UpstreamEntry::decode);
         let mut lists = self.lock();
@@ -127,7 +133,7 @@
         lists.upstreams_confirmed_at = lists.upstreams_confirmed_at.max(Some(confirmed_at));
     }
 
-    /// Replaces the hosts.
+    /// Replaces the hosts by those that were current at this time since boot.
     pub(crate) fn set_hosts(&self, hosts: &[ListedHost], confirmed_at: Duration) {
         self.lock().hosts = Some(Confirmed {
             version: hosts_version_of(hosts),
--- a/src/gateway/catalog_sharing/client.rs
+++ b/src/gateway/catalog_sharing/client.rs
@@ -1,4 +1,4 @@
-//! A client that requests lists from other hosts over a connection that it keeps open.
+//! The client side: requests lists from other hosts over a connection that it keeps open.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,18 +24,19 @@
 /// about 10 ms to a busy host.
 const FRAME_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Largest number of frames of one response: eight times those of a manifest of 1 MB. A host that
-/// announces more is broken, and reading its response would never end.
+/// Largest number of frames of one response, eight times the number for a manifest of 1 MB. A host
+/// that announces more is faulty, and reading its response would never end.
 const FRAMES_MAX: u32 = 512;
 
-/// A client with a connection to one host at a time.
+/// A client that keeps a connection to one host at a time.
 #[derive(Default)]
 pub(super) struct ReadClient {
     connection: Option<(SocketAddr, PeerConnection)>,
 }
 
 impl ReadClient {
-    /// Sends a request to a host; none if it does not respond.
+    /// Sends a request to a host and returns the response; none if the host does not respond in
+    /// time or the response is invalid, after which the connection is closed.
     pub(super) async fn request(
         &mut self,
         addr: SocketAddr,
@@ -43,12 +44,13 @@
     ) -> Option<ReadResponse> {
         let response = self.try_request(addr, request).await;
         if response.is_none() {
-            debug!("catalog sharing: {addr} does not respond");
+            debug!("catalog sharing: no valid response from {addr}");
             self.connection = None;
         }
         response
     }
 
+    /// Sends a request over the open connection, or over a new one if that is to another host.
     async fn try_request(
         &mut self,
         addr: SocketAddr,
@@ -90,6 +92,7 @@
     }
 }
 
+/// The next frame; none if it does not arrive within [`FRAME_TIMEOUT`] or the connection has ended.
 async fn next_frame(connection: &mut PeerConnection) -> Option<BytesMut> {
     timeout(FRAME_TIMEOUT, connection.next()).await.ok()??.ok()
 }
--- a/src/gateway/catalog_sharing/cursor.rs
+++ b/src/gateway/catalog_sharing/cursor.rs
@@ -1,4 +1,4 @@
-//! The position at which a host's own reads of one list of the platform resume.
+//! Resumption of a host's own reads of one list of the platform.
 
 use std::time::Duration;
 
@@ -6,14 +6,16 @@
 use crate::units::ObjectVersion;
 
 /// How long the platform waits for a change before it answers. It equals the interval of reads that
-/// do not wait, so watching costs no more calls and the lists are confirmed as often; a change is
-/// known at once.
+/// do not wait, so watches cost no more calls and confirm the lists as often, but report a change
+/// at once.
 pub(crate) const WATCH_WAIT: Duration = Duration::from_millis(600);
 
-/// The position at which a host's own reads of one list resume; none before the first read.
+/// Where a host's own reads of one list resume, and how long the platform is to wait for a change.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Cursor {
+    /// The last change that was read; none if the next read is to return the full list.
     as_of: Option<ObjectVersion>,
+    /// Whether the platform is to respond to the next read without waiting.
     is_immediate: bool,
     /// Duration of the last call beyond the time for which the platform was to wait.
     delay: Duration,
@@ -40,14 +42,15 @@
         self.delay = took.saturating_sub(wait);
     }
 
-    /// Resumes the next read after this change.
+    /// Sets the change after which the next read resumes; none if it is to return the full list.
     pub(crate) fn resume_after(&mut self, as_of: Option<ObjectVersion>) {
         self.as_of = as_of;
         self.is_immediate = false;
     }
 
-    /// Sets whether the next call returns without waiting: after a change, since more may have
-    /// changed, and after a failure, since a call that waits takes that much longer to fail.
+    /// Sets whether the platform is to respond to the next call without waiting. This is the case
+    /// after a change, since more may have changed, and after a failure, since a call that waits
+    /// takes that much longer to fail.
     pub(crate) fn set_immediate(&mut self, is_immediate: bool) {
         self.is_immediate = is_immediate;
     }
--- a/src/gateway/catalog_sharing/message.rs
+++ b/src/gateway/catalog_sharing/message.rs
@@ -1,5 +1,6 @@
-//! Messages between the hosts that read the platform and the hosts that request their lists. Field
-//! numbers are never reused.
+//! Messages between the hosts that read the platform and the hosts that request their lists.
+//!
+//! Field numbers are never reused.
 
 use std::net::SocketAddr;
 
@@ -76,7 +77,7 @@
     pub(crate) frame_count: u32,
 }
 
-/// A host on the platform's list.
+/// A [`ListedHost`] in a response.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub(crate) struct HostEntry {
@@ -118,11 +119,11 @@
     }
 }
 
-/// An upstream on the platform's list.
+/// A [`ListedUpstream`] in a response.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub(crate) struct UpstreamEntry {
-    /// The upstream's name, which stays the same across restarts.
+    /// The upstream's name, which it may keep when it restarts.
     #[prost(string, tag = "1")]
     pub(crate) name: String,
     /// The service that the upstream runs.
--- a/src/gateway/catalog_sharing/reader.rs
+++ b/src/gateway/catalog_sharing/reader.rs
@@ -1,4 +1,5 @@
-//! Reads the platform's lists, through another host where one reads for this failure domain.
+//! Reads the platform's lists: from the host that reads the platform for this failure domain, or
+//! from the platform itself.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,25 +23,25 @@
 use crate::units::HostId;
 use crate::units::ObjectVersion;
 
-/// Largest age of a list in the response of another host. If the list is older, this host reads the
-/// platform itself and is no worse off than without the other host. The limit covers two watches
-/// and two responses of a slow platform.
+/// Largest age of the manifest or of the upstreams in the response of another host. If the list is
+/// older, this host reads the platform itself, as it would without the other host. The limit covers
+/// two watches and two responses of a slow platform.
 pub(super) const RESPONSE_AGE_MAX: Duration = Duration::from_millis(2_000);
-/// The same for the list of hosts, which changes rarely. It is longer than most outages of the
-/// platform, so that not all hosts of a fleet request the list from the platform when it has
-/// recovered.
+/// Largest age of the list of hosts, which changes rarely, in such a response. It is longer than
+/// most outages of the platform, so that not all hosts of a fleet request the list from the
+/// platform when it has recovered.
 const HOSTS_AGE_MAX: Duration = Duration::from_secs(15);
 
-/// Number of hosts that are asked before this host reads the platform itself.
+/// Number of hosts from which a list is requested before this host reads the platform itself.
 const READERS_TRIED_MAX: usize = 2;
 
 /// The result of one read.
 pub(crate) struct ReadOutcome<T> {
-    /// What was read; none if this host has it already.
+    /// The changed content; none if the cached one is still current.
     pub(crate) changed: Option<T>,
     /// The time since boot at which the list was confirmed to be current.
     pub(crate) confirmed_at: Duration,
-    /// Whether newer content may follow immediately.
+    /// Whether the platform may have newer content already, so the next read is due immediately.
     pub(crate) has_more: bool,
 }
 
@@ -50,7 +51,7 @@
     /// The host that reads for this failure domain; the platform if that is this host or if none
     /// responds.
     Any,
-    /// Other hosts only: this host is not yet due to call the platform.
+    /// Other hosts only, since this host is not to call the platform yet.
     Peers,
     /// The platform.
     Platform,
@@ -73,15 +74,17 @@
 
 /// The result of requesting a list from other hosts.
 enum PeerResult {
-    /// A host responded with a fresh list, which was current at this time since boot.
+    /// A host responded with a fresh list, which was confirmed to be current at this time since
+    /// boot.
     Fresh(ReadResponse, Duration),
     /// The hosts that responded have no fresh list.
     Stale,
-    /// There is no host to ask, or none responds.
+    /// There is no host to request the list from, or none responds.
     NoResponse,
 }
 
-/// Reads the lists for one host into its [`CatalogCache`](super::CatalogCache).
+/// Reads one list of the platform repeatedly into this host's
+/// [`CatalogCache`](super::CatalogCache).
 pub(crate) struct CatalogReader {
     gateway: Arc<Gateway>,
     catalog: Arc<dyn Catalog>,
@@ -112,7 +115,8 @@
             return self.routes_from_platform(known).await;
         };
         let cache = &self.gateway.catalog_cache;
-        // An older version from a host that lags slightly confirms the newer one as well.
+        // A host that lags slightly responds with an older version. This confirms the newer one
+        // too.
         let changed = if response.version <= known {
             cache.confirm_routes(confirmed_at);
             None
@@ -128,7 +132,7 @@
     }
 
     async fn routes_from_platform(&mut self, known: u64) -> Result<ReadOutcome<String>, ReadError> {
-        // Taken before the call: the response is true at some moment after it.
+        // Taken before the call, since the response shows what was true at some moment after that.
         let requested_at = self.gateway.clock.since_boot();
         let object = (known != 0).then_some(ObjectVersion(known));
         let watch = self.cursor.watch();
@@ -167,7 +171,7 @@
         })
     }
 
-    /// Reads the upstreams into the cache.
+    /// Reads the upstreams into the cache. `changed` says whether they differ from those before.
     pub(crate) async fn upstreams(
         &mut self,
         source: ReadSource,
@@ -254,14 +258,15 @@
         Ok(Some(hosts))
     }
 
-    /// Records the duration of a call to the platform.
+    /// Records the duration of a call to the platform, to shorten the wait of the next watch.
     fn record_duration(&mut self, watch: Option<Watch>, requested_at: Duration) {
         let took = self.gateway.clock.since_boot().saturating_sub(requested_at);
         let wait = watch.map_or(Duration::ZERO, |watch| watch.wait);
         self.cursor.record_duration(wait, took);
     }
 
-    /// Records where the next read resumes, and whether this host itself reaches the platform.
+    /// Records the result of a call to the platform: where the next read resumes, and whether this
+    /// host itself reaches the platform.
     fn record_read<T>(
         &mut self,
         read: Result<CatalogRead<T>, CatalogError>,
@@ -286,6 +291,7 @@
         }
     }
 
+    /// Excludes a host, which may be this one, from the selection of readers for a while.
     fn mark_unavailable(&self, host: &HostId, why: Unavailable) {
         let now = self.gateway.clock.now();
         self.gateway
@@ -293,7 +299,9 @@
             .mark_unavailable(host, why, now);
     }
 
-    /// Requests a list from other hosts; none if the platform is to be called.
+    /// Requests a list from other hosts unless `source` is the platform. Returns the response and
+    /// the time since boot at which its list was confirmed to be current, or none if the platform
+    /// is to be called. After a response, this host's next read of the platform is a full one.
     async fn request_from_peers(
         &mut self,
         source: ReadSource,
@@ -305,7 +313,7 @@
         }
         match self.request_from_readers(list, known_version).await {
             PeerResult::Fresh(response, confirmed_at) => {
-                // This host's own reads would resume before this version.
+                // A watch would resume before the version of this response.
                 self.cursor = Cursor::default();
                 Ok(Some((response, confirmed_at)))
             }
@@ -316,17 +324,18 @@
     }
 
     /// Requests a list from the host that reads for this failure domain, and from the next one if
-    /// it has no fresh list.
+    /// it does not respond or has no fresh list. Hosts that fail are excluded from the selection
+    /// for a while.
     async fn request_from_readers(&mut self, list: ListKind, known_version: u64) -> PeerResult {
-        // A host without a list asks only hosts that it has received messages from: waiting for a
-        // dead one would delay the moment from which this host can serve.
+        // Without a list, this host requests one only from hosts that it has received updates from:
+        // waiting for a dead one would delay the moment from which this host can serve.
         let includes_unheard = known_version != 0;
         let mut result = PeerResult::NoResponse;
         for _ in 0..READERS_TRIED_MAX {
             let Some(reader) = self
                 .gateway
                 .reader_selector
-                .choose(&self.gateway, includes_unheard)
+                .select(&self.gateway, includes_unheard)
             else {
                 // The other hosts have no fresh list, so this host reads the platform.
                 return PeerResult::NoResponse;
@@ -348,6 +357,7 @@
         result
     }
 
+    /// Requests a list from one host.
     async fn request(
         &mut self,
         addr: SocketAddr,
--- a/src/gateway/catalog_sharing/reader_selector.rs
+++ b/src/gateway/catalog_sharing/reader_selector.rs
@@ -1,9 +1,10 @@
-//! Selection of the host that reads the platform for this one.
+//! Selection of the host that reads the platform for this one, and sharing of retries.
 //!
 //! Each host reports the age of its lists to its peers. When the platform is down or rejects all
 //! hosts of a failure domain for some seconds, hosts that retry independently make a thousand
 //! failing calls, and each detects the recovery only with its own next retry. Here the hosts of a
-//! domain share their retries, and all others immediately ask the first host that gets a response.
+//! domain share their retries, and when the first one gets a response, all others immediately
+//! request the lists from it.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -17,18 +18,20 @@
 use crate::gateway::Gateway;
 use crate::units::HostId;
 
-/// How long a host that did not respond, or had no fresh list, is skipped. Longer than a read, so
-/// that the hosts of a domain do not ask a partitioned host again and again.
+/// How long a host that did not respond, or had no fresh list, is not selected. This is longer than
+/// a read, so that the hosts of a domain do not send requests to a partitioned host again and
+/// again.
 const UNAVAILABLE_FOR: Duration = Duration::from_secs(3);
-/// How long a host that has just started may ask all hosts on the list: until they know of it and
-/// it receives their messages. If all hosts start at the same time, without this period each would
-/// read the platform itself, about seven calls each.
+/// How long a host that has just started may request lists from hosts that it has not heard yet.
+/// After this time the others know of it and it receives their updates. Without this period, hosts
+/// that all start at the same time would each read the platform themselves, with about seven calls
+/// each.
 const STARTUP_PERIOD: Duration = Duration::from_secs(3);
-/// A host that reports older lists than this is not asked. A host that reads without failures has
-/// lists of up to 1.2 s, and its report may be half a second old.
+/// Largest age of the lists that a host reports at which it can be selected. A host that reads
+/// without failures has lists of up to 1.2 s, and its report may be half a second old.
 const REPORTED_AGE_MAX: Duration = Duration::from_secs(2);
 
-/// Why a host is not asked.
+/// Why a host is not selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Unavailable {
     /// The host did not respond.
@@ -37,9 +40,10 @@
     Stale,
 }
 
+/// What is known of the hosts that can be selected.
 #[derive(Debug, Default)]
 struct SelectorState {
-    /// Hosts that are not asked, and since when.
+    /// Hosts that are not selected, with the reason and the time since which they are not.
     unavailable: IndexMap<HostId, (Unavailable, Instant)>,
     /// The host that was selected last; none while this host reads the platform itself.
     selected: Option<HostId>,
@@ -63,12 +67,13 @@
     }
 }
 
-/// The hosts that can read the platform for this one.
+/// Selects the host that reads the platform for this one, by how each host responded and what it
+/// reported of its lists.
 #[derive(Debug, Default)]
 pub(crate) struct ReaderSelector(Mutex<SelectorState>);
 
 impl ReaderSelector {
-    /// Marks a host, which may be this one, as not to be asked for [`UNAVAILABLE_FOR`].
+    /// Excludes a host, which may be this one, from the selection for [`UNAVAILABLE_FOR`].
     pub(crate) fn mark_unavailable(&self, host: &HostId, why: Unavailable, now: Instant) {
         let mut state = self.lock();
         state
@@ -77,7 +82,7 @@
         state.unavailable.insert(host.clone(), (why, now));
     }
 
-    /// Records that this host itself reached the platform.
+    /// Records that this host itself reached the platform, so it can read for itself again.
     pub(crate) fn on_platform_reached(&self, own: &HostId, now: Instant) {
         let mut state = self.lock();
         state.platform_reached_at = Some(now);
@@ -90,8 +95,8 @@
     }
 
     /// Records the time since boot at which a host's lists were current according to its report.
-    /// Returns whether that host can be asked. A host that had no fresh list can be asked as soon
-    /// as it has one.
+    /// Returns whether that host can be selected. A host that was excluded because it had no fresh
+    /// list can be selected again as soon as it has one.
     pub(crate) fn on_age_report(
         &self,
         host: &HostId,
@@ -133,17 +138,20 @@
 
     /// Whether a host is the one that was selected last.
     ///
-    /// Every message of every other host makes this check. Selecting among 300 hosts each time took
-    /// a quarter of the processor time of a fleet of that size.
+    /// This is checked for every update of every other host. Selecting among 300 hosts each time
+    /// took a quarter of the processor time of a fleet of that size.
     pub(crate) fn is_selected(&self, host: &HostId) -> bool {
         self.lock().selected.as_ref() == Some(host)
     }
 
-    /// Selects the host that reads the platform for this failure domain; none if that is this host.
-    /// Among the hosts that were heard recently and have fresh lists, the collector of peer
-    /// messages is preferred, then the first by name. `includes_unheard` says whether hosts that
-    /// were not heard yet are also candidates right after the start.
-    pub(crate) fn choose(&self, gateway: &Gateway, includes_unheard: bool) -> Option<ListedHost> {
+    /// Selects the host that reads the platform for this one, and records it for
+    /// [`ReaderSelector::is_selected`]. Returns none if this host is to read the platform itself.
+    ///
+    /// Candidates are the hosts from which updates arrived recently and whose lists are not known
+    /// to be stale. Hosts of this failure domain are preferred, then the collector of updates, then
+    /// the first by name. `includes_unheard` says whether hosts from which no update has arrived
+    /// yet are also candidates right after the start.
+    pub(crate) fn select(&self, gateway: &Gateway, includes_unheard: bool) -> Option<ListedHost> {
         let now = gateway.clock.now();
         let hosts = gateway.platform_view.hosts();
         let collector = gateway.update_route().collector;
@@ -160,8 +168,8 @@
             (is_own || (is_alive && !is_stale)) && state.is_available(&listed.host, now)
         };
         let lacks_fresh_lists = !gateway.catalog_cache.is_fresh(at);
-        // A domain in which no host has fresh lists asks a host of another domain, and a host that
-        // has no fresh lists itself prefers hosts that have reported fresh ones.
+        // If no host of this domain has fresh lists, a host of another domain is selected. If this
+        // host has no fresh lists itself, hosts that have reported fresh ones are preferred.
         let rank = |listed: &&ListedHost| {
             let is_other_domain = listed.domain != conf.domain;
             let has_not_reported = lacks_fresh_lists && !state.reported.contains_key(&listed.host);
@@ -184,6 +192,7 @@
     }
 }
 
+/// Whether a host that was excluded at `since` is still excluded at `now`.
 fn is_unavailable(since: Instant, now: Instant) -> bool {
     now.saturating_duration_since(since) < UNAVAILABLE_FOR
 }
--- a/src/gateway/catalog_sharing/server.rs
+++ b/src/gateway/catalog_sharing/server.rs
@@ -22,15 +22,17 @@
 use crate::gateway::catalog_sharing::message::ReadResponse;
 use crate::peer::framing;
 
-/// A host that has sent no request for this long has left without closing its connection.
+/// Time without a request after which a connection is closed, since the host at its other end has
+/// left without closing it.
 const IDLE_MAX: Duration = Duration::from_secs(30);
-/// Largest frame in bytes. If a hundred hosts receive one frame each over 200 Mbit/s, the next one
-/// arrives after 65 ms.
+/// Largest frame of a response in bytes. If a hundred hosts receive one frame each over 200 Mbit/s,
+/// the next one arrives after 65 ms.
 const FRAME_SIZE_MAX: usize = 16 << 10;
 /// Pause after the system refused to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Responds to requests for as long as the process runs.
+/// Accepts connections of other hosts and responds to their requests for as long as the process
+/// runs.
 pub(crate) async fn serve_reads(gateway: Arc<Gateway>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -45,6 +47,8 @@
     }
 }
 
+/// Responds to the requests of one connection until it ends, is idle for [`IDLE_MAX`], or carries
+/// an invalid request.
 async fn serve_connection(gateway: Arc<Gateway>, stream: TcpStream) {
     let mut framed = Framed::new(stream, framing(MESSAGE_SIZE_MAX));
     while let Ok(Some(Ok(frame))) = timeout(IDLE_MAX, framed.next()).await {
@@ -70,12 +74,13 @@
     }
 }
 
-/// Sends a response, a long one in several frames after a first one with their number.
+/// Sends a response. A long one is sent in several frames, after a first frame that announces their
+/// number.
 ///
 /// A manifest of half a megabyte that all hosts of a failure domain get over one link takes longer
-/// than a host waits for a response. Sent in one frame, it would make each of them read the
-/// platform again and again, and fill their own links with manifests. With frames, a host waits for
-/// as long as the response makes progress.
+/// than a host waits for one frame. Sent in a single frame, it would make each of them read the
+/// platform again and again, and their links would be full of manifests. With several frames, a
+/// host waits for as long as the response makes progress.
 async fn send_in_frames(
     framed: &mut PeerConnection,
     response: &ReadResponse,
--- a/src/gateway/catalog_sharing/upstream_list.rs
+++ b/src/gateway/catalog_sharing/upstream_list.rs
@@ -11,17 +11,18 @@
 use crate::gateway::UpstreamChange;
 use crate::units::UpstreamName;
 
-/// Number of versions whose changes are kept. Requesting hosts are a few versions behind, also
-/// while all upstreams of a service are replaced one after the other.
+/// Number of versions since which the changes can be reported. Requesting hosts are only a few
+/// versions behind, also while all upstreams of a service are replaced one after the other.
 const VERSIONS_MAX: usize = 256;
-/// Number of removed upstreams that are kept; more than are removed within [`VERSIONS_MAX`]
+/// Number of removed upstreams whose names are kept. Fewer are removed within [`VERSIONS_MAX`]
 /// versions.
 const REMOVED_MAX: usize = 1_024;
 
-/// An upstream with the number of the update that last changed its entry.
+/// A listed upstream with the number of the update that last changed it.
 #[derive(Clone, Debug)]
-struct Entry {
+struct VersionedUpstream {
     listed: ListedUpstream,
+    /// The hash of `listed`.
     hash: u64,
     update_number: u64,
 }
@@ -29,19 +30,21 @@
 /// A list of upstreams that can report its changes since an earlier version.
 ///
 /// In a fleet of 300 hosts and 3,000 upstreams, some upstreams change several times a second. Sent
-/// in full, each change is 400 KB to each host: hosts that request the list from the same reader
-/// would wait for seconds, and an upstream that is leaving would get requests meanwhile.
+/// in full, the list would take 400 KB per change and host: hosts that request it from the same
+/// reader would wait for seconds, and an upstream that is leaving would get requests meanwhile.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UpstreamList {
     version: u64,
     /// Number of the last update that changed the list.
     update_number: u64,
-    entries: IndexMap<UpstreamName, Entry>,
+    entries: IndexMap<UpstreamName, VersionedUpstream>,
     /// The sum of the hashes of all entries, from which the version is computed.
     hash_sum: u64,
+    /// Recently removed upstreams, each with the number of the update that removed it.
     removed: VecDeque<(u64, UpstreamName)>,
     /// Recent versions, each with the number of its update.
     versions: VecDeque<(u64, u64)>,
+    /// All upstreams, as of the last update.
     listed: Arc<Vec<ListedUpstream>>,
 }
 
@@ -90,7 +93,7 @@
         true
     }
 
-    /// The changes since a version; none if that version is no longer kept.
+    /// The changes since a version; none if they are no longer all kept.
     pub(crate) fn changes_since(&self, version: u64) -> Option<Vec<UpstreamChange>> {
         let position = self.versions.iter().rev().find(|(v, _)| *v == version);
         let (_, since) = *position?;
@@ -108,10 +111,12 @@
             .values()
             .filter(|entry| entry.update_number > since);
         let changed = changed.map(|entry| UpstreamChange::Upserted(entry.listed.clone()));
-        // An upstream that was removed and added again is in both: the later entry lists it.
+        // An upstream that was removed and added again is in both. Changes are applied in order, so
+        // it must be added after it is removed.
         Some(removed.chain(changed).collect())
     }
 
+    /// Adds an upstream or replaces its entry. Returns whether the list has changed.
     fn upsert(&mut self, listed: ListedUpstream, update_number: u64) -> bool {
         let hash = hash_of(&listed);
         let before = self.entries.get(&listed.name);
@@ -121,7 +126,7 @@
         let hash_before = before.map_or(0, |before| before.hash);
         self.hash_sum = self.hash_sum.wrapping_sub(hash_before).wrapping_add(hash);
         let name = listed.name.clone();
-        let entry = Entry {
+        let entry = VersionedUpstream {
             listed,
             hash,
             update_number,
@@ -130,6 +135,7 @@
         true
     }
 
+    /// Removes an upstream. Returns whether it was on the list.
     fn remove(&mut self, name: UpstreamName, update_number: u64) -> bool {
         let Some(before) = self.entries.swap_remove(&name) else {
             return false;
@@ -140,6 +146,8 @@
     }
 }
 
+/// A hash of all fields of an upstream. Hosts must compute the same hash, so its input is a fixed
+/// text.
 fn hash_of(listed: &ListedUpstream) -> u64 {
     let ListedUpstream {
         id,
--- a/src/gateway/dependency.rs
+++ b/src/gateway/dependency.rs
@@ -1,5 +1,5 @@
-//! The state of a list of the platform on which this host depends: when to read it again, and the log
-//! events of its loss and recovery.
+//! The state of a list of the platform on which this host depends: when to read it again, and the
+//! log events of its loss and recovery.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,8 +18,8 @@
 /// Interval after a failed call to the platform. It is multiplied by the number of hosts that share
 /// the retries, and is shorter than the interval after successful calls, since the lists get older.
 pub(super) const RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// The longest retry interval of a host that retries alone. Keys are served for 4.5 s after the last
-/// successful call, so several retries fit into that time.
+/// The longest retry interval of a host that retries alone. Keys are served for 4.5 s after the
+/// last successful call, so several retries fit into that time.
 const RETRY_INTERVAL_MAX: Duration = Duration::from_secs(1);
 /// Time per host of the fleet over which hosts spread their calls to the platform if no other host
 /// has a fresh list, since another host may be about to read it. With 80 hosts the delay is at most
@@ -79,9 +79,9 @@
         }
     }
 
-    /// Waits until the next read is due or `wakeup` is notified, and returns the source of that read.
-    /// The read is due at `due_at` if the last one succeeded, otherwise when the platform may be
-    /// called again.
+    /// Waits until the next read is due or `wakeup` is notified, and returns the source of that
+    /// read. The read is due at `due_at` if the last one succeeded, otherwise when the platform may
+    /// be called again.
     pub(super) async fn wait_for_next_read(&self, due_at: Instant, wakeup: &Notify) -> ReadSource {
         let Some(due_at) = self.platform_due_at else {
             tokio::select! {
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Records the result of a read that was requested at `requested_at`. If no peer has a fresh list,
-    /// the platform is to be called after a random delay.
+    /// Records the result of a read that was requested at `requested_at`. If no peer has a fresh
+    /// list, the platform is to be called after a random delay.
     pub(super) fn on_read<T>(&mut self, requested_at: Instant, result: &Result<T, ReadError>) {
         match result {
             Ok(_) => self.on_success(requested_at),
--- a/src/gateway/engine_client.rs
+++ b/src/gateway/engine_client.rs
@@ -38,8 +38,8 @@
 
 /// Sends orders to reserve the memory of engines, and requests for reports on their speed.
 pub trait EngineClient: Send + Sync {
-    /// Reserves memory under a name for `hold`, counted from the arrival of the order, or renews the
-    /// reservation of that name. An engine whose memory is not free refuses the order at once.
+    /// Reserves memory under a name for `hold`, counted from the arrival of the order, or renews
+    /// the reservation of that name. An engine whose memory is not free refuses the order at once.
     fn reserve<'a>(
         &'a self,
         engine: SocketAddr,
--- a/src/gateway/engine_reports.rs
+++ b/src/gateway/engine_reports.rs
@@ -20,8 +20,8 @@
 use crate::gateway::ListedUpstream;
 
 /// Interval between two polls of an engine that has work. A report is up to 200 ms old, so all
-/// hosts know of a slow engine after 1.5 s at most. Polling twice as often would cost
-/// engines more connections than requests do at night.
+/// hosts know of a slow engine after 1.5 s at most. Polling twice as often would cost engines more
+/// connections than requests do at night.
 const POLL_INTERVAL: Duration = Duration::from_millis(1_200);
 /// Shortest time between two polls by one host, each of which costs it a connection and 0.1 ms. In
 /// domains with more engines than fit into [`POLL_INTERVAL`] at this spacing, each engine is polled
--- a/src/gateway/exchange_handler.rs
+++ b/src/gateway/exchange_handler.rs
@@ -98,9 +98,9 @@
         }
     }
 
-    /// Applies an update of another host: its load, and its reports on requests that crash upstreams,
-    /// slow engines, rate limits and unreachable upstreams. Wakes the tasks that read the platform if
-    /// the sender is not a known host or has newer lists.
+    /// Applies an update of another host: its load, and its reports on requests that crash
+    /// upstreams, slow engines, rate limits and unreachable upstreams. Wakes the tasks that read
+    /// the platform if the sender is not a known host or has newer lists.
     fn on_update(&self, update: HostUpdate) {
         let now = self.clock.now();
         let Ok(host) = update.host.parse::<HostId>() else {
@@ -173,8 +173,8 @@
 }
 
 impl Gateway {
-    /// Applies a peer's reports of unreachable upstreams and failure domains. Only reports of hosts of
-    /// this failure domain count, since a host of another one reaches upstreams by other network
+    /// Applies a peer's reports of unreachable upstreams and failure domains. Only reports of hosts
+    /// of this failure domain count, since a host of another one reaches upstreams by other network
     /// paths.
     fn apply_unreachable(&self, host: &HostId, update: &HostUpdate, now: Instant) {
         if update.unreachable_upstreams.is_empty() && update.unreachable_domains.is_empty() {
@@ -219,8 +219,8 @@
         age.map_or(0, |age| whole_millis_u32(age).saturating_add(1))
     }
 
-    /// Records the age that a host reports of its lists. If these are fresh and this host's own lists
-    /// are stale, the tasks that read the platform are woken to read from that host.
+    /// Records the age that a host reports of its lists. If these are fresh and this host's own
+    /// lists are stale, the tasks that read the platform are woken to read from that host.
     fn apply_list_age(&self, host: &HostId, update: &HostUpdate, now: Instant) {
         let Some(age_ms) = update.confirmed_age_plus_one_ms.checked_sub(1) else {
             return;
@@ -237,8 +237,8 @@
         }
     }
 
-    /// Wakes the tasks that read the platform if the host that was selected to read for this one has
-    /// a newer manifest or another list of upstreams.
+    /// Wakes the tasks that read the platform if the host that was selected to read for this one
+    /// has a newer manifest or another list of upstreams.
     fn apply_versions(&self, host: &HostId, update: &HostUpdate) {
         let (routes, upstreams) = self.catalog_cache.versions();
         let has_upstreams = update.upstreams_version != 0 && update.upstreams_version != upstreams;
@@ -270,8 +270,8 @@
     }
 }
 
-/// The upstream that a load belongs to; none if the entry identifies it only by a hash that this host
-/// does not know. This host does not choose such an upstream, so it does not need the load.
+/// The upstream that a load belongs to; none if the entry identifies it only by a hash that this
+/// host does not know. This host does not choose such an upstream, so it does not need the load.
 fn resolve_upstream(
     entry: &LoadEntry,
     by_hash: &IndexMap<UpstreamHash, UpstreamId>,
--- a/src/gateway/freshness.rs
+++ b/src/gateway/freshness.rs
@@ -11,8 +11,8 @@
 /// The fraction of the lease for which requests with keys are accepted. The rest allows for timers
 /// that fire late and clocks that drift.
 const LEASE_FRACTION: f64 = 0.9;
-/// Age of the manifest from which on callers are not told that a route or key does not exist, since a
-/// newer manifest may contain it. Three consecutive reads may fail before this age is reached.
+/// Age of the manifest from which on callers are not told that a route or key does not exist, since
+/// a newer manifest may contain it. Three consecutive reads may fail before this age is reached.
 const REJECT_AGE_MAX: Duration = Duration::from_millis(2_500);
 
 /// When the manifest in force was last confirmed to be the newest one. All times are since boot.
--- a/src/gateway/platform_view.rs
+++ b/src/gateway/platform_view.rs
@@ -1,5 +1,5 @@
-//! The state of the platform as a gateway last read it. The tasks that read the platform write it, and
-//! every request reads it. Each part has its own lock.
+//! The state of the platform as a gateway last read it. The tasks that read the platform write it,
+//! and every request reads it. Each part has its own lock.
 
 use std::sync::Arc;
 use std::sync::Mutex;
--- a/src/gateway/probe.rs
+++ b/src/gateway/probe.rs
@@ -13,8 +13,8 @@
 use crate::gateway::send::CONNECT_TIMEOUT;
 use crate::units::UpstreamId;
 
-/// Probes unreachable upstreams, each when its probe is due, for as long as the process runs. Sleeps
-/// while all upstreams can be reached.
+/// Probes unreachable upstreams, each when its probe is due, for as long as the process runs.
+/// Sleeps while all upstreams can be reached.
 pub(crate) async fn probe_unreachable(gateway: Arc<Gateway>) {
     loop {
         let due = gateway.health().take_due_probes(gateway.clock.now());
--- a/src/gateway/slowdowns.rs
+++ b/src/gateway/slowdowns.rs
@@ -13,8 +13,8 @@
 
 /// How long a report of an engine's slowdown counts: more than two poll intervals.
 const REPORT_VALIDITY: Duration = Duration::from_millis(3_000);
-/// Largest slowdown factor at which an engine counts as normal, since forecasts of its speed are off
-/// by more than this anyway.
+/// Largest slowdown factor at which an engine counts as normal, since forecasts of its speed are
+/// off by more than this anyway.
 const NORMAL_FACTOR_MAX: f64 = 1.15;
 /// Smallest factor between two slowdowns of an engine at which the change is broadcast at once.
 const CHANGE_FACTOR_MIN: f64 = 1.25;
@@ -63,8 +63,8 @@
         })
     }
 
-    /// Records the slowdown of an engine that another host has reported. A valid report to this host
-    /// itself takes precedence.
+    /// Records the slowdown of an engine that another host has reported. A valid report to this
+    /// host itself takes precedence.
     pub(crate) fn on_peer_report(&self, engine: &UpstreamId, slowdown: Slowdown, now: Instant) {
         let mut known = self.lock();
         if known
@@ -76,8 +76,8 @@
         known.insert(engine.clone(), KnownSlowdown::new(slowdown, false, now));
     }
 
-    /// The slowdowns of all engines whose reports are valid at `now`, usually none. The copy is made
-    /// once for a choice, which may be among thousands of engines, to lock once.
+    /// The slowdowns of all engines whose reports are valid at `now`, usually none. The copy is
+    /// made once for a choice, which may be among thousands of engines, to lock once.
     pub(crate) fn current(&self, now: Instant) -> IndexMap<UpstreamId, Slowdown> {
         let known = self.lock();
         let valid = known.iter().filter(|(_, known)| known.is_valid(now));
@@ -86,8 +86,8 @@
             .collect()
     }
 
-    /// The slowdowns that this host found by its own polls, for its broadcasts. Drops all reports that
-    /// are not valid any more.
+    /// The slowdowns that this host found by its own polls, for its broadcasts. Drops all reports
+    /// that are not valid any more.
     pub(crate) fn own(&self, now: Instant) -> Vec<(UpstreamId, Slowdown)> {
         let mut known = self.lock();
         known.retain(|_, known| known.is_valid(now));
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -37,8 +37,8 @@
 /// change. A change has to be in force, and an upstream that is leaving must get no more requests,
 /// within 2 s: this interval leaves time for one failed read.
 const READ_INTERVAL: Duration = WATCH_WAIT;
-/// Interval between two reads of the hosts, which change rarely. A host that is missing from the list
-/// gets no updates until the next read, which an update of that host triggers early.
+/// Interval between two reads of the hosts, which change rarely. A host that is missing from the
+/// list gets no updates until the next read, which an update of that host triggers early.
 const HOSTS_INTERVAL: Duration = Duration::from_millis(2_000);
 /// Shortest interval between two reads of the hosts that are triggered by updates of unknown hosts.
 const UNLISTED_INTERVAL: Duration = Duration::from_millis(500);
@@ -48,8 +48,8 @@
 pub(crate) async fn sync_routes(gateway: Arc<Gateway>, catalog: Arc<dyn Catalog>) {
     let mut reader = CatalogReader::new(Arc::clone(&gateway), Arc::clone(&catalog));
     let mut dependency = Dependency::new(&gateway, "manifest");
-    // Whether the manifest that was read last is in force. One that can't be decoded or is older than
-    // the one in force is not put in force, and reading it again renews no lease.
+    // Whether the manifest that was read last is in force. One that can't be decoded or is older
+    // than the one in force is not put in force, and reading it again renews no lease.
     let mut is_in_force = true;
     let mut source = ReadSource::Any;
     loop {
@@ -86,8 +86,8 @@
     }
 }
 
-/// Puts a manifest in force unless a newer one is, and logs the result. Returns whether the manifest
-/// is in force now.
+/// Puts a manifest in force unless a newer one is, and logs the result. Returns whether the
+/// manifest is in force now.
 fn apply_manifest(gateway: &Gateway, routes: RouteTable) -> bool {
     let generation = routes.generation;
     let event = DecisionEvent::ManifestInForce {
@@ -112,8 +112,8 @@
     }
 }
 
-/// If the cached manifest is of another era than the version `before`, the store was restored from an
-/// older copy: logs this, and wakes the tasks that read the upstreams and the hosts.
+/// If the cached manifest is of another era than the version `before`, the store was restored from
+/// an older copy: logs this, and wakes the tasks that read the upstreams and the hosts.
 fn log_store_return(gateway: &Gateway, before: ObjectVersion) {
     let current = gateway.catalog_cache.routes_version();
     if before == ObjectVersion::default() || before.era() == current.era() {
--- a/src/gateway/upstream_incarnations.rs
+++ b/src/gateway/upstream_incarnations.rs
@@ -15,7 +15,8 @@
 /// largest deployment far fewer upstreams restart within the longest call.
 const ENTRIES_MAX: usize = 2_048;
 
-/// The latest incarnation of each upstream, and the calls that were lost with those that have ended.
+/// The latest incarnation of each upstream, and the calls that were lost with those that have
+/// ended.
 ///
 /// When a partitioned upstream restarts, the connections of its former incarnation stay silent, and
 /// calls that were sent there would wait for their timeouts although no response will come. A call
@@ -25,8 +26,8 @@
 #[derive(Debug)]
 pub(crate) struct UpstreamIncarnations {
     latest: Mutex<IndexMap<UpstreamName, UpstreamId>>,
-    /// The ended incarnations that were unreachable, each with the time at which this was last found.
-    /// Calls that were sent to an incarnation before that time are lost.
+    /// The ended incarnations that were unreachable, each with the time at which this was last
+    /// found. Calls that were sent to an incarnation before that time are lost.
     losses: watch::Sender<IndexMap<UpstreamId, Instant>>,
 }
 
--- a/tests/gateway_hosts.rs
+++ b/tests/gateway_hosts.rs
@@ -34,8 +34,8 @@
     res.status().as_u16()
 }
 
-/// Guards against a request that crashes every engine that runs it. Its caller sends it again and
-/// again to any host, and it takes down one engine after another with all requests that run there.
+/// Guards against a request that crashes every upstream that runs it. Its caller sends it again and
+/// again to any host, and one upstream after another crashes with all requests that run there.
 #[tokio::test]
 async fn a_request_that_crashes_upstreams_is_refused_on_all_hosts() {
     let catalog = FakeCatalog::new(table(1));
@@ -58,12 +58,12 @@
     assert!(before >= 3, "{before}");
     let refused = async |host: &TestHost| status(&host.call(request("/safe/1")).await) == 503;
     assert!(refused(&first).await);
-    let known = || {
+    let is_known_to_second = || {
         let now = second.gateway.clock.now();
-        let known = second.gateway.poison().all(now);
-        known.iter().any(|poison| poison.attempts.len() >= 3)
+        let reports = second.gateway.poison().all(now);
+        reports.iter().any(|poison| poison.attempts.len() >= 3)
     };
-    wait_until(known).await;
+    wait_until(is_known_to_second).await;
     assert!(refused(&second).await);
     assert_eq!(arrived(), before);
 }
@@ -82,25 +82,25 @@
     let first = TestHost::start("first", &catalog).await;
     let second = TestHost::start("second", &catalog).await;
     first.wait_for_hosts(2).await;
-    let calls = first.callers;
+    let callers = first.callers;
     let hanging = tokio::spawn(async move {
         let req: Request<Full<Bytes>> = request("/model/1");
-        let _ = one_shot::call(calls, req, 1 << 20, Duration::from_secs(5)).await;
+        let _ = one_shot::call(callers, req, 1 << 20, Duration::from_secs(5)).await;
     });
-    let seen = || {
+    let in_flight_at_second = || {
         let now = second.gateway.clock.now();
         let ledger = second.gateway.ledger();
         let load = |id: &str| ledger.load(&id.parse().unwrap(), now).in_flight;
         load("a") + load("b")
     };
-    wait_until(|| seen() == 1).await;
+    wait_until(|| in_flight_at_second() == 1).await;
     hanging.abort();
-    wait_until(|| seen() == 0).await;
+    wait_until(|| in_flight_at_second() == 0).await;
 }
 
-/// Guards against hosts that go on filling an engine that has become slow: the engine reports its
-/// slowdown when it is polled, while hosts would notice it only from late answers of their own
-/// callers. The slow engine sorts first.
+/// Guards against hosts that go on sending to an engine that has become slow. The engine reports
+/// its slowdown when it is polled; without polls, a host would notice it only by late answers to
+/// its own callers. The slow engine has the lower id, so it would be chosen first.
 #[tokio::test]
 async fn hosts_avoid_an_engine_that_reports_a_slowdown() {
     let catalog = FakeCatalog::new(table(1));
@@ -118,10 +118,10 @@
             == 1
     })
     .await;
-    let calls = polling.callers;
+    let callers = polling.callers;
     let hanging = tokio::spawn(async move {
         let req = request("/model/1");
-        let _ = one_shot::call(calls, req, 1 << 20, Duration::from_secs(20)).await;
+        let _ = one_shot::call(callers, req, 1 << 20, Duration::from_secs(20)).await;
     });
     wait_until(|| slow.arrivals().len() == 1).await;
     polling
@@ -183,8 +183,8 @@
     (host, engines, pending)
 }
 
-/// Guards against engine memory that is lost for good: it was reserved for a prompt whose caller
-/// disconnected, and nobody released it.
+/// Guards against engine memory that stays reserved: the caller of its prompt disconnected, and no
+/// host released the reservation.
 #[tokio::test]
 async fn reserved_memory_is_released_when_the_caller_disconnects() {
     let (host, _, pending) = host_with_reservations().await;
@@ -193,7 +193,7 @@
     assert!(host.engine_client.reservations_made() > 0);
 }
 
-/// Guards against engines that run out of memory that nobody uses: the engine that led a long
+/// Guards against engines whose memory stays reserved for nothing: the engine that led a long
 /// prompt lost its power and its connection stayed open, so the host went on renewing the
 /// reservations at the other engines.
 #[tokio::test]
@@ -240,7 +240,7 @@
     (first, first_link, second, second_link)
 }
 
-/// Guards against a host that turns every caller away because it can't reach the platform, although
+/// Guards against a host that refuses every caller because it can't reach the platform, although
 /// its peers can and have the lists that it needs.
 #[parameterized(
     of_its_domain = { "here" },
@@ -265,6 +265,8 @@
     wait_until(|| !second.gateway.is_ready()).await;
 }
 
+/// Guards against hosts of one failure domain that all read the platform themselves, and against
+/// hosts that stop reading when the one that reads for them stops.
 #[tokio::test]
 async fn one_host_reads_for_its_failure_domain_until_it_stops() {
     let (first, first_link, _second, second_link) = reader_and_follower("here").await;
@@ -281,8 +283,8 @@
     wait_until(|| second_link.reads() >= reads_before + 3).await;
 }
 
-/// Guards against a platform that rejects all hosts of a large fleet and gets thousands of useless
-/// calls from them, four a second from each, also while it recovers.
+/// Guards against thousands of useless calls to a platform that rejects all hosts of a large fleet:
+/// four a second from each host, also while the platform recovers.
 #[tokio::test]
 async fn calls_to_an_unreachable_platform_back_off() {
     let link = FakeCatalog::new(table(1));
@@ -311,20 +313,19 @@
         hosts.push((TestHost::start_with(conf, &link).await, link));
     }
     for (host, _) in &hosts {
-        let heard = || {
+        let live_peer_count = || {
             host.gateway
                 .ledger()
                 .live_peer_count(host.gateway.clock.now())
         };
-        wait_until(|| heard() + 1 == count).await;
+        wait_until(|| live_peer_count() + 1 == count).await;
     }
     hosts
 }
 
-/// Guards against a platform that rejects all hosts of a failure domain for some seconds and gets
-/// hundreds of calls from a large fleet, one a second and more from each host. Together the hosts
-/// need not call more often than a single one would: four times a second, plus a quarter for the
-/// jitter.
+/// Guards against hundreds of useless calls to a platform that rejects all hosts of a failure
+/// domain for some seconds: one a second and more from each host. Together the hosts need not call
+/// more often than a single one would, four times a second, plus a quarter for the jitter.
 #[tokio::test]
 async fn hosts_of_a_domain_share_the_retries_of_an_unreachable_platform() {
     let hosts = peers_of_one_domain(10).await;
@@ -362,9 +363,9 @@
     }
 }
 
-/// Guards against an answer that is cut in half: its engine stops responding in the middle, when
-/// the answer is already late, and the only other engine has a second of prefill to do first. That
-/// engine must not turn the answer away as late.
+/// Guards against an answer that ends in the middle. Its engine stops responding when the answer is
+/// already late, and the only other engine has seconds of prefill to do first. The answer must
+/// still resume there and not be refused as late.
 #[tokio::test]
 async fn a_broken_stream_resumes_at_a_busy_engine() {
     let catalog = FakeCatalog::new(table(1));
@@ -377,7 +378,7 @@
     let answer = host.call(req);
     tokio::pin!(answer);
     tokio::select! {
-        _ = &mut answer => panic!("the first engine hangs"),
+        _ = &mut answer => panic!("the call ended although its engine hangs"),
         () = wait_until(|| silent.arrivals().len() == 1) => {}
     }
     catalog.list("b", "llm", busy.addr);
@@ -396,7 +397,7 @@
         .record_host_loads("peer".parse().unwrap(), 1, loads, now);
     let res = answer.await;
     assert_eq!(status(&res), 200);
-    let whole: String = (1..=5).map(event).collect();
-    assert_eq!(String::from_utf8_lossy(res.body()), whole);
+    let expected: String = (1..=5).map(event).collect();
+    assert_eq!(String::from_utf8_lossy(res.body()), expected);
     assert_eq!(busy.arrivals().len(), 1);
 }
--- a/tests/gateway_news.rs
+++ b/tests/gateway_news.rs
@@ -1,5 +1,5 @@
-//! Tests of updates that reach a gateway through collectors, and of the hosts that it asks when it
-//! starts.
+//! Tests of updates that reach a gateway through collectors, and of the hosts from which it
+//! requests lists when it starts.
 
 mod gateway_world;
 
@@ -23,6 +23,7 @@
 use gateway_world::wait_until;
 use tokio::net::TcpListener;
 
+/// A load entry that identifies its upstream by hash alone.
 fn load(hash: u64, in_flight: u32) -> LoadEntry {
     LoadEntry {
         upstream_hash: hash,
@@ -31,6 +32,7 @@
     }
 }
 
+/// An update in which a collector sends the loads of its whole failure domain.
 fn domain_update(loads: Vec<LoadEntry>, is_partial: bool) -> HostUpdate {
     HostUpdate {
         host: "far-collector".to_owned(),
@@ -42,8 +44,9 @@
     }
 }
 
-/// A collector sends the load of its whole domain, then a delta, and identifies upstreams by their
-/// hashes, one of which this host does not know yet.
+/// Guards against loads of another failure domain that are applied wrongly. A collector sends all
+/// loads of its domain, then a delta, then all again. It identifies upstreams by their hashes, one
+/// of which this host does not know yet.
 #[tokio::test]
 async fn load_of_another_domain_arrives_through_its_collector() {
     let catalog = FakeCatalog::new(table(1));
@@ -66,9 +69,9 @@
     assert_eq!((in_flight("a"), in_flight("b")), (0, 1));
 }
 
-/// Guards against hosts that all restart after a power loss, find the others on the list, request
-/// lists from them before reading the platform themselves, and wait for those that are down: 674
-/// calls were turned away in place of 186.
+/// Guards against hosts that wait for dead peers when they start. After a power loss, hosts that
+/// found the others on the list requested lists from them before reading the platform themselves,
+/// and waited for those that were down: 674 calls were refused instead of 186.
 #[tokio::test]
 async fn a_starting_host_reads_before_it_asks_others() {
     let catalog = FakeCatalog::new(table(1));
@@ -83,10 +86,10 @@
     };
     catalog.register_host(silent).await.unwrap();
     let reads_when_asked = Arc::new(Mutex::new(None));
-    let (asked, seen) = (Arc::clone(&reads_when_asked), Arc::clone(&catalog));
+    let (result, link) = (Arc::clone(&reads_when_asked), Arc::clone(&catalog));
     tokio::spawn(async move {
-        let _link = listener.accept().await.unwrap();
-        *asked.lock().unwrap() = Some(seen.reads());
+        let _connection = listener.accept().await.unwrap();
+        *result.lock().unwrap() = Some(link.reads());
         std::future::pending::<()>().await;
     });
     let _host = TestHost::start("host", &catalog).await;
--- a/tests/gateway_reads.rs
+++ b/tests/gateway_reads.rs
@@ -11,6 +11,7 @@
 use gateway_world::table;
 use gateway_world::wait_until;
 
+/// The ids of the upstreams that the host may send requests to.
 fn listed(host: &TestHost) -> Vec<String> {
     let by_service = host.gateway.platform_view.upstreams().unwrap();
     let ids = by_service.values().flatten();
@@ -30,6 +31,7 @@
     hosts.try_into().ok().unwrap()
 }
 
+/// A platform that lists upstreams with these names.
 fn catalog_of(names: [&str; 3]) -> Arc<FakeCatalog> {
     let catalog = FakeCatalog::new(table(1));
     for name in names {
@@ -38,9 +40,9 @@
     catalog
 }
 
-/// Guards against hosts that read all upstreams of a large deployment, three thousand, on each of
-/// several changes a second. They would have no time for their callers, and go on sending to
-/// upstreams that have left.
+/// Guards against hosts that read the full list of upstreams at each change. In a deployment with
+/// three thousand upstreams and several changes a second they would have no time for their callers,
+/// and go on sending to upstreams that have left.
 #[tokio::test]
 async fn hosts_read_only_changes() {
     let catalog = catalog_of(["a", "b", "c"]);
@@ -52,9 +54,9 @@
     catalog.remove("a");
     catalog.list("d", "app", "127.0.0.1:9".parse().unwrap());
     wait_until(|| listed(&second) == ["c", "d"]).await;
-    let again = catalog.restart("c", 5).to_string();
-    wait_until(|| listed(&second) == [again.as_str(), "d"]).await;
-    wait_until(|| listed(&first) == [again.as_str(), "d"]).await;
+    let restarted = catalog.restart("c", 5).to_string();
+    wait_until(|| listed(&second) == [restarted.as_str(), "d"]).await;
+    wait_until(|| listed(&first) == [restarted.as_str(), "d"]).await;
     assert_eq!(
         (first_link.whole_reads(), second_link.whole_reads()),
         before,
@@ -79,8 +81,9 @@
     wait_until(|| listed(&host) == ["c"]).await;
 }
 
-/// The host that reads the platform dies. The next one continues from what it got from the first,
-/// and must not apply old changes again: an upstream that has left would come back.
+/// Guards against old changes that are applied again, so that an upstream that has left comes back.
+/// The host that reads the platform dies, and the next one continues from the list that it got from
+/// the first.
 #[tokio::test]
 async fn another_host_takes_over_from_a_dead_reader() {
     let catalog = catalog_of(["a", "b", "c"]);
@@ -118,8 +121,8 @@
         names.collect::<Vec<String>>()
     };
     wait_until(|| names().contains(&"b-second".to_owned())).await;
-    let gone = second.gateway.conf.host.clone();
-    catalog.deregister_host(gone).await.unwrap();
+    let deregistered = second.gateway.conf.host.clone();
+    catalog.deregister_host(deregistered).await.unwrap();
     let _third = TestHost::start("c-third", &catalog.separate_link()).await;
     wait_until(|| names().contains(&"c-third".to_owned())).await;
     assert!(names().contains(&"b-second".to_owned()), "{:?}", names());
--- a/tests/gateway_store_returns.rs
+++ b/tests/gateway_store_returns.rs
@@ -1,5 +1,5 @@
-//! Tests of a platform whose store is restored from an older copy: what was written since is lost,
-//! and revisions are reused.
+//! Tests of a platform whose store is restored from an older copy: everything written since the
+//! copy was made is lost, and revisions are reused.
 
 mod gateway_world;
 
@@ -19,11 +19,13 @@
     ScriptedUpstream::start([ScriptStep::Respond(200, "a")]).await
 }
 
+/// The generation of the manifest in force; 0 if there is none.
 fn generation(host: &TestHost) -> Generation {
     let routes = host.gateway.platform_view.routes();
     routes.map_or(Generation(0), |routes| routes.generation)
 }
 
+/// Whether a host with this name is on the platform's list.
 fn is_listed(catalog: &FakeCatalog, name: &str) -> bool {
     let hosts = catalog.listed_hosts();
     hosts.iter().any(|listed| listed.host.as_str() == name)
@@ -33,9 +35,9 @@
     wait_until(|| host.log.text().contains("store_returned")).await;
 }
 
-/// Guards against a manifest that never comes into force: it is published after the restore and has
-/// a smaller revision than the lost one, while each read renews the lease on the keys of the old
-/// one.
+/// Guards against a manifest that never comes into force because it is published after the restore
+/// and has a smaller revision than the lost one. Meanwhile each read would renew the lease on the
+/// keys of the old one.
 #[tokio::test]
 async fn a_manifest_of_a_later_era_is_newer_than_any_before() {
     let catalog = FakeCatalog::new(table(1));
@@ -51,7 +53,7 @@
     wait_until_restored(&host).await;
 }
 
-/// Guards against taking a different manifest that reuses a known revision for the known one.
+/// Guards against ignoring a manifest because it reuses the revision of another one that is known.
 #[tokio::test]
 async fn a_reused_revision_is_a_different_manifest() {
     let catalog = FakeCatalog::new(table(1));
@@ -64,9 +66,9 @@
     wait_until(|| generation(&host) == Generation(3)).await;
 }
 
-/// Guards against a host that, after a restore to an older manifest than the one in force, goes
-/// back to it and serves a revoked key, or takes the read for a confirmation and keeps serving with
-/// a manifest that the platform does not have.
+/// Guards against two failures after a restore to an older manifest than the one in force: the host
+/// goes back to the older one and serves a revoked key, or takes the read for a confirmation and
+/// keeps serving with a manifest that the platform does not have.
 #[tokio::test]
 async fn an_older_manifest_is_not_put_in_force_and_renews_no_lease() {
     let catalog = FakeCatalog::new(table(1));
@@ -89,8 +91,8 @@
     assert_eq!(host.call(request("/safe/1")).await.status(), 200);
 }
 
-/// Guards against hosts that were registered after the copy was made: they are on no host's list
-/// any more and get no updates.
+/// Guards against a host that gets no updates any more, since it was registered after the copy was
+/// made and is not on the restored list.
 #[tokio::test]
 async fn a_host_whose_entry_was_lost_registers_again() {
     let catalog = FakeCatalog::new(table(1));
@@ -108,8 +110,8 @@
     second.wait_for_hosts(2).await;
 }
 
-/// Guards against sending to an upstream that has announced that it is leaving, but is not leaving
-/// in the copy.
+/// Guards against sending to an upstream that has announced that it is leaving, but that the copy
+/// lists as not leaving.
 #[tokio::test]
 async fn an_upstream_that_announced_leaving_is_not_used_after_a_restore() {
     let catalog = FakeCatalog::new(table(1));
@@ -135,9 +137,9 @@
     assert_eq!(leaving.arrivals().len(), 0);
 }
 
-/// Guards against changes of the upstreams between the copy and the revision of a watch that are
-/// never seen: the store passes that revision again, and the watch continues as if nothing had
-/// happened.
+/// Guards against a watch that continues after a restore as if nothing had happened. The store
+/// reaches the revision of the watch again, and the changes between the copy and that revision
+/// would never be read.
 #[tokio::test]
 async fn the_full_list_of_upstreams_is_read_after_a_restore() {
     let catalog = FakeCatalog::new(table(1));
@@ -163,14 +165,14 @@
     wait_until(|| names(&host) == ["a", "c"]).await;
 }
 
-/// Guards against a host that reads through another one and does not learn of the restore.
+/// Guards against a host that does not detect a restore because it reads through another host.
 #[tokio::test]
 async fn a_host_that_reads_through_another_learns_of_the_restore() {
     let catalog = FakeCatalog::new(table(1));
-    let reading = TestHost::start("a-first", &catalog).await;
+    let reader = TestHost::start("a-first", &catalog).await;
     let link = catalog.separate_link();
     let other = TestHost::start("b-second", &link).await;
-    reading.wait_for_hosts(2).await;
+    reader.wait_for_hosts(2).await;
     other.wait_for_hosts(2).await;
     let snapshot = catalog.snapshot();
     catalog.publish(table(2));
--- a/tests/gateway_versions.rs
+++ b/tests/gateway_versions.rs
@@ -25,8 +25,10 @@
 use tokio_util::codec::Framed;
 use tokio_util::codec::LengthDelimitedCodec;
 
+/// The number of the list of upstreams in a [`ReadRequest`].
 const UPSTREAMS: i32 = 1;
 
+/// A request for a list in the format of the previous version.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 struct ReadRequest {
@@ -53,6 +55,7 @@
     slots: u32,
 }
 
+/// The response to a [`ReadRequest`] in the format of the previous version.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 struct ReadResponse {
@@ -76,6 +79,7 @@
     }
 }
 
+/// The response of a host that has one upstream, `b`, and no newer version of any other list.
 fn respond(request: &ReadRequest, upstream: SocketAddr) -> ReadResponse {
     if request.list != UPSTREAMS {
         return ReadResponse {
@@ -96,6 +100,7 @@
     }
 }
 
+/// Records loads of the host `a-previous` again and again, so that it counts as alive.
 async fn keep_host_alive(gateway: Arc<Gateway>) {
     loop {
         let now = gateway.clock.now();
@@ -112,11 +117,11 @@
 #[tokio::test]
 async fn a_host_reads_through_a_peer_of_the_previous_version() {
     let catalog = FakeCatalog::new(table(1));
-    let (own, read) = (
-        ScriptedUpstream::start([ScriptStep::Respond(200, "own")]).await,
-        ScriptedUpstream::start([ScriptStep::Respond(200, "read")]).await,
+    let (listed, received) = (
+        ScriptedUpstream::start([ScriptStep::Respond(200, "listed")]).await,
+        ScriptedUpstream::start([ScriptStep::Respond(200, "received")]).await,
     );
-    catalog.list("a", "app", own.addr);
+    catalog.list("a", "app", listed.addr);
     let host = TestHost::start("b-newer", &catalog).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let previous = ListedHost {
@@ -125,11 +130,11 @@
         exchange_addr: listener.local_addr().unwrap(),
         processors: None,
     };
-    tokio::spawn(serve_reads(listener, read.addr));
+    tokio::spawn(serve_reads(listener, received.addr));
     tokio::spawn(keep_host_alive(Arc::clone(&host.gateway)));
     catalog.register_host(previous).await.unwrap();
     wait_until(|| host.gateway.platform_view.is_usable(&"b".parse().unwrap())).await;
     let res = host.call(request("/safe/1")).await;
-    assert_eq!(res.body().as_ref(), b"read");
-    assert_eq!(read.arrivals()[0].header("test-upstream"), Some("b"));
+    assert_eq!(res.body().as_ref(), b"received");
+    assert_eq!(received.arrivals()[0].header("test-upstream"), Some("b"));
 }
--- a/tests/histories.rs
+++ b/tests/histories.rs
@@ -24,6 +24,7 @@
 use worlds::manifest_world;
 use worlds::manifest_world::ManifestWorld;
 
+/// The seed of all cases unless `HISTORIES_SEED` sets another one.
 const SEED: u64 = 0x0b5e_55ed;
 
 fn conf() -> ProptestConfig {
@@ -75,8 +76,8 @@
         world.check();
     }
 
-    /// The same with homes that die and that overlap. For a moment memory may be granted twice; all
-    /// other guarantees hold.
+    /// The same as `no_engine_loses_memory` with several homes that die and overlap in time. For a
+    /// moment memory may be granted twice; all other guarantees hold.
     #[test]
     fn moving_homes_lose_nothing(steps in vec(grant_world::step_of_many_homes(), 1..60)) {
         let mut world = GrantWorld::new();
@@ -101,7 +102,7 @@
 
     /// A host is told to shut down while callers come and go and the platform accepts claims or
     /// does not. No caller is turned away before the load balancer knows, none is interrupted
-    /// except by a second signal, and the shutdown ends.
+    /// except by a second signal, and the shutdown completes.
     #[test]
     fn shutdowns_interrupt_no_request(steps in vec(drain_world::step(), 1..40)) {
         let mut world = DrainWorld::new();
