--- a/src/gateway/catalog_sharing/reader.rs
+++ b/src/gateway/catalog_sharing/reader.rs
@@ -84,7 +84,8 @@
 }
 
 /// Reads one list of the platform repeatedly into this host's
-/// [`CatalogCache`](super::CatalogCache).
+/// [`CatalogCache`](super::CatalogCache). Its cursor belongs to that list, so each list needs a
+/// reader of its own.
 pub(crate) struct CatalogReader {
     gateway: Arc<Gateway>,
     catalog: Arc<dyn Catalog>,
--- a/src/gateway/exchange_handler.rs
+++ b/src/gateway/exchange_handler.rs
@@ -209,7 +209,8 @@
         self.health_changed.notify_one();
     }
 
-    /// The age of this host's lists in ms plus one; 0 if they were not all read yet.
+    /// The age in ms, plus one, of the older of this host's manifest and upstreams; 0 if one of
+    /// them was not read yet.
     fn list_age_plus_one_ms(&self) -> u32 {
         let now = self.clock.since_boot();
         let age = self
