--- a/src/exchange/exchange_state.rs
+++ b/src/exchange/exchange_state.rs
@@ -76,7 +76,7 @@
     legacy_peers: Vec<SocketAddr>,
     /// The other hosts of the same failure domain that understand relayed updates.
     domain_peers: Vec<SocketAddr>,
-    collectors: CollectorTracker,
+    collector_tracker: CollectorTracker,
     aggregate: Aggregate,
     /// The collector of this host's failure domain; none if it is this host or the fleet is small.
     collector: Option<ListedHost>,
@@ -106,7 +106,7 @@
             direct_peers: Vec::new(),
             legacy_peers: Vec::new(),
             domain_peers: Vec::new(),
-            collectors: CollectorTracker::default(),
+            collector_tracker: CollectorTracker::default(),
             aggregate: Aggregate::new(now),
             collector: None,
             remote_collectors: Vec::new(),
@@ -170,7 +170,7 @@
             };
         }
         let collector = self.collector.as_ref().map(|listed| &listed.host);
-        let has_reported = |host: &&HostId| self.collectors.has_reported(host, now);
+        let has_reported = |host: &&HostId| self.collector_tracker.has_reported(host, now);
         UpdateRoute {
             collector: collector.filter(has_reported).cloned(),
             local_age_max,
@@ -182,7 +182,7 @@
     pub fn due_at(&self) -> Instant {
         let own = self.pacer.due_at(update_interval(self.direct_peers.len()));
         let relay = self.is_collector().then(|| self.relay_due_at());
-        let timeout = self.collectors.next_timeout();
+        let timeout = self.collector_tracker.next_timeout();
         [relay, timeout]
             .into_iter()
             .flatten()
@@ -232,7 +232,7 @@
         match update.scope() {
             MessageScope::Host => {
                 if self.domains.get(&host) == Some(&self.domain) && self.is_large() {
-                    self.collectors.on_neighbour_heard(&host, now);
+                    self.collector_tracker.on_neighbour_heard(&host, now);
                     self.has_relay_data = true;
                     self.aggregate
                         .on_neighbour_update(host, update.clone(), now);
@@ -255,10 +255,10 @@
         if let Some(collector) = &self.collector {
             return (Vec::new(), redirect(collector, update));
         }
-        if !self.collectors.has_reported(&host, now) {
+        if !self.collector_tracker.has_reported(&host, now) {
             self.aggregate.resend_all();
         }
-        self.collectors.on_collector_heard(&host, now);
+        self.collector_tracker.on_collector_heard(&host, now);
         self.has_relay_data = true;
         let accepted = self.accept_domain_update(&host, update, now);
         if let Some(update) = accepted.last() {
@@ -278,8 +278,8 @@
         mut update: HostUpdate,
         now: Instant,
     ) -> Vec<HostUpdate> {
-        self.collectors.on_neighbour_heard(host, now);
-        self.collectors.on_collector_heard(host, now);
+        self.collector_tracker.on_neighbour_heard(host, now);
+        self.collector_tracker.on_collector_heard(host, now);
         let relayed = std::mem::take(&mut update.relayed);
         let mut accepted = vec![update];
         if self.is_collector() {
@@ -330,13 +330,13 @@
         if !self.is_large() {
             self.collector = None;
             self.remote_collectors.clear();
-            self.collectors.monitor(&[], now);
+            self.collector_tracker.monitor(&[], now);
             return;
         }
         let was_collector = self.is_collector();
         let in_domain = |listed: &&ListedHost| listed.domain == self.domain && listed.can_relay();
         let neighbours = self.hosts.iter().filter(in_domain);
-        let best = self.collectors.elect(neighbours, &self.host, now);
+        let best = self.collector_tracker.elect(neighbours, &self.host, now);
         self.collector = best.filter(|best| best.host != self.host).cloned();
         if self.is_collector() && !was_collector {
             self.aggregate.resend_all();
@@ -348,15 +348,17 @@
         };
         let monitored = self.collector.iter().chain(&self.remote_collectors);
         let monitored: Vec<HostId> = monitored.map(|listed| listed.host.clone()).collect();
-        self.collectors.monitor(&monitored, now);
+        self.collector_tracker.monitor(&monitored, now);
     }
 
     /// The hosts of other failure domains to which this collector sends updates: their collectors
     /// where known, otherwise hosts that forward to them.
     fn choose_remote_collectors(&self, now: Instant) -> Vec<ListedHost> {
         let domains = self.other_domains.iter();
-        let remote =
-            domains.flat_map(|domain| self.collectors.remote_collectors(&self.hosts, domain, now));
+        let remote = domains.flat_map(|domain| {
+            self.collector_tracker
+                .remote_collectors(&self.hosts, domain, now)
+        });
         remote.collect()
     }
 
