--- a/src/units/names.rs
+++ b/src/units/names.rs
@@ -79,10 +79,10 @@
 }
 
 impl UpstreamId {
-    /// The id of one instance of an upstream. `started` distinguishes instances of the same name;
-    /// without it, all of them count as one.
-    pub fn of_instance(name: &UpstreamName, started: Option<u64>) -> Self {
-        match started {
+    /// The id of one instance of an upstream. The start time distinguishes instances of the same
+    /// name; without it, all of them count as one.
+    pub fn of_instance(name: &UpstreamName, started_at_ms: Option<u64>) -> Self {
+        match started_at_ms {
             Some(started) => Self(format!("{name}@{started}").into()),
             None => Self(name.0.clone()),
         }
