--- a/src/cmd/request_timeline.rs
+++ b/src/cmd/request_timeline.rs
@@ -5,7 +5,7 @@
 use crate::cmd::merged_logs::LogLine;
 use crate::cmd::outcome_descriptions::describe_outcome;
 use crate::gateway::DecisionEvent;
-use crate::gateway::EngineSurveyRecord;
+use crate::gateway::EngineCountsRecord;
 
 /// The events of one request in order of time.
 pub(crate) struct RequestTimeline<'a> {
@@ -87,7 +87,7 @@
 fn write_engine_survey(
     f: &mut fmt::Formatter<'_>,
     name: &str,
-    survey: Option<&EngineSurveyRecord>,
+    survey: Option<&EngineCountsRecord>,
 ) -> fmt::Result {
     match survey {
         Some(survey) => write!(f, "\n                     {name}: {survey}"),
--- a/src/control/manifests/parts.rs
+++ b/src/control/manifests/parts.rs
@@ -1,40 +1,41 @@
-//! A manifest's text in parts that are named by their content.
+//! Splitting the text of a manifest into parts that are identified by their content hash.
 
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::units::ContentHash;
 
-/// A part ends behind a line where the hash of the last lines says so, on average one in this many.
-/// Where it ends depends on the text around it alone, so that a change in one place leaves all other
-/// parts as they were.
-const LINES_A_CUT: u64 = 16;
+/// Average number of lines per part. A part ends after a line where the hash of the last lines is a
+/// multiple of this number. The boundary depends only on the text near it, so a change in one place
+/// leaves all other parts unchanged.
+const LINES_PER_PART: u64 = 16;
 
-/// Lines that go into such a hash. Manifests are generated and full of lines that stand in every
-/// entry; a few of them together hold something that tells the entries apart.
+/// Number of lines that go into the hash that decides on a boundary. Manifests are generated and
+/// repeat the same lines in every entry; a window of several lines usually includes one that
+/// identifies the entry.
 const WINDOW_LINES: usize = 8;
 
-/// No part is shorter, so that the list of parts stays short.
+/// Minimum length of a part in bytes, which keeps the list of parts short.
 const PART_LEN_MIN: usize = 512;
 
-/// No part is longer, also where one line is.
+/// Maximum length of a part in bytes; a longer line is split.
 const PART_LEN_MAX: usize = 4 << 10;
 
-/// A page of hashes ends behind a hash that says so, on average one in this many.
-const HASHES_A_CUT: u128 = 16;
+/// Average number of hashes per page. A page ends after a hash that is a multiple of this number.
+const HASHES_PER_PAGE: u128 = 16;
 
-/// No page holds more hashes.
+/// Maximum number of hashes per page.
 const PAGE_HASHES_MAX: usize = 64;
 
-/// A hash as it stands on a page.
+/// Length of one hash on a page, in hexadecimal digits.
 const PAGE_HASH_LEN: usize = 32;
 
-/// The parts of a text, in order.
-pub fn split(text: &str) -> Vec<&str> {
+/// Splits a text into its parts, in order.
+pub fn split_into_parts(text: &str) -> Vec<&str> {
     let mut parts = Vec::new();
     let mut window: Vec<&str> = Vec::new();
     let mut start = 0;
     let mut end = 0;
-    for line in text.split_inclusive('\n').flat_map(pieces) {
+    for line in text.split_inclusive('\n').flat_map(split_long_line) {
         if end + line.len() - start > PART_LEN_MAX {
             parts.push(&text[start..end]);
             start = end;
@@ -44,7 +45,7 @@
             window.remove(0);
         }
         window.push(line);
-        if end - start >= PART_LEN_MIN && is_cut(&window) {
+        if end - start >= PART_LEN_MIN && is_boundary(&window) {
             parts.push(&text[start..end]);
             start = end;
         }
@@ -55,16 +56,16 @@
     parts
 }
 
-fn is_cut(window: &[&str]) -> bool {
+fn is_boundary(window: &[&str]) -> bool {
     let mut hasher = Xxh3::new();
     for line in window {
         hasher.update(line.as_bytes());
     }
-    hasher.digest().is_multiple_of(LINES_A_CUT)
+    hasher.digest().is_multiple_of(LINES_PER_PART)
 }
 
-/// A line, cut where it is longer than a part.
-fn pieces(line: &str) -> impl Iterator<Item = &str> {
+/// Splits a line that is longer than a part.
+fn split_long_line(line: &str) -> impl Iterator<Item = &str> {
     let mut rest = line;
     std::iter::from_fn(move || {
         let (piece, after) = rest.split_at(char_boundary(rest, PART_LEN_MAX));
@@ -73,15 +74,16 @@
     })
 }
 
-/// The hashes of parts on pages, cut by content like the text: a change of one part changes one
-/// page, so that the list of a megabyte's parts need not travel whole either.
+/// Groups the hashes of parts into pages with boundaries that depend on the content, as for the
+/// text: a change of one part changes one page, so the list of the parts of a megabyte need not be
+/// sent whole either.
 pub(crate) fn pages(parts: &[ContentHash]) -> Vec<String> {
     let mut pages = Vec::new();
     let mut page = String::new();
     for hash in parts {
         page.push_str(&hash.to_string());
         let is_full = page.len() >= PAGE_HASH_LEN * PAGE_HASHES_MAX;
-        if is_full || hash.0.is_multiple_of(HASHES_A_CUT) {
+        if is_full || hash.0.is_multiple_of(HASHES_PER_PAGE) {
             pages.push(std::mem::take(&mut page));
         }
     }
@@ -91,7 +93,8 @@
     pages
 }
 
-/// The hashes on a page; what is none is left out, and the whole text's hash then does not fit.
+/// The hashes on a page. Malformed ones are left out, and the hash of the whole text then does not
+/// match.
 pub(crate) fn page_hashes(page: &str) -> impl Iterator<Item = ContentHash> {
     let chunks = page.as_bytes().chunks(PAGE_HASH_LEN);
     chunks.filter_map(|hash| std::str::from_utf8(hash).ok()?.parse().ok())
@@ -105,13 +108,13 @@
     at
 }
 
-/// The hashes in one field, 16 bytes each.
-pub(crate) fn to_bytes<'a>(hashes: impl Iterator<Item = &'a ContentHash>) -> Vec<u8> {
+/// Encodes hashes as one field, 16 bytes each.
+pub(crate) fn hashes_to_bytes<'a>(hashes: impl Iterator<Item = &'a ContentHash>) -> Vec<u8> {
     hashes.flat_map(|hash| hash.0.to_be_bytes()).collect()
 }
 
-/// The hashes of one field; none if its length is not a multiple of 16.
-pub(crate) fn from_bytes(bytes: &[u8]) -> Option<Vec<ContentHash>> {
+/// Decodes the hashes of one field; `None` if its length is not a multiple of 16.
+pub(crate) fn hashes_from_bytes(bytes: &[u8]) -> Option<Vec<ContentHash>> {
     let (hashes, rest) = bytes.as_chunks::<16>();
     let hash = |bytes: &[u8; 16]| ContentHash(u128::from_be_bytes(*bytes));
     rest.is_empty().then(|| hashes.iter().map(hash).collect())
--- a/src/control/membership/machine/mod.rs
+++ b/src/control/membership/machine/mod.rs
@@ -1,7 +1,7 @@
-//! The membership's state machine: what it does by itself.
+//! The state machine of the membership, with its timers.
 
 mod digests;
-mod hearing;
+mod inbound;
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,19 +14,19 @@
 
 use crate::cluster_view::HostState;
 use crate::cluster_view::HostView;
-use crate::control::homes::Member;
+use crate::control::home_assignment::Member;
 use crate::control::membership::MembershipAction;
 use crate::control::membership::MembershipConf;
+use crate::control::membership::broadcast_queue::Broadcast;
 use crate::control::membership::conf;
-use crate::control::membership::conf::NEAR_JOIN_TRIES;
-use crate::control::membership::notices::Notices;
+use crate::control::membership::conf::LOCAL_JOIN_ATTEMPTS;
+use crate::control::membership::host_table::Applied;
+use crate::control::membership::host_table::HostTable;
 use crate::control::membership::outbox::Outbox;
 use crate::control::membership::probes::ProbeStep;
 use crate::control::membership::probes::Probes;
 use crate::control::membership::record::to_record;
-use crate::control::membership::roster::Applied;
-use crate::control::membership::roster::Roster;
-use crate::control::membership::rumours::News;
+use crate::control::membership::seen_notices::SeenNotices;
 use crate::control::membership::suspicion::Suspicion;
 use crate::peer::message::Gossip;
 use crate::peer::message::GossipBody;
@@ -41,48 +41,49 @@
 use crate::units::ObjectVersion;
 use crate::units::UpstreamId;
 
-/// The membership of one host. It does no I/O: messages and time go in, actions come out.
+/// The membership of one host. The state machine does no I/O: messages and time go in, actions come
+/// out.
 ///
 /// [`Membership::tick`] should be called every 100 ms or more often.
 #[derive(Debug)]
 pub struct Membership {
-    me: HostView,
+    local_host: HostView,
     rng: StdRng,
-    roster: Roster,
+    host_table: HostTable,
     probes: Probes,
     suspicions: IndexMap<HostId, Suspicion>,
-    notices: Notices,
+    seen_notices: SeenNotices,
     outbox: Outbox,
     seeds: IndexMap<HostId, PeerSeed>,
-    heard_domains: IndexMap<FailureDomainId, Instant>,
-    ring: Vec<HostId>,
-    digest_turn: usize,
+    domain_heard_at: IndexMap<FailureDomainId, Instant>,
+    probe_order: Vec<HostId>,
+    digest_round: usize,
     has_joined: bool,
     has_agreed: bool,
-    join_tries: usize,
-    differing: Option<Differing>,
-    pulled_at: Option<Instant>,
+    join_attempts: usize,
+    view_mismatch: Option<ViewMismatch>,
+    last_pull_at: Option<Instant>,
     started_at: Instant,
     last_active: Instant,
-    next_round: Instant,
+    next_probe: Instant,
     next_digest: Instant,
     next_join: Instant,
-    next_reach: Instant,
+    next_reconnect: Instant,
 }
 
-/// A difference of views that goes on.
+/// A difference between the view of this host and the views of others that has not ended yet.
 #[derive(Clone, Copy, Debug)]
-struct Differing {
+struct ViewMismatch {
     since: Instant,
     last: Instant,
-    /// The view of this host meanwhile.
+    /// The hash of the own view, which stays the same while the difference lasts.
     view_hash: u64,
 }
 
 impl Membership {
     /// A membership that knows only this host and its seeds.
     pub fn new(conf: MembershipConf, mut rng: StdRng, now: Instant) -> Self {
-        let me = HostView {
+        let local_host = HostView {
             id: conf.host,
             domain: conf.domain,
             peer_addr: conf.peer_addr,
@@ -90,155 +91,163 @@
             state: HostState::Alive,
             generation: Generation::default(),
         };
-        // Hosts that are started together must not probe together ever after.
-        let offset = conf::ROUND.mul_f64(rng.random());
-        let digest_turn = rng.random_range(0..60);
+        // A random offset keeps hosts that start together from probing in step.
+        let offset = conf::PROBE_INTERVAL.mul_f64(rng.random());
+        let digest_round = rng.random_range(0..60);
         let mut membership = Self {
-            me,
+            local_host,
             rng,
-            roster: Roster::default(),
+            host_table: HostTable::default(),
             probes: Probes::default(),
             suspicions: IndexMap::new(),
-            notices: Notices::default(),
+            seen_notices: SeenNotices::default(),
             outbox: Outbox::new(conf.bytes_per_second, now),
             seeds: IndexMap::new(),
-            heard_domains: IndexMap::new(),
-            ring: Vec::new(),
-            digest_turn,
+            domain_heard_at: IndexMap::new(),
+            probe_order: Vec::new(),
+            digest_round,
             has_joined: false,
             has_agreed: false,
-            join_tries: 0,
-            differing: None,
-            pulled_at: None,
+            join_attempts: 0,
+            view_mismatch: None,
+            last_pull_at: None,
             started_at: now,
             last_active: now,
-            next_round: now + offset,
+            next_probe: now + offset,
             next_digest: now + offset,
             next_join: now,
-            next_reach: now + conf::REACH_INTERVAL + offset,
+            next_reconnect: now + conf::RECONNECT_INTERVAL + offset,
         };
-        membership.seed(&conf.seeds);
-        membership.spread_self(now);
+        membership.add_seeds(&conf.seeds);
+        membership.broadcast_self(now);
         membership
     }
 
-    /// Takes in hosts that may be there, from the settings or from the platform's lagging list.
-    pub fn seed(&mut self, seeds: &[PeerSeed]) {
-        for seed in seeds.iter().filter(|seed| seed.host != self.me.id) {
+    /// Adds seeds: hosts that may exist, from the settings or from the list in the platform, which
+    /// lags behind.
+    pub fn add_seeds(&mut self, seeds: &[PeerSeed]) {
+        for seed in seeds.iter().filter(|seed| seed.host != self.local_host.id) {
             self.seeds.insert(seed.host.clone(), seed.clone());
         }
     }
 
-    /// Does what is due now.
+    /// Performs the work that is due.
     pub fn tick(&mut self, now: Instant) -> Vec<MembershipAction> {
-        self.notice_pause(now);
-        self.end_suspicions(now);
+        self.detect_pause(now);
+        self.expire_suspicions(now);
         for step in self.probes.due(now) {
-            self.step_probe(step, now);
+            self.on_probe_step(step, now);
         }
-        if is_due(&mut self.next_round, conf::ROUND, now) {
+        if is_due(&mut self.next_probe, conf::PROBE_INTERVAL, now) {
             self.probe_next(now);
-            self.forget_dead(now);
+            self.remove_expired_dead(now);
         }
         if !self.has_joined && is_due(&mut self.next_join, conf::JOIN_INTERVAL, now) {
             self.join_seeds(now);
         }
-        if is_due(&mut self.next_reach, conf::REACH_INTERVAL, now) {
-            self.reach_one(now);
+        if is_due(&mut self.next_reconnect, conf::RECONNECT_INTERVAL, now) {
+            self.reconnect_one(now);
         }
-        if is_due(&mut self.next_digest, conf::DIGEST_INTERVAL, now) && self.is_bridge() {
+        if is_due(&mut self.next_digest, conf::DIGEST_INTERVAL, now) && self.is_digest_host() {
             self.send_digest(now);
         }
-        self.outbox.take()
+        self.outbox.take_actions()
     }
 
-    /// Takes in a message of another host.
+    /// Handles a message of another host.
     pub fn handle(&mut self, from: &HostId, gossip: Gossip, now: Instant) -> Vec<MembershipAction> {
-        self.notice_pause(now);
-        self.hear_sender(from, &gossip, now);
+        self.detect_pause(now);
+        self.on_sender(from, &gossip, now);
         let is_list = matches!(gossip.body, Some(GossipBody::Members(())));
-        // A host that has just come hears of all others, which is news to nobody else.
-        let passes_on = !is_list || self.has_agreed;
+        // A new host receives a list of all others, which is news to no other host.
+        let rebroadcasts = !is_list || self.has_agreed;
         for record in &gossip.hosts {
-            self.hear_host(record, passes_on, now);
+            self.on_host_record(record, rebroadcasts, now);
         }
         for leaving in gossip.leaving {
-            self.hear_leaving(leaving);
+            self.on_leaving_upstream(leaving);
         }
         for notice in gossip.poison {
-            self.hear_poison(notice);
+            self.on_poison(notice);
         }
         if let Some(body) = gossip.body {
-            self.handle_body(from, body, now);
+            self.on_body(from, body, now);
         }
-        self.outbox.take()
+        self.outbox.take_actions()
     }
 
-    /// Probes a host at once, because a call to it failed. The others are told only if the probe
-    /// fails too.
-    pub fn suspect_hint(&mut self, host: &HostId, now: Instant) -> Vec<MembershipAction> {
-        let is_neighbour = |view: &HostView| {
-            view.domain == self.me.domain && view.state != HostState::Dead && view.id != self.me.id
+    /// Probes a host immediately after a call to it failed. A suspicion is broadcast only if the
+    /// probe fails too.
+    pub fn probe_after_failed_call(
+        &mut self,
+        host: &HostId,
+        now: Instant,
+    ) -> Vec<MembershipAction> {
+        let is_local_peer = |view: &HostView| {
+            view.domain == self.local_host.domain
+                && view.state != HostState::Dead
+                && view.id != self.local_host.id
         };
-        if self.roster.get(host).is_some_and(is_neighbour) {
+        if self.host_table.get(host).is_some_and(is_local_peer) {
             self.probe(host, now);
         }
-        self.outbox.take()
+        self.outbox.take_actions()
     }
 
-    /// Tells the others that this host drains and takes no home from now on.
+    /// Announces that this host is draining and becomes the home of no further pool.
     pub fn leave(&mut self, now: Instant) -> Vec<MembershipAction> {
-        self.me.state = HostState::Leaving;
-        self.me.incarnation = self.me.incarnation.next();
-        self.spread_self(now);
-        for host in self.neighbours(conf::INDIRECT_PROBES) {
+        self.local_host.state = HostState::Leaving;
+        self.local_host.incarnation = self.local_host.incarnation.next();
+        self.broadcast_self(now);
+        for host in self.local_peers(conf::INDIRECT_PROBES) {
             self.probe(&host, now);
         }
-        self.outbox.take()
+        self.outbox.take_actions()
     }
 
-    /// Sets the generation that this host has in force.
+    /// Sets the manifest generation that this host has in force.
     pub fn set_generation(&mut self, generation: Generation, now: Instant) {
-        self.me.generation = generation;
-        self.roster.set(self.me.clone(), now);
-        self.outbox.set_sender(self.me.incarnation, generation);
+        self.local_host.generation = generation;
+        self.host_table.set(self.local_host.clone(), now);
+        self.outbox
+            .set_sender(self.local_host.incarnation, generation);
     }
 
-    /// Spreads that an upstream is leaving, as of a version of its object in the platform.
-    pub fn note_leaving(&mut self, upstream: &UpstreamId, version: ObjectVersion) {
+    /// Broadcasts that an upstream is leaving, as of a version of its object in the platform.
+    pub fn announce_leaving_upstream(&mut self, upstream: &UpstreamId, version: ObjectVersion) {
         let leaving = LeavingUpstream {
             upstream: upstream.to_string(),
             version: version.0,
         };
-        if self.notices.is_news(&leaving) {
-            self.outbox.spread(News::Leaving(leaving));
+        if self.seen_notices.record_leaving(&leaving) {
+            self.outbox.broadcast(Broadcast::Leaving(leaving));
         }
     }
 
-    /// Spreads that a request crashed upstreams.
-    pub fn note_poison(&mut self, notice: PoisonNotice) {
-        if let Some(merged) = self.notices.merge(notice) {
-            self.outbox.spread(News::Poison(merged));
+    /// Broadcasts that a request crashed upstreams.
+    pub fn announce_poison(&mut self, notice: PoisonNotice) {
+        if let Some(merged) = self.seen_notices.merge(notice) {
+            self.outbox.broadcast(Broadcast::Poison(merged));
         }
     }
 
-    /// Whether another host of this failure domain was found to see the same hosts. Until then this
-    /// one may know only some of them, and name other homes.
+    /// Whether another host of this failure domain was found to have the same view. Until then,
+    /// this host may know only some of the hosts and therefore compute other homes.
     pub fn has_agreed(&self) -> bool {
         self.has_agreed
     }
 
-    /// All hosts that are known, this one among them.
+    /// All known hosts, including this one.
     pub fn hosts(&self) -> impl Iterator<Item = &HostView> {
-        self.roster.iter()
+        self.host_table.iter()
     }
 
-    /// The hosts of a failure domain as possible homes. A suspect stays eligible: its pools move
-    /// when it is declared dead, not at each late answer.
+    /// The hosts of a failure domain as candidates for homes. A suspect stays eligible: its pools
+    /// move when it is declared dead, not after each late answer.
     pub fn members(&self, domain: &FailureDomainId) -> Vec<Member> {
         let is_eligible =
             |view: &HostView| matches!(view.state, HostState::Alive | HostState::Suspect);
-        self.roster
+        self.host_table
             .iter()
             .filter(|view| view.domain == *domain)
             .map(|view| Member {
@@ -248,63 +257,68 @@
             .collect()
     }
 
-    /// Failure domains that sent no digest for a while, as one of the hosts that exchange digests
-    /// sees it; the others hear none and name none.
+    /// Failure domains that have sent no digest for a while. Only hosts that exchange digests
+    /// report any; the others receive no digests.
     pub fn silent_domains(&self, now: Instant) -> Vec<FailureDomainId> {
-        let is_silent =
-            |heard_at: &Instant| now.saturating_duration_since(*heard_at) > conf::DOMAIN_SILENCE;
-        self.heard_domains
+        let is_silent = |heard_at: &Instant| {
+            now.saturating_duration_since(*heard_at) > conf::DOMAIN_SILENCE_MAX
+        };
+        self.domain_heard_at
             .iter()
-            .filter(|(_, heard_at)| self.is_bridge() && is_silent(heard_at))
+            .filter(|(_, heard_at)| self.is_digest_host() && is_silent(heard_at))
             .map(|(domain, _)| domain.clone())
             .collect()
     }
 
-    /// Failure: the process was stopped for a while (SIGSTOP, a frozen machine) and does not know.
-    /// It shows as a gap between calls. All that it held may have been taken over, and answers to
-    /// its probes are late through no fault of the others.
-    fn notice_pause(&mut self, now: Instant) {
+    /// Detects a pause of this process.
+    ///
+    /// The failure this guards against: the process was stopped for a while, by SIGSTOP or a frozen
+    /// machine, without noticing. A pause shows as a gap between calls. The homes that
+    /// the process held may have been taken over, and unanswered probes say nothing about the other
+    /// hosts.
+    fn detect_pause(&mut self, now: Instant) {
         let paused = now.saturating_duration_since(self.last_active);
         self.last_active = now;
         if paused < conf::PAUSE_MIN {
             return;
         }
         log::warn!("membership: this process was paused for {paused:?}");
-        self.outbox.act(MembershipAction::Woke { paused });
+        self.outbox
+            .push(MembershipAction::ResumedAfterPause { paused });
         self.probes.clear();
         for suspicion in self.suspicions.values_mut() {
             suspicion.restart(now);
         }
-        self.me.incarnation = self.me.incarnation.next();
-        self.spread_self(now);
-        for host in self.neighbours(conf::INDIRECT_PROBES) {
+        self.local_host.incarnation = self.local_host.incarnation.next();
+        self.broadcast_self(now);
+        for host in self.local_peers(conf::INDIRECT_PROBES) {
             self.probe(&host, now);
         }
     }
 
-    fn end_suspicions(&mut self, now: Instant) {
+    fn expire_suspicions(&mut self, now: Instant) {
         if self.suspicions.is_empty() {
             return;
         }
-        let host_count = self.neighbour_count();
-        let over: Vec<HostId> = self
+        let host_count = self.local_host_count();
+        let expired: Vec<HostId> = self
             .suspicions
             .iter()
-            .filter(|(_, suspicion)| suspicion.is_over(host_count, now))
+            .filter(|(_, suspicion)| suspicion.is_expired(host_count, now))
             .map(|(host, _)| host.clone())
             .collect();
-        for host in over {
+        for host in expired {
             self.suspicions.swap_remove(&host);
             if self.set_state(&host, HostState::Dead, now) {
-                log::info!("membership: {host} is dead");
+                log::info!("membership: host {host} declared dead");
             }
         }
     }
 
-    fn step_probe(&mut self, step: ProbeStep, now: Instant) {
+    fn on_probe_step(&mut self, step: ProbeStep, now: Instant) {
         match step {
-            ProbeStep::AskOthers { seq, target } => {
-                for helper in self.neighbours(conf::INDIRECT_PROBES + 1) {
+            ProbeStep::RequestIndirect { seq, target } => {
+                for helper in self.local_peers(conf::INDIRECT_PROBES + 1) {
                     if helper != target {
                         let body = ProbeFor {
                             seq,
@@ -316,7 +330,7 @@
             }
             ProbeStep::Failed { target } => {
                 let is_dead = |view: &HostView| view.state == HostState::Dead;
-                if self.roster.get(&target).is_none_or(is_dead) {
+                if self.host_table.get(&target).is_none_or(is_dead) {
                     return;
                 }
                 self.suspicion(&target, now).confirm_by_self();
@@ -327,14 +341,14 @@
 
     fn probe_next(&mut self, now: Instant) {
         loop {
-            if self.ring.is_empty() {
-                self.ring = self.neighbours(usize::MAX);
+            if self.probe_order.is_empty() {
+                self.probe_order = self.local_peers(usize::MAX);
             }
-            let Some(host) = self.ring.pop() else {
+            let Some(host) = self.probe_order.pop() else {
                 return;
             };
             let is_gone = |view: &HostView| view.state == HostState::Dead;
-            if !self.roster.get(&host).is_none_or(is_gone) {
+            if !self.host_table.get(&host).is_none_or(is_gone) {
                 self.probe(&host, now);
                 return;
             }
@@ -346,34 +360,37 @@
             return;
         }
         let seq = self.probes.begin(host.clone(), now);
-        let view_hash = self.roster.view_hash();
+        let view_hash = self.host_table.view_hash();
         self.send(host, GossipBody::Probe(Probe { seq, view_hash }), now);
     }
 
     fn join_seeds(&mut self, now: Instant) {
-        let (near, far): (Vec<&PeerSeed>, Vec<&PeerSeed>) = self
+        let (local, remote): (Vec<&PeerSeed>, Vec<&PeerSeed>) = self
             .seeds
             .values()
-            .partition(|seed| seed.failure_domain == self.me.domain);
-        // Seeds of other failure domains only where none here may be left.
-        self.join_tries += 1;
-        let far_count = usize::from(near.is_empty() || self.join_tries > NEAR_JOIN_TRIES);
-        let near = near.choose_multiple(&mut self.rng, 2);
-        let mut chosen: Vec<HostId> = near.map(|seed| seed.host.clone()).collect();
-        let far = far.choose_multiple(&mut self.rng, far_count);
-        chosen.extend(far.map(|seed| seed.host.clone()));
+            .partition(|seed| seed.failure_domain == self.local_host.domain);
+        // Asks a seed of another failure domain only if the own domain may have no other live host.
+        self.join_attempts += 1;
+        let remote_count =
+            usize::from(local.is_empty() || self.join_attempts > LOCAL_JOIN_ATTEMPTS);
+        let local = local.choose_multiple(&mut self.rng, 2);
+        let mut chosen: Vec<HostId> = local.map(|seed| seed.host.clone()).collect();
+        let remote = remote.choose_multiple(&mut self.rng, remote_count);
+        chosen.extend(remote.map(|seed| seed.host.clone()));
         for host in chosen {
-            self.send(&host, GossipBody::Join(to_record(&self.me)), now);
+            self.send(&host, GossipBody::Join(to_record(&self.local_host)), now);
         }
     }
 
-    /// Failure: a cut lasted so long that both sides declared each other dead; after it heals
-    /// nobody would probe the other side. One try at a time finds it again.
-    fn reach_one(&mut self, now: Instant) {
+    /// Tries to reach one dead host and one unknown seed.
+    ///
+    /// The failure this guards against: a network partition lasted so long that both sides declared
+    /// each other dead, and after it healed, neither probes the other.
+    fn reconnect_one(&mut self, now: Instant) {
         let dead: Vec<HostId> = self
-            .roster
+            .host_table
             .iter()
-            .filter(|view| view.state == HostState::Dead && view.domain == self.me.domain)
+            .filter(|view| view.state == HostState::Dead && view.domain == self.local_host.domain)
             .map(|view| view.id.clone())
             .collect();
         if let Some(host) = dead.choose(&mut self.rng) {
@@ -382,60 +399,62 @@
         let unknown: Vec<HostId> = self
             .seeds
             .keys()
-            .filter(|host| self.roster.get(host).is_none())
+            .filter(|host| self.host_table.get(host).is_none())
             .cloned()
             .collect();
         if let Some(host) = unknown.choose(&mut self.rng).cloned() {
-            self.send(&host, GossipBody::Join(to_record(&self.me)), now);
+            self.send(&host, GossipBody::Join(to_record(&self.local_host)), now);
         }
     }
 
-    fn forget_dead(&mut self, now: Instant) {
-        let Some(before) = now.checked_sub(conf::DEAD_KEPT) else {
+    fn remove_expired_dead(&mut self, now: Instant) {
+        let Some(before) = now.checked_sub(conf::DEAD_RETENTION) else {
             return;
         };
-        for host in self.roster.forget_dead(before) {
-            self.outbox.act(MembershipAction::HostForgotten { host });
+        for host in self.host_table.remove_expired_dead(before) {
+            self.outbox.push(MembershipAction::HostRemoved { host });
         }
     }
 
-    fn spread_self(&mut self, now: Instant) {
-        self.roster.set(self.me.clone(), now);
+    fn broadcast_self(&mut self, now: Instant) {
+        self.host_table.set(self.local_host.clone(), now);
+        self.outbox
+            .set_sender(self.local_host.incarnation, self.local_host.generation);
         self.outbox
-            .set_sender(self.me.incarnation, self.me.generation);
-        self.outbox.spread(News::Host(to_record(&self.me)));
-        let id = self.me.id.clone();
-        self.tell_changed(&id);
+            .broadcast(Broadcast::Host(to_record(&self.local_host)));
+        let id = self.local_host.id.clone();
+        self.report_change(&id);
     }
 
-    /// Sets a host's state within its incarnation; whether that was news.
+    /// Sets the state of a host within its incarnation; returns whether the state changed.
     fn set_state(&mut self, host: &HostId, state: HostState, now: Instant) -> bool {
-        let Some(view) = self.roster.get(host).cloned() else {
+        let Some(view) = self.host_table.get(host).cloned() else {
             return false;
         };
-        if self.roster.apply(HostView { state, ..view }, now) != Applied::Changed {
+        if self.host_table.apply(HostView { state, ..view }, now) != Applied::Changed {
             return false;
         }
-        self.tell_changed(host);
-        if let Some(record) = self.roster.record(host, now) {
-            self.outbox.spread(News::Host(record));
+        self.report_change(host);
+        if let Some(record) = self.host_table.record(host, now) {
+            self.outbox.broadcast(Broadcast::Host(record));
         }
         true
     }
 
-    fn tell_changed(&mut self, host: &HostId) {
-        self.outbox.set_host_count(self.neighbour_count());
-        if let Some(view) = self.roster.get(host).cloned() {
-            self.outbox.act(MembershipAction::HostChanged { view });
+    fn report_change(&mut self, host: &HostId) {
+        self.outbox.set_host_count(self.local_host_count());
+        if let Some(view) = self.host_table.get(host).cloned() {
+            self.outbox.push(MembershipAction::HostChanged { view });
         }
     }
 
-    /// Sends one step. A host that is taken for gone hears so, and can refute at once.
+    /// Sends a message. A receiver that is suspected or dead in the view of this host is told so,
+    /// and can refute at once.
     fn send(&mut self, to: &HostId, body: GossipBody, now: Instant) {
-        let is_doubted =
+        let is_suspected =
             |view: &&HostView| matches!(view.state, HostState::Suspect | HostState::Dead);
-        let doubt = self.roster.get(to).filter(is_doubted).map(to_record);
-        self.outbox.send(to, body, doubt, now);
+        let about_receiver = self.host_table.get(to).filter(is_suspected).map(to_record);
+        self.outbox.send(to, body, about_receiver, now);
     }
 
     fn suspicion(&mut self, host: &HostId, now: Instant) -> &mut Suspicion {
@@ -444,16 +463,16 @@
             .or_insert_with(|| Suspicion::new(now))
     }
 
-    fn neighbour_count(&self) -> usize {
-        self.roster.present(&self.me.domain).count()
+    fn local_host_count(&self) -> usize {
+        self.host_table.present(&self.local_host.domain).count()
     }
 
     /// Up to `count` other hosts of the failure domain that are not dead, in random order.
-    fn neighbours(&mut self, count: usize) -> Vec<HostId> {
+    fn local_peers(&mut self, count: usize) -> Vec<HostId> {
         let mut hosts: Vec<HostId> = self
-            .roster
-            .present(&self.me.domain)
-            .filter(|view| view.id != self.me.id)
+            .host_table
+            .present(&self.local_host.domain)
+            .filter(|view| view.id != self.local_host.id)
             .map(|view| view.id.clone())
             .collect();
         hosts.shuffle(&mut self.rng);
@@ -462,7 +481,7 @@
     }
 }
 
-/// Whether something is due, and when next: never twice to catch up.
+/// Whether a timer is due, and sets its next time. Missed intervals are not caught up.
 fn is_due(next: &mut Instant, interval: Duration, now: Instant) -> bool {
     if now < *next {
         return false;
--- a/src/control/outcome/answer_check.rs
+++ b/src/control/outcome/answer_check.rs
@@ -1,4 +1,4 @@
-//! Matches every piece of an answer before it goes to the caller.
+//! Verification of every piece of an answer before it goes to the caller.
 
 use crate::control::outcome::AnswerFault;
 use crate::units::AttemptId;
@@ -7,118 +7,120 @@
 /// What to do with a piece of an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AnswerStep {
-    /// It is the next piece: pass it on.
+    /// Pass the piece on: it is the next one.
     Forward(ResponseEvent),
-    /// The caller has all of it already.
+    /// Drop the piece: the caller already has all of it.
     Skip,
-    /// It is the end mark, and nothing is missing: the answer is whole.
+    /// Pass the end mark on: the answer is complete.
     End(ResponseEvent),
-    /// It must not reach the caller.
+    /// Do not pass the piece on: it shows a fault.
     Fault(AnswerFault),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Expecting {
-    /// The status of a plain service's answer.
+enum ExpectedEvent {
+    /// The status of the answer of a plain service.
     Head,
     Body,
     Nothing,
 }
 
-/// Matches every piece of one request's answer by attempt and offset.
+/// Verifies every piece of the answer to one request by attempt and offset.
 ///
-/// The failure this guards against: an upstream or a connection gives a late, repeated or crossed
-/// piece, leaves one out, or stops; the caller would read another customer's words, or a letter
-/// that lacks its end. Each piece names its attempt and offset, and only the next one passes.
+/// The failure this guards against: an upstream or a connection delivers a late, repeated or
+/// foreign piece, leaves one out, or stops, and the caller reads the text of another customer or an
+/// answer without its end. Each piece names its attempt and offset, and only the next one passes.
 ///
-/// The same check goes on over resumed streams of the attempt, so that what comes again is skipped.
-/// An engine's last event has an offset too, also when it holds no token: its `Tokens` piece comes
+/// The check continues over resumed streams of the attempt, so that repeated pieces are skipped.
+/// The last event of an engine has an offset even if it contains no token: its `Tokens` piece comes
 /// before `End`, so that a missing tail shows as a gap.
 #[derive(Clone, Debug)]
 pub struct AnswerCheck {
-    /// None for plain services, whose answers have no ids: there the connection is the match.
+    /// `None` for plain services, whose answers carry no ids; the connection identifies the answer.
     attempt: Option<AttemptId>,
     offset_tokens: u64,
-    expecting: Expecting,
+    expected: ExpectedEvent,
 }
 
 impl AnswerCheck {
-    /// For a model's answer to an attempt, from its first token on.
-    pub fn model(attempt: AttemptId) -> Self {
+    /// A check of the answer of a model to an attempt, from its first token on.
+    pub fn for_model(attempt: AttemptId) -> Self {
         Self::resumed(attempt, 0)
     }
 
-    /// For a model's answer of which the caller already has `offset_tokens` tokens.
+    /// A check of the answer of a model of which the caller already has `offset_tokens` tokens.
     pub fn resumed(attempt: AttemptId, offset_tokens: u64) -> Self {
         Self {
             attempt: Some(attempt),
             offset_tokens,
-            expecting: Expecting::Body,
+            expected: ExpectedEvent::Body,
         }
     }
 
-    /// For a plain service's answer.
-    pub fn service() -> Self {
+    /// A check of the answer of a plain service.
+    pub fn for_service() -> Self {
         Self {
             attempt: None,
             offset_tokens: 0,
-            expecting: Expecting::Head,
+            expected: ExpectedEvent::Head,
         }
     }
 
-    /// How many tokens the caller has: where to resume.
+    /// Number of tokens that the caller has, which is the offset to resume at.
     pub fn offset_tokens(&self) -> u64 {
         self.offset_tokens
     }
 
-    /// Whether the end mark has come.
-    pub fn is_whole(&self) -> bool {
-        self.expecting == Expecting::Nothing
+    /// Whether the end mark has arrived.
+    pub fn is_complete(&self) -> bool {
+        self.expected == ExpectedEvent::Nothing
     }
 
-    /// Takes in a piece.
-    pub fn take(&mut self, event: ResponseEvent) -> AnswerStep {
-        if self.is_whole() {
+    /// Checks the next piece.
+    pub fn on_event(&mut self, event: ResponseEvent) -> AnswerStep {
+        if self.is_complete() {
             return AnswerStep::Fault(AnswerFault::AfterEnd);
         }
         match self.attempt {
-            Some(attempt) => self.take_model(attempt, event),
-            None => self.take_service(event),
+            Some(attempt) => self.on_model_event(attempt, event),
+            None => self.on_service_event(event),
         }
     }
 
-    /// Takes in that the stream has stopped.
-    pub fn stopped(&self) -> Result<(), AnswerFault> {
-        if self.is_whole() {
+    /// Checks whether the answer was complete when the stream stopped.
+    pub fn on_stream_end(&self) -> Result<(), AnswerFault> {
+        if self.is_complete() {
             return Ok(());
         }
-        Err(AnswerFault::Cut {
+        Err(AnswerFault::Truncated {
             wanted_offset_tokens: self.offset_tokens,
         })
     }
 
-    fn take_model(&mut self, attempt: AttemptId, event: ResponseEvent) -> AnswerStep {
+    fn on_model_event(&mut self, attempt: AttemptId, event: ResponseEvent) -> AnswerStep {
         match event {
-            ResponseEvent::Tokens { attempt: got, .. } if got != attempt => crossed(got),
+            ResponseEvent::Tokens { attempt: got, .. } if got != attempt => wrong_attempt(got),
             ResponseEvent::Tokens {
                 offset_tokens,
                 count,
                 ..
-            } => self.take_tokens(offset_tokens, count, event),
+            } => self.on_tokens(offset_tokens, count, event),
             ResponseEvent::End {
                 attempt: Some(got), ..
-            } if got != attempt => crossed(got),
-            ResponseEvent::End { attempt: None, .. } => out_of_place("an end without an id"),
+            } if got != attempt => wrong_attempt(got),
+            ResponseEvent::End { attempt: None, .. } => {
+                unexpected("an end mark without an attempt id")
+            }
             ResponseEvent::End { .. } => {
-                self.expecting = Expecting::Nothing;
+                self.expected = ExpectedEvent::Nothing;
                 AnswerStep::End(event)
             }
-            ResponseEvent::Head { .. } => out_of_place("a status"),
-            ResponseEvent::Data(_) => out_of_place("bytes"),
+            ResponseEvent::Head { .. } => unexpected("a status"),
+            ResponseEvent::Data(_) => unexpected("bytes"),
         }
     }
 
-    fn take_tokens(&mut self, offset: u64, count: u64, event: ResponseEvent) -> AnswerStep {
+    fn on_tokens(&mut self, offset: u64, count: u64, event: ResponseEvent) -> AnswerStep {
         let wanted = self.offset_tokens;
         let end = offset.saturating_add(count);
         if offset == wanted {
@@ -142,28 +144,28 @@
         AnswerStep::Fault(fault)
     }
 
-    fn take_service(&mut self, event: ResponseEvent) -> AnswerStep {
-        match (self.expecting, &event) {
-            (Expecting::Head, ResponseEvent::Head { .. }) => {
-                self.expecting = Expecting::Body;
+    fn on_service_event(&mut self, event: ResponseEvent) -> AnswerStep {
+        match (self.expected, &event) {
+            (ExpectedEvent::Head, ResponseEvent::Head { .. }) => {
+                self.expected = ExpectedEvent::Body;
                 AnswerStep::Forward(event)
             }
-            (Expecting::Body, ResponseEvent::Data(_)) => AnswerStep::Forward(event),
-            (Expecting::Body, ResponseEvent::End { .. }) => {
-                self.expecting = Expecting::Nothing;
+            (ExpectedEvent::Body, ResponseEvent::Data(_)) => AnswerStep::Forward(event),
+            (ExpectedEvent::Body, ResponseEvent::End { .. }) => {
+                self.expected = ExpectedEvent::Nothing;
                 AnswerStep::End(event)
             }
-            (_, ResponseEvent::Tokens { .. }) => out_of_place("tokens"),
-            (_, ResponseEvent::Head { .. }) => out_of_place("a second status"),
-            _ => out_of_place("a body before its status"),
+            (_, ResponseEvent::Tokens { .. }) => unexpected("tokens"),
+            (_, ResponseEvent::Head { .. }) => unexpected("a second status"),
+            _ => unexpected("a body before its status"),
         }
     }
 }
 
-fn crossed(got: AttemptId) -> AnswerStep {
-    AnswerStep::Fault(AnswerFault::Crossed { got })
+fn wrong_attempt(got: AttemptId) -> AnswerStep {
+    AnswerStep::Fault(AnswerFault::WrongAttempt { got })
 }
 
-fn out_of_place(what: &'static str) -> AnswerStep {
-    AnswerStep::Fault(AnswerFault::OutOfPlace(what))
+fn unexpected(what: &'static str) -> AnswerStep {
+    AnswerStep::Fault(AnswerFault::Unexpected(what))
 }
--- a/src/control/outcome/mod.rs
+++ b/src/control/outcome/mod.rs
@@ -1,16 +1,16 @@
-//! What callers are told, truthfully: the three outcomes, and whose answer a piece is.
+//! What callers are told: the outcome of a request, and only pieces of its own answer.
 //!
-//! [`RunRecord`] remembers of one request whether it may have run, over all its attempts.
-//! [`AnswerCheck`] lets through only what is the next piece of the right answer.
+//! [`RunTracker`] tracks whether a request may have run, over all its attempts. [`AnswerCheck`]
+//! passes only the next piece of the right answer.
 
 mod answer_check;
 mod answer_fault;
-mod run_record;
-mod told;
+mod request_outcome;
+mod run_tracker;
 
 pub use answer_check::AnswerCheck;
 pub use answer_check::AnswerStep;
 pub use answer_fault::AnswerFault;
-pub use run_record::AfterFailure;
-pub use run_record::RunRecord;
-pub use told::Outcome;
+pub use request_outcome::Outcome;
+pub use run_tracker::AfterFailure;
+pub use run_tracker::RunTracker;
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -70,9 +70,9 @@
             first_token: None,
             last_token: None,
             check: if is_model {
-                AnswerCheck::model(id)
+                AnswerCheck::for_model(id)
             } else {
-                AnswerCheck::service()
+                AnswerCheck::for_service()
             },
             prompt_tokens: 0,
             cached_tokens: 0,
@@ -97,7 +97,7 @@
     /// Checks a piece before a byte of it reaches the caller. Answers can be late, crossed, cut or
     /// repeated; only the next tokens of this very attempt may pass.
     pub fn take(&mut self, event: ResponseEvent, now: Instant) -> Piece {
-        match self.check.take(event) {
+        match self.check.on_event(event) {
             AnswerStep::Skip => Piece::Repeated,
             AnswerStep::Fault(fault) => Piece::Wrong(fault),
             AnswerStep::Forward(event) => self.forward(event, now),
@@ -135,7 +135,7 @@
             ..
         } = event
         else {
-            return Piece::Wrong(AnswerFault::OutOfPlace("an end"));
+            return Piece::Wrong(AnswerFault::Unexpected("an end"));
         };
         self.prompt_tokens = prompt_tokens;
         self.cached_tokens = cached_tokens;
--- a/src/fleet/home_desk/mod.rs
+++ b/src/fleet/home_desk/mod.rs
@@ -19,12 +19,12 @@
 use crate::cluster_view::ClusterView;
 use crate::cluster_view::HostState;
 use crate::cluster_view::ShardedMap;
-use crate::control::home::GrantAnswer;
+use crate::control::home::GrantStatus;
+use crate::control::home::HomeAnswer;
 use crate::control::home::HomeConf;
 use crate::control::home::HomeController;
 use crate::control::home::HomeEvent;
-use crate::control::home::Verdict;
-use crate::control::status::Events;
+use crate::control::status::EventLog;
 use crate::decide::PoolKind;
 use crate::decide::PoolLoad;
 use crate::decide::UpstreamInfo;
@@ -69,7 +69,7 @@
     clock: Arc<dyn Clock>,
     host: HostId,
     cluster_view: Arc<ClusterView>,
-    events: Arc<Events>,
+    events: Arc<EventLog>,
     peers: Arc<dyn Peers>,
     map: Arc<dyn HomeMap>,
     upstreams: Arc<dyn UpstreamDirectory>,
@@ -89,7 +89,7 @@
     /// The blackboard.
     pub cluster_view: Arc<ClusterView>,
     /// What this host did lately.
-    pub events: Arc<Events>,
+    pub events: Arc<EventLog>,
     /// Other hosts.
     pub peers: Arc<dyn Peers>,
     /// Which hosts are homes.
@@ -124,7 +124,7 @@
     }
 
     /// Handles what a host says to the home of a pool, and returns the reply to a request.
-    pub fn handle(self: &Arc<Self>, pool: &PoolId, event: HomeEvent) -> Option<GrantAnswer> {
+    pub fn handle(self: &Arc<Self>, pool: &PoolId, event: HomeEvent) -> Option<HomeAnswer> {
         let home = match &event {
             HomeEvent::Request { from, .. } => self.home_to_ask(pool, from),
             HomeEvent::Announce { from, .. } => self.home_to_ask(pool, from),
@@ -327,11 +327,11 @@
     }
 }
 
-fn not_home(event: &HomeEvent) -> Option<GrantAnswer> {
+fn not_home(event: &HomeEvent) -> Option<HomeAnswer> {
     match event {
-        HomeEvent::Request { work, .. } => Some(GrantAnswer {
+        HomeEvent::Request { work, .. } => Some(HomeAnswer {
             request: work.request,
-            verdict: Verdict::NotHome,
+            status: GrantStatus::NotHome,
         }),
         _ => None,
     }
--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -11,10 +11,10 @@
 use tokio::time::timeout;
 
 use crate::clock::Clock;
-use crate::control::home::GrantAnswer as HomeAnswer;
-use crate::control::home::Granted;
+use crate::control::home::GrantStatus;
+use crate::control::home::HomeAnswer;
 use crate::control::home::HomeEvent;
-use crate::control::home::Verdict;
+use crate::control::home::IssuedGrant;
 use crate::control::home::wire;
 use crate::decide::AttemptSummary;
 use crate::decide::LiveGrant;
@@ -83,13 +83,13 @@
 
 /// What one candidate said.
 enum Asked {
-    Said(Verdict),
+    Said(GrantStatus),
     Silent,
 }
 
 /// How the waiting for a decision ended.
 enum Waited {
-    Decided(Verdict),
+    Decided(GrantStatus),
     AskAgain,
 }
 
@@ -139,7 +139,7 @@
                 },
             );
         } else {
-            let announce = wire::announce_to(pool, &grants, self.clock.now());
+            let announce = wire::encode_announce(pool, &grants, self.clock.now());
             self.peers.send(to, Message::Announce(announce));
         }
     }
@@ -185,7 +185,7 @@
         loop {
             for candidate in self.candidates(pool) {
                 let verdict = match self.ask_one(&candidate, pool, work).await {
-                    Asked::Said(Verdict::NotHome) => continue,
+                    Asked::Said(GrantStatus::NotHome) => continue,
                     Asked::Silent => {
                         self.map.suspect(&candidate);
                         continue;
@@ -194,15 +194,15 @@
                 };
                 withdrawal.asked = Some(candidate.clone());
                 let verdict = match verdict {
-                    Verdict::Queued => self.wait_for(&mut pushes, &candidate, pool, work).await,
+                    GrantStatus::Queued => self.wait_for(&mut pushes, &candidate, pool, work).await,
                     decided => Waited::Decided(decided),
                 };
                 match verdict {
-                    Waited::Decided(Verdict::Granted(granted)) => {
+                    Waited::Decided(GrantStatus::Granted(granted)) => {
                         withdrawal.asked = None;
                         return self.granted(pool, granted, work);
                     }
-                    Waited::Decided(Verdict::Refused {
+                    Waited::Decided(GrantStatus::Refused {
                         reason,
                         retry_after,
                     }) => {
@@ -231,13 +231,13 @@
             let asked_at = self.clock.now();
             let pushed = timeout(ASK_AGAIN, pushes.recv()).await;
             if let Ok(Some(answer)) = pushed
-                && !self.is_stale(&answer.verdict, asked_at)
+                && !self.is_stale(&answer.status, asked_at)
             {
-                return Waited::Decided(answer.verdict);
+                return Waited::Decided(answer.status);
             }
             match self.ask_one(candidate, pool, work).await {
-                Asked::Said(Verdict::Queued) => {}
-                Asked::Said(Verdict::NotHome) => return Waited::AskAgain,
+                Asked::Said(GrantStatus::Queued) => {}
+                Asked::Said(GrantStatus::NotHome) => return Waited::AskAgain,
                 Asked::Said(verdict) => return Waited::Decided(verdict),
                 Asked::Silent => {
                     self.map.suspect(candidate);
@@ -259,8 +259,8 @@
     }
 
     /// Whether a grant has waited here so long that its home may have given it up.
-    fn is_stale(&self, verdict: &Verdict, asked_at: Instant) -> bool {
-        let Verdict::Granted(granted) = verdict else {
+    fn is_stale(&self, verdict: &GrantStatus, asked_at: Instant) -> bool {
+        let GrantStatus::Granted(granted) = verdict else {
             return false;
         };
         !granted.is_fresh(asked_at, self.clock.now())
@@ -273,15 +273,15 @@
                 work: work.clone(),
             };
             let answer = self.desk.handle(pool, event);
-            return answer.map_or(Asked::Silent, |answer| Asked::Said(answer.verdict));
+            return answer.map_or(Asked::Silent, |answer| Asked::Said(answer.status));
         }
-        let request = wire::request_to(pool, work, self.clock.now());
+        let request = wire::encode_request(pool, work, self.clock.now());
         let asked = self
             .peers
             .request(candidate, Message::GrantRequest(request), ASK_TIMEOUT);
         match asked.await {
-            Ok(Message::GrantReply(reply)) => match wire::answer_from(&reply) {
-                Ok((_, answer)) => Asked::Said(answer.verdict),
+            Ok(Message::GrantReply(reply)) => match wire::decode_answer(&reply) {
+                Ok((_, answer)) => Asked::Said(answer.status),
                 Err(err) => {
                     debug!("homes: {candidate} answered wrongly: {err}");
                     Asked::Silent
@@ -295,7 +295,7 @@
         }
     }
 
-    fn granted(&self, pool: &PoolId, granted: Granted, work: &Work) -> GrantAnswer {
+    fn granted(&self, pool: &PoolId, granted: IssuedGrant, work: &Work) -> GrantAnswer {
         let live = LiveGrant {
             id: granted.grant,
             work: work.clone(),
@@ -319,7 +319,7 @@
                 .handle(pool, HomeEvent::Finish { from, grant, done });
         } else {
             self.peers
-                .send(to, Message::Finish(wire::finish_to(pool, grant, &done)));
+                .send(to, Message::Finish(wire::encode_finish(pool, grant, &done)));
         }
     }
 
@@ -330,7 +330,7 @@
                 .handle(pool, HomeEvent::Withdraw { from, request });
         } else {
             self.peers
-                .send(to, Message::Withdraw(wire::withdraw_to(pool, request)));
+                .send(to, Message::Withdraw(wire::encode_withdraw(pool, request)));
         }
     }
 }
--- a/src/fleet/manifest_desk.rs
+++ b/src/fleet/manifest_desk.rs
@@ -13,11 +13,11 @@
 use crate::clock::Clock;
 use crate::cluster_view::ClusterView;
 use crate::cluster_view::HostState;
-use crate::control::manifests::Knowledge;
 use crate::control::manifests::ManifestAction;
-use crate::control::manifests::Manifests;
-use crate::control::manifests::PlatformWord;
-use crate::control::status::Events;
+use crate::control::manifests::ManifestController;
+use crate::control::manifests::ManifestRead;
+use crate::control::manifests::ManifestStatus;
+use crate::control::status::EventLog;
 use crate::observe::Metrics;
 use crate::peer::Message;
 use crate::peer::Peers;
@@ -28,12 +28,12 @@
 pub struct ManifestDesk {
     clock: Arc<dyn Clock>,
     cluster_view: Arc<ClusterView>,
-    events: Arc<Events>,
+    events: Arc<EventLog>,
     peers: Arc<dyn Peers>,
     metrics: Arc<Metrics>,
     host: HostId,
     domain: FailureDomainId,
-    manifests: Mutex<Manifests>,
+    manifests: Mutex<ManifestController>,
     read_platform: Notify,
     seen_hosts: AtomicU64,
 }
@@ -45,7 +45,7 @@
     /// The blackboard.
     pub cluster_view: Arc<ClusterView>,
     /// What this host did lately.
-    pub events: Arc<Events>,
+    pub events: Arc<EventLog>,
     /// Other hosts.
     pub peers: Arc<dyn Peers>,
     /// Metrics, which follow the manifest's customers.
@@ -58,7 +58,7 @@
 
 impl ManifestDesk {
     /// A desk around a state machine.
-    pub fn new(parts: ManifestDeskParts, manifests: Manifests) -> Self {
+    pub fn new(parts: ManifestDeskParts, manifests: ManifestController) -> Self {
         Self {
             clock: parts.clock,
             cluster_view: parts.cluster_view,
@@ -88,14 +88,14 @@
     }
 
     /// Takes in what the platform said.
-    pub fn platform(&self, word: PlatformWord) {
-        let actions = self.lock().platform(word, self.clock.now());
+    pub fn platform(&self, word: ManifestRead) {
+        let actions = self.lock().on_platform_read(word, self.clock.now());
         self.perform(actions);
     }
 
     /// What this host knows.
-    pub fn knowledge(&self) -> Knowledge {
-        self.lock().knowledge(self.clock.now())
+    pub fn knowledge(&self) -> ManifestStatus {
+        self.lock().status(self.clock.now())
     }
 
     /// Comes back when the platform should be read.
@@ -113,7 +113,7 @@
         let heard = self.generations();
         let mut manifests = self.lock();
         manifests.set_hosts(neighbours, strangers);
-        let hear = |(host, generation)| manifests.heard(&host, generation, now);
+        let hear = |(host, generation)| manifests.on_peer_generation(&host, generation, now);
         heard.into_iter().flat_map(hear).collect()
     }
 
@@ -138,7 +138,7 @@
             .collect()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Manifests> {
+    fn lock(&self) -> MutexGuard<'_, ManifestController> {
         self.manifests
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/src/fleet/membership_desk.rs
+++ b/src/fleet/membership_desk.rs
@@ -13,10 +13,10 @@
 use crate::cluster_view::ClusterView;
 use crate::cluster_view::HostState;
 use crate::cluster_view::HostView;
-use crate::control::homes::Member;
+use crate::control::home_assignment::Member;
 use crate::control::membership::Membership;
 use crate::control::membership::MembershipAction;
-use crate::control::status::Events;
+use crate::control::status::EventLog;
 use crate::decide::PoisonReport;
 use crate::decide::UpstreamHealth;
 use crate::entry::PoisonSpread;
@@ -49,7 +49,7 @@
     clock: Arc<dyn Clock>,
     cluster_view: Arc<ClusterView>,
     peers: Arc<dyn Peers>,
-    events: Arc<Events>,
+    events: Arc<EventLog>,
     host: HostId,
     membership: Mutex<Membership>,
 }
@@ -60,7 +60,7 @@
         clock: Arc<dyn Clock>,
         cluster_view: Arc<ClusterView>,
         peers: Arc<dyn Peers>,
-        events: Arc<Events>,
+        events: Arc<EventLog>,
         host: HostId,
         membership: Membership,
     ) -> Self {
@@ -96,12 +96,12 @@
 
     /// Takes in hosts of the platform's lagging list.
     pub fn seed(&self, seeds: &[PeerSeed]) {
-        self.lock().seed(seeds);
+        self.lock().add_seeds(seeds);
     }
 
     /// A host did not answer when it was asked for a grant.
     pub fn suspect(&self, host: &HostId) {
-        let actions = self.lock().suspect_hint(host, self.clock.now());
+        let actions = self.lock().probe_after_failed_call(host, self.clock.now());
         self.perform(actions);
     }
 
@@ -113,12 +113,12 @@
 
     /// Spreads that an upstream is leaving.
     pub fn note_leaving(&self, upstream: &UpstreamId, version: ObjectVersion) {
-        self.lock().note_leaving(upstream, version);
+        self.lock().announce_leaving_upstream(upstream, version);
     }
 
     /// Spreads that a request crashed an upstream.
     pub fn note_poison(&self, notice: PoisonNotice) {
-        self.lock().note_poison(notice);
+        self.lock().announce_poison(notice);
     }
 
     /// The hosts of a failure domain as possible homes.
@@ -164,11 +164,11 @@
                 None
             }
             MembershipAction::HostChanged { view } => self.host_changed(view),
-            MembershipAction::HostForgotten { host } => {
+            MembershipAction::HostRemoved { host } => {
                 self.cluster_view.hosts.remove(&host);
                 None
             }
-            MembershipAction::Woke { paused } => {
+            MembershipAction::ResumedAfterPause { paused } => {
                 self.events
                     .record("membership", "dropped what it held", "it was paused");
                 warn!("membership: this process was paused for {paused:?}, drops what it held");
--- a/src/fleet/order_desk.rs
+++ b/src/fleet/order_desk.rs
@@ -12,12 +12,12 @@
 
 use crate::clock::Clock;
 use crate::cluster_view::ClusterView;
+use crate::control::orders::DesiredEngines;
+use crate::control::orders::EngineReconciler;
 use crate::control::orders::LeaseAction;
-use crate::control::orders::OrderAction;
-use crate::control::orders::Orders;
-use crate::control::orders::OrdersConf;
-use crate::control::orders::Wanted;
-use crate::control::status::Events;
+use crate::control::orders::ReconcilerAction;
+use crate::control::orders::ReconcilerConf;
+use crate::control::status::EventLog;
 use crate::entry::UpstreamDirectory;
 use crate::fleet::HomeMap;
 use crate::manifest::Manifest;
@@ -38,7 +38,7 @@
 /// order, and serving goes on.
 pub struct OrderDesk {
     parts: OrderDeskParts,
-    pools: Mutex<IndexMap<PoolId, (OrdersConf, Orders)>>,
+    pools: Mutex<IndexMap<PoolId, (ReconcilerConf, EngineReconciler)>>,
 }
 
 /// What a desk works with.
@@ -48,7 +48,7 @@
     /// The blackboard.
     pub cluster_view: Arc<ClusterView>,
     /// What this host did lately.
-    pub events: Arc<Events>,
+    pub events: Arc<EventLog>,
     /// Which pools have their home here.
     pub map: Arc<dyn HomeMap>,
     /// The platform, for leases.
@@ -86,7 +86,7 @@
                     continue;
                 };
                 let conf = self.conf(&in_force.manifest, model);
-                let fresh = || (conf.clone(), Orders::new(conf.clone(), now));
+                let fresh = || (conf.clone(), EngineReconciler::new(conf.clone(), now));
                 let entry = pools.entry(pool.clone()).or_insert_with(fresh);
                 // A manifest that says otherwise of fencing or weights starts the pool anew, which
                 // costs the wait for its own lease and nothing else.
@@ -94,7 +94,7 @@
                     *entry = fresh();
                 }
                 let orders = &mut entry.1;
-                orders.set_wanted(wanted_of(model));
+                orders.set_desired(wanted_of(model));
                 orders.set_engines(&self.parts.map.upstreams_of(&pool));
                 due.push((pool, orders.tick(now)));
             }
@@ -115,9 +115,9 @@
             .collect()
     }
 
-    fn conf(&self, manifest: &Manifest, model: &ModelSpec) -> OrdersConf {
+    fn conf(&self, manifest: &Manifest, model: &ModelSpec) -> ReconcilerConf {
         let pools = manifest.models.len().max(1) as u64;
-        OrdersConf {
+        ReconcilerConf {
             host: self.parts.host.clone(),
             incarnation: self.parts.incarnation,
             fencing: model.fencing,
@@ -126,14 +126,14 @@
         }
     }
 
-    fn perform(self: &Arc<Self>, pool: &PoolId, action: OrderAction) {
+    fn perform(self: &Arc<Self>, pool: &PoolId, action: ReconcilerAction) {
         let desk = Arc::clone(self);
         let pool = pool.clone();
         tokio::spawn(async move {
             match action {
-                OrderAction::Lease(action) => desk.lease(&pool, action).await,
-                OrderAction::ReadEngine { id } => desk.read_engine(&pool, id).await,
-                OrderAction::SendOrder {
+                ReconcilerAction::Lease(action) => desk.lease(&pool, action).await,
+                ReconcilerAction::ReadEngine { id } => desk.read_engine(&pool, id).await,
+                ReconcilerAction::SendOrder {
                     id,
                     order,
                     not_after,
@@ -151,7 +151,7 @@
             LeaseAction::Read => {
                 let result = self.parts.platform.get(key).await;
                 let now = self.parts.clock.now();
-                self.with_orders(pool, |orders| orders.lease_read(result, now));
+                self.with_orders(pool, |orders| orders.on_lease_read(result, now));
             }
             LeaseAction::Write { spec, expected } => {
                 let written = match serde_json::to_value(&spec) {
@@ -159,7 +159,7 @@
                     Err(err) => Err(PlatformError::Refused(err.to_string())),
                 };
                 let now = self.parts.clock.now();
-                self.with_orders(pool, |orders| orders.lease_written(written, now));
+                self.with_orders(pool, |orders| orders.on_lease_written(written, now));
             }
         }
     }
@@ -171,7 +171,7 @@
         };
         match upstream.state().await {
             Ok(state) => {
-                self.with_orders(pool, |orders| orders.engine_read(&id, state, asked_at));
+                self.with_orders(pool, |orders| orders.on_engine_state(&id, state, asked_at));
             }
             Err(err) => debug!("orders: can't read {id}: {err}"),
         }
@@ -202,13 +202,13 @@
         }
     }
 
-    fn with_orders(&self, pool: &PoolId, work: impl FnOnce(&mut Orders)) {
+    fn with_orders(&self, pool: &PoolId, work: impl FnOnce(&mut EngineReconciler)) {
         if let Some((_, orders)) = self.lock().get_mut(pool) {
             work(orders);
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, IndexMap<PoolId, (OrdersConf, Orders)>> {
+    fn lock(&self) -> MutexGuard<'_, IndexMap<PoolId, (ReconcilerConf, EngineReconciler)>> {
         self.pools.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -218,10 +218,10 @@
     manifest.models.iter().find(|model| model.name == target)
 }
 
-fn wanted_of(model: &ModelSpec) -> Wanted {
+fn wanted_of(model: &ModelSpec) -> DesiredEngines {
     let mut adapters = model.adapters.clone();
     adapters.sort();
-    Wanted {
+    DesiredEngines {
         state: EngineState {
             model: model.name.to_string(),
             version: model.version.clone(),
--- a/src/gateway/advertised_limit.rs
+++ b/src/gateway/advertised_limit.rs
@@ -1,4 +1,4 @@
-//! The rate limit that an upstream advertises in its answers.
+//! Rate limits that upstreams advertise in their answers.
 
 use crate::units::RequestsPerSecond;
 
@@ -6,14 +6,14 @@
 /// together.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum AdvertisedLimit {
-    /// The answer advertises no valid limit: it is not the upstream's own, or the request did not
-    /// run.
+    /// The answer tells nothing of the limit: it does not come from the upstream itself, or it has
+    /// no limit and the request did not run.
     #[default]
     Absent,
-    /// The upstream accepts any number of requests.
+    /// The upstream accepts any number of requests: it ran the request and advertised no limit.
     Unlimited,
     /// The upstream accepts this many requests a second.
     Limited(RequestsPerSecond),
-    /// The limit is not a rate; the start of its text.
+    /// The limit is not a valid rate. Contains the start of its text.
     Malformed(String),
 }
--- a/tests/home.rs
+++ b/tests/home.rs
@@ -7,13 +7,13 @@
 
 use banyanarch::clock::Clock;
 use banyanarch::clock::ManualClock;
-use banyanarch::control::home::GrantAnswer;
-use banyanarch::control::home::Granted;
+use banyanarch::control::home::GrantStatus;
 use banyanarch::control::home::HomeAction;
+use banyanarch::control::home::HomeAnswer;
 use banyanarch::control::home::HomeConf;
 use banyanarch::control::home::HomeController;
 use banyanarch::control::home::HomeEvent;
-use banyanarch::control::home::Verdict;
+use banyanarch::control::home::IssuedGrant;
 use banyanarch::control::home::wire;
 use banyanarch::decide::AttemptOutcome;
 use banyanarch::decide::LiveGrant;
@@ -86,7 +86,7 @@
     fn list(&mut self, actions: &[HomeAction], running: &[RunningAttempt]) -> Vec<HomeAction> {
         let mut answers = Vec::new();
         for action in actions {
-            if let HomeAction::List { upstream, seq } = action {
+            if let HomeAction::ListAttempts { upstream, seq } = action {
                 answers.extend(self.hear(HomeEvent::EngineListed {
                     upstream: upstream.clone(),
                     seq: *seq,
@@ -120,18 +120,18 @@
         all
     }
 
-    fn ask(&mut self, request: u128, from: &HostId, tokens: u64) -> Verdict {
+    fn ask(&mut self, request: u128, from: &HostId, tokens: u64) -> GrantStatus {
         let work = work(request, from, tokens, self.clock.now());
         let from = from.clone();
         let actions = self.hear(HomeEvent::Request { from, work });
         let reply = actions.into_iter().find_map(|action| match action {
-            HomeAction::Reply { answer, .. } => Some(answer.verdict),
+            HomeAction::Reply { answer, .. } => Some(answer.status),
             _ => None,
         });
         reply.unwrap()
     }
 
-    fn ask_granted(&mut self, request: u128, from: &HostId, tokens: u64) -> Granted {
+    fn ask_granted(&mut self, request: u128, from: &HostId, tokens: u64) -> IssuedGrant {
         granted(self.ask(request, from, tokens))
     }
 
@@ -158,9 +158,9 @@
     }
 }
 
-fn granted(verdict: Verdict) -> Granted {
-    match verdict {
-        Verdict::Granted(granted) => granted,
+fn granted(status: GrantStatus) -> IssuedGrant {
+    match status {
+        GrantStatus::Granted(granted) => granted,
         other => panic!("not granted: {other:?}"),
     }
 }
@@ -197,8 +197,8 @@
     let a = host("entry-a");
     let first = home.ask_granted(1, &a, 6_000);
     assert_eq!(home.ask_granted(1, &a, 6_000), first);
-    assert_eq!(home.ask(2, &a, 6_000), Verdict::Queued);
-    assert_eq!(home.ask(2, &a, 6_000), Verdict::Queued);
+    assert_eq!(home.ask(2, &a, 6_000), GrantStatus::Queued);
+    assert_eq!(home.ask(2, &a, 6_000), GrantStatus::Queued);
     let actions = home.finish(&a, first.grant, AttemptOutcome::Completed);
     let pushed = |action: &HomeAction| matches!(action, HomeAction::Push { answer, .. } if answer.request == RequestId(2));
     assert!(actions.iter().any(pushed));
@@ -253,8 +253,12 @@
     let held = [running(stray, &b, 6_000)];
     let actions = home.pass(Duration::from_secs(30), &held, &[]);
     assert!(cancels(&actions).is_empty());
-    assert!(actions.contains(&HomeAction::AskAnnounce { to: b.clone() }));
-    assert_eq!(home.ask(1, &b, 6_000), Verdict::Queued, "its memory counts");
+    assert!(actions.contains(&HomeAction::RequestAnnouncement { to: b.clone() }));
+    assert_eq!(
+        home.ask(1, &b, 6_000),
+        GrantStatus::Queued,
+        "its memory counts"
+    );
     let actions = home.pass(Duration::from_secs(1), &held, &[(&b, Vec::new())]);
     assert!(cancels(&actions).contains(&AttemptId(stray.0)));
     home.confirm(stray);
@@ -273,10 +277,10 @@
     home.ask_granted(1, &a, 1_000);
     assert_eq!(
         home.ask(2, &a, 1_000),
-        Verdict::Queued,
+        GrantStatus::Queued,
         "the share is used up"
     );
-    assert_eq!(home.ask(3, &a, 6_000), Verdict::Queued);
+    assert_eq!(home.ask(3, &a, 6_000), GrantStatus::Queued);
     let old = GrantId(5);
     home.list(&actions, &[running(old, &b, 8_000)]);
     let now = home.clock.now();
@@ -287,7 +291,7 @@
     home.ask_granted(2, &a, 1_000);
     assert_eq!(
         home.ask(3, &a, 6_000),
-        Verdict::Queued,
+        GrantStatus::Queued,
         "{old} still holds 8,000"
     );
     home.finish(&b, old, AttemptOutcome::Completed);
@@ -311,13 +315,13 @@
     let a = host("entry-a");
     let old = home.ask_granted(1, &a, 4_000);
     home.set_engine(UpstreamHealth::Leaving);
-    assert_eq!(home.ask(1, &a, 4_000), Verdict::Queued);
+    assert_eq!(home.ask(1, &a, 4_000), GrantStatus::Queued);
     home.set_engine(UpstreamHealth::Live);
     let new = home.ask_granted(1, &a, 4_000);
     assert_ne!(new.grant, old.grant);
     assert_eq!(
         home.ask(2, &a, 4_000),
-        Verdict::Queued,
+        GrantStatus::Queued,
         "the old one may have been used"
     );
     let grants = vec![live(new.grant, 1, &a, 4_000, home.clock.now())];
@@ -337,7 +341,7 @@
     let actions = home.finish(&a, grant, AttemptOutcome::Failed);
     assert_eq!(cancels(&actions), [AttemptId(grant.0)]);
     home.finish(&a, grant, AttemptOutcome::NotSent);
-    assert_eq!(home.ask(2, &a, 6_000), Verdict::Queued);
+    assert_eq!(home.ask(2, &a, 6_000), GrantStatus::Queued);
     home.confirm(grant);
     home.ask_granted(2, &a, 6_000);
 }
@@ -381,38 +385,38 @@
     let a = host("entry-a");
     home.ask_granted(1, &a, 6_000);
     home.ask(2, &a, 6_000);
-    let answer = GrantAnswer {
+    let answer = HomeAnswer {
         request: RequestId(2),
-        verdict: Verdict::NotHome,
+        status: GrantStatus::NotHome,
     };
     let pushed = HomeAction::Push {
         to: a.clone(),
         answer,
     };
     assert_eq!(home.hear(HomeEvent::HandOver), [pushed]);
-    assert_eq!(home.ask(3, &a, 1_000), Verdict::NotHome);
+    assert_eq!(home.ask(3, &a, 1_000), GrantStatus::NotHome);
 }
 
 #[parameterized(
-    not_home = { Verdict::NotHome },
-    queued = { Verdict::Queued },
-    granted = { Verdict::Granted(Granted {
+    not_home = { GrantStatus::NotHome },
+    queued = { GrantStatus::Queued },
+    granted = { GrantStatus::Granted(IssuedGrant {
         grant: GrantId(7),
         upstreams: vec![upstream("runner-1"), upstream("runner-2")],
         waited: Duration::from_millis(30),
         why: "cached".to_owned(),
     }) },
-    refused = { Verdict::Refused {
+    refused = { GrantStatus::Refused {
         reason: RefuseReason::QueueFull,
         retry_after: Duration::from_millis(2_500),
     } },
 )]
-fn answers_survive_the_wire(verdict: Verdict) {
+fn answers_survive_the_wire(status: GrantStatus) {
     let pool: PoolId = "hall-a/llm-advisor/0".parse().unwrap();
     let request = RequestId(3);
-    let answer = GrantAnswer { request, verdict };
-    let message = wire::answer_to(&pool, &answer);
-    assert_eq!(wire::answer_from(&message), Ok((pool, answer)));
+    let answer = HomeAnswer { request, status };
+    let message = wire::encode_answer(&pool, &answer);
+    assert_eq!(wire::decode_answer(&message), Ok((pool, answer)));
 }
 
 /// Hosts' clocks differ, so a deadline travels as the time that remains.
@@ -424,13 +428,13 @@
     let mut sent = work(1, &host("entry-a"), 4_096, here);
     sent.prefixes = vec![(ContentHash(9), Tokens(1_024))];
     sent.avoid = vec![upstream("runner-3")];
-    let message = wire::request_to(&pool, &sent, here);
-    let (_, got) = wire::request_from(&message, there).unwrap();
+    let message = wire::encode_request(&pool, &sent, here);
+    let (_, got) = wire::decode_request(&message, there).unwrap();
     assert_eq!(got.deadline - there, sent.deadline - here);
     sent.deadline = got.deadline;
     assert_eq!(got, sent);
     let cut = banyanarch::peer::message::GrantRequest::default();
-    assert_eq!(wire::request_from(&cut, here).unwrap_err().field, "pool");
+    assert_eq!(wire::decode_request(&cut, here).unwrap_err().field, "pool");
 }
 
 /// A host restarts, membership says so late, and the new process asks before anybody calls it alive.
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -1,11 +1,11 @@
-//! Callers are told the truth: whose answer it is, and whether a request may have run.
+//! Verification of answers, and the outcome that callers are told.
 
 use banyanarch::control::outcome::AfterFailure;
 use banyanarch::control::outcome::AnswerCheck;
 use banyanarch::control::outcome::AnswerFault;
 use banyanarch::control::outcome::AnswerStep;
 use banyanarch::control::outcome::Outcome;
-use banyanarch::control::outcome::RunRecord;
+use banyanarch::control::outcome::RunTracker;
 use banyanarch::units::AttemptId;
 use banyanarch::upstream::ResponseEvent;
 use banyanarch::upstream::UpstreamError;
@@ -53,67 +53,68 @@
     }
 }
 
-/// Two connections to an engine are mixed up, or one repeats or loses a piece. The caller would read
-/// words of another customer's case, or a letter with a hole in it.
+/// Guards against foreign or incomplete text in an answer when two connections to an engine are
+/// mixed up, or one repeats or loses a piece.
 #[parameterized(
-    crossed = { tokens(OTHER, 3, 1), AnswerFault::Crossed { got: OTHER } },
-    crossed_at_the_same_offset_as_a_repeat = { tokens(OTHER, 0, 3), AnswerFault::Crossed { got: OTHER } },
-    crossed_end = { end(Some(OTHER)), AnswerFault::Crossed { got: OTHER } },
-    end_without_id = { end(None), AnswerFault::OutOfPlace("an end without an id") },
+    crossed = { tokens(OTHER, 3, 1), AnswerFault::WrongAttempt { got: OTHER } },
+    crossed_at_the_same_offset_as_a_repeat = { tokens(OTHER, 0, 3), AnswerFault::WrongAttempt { got: OTHER } },
+    crossed_end = { end(Some(OTHER)), AnswerFault::WrongAttempt { got: OTHER } },
+    end_without_id = { end(None), AnswerFault::Unexpected("an end mark without an attempt id") },
     hole = { tokens(OURS, 4, 1), gap(3, 4) },
     missing_tail = { tokens(OURS, 9, 0), gap(3, 9) },
     overlapping = { tokens(OURS, 2, 2), overlap(3, 2) },
-    bytes = { ResponseEvent::Data("x".into()), AnswerFault::OutOfPlace("bytes") },
+    bytes = { ResponseEvent::Data("x".into()), AnswerFault::Unexpected("bytes") },
 )]
-fn wrong_pieces_do_not_pass(event: ResponseEvent, fault: AnswerFault) {
-    let mut check = AnswerCheck::model(OURS);
+fn wrong_pieces_are_rejected(event: ResponseEvent, fault: AnswerFault) {
+    let mut check = AnswerCheck::for_model(OURS);
     let first = tokens(OURS, 0, 3);
-    assert_eq!(check.take(first.clone()), AnswerStep::Forward(first));
-    assert_eq!(check.take(event), AnswerStep::Fault(fault));
+    assert_eq!(check.on_event(first.clone()), AnswerStep::Forward(first));
+    assert_eq!(check.on_event(event), AnswerStep::Fault(fault));
     let next = tokens(OURS, 3, 1);
-    assert_eq!(check.take(next.clone()), AnswerStep::Forward(next));
+    assert_eq!(check.on_event(next.clone()), AnswerStep::Forward(next));
 }
 
-/// A connection breaks, the stream is resumed, and the engine sends some of it again. The caller
-/// must get each token once, and the end only after all of them.
+/// Guards against repeated tokens and an early end. A connection breaks, the stream is resumed, and
+/// the engine sends some of it again: the caller must get each token once, and the end mark only
+/// after all of them.
 #[test]
-fn resumed_streams_repeat_nothing() {
-    let mut check = AnswerCheck::model(OURS);
-    check.take(tokens(OURS, 0, 3));
-    let cut = AnswerFault::Cut {
+fn resumed_streams_repeat_no_token() {
+    let mut check = AnswerCheck::for_model(OURS);
+    check.on_event(tokens(OURS, 0, 3));
+    let truncated = AnswerFault::Truncated {
         wanted_offset_tokens: 3,
     };
-    assert_eq!(check.stopped(), Err(cut));
-    assert!(cut.can_resume());
+    assert_eq!(check.on_stream_end(), Err(truncated));
+    assert!(truncated.can_resume());
     assert_eq!(check.offset_tokens(), 3);
-    assert_eq!(check.take(tokens(OURS, 0, 2)), AnswerStep::Skip);
-    assert_eq!(check.take(tokens(OURS, 2, 1)), AnswerStep::Skip);
+    assert_eq!(check.on_event(tokens(OURS, 0, 2)), AnswerStep::Skip);
+    assert_eq!(check.on_event(tokens(OURS, 2, 1)), AnswerStep::Skip);
     let rest = tokens(OURS, 3, 2);
-    assert_eq!(check.take(rest.clone()), AnswerStep::Forward(rest));
+    assert_eq!(check.on_event(rest.clone()), AnswerStep::Forward(rest));
     let last = end(Some(OURS));
-    assert_eq!(check.take(last.clone()), AnswerStep::End(last));
-    assert_eq!(check.stopped(), Ok(()));
+    assert_eq!(check.on_event(last.clone()), AnswerStep::End(last));
+    assert_eq!(check.on_stream_end(), Ok(()));
     assert_eq!(
-        check.take(tokens(OURS, 5, 1)),
+        check.on_event(tokens(OURS, 5, 1)),
         AnswerStep::Fault(AnswerFault::AfterEnd)
     );
 }
 
-/// A plain service's connection breaks before its answer has ended. A short answer must not pass as
-/// a whole one, and there is no way to resume it.
+/// Guards against a truncated answer of a plain service that passes as complete when the connection
+/// breaks. Such an answer cannot be resumed.
 #[test]
-fn service_answers_are_whole_or_cut() {
-    let mut check = AnswerCheck::service();
-    let early = check.take(ResponseEvent::Data("x".into()));
+fn service_answers_are_complete_or_truncated() {
+    let mut check = AnswerCheck::for_service();
+    let early = check.on_event(ResponseEvent::Data("x".into()));
     assert!(matches!(
         early,
-        AnswerStep::Fault(AnswerFault::OutOfPlace(_))
+        AnswerStep::Fault(AnswerFault::Unexpected(_))
     ));
-    assert_eq!(check.take(head()), AnswerStep::Forward(head()));
-    check.take(ResponseEvent::Data("x".into()));
-    assert!(check.stopped().is_err());
-    assert_eq!(check.take(end(None)), AnswerStep::End(end(None)));
-    assert_eq!(check.stopped(), Ok(()));
+    assert_eq!(check.on_event(head()), AnswerStep::Forward(head()));
+    check.on_event(ResponseEvent::Data("x".into()));
+    assert!(check.on_stream_end().is_err());
+    assert_eq!(check.on_event(end(None)), AnswerStep::End(end(None)));
+    assert_eq!(check.on_stream_end(), Ok(()));
 }
 
 fn refused() -> UpstreamError {
@@ -124,8 +125,8 @@
     }
 }
 
-/// An upstream fails after bytes of a licence grant have left. Told "not run", the caller would send
-/// it again, and two would be issued.
+/// Guards against a wrong "not run": when an upstream fails after bytes of a licence grant were
+/// sent, the caller would send the grant again, and two would be issued.
 #[parameterized(
     not_sent = { UpstreamError::NotSent(String::new()), Outcome::NotRun },
     turned_away = { refused(), Outcome::NotRun },
@@ -134,39 +135,40 @@
     failed = { UpstreamError::Failed(String::new()), Outcome::MayHaveRun },
     unknown = { UpstreamError::UnknownAttempt, Outcome::MayHaveRun },
 )]
-fn not_run_is_said_only_when_certain(error: UpstreamError, outcome: Outcome) {
-    let mut record = RunRecord::new(false);
+fn not_run_is_reported_only_when_certain(error: UpstreamError, outcome: Outcome) {
+    let mut record = RunTracker::new(false);
     assert_eq!(record.outcome(), Outcome::NotRun);
-    record.sending();
+    record.on_send();
     assert_eq!(
         record.outcome(),
         Outcome::MayHaveRun,
-        "the task may end here"
+        "the task may be dropped here"
     );
-    let after = record.failed(&error);
+    let after = record.on_failure(&error);
     assert_eq!(record.outcome(), outcome);
     assert_eq!(
-        after == AfterFailure::MayTryAgain,
+        after == AfterFailure::RetryAllowed,
         outcome == Outcome::NotRun
     );
     assert_eq!(outcome.name().parse(), Ok(outcome));
 }
 
-/// A stream breaks and the engine refuses to resume it, or a second attempt is refused after a first
-/// one may have run. The refusal is certain, but not about the first attempt.
+/// Guards against a refusal that hides an earlier attempt. A stream breaks and the engine refuses
+/// to resume it, or a second attempt is refused after a first one that may have run. The refusal is
+/// certain, but says nothing about the first attempt.
 #[test]
-fn later_refusal_does_not_undo_an_earlier_doubt() {
-    let mut record = RunRecord::new(true);
-    record.sending();
-    record.failed(&UpstreamError::Interrupted(String::new()));
-    record.failed(&refused());
+fn later_refusal_does_not_resolve_an_earlier_uncertainty() {
+    let mut record = RunTracker::new(true);
+    record.on_send();
+    record.on_failure(&UpstreamError::Interrupted(String::new()));
+    record.on_failure(&refused());
     assert_eq!(record.outcome(), Outcome::MayHaveRun);
-    record.sending();
-    assert_eq!(record.failed(&refused()), AfterFailure::MayTryAgain);
+    record.on_send();
+    assert_eq!(record.on_failure(&refused()), AfterFailure::RetryAllowed);
     assert_eq!(record.outcome(), Outcome::MayHaveRun);
-    let mut resumed = RunRecord::new(false);
-    resumed.sending();
-    resumed.answered();
-    assert_eq!(resumed.failed(&refused()), AfterFailure::MustStop);
+    let mut resumed = RunTracker::new(false);
+    resumed.on_send();
+    resumed.on_response_start();
+    assert_eq!(resumed.on_failure(&refused()), AfterFailure::RetryForbidden);
     assert_eq!(resumed.outcome(), Outcome::MayHaveRun);
 }
--- a/tests/worlds/claim_world.rs
+++ b/tests/worlds/claim_world.rs
@@ -6,12 +6,12 @@
 use banyanarch::clock::ManualClock;
 use banyanarch::control::claims::ClaimConf;
 use banyanarch::control::claims::ClaimKey;
+use banyanarch::control::claims::ClaimOutcome;
 use banyanarch::control::claims::ClaimShard;
 use banyanarch::control::claims::ClaimState;
-use banyanarch::control::claims::ClaimVerdict;
 use banyanarch::control::claims::ShardAction;
 use banyanarch::control::outcome::Outcome;
-use banyanarch::control::outcome::RunRecord;
+use banyanarch::control::outcome::RunTracker;
 use banyanarch::objects::Object;
 use banyanarch::objects::PlatformError;
 use banyanarch::units::AttemptId;
@@ -166,7 +166,7 @@
         let claim = claim(attempt.0, &host(&format!("entry-{at}")), 1);
         self.keys[key].begin(KeyOp::ClaimUnheard { by: attempt });
         self.hosts[at].waiting.push(Sending { key, attempt });
-        self.hosts[at].shard.want(named(key), claim, now);
+        self.hosts[at].shard.claim(named(key), claim, now);
         self.verdicts(at);
     }
 
@@ -183,11 +183,11 @@
             }
             Some(Call::Begun(_)) => Some(Call::Read(self.object.get(fault))),
             Some(Call::Read(result)) => {
-                host.shard.read(result, now);
+                host.shard.on_read(result, now);
                 None
             }
             Some(Call::Written(result)) => {
-                host.shard.written(result, now);
+                host.shard.on_written(result, now);
                 None
             }
         };
@@ -195,7 +195,7 @@
     }
 
     fn verdicts(&mut self, at: usize) {
-        for (attempt, verdict) in self.hosts[at].shard.take_verdicts() {
+        for (attempt, verdict) in self.hosts[at].shard.take_outcomes() {
             let waiting = &mut self.hosts[at].waiting;
             let Some(index) = waiting
                 .iter()
@@ -206,19 +206,19 @@
             let sending = waiting.remove(index);
             let history = &mut self.keys[sending.key];
             match verdict {
-                ClaimVerdict::Claimed => {
+                ClaimOutcome::Claimed => {
                     history.end_claim(attempt, attempt);
                     self.hosts[at].claimed.push(sending);
                 }
-                ClaimVerdict::HeldBy(held) => {
+                ClaimOutcome::HeldBy(held) => {
                     history.end_claim(attempt, held.attempt);
                     self.tell(sending, Outcome::MayHaveRun);
                 }
-                ClaimVerdict::Unavailable { .. } => {
+                ClaimOutcome::Unavailable { .. } => {
                     history.begin(KeyOp::GiveBack { by: attempt });
                     self.tell(sending, Outcome::NotRun);
                 }
-                ClaimVerdict::DifferentContent => panic!("all contents are the same"),
+                ClaimOutcome::DifferentContent => panic!("all contents are the same"),
             }
         }
     }
@@ -250,18 +250,18 @@
             return;
         }
         let sending = self.hosts[at].claimed.remove(0);
-        let mut record = RunRecord::new(false);
-        record.sending();
+        let mut record = RunTracker::new(false);
+        record.on_send();
         if !matches!(fate, Fate::Refuses | Fate::CrashesBefore) {
             self.ran[sending.key].push(sending.attempt);
         }
         match fate {
-            Fate::Completes => record.completed(),
+            Fate::Completes => record.on_completed(),
             Fate::Refuses => {
-                record.failed(&UpstreamError::NotSent("refused".to_owned()));
+                record.on_failure(&UpstreamError::NotSent("refused".to_owned()));
             }
             Fate::CrashesBefore | Fate::CrashesAfter => {
-                record.failed(&UpstreamError::Interrupted("crash".to_owned()));
+                record.on_failure(&UpstreamError::Interrupted("crash".to_owned()));
             }
         }
         let outcome = record.outcome();
--- a/tests/worlds/entry_host.rs
+++ b/tests/worlds/entry_host.rs
@@ -1,12 +1,13 @@
-//! An entry host as the grants see it: it asks, dispatches, announces and finishes.
+//! A simulated entry host: it requests grants, dispatches, announces its running attempts and
+//! finishes them.
 
 use std::time::Duration;
 use std::time::Instant;
 
-use banyanarch::control::home::GrantAnswer;
-use banyanarch::control::home::Granted;
+use banyanarch::control::home::GrantStatus;
+use banyanarch::control::home::HomeAnswer;
 use banyanarch::control::home::HomeEvent;
-use banyanarch::control::home::Verdict;
+use banyanarch::control::home::IssuedGrant;
 use banyanarch::decide::AttemptOutcome;
 use banyanarch::decide::LiveGrant;
 use banyanarch::decide::Work;
@@ -18,20 +19,21 @@
 use indexmap::IndexMap;
 use indexmap::IndexSet;
 
-use super::grant_world::Around;
+use super::grant_world::HostContext;
 use super::grant_world::Message;
-use super::grant_world::finish;
+use super::grant_world::finish_event;
 use crate::fakes::make::work;
 
-/// Time limit of a request: thirty seconds.
+/// Time limit of a request: thirty seconds in ticks of 250 ms.
 const LIMIT_TICKS: u64 = 120;
-/// A host asks again every 500 ms and announces every second.
-const ASK_TICKS: u64 = 2;
+/// A host repeats its waiting requests every 500 ms, and announces its running attempts every
+/// second.
+const REQUEST_TICKS: u64 = 2;
 const ANNOUNCE_TICKS: u64 = 4;
 
 enum State {
     Waiting,
-    Running { granted: Granted, ends_at: u64 },
+    Running { granted: IssuedGrant, ends_at: u64 },
     Ended,
 }
 
@@ -48,7 +50,7 @@
     pub(crate) home: usize,
     pub(crate) paused_until: u64,
     pub(crate) is_cut: bool,
-    pub(crate) inbox: Vec<(usize, Option<GrantAnswer>)>,
+    pub(crate) inbox: Vec<(usize, Option<HomeAnswer>)>,
     requests: IndexMap<RequestId, Request>,
     used: IndexSet<AttemptId>,
 }
@@ -86,11 +88,11 @@
     }
 
     pub(crate) fn is_reading(&self, attempt: AttemptId) -> bool {
-        let reads = |request: &Request| match &request.state {
+        let is_running = |request: &Request| match &request.state {
             State::Running { granted, .. } => granted.attempt() == attempt,
             State::Waiting | State::Ended => false,
         };
-        self.requests.values().any(reads)
+        self.requests.values().any(is_running)
     }
 
     pub(crate) fn check_all_ended(&self) {
@@ -98,39 +100,39 @@
             let has_ended = matches!(request.state, State::Ended);
             assert!(
                 has_ended,
-                "{id} of {} goes on beyond its limit",
+                "request {id} of host {} runs beyond its time limit",
                 self.number
             );
         }
     }
 
-    pub(crate) fn act(&mut self, around: &mut Around<'_>) {
-        if around.tick < self.paused_until {
+    pub(crate) fn act(&mut self, context: &mut HostContext<'_>) {
+        if context.tick < self.paused_until {
             return;
         }
         for (home, answer) in std::mem::take(&mut self.inbox) {
             match answer {
-                Some(answer) => self.answered(home, answer, around),
-                None => self.announce(home, around),
+                Some(answer) => self.on_answer(home, answer, context),
+                None => self.announce(home, context),
             }
         }
-        self.read_answers(around);
-        if around.tick.is_multiple_of(ASK_TICKS) {
-            self.ask(around);
+        self.read_answers(context);
+        if context.tick.is_multiple_of(REQUEST_TICKS) {
+            self.send_requests(context);
         }
-        if around.tick.is_multiple_of(ANNOUNCE_TICKS) {
-            self.announce(self.home, around);
+        if context.tick.is_multiple_of(ANNOUNCE_TICKS) {
+            self.announce(self.home, context);
         }
     }
 
-    fn answered(&mut self, home: usize, answer: GrantAnswer, around: &mut Around<'_>) {
-        let granted = match answer.verdict {
-            Verdict::Queued => return,
-            Verdict::NotHome => {
+    fn on_answer(&mut self, home: usize, answer: HomeAnswer, context: &mut HostContext<'_>) {
+        let granted = match answer.status {
+            GrantStatus::Queued => return,
+            GrantStatus::NotHome => {
                 self.home = 1 - home;
                 return;
             }
-            Verdict::Refused { .. } => {
+            GrantStatus::Refused { .. } => {
                 if let Some(request) = self.requests.get_mut(&answer.request)
                     && matches!(request.state, State::Waiting)
                 {
@@ -138,43 +140,43 @@
                 }
                 return;
             }
-            Verdict::Granted(granted) => granted,
+            GrantStatus::Granted(granted) => granted,
         };
         let attempt = granted.attempt();
-        // Only who knows that it did not use a grant may say so; an earlier process of this name
-        // may have.
+        // Only a process that knows that it did not use a grant may report that; an earlier process
+        // of this host may have used the grant.
         let request = self.requests.get_mut(&answer.request);
         let Some(request) = request.filter(|_| !self.used.contains(&attempt)) else {
             return;
         };
         if !matches!(request.state, State::Waiting) {
-            let event = finish(attempt, &self.name, AttemptOutcome::NotSent);
-            around.outbox.push(Message::ToHome { home, event });
+            let event = finish_event(attempt, &self.name, AttemptOutcome::NotSent);
+            context.outbox.push(Message::ToHome { home, event });
             return;
         }
-        if !granted.is_fresh(request.asked_at, around.now) {
+        if !granted.is_fresh(request.asked_at, context.now) {
             return;
         }
         self.used.insert(attempt);
-        let engine = &mut around.engines[&granted.upstreams[0]];
+        let engine = &mut context.engines[&granted.upstreams[0]];
         engine.start(attempt, &self.name, request.tokens);
-        let ends_at = around.tick + request.tokens.0 / 1_000;
+        let ends_at = context.tick + request.tokens.0 / 1_000;
         request.state = State::Running { granted, ends_at };
     }
 
-    fn read_answers(&mut self, around: &mut Around<'_>) {
+    fn read_answers(&mut self, context: &mut HostContext<'_>) {
         let is_cut = std::mem::take(&mut self.is_cut);
         for request in self.requests.values_mut() {
             let State::Running { granted, ends_at } = &request.state else {
                 continue;
             };
             let attempt = granted.attempt();
-            let engine = &mut around.engines[&granted.upstreams[0]];
+            let engine = &mut context.engines[&granted.upstreams[0]];
             let ended = if is_cut || !engine.held.contains_key(&attempt) {
                 AttemptOutcome::Failed
-            } else if *ends_at <= around.tick {
+            } else if *ends_at <= context.tick {
                 AttemptOutcome::Completed
-            } else if request.sent_at + LIMIT_TICKS <= around.tick {
+            } else if request.sent_at + LIMIT_TICKS <= context.tick {
                 AttemptOutcome::Cancelled
             } else {
                 continue;
@@ -183,43 +185,43 @@
                 engine.held.swap_remove(&attempt);
             }
             request.state = State::Ended;
-            let event = finish(attempt, &self.name, ended);
-            around.outbox.push(Message::ToHome {
+            let event = finish_event(attempt, &self.name, ended);
+            context.outbox.push(Message::ToHome {
                 home: self.home,
                 event,
             });
         }
     }
 
-    fn ask(&mut self, around: &mut Around<'_>) {
+    fn send_requests(&mut self, context: &mut HostContext<'_>) {
         for (id, request) in &mut self.requests {
             if !matches!(request.state, State::Waiting) {
                 continue;
             }
             let from = self.name.clone();
-            let event = if request.sent_at + LIMIT_TICKS <= around.tick {
+            let event = if request.sent_at + LIMIT_TICKS <= context.tick {
                 request.state = State::Ended;
                 HomeEvent::Withdraw { from, request: *id }
             } else {
-                request.asked_at = around.now;
-                let work = work_of(*id, request, &from, around);
+                request.asked_at = context.now;
+                let work = work_of(*id, request, &from, context);
                 HomeEvent::Request { from, work }
             };
-            around.outbox.push(Message::ToHome {
+            context.outbox.push(Message::ToHome {
                 home: self.home,
                 event,
             });
         }
     }
 
-    fn announce(&self, home: usize, around: &mut Around<'_>) {
+    fn announce(&self, home: usize, context: &mut HostContext<'_>) {
         let live = self.requests.iter().filter_map(|(id, request)| {
             let State::Running { granted, .. } = &request.state else {
                 return None;
             };
             Some(LiveGrant {
                 id: GrantId(granted.grant.0),
-                work: work_of(*id, request, &self.name, around),
+                work: work_of(*id, request, &self.name, context),
                 upstreams: granted.upstreams.clone(),
             })
         });
@@ -227,13 +229,13 @@
             from: self.name.clone(),
             grants: live.collect(),
         };
-        around.outbox.push(Message::ToHome { home, event });
+        context.outbox.push(Message::ToHome { home, event });
     }
 }
 
-fn work_of(id: RequestId, request: &Request, from: &HostId, around: &Around<'_>) -> Work {
-    let mut work = work(id.0, from, request.tokens.0, around.now);
-    let left = (request.sent_at + LIMIT_TICKS).saturating_sub(around.tick);
-    work.deadline = around.now + Duration::from_millis(250 * left);
+fn work_of(id: RequestId, request: &Request, from: &HostId, context: &HostContext<'_>) -> Work {
+    let mut work = work(id.0, from, request.tokens.0, context.now);
+    let left = (request.sent_at + LIMIT_TICKS).saturating_sub(context.tick);
+    work.deadline = context.now + Duration::from_millis(250 * left);
     work
 }
--- a/tests/worlds/grant_world.rs
+++ b/tests/worlds/grant_world.rs
@@ -5,12 +5,12 @@
 
 use banyanarch::clock::Clock;
 use banyanarch::clock::ManualClock;
-use banyanarch::control::home::GrantAnswer;
+use banyanarch::control::home::GrantStatus;
 use banyanarch::control::home::HomeAction;
+use banyanarch::control::home::HomeAnswer;
 use banyanarch::control::home::HomeConf;
 use banyanarch::control::home::HomeController;
 use banyanarch::control::home::HomeEvent;
-use banyanarch::control::home::Verdict;
 use banyanarch::decide::AttemptOutcome;
 use banyanarch::decide::UpstreamHealth;
 use banyanarch::units::AttemptId;
@@ -87,7 +87,7 @@
 }
 
 /// Also with homes that move.
-pub(crate) fn step_of_many_homes() -> impl Strategy<Value = Step> {
+pub(crate) fn step_with_moving_homes() -> impl Strategy<Value = Step> {
     prop_oneof![
         20 => step(),
         1 => (0..HOSTS, 0..HOMES).prop_map(|(host, home)| Step::Switch { host, home }),
@@ -104,7 +104,7 @@
     Answer {
         host: usize,
         home: usize,
-        answer: GrantAnswer,
+        answer: HomeAnswer,
     },
     AskAnnounce {
         host: usize,
@@ -142,7 +142,7 @@
 }
 
 /// What an entry host does to the world around it.
-pub(crate) struct Around<'a> {
+pub(crate) struct HostContext<'a> {
     pub(crate) now: Instant,
     pub(crate) tick: u64,
     pub(crate) engines: &'a mut IndexMap<UpstreamId, Engine>,
@@ -269,7 +269,7 @@
         let (now, tick) = (self.clock.now(), self.tick);
         let mut outbox = Vec::new();
         for host in &mut self.hosts {
-            host.act(&mut Around {
+            host.act(&mut HostContext {
                 now,
                 tick,
                 engines: &mut self.engines,
@@ -347,7 +347,7 @@
                 self.check_not_leaving(host, &answer);
                 self.post(Message::Answer { host, home, answer });
             }
-            HomeAction::AskAnnounce { to } => {
+            HomeAction::RequestAnnouncement { to } => {
                 let host = number(&to);
                 self.post(Message::AskAnnounce { host, home });
             }
@@ -362,7 +362,7 @@
                 let event = HomeEvent::CancelConfirmed { upstream, attempt };
                 self.post(Message::ToHome { home, event });
             }
-            HomeAction::List { upstream, seq } => {
+            HomeAction::ListAttempts { upstream, seq } => {
                 let running = self.engines[&upstream].held.values().cloned().collect();
                 let event = HomeEvent::EngineListed {
                     upstream,
@@ -375,8 +375,8 @@
     }
 
     /// No grant on an upstream that has left for a while, but one that its host already uses.
-    fn check_not_leaving(&self, host: usize, answer: &GrantAnswer) {
-        let Verdict::Granted(granted) = &answer.verdict else {
+    fn check_not_leaving(&self, host: usize, answer: &HomeAnswer) {
+        let GrantStatus::Granted(granted) = &answer.status else {
             return;
         };
         for id in &granted.upstreams {
@@ -420,7 +420,7 @@
     }
 }
 
-pub(crate) fn finish(grant: AttemptId, from: &HostId, ended: AttemptOutcome) -> HomeEvent {
+pub(crate) fn finish_event(grant: AttemptId, from: &HostId, ended: AttemptOutcome) -> HomeEvent {
     HomeEvent::Finish {
         from: from.clone(),
         grant: banyanarch::units::GrantId(grant.0),
