--- a/src/decide/instance_choice.rs
+++ b/src/decide/instance_choice.rs
@@ -22,7 +22,7 @@
     /// The calls of all hosts in flight at the instance.
     pub in_flight: u32,
     /// Whether the instance is in this host's failure domain.
-    pub is_near: bool,
+    pub is_local: bool,
     /// Whether the instance fails many of its calls.
     pub is_failing: bool,
 }
@@ -31,7 +31,7 @@
 /// breaks ties, so that hosts do not all choose the first instance.
 pub fn choose_instance(instances: &[InstanceView], draw: u32) -> Option<&UpstreamId> {
     let busyness = |instance: &InstanceView| {
-        let domain_penalty = if instance.is_near {
+        let domain_penalty = if instance.is_local {
             0
         } else {
             REMOTE_DOMAIN_PENALTY
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -244,7 +244,7 @@
     let views = open.map(|upstream| InstanceView {
         id: upstream.id.clone(),
         in_flight: ledger.load(&upstream.id, now).in_flight,
-        is_near: upstream.domain == gateway.conf.domain,
+        is_local: upstream.domain == gateway.conf.domain,
         is_failing: health.is_failing(&upstream.id),
     });
     let views: Vec<InstanceView> = views.collect();
--- a/tests/decide_gateway.rs
+++ b/tests/decide_gateway.rs
@@ -168,7 +168,7 @@
     let view = |id: &UpstreamId, in_flight| InstanceView {
         id: id.clone(),
         in_flight,
-        is_near: true,
+        is_local: true,
         is_failing: health.is_failing(id),
     };
     let healthy = upstream("healthy");
@@ -178,10 +178,10 @@
 
 #[test]
 fn an_instance_of_the_own_domain_comes_first_while_it_is_not_busier() {
-    let view = |name: &str, in_flight, is_near| InstanceView {
+    let view = |name: &str, in_flight, is_local| InstanceView {
         id: upstream(name),
         in_flight,
-        is_near,
+        is_local,
         is_failing: false,
     };
     let near = [view("near", 1, true), view("far", 0, false)];
