--- a/src/decide/engine_fleet.rs
+++ b/src/decide/engine_fleet.rs
@@ -114,7 +114,7 @@
         let input = SplitInput {
             upstreams: self.open_upstreams(now).count(),
             speed: self.median_speed(),
-            long_waited: long_head_wait,
+            long_head_wait,
         };
         self.split.update(&input, &self.tuning, now);
     }
--- a/src/decide/lane_split.rs
+++ b/src/decide/lane_split.rs
@@ -29,7 +29,7 @@
     /// The mean prefill speed of these upstreams, in tokens a second.
     pub speed: f64,
     /// How long the first long request in the queue has been waiting.
-    pub long_waited: Option<Duration>,
+    pub long_head_wait: Option<Duration>,
 }
 
 /// The number of upstreams that are open to long prefill.
@@ -74,7 +74,7 @@
         let since = |at| now.saturating_duration_since(at);
         let since_change = self.changed_at.map_or(Duration::MAX, since);
         let is_long_waiting = input
-            .long_waited
+            .long_head_wait
             .is_some_and(|waited| waited > tuning.long_wait_threshold);
         let is_too_few = ceil(required) > self.open || is_long_waiting;
         if self.open > open_max {
--- a/tests/decide_split.rs
+++ b/tests/decide_split.rs
@@ -24,7 +24,7 @@
         let input = SplitInput {
             upstreams: 20,
             speed: 8_000.0,
-            long_waited: None,
+            long_head_wait: None,
         };
         split.update(&input, &tuning, now);
         open.push(split.open_to_long());
