--- a/src/decide/baseline/baseline_upstream.rs
+++ b/src/decide/baseline/baseline_upstream.rs
@@ -12,7 +12,7 @@
     pub info: UpstreamInfo,
     /// The number of attempts that this host granted and that have not ended.
     pub in_flight: u32,
-    /// The memory that these attempts hold.
+    /// The memory that these attempts hold, in tokens.
     pub held_tokens: Tokens,
     /// The last load report.
     pub report: LoadReport,
@@ -37,7 +37,7 @@
         self.info.health == UpstreamHealth::Live
     }
 
-    /// The prefill backlog: the backlog of the last report plus the prompt tokens sent since.
+    /// The prefill backlog in tokens: that of the last report plus the prompt tokens sent since.
     pub fn backlog_tokens(&self) -> Tokens {
         self.report.prefill_backlog_tokens + self.sent_tokens
     }
--- a/src/decide/baseline/immediate_policy.rs
+++ b/src/decide/baseline/immediate_policy.rs
@@ -57,7 +57,7 @@
     /// Chooses as many upstreams as the work needs. Upstreams on which it failed before come last.
     fn choose(&mut self, work: &Work, now: Instant) -> Result<Vec<UpstreamId>, RefuseReason> {
         let mut open: Vec<&BaselineUpstream> =
-            self.upstreams.values().filter(|m| m.is_open()).collect();
+            self.upstreams.values().filter(|u| u.is_open()).collect();
         if open.is_empty() {
             return Err(RefuseReason::NoUpstream);
         }
@@ -75,6 +75,7 @@
         Ok(chosen)
     }
 
+    /// Adds a live grant to the work of its upstreams, in even shares.
     fn hold(&mut self, grant: LiveGrant) {
         let share = gang_share(grant.work.memory_tokens(), grant.upstreams.len());
         let prompt = gang_share(grant.work.prompt_tokens, grant.upstreams.len());
@@ -88,6 +89,7 @@
         self.grants.insert(grant.id, grant);
     }
 
+    /// Adds a refusal to the pending decisions, with a retry time that has jitter.
     fn refuse(&mut self, request: RequestId, reason: RefuseReason) {
         let jitter = self.rng.random_range(1.0..2.0);
         self.pending.push(Decision::Refuse {
@@ -201,7 +203,9 @@
     }
 }
 
-/// The number of open upstreams that together have `memory`; `None` if all together have less.
+/// The number of open upstreams that a request needs for `memory` tokens, in even shares that fit
+/// into the smallest of them; `None` if there are not enough. Upstreams without memory are plain
+/// services, of which a request needs one.
 fn gang_size(memory: Tokens, open: &[&BaselineUpstream]) -> Option<usize> {
     let least = open
         .iter()
--- a/src/decide/baseline/least_backlog.rs
+++ b/src/decide/baseline/least_backlog.rs
@@ -1,4 +1,4 @@
-//! Baseline: a host that decides alone, from lagging reports and the work it sent itself.
+//! Baseline: a host that decides alone, from lagging reports and the work that it sent itself.
 
 use std::time::Instant;
 
--- a/src/decide/concurrency.rs
+++ b/src/decide/concurrency.rs
@@ -26,11 +26,17 @@
 #[derive(Debug)]
 pub struct ConcurrencyLimit {
     limit: f64,
+    /// The largest value of `limit`.
     bound: f64,
+    /// The latency floor: the least mean latency of a sample, with its growth since then.
     floor_seconds: Option<f64>,
+    /// The time of the last sample, from which the floor grows.
     floor_at: Option<Instant>,
+    /// The sum of the latencies in the current sample.
     sum_seconds: f64,
+    /// The number of calls in the current sample.
     calls: u32,
+    /// Whether the limit was reached during the current sample.
     was_full: bool,
 }
 
@@ -56,7 +62,8 @@
         self.limit as u32
     }
 
-    /// The expected latency of one call, if any call was observed.
+    /// The expected latency of one call, which is the latency floor with its tolerance; `None`
+    /// before the first sample is complete.
     pub fn latency(&self) -> Option<Duration> {
         self.floor_seconds
             .map(|floor| Duration::from_secs_f64(floor * LATENCY_TOLERANCE))
--- a/src/decide/config.rs
+++ b/src/decide/config.rs
@@ -17,7 +17,8 @@
 /// The name of the manifest entry that applies to all customers that are not listed.
 const DEFAULT_CUSTOMER: &str = "default";
 
-/// The part of the manifest that concerns one pool.
+/// What a policy takes from the manifest for one pool: the thresholds, the kind of the upstreams,
+/// and the weights and rates of customers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PolicyConfig {
     /// What the deployment optimizes for.
--- a/src/decide/drain_rate.rs
+++ b/src/decide/drain_rate.rs
@@ -13,14 +13,18 @@
 /// The drain rate of a queue in cost units a second.
 #[derive(Debug, Default)]
 pub struct DrainRate {
+    /// The start of the current sample; `None` while the queue is empty.
     window_start: Option<Instant>,
+    /// The cost served in the current sample.
     served: f64,
     rate: Option<f64>,
+    /// The time of the last change of `rate`.
     observed_at: Option<Instant>,
 }
 
 impl DrainRate {
-    /// Records the cost that was served just now and whether requests are still waiting.
+    /// Records the cost that was served just now and whether requests are still waiting. A queue
+    /// that is empty ends the current sample without a result.
     pub fn observe(&mut self, served: f64, is_waiting: bool, now: Instant) {
         if !is_waiting {
             self.window_start = None;
--- a/src/decide/engine_upstream.rs
+++ b/src/decide/engine_upstream.rs
@@ -33,7 +33,9 @@
     pub warm_up: WarmUp,
     /// The prefixes that the engine's cache probably holds.
     pub prefix: PrefixHints,
+    /// The moving average of the time between two tokens of an answer.
     token_gap_seconds: Option<f64>,
+    /// The time of the last end of an attempt, or of the first grant since the engine was idle.
     last_progress_at: Instant,
 }
 
@@ -77,7 +79,8 @@
         self.running() < usize::try_from(slots).unwrap_or(usize::MAX)
     }
 
-    /// Records a grant. The first grant of an idle engine restarts the stall timer.
+    /// Records that a grant is about to be added to the ledger. The first grant of an idle engine
+    /// restarts the stall timer. On an ejected engine, the request is a probe.
     pub fn on_grant(&mut self, now: Instant) {
         if self.running() == 0 {
             self.last_progress_at = now;
--- a/src/decide/estimator.rs
+++ b/src/decide/estimator.rs
@@ -33,9 +33,12 @@
 /// The estimates for one pool.
 #[derive(Debug)]
 pub struct Estimator {
+    /// The ratio of the real to the estimated prompt length, by account.
     prompt_ratios: IndexMap<CustomerId, f64>,
+    /// The mean length of completed answers as a fraction of the allowed length.
     output_fraction: f64,
     output_samples: u32,
+    /// The mean time between two tokens of an answer.
     token_gap_seconds: f64,
     gap_samples: u32,
 }
@@ -70,7 +73,8 @@
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 
-    /// Records a request that ended.
+    /// Corrects the estimates by an ended attempt. Only completed attempts give a sample of the
+    /// answer length.
     pub fn observe(&mut self, work: &Work, account: &CustomerId, done: &AttemptSummary) {
         if done.prompt_tokens > Tokens::ZERO && work.prompt_tokens > Tokens::ZERO {
             let observed = done.prompt_tokens.as_f64() / work.prompt_tokens.as_f64();
@@ -128,6 +132,7 @@
     *average += weight * (sample - *average);
 }
 
+/// A number of tokens times a ratio, rounded up.
 #[allow(
     clippy::cast_possible_truncation,
     reason = "the cast from a float saturates"
--- a/src/decide/gang.rs
+++ b/src/decide/gang.rs
@@ -98,7 +98,8 @@
     })
 }
 
-/// Whether all members of a reservation have room now; `None` if one of them may get no work.
+/// Whether all members of a reservation have room for their share now; `None` if one of them is
+/// gone or may get no work.
 pub fn gang_has_room(
     reservation: &Reservation,
     upstreams: &IndexMap<UpstreamId, EngineUpstream>,
@@ -113,7 +114,8 @@
     Some(has_room)
 }
 
-/// The least number of these engines that can hold `memory` in even shares.
+/// The least number of these engines that can hold `memory` in even shares when they are empty;
+/// `None` if even all of them cannot.
 fn smallest_gang(memory: Tokens, upstreams: &[&EngineUpstream]) -> Option<usize> {
     (1..=upstreams.len()).find(|size| {
         let share = gang_share(memory, *size);
--- a/src/decide/instance_choice.rs
+++ b/src/decide/instance_choice.rs
@@ -7,7 +7,7 @@
 use crate::units::UpstreamId;
 
 /// An instance in another failure domain is ranked as if it had this many calls more. A call takes
-/// 60 ms and one way between domains 1 ms, so an additional call on a near instance costs more than
+/// 60 ms and one way between domains 1 ms, so another call on a local instance costs more time than
 /// it saves only when that instance is full.
 const REMOTE_DOMAIN_PENALTY: u32 = 2;
 /// A failing instance is ranked as if it had this many calls more, so that it comes after every
--- a/src/decide/intake.rs
+++ b/src/decide/intake.rs
@@ -25,13 +25,16 @@
 /// The rate limits of accounts and the decisions that have not been returned yet.
 #[derive(Debug)]
 pub(crate) struct Intake {
+    /// The policy's configuration.
     pub(crate) conf: PolicyConfig,
+    /// The source of grant ids and of the jitter of retry times.
     pub(crate) rng: StdRng,
     buckets: IndexMap<CustomerId, CustomerBucket>,
     pending: Vec<Decision>,
 }
 
 impl Intake {
+    /// Creates an intake without pending decisions, in which no account has used its rate.
     pub(crate) fn new(conf: PolicyConfig, seed: u64) -> Self {
         Self {
             conf,
@@ -53,7 +56,8 @@
         }
     }
 
-    /// Charges one request to the account's rate and returns whether it was within the rate.
+    /// Charges one request to the account's rate. Returns false, and charges nothing, if the
+    /// account has exceeded its rate.
     pub(crate) fn charge_rate(
         &mut self,
         account: &CustomerId,
@@ -65,7 +69,8 @@
         bucket.take(share, now)
     }
 
-    /// Adds a refusal. `drain` is the time that the queue takes to drain.
+    /// Adds a refusal to the pending decisions. The caller is told to retry after about the time
+    /// `drain` that the queue takes to drain.
     pub(crate) fn refuse(&mut self, request: RequestId, reason: RefuseReason, drain: Duration) {
         let retry_after = retry_after(drain, &mut self.rng);
         self.pending.push(Decision::Refuse {
@@ -75,7 +80,8 @@
         });
     }
 
-    /// Adds a grant for a queued request and returns its id.
+    /// Adds a grant for a queued request to the pending decisions and returns its new id. `why` is
+    /// the reason for the choice of upstreams in a few words.
     pub(crate) fn grant(
         &mut self,
         waiting: &QueuedRequest,
--- a/src/decide/lane_split.rs
+++ b/src/decide/lane_split.rs
@@ -28,15 +28,20 @@
     pub upstreams: usize,
     /// The mean prefill speed of these upstreams, in tokens a second.
     pub speed: f64,
-    /// How long the first long request in the queue has been waiting.
+    /// How long the first request in the queue of the long lane has been waiting; `None` if that
+    /// queue is empty.
     pub long_head_wait: Option<Duration>,
 }
 
-/// The number of upstreams that are open to long prefill.
+/// The split of a pool into upstreams that are open to long prefill and upstreams for short prefill
+/// only.
 #[derive(Debug)]
 pub struct LaneSplit {
+    /// The number of upstreams that are open to long prefill.
     open: usize,
+    /// The time at which `open` was last changed.
     changed_at: Option<Instant>,
+    /// The rates of admitted prefill, in tokens a second.
     long_rate: WorkRate,
     short_rate: WorkRate,
 }
@@ -52,7 +57,7 @@
         }
     }
 
-    /// Records the prefill tokens of an admitted request.
+    /// Records the prompt tokens of an admitted request of the long or of the short lane.
     pub fn on_admitted(&mut self, tokens: f64, is_long: bool, now: Instant) {
         let rate = if is_long {
             &mut self.long_rate
@@ -67,7 +72,7 @@
         self.open
     }
 
-    /// Adjusts the number of open upstreams to the load.
+    /// Adjusts the number of upstreams that are open to long prefill to the recent load.
     pub fn update(&mut self, input: &SplitInput, tuning: &Tuning, now: Instant) {
         let open_max = self.open_max(input, tuning, now);
         let required = self.long_rate.get(now) / input.speed / tuning.long_utilization_max;
--- a/src/decide/ledger.rs
+++ b/src/decide/ledger.rs
@@ -52,13 +52,18 @@
     held_tokens: Tokens,
     /// Memory that is reserved for a waiting gang.
     reserved_tokens: Tokens,
+    /// Memory that reports show and no grant explains.
     unexplained_tokens: Tokens,
+    /// Prefill in tokens that reports show and no grant explains.
     unexplained_prefill: f64,
+    /// The prefill and the memory by which the last plausible report exceeded the ledger.
     previous_excess: Option<(f64, Tokens)>,
     peak: RecentPeak,
     /// The running total of granted prefill in tokens, by priority.
     granted_prefill: IndexMap<Priority, f64>,
+    /// The number of grants whose request failed on another upstream before.
     suspects: usize,
+    /// The time up to which the progress of prefill has been estimated.
     advanced_to: Instant,
 }
 
@@ -83,7 +88,8 @@
         }
     }
 
-    /// Advances the estimated progress of prefill to `now`.
+    /// Advances the estimated progress of prefill to `now`: unexplained prefill first, then the
+    /// prefills in their order. Prefills that are done by then are removed.
     pub fn advance(&mut self, now: Instant) {
         let elapsed = now.saturating_duration_since(self.advanced_to);
         if elapsed.is_zero() {
@@ -112,7 +118,8 @@
         }
     }
 
-    /// Adds a grant with its `prefill` tokens.
+    /// Adds a grant with its `prefill` tokens, and replaces a grant that has the same id. Sets the
+    /// fields of `hold` that tell what prefill is ahead of it.
     pub fn hold(&mut self, grant: GrantId, mut hold: GrantHold, prefill: f64) {
         self.release(&grant);
         let ahead = |p: &&Prefill| p.priority <= hold.priority;
@@ -157,7 +164,7 @@
         }
     }
 
-    /// Removes a grant together with the rest of its prefill.
+    /// Removes a grant together with the rest of its prefill; `None` if the grant is unknown.
     pub fn release(&mut self, grant: &GrantId) -> Option<GrantHold> {
         let hold = self.holds.swap_remove(grant)?;
         self.prefills.retain(|prefill| prefill.grant != *grant);
@@ -173,7 +180,8 @@
         hold.prefill_ahead + higher.max(0.0)
     }
 
-    /// Memory that is neither held by a grant nor reserved.
+    /// The memory of an engine with this `capacity` that is neither held by a grant, nor reserved,
+    /// nor taken by the unexplained use that reports show.
     pub fn free_tokens(&self, capacity: Tokens) -> Tokens {
         let limit = capacity.as_f64() * UNEXPLAINED_MEMORY_FRACTION_MAX;
         let unexplained = self.unexplained_tokens.as_f64().min(limit);
@@ -181,12 +189,12 @@
         capacity.saturating_sub(taken)
     }
 
-    /// Memory that grants hold now, without the memory that is reserved for a gang.
+    /// The memory that grants hold now, without the memory that is reserved for a gang.
     pub fn held_tokens(&self) -> Tokens {
         self.held_tokens
     }
 
-    /// Reserves memory for a waiting gang. Zero releases the reservation.
+    /// Reserves memory for a waiting gang, in place of an earlier reservation. Zero releases it.
     pub fn reserve(&mut self, tokens: Tokens) {
         self.reserved_tokens = tokens;
     }
@@ -201,12 +209,12 @@
         self.suspects > 0
     }
 
-    /// Prefill that is not done yet, in tokens.
+    /// The prefill that is not done yet, in tokens, with the unexplained prefill that reports show.
     pub fn backlog(&self) -> f64 {
         self.known_backlog() + self.unexplained_prefill
     }
 
-    /// The fraction of the upstream's time that short prefill has recently taken.
+    /// The fraction of the upstream's time that short prefill has recently taken, from 0 to 1.
     pub fn short_prefill_fraction(&self, now: Instant) -> f64 {
         (self.short_rate.get(now) / self.speed.get()).min(1.0)
     }
@@ -216,7 +224,7 @@
         self.unexplained_prefill
     }
 
-    /// Prefill of one lane that is not done yet, in tokens.
+    /// The granted prefill of one lane that is not done yet, in tokens.
     pub fn lane_backlog(&self, lane: Lane) -> f64 {
         let of_lane = self.prefills.iter().filter(|prefill| prefill.lane == lane);
         of_lane.map(|prefill| prefill.tokens_left).sum()
@@ -236,7 +244,8 @@
 
     /// The prefill tokens that the engine processes until a new prefill is done, its own included:
     /// all prefill of the same or a higher priority, and of each prefill of a lower priority at
-    /// most as much as the new one has, because engines finish a chunk that they have begun.
+    /// most as much as the new one has, because engines finish a chunk that they have begun. A long
+    /// prefill that may take longer than estimated counts like one of a lower priority.
     pub fn work_until_done(&self, prefill: f64, priority: Priority) -> f64 {
         let competing = |other: &Prefill| {
             if other.priority <= priority {
@@ -300,6 +309,7 @@
         report.used_tokens <= capacity && shows_old
     }
 
+    /// Records the granted prefill and memory for comparison with later reports.
     fn record_peak(&mut self, now: Instant) {
         let backlog = self.known_backlog();
         self.peak.record(backlog, self.held_tokens, now);
@@ -326,6 +336,7 @@
         }
     }
 
+    /// The granted prefill that is not done yet, in tokens.
     fn known_backlog(&self) -> f64 {
         self.prefills
             .iter()
@@ -333,6 +344,7 @@
             .sum()
     }
 
+    /// The running total of granted prefill of priorities higher than this one, in tokens.
     fn granted_with_higher_priority(&self, priority: Priority) -> f64 {
         let above = self
             .granted_prefill
@@ -342,6 +354,7 @@
     }
 }
 
+/// Converts a fractional number of tokens, which is not negative, to whole tokens, rounded down.
 #[allow(
     clippy::cast_possible_truncation,
     reason = "the cast from a float saturates"
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -63,19 +63,25 @@
     pub now: Instant,
 }
 
-/// An upstream that a request could be sent to, with the expected cost.
+/// An upstream that a request could be sent to, now or after a wait, with the expected cost.
 struct Candidate {
+    /// The index of the upstream in the pool.
     index: usize,
+    /// The expected time from the dispatch to the first token, and a cost for each running attempt.
     seconds: f64,
+    /// The expected prefill in tokens, without what is probably cached.
     prefill: f64,
+    /// Whether a part of the prompt is probably in the upstream's cache.
     is_cached: bool,
+    /// Whether the request can be sent now. If not, it would have to wait for `ready_seconds`.
     is_ready: bool,
-    /// Seconds until the upstream is ready for the request.
+    /// The time until the upstream is ready for the request, in seconds.
     ready_seconds: f64,
 }
 
 impl PlacementView<'_> {
-    /// Whether any upstream may be ready for a request of `lane`.
+    /// Whether any upstream may be ready for a request of `lane`, by its access, its slots and its
+    /// prefill. [`PlacementView::choose`] also checks the memory and may still decide to wait.
     pub fn has_room(&self, lane: Lane) -> bool {
         self.upstreams
             .values()
@@ -88,7 +94,9 @@
             })
     }
 
-    /// Chooses the placement of a request of `lane`.
+    /// Chooses the placement of a request of `lane`: an ejected upstream that is due for a probe,
+    /// or else the upstream with the least expected time to the first token. The request waits if
+    /// no upstream is ready, or if waiting for another one is expected to be much faster.
     pub fn choose(&self, waiting: &QueuedRequest, lane: Lane) -> Placement {
         if let Some(placement) = self.probe(waiting, lane) {
             return placement;
@@ -127,8 +135,9 @@
         }
     }
 
-    /// The upstream as a candidate for the request; `None` if the upstream has no room or is not
-    /// open to such work.
+    /// The upstream as a candidate for the request, which may not be ready yet. `None` if the
+    /// upstream lacks memory or a slot, is not open to prefill of this length, or if both the
+    /// request and one that the upstream runs have failed elsewhere.
     fn candidate(
         &self,
         waiting: &QueuedRequest,
@@ -202,11 +211,14 @@
         if is_equal { self.median_speed } else { speed }
     }
 
+    /// Whether the upstream is warm enough for long prefill and not reserved for a gang.
     fn takes_long(&self, upstream: &EngineUpstream) -> bool {
         upstream.warm_up.accepts_long_prefill(self.now) && !upstream.ledger.is_reserved()
     }
 
-    /// Sends a short request with enough time left to an ejected upstream that may be probed.
+    /// The placement of the request as a probe of an ejected upstream. `None` if no upstream with
+    /// enough memory is due for a probe, or if the request is long, has failed before, or has too
+    /// little time left for a retry.
     fn probe(&self, waiting: &QueuedRequest, lane: Lane) -> Option<Placement> {
         if lane == Lane::Long || waiting.is_suspect() {
             return None;
@@ -277,12 +289,12 @@
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
 }
 
+/// Converts a fractional number of tokens to whole tokens, rounded down. A negative one becomes 0.
 #[allow(
     clippy::cast_possible_truncation,
     reason = "the cast from a float saturates"
 )]
 #[allow(clippy::cast_sign_loss, reason = "never negative")]
-/// Converts a fractional number of tokens to whole tokens, rounded down. A negative one becomes 0.
 pub(crate) fn tokens_from_f64(tokens: f64) -> Tokens {
     Tokens(tokens.max(0.0) as u64)
 }
--- a/src/decide/policy.rs
+++ b/src/decide/policy.rs
@@ -20,7 +20,9 @@
 /// No call blocks or does I/O. `offer` and `finish` may make other requests ready, whose decisions
 /// [`Policy::poll`] then returns. The caller polls after every call and at [`Policy::next_wake`].
 pub trait Policy: Send {
-    /// Replaces the set of upstreams. An upstream that is gone or leaving gets no new grant.
+    /// Replaces the set of upstreams. An upstream that is gone or leaving gets no new grant. An
+    /// upstream that stays listed keeps its state, and the grants of one that is gone stay live
+    /// until they end.
     fn set_upstreams(&mut self, upstreams: &[UpstreamInfo], now: Instant);
 
     /// Applies a new configuration. Queued and running requests are kept. The default does nothing,
@@ -30,19 +32,23 @@
     /// Submits a request. `poll` returns the decision, at once or later.
     fn offer(&mut self, work: Work, now: Instant);
 
-    /// Removes a queued request whose caller or host is gone.
+    /// Removes a queued request whose caller or host is gone, without a decision. A request that is
+    /// not queued is ignored.
     fn withdraw(&mut self, request: RequestId, now: Instant);
 
-    /// Returns the decisions that are due now.
+    /// Makes the decisions that are due now and returns them. Each decision is returned once.
     fn poll(&mut self, now: Instant) -> Vec<Decision>;
 
     /// The next time at which `poll` has to be called even without any other call.
     fn next_wake(&self) -> Option<Instant>;
 
-    /// Records the end of a grant.
+    /// Ends a grant and frees what it holds. A grant that is unknown or has already ended is
+    /// ignored.
     fn finish(&mut self, grant: GrantId, done: AttemptSummary, now: Instant);
 
-    /// Adopts a grant of an earlier home, announced by the grant's entry host.
+    /// Adopts a live grant of an earlier home, announced by the grant's entry host. The grant
+    /// counts from now on even if it exceeds the memory of its upstreams. A grant that is already
+    /// known is ignored.
     fn adopt(&mut self, grant: LiveGrant, now: Instant);
 
     /// The grants that have not ended, for reconciliation with hosts and engines.
@@ -238,7 +244,8 @@
     pub running: u64,
     /// A rough estimate of the queue wait of a short request that arrives now.
     pub short_wait: Duration,
-    /// The memory that is not promised to any request, over all upstreams that may get work.
+    /// The memory in tokens that is neither held by grants nor reserved, over all upstreams that
+    /// may get work.
     pub free_tokens: Tokens,
     /// The number of upstreams that may get work.
     pub upstreams: u32,
--- a/src/decide/prefill_queue.rs
+++ b/src/decide/prefill_queue.rs
@@ -29,7 +29,7 @@
     pub remaining: Duration,
 }
 
-/// The expected end of prefill, by upstream.
+/// The time at which each upstream is expected to have finished its prefill.
 #[derive(Debug, Default)]
 pub(crate) struct PrefillQueue {
     until: IndexMap<UpstreamId, Instant>,
--- a/src/decide/prefix.rs
+++ b/src/decide/prefix.rs
@@ -28,6 +28,7 @@
 pub struct PrefixHints {
     /// The time from which each prefix is expected to be in the cache.
     prefixes: IndexMap<ContentHash, Instant>,
+    /// The mean fraction of hinted tokens that the engine found in its cache, from 0 to 1.
     trust: f64,
 }
 
@@ -47,6 +48,7 @@
 
     /// Records that a prompt is sent to the upstream. Its prefixes will be in the cache at
     /// `cached_at`, when its prefill is done. A second prompt before then processes them again.
+    /// Prefixes that are already hinted keep their time.
     pub fn on_grant(&mut self, work: &Work, cached_at: Instant) {
         for (prefix, _) in &work.prefixes {
             if !self.prefixes.contains_key(prefix) {
@@ -55,8 +57,9 @@
         }
     }
 
-    /// Compares the hint for an ended attempt with what the engine found in its cache. A wrong hint
-    /// is removed and lowers the trust in the others.
+    /// Compares the `hinted` tokens of an ended attempt with what the engine found in its cache. A
+    /// wrong hint lowers the trust in the others, and is removed if less than half of the hinted
+    /// tokens were found. Attempts without a hint or without a first token are ignored.
     pub fn on_done(&mut self, work: &Work, hinted: Tokens, done: &AttemptSummary) {
         if hinted == Tokens::ZERO || done.first_token.is_none() {
             return;
--- a/src/decide/priority_level.rs
+++ b/src/decide/priority_level.rs
@@ -15,33 +15,39 @@
 
 /// The advance of virtual time for one token of an account with weight 1. The factor keeps the
 /// order when virtual time is rounded to whole numbers.
-const VIRTUAL_PER_TOKEN: f64 = 1_000.0;
+const VIRTUAL_TIME_PER_TOKEN: f64 = 1_000.0;
 
 /// The key of a queued request: its account, its deadline, and a sequence number that breaks ties.
 pub(crate) type QueueKey = (CustomerId, Instant, u64);
 
-/// The requests of one priority, in start-time fair queueing over accounts.
+/// The queued requests of one priority, in start-time fair queueing over accounts. Costs are in
+/// tokens.
 #[derive(Debug, Default)]
 pub(crate) struct PriorityLevel {
     accounts: IndexMap<CustomerId, Account>,
     /// The accounts that have queued requests, by virtual start time.
     ready: BTreeSet<(u64, CustomerId)>,
+    /// The greatest virtual start time of any request that has been served.
     virtual_now: u64,
+    /// The cost of all queued requests.
     cost: f64,
-    shares: u64,
+    /// The sum of the shares of the accounts that have queued requests.
+    ready_shares: u64,
 }
 
-/// The queued requests of one account.
+/// The queued requests of one account. An account without requests keeps its virtual start time.
 #[derive(Debug)]
 struct Account {
     by_deadline: BTreeMap<(Instant, u64), QueuedRequest>,
+    /// The virtual time at which the next request of the account starts.
     virtual_start: u64,
     share: u32,
     cost: f64,
 }
 
 impl PriorityLevel {
-    /// Adds a request and returns its key.
+    /// Adds a request and returns its key. An account that had no requests starts no earlier than
+    /// the current virtual time, so that it gets no credit for the time in which it sent none.
     pub(crate) fn push(&mut self, waiting: QueuedRequest, seq: u64) -> QueueKey {
         let id = waiting.account.clone();
         let key = (id.clone(), waiting.work.deadline, seq);
@@ -55,7 +61,7 @@
         if account.by_deadline.is_empty() {
             account.virtual_start = account.virtual_start.max(virtual_now);
             self.ready.insert((account.virtual_start, id));
-            self.shares += u64::from(account.share);
+            self.ready_shares += u64::from(account.share);
         }
         self.cost += waiting.cost();
         account.cost += waiting.cost();
@@ -83,12 +89,13 @@
         heads
     }
 
+    /// The queued request with this key; `None` if there is none.
     pub(crate) fn get(&self, key: &QueueKey) -> Option<&QueuedRequest> {
         let account = self.accounts.get(&key.0)?;
         account.by_deadline.get(&(key.1, key.2))
     }
 
-    /// Removes a request, and charges its account if the request is served.
+    /// Removes a request, and charges its cost to its account if the request is served.
     pub(crate) fn remove(&mut self, key: &QueueKey, is_served: bool) -> Option<QueuedRequest> {
         let account = self.accounts.get_mut(&key.0)?;
         let waiting = account.by_deadline.remove(&(key.1, key.2))?;
@@ -100,7 +107,7 @@
             account.virtual_start += virtual_cost(waiting.cost(), account.share);
         }
         if account.by_deadline.is_empty() {
-            self.shares -= u64::from(account.share);
+            self.ready_shares -= u64::from(account.share);
         } else {
             self.ready.insert((account.virtual_start, key.0.clone()));
         }
@@ -110,22 +117,22 @@
         Some(waiting)
     }
 
-    /// The cost of all requests.
+    /// The cost of all queued requests, in tokens.
     pub(crate) fn cost(&self) -> f64 {
         self.cost
     }
 
-    /// The cost that is served before a new request of this account: all queued cost, or less if
-    /// the account's fair share is reached sooner.
+    /// The cost that is served before a new request of an account with this share: all queued cost,
+    /// or less if the account's fair share is reached sooner.
     pub(crate) fn cost_ahead(&self, id: &CustomerId, share: u32) -> f64 {
         let account = self.accounts.get(id);
         let own = account.map_or(0.0, |account| account.cost);
         let is_ready = account.is_some_and(|account| !account.by_deadline.is_empty());
         let share = u64::from(share.max(1));
         let shares = if is_ready {
-            self.shares
+            self.ready_shares
         } else {
-            self.shares + share
+            self.ready_shares + share
         };
         let cost_by_share = own * shares as f64 / share as f64;
         cost_by_share.min(self.cost).max(0.0)
@@ -136,10 +143,11 @@
     }
 }
 
+/// The virtual time by which a served request of this cost advances an account with this share.
 #[allow(
     clippy::cast_possible_truncation,
     reason = "far below 2^64 and never negative"
 )]
 fn virtual_cost(cost: f64, share: u32) -> u64 {
-    (cost * VIRTUAL_PER_TOKEN / f64::from(share)) as u64
+    (cost * VIRTUAL_TIME_PER_TOKEN / f64::from(share)) as u64
 }
--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -21,14 +21,16 @@
 /// enough for a long request of low priority to end, too little for the first priority to notice.
 const LOWER_PRIORITY_FRACTION: f64 = 0.1;
 
-/// A queue of requests of all priorities, fair between customers.
+/// A queue of requests of all priorities, fair between customers. Costs are in tokens.
 #[derive(Debug, Default)]
 pub struct FairQueue {
     levels: BTreeMap<Priority, PriorityLevel>,
     keys: IndexMap<RequestId, (Priority, QueueKey)>,
+    /// The queued requests by deadline, each with the sequence number of its key.
     expiry: BTreeSet<(Instant, u64, RequestId)>,
     next_seq: u64,
-    /// The credit of lower priorities in cost units, which grows while a higher priority is served.
+    /// The common credit of all lower priorities in tokens. The credit grows while the highest
+    /// priority is served and pays for requests of lower ones.
     lower_credit: f64,
 }
 
@@ -52,7 +54,8 @@
         self.keys.insert(request, (priority, key));
     }
 
-    /// Up to `limit` requests in the order in which they should be dispatched.
+    /// Up to `limit` requests in the order in which they should be dispatched. The requests stay in
+    /// the queue.
     pub fn heads(&self, limit: usize) -> Vec<&QueuedRequest> {
         let mut heads = Vec::with_capacity(limit);
         let credited = self.credited_priority();
@@ -70,13 +73,16 @@
         heads
     }
 
-    /// A queued request.
+    /// The queued request with this id; `None` if it is not in the queue.
     pub fn get(&self, request: &RequestId) -> Option<&QueuedRequest> {
         let (priority, key) = self.keys.get(request)?;
         self.levels.get(priority)?.get(key)
     }
 
-    /// Removes a request to be served, and charges its account.
+    /// Removes a request to be served, and charges its cost to its account. A request of the
+    /// highest priority also adds to the credit of lower priorities, or clears the credit if no
+    /// lower priority has requests. A request of a lower priority uses the credit. `None` if the
+    /// request is not in the queue.
     pub fn take(&mut self, request: &RequestId) -> Option<QueuedRequest> {
         let waiting = self.remove_from_level(request, true)?;
         let priority = waiting.work.priority;
@@ -90,12 +96,13 @@
         Some(waiting)
     }
 
-    /// Removes a request that is not served.
+    /// Removes a request that is not served, and charges nothing. `None` if the request is not in
+    /// the queue.
     pub fn remove(&mut self, request: &RequestId) -> Option<QueuedRequest> {
         self.remove_from_level(request, false)
     }
 
-    /// Removes and returns the requests whose deadline has passed.
+    /// Removes and returns the requests whose deadline has passed, and charges nothing.
     pub fn take_expired(&mut self, now: Instant) -> Vec<QueuedRequest> {
         let mut expired = Vec::new();
         while let Some((deadline, _, request)) = self.expiry.first().copied() {
@@ -112,7 +119,9 @@
         self.expiry.first().map(|(deadline, _, _)| *deadline)
     }
 
-    /// The cost that is served before a new request of this priority and account.
+    /// The cost that is served before a new request of this priority, from an account with this
+    /// share: all cost of higher priorities, and within the priority the cost that is served until
+    /// the account's fair share reaches the request.
     pub fn cost_ahead(&self, priority: Priority, account: &CustomerId, share: u32) -> f64 {
         let higher: f64 = self
             .levels
@@ -144,11 +153,13 @@
         self.levels.get_mut(&priority)?.remove(&key, is_served)
     }
 
+    /// The highest priority that has queued requests.
     fn first_priority(&self) -> Option<Priority> {
         let non_empty = self.levels.iter().find(|(_, level)| !level.is_empty());
         non_empty.map(|(priority, _)| *priority)
     }
 
+    /// The highest priority below `than` that has queued requests.
     fn next_lower_priority(&self, than: Priority) -> Option<Priority> {
         let mut lower = self.levels.range(Priority(than.0.saturating_add(1))..);
         let non_empty = lower.find(|(_, level)| !level.is_empty());
@@ -157,7 +168,8 @@
             .filter(|priority| *priority > than)
     }
 
-    /// The lower priority that is served next because the credit covers its first request.
+    /// The priority that is served before the highest one: the next lower priority with queued
+    /// requests, if the credit covers the cost of its first request; otherwise `None`.
     fn credited_priority(&self) -> Option<Priority> {
         let lower = self.next_lower_priority(self.first_priority()?)?;
         let head = self.levels.get(&lower)?.heads(1);
--- a/src/decide/recent_peak.rs
+++ b/src/decide/recent_peak.rs
@@ -8,7 +8,8 @@
 /// The length of one window. Two windows cover the lag of a report.
 const WINDOW_LENGTH: Duration = Duration::from_secs(1);
 
-/// The peak of prefill and memory over the last one to two windows.
+/// The peaks of an upstream's pending prefill and held memory over the last one to two windows.
+/// Both are in tokens, and each peak is taken on its own.
 #[derive(Debug)]
 pub struct RecentPeak {
     window_start: Instant,
@@ -17,7 +18,7 @@
 }
 
 impl RecentPeak {
-    /// Creates a peak without values.
+    /// Creates peaks of zero.
     pub fn new(now: Instant) -> Self {
         Self {
             window_start: now,
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Records the ledger's current prefill and memory.
+    /// Records the ledger's current prefill and memory, in tokens.
     pub fn record(&mut self, prefill: f64, memory: Tokens, now: Instant) {
         if now.saturating_duration_since(self.window_start) >= WINDOW_LENGTH {
             self.previous = self.current;
@@ -37,7 +38,7 @@
         self.current.1 = self.current.1.max(memory);
     }
 
-    /// The peak prefill in tokens and the peak memory.
+    /// The peak prefill and the peak memory, in tokens, up to the last record.
     pub fn get(&self) -> (f64, Tokens) {
         let prefill = self.current.0.max(self.previous.0);
         (prefill, self.current.1.max(self.previous.1))
--- a/src/decide/service_upstream.rs
+++ b/src/decide/service_upstream.rs
@@ -26,6 +26,7 @@
     pub ejection: Ejection,
     /// The state of the instance's warm-up.
     pub warm_up: WarmUp,
+    /// The moving average of the latency of completed calls.
     latency_seconds: f64,
 }
 
@@ -59,18 +60,20 @@
         self.running < self.limit.get().min(warm)
     }
 
-    /// The cost of another call: the mean latency times the number of calls that would be running.
+    /// The cost of another call in seconds: the mean latency times the number of calls that would
+    /// be running.
     pub fn cost(&self) -> f64 {
         (self.latency_seconds + 1.0e-6) * f64::from(self.running + 1)
     }
 
-    /// Records a grant.
+    /// Counts a granted call as running. On an ejected instance, the call is a probe.
     pub fn on_grant(&mut self, now: Instant) {
         self.running += 1;
         self.ejection.on_grant(now);
     }
 
-    /// Records the end of a call.
+    /// Removes an ended call from the running ones. A completed call adjusts the limit, the warm-up
+    /// and the mean latency; a failed or refused one lowers the limit.
     pub fn on_done(&mut self, done: &AttemptSummary, now: Instant) {
         match done.ended {
             AttemptOutcome::Completed => {
--- a/src/decide/speed.rs
+++ b/src/decide/speed.rs
@@ -71,8 +71,9 @@
         Duration::from_secs_f64(self.overhead_seconds)
     }
 
-    /// Records a first token that gives only a lower bound of the speed: the engine processed at
-    /// least the prompt itself in that time, whatever was ahead of it.
+    /// Records a first token that gives only a lower bound of the speed, and raises the estimate
+    /// towards that bound if it is lower: the engine processed at least the prompt itself in that
+    /// time, whatever was ahead of it. Prompts that are too short are ignored.
     pub fn observe_lower_bound(&mut self, prompt: Tokens, elapsed: Duration) {
         let seconds = elapsed.as_secs_f64();
         if prompt < SAMPLE_TOKENS_MIN || seconds <= 0.0 {
@@ -83,7 +84,7 @@
         self.move_towards(target, SAMPLE_WEIGHT_MIN);
     }
 
-    /// Lowers the speed to `limit` if it is higher.
+    /// Lowers the speed to `limit`, in tokens a second, if it is higher.
     pub fn limit_to(&mut self, limit: f64) {
         self.tokens_per_second = self.tokens_per_second.min(limit.max(SPEED_MIN));
     }
@@ -95,6 +96,7 @@
 
     /// Records a first token: the uncached prompt tokens (`prompt`), the tokens that the engine
     /// processed before them (`ahead`), and the time from dispatch to the first token (`elapsed`).
+    /// Prompts that are too short or had too much prefill ahead of them are ignored.
     pub fn observe(&mut self, prompt: Tokens, ahead: f64, elapsed: Duration) {
         let seconds = elapsed.as_secs_f64();
         let work = prompt.as_f64() + ahead;
@@ -138,7 +140,9 @@
         self.xy = self.xy * SAMPLE_DECAY + weight * x * y;
     }
 
-    /// The overhead and the time for one token in seconds, if the points differ enough.
+    /// The overhead and the time for one token, both in seconds. The overhead is kept within its
+    /// bounds. `None` if the prefill lengths differ too little or the time for one token would not
+    /// be positive.
     fn fit(&self) -> Option<(f64, f64)> {
         let spread = self.weight * self.xx - self.x * self.x;
         if spread < SPREAD_MIN * self.x * self.x {
--- a/src/decide/tuning.rs
+++ b/src/decide/tuning.rs
@@ -22,8 +22,8 @@
     /// Speeds that differ from the median by less than this factor count as equal. Estimates of
     /// equal engines differ by chance, and the one that looks fastest would get all the work.
     pub equal_speed_ratio: f64,
-    /// A request waits for a better upstream only if that reduces the expected time to less than
-    /// this fraction.
+    /// A request waits for a better upstream only if waiting reduces the expected time to the first
+    /// token to less than this fraction of the time at the best upstream that is ready.
     pub wait_ratio_max: f64,
     /// The most concurrent long prefills of one upstream, of which at most one may be heavy.
     pub long_prefills_max: usize,
--- a/src/decide/upstream_load.rs
+++ b/src/decide/upstream_load.rs
@@ -20,9 +20,11 @@
     pub prefill_backlog: Duration,
     /// The memory that these requests take, in tokens.
     pub held_tokens: Tokens,
-    /// The memory in tokens that the engine has recently refused to reserve.
+    /// The least amount of memory in tokens that the engine has recently refused to reserve; `None`
+    /// if it has refused none.
     pub refused_tokens: Option<Tokens>,
-    /// The shortest time in which a prompt in prefill at the upstream has to have its first event.
+    /// The time until the first event of a prompt that is now in prefill at the upstream is due,
+    /// for the prompt that is due first; `None` if no such time is known.
     pub prefill_due: Option<Duration>,
 }
 
@@ -35,7 +37,8 @@
             || !self.prefill_backlog.is_zero()
     }
 
-    /// Adds the work of one host.
+    /// Adds the work of one host. The prefill backlog and the refused memory stay as they are,
+    /// because they are not sums over hosts.
     pub(crate) fn add(&mut self, other: &HostLoad) {
         self.in_flight += other.in_flight;
         self.short_in_flight += other.short_in_flight;
--- a/src/decide/work_rate.rs
+++ b/src/decide/work_rate.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// A rate of work a second, in which older work counts for less.
+/// A rate of work a second, in which older work counts for less. The unit of work is that of the
+/// amounts that are added.
 #[derive(Debug)]
 pub struct WorkRate {
     time_constant: Duration,
@@ -21,13 +22,13 @@
         }
     }
 
-    /// Adds work that arrives now.
+    /// Adds an amount of work that arrives now.
     pub fn add(&mut self, amount: f64, now: Instant) {
         self.per_second = self.get(now) + amount / self.time_constant.as_secs_f64();
         self.updated_at = Some(now);
     }
 
-    /// The current rate of work a second.
+    /// The rate at `now`, in the unit of the added amounts a second.
     pub fn get(&self, now: Instant) -> f64 {
         let since = |at| now.saturating_duration_since(at).as_secs_f64();
         let elapsed = self.updated_at.map_or(0.0, since);
