--- a/tests/decide_fakes/engine.rs
+++ b/tests/decide_fakes/engine.rs
@@ -21,8 +21,11 @@
 const STEP_PER_ANSWER_SECONDS: f64 = 0.000_2;
 
 pub struct Engine {
+    /// The memory in tokens.
     pub memory: u64,
+    /// The most attempts that run at the same time.
     pub slots: usize,
+    /// The nominal prefill speed in tokens a second.
     pub speed: f64,
     /// The ratio of the engine's actual to its nominal speed.
     pub pace: f64,
@@ -30,11 +33,15 @@
     pub honours_priority: bool,
     pub is_dead: bool,
     pub jobs: IndexMap<AttemptId, Job>,
+    /// The lengths of the prefixes in the cache, the oldest first.
     cache: IndexMap<ContentHash, u64>,
+    /// The time in seconds that has passed and that no step has used yet.
     time_left: f64,
+    /// The step under way, as [`Engine::plan`] gives it.
     plan: Option<(f64, Vec<(AttemptId, f64)>)>,
 }
 
+/// The part of an attempt that one engine processes.
 pub struct Job {
     priority: Priority,
     memory: u64,
--- a/tests/decide_fakes/simulation.rs
+++ b/tests/decide_fakes/simulation.rs
@@ -34,7 +34,7 @@
 /// The time step of the simulation.
 const STEP: Duration = Duration::from_millis(5);
 /// The interval of load reports, and the age of a report at its delivery.
-const REPORT_EVERY: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Engines and policies under a manual clock.
 pub struct Simulation {
@@ -110,7 +110,7 @@
             self.poll();
             self.apply_outage(elapsed.as_secs_f64());
             self.step();
-            if elapsed.as_millis() % REPORT_EVERY.as_millis() == 0 {
+            if elapsed.as_millis() % REPORT_INTERVAL.as_millis() == 0 {
                 self.deliver_reports(&reports);
                 reports = self.engines.iter().map(Engine::report).collect();
             }
@@ -153,7 +153,7 @@
         outcome.attempts += 1;
         let prefixes = request
             .prefix
-            .map(|(name, tokens)| (ContentHash(name), Tokens(tokens)));
+            .map(|(hash, tokens)| (ContentHash(hash), Tokens(tokens)));
         let policy = request_index % self.policies.len();
         let work = Work {
             request: RequestId(request_index as u128 | (u128::from(outcome.attempts) << 64)),
--- a/tests/decide_fakes/workload.rs
+++ b/tests/decide_fakes/workload.rs
@@ -21,9 +21,13 @@
     pub at: Duration,
     pub customer: &'static str,
     pub priority: u8,
+    /// The length of the prompt in tokens.
     pub prompt: u64,
+    /// The largest allowed length of the answer in tokens.
     pub output_max: u64,
+    /// The actual length of the answer in tokens.
     pub output: u64,
+    /// The time from `at` to the deadline.
     pub timeout: Duration,
     /// The hash and the length of the prompt's shared prefix.
     pub prefix: Option<(u128, u64)>,
--- a/tests/decide_gateway.rs
+++ b/tests/decide_gateway.rs
@@ -32,7 +32,7 @@
     name.parse().unwrap()
 }
 
-fn share(is_short: bool) -> RequestLoad {
+fn request_load(is_short: bool) -> RequestLoad {
     RequestLoad {
         takes_slot: true,
         is_short,
@@ -184,10 +184,10 @@
         is_local,
         is_failing: false,
     };
-    let near = [view("near", 1, true), view("far", 0, false)];
-    assert_eq!(choose_instance(&near, 0), Some(&upstream("near")));
-    let busy = [view("near", 3, true), view("far", 0, false)];
-    assert_eq!(choose_instance(&busy, 0), Some(&upstream("far")));
+    let idle = [view("local", 1, true), view("remote", 0, false)];
+    assert_eq!(choose_instance(&idle, 0), Some(&upstream("local")));
+    let busy = [view("local", 3, true), view("remote", 0, false)];
+    assert_eq!(choose_instance(&busy, 0), Some(&upstream("remote")));
     assert_eq!(choose_instance(&[], 0), None);
 }
 
@@ -300,8 +300,8 @@
     record_peer_loads(&mut ledger, &engine, 1, update(90_800, 50), later);
     assert_eq!(ledger.load(&engine, later).prefill_backlog, ms(50));
     record_peer_loads(&mut ledger, &engine, 2, update(30, 30), later + ms(100));
-    let anew = ledger.load(&engine, later + ms(100)).prefill_backlog;
-    assert_eq!(anew, ms(30), "the host has restarted");
+    let restarted = ledger.load(&engine, later + ms(100)).prefill_backlog;
+    assert_eq!(restarted, ms(30), "the host has restarted");
 }
 
 #[test]
@@ -309,7 +309,7 @@
     let now = Instant::now();
     let mut ledger = LoadLedger::default();
     let engine = upstream("e");
-    ledger.start_request(&engine, &share(true), now);
+    ledger.start_request(&engine, &request_load(true), now);
     let peer = HostLoad {
         in_flight: 3,
         short_in_flight: 1,
@@ -327,7 +327,7 @@
     assert_eq!(load.strictest_pause, Some(ms(200)));
     assert_eq!(load.held_tokens, Tokens(5_100));
     assert_eq!(ledger.load(&engine, now + ms(60)).prefill_backlog, ms(65));
-    ledger.end_request(&engine, &share(true));
+    ledger.end_request(&engine, &request_load(true));
     let after = ledger.load(&engine, now + ms(200));
     assert_eq!(
         (after.in_flight, after.prefill_backlog),
@@ -361,7 +361,7 @@
     let engine = upstream("e");
     let due_in = |due| RequestLoad {
         prefill_due: Some(now + ms(due)),
-        ..share(false)
+        ..request_load(false)
     };
     let prefill_due = |ledger: &LoadLedger, at| ledger.load(&engine, now + ms(at)).prefill_due;
     ledger.start_request(&engine, &due_in(900), now);
@@ -396,22 +396,22 @@
     let now = Instant::now();
     let mut ledger = LoadLedger::default();
     let engine = upstream("e");
-    let mut share = RequestLoad {
+    let mut request = RequestLoad {
         takes_slot: false,
         helper_release: Some(until),
-        ..share(false)
+        ..request_load(false)
     };
-    ledger.start_request(&engine, &share, now);
+    ledger.start_request(&engine, &request, now);
     let peer = HostLoad {
         helping: 2,
         ..HostLoad::default()
     };
     record_peer_loads(&mut ledger, &engine, 1, peer, now);
     assert_eq!(ledger.load(&engine, now).helping, 3);
-    ledger.finish_prefill(&engine, &mut share);
-    ledger.finish_prefill(&engine, &mut share);
+    ledger.finish_prefill(&engine, &mut request);
+    ledger.finish_prefill(&engine, &mut request);
     assert_eq!(ledger.load(&engine, now).helping, 2 + after_reading);
-    ledger.end_request(&engine, &share);
+    ledger.end_request(&engine, &request);
     assert_eq!(ledger.load(&engine, now).helping, 2);
 }
 
--- a/tests/decide_load.rs
+++ b/tests/decide_load.rs
@@ -61,7 +61,7 @@
 /// time. If long prompts go to any engine that looks free, short prompts are processed between or
 /// beside their chunks and are late. Engines kept free of long prefill answer short prompts as if
 /// there were no long ones.
-#[parameterized(by_rank = { true }, all_alike = { false })]
+#[parameterized(by_priority = { true }, without_priority = { false })]
 fn long_prompts_hardly_slow_short_ones(honours_priority: bool) {
     let run = |name, load| {
         let mut simulation = simulation(name, 1);
@@ -278,10 +278,10 @@
 /// the engine that claims to be idle. The home's ledger takes them only as a correction. The effect
 /// is larger on engines that do not serve short prompts first.
 #[parameterized(
-    nothing = { |_| LoadReport::default(), true, 1.15 },
-    nothing_no_ranks = { |_| LoadReport::default(), false, 1.15 },
+    empty = { |_| LoadReport::default(), true, 1.15 },
+    empty_without_priority = { |_| LoadReport::default(), false, 1.15 },
     tenfold = { times_ten, true, 1.15 },
-    tenfold_no_ranks = { times_ten, false, 1.3 },
+    tenfold_without_priority = { times_ten, false, 1.3 },
 )]
 fn wrong_reports_do_little_harm(
     alter_report: fn(&LoadReport) -> LoadReport,
@@ -331,7 +331,7 @@
     assert!(wrong < 1.15 * right, "right {right}, wrong {wrong}");
 }
 
-/// Seven hosts decide at the same moment. From lagging reports alone all of them pick the same idle
+/// Seven hosts decide at the same time. From lagging reports alone all of them pick the same idle
 /// engine. One home with a ledger spreads the requests.
 #[test]
 fn one_home_schedules_better_than_seven_hosts_alone() {
--- a/tests/decide_policy.rs
+++ b/tests/decide_policy.rs
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn a_withdrawn_request_is_forgotten() {
+fn a_withdrawn_request_is_removed() {
     let mut pool = Pool::shipped(1);
     let works = [pool.work(90_000), pool.work(90_000)];
     pool.offer(works[0].clone());
@@ -274,7 +274,7 @@
 /// A customer above its rate is served while there is spare capacity, and refused once other
 /// requests wait.
 #[test]
-fn rates_bind_only_under_load() {
+fn rate_limits_apply_only_under_load() {
     let mut conf = config(Objective::ShortSlowdown, 8_000.0);
     conf.customers[&customer("desk")].rate = RequestsPerSecond(1.0);
     conf.customers[&customer("desk")].burst_requests = 1.0;
@@ -308,11 +308,11 @@
     conf.customers[&customer("studio")].share = 3;
     let mut pool = Pool::new(policy_for(PolicyName::Shipped, &conf, 1), 1);
     let mut owner = indexmap::IndexMap::new();
-    for (name, rank) in [("studio", 0), ("agency", 0), ("app", 1)] {
+    for (name, priority) in [("studio", 0), ("agency", 0), ("app", 1)] {
         for _ in 0..60 {
             let work = Work {
                 customer: customer(name),
-                priority: Priority(rank),
+                priority: Priority(priority),
                 ..pool.work(1_000)
             };
             owner.insert(work.request, name);
