--- a/benches/control.rs
+++ b/benches/control.rs
@@ -14,11 +14,11 @@
 use std::time::Instant;
 
 use banyanarch::cluster_view::HostState;
-use banyanarch::control::homes::HomeTable;
-use banyanarch::control::homes::pools_of;
+use banyanarch::control::home_assignment::HomeTable;
+use banyanarch::control::home_assignment::partition_upstreams;
 use banyanarch::control::manifests::ManifestAction;
-use banyanarch::control::manifests::Manifests;
-use banyanarch::control::manifests::PlatformWord;
+use banyanarch::control::manifests::ManifestController;
+use banyanarch::control::manifests::ManifestRead;
 use banyanarch::control::manifests::watchers;
 use banyanarch::control::membership::Membership;
 use banyanarch::control::membership::MembershipAction;
@@ -60,7 +60,7 @@
 struct Host {
     seed: PeerSeed,
     membership: Membership,
-    manifests: Manifests,
+    manifests: ManifestController,
     is_running: bool,
 }
 
@@ -118,7 +118,7 @@
         let check = Box::new(move |_: &str| Ok(manifest.clone()));
         let host = Host {
             membership: Membership::new(conf, rng.clone(), self.now),
-            manifests: Manifests::new(check, BYTES_PER_SECOND, rng, self.now),
+            manifests: ManifestController::new(check, BYTES_PER_SECOND, rng, self.now),
             is_running: true,
             seed: seed.clone(),
         };
@@ -229,8 +229,8 @@
     /// Tells a host what the platform holds.
     fn tell(&mut self, id: &HostId) {
         if let Some(published) = self.published.clone() {
-            let word = PlatformWord::Published(published);
-            let actions = self.hosts[id].manifests.platform(word, self.now);
+            let word = ManifestRead::Published(published);
+            let actions = self.hosts[id].manifests.on_platform_read(word, self.now);
             self.spread(id, actions);
         }
     }
@@ -331,7 +331,7 @@
     (0..MODELS)
         .flat_map(|model| {
             let target = format!("model-{model}").parse().unwrap();
-            pools_of(domain, &target, &upstreams).into_keys()
+            partition_upstreams(domain, &target, &upstreams).into_keys()
         })
         .collect()
 }
--- a/src/cmd/publication.rs
+++ b/src/cmd/publication.rs
@@ -14,11 +14,11 @@
 use crate::manifest::MANIFEST_OBJECT_NAME;
 use crate::manifest::Manifest;
 use crate::manifest::PublishedManifest;
-use crate::objects::Expected;
-use crate::objects::Kind;
 use crate::objects::ObjectKey;
-use crate::objects::Platform;
+use crate::objects::ObjectKind;
+use crate::objects::PlatformClient;
 use crate::objects::PlatformError;
+use crate::objects::Precondition;
 use crate::units::Generation;
 use crate::units::ObjectVersion;
 
@@ -28,7 +28,7 @@
 /// A conditional write of a manifest.
 struct ManifestWrite {
     manifest: PublishedManifest,
-    expected: Expected,
+    expected: Precondition,
 }
 
 /// The next step after the published manifest was read.
@@ -41,7 +41,7 @@
 /// operator named one. If the answer to the write is lost, each of `pauses` is followed by one more
 /// attempt to learn whether the write took effect.
 pub async fn publish_manifest(
-    platform: &dyn Platform,
+    platform: &dyn PlatformClient,
     text: &str,
     publish_id: u128,
     expect: Option<Generation>,
@@ -63,12 +63,12 @@
     };
     match put(platform, &write).await? {
         Ok(_) => Ok(PublishOutcome::Accepted(write.manifest.generation)),
-        Err(PlatformError::Conflict | PlatformError::Absent) => {
+        Err(PlatformError::Conflict | PlatformError::NotFound) => {
             Ok(conflict_outcome(platform, &write).await)
         }
         Err(PlatformError::Refused(reason)) => Ok(PublishOutcome::Refused(reason)),
         Err(PlatformError::Unavailable(reason)) => Ok(PublishOutcome::Unreachable(reason)),
-        Err(PlatformError::Unknown(error)) => {
+        Err(PlatformError::OutcomeUnknown(error)) => {
             resolve_unanswered(platform, &write, error, pauses).await
         }
     }
@@ -81,8 +81,8 @@
     expect: Option<Generation>,
 ) -> NextStep {
     let (generation, expected) = match published {
-        Some((manifest, version)) => (manifest.generation, Expected::Version(*version)),
-        None => (Generation::default(), Expected::Absent),
+        Some((manifest, version)) => (manifest.generation, Precondition::Version(*version)),
+        None => (Generation::default(), Precondition::Absent),
     };
     if expect.is_some_and(|expect| expect != generation) {
         let reason = format!("generation {generation} is published");
@@ -118,17 +118,17 @@
 }
 
 async fn put(
-    platform: &dyn Platform,
+    platform: &dyn PlatformClient,
     write: &ManifestWrite,
 ) -> Result<Result<ObjectVersion, PlatformError>, CmdError> {
-    let key = ObjectKey::new(Kind::Manifests, MANIFEST_OBJECT_NAME);
+    let key = ObjectKey::new(ObjectKind::Manifests, MANIFEST_OBJECT_NAME);
     let value = serde_json::to_value(&write.manifest)?;
     Ok(platform.put(key, value, write.expected).await)
 }
 
 /// The outcome of a write that the platform answered with a conflict. Names the generation that was
 /// published instead, if the platform can be read.
-async fn conflict_outcome(platform: &dyn Platform, write: &ManifestWrite) -> PublishOutcome {
+async fn conflict_outcome(platform: &dyn PlatformClient, write: &ManifestWrite) -> PublishOutcome {
     match fetch_published(platform).await {
         Ok(Some((published, _))) => match outcome_by_manifest(&published, &write.manifest) {
             // The platform refused this write, so the manifest was never published.
@@ -142,7 +142,7 @@
 /// Finds out whether a write whose answer was lost took effect, and repeats the write if the object
 /// is unchanged.
 async fn resolve_unanswered(
-    platform: &dyn Platform,
+    platform: &dyn PlatformClient,
     write: &ManifestWrite,
     mut last_error: String,
     pauses: &[Duration],
@@ -172,7 +172,7 @@
 /// the object is unchanged, since the write may still take effect.
 fn unanswered_outcome(published: Published, write: &ManifestWrite) -> Option<PublishOutcome> {
     let (manifest, version) = published?;
-    let is_unchanged = write.expected == Expected::Version(version);
+    let is_unchanged = write.expected == Precondition::Version(version);
     (!is_unchanged).then(|| outcome_by_manifest(&manifest, &write.manifest))
 }
 
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -15,9 +15,9 @@
 use crate::cmd::remote::block_on;
 use crate::cmd::remote::fetch_published;
 use crate::cmd::report_text;
-use crate::objects::Kind;
 use crate::objects::Object;
-use crate::objects::Platform;
+use crate::objects::ObjectKind;
+use crate::objects::PlatformClient;
 
 pub(crate) const USAGE: &str = "
 Shows the state of the fleet: as one host sees it, or from the reports in the platform. A host
@@ -83,12 +83,12 @@
     page.ok_or_else(|| CmdError::InvalidResponse(format!("{addr} has no status page")))
 }
 
-async fn read_platform_reports(platform: &dyn Platform) -> Result<Value, CmdError> {
+async fn read_platform_reports(platform: &dyn PlatformClient) -> Result<Value, CmdError> {
     let generation = match fetch_published(platform).await? {
         Some((published, _)) => Value::from(published.generation.0),
         None => Value::Null,
     };
-    let statuses = platform.list(Kind::Statuses).await?;
+    let statuses = platform.list(ObjectKind::Statuses).await?;
     let hosts: Vec<Value> = statuses.items.into_iter().map(with_host_name).collect();
     Ok(json!({ "published_generation": generation, "reports": hosts }))
 }
--- a/src/control/claims/relay.rs
+++ b/src/control/claims/relay.rs
@@ -1,44 +1,43 @@
-//! Calls to the platform that a host asks a peer to make for it.
+//! Encoding and decoding of calls to the platform that a peer makes for a host.
 //!
-//! A host that is cut off from the platform goes on claiming through a peer that is not. The reply
-//! tells the same kinds of failure apart; a peer that was asked and gives no answer leaves the
-//! effect of a write unknown.
+//! A host that cannot reach the platform records claims through a peer that can. The reply keeps
+//! the kinds of failure apart; if the peer does not answer, the effect of a write is unknown.
 
-use crate::objects::Expected;
-use crate::objects::Kind;
 use crate::objects::Object;
 use crate::objects::ObjectKey;
+use crate::objects::ObjectKind;
 use crate::objects::PlatformError;
+use crate::objects::Precondition;
 use crate::peer::PeerError;
 use crate::peer::message::PlatformCall;
 use crate::peer::message::PlatformReply;
 use crate::units::ObjectVersion;
 
-const DONE: u32 = 0;
-const ABSENT: u32 = 1;
-const CONFLICT: u32 = 2;
-const REFUSED: u32 = 3;
-const UNAVAILABLE: u32 = 4;
-const UNKNOWN: u32 = 5;
+const STATUS_DONE: u32 = 0;
+const STATUS_ABSENT: u32 = 1;
+const STATUS_CONFLICT: u32 = 2;
+const STATUS_REFUSED: u32 = 3;
+const STATUS_UNAVAILABLE: u32 = 4;
+const STATUS_UNKNOWN: u32 = 5;
 
-/// A call that a peer asks for.
+/// A call to the platform that a peer requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RelayedCall {
     /// Read an object.
     Get(ObjectKey),
     /// Write an object.
     Put {
-        /// Which.
+        /// The key of the object.
         key: ObjectKey,
-        /// Its new value.
+        /// The new value of the object.
         value: serde_json::Value,
-        /// What it must be before.
-        expected: Expected,
+        /// The condition on the current state of the object.
+        expected: Precondition,
     },
 }
 
-/// A read as a message.
-pub fn get_to(key: &ObjectKey) -> PlatformCall {
+/// Encodes a read.
+pub fn encode_get(key: &ObjectKey) -> PlatformCall {
     PlatformCall {
         kind: key.kind.plural().to_owned(),
         name: key.name.clone(),
@@ -47,29 +46,33 @@
     }
 }
 
-/// A write as a message.
-pub fn put_to(key: &ObjectKey, value: &serde_json::Value, expected: Expected) -> PlatformCall {
+/// Encodes a write.
+pub fn encode_put(
+    key: &ObjectKey,
+    value: &serde_json::Value,
+    expected: Precondition,
+) -> PlatformCall {
     PlatformCall {
         value: Some(value.to_string().into_bytes()),
         expected_version: match expected {
-            Expected::Absent => None,
-            Expected::Version(version) => Some(version.0),
+            Precondition::Absent => None,
+            Precondition::Version(version) => Some(version.0),
         },
-        ..get_to(key)
+        ..encode_get(key)
     }
 }
 
-/// A call out of a message. One that can't be read is refused, and nothing is done.
-pub fn call_from(call: &PlatformCall) -> Result<RelayedCall, PlatformError> {
+/// Decodes a call. An invalid call is refused and has no effect.
+pub fn decode_call(call: &PlatformCall) -> Result<RelayedCall, PlatformError> {
     let refused = |why: &str| PlatformError::Refused(why.to_owned());
-    let kind = Kind::from_plural(&call.kind).ok_or_else(|| refused("unknown kind"))?;
+    let kind = ObjectKind::from_plural(&call.kind).ok_or_else(|| refused("unknown kind"))?;
     let key = ObjectKey::new(kind, call.name.clone());
     let Some(bytes) = &call.value else {
         return Ok(RelayedCall::Get(key));
     };
     let value = serde_json::from_slice(bytes).map_err(|error| refused(&error.to_string()))?;
     let version = call.expected_version.map(ObjectVersion);
-    let expected = version.map_or(Expected::Absent, Expected::Version);
+    let expected = version.map_or(Precondition::Absent, Precondition::Version);
     Ok(RelayedCall::Put {
         key,
         value,
@@ -77,38 +80,38 @@
     })
 }
 
-/// What came of a read as a message.
-pub fn got_to(result: &Result<Object, PlatformError>) -> PlatformReply {
+/// Encodes the result of a read.
+pub fn encode_get_result(result: &Result<Object, PlatformError>) -> PlatformReply {
     match result {
         Ok(object) => PlatformReply {
-            status: DONE,
+            status: STATUS_DONE,
             why: String::new(),
             version: object.version.0,
             value: object.value.to_string().into_bytes(),
         },
-        Err(error) => error_to(error),
+        Err(error) => encode_error(error),
     }
 }
 
-/// What came of a write as a message.
-pub fn written_to(result: &Result<ObjectVersion, PlatformError>) -> PlatformReply {
+/// Encodes the result of a write.
+pub fn encode_put_result(result: &Result<ObjectVersion, PlatformError>) -> PlatformReply {
     match result {
         Ok(version) => PlatformReply {
-            status: DONE,
+            status: STATUS_DONE,
             version: version.0,
             ..Default::default()
         },
-        Err(error) => error_to(error),
+        Err(error) => encode_error(error),
     }
 }
 
-fn error_to(error: &PlatformError) -> PlatformReply {
+fn encode_error(error: &PlatformError) -> PlatformReply {
     let (status, why) = match error {
-        PlatformError::Absent => (ABSENT, ""),
-        PlatformError::Conflict => (CONFLICT, ""),
-        PlatformError::Refused(why) => (REFUSED, why.as_str()),
-        PlatformError::Unavailable(why) => (UNAVAILABLE, why.as_str()),
-        PlatformError::Unknown(why) => (UNKNOWN, why.as_str()),
+        PlatformError::NotFound => (STATUS_ABSENT, ""),
+        PlatformError::Conflict => (STATUS_CONFLICT, ""),
+        PlatformError::Refused(why) => (STATUS_REFUSED, why.as_str()),
+        PlatformError::Unavailable(why) => (STATUS_UNAVAILABLE, why.as_str()),
+        PlatformError::OutcomeUnknown(why) => (STATUS_UNKNOWN, why.as_str()),
     };
     PlatformReply {
         status,
@@ -117,11 +120,11 @@
     }
 }
 
-/// What came of a read, out of a message.
-pub fn got_from(key: &ObjectKey, reply: &PlatformReply) -> Result<Object, PlatformError> {
-    let version = written_from(reply)?;
+/// Decodes the result of a read.
+pub fn decode_get_result(key: &ObjectKey, reply: &PlatformReply) -> Result<Object, PlatformError> {
+    let version = decode_put_result(reply)?;
     let value = serde_json::from_slice(&reply.value)
-        .map_err(|error| PlatformError::Unknown(error.to_string()))?;
+        .map_err(|error| PlatformError::OutcomeUnknown(error.to_string()))?;
     Ok(Object {
         key: key.clone(),
         version,
@@ -129,25 +132,25 @@
     })
 }
 
-/// What came of a write, out of a message.
-pub fn written_from(reply: &PlatformReply) -> Result<ObjectVersion, PlatformError> {
+/// Decodes the result of a write.
+pub fn decode_put_result(reply: &PlatformReply) -> Result<ObjectVersion, PlatformError> {
     let why = reply.why.clone();
     match reply.status {
-        DONE => Ok(ObjectVersion(reply.version)),
-        ABSENT => Err(PlatformError::Absent),
-        CONFLICT => Err(PlatformError::Conflict),
-        REFUSED => Err(PlatformError::Refused(why)),
-        UNAVAILABLE => Err(PlatformError::Unavailable(why)),
-        // A newer peer's word that this one does not know proves nothing.
-        _ => Err(PlatformError::Unknown(why)),
+        STATUS_DONE => Ok(ObjectVersion(reply.version)),
+        STATUS_ABSENT => Err(PlatformError::NotFound),
+        STATUS_CONFLICT => Err(PlatformError::Conflict),
+        STATUS_REFUSED => Err(PlatformError::Refused(why)),
+        STATUS_UNAVAILABLE => Err(PlatformError::Unavailable(why)),
+        // The peer may run a newer version with more status codes, so the effect is unknown.
+        _ => Err(PlatformError::OutcomeUnknown(why)),
     }
 }
 
-/// What a call that a peer did not answer amounts to.
-pub fn of_peer_error(error: &PeerError) -> PlatformError {
+/// The platform error that stands for a failed call to a peer.
+pub fn map_peer_error(error: &PeerError) -> PlatformError {
     let why = error.to_string();
     match error {
         PeerError::UnknownHost | PeerError::Unreachable(_) => PlatformError::Unavailable(why),
-        PeerError::NoAnswer | PeerError::BadFrame(_) => PlatformError::Unknown(why),
+        PeerError::NoReply | PeerError::BadFrame(_) => PlatformError::OutcomeUnknown(why),
     }
 }
--- a/src/control/status/events.rs
+++ b/src/control/status/event_log.rs
@@ -1,4 +1,4 @@
-//! What the system did lately, and why.
+//! Recent events of this host, with their reasons.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,13 +12,14 @@
 /// Events that are kept: some hours of an ordinary day, some minutes of a bad one.
 const EVENTS_MAX: usize = 256;
 
-/// The longest text that is kept of an event.
+/// Maximum length of each text of an event, in characters.
 const TEXT_LEN_MAX: usize = 200;
 
-/// The last things that this host did by itself. Any part writes to it; memory is bounded.
-pub struct Events {
+/// The recent actions that this host took by itself. Any part of the process can add to the log;
+/// its memory is bounded.
+pub struct EventLog {
     clock: Arc<dyn Clock>,
-    ring: Mutex<VecDeque<Event>>,
+    entries: Mutex<VecDeque<Event>>,
 }
 
 #[derive(Clone, Debug)]
@@ -34,52 +35,52 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 pub struct EventReport {
-    /// How long ago it last happened.
+    /// Time since the event last happened, in seconds.
     pub ago_s: u64,
-    /// Which part of the system did it, as in the logs.
+    /// The part of the system that acted, as named in the logs.
     pub part: &'static str,
-    /// What it did.
+    /// The action.
     pub what: String,
-    /// Why.
+    /// The reason for the action.
     pub why: String,
-    /// How often in a row.
+    /// How many times in a row the event happened.
     pub times: u64,
 }
 
-impl Events {
-    /// Nothing yet.
+impl EventLog {
+    /// An empty log.
     pub fn new(clock: Arc<dyn Clock>) -> Self {
         Self {
             clock,
-            ring: Mutex::new(VecDeque::new()),
+            entries: Mutex::new(VecDeque::new()),
         }
     }
 
-    /// Records that a part did something. The same event again in a row only counts, so that
-    /// something that flaps does not push everything else out.
+    /// Records an event. Repeating the last event only increases its count, so that a flapping
+    /// condition does not push out all other events.
     pub fn record(&self, part: &'static str, what: &str, why: &str) {
         let event = Event {
             last_at: self.clock.now(),
             part,
-            what: clip(what),
-            why: clip(why),
+            what: truncate(what),
+            why: truncate(why),
             times: 1,
         };
-        let mut ring = self.lock();
-        if let Some(last) = ring.back_mut()
+        let mut entries = self.lock();
+        if let Some(last) = entries.back_mut()
             && last.is_same(&event)
         {
             last.times += 1;
             last.last_at = event.last_at;
             return;
         }
-        if ring.len() == EVENTS_MAX {
-            ring.pop_front();
+        if entries.len() == EVENTS_MAX {
+            entries.pop_front();
         }
-        ring.push_back(event);
+        entries.push_back(event);
     }
 
-    /// The latest events, the newest first.
+    /// The latest `count` events, the newest first.
     pub fn latest(&self, count: usize) -> Vec<EventReport> {
         let now = self.clock.now();
         let report = |event: &Event| EventReport {
@@ -93,7 +94,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, VecDeque<Event>> {
-        self.ring.lock().unwrap_or_else(PoisonError::into_inner)
+        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -103,6 +104,6 @@
     }
 }
 
-fn clip(text: &str) -> String {
+fn truncate(text: &str) -> String {
     text.chars().take(TEXT_LEN_MAX).collect()
 }
--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -18,10 +18,10 @@
 use crate::cluster_view::ClusterView;
 use crate::control::claims::ClaimConf;
 use crate::control::claims::ClaimStore;
-use crate::control::manifests::Manifests;
+use crate::control::manifests::ManifestController;
 use crate::control::membership::Membership;
 use crate::control::membership::MembershipConf;
-use crate::control::status::Events;
+use crate::control::status::EventLog;
 use crate::daemon::DaemonError;
 use crate::daemon::drain::Drain;
 use crate::daemon::loops;
@@ -35,26 +35,26 @@
 use crate::entry::EntryParts;
 use crate::entry::InFlight;
 use crate::entry::serve_callers;
-use crate::fleet::FleetHomes;
+use crate::fleet::ClusterHomeDirectory;
 use crate::fleet::GrantWaiters;
-use crate::fleet::HomeDesk;
-use crate::fleet::HomeDeskParts;
+use crate::fleet::HomeDirectory;
 use crate::fleet::HomeGranter;
 use crate::fleet::HomeGranterParts;
-use crate::fleet::HomeMap;
+use crate::fleet::HomeRunner;
+use crate::fleet::HomeRunnerParts;
 use crate::fleet::LiveGrants;
-use crate::fleet::ManifestDesk;
-use crate::fleet::ManifestDeskParts;
-use crate::fleet::MembershipDesk;
-use crate::fleet::OrderDesk;
-use crate::fleet::OrderDeskParts;
-use crate::fleet::PeerDesk;
-use crate::fleet::RelayPlatform;
-use crate::fleet::RelayPlatformParts;
+use crate::fleet::ManifestRunner;
+use crate::fleet::ManifestRunnerParts;
+use crate::fleet::MembershipRunner;
+use crate::fleet::PeerMessageRouter;
+use crate::fleet::ReconcilerRunner;
+use crate::fleet::ReconcilerRunnerParts;
+use crate::fleet::RelayPlatformClient;
+use crate::fleet::RelayPlatformClientParts;
 use crate::fleet::UpstreamRegistry;
 use crate::http::HttpClient;
-use crate::objects::HttpPlatform;
-use crate::objects::Platform;
+use crate::objects::HttpPlatformClient;
+use crate::objects::PlatformClient;
 use crate::observe::ExplanationLimits;
 use crate::observe::Explanations;
 use crate::observe::Metrics;
@@ -72,14 +72,14 @@
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) cluster_view: Arc<ClusterView>,
     pub(crate) parts: Arc<EntryParts>,
-    pub(crate) homes: Arc<HomeDesk>,
-    pub(crate) home_table: Arc<FleetHomes>,
+    pub(crate) homes: Arc<HomeRunner>,
+    pub(crate) home_table: Arc<ClusterHomeDirectory>,
     pub(crate) granter: Arc<HomeGranter>,
-    pub(crate) membership: Arc<MembershipDesk>,
-    pub(crate) manifests: Arc<ManifestDesk>,
-    pub(crate) orders: Arc<OrderDesk>,
-    pub(crate) events: Arc<Events>,
-    pub(crate) platform: Arc<dyn Platform>,
+    pub(crate) membership: Arc<MembershipRunner>,
+    pub(crate) manifests: Arc<ManifestRunner>,
+    pub(crate) orders: Arc<ReconcilerRunner>,
+    pub(crate) events: Arc<EventLog>,
+    pub(crate) platform: Arc<dyn PlatformClient>,
     pub(crate) addrs: Arc<SeededAddrs>,
     pub(crate) traffic: Arc<Traffic>,
     pub(crate) news: Arc<News>,
@@ -107,13 +107,13 @@
         );
         let clock: Arc<dyn Clock> = Arc::new(SystemClock);
         let cluster_view = Arc::new(ClusterView::new());
-        let events = Arc::new(Events::new(Arc::clone(&clock)));
+        let events = Arc::new(EventLog::new(Arc::clone(&clock)));
         let traffic = Arc::new(Traffic::new(
             Arc::clone(&clock),
             settings.peers.control_bytes_per_second,
         ));
         let addrs = Arc::new(SeededAddrs::new(Arc::clone(&cluster_view)));
-        addrs.learn(&settings.peers.seeds);
+        addrs.add_seeds(&settings.peers.seeds);
         let peers = Arc::new(PeerPool::new(
             settings.host.clone(),
             Keyring::new(settings.peers.keys.clone()),
@@ -122,7 +122,7 @@
             StdRng::from_os_rng(),
         ));
         let incarnation = first_incarnation(&*clock);
-        let membership = Arc::new(MembershipDesk::new(
+        let membership = Arc::new(MembershipRunner::new(
             Arc::clone(&clock),
             Arc::clone(&cluster_view),
             Arc::clone(&peers) as _,
@@ -141,49 +141,50 @@
                 clock.now(),
             ),
         ));
-        let home_table = Arc::new(FleetHomes::new(
+        let home_table = Arc::new(ClusterHomeDirectory::new(
             Arc::clone(&cluster_view),
             Arc::clone(&membership),
             settings.host.clone(),
             settings.failure_domain.clone(),
         ));
-        let map = Arc::clone(&home_table) as Arc<dyn HomeMap>;
+        let map = Arc::clone(&home_table) as Arc<dyn HomeDirectory>;
         let upstreams = Arc::new(UpstreamRegistry::new(Arc::clone(&cluster_view)));
         let waiters = Arc::new(GrantWaiters::default());
         let live = Arc::new(LiveGrants::default());
-        let homes = Arc::new(HomeDesk::new(HomeDeskParts {
+        let homes = Arc::new(HomeRunner::new(HomeRunnerParts {
             clock: Arc::clone(&clock),
             host: settings.host.clone(),
             cluster_view: Arc::clone(&cluster_view),
             events: Arc::clone(&events),
             peers: Arc::clone(&peers) as _,
-            map: Arc::clone(&map),
+            home_directory: Arc::clone(&map),
             upstreams: Arc::clone(&upstreams) as _,
             waiters: Arc::clone(&waiters),
-            live: Arc::clone(&live),
+            live_grants: Arc::clone(&live),
             policy: settings.policy,
         }));
         let granter = Arc::new(HomeGranter::new(HomeGranterParts {
             clock: Arc::clone(&clock),
             host: settings.host.clone(),
             peers: Arc::clone(&peers) as _,
-            map: Arc::clone(&map),
-            desk: Arc::clone(&homes),
+            home_directory: Arc::clone(&map),
+            homes: Arc::clone(&homes),
             waiters: Arc::clone(&waiters),
-            live,
+            live_grants: live,
             policy: settings.policy,
         }));
-        let direct: Arc<dyn Platform> = Arc::new(HttpPlatform::new(
+        let direct: Arc<dyn PlatformClient> = Arc::new(HttpPlatformClient::new(
             HttpClient::new(settings.platform.address),
             Duration::from_millis(settings.platform.timeout_ms),
         ));
-        let relayed: Arc<dyn Platform> = Arc::new(RelayPlatform::new(RelayPlatformParts {
-            direct: Arc::clone(&direct),
-            peers: Arc::clone(&peers) as _,
-            cluster_view: Arc::clone(&cluster_view),
-            host: settings.host.clone(),
-            domain: settings.failure_domain.clone(),
-        }));
+        let relayed: Arc<dyn PlatformClient> =
+            Arc::new(RelayPlatformClient::new(RelayPlatformClientParts {
+                direct: Arc::clone(&direct),
+                peers: Arc::clone(&peers) as _,
+                cluster_view: Arc::clone(&cluster_view),
+                host: settings.host.clone(),
+                domain: settings.failure_domain.clone(),
+            }));
         let claims = ClaimStore::new(
             &relayed,
             &clock,
@@ -209,8 +210,8 @@
                 ExplanationLimits::default(),
             )),
         });
-        let manifests = Arc::new(ManifestDesk::new(
-            ManifestDeskParts {
+        let manifests = Arc::new(ManifestRunner::new(
+            ManifestRunnerParts {
                 clock: Arc::clone(&clock),
                 cluster_view: Arc::clone(&cluster_view),
                 events: Arc::clone(&events),
@@ -219,18 +220,18 @@
                 host: settings.host.clone(),
                 domain: settings.failure_domain.clone(),
             },
-            Manifests::new(
+            ManifestController::new(
                 manifest_loop::check_for(settings.deployment.clone()),
                 settings.peers.control_bytes_per_second,
                 StdRng::from_os_rng(),
                 clock.now(),
             ),
         ));
-        let orders = Arc::new(OrderDesk::new(OrderDeskParts {
+        let orders = Arc::new(ReconcilerRunner::new(ReconcilerRunnerParts {
             clock: Arc::clone(&clock),
             cluster_view: Arc::clone(&cluster_view),
             events: Arc::clone(&events),
-            map: Arc::clone(&map),
+            home_directory: Arc::clone(&map),
             platform: Arc::clone(&relayed),
             upstreams: Arc::clone(&upstreams) as _,
             host: settings.host.clone(),
@@ -242,20 +243,20 @@
             peers: Arc::clone(&peers),
             domain: settings.failure_domain.clone(),
         });
-        let peer_desk = Arc::new(PeerDesk {
+        let peer_message_router = Arc::new(PeerMessageRouter {
             clock: Arc::clone(&clock),
             homes: Arc::clone(&homes),
             granter: Arc::clone(&granter),
             waiters,
             membership: Arc::clone(&membership),
             manifests: Arc::clone(&manifests),
-            news: Arc::clone(&news) as _,
+            membership_events: Arc::clone(&news) as _,
             platform: Arc::clone(&direct),
         });
         let peer_server = Arc::new(PeerServer::new(
             settings.host.clone(),
             Keyring::new(settings.peers.keys.clone()),
-            peer_desk,
+            peer_message_router,
             Arc::clone(&traffic),
             StdRng::from_os_rng(),
         ));
--- a/src/daemon/loops.rs
+++ b/src/daemon/loops.rs
@@ -11,8 +11,8 @@
 use crate::daemon::host::Host;
 use crate::daemon::machine_list;
 use crate::daemon::status_loop;
-use crate::fleet::NewsSink;
-use crate::objects::Kind;
+use crate::fleet::MembershipEventHandler;
+use crate::objects::ObjectKind;
 use crate::objects::PlatformError;
 use crate::units::ObjectVersion;
 
@@ -27,10 +27,12 @@
 /// Starts the loops of a host.
 pub(crate) fn start(host: &Arc<Host>) {
     every(host, MEMBERSHIP_TICK, |host| {
-        host.news.take(host.membership.tick());
+        host.news.on_events(host.membership.tick());
     });
     every(host, MEMBERSHIP_TICK, |host| host.manifests.tick());
-    every(host, ANNOUNCE_PAUSE, |host| host.granter.announce());
+    every(host, ANNOUNCE_PAUSE, |host| {
+        host.granter.announce_live_grants();
+    });
     every(host, REFRESH_PAUSE, |host| {
         host.home_table.refresh();
         host.homes.refresh();
@@ -61,7 +63,7 @@
             None => read_machines(&host).await,
             Some(version) => match host
                 .platform
-                .watch(Kind::Machines, version, MACHINES_WAIT)
+                .watch(ObjectKind::Machines, version, MACHINES_WAIT)
                 .await
             {
                 Ok(changes) if changes.version > version => read_machines(&host).await,
@@ -81,12 +83,13 @@
 }
 
 async fn read_machines(host: &Host) -> Result<ObjectVersion, PlatformError> {
-    let list = host.platform.list(Kind::Machines).await?;
+    let list = host.platform.list(ObjectKind::Machines).await?;
     let listed = machine_list::take_in(&host.cluster_view, &list);
-    host.addrs.learn(&listed.seeds);
-    host.membership.seed(&listed.seeds);
+    host.addrs.add_seeds(&listed.seeds);
+    host.membership.add_seeds(&listed.seeds);
     for (upstream, version) in listed.leaving {
-        host.membership.note_leaving(&upstream, version);
+        host.membership
+            .announce_leaving_upstream(&upstream, version);
     }
     Ok(list.version)
 }
--- a/src/daemon/manifest_loop.rs
+++ b/src/daemon/manifest_loop.rs
@@ -8,13 +8,13 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-use crate::control::manifests::CheckManifest;
-use crate::control::manifests::PlatformWord;
+use crate::control::manifests::ManifestRead;
+use crate::control::manifests::ManifestValidator;
 use crate::control::manifests::watchers;
 use crate::daemon::host::Host;
 use crate::manifest::Manifest;
 use crate::manifest::PublishedManifest;
-use crate::objects::Kind;
+use crate::objects::ObjectKind;
 use crate::objects::ObjectList;
 use crate::objects::PlatformError;
 use crate::units::ObjectVersion;
@@ -27,7 +27,7 @@
 const PAUSE: Duration = Duration::from_secs(1);
 
 /// What a published manifest must be for this host to take it.
-pub(crate) fn check_for(deployment: String) -> CheckManifest {
+pub(crate) fn check_for(deployment: String) -> ManifestValidator {
     Box::new(move |text| {
         let manifest = Manifest::parse(text, "manifest").map_err(|errors| errors.to_string())?;
         if manifest.deployment == deployment {
@@ -62,10 +62,10 @@
 async fn watch(host: &Host, after: ObjectVersion) -> Result<Option<ObjectVersion>, PlatformError> {
     let changes = host
         .platform
-        .watch(Kind::Manifests, after, WATCH_WAIT)
+        .watch(ObjectKind::Manifests, after, WATCH_WAIT)
         .await?;
     if changes.items.is_empty() {
-        host.manifests.platform(PlatformWord::Unchanged);
+        host.manifests.on_platform_read(ManifestRead::Unchanged);
     }
     take_in(host, &changes);
     Ok(Some(changes.version))
@@ -73,7 +73,7 @@
 
 /// A host that does not watch hears of new generations from peers.
 async fn wait_until_wanted(host: &Host) -> Result<Option<ObjectVersion>, PlatformError> {
-    let is_wanted = timeout(PAUSE, host.manifests.wants_platform())
+    let is_wanted = timeout(PAUSE, host.manifests.wait_for_read_request())
         .await
         .is_ok();
     let has_become_watcher = is_watcher(host);
@@ -86,10 +86,10 @@
 
 async fn list(host: &Host) -> Result<Option<ObjectVersion>, PlatformError> {
     // What the desk wanted until now is answered by this read.
-    let _ = host.manifests.wants_platform().now_or_never();
-    let list = host.platform.list(Kind::Manifests).await?;
+    let _ = host.manifests.wait_for_read_request().now_or_never();
+    let list = host.platform.list(ObjectKind::Manifests).await?;
     if list.items.is_empty() {
-        host.manifests.platform(PlatformWord::Absent);
+        host.manifests.on_platform_read(ManifestRead::Absent);
     }
     take_in(host, &list);
     Ok(Some(list.version))
@@ -104,7 +104,9 @@
 fn take_in(host: &Host, list: &ObjectList) {
     for object in &list.items {
         match PublishedManifest::deserialize(&object.value) {
-            Ok(published) => host.manifests.platform(PlatformWord::Published(published)),
+            Ok(published) => host
+                .manifests
+                .on_platform_read(ManifestRead::Published(published)),
             Err(err) => warn!("manifests: {} is not understood: {err}", object.key),
         }
     }
--- a/src/daemon/news.rs
+++ b/src/daemon/news.rs
@@ -6,9 +6,9 @@
 
 use crate::control::home::HomeEvent;
 use crate::entry::EntryParts;
-use crate::fleet::FleetNews;
-use crate::fleet::HomeDesk;
-use crate::fleet::NewsSink;
+use crate::fleet::HomeRunner;
+use crate::fleet::MembershipEvent;
+use crate::fleet::MembershipEventHandler;
 use crate::fleet::poison_wire;
 use crate::peer::PeerPool;
 use crate::units::FailureDomainId;
@@ -17,7 +17,7 @@
 /// Tells the parts of a host what has changed among the others.
 pub(crate) struct News {
     pub(crate) parts: Arc<EntryParts>,
-    pub(crate) homes: Arc<HomeDesk>,
+    pub(crate) homes: Arc<HomeRunner>,
     pub(crate) peers: Arc<PeerPool>,
     pub(crate) domain: FailureDomainId,
 }
@@ -29,26 +29,26 @@
     }
 }
 
-impl NewsSink for News {
-    fn take(&self, news: Vec<FleetNews>) {
+impl MembershipEventHandler for News {
+    fn on_events(&self, news: Vec<MembershipEvent>) {
         for item in news {
             match item {
-                FleetNews::HostAlive(host) if self.is_neighbour(&host) => {
-                    self.homes.tell_all(&HomeEvent::HostAlive(host));
+                MembershipEvent::HostAlive(host) if self.is_neighbour(&host) => {
+                    self.homes.send_to_all_homes(&HomeEvent::HostAlive(host));
                 }
                 // A home learns of hosts of other failure domains when they announce something.
-                FleetNews::HostAlive(_) => {}
-                FleetNews::HostDead(host) => {
-                    self.peers.reset(&host);
+                MembershipEvent::HostAlive(_) => {}
+                MembershipEvent::HostDead(host) => {
+                    self.peers.disconnect(&host);
                     // The dead are weighed against the living, so that both count in one domain.
                     if self.is_neighbour(&host) {
-                        self.homes.tell_all(&HomeEvent::HostDead(host));
+                        self.homes.send_to_all_homes(&HomeEvent::HostDead(host));
                     }
                 }
-                FleetNews::DropWhatIsHeld => self.homes.hand_over(),
-                FleetNews::Poison(notice) => {
+                MembershipEvent::PausedOrDeclaredDead => self.homes.hand_over_all(),
+                MembershipEvent::Poison(notice) => {
                     let now = self.parts.clock.now();
-                    if let Some(poison) = poison_wire::poison_of(&notice)
+                    if let Some(poison) = poison_wire::decode_notice(&notice)
                         && self.parts.poison_list().merge(&poison, now)
                     {
                         info!(
--- a/src/daemon/poll.rs
+++ b/src/daemon/poll.rs
@@ -9,8 +9,8 @@
 
 use crate::control::home::HomeEvent;
 use crate::entry::UpstreamDirectory;
-use crate::fleet::HomeDesk;
-use crate::fleet::HomeMap;
+use crate::fleet::HomeDirectory;
+use crate::fleet::HomeRunner;
 use crate::units::UpstreamId;
 
 /// Reports lag by about as much at the engine already; asking more often tells nothing new.
@@ -18,8 +18,8 @@
 
 /// Polls the upstreams of the homes on this host.
 pub(crate) async fn keep(
-    desk: Arc<HomeDesk>,
-    map: Arc<dyn HomeMap>,
+    desk: Arc<HomeRunner>,
+    map: Arc<dyn HomeDirectory>,
     upstreams: Arc<dyn UpstreamDirectory>,
 ) {
     let mut seqs: IndexMap<UpstreamId, u64> = IndexMap::new();
@@ -27,7 +27,7 @@
         sleep(PAUSE).await;
         let mut asked = JoinSet::new();
         let ids = desk
-            .pools()
+            .pool_loads()
             .into_iter()
             .flat_map(|(pool, _)| map.upstreams_of(&pool));
         for id in ids {
@@ -48,7 +48,7 @@
 }
 
 async fn poll_one(
-    desk: Arc<HomeDesk>,
+    desk: Arc<HomeRunner>,
     upstreams: Arc<dyn UpstreamDirectory>,
     id: UpstreamId,
     after_seq: u64,
@@ -57,11 +57,11 @@
         return (id, after_seq);
     };
     if let Ok(report) = client.load().await {
-        let event = HomeEvent::Report {
+        let event = HomeEvent::LoadReport {
             upstream: id.clone(),
             report,
         };
-        desk.tell_of_upstream(&id, &event);
+        desk.send_to_homes_of_upstream(&id, &event);
     }
     let Ok(events) = client.cache_events(after_seq).await else {
         return (id, after_seq);
@@ -76,7 +76,7 @@
             upstream: id.clone(),
             events,
         };
-        desk.tell_of_upstream(&id, &event);
+        desk.send_to_homes_of_upstream(&id, &event);
     }
     (id, seq)
 }
--- a/src/daemon/status_loop.rs
+++ b/src/daemon/status_loop.rs
@@ -11,13 +11,13 @@
 
 use crate::control::status::Reporter;
 use crate::control::status::ReporterAction;
-use crate::control::status::StatusParts;
+use crate::control::status::StatusInputs;
 use crate::control::status::StatusReport;
 use crate::daemon::host::Host;
-use crate::objects::Expected;
-use crate::objects::Kind;
 use crate::objects::ObjectKey;
+use crate::objects::ObjectKind;
 use crate::objects::PlatformError;
+use crate::objects::Precondition;
 use crate::units::ObjectVersion;
 
 /// A report of 400 hosts takes about a millisecond to make; the reporter writes it once in 30 s at most.
@@ -25,12 +25,12 @@
 
 /// The report of a host as it is now.
 pub(crate) fn report(host: &Host) -> StatusReport {
-    StatusReport::new(StatusParts {
+    StatusReport::new(StatusInputs {
         host: &host.settings.host,
         domain: &host.settings.failure_domain,
         cluster_view: &host.cluster_view,
-        manifest: host.manifests.knowledge(),
-        homes: host.homes.pools(),
+        manifest: host.manifests.status(),
+        homes: host.homes.pool_loads(),
         silent_domains: host.membership.silent_domains(),
         events: &host.events,
     })
@@ -39,21 +39,21 @@
 /// Writes the report whenever the reporter wants it.
 pub(crate) async fn keep(host: Arc<Host>) {
     let mut reporter = Reporter::new(StdRng::from_os_rng(), host.clock.now());
-    let key = ObjectKey::new(Kind::Statuses, host.settings.host.as_str());
+    let key = ObjectKey::new(ObjectKind::Statuses, host.settings.host.as_str());
     loop {
         sleep(PAUSE).await;
         let report = report(&host).for_platform();
         match reporter.tick(hash_without_ages(&report), host.clock.now()) {
             Some(ReporterAction::Read) => {
                 let read = host.platform.get(key.clone()).await;
-                reporter.read(&read, host.clock.now());
+                reporter.on_read(&read, host.clock.now());
             }
             Some(ReporterAction::Write(expected)) => {
                 let written = write(&host, key.clone(), &report, expected).await;
                 if let Err(err) = &written {
                     debug!("status: the report was not written: {err}");
                 }
-                reporter.written(&written, host.clock.now());
+                reporter.on_written(&written, host.clock.now());
             }
             None => {}
         }
@@ -64,7 +64,7 @@
     host: &Host,
     key: ObjectKey,
     report: &StatusReport,
-    expected: Expected,
+    expected: Precondition,
 ) -> Result<ObjectVersion, PlatformError> {
     let value = serde_json::to_value(report);
     let value = value.map_err(|err| PlatformError::Refused(err.to_string()))?;
--- a/src/decide/instance_choice.rs
+++ b/src/decide/instance_choice.rs
@@ -7,7 +7,7 @@
 use crate::units::UpstreamId;
 
 /// An instance in another failure domain is ranked as if it had this many calls more. A call takes
-/// 60 ms and one way between domains 1 ms, so an additional call on a near instance costs more than
+/// 60 ms and one way between domains 1 ms, so another call on a local instance costs more time than
 /// it saves only when that instance is full.
 const REMOTE_DOMAIN_PENALTY: u32 = 2;
 /// A failing instance is ranked as if it had this many calls more, so that it comes after every
@@ -22,7 +22,7 @@
     /// The calls of all hosts in flight at the instance.
     pub in_flight: u32,
     /// Whether the instance is in this host's failure domain.
-    pub is_near: bool,
+    pub is_local: bool,
     /// Whether the instance fails many of its calls.
     pub is_failing: bool,
 }
@@ -31,7 +31,7 @@
 /// breaks ties, so that hosts do not all choose the first instance.
 pub fn choose_instance(instances: &[InstanceView], draw: u32) -> Option<&UpstreamId> {
     let busyness = |instance: &InstanceView| {
-        let domain_penalty = if instance.is_near {
+        let domain_penalty = if instance.is_local {
             0
         } else {
             REMOTE_DOMAIN_PENALTY
--- a/src/decide/own_load.rs
+++ b/src/decide/own_load.rs
@@ -12,7 +12,7 @@
 use crate::units::Tokens;
 
 /// How long a host goes on reporting the prefill that it has sent to an upstream when it has no
-/// other load there. The time covers several reports, so that a lost one is made up for.
+/// other load there. The time covers several reports, so that a lost report does no harm.
 const PREFILL_REPORTED_FOR: Duration = Duration::from_secs(1);
 
 /// The load at one upstream of the requests that this host has sent there.
@@ -35,7 +35,8 @@
 }
 
 impl OwnLoad {
-    /// Creates a record without load. To peers it is reported like one that has just sent a prompt.
+    /// Creates a record without load, which is still reported to other hosts for
+    /// [`PREFILL_REPORTED_FOR`].
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             in_flight: 0,
--- a/src/entry/life.rs
+++ b/src/entry/life.rs
@@ -4,7 +4,7 @@
 
 use crate::control::outcome::AfterFailure;
 use crate::control::outcome::Outcome as RunOutcome;
-use crate::control::outcome::RunRecord;
+use crate::control::outcome::RunTracker;
 use crate::decide::RefuseReason;
 use crate::entry::FailReason;
 use crate::entry::Verdict;
@@ -98,7 +98,7 @@
 #[derive(Debug)]
 pub struct Life {
     rules: LifeRules,
-    record: RunRecord,
+    record: RunTracker,
     delivered: bool,
     resumes: u8,
     last_break: Option<Break>,
@@ -109,7 +109,7 @@
     pub fn new(rules: LifeRules) -> Self {
         Self {
             rules,
-            record: RunRecord::new(rules.repeatable),
+            record: RunTracker::new(rules.repeatable),
             delivered: false,
             resumes: 0,
             last_break: None,
@@ -124,7 +124,7 @@
     }
 
     fn dispatch(&mut self) -> LifeStep {
-        self.record.sending();
+        self.record.on_send();
         self.resumes = 0;
         LifeStep::Dispatch
     }
@@ -135,8 +135,8 @@
             self.resumes += 1;
             return NextAfterBreak::Resume;
         }
-        match self.record.ended(broke == Break::DidNotRun) {
-            AfterFailure::MayTryAgain if !self.delivered => NextAfterBreak::ConsiderRetry,
+        match self.record.on_attempt_ended(broke == Break::DidNotRun) {
+            AfterFailure::RetryAllowed if !self.delivered => NextAfterBreak::ConsiderRetry,
             _ => NextAfterBreak::Fail,
         }
     }
@@ -200,12 +200,12 @@
             }
             LifeEvent::ClaimHeld => {
                 // The key's earlier sending has run or runs: "not run" would be wrong from here on.
-                self.record.answered();
+                self.record.on_response_start();
                 *context = LifeStep::Follow;
                 Transition(State::following())
             }
             LifeEvent::ClaimFailed(FailReason::KeyMayHaveRun) => {
-                self.record.answered();
+                self.record.on_response_start();
                 *context = self.failed(FailReason::KeyMayHaveRun);
                 Transition(State::closed())
             }
--- a/src/objects/http/mod.rs
+++ b/src/objects/http/mod.rs
@@ -19,13 +19,13 @@
 use crate::http::ChunksBody;
 use crate::http::HttpClient;
 use crate::http::HttpError;
-use crate::objects::Expected;
-use crate::objects::Kind;
 use crate::objects::Object;
 use crate::objects::ObjectKey;
+use crate::objects::ObjectKind;
 use crate::objects::ObjectList;
-use crate::objects::Platform;
+use crate::objects::PlatformClient;
 use crate::objects::PlatformError;
+use crate::objects::Precondition;
 use crate::objects::http::wire::WireEvent;
 use crate::objects::http::wire::WireList;
 use crate::objects::http::wire::WireObject;
@@ -41,12 +41,12 @@
 
 /// A client of the platform's object service.
 #[derive(Debug)]
-pub struct HttpPlatform {
+pub struct HttpPlatformClient {
     client: HttpClient,
     timeout: Duration,
 }
 
-impl HttpPlatform {
+impl HttpPlatformClient {
     /// A client that gives each call `timeout`.
     pub fn new(client: HttpClient, timeout: Duration) -> Self {
         Self { client, timeout }
@@ -62,7 +62,7 @@
             .map_err(|err| read_error(&err))?;
         match res.status() {
             StatusCode::OK => Ok(res.into_body()),
-            StatusCode::NOT_FOUND => Err(PlatformError::Absent),
+            StatusCode::NOT_FOUND => Err(PlatformError::NotFound),
             status if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS => {
                 Err(PlatformError::Refused(reason(&res)))
             }
@@ -99,12 +99,12 @@
         &self,
         key: &ObjectKey,
         value: serde_json::Value,
-        expected: Expected,
+        expected: Precondition,
     ) -> Result<ObjectVersion, PlatformError> {
         let kind = key.kind.plural();
         let (method, path, version) = match expected {
-            Expected::Absent => (Method::POST, format!("{BASE}/{kind}"), None),
-            Expected::Version(version) => (
+            Precondition::Absent => (Method::POST, format!("{BASE}/{kind}"), None),
+            Precondition::Version(version) => (
                 Method::PUT,
                 format!("{BASE}/{kind}/{}", key.name),
                 Some(version),
@@ -122,21 +122,22 @@
         let res = res.map_err(write_error)?;
         match res.status() {
             StatusCode::OK | StatusCode::CREATED => {
-                let object: WireObject = parse(res.body()).map_err(PlatformError::Unknown)?;
-                object.version().map_err(PlatformError::Unknown)
+                let object: WireObject =
+                    parse(res.body()).map_err(PlatformError::OutcomeUnknown)?;
+                object.version().map_err(PlatformError::OutcomeUnknown)
             }
             StatusCode::CONFLICT => Err(PlatformError::Conflict),
-            StatusCode::NOT_FOUND => Err(PlatformError::Absent),
+            StatusCode::NOT_FOUND => Err(PlatformError::NotFound),
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
                 Err(PlatformError::Unavailable(reason(&res)))
             }
             status if status.is_client_error() => Err(PlatformError::Refused(reason(&res))),
-            _ => Err(PlatformError::Unknown(reason(&res))),
+            _ => Err(PlatformError::OutcomeUnknown(reason(&res))),
         }
     }
 }
 
-impl Platform for HttpPlatform {
+impl PlatformClient for HttpPlatformClient {
     fn get(&self, key: ObjectKey) -> BoxFuture<'_, Result<Object, PlatformError>> {
         async move {
             let path = format!("{BASE}/{}/{}", key.kind.plural(), key.name);
@@ -153,12 +154,12 @@
         &self,
         key: ObjectKey,
         value: serde_json::Value,
-        expected: Expected,
+        expected: Precondition,
     ) -> BoxFuture<'_, Result<ObjectVersion, PlatformError>> {
         async move { self.write(&key, value, expected).await }.boxed()
     }
 
-    fn list(&self, kind: Kind) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
+    fn list(&self, kind: ObjectKind) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
         async move {
             let path = format!("{BASE}/{}", kind.plural());
             let body = self.read(&path, self.timeout).await?;
@@ -170,7 +171,7 @@
 
     fn watch(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         after: ObjectVersion,
         wait: Duration,
     ) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
@@ -221,7 +222,7 @@
 fn write_error(err: HttpError) -> PlatformError {
     match err {
         HttpError::NotSent(why) => PlatformError::Unavailable(why),
-        HttpError::Interrupted(why) => PlatformError::Unknown(why),
+        HttpError::Interrupted(why) => PlatformError::OutcomeUnknown(why),
     }
 }
 
--- a/src/objects/mod.rs
+++ b/src/objects/mod.rs
@@ -13,17 +13,17 @@
 use futures_util::future::BoxFuture;
 
 pub use error::PlatformError;
-pub use http::HttpPlatform;
-pub use object::Expected;
-pub use object::Kind;
+pub use http::HttpPlatformClient;
 pub use object::Object;
 pub use object::ObjectKey;
+pub use object::ObjectKind;
 pub use object::ObjectList;
+pub use object::Precondition;
 
 use crate::units::ObjectVersion;
 
 /// The platform's object service. Each call counts against its rates, a waiting watch as one.
-pub trait Platform: Send + Sync {
+pub trait PlatformClient: Send + Sync {
     /// Reads one object.
     fn get(&self, key: ObjectKey) -> BoxFuture<'_, Result<Object, PlatformError>>;
 
@@ -32,17 +32,17 @@
         &self,
         key: ObjectKey,
         value: serde_json::Value,
-        expected: Expected,
+        expected: Precondition,
     ) -> BoxFuture<'_, Result<ObjectVersion, PlatformError>>;
 
     /// Reads all objects of a kind.
-    fn list(&self, kind: Kind) -> BoxFuture<'_, Result<ObjectList, PlatformError>>;
+    fn list(&self, kind: ObjectKind) -> BoxFuture<'_, Result<ObjectList, PlatformError>>;
 
     /// Waits until objects of a kind change after `after`, at most `wait`. Returns what changed,
     /// empty when nothing did.
     fn watch(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         after: ObjectVersion,
         wait: Duration,
     ) -> BoxFuture<'_, Result<ObjectList, PlatformError>>;
--- a/src/peer/message/grant.rs
+++ b/src/peer/message/grant.rs
@@ -117,7 +117,7 @@
 /// [`crate::decide::AttemptSummary`] on the wire.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-pub struct DoneReport {
+pub struct AttemptReport {
     /// The end: 0 completed, 1 cancelled, 2 not sent, 3 refused, 4 failed.
     #[prost(uint32, tag = "1")]
     pub ended: u32,
@@ -150,13 +150,13 @@
     pub grant: Vec<u8>,
     /// How.
     #[prost(message, optional, tag = "3")]
-    pub done: Option<DoneReport>,
+    pub done: Option<AttemptReport>,
 }
 
 /// A live grant with its work.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
-pub struct WorkWithGrant {
+pub struct AnnouncedGrant {
     /// The grant, 16 bytes.
     #[prost(bytes = "vec", tag = "1")]
     pub grant: Vec<u8>,
@@ -178,8 +178,8 @@
     pub pool: String,
     /// The grants.
     #[prost(message, repeated, tag = "2")]
-    pub grants: Vec<WorkWithGrant>,
+    pub grants: Vec<AnnouncedGrant>,
     /// Whether this is a home's question for the receiver's grants, and no announcement.
     #[prost(bool, tag = "3")]
-    pub is_question: bool,
+    pub is_query: bool,
 }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -3,13 +3,13 @@
 mod addrs;
 mod codec;
 mod error;
+mod frame_authenticator;
 mod frame_error;
 mod handshake;
 mod keyring;
 mod link;
 pub mod message;
 mod pool;
-mod seal;
 mod server;
 mod token_bucket;
 mod traffic;
@@ -26,11 +26,11 @@
 pub(crate) use codec::framing;
 pub use codec::wire_len;
 pub use error::PeerError;
+pub use frame_authenticator::FrameAuthenticator;
 pub use frame_error::FrameError;
 pub use keyring::Keyring;
 pub use message::Message;
 pub use pool::PeerPool;
-pub use seal::Seal;
 pub use server::PeerServer;
 pub use token_bucket::TokenBucket;
 pub use traffic::Traffic;
@@ -39,7 +39,7 @@
 use crate::units::HostId;
 
 /// Other hosts, as something to send messages to.
-pub trait Peers: Send + Sync {
+pub trait PeerTransport: Send + Sync {
     /// Sends a message without waiting; it may be lost.
     fn send(&self, to: &HostId, message: Message);
 
--- a/src/peer/pool.rs
+++ b/src/peer/pool.rs
@@ -18,7 +18,7 @@
 use crate::peer::Message;
 use crate::peer::PeerAddrs;
 use crate::peer::PeerError;
-use crate::peer::Peers;
+use crate::peer::PeerTransport;
 use crate::peer::Traffic;
 use crate::peer::link::Link;
 use crate::peer::link::Outgoing;
@@ -86,7 +86,7 @@
 
     /// Closes the connection to a host that is believed gone. After a cut, the machine would go on
     /// resending on the old connection at ever longer intervals; a new one works at once.
-    pub fn reset(&self, host: &HostId) {
+    pub fn disconnect(&self, host: &HostId) {
         self.links().by_host.swap_remove(host);
     }
 
@@ -119,7 +119,7 @@
     }
 }
 
-impl Peers for PeerPool {
+impl PeerTransport for PeerPool {
     fn send(&self, to: &HostId, message: Message) {
         let outgoing = Outgoing {
             message,
@@ -149,7 +149,7 @@
             }
             match tokio::time::timeout(timeout, answered).await {
                 Ok(Ok(answer)) => answer,
-                Ok(Err(_)) | Err(_) => Err(PeerError::NoAnswer),
+                Ok(Err(_)) | Err(_) => Err(PeerError::NoReply),
             }
         })
     }
--- a/standin/tests/platform.rs
+++ b/standin/tests/platform.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use banyanarch::http::HttpClient;
-use banyanarch::objects::Expected;
-use banyanarch::objects::HttpPlatform;
-use banyanarch::objects::Kind;
+use banyanarch::objects::HttpPlatformClient;
 use banyanarch::objects::ObjectKey;
-use banyanarch::objects::Platform;
+use banyanarch::objects::ObjectKind;
+use banyanarch::objects::PlatformClient;
 use banyanarch::objects::PlatformError;
+use banyanarch::objects::Precondition;
 use banyanarch::units::ObjectVersion;
 use serde_json::json;
 use standin::platform::Outage;
@@ -18,15 +18,15 @@
 
 const WAIT: Duration = Duration::from_secs(2);
 
-async fn platform() -> (PlatformFake, HttpPlatform) {
+async fn platform() -> (PlatformFake, HttpPlatformClient) {
     let fake = PlatformFake::start(([127, 0, 0, 1], 0).into())
         .await
         .unwrap();
-    let client = HttpPlatform::new(HttpClient::new(fake.addr()), WAIT);
+    let client = HttpPlatformClient::new(HttpClient::new(fake.addr()), WAIT);
     (fake, client)
 }
 
-fn key(kind: Kind) -> ObjectKey {
+fn key(kind: ObjectKind) -> ObjectKey {
     ObjectKey::new(kind, "one")
 }
 
@@ -34,18 +34,20 @@
 #[tokio::test]
 async fn one_of_two_writes_wins() {
     let (fake, client) = platform().await;
-    let key = key(Kind::Manifests);
+    let key = key(ObjectKind::Manifests);
     let first = client
-        .put(key.clone(), json!(1), Expected::Absent)
+        .put(key.clone(), json!(1), Precondition::Absent)
         .await
         .unwrap();
-    let again = client.put(key.clone(), json!(1), Expected::Absent).await;
+    let again = client
+        .put(key.clone(), json!(1), Precondition::Absent)
+        .await;
     assert_eq!(again, Err(PlatformError::Conflict));
     let second = client
-        .put(key.clone(), json!(2), Expected::Version(first))
+        .put(key.clone(), json!(2), Precondition::Version(first))
         .await;
     let third = client
-        .put(key.clone(), json!(3), Expected::Version(first))
+        .put(key.clone(), json!(3), Precondition::Version(first))
         .await;
     assert!(second.is_ok());
     assert_eq!(third, Err(PlatformError::Conflict));
@@ -62,10 +64,13 @@
         ..PlatformFaults::default()
     });
     let lost = client
-        .put(key(Kind::Claims), json!("mine"), Expected::Absent)
+        .put(key(ObjectKind::Claims), json!("mine"), Precondition::Absent)
         .await;
-    assert!(matches!(lost, Err(PlatformError::Unknown(_))), "{lost:?}");
-    let read = client.get(key(Kind::Claims)).await.unwrap();
+    assert!(
+        matches!(lost, Err(PlatformError::OutcomeUnknown(_))),
+        "{lost:?}"
+    );
+    let read = client.get(key(ObjectKind::Claims)).await.unwrap();
     assert_eq!(read.value, json!("mine"));
 }
 
@@ -73,14 +78,14 @@
 #[tokio::test]
 async fn a_watch_waits_for_its_kind() {
     let (fake, client) = platform().await;
-    let watch = client.watch(Kind::Manifests, ObjectVersion(0), WAIT);
+    let watch = client.watch(ObjectKind::Manifests, ObjectVersion(0), WAIT);
     let write = async {
         client
-            .put(key(Kind::Claims), json!(1), Expected::Absent)
+            .put(key(ObjectKind::Claims), json!(1), Precondition::Absent)
             .await
             .unwrap();
         client
-            .put(key(Kind::Manifests), json!(2), Expected::Absent)
+            .put(key(ObjectKind::Manifests), json!(2), Precondition::Absent)
             .await
             .unwrap()
     };
@@ -100,13 +105,13 @@
         ..PlatformFaults::default()
     });
     client
-        .put(key(Kind::Machines), json!(1), Expected::Absent)
+        .put(key(ObjectKind::Machines), json!(1), Precondition::Absent)
         .await
         .unwrap();
-    let early = client.list(Kind::Machines).await.unwrap();
+    let early = client.list(ObjectKind::Machines).await.unwrap();
     assert!(early.items.is_empty());
     let later = client
-        .watch(Kind::Machines, early.version, WAIT)
+        .watch(ObjectKind::Machines, early.version, WAIT)
         .await
         .unwrap();
     assert_eq!(later.items.len(), 1);
@@ -123,10 +128,10 @@
     let (fake, client) = platform().await;
     fake.set_faults(faults);
     let put = client
-        .put(key(Kind::Leases), json!(1), Expected::Absent)
+        .put(key(ObjectKind::Leases), json!(1), Precondition::Absent)
         .await;
     assert!(matches!(put, Err(PlatformError::Unavailable(_))), "{put:?}");
     fake.set_faults(PlatformFaults::default());
-    let read = client.get(key(Kind::Leases)).await;
-    assert_eq!(read, Err(PlatformError::Absent));
+    let read = client.get(key(ObjectKind::Leases)).await;
+    assert_eq!(read, Err(PlatformError::NotFound));
 }
--- a/tests/broken/mod.rs
+++ b/tests/broken/mod.rs
@@ -1,7 +1,7 @@
-//! Texts that are broken on purpose, for parsers that must name the place.
+//! Corrupted texts, for tests of parsers that must report the file and line of a problem.
 
-/// Pieces that mean something in YAML.
-pub(crate) const NOISE: &[&str] = &[
+/// Text fragments that are significant in YAML.
+pub(crate) const YAML_FRAGMENTS: &[&str] = &[
     "\n",
     " ",
     "\t",
@@ -27,13 +27,13 @@
     "~",
 ];
 
-/// A text with a part cut out and some noise in its place.
-pub(crate) fn broken(text: &str, at: usize, cut: usize, noise: &[&str]) -> String {
-    let end = (at + cut).min(text.len());
-    format!("{}{}{}", &text[..at], noise.concat(), &text[end..])
+/// Replaces `removed_len` bytes of a text from `at` on by the fragments.
+pub(crate) fn corrupt(text: &str, at: usize, removed_len: usize, fragments: &[&str]) -> String {
+    let end = (at + removed_len).min(text.len());
+    format!("{}{}{}", &text[..at], fragments.concat(), &text[end..])
 }
 
-/// Whether a problem's line begins with the file and a line number.
+/// Whether a reported problem begins with the file and a line number.
 pub(crate) fn names_file_and_line(problem: &str, file: &str) -> bool {
     let rest = problem.strip_prefix(&format!("{file}:"));
     let number = rest.and_then(|rest| rest.split(": ").next());
--- a/tests/cmd_publish.rs
+++ b/tests/cmd_publish.rs
@@ -11,13 +11,13 @@
 use banyanarch::cmd::publish_manifest;
 use banyanarch::manifest::Manifest;
 use banyanarch::manifest::PublishedManifest;
-use banyanarch::objects::Expected;
-use banyanarch::objects::Kind;
 use banyanarch::objects::Object;
 use banyanarch::objects::ObjectKey;
+use banyanarch::objects::ObjectKind;
 use banyanarch::objects::ObjectList;
-use banyanarch::objects::Platform;
+use banyanarch::objects::PlatformClient;
 use banyanarch::objects::PlatformError;
+use banyanarch::objects::Precondition;
 use banyanarch::units::Generation;
 use banyanarch::units::ObjectVersion;
 use futures_util::FutureExt;
@@ -57,7 +57,7 @@
 struct State {
     object: Option<Object>,
     faults: Vec<Fault>,
-    late_write: Option<(serde_json::Value, Expected)>,
+    late_write: Option<(serde_json::Value, Precondition)>,
     is_unreachable: bool,
 }
 
@@ -70,7 +70,7 @@
             .state
             .lock()
             .unwrap()
-            .write(value, Expected::Absent)
+            .write(value, Precondition::Absent)
             .unwrap();
         platform
     }
@@ -90,19 +90,19 @@
     fn write(
         &mut self,
         value: serde_json::Value,
-        expected: Expected,
+        expected: Precondition,
     ) -> Result<ObjectVersion, PlatformError> {
         let version = self.object.as_ref().map(|object| object.version);
         let is_expected = match expected {
-            Expected::Absent => version.is_none(),
-            Expected::Version(wanted) => version == Some(wanted),
+            Precondition::Absent => version.is_none(),
+            Precondition::Version(wanted) => version == Some(wanted),
         };
         if !is_expected {
             return Err(PlatformError::Conflict);
         }
         let version = ObjectVersion(version.unwrap_or_default().0 + 1);
         self.object = Some(Object {
-            key: ObjectKey::new(Kind::Manifests, "current"),
+            key: ObjectKey::new(ObjectKind::Manifests, "current"),
             version,
             value,
         });
@@ -113,7 +113,7 @@
         let object = self.object.as_ref().unwrap();
         let published: PublishedManifest = serde_json::from_value(object.value.clone()).unwrap();
         let theirs = PublishedManifest::next_after(published.generation, 99, "theirs");
-        let expected = Expected::Version(object.version);
+        let expected = Precondition::Version(object.version);
         self.write(serde_json::to_value(theirs).unwrap(), expected)
             .unwrap();
     }
@@ -121,12 +121,14 @@
     fn put(
         &mut self,
         value: serde_json::Value,
-        expected: Expected,
+        expected: Precondition,
     ) -> Result<ObjectVersion, PlatformError> {
         if let Some((value, expected)) = self.late_write.take() {
             let _ = self.write(value, expected);
         }
-        let no_answer = Err(PlatformError::Unknown("connection closed".to_owned()));
+        let no_answer = Err(PlatformError::OutcomeUnknown(
+            "connection closed".to_owned(),
+        ));
         match self.faults.pop() {
             None => self.write(value, expected),
             Some(Fault::WriteLost) => no_answer,
@@ -152,11 +154,11 @@
     }
 }
 
-impl Platform for FakePlatform {
+impl PlatformClient for FakePlatform {
     fn get(&self, _: ObjectKey) -> BoxFuture<'_, Result<Object, PlatformError>> {
         let state = self.state.lock().unwrap();
         let unreachable = PlatformError::Unavailable("unreachable".to_owned());
-        let object = state.object.clone().ok_or(PlatformError::Absent);
+        let object = state.object.clone().ok_or(PlatformError::NotFound);
         ready(if state.is_unreachable {
             Err(unreachable)
         } else {
@@ -169,18 +171,18 @@
         &self,
         _: ObjectKey,
         value: serde_json::Value,
-        expected: Expected,
+        expected: Precondition,
     ) -> BoxFuture<'_, Result<ObjectVersion, PlatformError>> {
         ready(self.state.lock().unwrap().put(value, expected)).boxed()
     }
 
-    fn list(&self, _: Kind) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
+    fn list(&self, _: ObjectKind) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
         ready(Ok(ObjectList::default())).boxed()
     }
 
     fn watch(
         &self,
-        _: Kind,
+        _: ObjectKind,
         _: ObjectVersion,
         _: Duration,
     ) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
--- a/tests/decide_engines.rs
+++ b/tests/decide_engines.rs
@@ -49,7 +49,7 @@
     (0..count).map(engine).collect()
 }
 
-/// Gives all engines this read backlog, with the earliest first event due in `due`.
+/// Gives all engines this read backlog, and prompts being read whose first event is due in `due`.
 fn set_backlog(engines: &mut [EngineView], backlog: Duration, due: Option<Duration>) {
     for engine in engines {
         engine.load.prefill_backlog = backlog;
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn short_prompts_stay_on_the_first_engines_and_long_ones_off_them() {
+fn short_prompts_go_to_the_first_engines_and_long_ones_to_the_others() {
     let mut engines = engines(23);
     for engine in &mut engines[..4] {
         set_short_answers(engine, 6);
@@ -330,14 +330,14 @@
     let reserved: u64 = plan
         .reservations
         .iter()
-        .map(|reserve| reserve.tokens.0)
+        .map(|reservation| reservation.tokens.0)
         .sum();
     assert_eq!(reserved, 901_600);
     assert_eq!(plan.reservations.len(), 3, "no more engines than it needs");
     assert_eq!(plan.reservations[0].engine, plan.leader);
-    for reserve in &plan.reservations[1..] {
-        assert!(plan.helpers.contains(&reserve.engine));
-        assert!(reserve.tokens.0 <= 436_500);
+    for reservation in &plan.reservations[1..] {
+        assert!(plan.helpers.contains(&reservation.engine));
+        assert!(reservation.tokens.0 <= 436_500);
     }
 }
 
@@ -351,7 +351,7 @@
     let reserved: u64 = plan
         .reservations
         .iter()
-        .map(|reserve| reserve.tokens.0)
+        .map(|reservation| reservation.tokens.0)
         .sum();
     assert_eq!(reserved, 211_600);
     let mut full = engines(23);
@@ -379,8 +379,8 @@
         engines[leader].load.in_flight += 1;
         engines[leader].load.strictest_pause = Some(ms(800));
         engines[leader].load.prefill_backlog += plan.part_time;
-        for reserve in &plan.reservations {
-            engines[index(&reserve.engine)].load.held_tokens += reserve.tokens;
+        for reservation in &plan.reservations {
+            engines[index(&reservation.engine)].load.held_tokens += reservation.tokens;
         }
         leaders.push(leader);
         helpers.extend(plan.helpers.iter().map(index));
@@ -495,8 +495,8 @@
     assert_eq!(request.class(&model()), class);
 }
 
-/// Without the state that the host saw, a correct refusal cannot be told from a wrong one in the
-/// log.
+/// The counts go to the decision log. Without them a correct refusal could not be told from a wrong
+/// one there.
 #[test]
 fn engines_are_counted_by_what_they_could_do_for_a_prompt() {
     let mut engines = engines(20);
@@ -560,7 +560,7 @@
 /// answers could be written only by one of the few engines for long answers, each of which was
 /// writing one.
 #[test]
-fn a_late_prompt_of_the_longest_is_answered_by_an_idle_engine_if_no_other_can() {
+fn the_longest_late_prompts_are_answered_by_an_idle_engine_if_no_other_can() {
     let plan = plan(choose_engines(
         &model(),
         &half_idle(),
@@ -587,7 +587,7 @@
     assert!(
         plan.reservations
             .iter()
-            .all(|reserve| index(&reserve.engine) < 20),
+            .all(|reservation| index(&reservation.engine) < 20),
         "{plan:?}"
     );
 }
@@ -598,7 +598,7 @@
     enough_time = { 9_000, true },
     too_short_for_idle_engines = { 3_500, false },
 )]
-fn a_deadline_is_judged_by_what_idle_engines_could_do(left_ms: u64, waits: bool) {
+fn a_late_prompt_waits_while_idle_engines_could_meet_its_deadline(left_ms: u64, waits: bool) {
     let mut engines = engines(40);
     for engine in &mut engines[..36] {
         set_short_answers(engine, 9);
@@ -634,9 +634,9 @@
         engine.load.refused_tokens = Some(Tokens(50_000));
     }
     let plan = plan(choose_engines(&model(), &engines, &request(300_000)));
-    let exceeds_refusal = |reserve: &MemoryReservation| {
-        let is_refused = index(&reserve.engine) < 20;
-        is_refused && reserve.tokens >= Tokens(50_000)
+    let exceeds_refusal = |reservation: &MemoryReservation| {
+        let is_refused = index(&reservation.engine) < 20;
+        is_refused && reservation.tokens >= Tokens(50_000)
     };
     assert!(!plan.reservations.iter().any(exceeds_refusal), "{plan:?}");
 }
@@ -650,9 +650,9 @@
     engines[1].limit = LimitState::Open;
     let short = plan(choose_engines(&model(), &engines, &request(5_000)));
     assert_ne!(index(&short.leader), 0);
-    for draw in 0..20 {
+    for shuffle_seed in 0..20 {
         let long = EngineRequest {
-            shuffle_seed: draw,
+            shuffle_seed,
             ..request(210_000)
         };
         let long = plan(choose_engines(&model(), &engines, &long));
--- a/tests/fakes/object.rs
+++ b/tests/fakes/object.rs
@@ -1,27 +1,28 @@
-//! One object of a platform whose calls can go wrong.
+//! An object of the platform with injected faults.
 
 use banyanarch::control::claims::ShardValue;
-use banyanarch::objects::Expected;
-use banyanarch::objects::Kind;
 use banyanarch::objects::Object;
 use banyanarch::objects::ObjectKey;
+use banyanarch::objects::ObjectKind;
 use banyanarch::objects::PlatformError;
+use banyanarch::objects::Precondition;
 use banyanarch::units::ObjectVersion;
 
-/// How a call goes.
+/// The fault that is injected into a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// As it should.
+    /// The call succeeds.
     None,
-    /// It does not reach the platform.
+    /// The call does not reach the platform.
     Unavailable,
-    /// It takes effect, but its answer is lost.
+    /// The call takes effect, but the answer is lost.
     AnswerLost,
-    /// It is stuck on its way: a write may take effect later.
+    /// The call is delayed and gets no answer; a write takes effect when delayed writes are
+    /// applied.
     Delayed,
 }
 
-/// One object with conditional writes.
+/// An object with conditional writes.
 #[derive(Debug, Default)]
 pub(crate) struct FakeObject {
     pub(crate) version: u64,
@@ -29,7 +30,7 @@
     pub(crate) writes: u64,
     pub(crate) conflicts: u64,
     pub(crate) reads: u64,
-    delayed: Vec<(ShardValue, Expected)>,
+    delayed_writes: Vec<(ShardValue, Precondition)>,
 }
 
 impl FakeObject {
@@ -37,12 +38,12 @@
         match fault {
             Fault::None => (),
             Fault::Unavailable => return Err(PlatformError::Unavailable("down".to_owned())),
-            _ => return Err(PlatformError::Unknown("lost".to_owned())),
+            _ => return Err(PlatformError::OutcomeUnknown("lost".to_owned())),
         }
         self.reads += 1;
-        let value = self.value.as_ref().ok_or(PlatformError::Absent)?;
+        let value = self.value.as_ref().ok_or(PlatformError::NotFound)?;
         Ok(Object {
-            key: ObjectKey::new(Kind::Claims, "shard-00"),
+            key: ObjectKey::new(ObjectKind::Claims, "shard-00"),
             version: ObjectVersion(self.version),
             value: value.to_json().unwrap(),
         })
@@ -51,10 +52,10 @@
     pub(crate) fn put(
         &mut self,
         value: ShardValue,
-        expected: Expected,
+        expected: Precondition,
         fault: Fault,
     ) -> Result<ObjectVersion, PlatformError> {
-        let lost = Err(PlatformError::Unknown("lost".to_owned()));
+        let lost = Err(PlatformError::OutcomeUnknown("lost".to_owned()));
         match fault {
             Fault::None => self.apply(value, expected),
             Fault::Unavailable => Err(PlatformError::Unavailable("down".to_owned())),
@@ -63,15 +64,15 @@
                 lost
             }
             Fault::Delayed => {
-                self.delayed.push((value, expected));
+                self.delayed_writes.push((value, expected));
                 lost
             }
         }
     }
 
-    /// Delayed writes arrive now, in whatever state the object is.
-    pub(crate) fn arrive(&mut self) {
-        for (value, expected) in std::mem::take(&mut self.delayed) {
+    /// Applies the delayed writes whose conditions the object still meets.
+    pub(crate) fn apply_delayed(&mut self) {
+        for (value, expected) in std::mem::take(&mut self.delayed_writes) {
             let _ = self.apply(value, expected);
         }
     }
@@ -79,11 +80,11 @@
     fn apply(
         &mut self,
         value: ShardValue,
-        expected: Expected,
+        expected: Precondition,
     ) -> Result<ObjectVersion, PlatformError> {
         let is_met = match expected {
-            Expected::Absent => self.value.is_none(),
-            Expected::Version(version) => self.value.is_some() && version.0 == self.version,
+            Precondition::Absent => self.value.is_none(),
+            Precondition::Version(version) => self.value.is_some() && version.0 == self.version,
         };
         if !is_met {
             self.conflicts += 1;
--- a/tests/fakes/platform.rs
+++ b/tests/fakes/platform.rs
@@ -1,16 +1,16 @@
-//! A platform in memory, with a delay for each call.
+//! An in-memory platform with a latency for each call.
 
 use std::sync::Mutex;
 use std::time::Duration;
 
 use banyanarch::control::claims::ShardValue;
-use banyanarch::objects::Expected;
-use banyanarch::objects::Kind;
 use banyanarch::objects::Object;
 use banyanarch::objects::ObjectKey;
+use banyanarch::objects::ObjectKind;
 use banyanarch::objects::ObjectList;
-use banyanarch::objects::Platform;
+use banyanarch::objects::PlatformClient;
 use banyanarch::objects::PlatformError;
+use banyanarch::objects::Precondition;
 use banyanarch::units::ObjectVersion;
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
@@ -42,17 +42,17 @@
         self.objects.lock().unwrap().values().map(count).sum()
     }
 
-    fn on<T>(&self, key: ObjectKey, call: impl FnOnce(&mut FakeObject, Fault) -> T) -> T {
+    fn call_object<T>(&self, key: ObjectKey, call: impl FnOnce(&mut FakeObject, Fault) -> T) -> T {
         let fault = *self.fault.lock().unwrap();
         call(self.objects.lock().unwrap().entry(key).or_default(), fault)
     }
 }
 
-impl Platform for FakePlatform {
+impl PlatformClient for FakePlatform {
     fn get(&self, key: ObjectKey) -> BoxFuture<'_, Result<Object, PlatformError>> {
         async move {
             tokio::time::sleep(self.latency).await;
-            self.on(key, FakeObject::get)
+            self.call_object(key, FakeObject::get)
         }
         .boxed()
     }
@@ -61,23 +61,23 @@
         &self,
         key: ObjectKey,
         value: serde_json::Value,
-        expected: Expected,
+        expected: Precondition,
     ) -> BoxFuture<'_, Result<ObjectVersion, PlatformError>> {
         async move {
             tokio::time::sleep(self.latency).await;
             let value = ShardValue::from_json(value).unwrap();
-            self.on(key, |object, fault| object.put(value, expected, fault))
+            self.call_object(key, |object, fault| object.put(value, expected, fault))
         }
         .boxed()
     }
 
-    fn list(&self, _kind: Kind) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
+    fn list(&self, _kind: ObjectKind) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
         async { Ok(ObjectList::default()) }.boxed()
     }
 
     fn watch(
         &self,
-        _kind: Kind,
+        _kind: ObjectKind,
         _after: ObjectVersion,
         _wait: Duration,
     ) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
--- a/tests/peer.rs
+++ b/tests/peer.rs
@@ -8,6 +8,7 @@
 use banyanarch::clock::SystemClock;
 use banyanarch::peer::EnvelopeCodec;
 use banyanarch::peer::FRAME_SIZE_MAX;
+use banyanarch::peer::FrameAuthenticator;
 use banyanarch::peer::Keyring;
 use banyanarch::peer::Message;
 use banyanarch::peer::PeerAddrs;
@@ -15,8 +16,7 @@
 use banyanarch::peer::PeerHandler;
 use banyanarch::peer::PeerPool;
 use banyanarch::peer::PeerServer;
-use banyanarch::peer::Peers;
-use banyanarch::peer::Seal;
+use banyanarch::peer::PeerTransport;
 use banyanarch::peer::Traffic;
 use banyanarch::peer::message::Envelope;
 use banyanarch::peer::message::PlatformCall;
@@ -142,8 +142,8 @@
     }
 }
 
-/// Waits until a server has refused this many connections, and no more. It counts one after it has told
-/// the other end, which may be faster.
+/// Waits until a server has refused this many connections, and no more. It counts one after it has
+/// told the other end, which may be faster.
 async fn refused(traffic: &Traffic, count: u64) {
     let counting = async {
         while traffic.refused_connections() < count {
@@ -306,7 +306,7 @@
     );
     let to = "frozen".parse().unwrap();
     let asked = pool.request(&to, call("x"), Duration::from_millis(50));
-    assert_eq!(asked.await.unwrap_err(), PeerError::NoAnswer);
+    assert_eq!(asked.await.unwrap_err(), PeerError::NoReply);
     for _ in 0..5_000 {
         pool.send(&to, call("y"));
     }
@@ -352,7 +352,7 @@
 }
 
 fn codec_pair() -> (EnvelopeCodec, EnvelopeCodec) {
-    let seal = |key: &[u8]| Seal::new(key).unwrap();
+    let seal = |key: &[u8]| FrameAuthenticator::new(key).unwrap();
     let client = EnvelopeCodec::new("server", seal(b"up"), seal(b"down"));
     let server = EnvelopeCodec::new("client", seal(b"down"), seal(b"up"));
     (client, server)
--- a/tests/status.rs
+++ b/tests/status.rs
@@ -8,15 +8,15 @@
 use banyanarch::cluster_view::ClusterView;
 use banyanarch::cluster_view::HostState;
 use banyanarch::cluster_view::HostView;
-use banyanarch::control::manifests::Knowledge;
-use banyanarch::control::manifests::Refusal;
-use banyanarch::control::status::Events;
+use banyanarch::control::manifests::ManifestRefusal;
+use banyanarch::control::manifests::ManifestStatus;
+use banyanarch::control::status::EventLog;
 use banyanarch::control::status::Reporter;
 use banyanarch::control::status::ReporterAction;
-use banyanarch::control::status::StatusParts;
+use banyanarch::control::status::StatusInputs;
 use banyanarch::control::status::StatusReport;
-use banyanarch::objects::Expected;
 use banyanarch::objects::PlatformError;
+use banyanarch::objects::Precondition;
 use banyanarch::units::Generation;
 use banyanarch::units::HostId;
 use banyanarch::units::Incarnation;
@@ -46,17 +46,17 @@
     cluster_view
 }
 
-fn report(cluster_view: &ClusterView, events: &Events) -> StatusReport {
-    StatusReport::new(StatusParts {
+fn report(cluster_view: &ClusterView, events: &EventLog) -> StatusReport {
+    StatusReport::new(StatusInputs {
         host: &"host-0".parse().unwrap(),
         domain: &"domain-0".parse().unwrap(),
         cluster_view,
-        manifest: Knowledge {
+        manifest: ManifestStatus {
             generation: Some(Generation(5)),
             confirmed_ago: Some(Duration::from_secs(90)),
             is_ready: true,
             why_not_ready: None,
-            refused: Some(Refusal {
+            refused: Some(ManifestRefusal {
                 generation: Generation(6),
                 why: "line 3: unknown key".to_owned(),
             }),
@@ -72,7 +72,7 @@
 #[test]
 fn a_report_stays_small_and_keeps_earlier_events() {
     let clock = Arc::new(ManualClock::new());
-    let events = Events::new(clock.clone());
+    let events = EventLog::new(clock.clone());
     events.record("homes", "took over pool a", "host-7 is dead");
     clock.advance(Duration::from_secs(60));
     for _ in 0..1_000 {
@@ -86,7 +86,7 @@
     assert_eq!(latest.len(), 256);
     assert!(latest.iter().all(|event| event.why.len() <= 200));
 
-    let events = Events::new(clock.clone());
+    let events = EventLog::new(clock.clone());
     events.record("homes", "took over pool a", "host-7 is dead");
     clock.advance(Duration::from_secs(60));
     for _ in 0..1_000 {
@@ -128,12 +128,12 @@
             calls += 1;
             let outage = || PlatformError::Unavailable("unreachable".to_owned());
             match action {
-                ReporterAction::Read if is_outage => reporter.read(&Err(outage()), now),
-                ReporterAction::Read => reporter.read(&Err(PlatformError::Absent), now),
-                ReporterAction::Write(_) if is_outage => reporter.written(&Err(outage()), now),
+                ReporterAction::Read if is_outage => reporter.on_read(&Err(outage()), now),
+                ReporterAction::Read => reporter.on_read(&Err(PlatformError::NotFound), now),
+                ReporterAction::Write(_) if is_outage => reporter.on_written(&Err(outage()), now),
                 ReporterAction::Write(_) => {
                     writes += 1;
-                    reporter.written(&Ok(ObjectVersion(1)), now);
+                    reporter.on_written(&Ok(ObjectVersion(1)), now);
                 }
             }
         }
@@ -151,10 +151,13 @@
     let mut reporter = Reporter::new(StdRng::seed_from_u64(1), start);
     let at = |seconds| start + Duration::from_secs(seconds);
     assert_eq!(reporter.tick(1, at(60)), Some(ReporterAction::Read));
-    reporter.read(&Err(PlatformError::Absent), at(60));
-    let write = ReporterAction::Write(Expected::Absent);
+    reporter.on_read(&Err(PlatformError::NotFound), at(60));
+    let write = ReporterAction::Write(Precondition::Absent);
     assert_eq!(reporter.tick(1, at(60)), Some(write));
-    reporter.written(&Err(PlatformError::Unknown("lost".to_owned())), at(60));
+    reporter.on_written(
+        &Err(PlatformError::OutcomeUnknown("lost".to_owned())),
+        at(60),
+    );
     assert_eq!(reporter.tick(1, at(61)), None);
     assert_eq!(reporter.tick(1, at(120)), Some(ReporterAction::Read));
 }
@@ -169,10 +172,10 @@
     for second in 0..3_600 {
         let now = start + Duration::from_secs(second);
         match reporter.tick(1, now) {
-            Some(ReporterAction::Read) => reporter.read(&Err(PlatformError::Absent), now),
+            Some(ReporterAction::Read) => reporter.on_read(&Err(PlatformError::NotFound), now),
             Some(ReporterAction::Write(_)) => {
                 writes += 1;
-                reporter.written(&Ok(ObjectVersion(2)), now);
+                reporter.on_written(&Ok(ObjectVersion(2)), now);
             }
             None => {}
         }
