--- a/src/cmd/request_timeline.rs
+++ b/src/cmd/request_timeline.rs
@@ -110,7 +110,13 @@
                 "manifest {generation} in force: {routes} routes, {keys} keys"
             ),
             DecisionEvent::DependencyLost { dependency, error } => {
-                write!(f, "{dependency} unreachable: {error}")
+                // Losses are shown only as part of the state of the host at the first event, and only
+                // those that had not ended by then.
+                write!(
+                    f,
+                    "{dependency} unreachable, not reachable again by the first event of the \
+                     request: {error}"
+                )
             }
             DecisionEvent::UpstreamFault {
                 upstream, fault, ..
