--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -9,7 +9,7 @@
 use crate::history::CallerOutcome;
 use crate::history::FaultScope;
 use crate::history::Observations;
-use crate::history::OperatorChange;
+use crate::history::StoreChange;
 use crate::history::Timestamp;
 use crate::history::UpstreamRun;
 use crate::limit_checks;
@@ -221,7 +221,7 @@
             .changes
             .iter()
             .find_map(|(at, change)| match change {
-                OperatorChange::KeyRevoked(key) if *key == self.attempt.key => Some(*at),
+                StoreChange::KeyRevoked(key) if *key == self.attempt.key => Some(*at),
                 _ => None,
             });
         let is_late = revoked_at.is_some_and(|at| self.attempt.sent_at > at + REVOCATION_DELAY);
@@ -286,7 +286,7 @@
             .changes
             .iter()
             .filter_map(|(at, change)| match change {
-                OperatorChange::RouteMoved(service) => Some((*at, service.as_str())),
+                StoreChange::RouteMoved(service) => Some((*at, service.as_str())),
                 _ => None,
             });
         // A request may be routed to the last service in force or to any service accepted since.
@@ -312,7 +312,7 @@
                     .changes
                     .iter()
                     .find_map(|(at, change)| match change {
-                        OperatorChange::UpstreamLeaving(id) if *id == run.upstream => Some(*at),
+                        StoreChange::UpstreamLeaving(id) if *id == run.upstream => Some(*at),
                         _ => None,
                     });
             let Some(leaving_at) = leaving_at else {
--- a/soak/src/deployment.rs
+++ b/soak/src/deployment.rs
@@ -21,7 +21,7 @@
 use crate::history::FaultRecord;
 use crate::history::FaultScope;
 use crate::history::History;
-use crate::history::OperatorChange;
+use crate::history::StoreChange;
 use crate::history::Timestamp;
 use crate::host_process::HostProcess;
 use crate::link_proxy::LinkProxy;
@@ -239,7 +239,7 @@
     /// Changes the manifest, publishes it and records the change.
     pub(crate) fn publish_manifest(
         &self,
-        change: impl FnOnce(&mut ManifestInputs) -> Option<OperatorChange>,
+        change: impl FnOnce(&mut ManifestInputs) -> Option<StoreChange>,
     ) {
         let mut manifest_inputs = lock(&self.manifest_inputs);
         let change = change(&mut manifest_inputs);
@@ -258,7 +258,7 @@
     }
 
     /// Records a change that the store has just accepted.
-    pub(crate) fn record_change(&self, change: OperatorChange) {
+    pub(crate) fn record_change(&self, change: StoreChange) {
         let now = self.now();
         self.history.lock().changes.push((now, change));
     }
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -16,7 +16,7 @@
 use crate::deployment::lock;
 use crate::history::FaultScope;
 use crate::history::LimitPeriod;
-use crate::history::OperatorChange;
+use crate::history::StoreChange;
 use crate::link_proxy::LinkMode;
 use crate::link_proxy::LinkProxy;
 use crate::store::StoreMode;
@@ -315,7 +315,7 @@
             let upstream = upstream_at(deployment, index);
             start_replacement(deployment, &upstream).await;
             deployment.register_upstream(&upstream, true);
-            deployment.record_change(OperatorChange::UpstreamLeaving(upstream.id.clone()));
+            deployment.record_change(StoreChange::UpstreamLeaving(upstream.id.clone()));
             sleep(LEAVING_TIME).await;
             deployment.end_upstream(&upstream);
             FaultScope::Upstream
@@ -323,7 +323,7 @@
         Fault::MoveRoute => {
             deployment.publish_manifest(|manifest_inputs| {
                 manifest_inputs.moving_to = 1 - manifest_inputs.moving_to;
-                Some(OperatorChange::RouteMoved(
+                Some(StoreChange::RouteMoved(
                     call::PLAIN_SERVICES[manifest_inputs.moving_to].to_owned(),
                 ))
             });
@@ -335,7 +335,7 @@
                 let count = manifest_inputs.customers.len();
                 let (_, keys) = &mut manifest_inputs.customers[index % count];
                 keys.push(format!("key-{}-{version}", index % count));
-                Some(OperatorChange::KeyRevoked(keys.remove(0)))
+                Some(StoreChange::KeyRevoked(keys.remove(0)))
             });
             return;
         }
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -78,7 +78,7 @@
 
 /// A change that the operator or an upstream made in the store.
 #[derive(Clone, Debug)]
-pub enum OperatorChange {
+pub enum StoreChange {
     /// This key was revoked.
     KeyRevoked(String),
     /// The route of [`CallClass::Moving`] was moved to this service.
@@ -149,7 +149,7 @@
     /// Runs at upstreams, by request id.
     pub runs: IndexMap<String, Vec<UpstreamRun>>,
     /// Changes, each with the time at which the store accepted the change.
-    pub changes: Vec<(Timestamp, OperatorChange)>,
+    pub changes: Vec<(Timestamp, StoreChange)>,
     /// Faults that have ended.
     pub faults: Vec<FaultRecord>,
     /// When upstreams ended, by upstream id.
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -28,7 +28,7 @@
 use crate::faults;
 use crate::history::CallerAttempt;
 use crate::history::CallerOutcome;
-use crate::history::OperatorChange;
+use crate::history::StoreChange;
 
 /// Time before the first fault, in which hosts read the manifest and discover each other.
 const STARTUP_TIME: Duration = Duration::from_secs(3);
@@ -201,7 +201,7 @@
             .changes
             .iter()
             .filter_map(|(_, change)| match change {
-                OperatorChange::KeyRevoked(key) => Some(key.clone()),
+                StoreChange::KeyRevoked(key) => Some(key.clone()),
                 _ => None,
             });
         revoked_keys.clear();
--- a/soak/src/upstream.rs
+++ b/soak/src/upstream.rs
@@ -60,7 +60,7 @@
     AnswersOtherRequest,
 }
 
-/// Time until a response starts.
+/// Time that a healthy upstream takes until a response starts.
 const PROCESSING_TIME: Duration = Duration::from_millis(25);
 /// Time between two events of a stream.
 const EVENT_INTERVAL: Duration = Duration::from_millis(30);
--- a/soak/tests/short.rs
+++ b/soak/tests/short.rs
@@ -16,7 +16,7 @@
 use soak::history::FaultScope;
 use soak::history::LimitPeriod;
 use soak::history::Observations;
-use soak::history::OperatorChange;
+use soak::history::StoreChange;
 use soak::history::UpstreamRun;
 use yare::parameterized;
 
@@ -121,7 +121,7 @@
 fn violated_guarantees(
     attempt: CallerAttempt,
     runs: Vec<UpstreamRun>,
-    changes: Vec<(Duration, OperatorChange)>,
+    changes: Vec<(Duration, StoreChange)>,
 ) -> Vec<&'static str> {
     let mut observations = Observations::default();
     observations.attempts.insert(REQUEST.to_owned(), attempt);
@@ -209,13 +209,13 @@
 }
 
 #[parameterized(
-    key = { CallClass::Idempotent, OperatorChange::KeyRevoked("key-1-0".to_owned()), 4_000, "revoked keys stop working" },
-    route = { CallClass::Moving, OperatorChange::RouteMoved(call::PLAIN_SERVICES[1].to_owned()), 6_000, "a manifest change takes effect in time" },
-    upstream = { CallClass::Idempotent, OperatorChange::UpstreamLeaving("u001".to_owned()), 6_000, "a leaving upstream gets no new requests" },
+    key = { CallClass::Idempotent, StoreChange::KeyRevoked("key-1-0".to_owned()), 4_000, "revoked keys stop working" },
+    route = { CallClass::Moving, StoreChange::RouteMoved(call::PLAIN_SERVICES[1].to_owned()), 6_000, "a manifest change takes effect in time" },
+    upstream = { CallClass::Idempotent, StoreChange::UpstreamLeaving("u001".to_owned()), 6_000, "a leaving upstream gets no new requests" },
 )]
 fn a_change_that_is_in_force_late_is_found(
     class: CallClass,
-    change: OperatorChange,
+    change: StoreChange,
     changed_ms: u64,
     guarantee: &str,
 ) {
