--- a/standin/src/answer.rs
+++ b/standin/src/answer.rs
@@ -27,6 +27,6 @@
 }
 
 /// The whole answer.
-pub fn whole(body_hash: ContentHash, max_tokens: u64) -> String {
+pub fn full_text(body_hash: ContentHash, max_tokens: u64) -> String {
     texts(body_hash, 0, len_tokens(body_hash, max_tokens))
 }
--- a/standin/src/caller/ask.rs
+++ b/standin/src/caller/ask.rs
@@ -84,7 +84,7 @@
     pub fn answer(&self, body: &[u8]) -> String {
         match self.target {
             Target::Service => String::from_utf8_lossy(body).into_owned(),
-            _ => answer::whole(ContentHash::of(body), self.max_tokens),
+            _ => answer::full_text(ContentHash::of(body), self.max_tokens),
         }
     }
 
--- a/standin/tests/engine.rs
+++ b/standin/tests/engine.rs
@@ -109,7 +109,7 @@
     drop(first);
     let rest = client(&engine).resume(AttemptId(7), count).await.unwrap();
     let whole = text + &text_of(rest).await.unwrap();
-    assert_eq!(whole, answer::whole(ContentHash::of(&body), MAX_TOKENS));
+    assert_eq!(whole, answer::full_text(ContentHash::of(&body), MAX_TOKENS));
     assert_eq!(engine.record()[0].end, Some(RunEnd::Completed));
 }
 
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -330,7 +330,7 @@
 /// Returns the text that an engine generates for a body.
 pub(crate) fn expected_answer(body: &str, max_tokens: u64) -> String {
     let hash = banyanarch::units::ContentHash::of(body.as_bytes());
-    standin::answer::whole(hash, max_tokens)
+    standin::answer::full_text(hash, max_tokens)
 }
 
 fn loopback() -> SocketAddr {
