--- a/benches/claims.rs
+++ b/benches/claims.rs
@@ -1,7 +1,8 @@
-//! What claims cost the platform: writes and reads a second, and the wait for a claim.
+//! Measures the load of claims on the platform, in writes and reads a second, and the wait for a
+//! claim.
 //!
-//! `cargo bench --locked --bench claims` prints a line for each number of hosts and rate. The platform
-//! is a fake that answers after three milliseconds, one way and back.
+//! `cargo bench --locked --bench claims` prints a line for each number of hosts and rate. The
+//! platform is a fake with a round trip of three milliseconds.
 
 #[path = "../tests/fakes/mod.rs"]
 mod fakes;
@@ -28,7 +29,7 @@
 
 const LATENCY: Duration = Duration::from_millis(3);
 const RUN: Duration = Duration::from_secs(4);
-/// Shares of 5,600 requests a second that are not repeatable: 1, 5 and 10 percent.
+/// Rates of requests that are not repeatable: 1, 5 and 10 percent of 5,600 requests a second.
 const RATES: [u64; 3] = [56, 280, 560];
 const HOSTS: [usize; 3] = [1, 7, 50];
 
@@ -75,7 +76,8 @@
     );
 }
 
-/// One request: its claim, and its end a moment later. Returns how long the claim took.
+/// Claims the key of one request and finishes the claim 200 ms later. Returns the time that the
+/// claim took, or `None` if it failed.
 async fn one(store: &ClaimStore, n: u64) -> Option<Duration> {
     let key = claim_key(&format!("key-{n}"));
     let attempt = AttemptId(n.into());
--- a/benches/control.rs
+++ b/benches/control.rs
@@ -1,12 +1,13 @@
-//! Counts the control traffic of many hosts: a plain loop over the state machines of membership,
-//! homes and manifests. Messages arrive 10 ms later; there is no model of a network. Bytes are those
-//! of the encoded messages with their frames, without the headers of TCP and IP.
+//! Counts the control traffic of many hosts with a plain loop over the state machines of
+//! membership, homes and manifests. Messages arrive after 10 ms; the network is not modelled
+//! further. Bytes are those of the encoded messages with their frames, without TCP and IP headers.
 //!
-//! While bytes are counted, the load is that of the target's day: a manifest of a megabyte is
-//! changed in one place every 78 s, and hosts are restarted at 490 a day for 400 hosts.
-//! The parts of the sum are printed to standard error.
+//! While bytes are counted, the load is that of a day of the target deployment: one place in a
+//! manifest of a megabyte changes every 78 s, and hosts restart at a rate of 490 a day for 400
+//! hosts. The parts of the sum are printed to standard error.
 //!
-//! `cargo bench --locked --bench control -- daemons 3 12 30 60` counts with that many real daemons.
+//! `cargo bench --locked --bench control -- daemons 3 12 30 60` counts with these numbers of real
+//! daemons.
 
 mod daemons;
 
@@ -41,11 +42,11 @@
 const HOST_COUNTS: [usize; 4] = [50, 100, 200, 400];
 const DOMAINS: usize = 6;
 const MODELS: usize = 5;
-/// Runners and hosts at the target's size.
+/// Runners and hosts of the target deployment.
 const RUNNERS: usize = 910;
 const HOSTS: usize = 400;
 const STEP: Duration = Duration::from_millis(100);
-/// How long a message takes: hosts answer at once, not at their next tick.
+/// Latency of a message: hosts respond at once, not at their next tick.
 const HOP: Duration = Duration::from_millis(10);
 const HOPS_A_STEP: u32 = 10;
 const ROUND: Duration = Duration::from_millis(500);
@@ -54,7 +55,7 @@
 const RESTARTS_A_DAY_A_HOST: f64 = 490.0 / 400.0;
 const KILLS: usize = 5;
 const PATIENCE: Duration = Duration::from_secs(120);
-/// Half of the control budget for each of membership and manifests.
+/// Half of the control budget of a host, for each of membership and manifests.
 const BYTES_PER_SECOND: u64 = 2_048;
 
 struct Host {
@@ -212,7 +213,7 @@
         self.in_flight.push((from.clone(), to, message));
     }
 
-    /// Tells the manifests which hosts there are, as the daemon does.
+    /// Passes the hosts that membership knows to the manifest controller, as the daemon does.
     fn meet(&mut self, id: &HostId) {
         let host = &mut self.hosts[id];
         let present = host.membership.hosts();
@@ -226,7 +227,7 @@
         host.manifests.set_hosts(near, far);
     }
 
-    /// Tells a host what the platform holds.
+    /// Delivers the manifest published on the platform to a host.
     fn tell(&mut self, id: &HostId) {
         if let Some(published) = self.published.clone() {
             let word = ManifestRead::Published(published);
@@ -235,7 +236,8 @@
         }
     }
 
-    /// Publishes a change of one customer in a manifest of a megabyte, and tells those who watch.
+    /// Publishes a change of one customer in a manifest of a megabyte, and notifies the hosts that
+    /// watch the platform.
     fn publish(&mut self) -> Generation {
         let last = self
             .published
@@ -287,7 +289,8 @@
             .all(|seen| seen == count)
     }
 
-    /// Whether all hosts of a failure domain name the same homes, and never `gone`.
+    /// Returns whether all hosts of a failure domain agree on the homes, and none of the homes is
+    /// `gone`.
     fn homes_are_without(&self, gone: &HostId, domain: &FailureDomainId, pools: &[PoolId]) -> bool {
         let neighbours = self.hosts.values();
         let neighbours =
@@ -318,7 +321,7 @@
             .collect();
         let seed = self.hosts[index].seed.clone();
         self.start(seed.clone(), &known, incarnation);
-        // A fresh host reads the platform itself.
+        // A host reads the platform when it starts.
         self.tell(&seed.host);
     }
 }
@@ -336,7 +339,7 @@
         .collect()
 }
 
-/// The bytes a second and host over a stretch of the target's day.
+/// Returns the bytes a second and host while the load of the target deployment runs.
 fn count_bytes(fleet: &mut Fleet) -> f64 {
     fleet.bytes.clear();
     fleet.bytes_by_host.clear();
--- a/benches/daemons/mod.rs
+++ b/benches/daemons/mod.rs
@@ -1,4 +1,4 @@
-//! The same count with real daemons on loopback, before a platform stand-in in this process.
+//! Counts control traffic with real daemons on loopback and a fake platform in this process.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 const PATIENCE: Duration = Duration::from_secs(60);
 const POLL: Duration = Duration::from_millis(10);
 const KILLS: usize = 3;
-/// Ticks a second in `/proc/PID/stat`.
+/// Clock ticks a second of the processor times in `/proc/PID/stat`.
 const TICKS_A_SECOND: f64 = 100.0;
 const KIND: &str = "/apis/banyanarch.dev/v1/";
 
@@ -36,13 +36,13 @@
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have ended already.
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
 }
 
-/// Counts with `host_count` daemons and prints a line.
+/// Counts the control traffic of `host_count` daemons and prints a line.
 pub(crate) fn count(host_count: usize) {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
@@ -156,7 +156,7 @@
     daemons
 }
 
-/// Polls the daemons until their status is as wanted, and tells for how many seconds.
+/// Polls the daemons until the status of each satisfies `holds`, and returns the seconds that took.
 async fn until(daemons: &[Daemon], holds: impl Fn(&Value) -> bool) -> f64 {
     let start = Instant::now();
     loop {
@@ -243,7 +243,7 @@
     hosts.iter().find(|seen| seen["host"] == host)?["state"].as_str()
 }
 
-/// `domain-3` of `domain-3-007`.
+/// Returns the failure domain in a host name, such as `domain-3` for `domain-3-007`.
 fn domain_of(name: &str) -> &str {
     name.rsplit_once('-').map_or(name, |(domain, _)| domain)
 }
--- a/benches/drills.rs
+++ b/benches/drills.rs
@@ -1,4 +1,6 @@
-//! Measures on real daemons how long a take-over of a home takes: `cargo bench --locked --bench drills`.
+//! Measures how long the failover of a home takes with real daemons.
+//!
+//! `cargo bench --locked --bench drills` prints the median and the worst time to the first grant.
 
 #[path = "../tests/site/mod.rs"]
 mod site;
@@ -20,8 +22,8 @@
     take_over().await;
 }
 
-/// Kills the home under a steady load through the other hosts. The first grant of the next home is
-/// taken from the first answer to a request that was sent after the kill.
+/// Kills the home under a steady load through the other hosts. The time of the first grant of the
+/// next home is that of the first successful response to a request sent after the kill.
 async fn take_over() {
     let mut first_grants = Vec::new();
     let mut slowest = Duration::ZERO;
--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -1,8 +1,8 @@
-//! What one host pays, in processor time, to choose an engine and to take in another host's news, by
-//! the size of the fleet.
+//! Measures the processor time that one host needs to choose an engine and to process a load
+//! message of another host, by the size of the fleet.
 //!
-//! `cargo bench --locked --bench placement` prints a line a size: microseconds to read the loads of
-//! all engines, to read and choose, and to take one message in.
+//! `cargo bench --locked --bench placement` prints a line for each size: microseconds to read the
+//! loads of all engines, to read them and choose, and to process one message.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -21,9 +21,9 @@
 use banyanarch::units::UpstreamId;
 use indexmap::IndexMap;
 
-/// Fleets from the smallest of the users' to their target.
+/// Fleet sizes, from the smallest deployment to the target size.
 const SIZES: [usize; 4] = [8, 70, 195, 400];
-/// Upstreams where one host has work at a time.
+/// Number of upstreams on which one host has work at a time.
 const NAMED: usize = 12;
 /// Repetitions of each measurement.
 const ROUNDS: u32 = 200;
--- a/examples/engine_loads/main.rs
+++ b/examples/engine_loads/main.rs
@@ -1,11 +1,12 @@
-//! Plays loads on engines by the published speed model and prints what callers got: long prompts and
-//! short ones by turns, on sites of three sizes, as means over seeds.
+//! Simulates loads on engines with the published speed model and prints what callers got, as means
+//! over seeds: long and short prompts in alternating phases, on sites of several sizes.
 //!
-//! `cargo run --release --example engine_loads -- [--seeds N] [--site NAME] [--long X] [--engines N] [--slow known|unknown]`
+//! `cargo run --release --example engine_loads -- [--seeds N] [--site NAME] [--long X] [--engines
+//! N] [--slow known|unknown]`
 //!
-//! Sites are middle, small, large, shifted, domains and largest; `--long` plays one rate of long prompts alone, and
-//! `--engines` as many engines in place of the site's. With `--slow` a fifth of the engines takes three and a
-//! half times as long from the third to the twelfth second.
+//! Sites are middle, small, large, shifted, domains and largest. `--long` simulates only this rate
+//! of long prompts, and `--engines` replaces the number of engines of the site. With `--slow`, one
+//! engine in five takes three and a half times as long from the third to the twelfth second.
 
 #[path = "../../tests/engine_world/mod.rs"]
 mod engine_world;
@@ -27,9 +28,10 @@
 use pico_args::Arguments;
 
 const SEEDS_DEFAULT: u64 = 8;
-/// Times the usual rate of long prompts in their stretches: below, near and beyond what engines can read.
+/// Factors on the usual rate of long prompts in their phases: below, near and beyond the prefill
+/// capacity of the engines.
 const LONG_RATES: [f64; 3] = [2.2, 2.8, 4.0];
-/// What a caller loses who comes back and is not served, as a part of the worth of its answer.
+/// Loss of a caller that comes back and is refused again, as a fraction of the value of its answer.
 const REFUSED_AGAIN_COST: f64 = 0.3;
 
 fn play(site: &Site, long: f64, seed: u64) -> RunResults {
--- a/examples/sweep/main.rs
+++ b/examples/sweep/main.rs
@@ -1,6 +1,6 @@
-//! Prints the figures of docs/DECISIONS.md: each load against each policy, then each threshold.
-//! All is played against small fake engines with a clock moved by hand, so only the time that
-//! decisions take differs between two runs.
+//! Prints the figures of docs/DECISIONS.md: each load with each policy, then each threshold. Loads
+//! run on fake engines with a manually advanced clock, so only the measured time of decisions
+//! differs between two runs.
 
 #[path = "../../tests/decide_fakes/mod.rs"]
 mod decide_fakes;
--- a/examples/sweep/scenario.rs
+++ b/examples/sweep/scenario.rs
@@ -1,5 +1,5 @@
-//! The loads of the sweep. Twenty engines of 8,000 tokens a second and 300,000 tokens of memory read
-//! about 120 prompts of 1,000 tokens a second.
+//! Loads of the sweep. Twenty engines with a prefill speed of 8,000 tokens a second and 300,000
+//! tokens of memory each prefill about 120 prompts of 1,000 tokens a second.
 
 use std::time::Duration;
 
@@ -24,10 +24,10 @@
 const SPEED: f64 = 8_000.0;
 const MINUTE: (f64, f64) = (0.0, 60.0);
 
-/// A load with what it prints.
+/// A function that runs a load and returns the figures to print.
 pub(crate) type Scenario = fn(&Setup) -> String;
 
-/// All loads.
+/// All loads with their names.
 pub(crate) const ALL: [(&str, Scenario); 12] = [
     ("short-among-long", short_among_long),
     ("short-among-long-no-ranks", short_among_long_no_ranks),
@@ -43,7 +43,7 @@
     ("seven-hosts", seven_hosts),
 ];
 
-/// What a load is played against.
+/// The policy and tuning that a load runs with.
 pub(crate) struct Setup {
     pub(crate) policy: PolicyName,
     pub(crate) objective: Objective,
@@ -82,7 +82,7 @@
     Workload::new(seed).stream(rate, (0.0, 120.0), &RequestSpec::short())
 }
 
-/// Long prompts that take about half of the engines' time.
+/// Adds long prompts that take about half of the engines' time.
 fn with_long(load: Workload) -> Workload {
     let long = |prompt| RequestSpec {
         customer: "studio",
@@ -131,7 +131,7 @@
     mixed(setup, |engine| engine.honours_priority = false)
 }
 
-/// Ten times the load for five seconds.
+/// Sends ten times the load for five seconds.
 fn burst(setup: &Setup) -> String {
     let request = RequestSpec {
         timeout: Duration::from_secs(8),
@@ -218,7 +218,7 @@
     )
 }
 
-/// Twice the capacity for a minute, against just the capacity.
+/// Runs twice the capacity for a minute, and compares with the capacity.
 pub(crate) fn saturation(setup: &Setup) -> String {
     let request = RequestSpec {
         timeout: Duration::from_secs(6),
@@ -235,7 +235,8 @@
     )
 }
 
-/// Twice the capacity in short and long prompts together; what counts is asked in the middle.
+/// Runs twice the capacity in short and long prompts together; only requests of the middle minute
+/// are counted.
 pub(crate) fn mixed_saturation(setup: &Setup) -> String {
     let short = RequestSpec {
         timeout: Duration::from_secs(10),
@@ -268,7 +269,7 @@
     )
 }
 
-/// Half of the engines are gone for five seconds, and hosts retry.
+/// Half of the engines fail for five seconds, and hosts retry.
 fn outage(setup: &Setup) -> String {
     let request = RequestSpec {
         timeout: Duration::from_secs(10),
@@ -293,7 +294,7 @@
 
 type Change = fn(&LoadReport) -> LoadReport;
 
-/// Reports say nothing, or ten times too much, or are as they should be.
+/// Load reports are empty, ten times too high, or correct.
 fn wrong_reports(setup: &Setup) -> String {
     let changes: [(&str, Change); 3] = [
         ("right", Clone::clone),
@@ -318,7 +319,7 @@
     figures.join(", ")
 }
 
-/// The manifest's prefill speed is five times too high, or too low.
+/// The prefill speed in the manifest is five times too low, correct, or five times too high.
 fn wrong_speed(setup: &Setup) -> String {
     let figures = [0.2, 1.0, 5.0].map(|factor| {
         let conf = PolicyConfig {
@@ -338,7 +339,7 @@
     figures.join(", ")
 }
 
-/// Seven hosts that decide each by itself, against one home.
+/// Compares seven hosts that each decide independently with one home.
 fn seven_hosts(setup: &Setup) -> String {
     let figures = [1, 7].map(|hosts| {
         let all = setup.simulation(hosts).run(with_long(shorts(7, 60.0))).0;
--- a/examples/sweep/timing.rs
+++ b/examples/sweep/timing.rs
@@ -1,4 +1,4 @@
-//! How long decisions take, by how many requests wait.
+//! Measures how long decisions take, by the length of the queue.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -22,7 +22,7 @@
 
 const ROUNDS: u32 = 20_000;
 
-/// Prints the time of one offer, poll, finish and poll, with a queue of each length.
+/// Prints the time of one offer, poll, finish and poll for each queue length.
 pub(crate) fn print() {
     println!("\n## timing, 30 upstreams: one offer, poll, finish and poll");
     for waiting in [0, 100, 500, 2_000, 8_000] {
@@ -69,7 +69,7 @@
     };
     let mut granted = std::collections::VecDeque::new();
     let mut number = 0;
-    // Fill the engines' slots, then the queue.
+    // Fill the slots of the engines, then the queue.
     while policy.load(clock.now()).waiting < waiting.max(1) {
         policy.offer(work(number, clock.now()), clock.now());
         number += 1;
--- a/standin/src/answer.rs
+++ b/standin/src/answer.rs
@@ -1,9 +1,9 @@
-//! The answers of the stand-in engine: a function of the request's body alone, so that anyone who
+//! Answers of the fake engine. An answer depends on the body of the request alone, so anyone who
 //! knows the body can tell whether an answer belongs to it.
 
 use banyanarch::units::ContentHash;
 
-/// The text of the token at `offset` of the answer to the body with this hash.
+/// Returns the text of the token at `offset` of the answer to the body with this hash.
 pub fn text(body_hash: ContentHash, offset: u64) -> String {
     let mut seed = [0; 24];
     seed[..16].copy_from_slice(&body_hash.0.to_le_bytes());
@@ -12,21 +12,21 @@
     format!("{word:04x} ")
 }
 
-/// The text of `count` tokens from `offset` on.
+/// Returns the text of `count` tokens of an answer, from `offset` on.
 pub fn texts(body_hash: ContentHash, offset: u64, count: u64) -> String {
     (offset..offset + count)
         .map(|at| text(body_hash, at))
         .collect()
 }
 
-/// How many tokens the answer has: between half of what was allowed and all of it.
+/// Returns the length of the answer in tokens: between half of `max_tokens` and all of it.
 pub fn len_tokens(body_hash: ContentHash, max_tokens: u64) -> u64 {
     let half = max_tokens / 2;
     let more = u64::try_from(body_hash.0 % u128::from(max_tokens - half + 1)).unwrap_or(0);
     (half + more).max(1)
 }
 
-/// The whole answer.
+/// Returns the whole answer to the body with this hash.
 pub fn full_text(body_hash: ContentHash, max_tokens: u64) -> String {
     texts(body_hash, 0, len_tokens(body_hash, max_tokens))
 }
--- a/standin/src/caller/ask.rs
+++ b/standin/src/caller/ask.rs
@@ -1,4 +1,4 @@
-//! A request whose answer is known beforehand.
+//! A request whose expected answer can be computed.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 const BYTES_PER_TOKEN: u64 = 4;
 const FILLER: &str = "the licence for this verse is held by the estate and renewed each spring; ";
 
-/// Whom a request is for.
+/// The kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     /// A completion call.
@@ -28,40 +28,40 @@
     Service,
 }
 
-/// A request.
+/// A request of a caller.
 #[derive(Clone, Debug)]
 pub struct Ask {
-    /// Its number within the run.
+    /// The number of the request within the run.
     pub number: u64,
-    /// When it is sent, from the start of the run on.
+    /// When the request is sent, from the start of the run.
     pub at: Duration,
-    /// Whom it is for.
+    /// The kind of the request.
     pub target: Target,
-    /// The customer.
+    /// The customer on whose behalf the request is sent.
     pub customer: String,
-    /// The length of the prompt.
+    /// The length of the prompt in tokens.
     pub prompt_tokens: u64,
-    /// Prompts of the same group begin with the same text.
+    /// The group of the prompt. Prompts of one group begin with the same text.
     pub prefix_group: u64,
-    /// How much of the prompt is the group's.
+    /// The length of the text shared by the group, in tokens.
     pub prefix_tokens: u64,
-    /// The longest answer.
+    /// The maximum length of the answer in tokens.
     pub max_tokens: u64,
-    /// The time limit.
+    /// The timeout of the request.
     pub limit: Duration,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// The key that makes repeated sendings one request.
+    /// The idempotency key, which identifies resent requests.
     pub key: Option<String>,
 }
 
 impl Ask {
-    /// Its length class.
+    /// Returns the length class of the prompt.
     pub fn class(&self) -> LengthClass {
         LengthClass::of(Tokens(self.prompt_tokens))
     }
 
-    /// The body, unlike that of any other request of the run.
+    /// Returns the body, which is unique within the run.
     pub fn body(&self) -> Bytes {
         let prompt = self.prompt();
         let (model, max_tokens) = (MODEL, self.max_tokens);
@@ -80,7 +80,7 @@
         Bytes::from(body.to_string())
     }
 
-    /// The answer that belongs to a body.
+    /// Returns the expected answer to a body of this request.
     pub fn answer(&self, body: &[u8]) -> String {
         match self.target {
             Target::Service => String::from_utf8_lossy(body).into_owned(),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The HTTP request.
+    /// Builds the HTTP request.
     pub fn request(&self, body: Bytes) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
         let path = match self.target {
             Target::Completion => "/v1/completions".to_owned(),
--- a/standin/src/caller/call.rs
+++ b/standin/src/caller/call.rs
@@ -1,4 +1,4 @@
-//! Sends one request and reads what comes of it.
+//! Sends one request and classifies its response.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,21 +19,21 @@
 use crate::http::CallError;
 use crate::http::call;
 
-/// How much longer than its limit a caller waits before it gives up.
+/// How long a caller waits beyond the timeout of its request before it gives up.
 const PATIENCE: Duration = Duration::from_secs(5);
 
-/// What came of one sending, with its times.
+/// The result of sending a request once, with its times.
 #[derive(Clone, Debug)]
 pub struct Sent {
-    /// The outcome.
+    /// The outcome as the caller knows it.
     pub verdict: Verdict,
-    /// From sending to the first text.
+    /// The time until the first text arrived.
     pub first_token: Option<Duration>,
-    /// From sending to the outcome.
+    /// The time until the outcome was known.
     pub total: Duration,
-    /// Tokens that came.
+    /// The number of tokens received.
     pub output_tokens: u64,
-    /// The id to ask the host about.
+    /// The id by which the host can explain the request.
     pub request_id: Option<String>,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// Sends a request once. Times are measured from `since`, the instant at which it was due.
+/// Sends a request once. Times are measured from `since`, the instant at which the request was due.
 pub async fn send(addr: SocketAddr, ask: &Ask, body: Bytes, since: Instant) -> Sent {
     let limit = ask.limit + PATIENCE;
     match tokio::time::timeout(limit, exchange(addr, ask, body, since)).await {
@@ -76,7 +76,7 @@
     Sent { request_id, ..sent }
 }
 
-/// A connection that did not come about carried nothing, so the request did not run.
+/// A connection that could not be established carried nothing, so the request did not run.
 fn verdict_of(e: &CallError) -> Verdict {
     match e {
         CallError::Connect(why) => Verdict::NotRun {
--- a/standin/src/caller/mod.rs
+++ b/standin/src/caller/mod.rs
@@ -1,4 +1,5 @@
-//! Callers: requests with a known answer, sent to entry hosts or straight to an engine.
+//! Callers: requests whose answer is known, sent to entry hosts or directly to an engine or
+//! service.
 
 mod ask;
 mod call;
--- a/standin/src/caller/percentile.rs
+++ b/standin/src/caller/percentile.rs
@@ -1,4 +1,4 @@
-//! Percentiles of times.
+//! Percentiles of durations.
 
 use std::time::Duration;
 
@@ -6,7 +6,8 @@
 
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// The value that `percent` of the samples do not exceed, in milliseconds; none without samples.
+/// Returns the value, in milliseconds, that `percent` of the samples do not exceed; `None` without
+/// samples.
 pub fn percentile_ms(samples: &[Duration], percent: f64) -> Option<f64> {
     let mut histogram = Histogram::<u64>::new(SIGNIFICANT_DIGITS).ok()?;
     for sample in samples {
@@ -19,7 +20,7 @@
     Some(histogram.value_at_percentile(percent) as f64 / 1_000.0)
 }
 
-/// A value in milliseconds, or a dash.
+/// Formats a value in milliseconds without decimals; `-` for `None`.
 pub fn show_ms(value: Option<f64>) -> String {
     value.map_or_else(|| "-".to_owned(), |ms| format!("{ms:.0}"))
 }
--- a/standin/src/caller/sse.rs
+++ b/standin/src/caller/sse.rs
@@ -1,26 +1,26 @@
-//! A streamed answer as its caller reads it.
+//! Parsing of a streamed answer.
 
 use serde_json::Value;
 
-/// One event of a stream.
+/// An event of a stream.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Event {
     /// Text of the answer.
     Text(String),
-    /// The stream failed, with this error object.
+    /// The stream failed; holds the error object.
     Failed(Value),
-    /// The end mark.
+    /// The end mark of the stream.
     Done,
 }
 
-/// Cuts a stream of bytes into events.
+/// Splits a stream of bytes into events.
 #[derive(Debug, Default)]
 pub(crate) struct EventReader {
     buf: Vec<u8>,
 }
 
 impl EventReader {
-    /// Takes in bytes and returns the events that are whole now.
+    /// Adds bytes and returns the events that are complete now.
     pub(crate) fn push(&mut self, bytes: &[u8]) -> Vec<Event> {
         self.buf.extend_from_slice(bytes);
         let Some(last) = self.buf.iter().rposition(|b| *b == b'\n') else {
--- a/standin/src/caller/verdict.rs
+++ b/standin/src/caller/verdict.rs
@@ -1,23 +1,23 @@
-//! What a caller was told.
+//! Outcome of sending a request.
 
 use std::time::Duration;
 
-/// What came of one sending, as the caller knows it.
+/// The outcome of sending a request once, as the caller knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The whole answer came, and it is the answer to this request.
+    /// The whole answer arrived, and it is the expected answer.
     Completed,
-    /// An answer came as whole that is not the answer to this request.
+    /// A complete answer arrived that is not the expected one; holds the difference.
     Wrong(String),
-    /// It did not run, as the host says or because nothing was sent.
+    /// The request did not run: the host said so, or nothing was sent.
     NotRun {
-        /// Why.
+        /// The reason that the host gave.
         reason: String,
-        /// When to come back.
+        /// How long to wait before sending the request again.
         retry_after: Option<Duration>,
     },
-    /// It may have run, as the host says.
+    /// The request may have run, as the host says; holds the reason.
     MayHaveRun(String),
-    /// The connection broke before an outcome was told.
+    /// The connection broke, or the caller gave up, before an outcome was known.
     Cut(String),
 }
--- a/standin/src/cmd/daemon.rs
+++ b/standin/src/cmd/daemon.rs
@@ -1,4 +1,4 @@
-//! `standin daemon`: an entry host, as `banyanarchd` runs it.
+//! The `daemon` subcommand, which runs an entry host as `banyanarchd` does.
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 use crate::cmd;
 use crate::cmd::Done;
 
-/// What it takes.
+/// Usage text.
 pub const USAGE: &str = "\
 standin daemon --settings FILE
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Runs it until it is told to end.
+/// Runs the host until it receives a signal to stop.
 pub fn run(args: Arguments) -> Done {
     let args = Args::parse(args)?;
     let code = banyanarch::daemon::run(&args.settings)?;
--- a/standin/src/cmd/demo.rs
+++ b/standin/src/cmd/demo.rs
@@ -1,4 +1,4 @@
-//! `standin demo`.
+//! The `demo` subcommand.
 
 use std::error::Error;
 use std::process::ExitCode;
@@ -11,7 +11,7 @@
 use crate::demo;
 use crate::demo::DemoOptions;
 
-/// What it takes.
+/// Usage text.
 pub const USAGE: &str = "\
 standin demo [--seed N] [--lasts-s N] [--keep]
 
@@ -21,7 +21,7 @@
 (15), --keep leaves the logs in place.
 ";
 
-/// How long requests arrive, in seconds, when nothing else is said.
+/// Default duration of arrivals, in seconds.
 const LASTS_S: u64 = 15;
 
 struct Args {
@@ -41,7 +41,7 @@
     }
 }
 
-/// Runs it and prints its table.
+/// Runs the demo; the exit code is a failure if a request was lost or ran twice.
 pub fn run(args: Arguments) -> Done {
     let args = Args::parse(args)?;
     cmd::block_on(4, async move {
--- a/standin/src/cmd/engine.rs
+++ b/standin/src/cmd/engine.rs
@@ -1,4 +1,4 @@
-//! `standin engine`.
+//! The `engine` subcommand.
 
 use std::error::Error;
 use std::process::ExitCode;
@@ -11,7 +11,7 @@
 use crate::engine::EngineOptions;
 use crate::machine::Machine;
 
-/// What it takes.
+/// Usage text.
 pub const USAGE: &str = "\
 standin engine [--listen ADDR] [--memory-tokens N] [--slots N] [--queue-max N]
                [--prefill-speed TOKENS_A_SECOND] [--prefill-chunk TOKENS]
@@ -40,7 +40,7 @@
     }
 }
 
-/// Runs it until it dies.
+/// Runs the engine until its process exits or a fault stops it.
 pub fn run(args: Arguments) -> Done {
     let args = Args::parse(args)?;
     cmd::block_on(cmd::THREADS, async move {
--- a/standin/src/cmd/load.rs
+++ b/standin/src/cmd/load.rs
@@ -1,4 +1,4 @@
-//! `standin load`.
+//! The `load` subcommand.
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -13,7 +13,7 @@
 use crate::load;
 use crate::load::LoadOptions;
 
-/// What it takes.
+/// Usage text.
 pub const USAGE: &str = "\
 standin load --scenario NAME [--policy P] [--objective O] [--seed N] [--json FILE]
              [--report FILE.html] [--keep]
@@ -58,7 +58,7 @@
     serde_json::from_value(Value::from(name)).map_err(|_| format!("--policy: `{name}` is unknown"))
 }
 
-/// Plays a scenario and prints its figures.
+/// Runs a scenario, prints its figures and writes the requested files.
 pub fn run(args: Arguments) -> Done {
     let args = Args::parse(args)?;
     cmd::block_on(4, async move {
--- a/standin/src/cmd/mod.rs
+++ b/standin/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands, one a file, each with its usage text, its arguments and one `run`.
+//! The subcommands. Each module holds the usage text, the arguments and `run` of one.
 
 pub mod daemon;
 pub mod demo;
@@ -12,10 +12,10 @@
 
 use pico_args::Arguments;
 
-/// What a subcommand returns.
+/// Result of a subcommand.
 pub type Done = Result<ExitCode, Box<dyn Error>>;
 
-/// Threads of a fake: it mostly waits.
+/// Worker threads of a fake. Two are enough, since a fake mostly waits.
 const THREADS: usize = 2;
 
 /// Runs a subcommand on a runtime of its own.
@@ -27,7 +27,7 @@
     runtime.block_on(work)
 }
 
-/// Fails when arguments are left that no option took.
+/// Returns an error if arguments are left that no option has consumed.
 fn finish(args: Arguments) -> Result<(), Box<dyn Error>> {
     match args.finish().as_slice() {
         [] => Ok(()),
--- a/standin/src/cmd/platform.rs
+++ b/standin/src/cmd/platform.rs
@@ -1,4 +1,4 @@
-//! `standin platform`.
+//! The `platform` subcommand.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use crate::cmd::Done;
 use crate::platform::PlatformFake;
 
-/// What it takes.
+/// Usage text.
 pub const USAGE: &str = "\
 standin platform [--listen ADDR]
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Runs it until it is killed.
+/// Runs the platform until its process is killed.
 pub fn run(args: Arguments) -> Done {
     let args = Args::parse(args)?;
     cmd::block_on(cmd::THREADS, async move {
--- a/standin/src/cmd/service.rs
+++ b/standin/src/cmd/service.rs
@@ -1,4 +1,4 @@
-//! `standin service`.
+//! The `service` subcommand.
 
 use std::error::Error;
 use std::process::ExitCode;
@@ -11,7 +11,7 @@
 use crate::service::Service;
 use crate::service::ServiceOptions;
 
-/// What it takes.
+/// Usage text.
 pub const USAGE: &str = "\
 standin service [--listen ADDR] [--latency-ms N] [--slots N] [--record FILE]
                 [--machine NAME --domain D --target T --platform ADDR]
@@ -35,7 +35,7 @@
     }
 }
 
-/// Runs it until it is killed.
+/// Runs the service until its process is killed.
 pub fn run(args: Arguments) -> Done {
     let args = Args::parse(args)?;
     cmd::block_on(cmd::THREADS, async move {
--- a/standin/src/demo/asks.rs
+++ b/standin/src/demo/asks.rs
@@ -1,4 +1,4 @@
-//! The requests of the demo.
+//! Generator of the demo's requests.
 
 use std::time::Duration;
 
@@ -9,23 +9,23 @@
 use crate::caller::Ask;
 use crate::caller::Target;
 
-/// The counts below are for a run of this length.
+/// Duration in seconds for which the counts of `BATCHES` are given.
 const USUAL_S: u64 = 15;
 const CUSTOMERS: [&str; 4] = ["film-studio", "ad-agency", "karaoke-app", "radio"];
 
-/// So many requests of a kind, with prompts of these lengths.
+/// A number of requests of one kind. `prompt_tokens` are the bounds of the prompt lengths.
 struct Batch {
     count: u64,
     prompt_tokens: (u64, u64),
     max_tokens: u64,
     limit_ms: u64,
     target: Target,
-    /// Of each so many one must not run twice; 0 for none.
+    /// Every n-th request must not run twice; 0 for none.
     once_one_in: u64,
 }
 
-/// Clause lookups, histories, archives, one archive larger than an engine's memory, and grants,
-/// which must not run twice.
+/// Clause lookups, histories, archives, one archive larger than the memory of an engine, and
+/// grants, which must not run twice.
 const BATCHES: [Batch; 6] = [
     Batch {
         count: 300,
@@ -77,7 +77,7 @@
     },
 ];
 
-/// All requests, each with a key.
+/// Generates all requests, each with an idempotency key.
 pub(crate) fn asks(seed: u64, lasts: Duration) -> Vec<Ask> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut asks = Vec::new();
--- a/standin/src/demo/carry.rs
+++ b/standin/src/demo/carry.rs
@@ -1,4 +1,4 @@
-//! A caller that sends its request through other hosts until it knows what became of it.
+//! A caller that sends its request to one host after the other until the outcome is known.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,25 +14,28 @@
 use crate::engine::wall_ms;
 
 const SENDINGS_MAX: u32 = 12;
-/// Longer than anything that a sending set off is under way, so that runs can be told apart by time.
+/// Pause before the request is sent again. The pause is longer than any work started by the
+/// previous send takes to reach an engine or service, so that the runs of two sends can be told
+/// apart by their times.
 const NEXT_HOST_PAUSE: Duration = Duration::from_millis(50);
 
-/// A request with all that its caller was told.
+/// A request with everything that its caller was told.
 #[derive(Clone, Debug)]
 pub(crate) struct Carried {
     pub(crate) ask: Ask,
     pub(crate) body_hash: ContentHash,
-    /// The last sending's outcome, or that of an earlier one that may have run.
+    /// The outcome of the last send, or of an earlier one that may have run.
     pub(crate) verdict: Verdict,
     pub(crate) first_token: Option<Duration>,
     pub(crate) total: Duration,
     pub(crate) sendings: u32,
-    /// Times of day, in milliseconds, of sendings that were told `not run`: begin and end.
+    /// Begin and end, in milliseconds since the Unix epoch, of the sends whose outcome was `not
+    /// run`.
     pub(crate) told_not_run_ms: Vec<(u64, u64)>,
 }
 
-/// Sends a request when it is due. Where an answer is cut off, the request goes to the next host
-/// with the same key; where it is turned away, it is sent again after the time that was named.
+/// Sends a request when it is due. If the answer is cut off, the request goes to the next host with
+/// the same key; if it is refused, it goes to the next host after the time named in the refusal.
 pub(crate) async fn carry(ask: Ask, hosts: Arc<[SocketAddr]>, start: Instant) -> Carried {
     let since = start + ask.at;
     tokio::time::sleep_until(since.into()).await;
@@ -91,8 +94,8 @@
     }
 }
 
-/// What a caller knows in the end. "Not run" of a later sending says nothing of an earlier one that
-/// was cut off.
+/// Returns the outcome over all sends. `NotRun` from a later send says nothing about an earlier one
+/// that was cut off.
 fn in_all(last: Verdict, cut: Option<Verdict>) -> Verdict {
     match (last, cut) {
         (Verdict::NotRun { .. }, Some(_)) => {
--- a/standin/src/demo/mod.rs
+++ b/standin/src/demo/mod.rs
@@ -1,4 +1,5 @@
-//! The whole path as separate processes, with an engine and an entry host killed on the way.
+//! A demo of the whole path as separate processes; an engine and an entry host are killed during
+//! the run.
 
 mod asks;
 mod carry;
@@ -27,18 +28,18 @@
 const ENGINES: usize = 4;
 const SERVICES: usize = 2;
 const HOSTS: usize = 3;
-/// An engine dies after this part of the run, and an entry host after that one.
+/// Fractions of the duration after which an engine and an entry host are killed.
 const ENGINE_DIES_AT: f64 = 0.33;
 const HOST_DIES_AT: f64 = 0.6;
 
-/// How the demo is run.
+/// Options of the demo.
 #[derive(Clone, Debug)]
 pub struct DemoOptions {
     /// The seed of the requests.
     pub seed: u64,
-    /// For how long requests arrive; their number grows with it.
+    /// How long requests arrive; their number is proportional to it.
     pub lasts: Duration,
-    /// Whether the logs stay in place.
+    /// Whether the logs are kept after the run.
     pub keep: bool,
 }
 
--- a/standin/src/demo/tally.rs
+++ b/standin/src/demo/tally.rs
@@ -1,4 +1,4 @@
-//! What callers saw against what ran.
+//! Comparison of what callers were told with what ran.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -19,11 +19,11 @@
 pub struct Tally {
     rows: Vec<Row>,
     in_all: Row,
-    /// Requests whose caller was told nothing, or something untrue.
+    /// The number of requests whose caller was told no outcome or a wrong one.
     pub lost: u64,
-    /// Requests that must not run twice and did.
+    /// The number of requests that must not run twice and did.
     pub doubled: u64,
-    /// What callers were told where no answer came, with counts.
+    /// Reasons given to callers that got no answer, with counts.
     reasons: IndexMap<String, u64>,
     faults: Vec<String>,
 }
@@ -41,7 +41,7 @@
 }
 
 impl Tally {
-    /// Compares what callers saw with the records of engines and services.
+    /// Compares what callers were told with the records of engines and services.
     pub(crate) fn new(carried: &[Carried], runs: &[RunRecord]) -> Self {
         let mut ran_ms: IndexMap<ContentHash, Vec<u64>> = IndexMap::new();
         for run in runs {
@@ -71,12 +71,12 @@
         tally
     }
 
-    /// Whether nothing was lost or doubled.
+    /// Returns whether no request was lost or ran twice against its caller's wish.
     pub fn is_clean(&self) -> bool {
         self.lost == 0 && self.doubled == 0
     }
 
-    /// The table, with the sums in the last line.
+    /// Returns the table, with the totals in the last line.
     pub fn to_text(&self) -> String {
         let mut out = format!(
             "{:<8}{:>6}{:>11}{:>9}{:>14}{:>12}{:>10}{:>10}{:>11}\n",
--- a/standin/src/engine/api.rs
+++ b/standin/src/engine/api.rs
@@ -1,4 +1,4 @@
-//! An engine's calls, as docs/PROTOCOLS.md gives them.
+//! HTTP handler of an engine's API, as docs/PROTOCOLS.md describes it.
 
 use std::io;
 use std::sync::Arc;
@@ -37,7 +37,7 @@
 use crate::http::Handler;
 use crate::http::Reply;
 
-/// The calls of one engine.
+/// HTTP handler of one engine.
 #[derive(Debug)]
 pub(crate) struct Api {
     pub(crate) shared: Arc<Shared>,
@@ -83,7 +83,7 @@
         Ok(reply)
     }
 
-    /// Calls that work whatever the faults are.
+    /// Handles the endpoints of tests and checkers, which work whatever the faults are.
     fn for_checkers(&self, method: &Method, path: &str, body: &[u8]) -> Option<Response<Body>> {
         match (method.as_str(), path) {
             ("GET", "/record") => {
@@ -309,7 +309,7 @@
     }
 }
 
-/// The answer in one piece, as the API that the model's callers know has it.
+/// Waits for the end of an attempt and returns its whole answer as one JSON response.
 async fn whole(mut source: Source, is_chat: bool) -> Reply {
     let ended = source
         .progress
--- a/standin/src/engine/attempt.rs
+++ b/standin/src/engine/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt inside an engine.
+//! An attempt of a request on an engine.
 
 use std::time::Instant;
 
@@ -8,7 +8,7 @@
 use crate::engine::RunEnd;
 use crate::engine::cache::Segment;
 
-/// An attempt as it is offered.
+/// The parameters of an attempt, from its request.
 #[derive(Clone, Debug)]
 pub(crate) struct Offer {
     pub(crate) id: String,
@@ -20,13 +20,13 @@
     pub(crate) prompt_tokens: u64,
     pub(crate) max_tokens: u64,
     pub(crate) segments: Vec<Segment>,
-    /// How many engines hold the prompt together.
+    /// The number of engines that hold the prompt together.
     pub(crate) gang_len: u64,
     pub(crate) deadline: Option<Instant>,
     pub(crate) crashes: bool,
 }
 
-/// How far an attempt has come, as its readers see it.
+/// Progress of an attempt, as readers of its answer see it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Progress {
     pub(crate) output_tokens: u64,
@@ -34,16 +34,16 @@
     pub(crate) end: Option<RunEnd>,
 }
 
-/// What an attempt is doing.
+/// Phase of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// It waits for memory or a slot.
+    /// The attempt waits for memory or a slot.
     Waiting,
-    /// So many prompt tokens still have to be read in.
+    /// This many prompt tokens are still to be prefilled.
     Prefill(u64),
-    /// Each step makes a token.
+    /// Each step generates one token.
     Decode,
-    /// It ended then.
+    /// The attempt ended at this instant.
     Ended(Instant),
 }
 
@@ -51,7 +51,7 @@
 pub(crate) struct Attempt {
     pub(crate) offer: Offer,
     pub(crate) phase: Phase,
-    /// The length of the answer, where nothing ends it before.
+    /// The length of the answer in tokens, unless the attempt ends early.
     pub(crate) answer_tokens: u64,
     pub(crate) held_tokens: u64,
     pub(crate) prefilled_tokens: u64,
@@ -71,12 +71,13 @@
         }
     }
 
-    /// The memory it needs here: its share of the prompt and of the longest answer.
+    /// Returns the memory that the attempt needs on this engine, in tokens: its share of the prompt
+    /// and of the longest answer.
     pub(crate) fn need_tokens(&self) -> u64 {
         (self.offer.prompt_tokens + self.offer.max_tokens).div_ceil(self.offer.gang_len)
     }
 
-    /// The prompt tokens that this engine reads in, which the engines of a gang share.
+    /// Returns the prompt tokens to prefill on this engine; the engines of a gang share the work.
     pub(crate) fn prefill_tokens(&self, cached_tokens: u64) -> u64 {
         let left = self.offer.prompt_tokens.saturating_sub(cached_tokens);
         left.div_ceil(self.offer.gang_len).max(1)
@@ -86,7 +87,7 @@
         matches!(self.phase, Phase::Ended(_))
     }
 
-    /// The tokens still to be read in.
+    /// Returns the prompt tokens that are still to be prefilled.
     pub(crate) fn backlog_tokens(&self) -> u64 {
         match self.phase {
             Phase::Waiting => self.prefill_tokens(0),
--- a/standin/src/engine/batch.rs
+++ b/standin/src/engine/batch.rs
@@ -1,5 +1,5 @@
-//! Continuous batching: which attempts run in a step, how long it takes, and what it makes. Time is
-//! passed in.
+//! Continuous batching: decides which attempts run in a step, how long the step takes and what it
+//! produces. The current time is always passed in.
 
 use std::io;
 use std::time::Duration;
@@ -20,28 +20,28 @@
 use crate::engine::cache::PrefixCache;
 use crate::engine::record::wall_ms;
 
-/// Why an attempt is not taken in.
+/// Why an attempt is not accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Refusal {
-    /// An attempt of this id was taken in before.
+    /// An attempt with this id was accepted before.
     Duplicate,
-    /// It does not fit, now or ever, or the queue is full.
+    /// The attempt is larger than the memory, or the queue is full; holds the reason.
     NoRoom(&'static str),
 }
 
-/// What one step does.
+/// The work of one step.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct Step {
     pub(crate) takes: Duration,
-    /// Attempts that read in so many prompt tokens.
+    /// Attempts to prefill, each with the number of prompt tokens.
     prefill: Vec<(String, u64)>,
-    /// Attempts that make a token.
+    /// Attempts that generate one token.
     decode: Vec<String>,
-    /// It reads in a prompt that kills the engine.
+    /// Whether the step prefills a prompt that crashes the engine.
     pub(crate) crashes: bool,
 }
 
-/// Memory that is held for a gang's leader.
+/// Memory that is reserved for the leader of a gang.
 #[derive(Debug)]
 pub(crate) struct Hold {
     pub(crate) host: String,
@@ -49,7 +49,7 @@
     pub(crate) until: Instant,
 }
 
-/// All attempts of an engine with its memory.
+/// All attempts of an engine, with the state of its memory.
 #[derive(Debug)]
 pub(crate) struct Batch {
     options: EngineOptions,
@@ -75,7 +75,7 @@
         })
     }
 
-    /// Takes in an attempt, to wait or to run.
+    /// Accepts an attempt, which waits in the queue until the next step.
     pub(crate) fn offer(&mut self, offer: Offer) -> Result<(), Refusal> {
         if self.log.knows(&offer.id) {
             return Err(Refusal::Duplicate);
@@ -94,7 +94,8 @@
         Ok(())
     }
 
-    /// Holds memory for a gang, or holds it anew; false when there is no room.
+    /// Reserves memory for a gang, or renews its reservation; returns false when there is not
+    /// enough.
     pub(crate) fn hold(&mut self, id: &str, hold: Hold) -> bool {
         let known = self.holds.get(id).map_or(0, |held| held.tokens);
         if hold.tokens > self.free_tokens() + known {
@@ -105,8 +106,8 @@
         true
     }
 
-    /// Ends an attempt and gives back its memory, also what a leak kept; false when there is no
-    /// such attempt.
+    /// Cancels an attempt and frees its memory, including memory kept by a leak; returns false when
+    /// there is no such attempt.
     pub(crate) fn cancel(&mut self, id: &str, now: Instant) -> bool {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return false;
@@ -125,7 +126,7 @@
         self.end(id, RunEnd::Failed, now);
     }
 
-    /// What the next step does; none when there is nothing to do.
+    /// Returns the work of the next step, or `None` when there is nothing to do.
     pub(crate) fn plan(&mut self, now: Instant) -> Option<Step> {
         self.expire(now);
         self.admit();
@@ -148,7 +149,7 @@
         (!is_empty).then_some(step)
     }
 
-    /// Takes in what a step has made.
+    /// Applies the results of a step.
     pub(crate) fn apply(&mut self, step: &Step, now: Instant) {
         for (id, chunk) in &step.prefill {
             self.read_in(id, *chunk, now);
@@ -158,14 +159,15 @@
         }
     }
 
-    /// Memory that neither attempts nor holds have. What the cache holds counts as free.
+    /// Returns the memory, in tokens, that neither attempts nor reservations use. Memory of the
+    /// cache counts as free.
     pub(crate) fn free_tokens(&self) -> u64 {
         let attempts: u64 = self.attempts.values().map(|a| a.held_tokens).sum();
         let holds: u64 = self.holds.values().map(|hold| hold.tokens).sum();
         self.options.memory_tokens.saturating_sub(attempts + holds)
     }
 
-    /// The load as it is now; what is shown of it is older, and perhaps wrong.
+    /// Returns the current load, altered by the faults. Callers of the API see an older one.
     pub(crate) fn load(&self) -> LoadReport {
         let count = |keep: fn(&Attempt) -> bool| self.attempts.values().filter(|a| keep(a)).count();
         let waiting = count(|a| a.phase == Phase::Waiting);
@@ -201,7 +203,7 @@
         }
     }
 
-    /// Lets waiting attempts run, in order, until one does not fit.
+    /// Starts waiting attempts in order until one of them does not fit.
     fn admit(&mut self) {
         for id in self.in_order(|phase| phase == Phase::Waiting) {
             let need = self.attempts[&id].need_tokens();
@@ -258,7 +260,8 @@
         self.end(id, RunEnd::Completed, now);
     }
 
-    /// Ends an attempt. A leak keeps its memory, which the list of attempts then still shows.
+    /// Ends an attempt. With the leak fault it may keep its memory, which the list of attempts then
+    /// still shows.
     fn end(&mut self, id: &str, end: RunEnd, now: Instant) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
@@ -283,7 +286,7 @@
         takes.mul_f64(self.faults.slow_factor.max(0.01))
     }
 
-    /// Attempts in some phase, by priority, then by arrival.
+    /// Returns the ids of attempts in the given phases, by priority, then by arrival.
     fn in_order(&self, keep: impl Fn(Phase) -> bool) -> Vec<String> {
         let kept = self.attempts.values().filter(|a| keep(a.phase));
         let mut ids: Vec<(u8, String)> = kept
@@ -293,7 +296,7 @@
         ids.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Free memory, counting what is held for this very attempt as free.
+    /// Returns the free memory in tokens, counting the memory reserved for this attempt as free.
     fn free_tokens_for(&self, id: &str) -> u64 {
         self.free_tokens() + self.holds.get(id).map_or(0, |hold| hold.tokens)
     }
--- a/standin/src/engine/cache.rs
+++ b/standin/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache: segments of prompts in the memory that no attempt needs.
+//! Prefix cache: segments of prompts, kept in memory that no attempt uses.
 
 use banyanarch::units::ContentHash;
 use banyanarch::units::Tokens;
@@ -8,31 +8,31 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One segment: the tokens between the prefix that it follows and its own end.
+/// A segment: the tokens between the end of the parent prefix and the end of its own.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 pub(crate) struct Segment {
     pub(crate) prefix: ContentHash,
-    /// The prefix that it follows; none for the first one.
+    /// The prefix that the segment follows; `None` for the first segment.
     pub(crate) parent: Option<ContentHash>,
-    /// Its own length.
+    /// The length of the segment in tokens.
     pub(crate) tokens: u64,
-    /// The length of the prefix up to its end.
+    /// The length in tokens of the prefix that the segment completes.
     pub(crate) end_tokens: u64,
 }
 
-/// Segments, the longest unused first.
+/// Cached segments in order of use, the least recently used first.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixCache {
     segments: IndexMap<ContentHash, Segment>,
     held_tokens: u64,
     seq: u64,
-    /// Events that nobody has collected yet.
+    /// Events that have not been collected yet.
     events: Vec<CacheEvent>,
 }
 
 impl PrefixCache {
-    /// How many tokens of a prompt are cached, and marks them as used.
+    /// Returns how many tokens of a prompt are cached, and marks their segments as used.
     pub(crate) fn hit(&mut self, prefixes: &[Segment]) -> u64 {
         let chain = prefixes
             .iter()
@@ -59,7 +59,7 @@
         self.shrink_to(room_tokens);
     }
 
-    /// Evicts until no more than `room_tokens` are held.
+    /// Evicts segments until at most `room_tokens` are cached.
     pub(crate) fn shrink_to(&mut self, room_tokens: u64) {
         while self.held_tokens > room_tokens {
             let Some((_, segment)) = self.segments.shift_remove_index(0) else {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The segments that make up a prefix, the first one first; none when one is missing.
+    /// Returns the segments that make up a prefix, the first one first; `None` when one is missing.
     pub(crate) fn export(&self, prefix: ContentHash) -> Option<Vec<Segment>> {
         let mut chain = vec![self.segments.get(&prefix)?.clone()];
         while let Some(parent) = chain.last().and_then(|segment| segment.parent) {
@@ -84,7 +84,8 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Moves a chain to the end, its last segment first, so that a chain is evicted from its end.
+    /// Marks a chain as most recently used. Its last segment is the first to be evicted, so that
+    /// what remains of a chain is still a prefix.
     fn touch(&mut self, chain: &[Segment]) {
         for segment in chain.iter().rev() {
             if let Some((prefix, segment)) = self.segments.shift_remove_entry(&segment.prefix) {
--- a/standin/src/engine/faults.rs
+++ b/standin/src/engine/faults.rs
@@ -1,36 +1,37 @@
-//! What can be wrong with an engine.
+//! Faults that can be injected into a fake engine.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Faults of an engine; the default is none.
+/// Faults of a fake engine; the default has none.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// It dies now: the process exits, or the server closes and cuts all connections.
+    /// Crash now: the process exits, or the server closes all its connections.
     pub die: bool,
-    /// It stands still: no step, no answer.
+    /// Run no step and answer no call.
     pub freeze: bool,
-    /// Each step takes so many times as long.
+    /// Factor by which the duration of each step is multiplied.
     pub slow_factor: f64,
-    /// Each answer carries the id and text of another attempt.
+    /// Send the id and text of another attempt in each answer.
     pub cross_answers: bool,
-    /// Each piece of an answer comes so much later.
+    /// Delay of each piece of an answer, in milliseconds.
     pub delay_answers_ms: u64,
-    /// Of each so many answers one is cut off after half of its tokens; the attempt goes on.
+    /// Cut the connection of every n-th answer after half of its tokens; the attempt continues. 0
+    /// for none.
     pub cut_one_in: u64,
-    /// Of each so many answers one ends after half of its tokens, without an end mark.
+    /// End every n-th answer after half of its tokens, without an end mark; 0 for none.
     pub short_one_in: u64,
-    /// Of each so many attempts one fails with a status of 500 before its first token.
+    /// Fail every n-th attempt with status 500 before its first token; 0 for none.
     pub fail_one_in: u64,
-    /// Load reports say that nothing runs and nothing is used.
+    /// Report that nothing runs and no memory is used.
     pub lose_memory_count: bool,
-    /// Of each so many ended attempts one keeps its memory until it is cancelled.
+    /// Keep the memory of every n-th ended attempt until it is cancelled; 0 for none.
     pub leak_one_in: u64,
-    /// Load reports are wrong by this factor.
+    /// Factor by which the counts of load reports are multiplied.
     pub report_factor: f64,
-    /// A prompt with this text in it kills the engine when it is read in.
+    /// Text that crashes the engine when it prefills a prompt that contains it.
     pub crash_marker: Option<String>,
 }
 
--- a/standin/src/engine/mod.rs
+++ b/standin/src/engine/mod.rs
@@ -1,9 +1,9 @@
-//! A model engine that batches continuously: prefill in chunks, a decode step that grows with the
-//! batch, limited memory with a prefix cache in what is left, priorities, resume, cancel, gangs and
-//! orders. docs/PROTOCOLS.md gives the wire form.
+//! Fake model engine with continuous batching: chunked prefill, decode steps that take longer with
+//! a larger batch, limited memory with a prefix cache in the unused part, priorities, resumption,
+//! cancellation, gangs and orders. docs/PROTOCOLS.md describes the wire format.
 //!
-//! Attempts outlive their connection: one that nobody reads goes on until it ends, is cancelled or
-//! its time runs out.
+//! Attempts outlive their connection: an attempt that nobody reads continues until it ends, is
+//! cancelled or reaches its deadline.
 
 mod api;
 mod attempt;
@@ -40,10 +40,12 @@
 use crate::engine::shared::Shared;
 use crate::http::Server;
 
-/// The exit code of an engine that was told to die.
+/// Exit code of an engine process after the `die` fault or a crashing prompt: that of a process
+/// killed by SIGKILL.
 const DIED: i32 = 137;
 
-/// A running engine. Dropping it is its death.
+/// A running fake engine. Dropping it stops the engine and closes all its connections, as a crash
+/// would.
 #[derive(Debug)]
 pub struct Engine {
     server: Arc<Server>,
@@ -52,7 +54,7 @@
 }
 
 impl Engine {
-    /// Starts it on the current runtime.
+    /// Starts the engine on the current runtime.
     pub async fn start(options: EngineOptions) -> io::Result<Self> {
         let listen = options.listen;
         let exits = options.exits;
@@ -69,32 +71,32 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that the engine listens on.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Sets all faults at once.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: EngineFaults) {
         self.shared.set_faults(faults);
     }
 
-    /// Every attempt that ever ran.
+    /// Returns the record of every attempt that was accepted.
     pub fn record(&self) -> Vec<RunRecord> {
         self.shared.batch().log.all()
     }
 
-    /// What it has loaded.
+    /// Returns which model the engine has loaded, and whether it is still loading.
     pub fn state(&self) -> EngineState {
         self.shared.loaded().state(Instant::now())
     }
 
-    /// Memory that no attempt and no hold has.
+    /// Returns the memory, in tokens, that neither attempts nor reservations use.
     pub fn free_tokens(&self) -> u64 {
         self.shared.batch().free_tokens()
     }
 
-    /// Returns when it has died.
+    /// Waits until the engine has stopped.
     pub async fn died(&self) {
         self.server.closed().await;
     }
--- a/standin/src/engine/options.rs
+++ b/standin/src/engine/options.rs
@@ -1,51 +1,52 @@
-//! How a stand-in engine is made.
+//! Configuration of a fake engine.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use banyanarch::upstream::EngineState;
 
-/// What is fixed while an engine runs. Speeds are ten times those of real engines or more, so that
-/// a run that shows something takes seconds.
+/// Options that stay fixed while an engine runs. Default speeds are at least ten times those of
+/// real engines, so that a meaningful run takes seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineOptions {
-    /// Where to listen.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// Memory for keys and values.
+    /// Memory for keys and values, in tokens.
     pub memory_tokens: u64,
-    /// Attempts in one batch.
+    /// Maximum number of attempts in one batch.
     pub slots: usize,
-    /// Attempts that may wait for memory or a slot; more are refused.
+    /// Maximum number of attempts that wait for memory or a slot; more are refused.
     pub queue_max: usize,
-    /// Prompt tokens read in a second when there is only that to do.
+    /// Prefill speed in tokens a second, without decode work beside it.
     pub prefill_tokens_per_second: f64,
-    /// Prompt tokens read in at most in one step.
+    /// Maximum number of prompt tokens prefilled in one step.
     pub prefill_chunk_tokens: u64,
-    /// The time of a step.
+    /// Base duration of a step, in microseconds.
     pub step_base_us: u64,
-    /// What each attempt that decodes adds to a step.
+    /// Duration that each decoding attempt adds to a step, in microseconds.
     pub step_per_attempt_us: u64,
-    /// The longest answer of a request that names none.
+    /// Length limit of an answer, in tokens, for a request that sets none.
     pub output_tokens_default: u64,
-    /// How long ended answers are kept.
+    /// How long ended attempts are kept for readers, in milliseconds.
     pub keep_ended_ms: u64,
-    /// How old a load report is.
+    /// Age of load reports, in milliseconds.
     pub report_lag_ms: u64,
-    /// How late cache events are.
+    /// Delay of cache events, in milliseconds.
     pub cache_event_lag_ms: u64,
-    /// Of each so many cache events one is missing; 0 for none.
+    /// Drop every n-th cache event; 0 for none.
     pub cache_event_gap_one_in: u64,
-    /// Whether an order with an old fencing number is refused.
+    /// Whether an order with an outdated fencing number is refused.
     pub checks_fencing: bool,
-    /// How long a load takes.
+    /// How long it takes to load a model, in milliseconds.
     pub load_ms: u64,
-    /// Tokens exported or imported a second.
+    /// Speed at which cached prefixes are exported and imported, in tokens a second.
     pub kv_tokens_per_second: f64,
-    /// What is loaded at the start.
+    /// The state of the engine at its start.
     pub state: EngineState,
-    /// Where starts and ends are written as lines of JSON, so that they outlive a crash.
+    /// File to which starts and ends of attempts are appended as lines of JSON, so that the record
+    /// outlives a crash.
     pub record_file: Option<PathBuf>,
-    /// Whether a death ends the process. In a test it only closes the server.
+    /// Whether a crash exits the process. Engines inside a test process only close their server.
     pub exits: bool,
 }
 
@@ -82,7 +83,7 @@
 }
 
 impl EngineOptions {
-    /// Reads the options that the usage text names.
+    /// Reads the options that the usage text lists.
     pub fn from_args(args: &mut pico_args::Arguments) -> Result<Self, pico_args::Error> {
         let mut options = Self {
             exits: true,
--- a/standin/src/engine/orders.rs
+++ b/standin/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! What an engine has loaded, and the orders that change it.
+//! The loaded state of an engine, and the orders that change it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,7 +7,7 @@
 use banyanarch::upstream::EngineState;
 use banyanarch::upstream::Order;
 
-/// The loaded state with the load that is going on.
+/// The loaded state of an engine, with a load in progress.
 #[derive(Debug)]
 pub(crate) struct Loaded {
     state: EngineState,
@@ -15,7 +15,7 @@
     fencing_max: FencingNumber,
     checks_fencing: bool,
     load_takes: Duration,
-    /// Orders that were obeyed, in order, for checkers.
+    /// Orders that were applied, in order, for checkers.
     pub(crate) obeyed: Vec<Order>,
 }
 
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Obeys an order; false when its fencing number is old and the engine checks it.
+    /// Applies an order; returns false when its fencing number is outdated and the engine checks
+    /// fencing numbers.
     pub(crate) fn order(&mut self, order: Order, now: Instant) -> bool {
         if self.checks_fencing && order.fencing < self.fencing_max {
             return false;
@@ -52,7 +53,7 @@
         true
     }
 
-    /// The state, with `loading` while a load goes on.
+    /// Returns the state; `loading` is set while a load is in progress.
     pub(crate) fn state(&self, now: Instant) -> EngineState {
         EngineState {
             loading: self.loading_until.is_some_and(|until| now < until),
--- a/standin/src/engine/prompt.rs
+++ b/standin/src/engine/prompt.rs
@@ -1,4 +1,4 @@
-//! What an engine reads out of a request's body.
+//! Parsing of a request body by an engine.
 
 use banyanarch::units::ContentHash;
 use serde::Deserialize;
@@ -6,11 +6,11 @@
 
 use crate::engine::cache::Segment;
 
-/// Lengths in bytes at which prefixes are hashed, as docs/PROTOCOLS.md gives them.
+/// Prefix lengths in bytes at which prompts are hashed, as docs/PROTOCOLS.md gives them.
 const PREFIX_LENS_BYTES: [usize; 4] = [4_096, 16_384, 65_536, 262_144];
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// A request's body, as far as an engine cares.
+/// The fields of a request body that an engine uses.
 #[derive(Clone, Debug)]
 pub(crate) struct Prompt {
     pub(crate) text: String,
@@ -58,7 +58,7 @@
         (self.text.len() as u64).div_ceil(BYTES_PER_TOKEN)
     }
 
-    /// The segments of the prompt that a cache can hold.
+    /// Returns the segments of the prompt that the prefix cache can hold.
     pub(crate) fn segments(&self) -> Vec<Segment> {
         let mut segments: Vec<Segment> = Vec::new();
         let bytes = self.text.as_bytes();
@@ -79,7 +79,8 @@
     }
 }
 
-/// The text of a prompt or a message: a string, or a list of strings or of parts with a text.
+/// Returns the text of a prompt or message: a string, or a list of strings or of parts with a
+/// `text` field.
 fn text_of(content: &Value) -> String {
     match content {
         Value::String(text) => text.clone(),
--- a/standin/src/engine/record.rs
+++ b/standin/src/engine/record.rs
@@ -1,4 +1,4 @@
-//! What an engine or a service ran, for checkers.
+//! Records of what an engine or service ran, for checkers.
 
 use std::fs::File;
 use std::fs::OpenOptions;
@@ -13,29 +13,30 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One attempt that ran, or runs.
+/// The record of one attempt.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct RunRecord {
-    /// The attempt's id as it was given.
+    /// The id of the attempt, as the host gave it.
     pub attempt: String,
-    /// The host that dispatched it.
+    /// The host that dispatched the attempt.
     pub host: String,
     /// The hash of the whole request body.
     pub request_hash: ContentHash,
-    /// The caller's idempotency key, where it was passed on.
+    /// The idempotency key of the caller, if the host passed it on.
     pub key: Option<String>,
     /// The path of the call.
     pub path: String,
-    /// When it was taken in, in milliseconds of the time of day.
+    /// When the attempt was accepted, in milliseconds since the Unix epoch.
     pub taken_ms: u64,
-    /// When it ended; none while it runs or when it died with its process.
+    /// When the attempt ended, in milliseconds since the Unix epoch; `None` while it runs, or if
+    /// its process died first.
     pub ended_ms: Option<u64>,
-    /// How it ended.
+    /// How the attempt ended.
     pub end: Option<RunEnd>,
-    /// Prompt tokens that were read in so far, without cached ones.
+    /// Prompt tokens that were prefilled so far, without cached ones.
     pub prefilled_tokens: u64,
-    /// Tokens of the answer so far.
+    /// Tokens of the answer that were generated so far.
     pub output_tokens: u64,
 }
 
@@ -44,17 +45,17 @@
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunEnd {
-    /// The whole answer was made.
+    /// The whole answer was generated.
     Completed,
-    /// It was cancelled.
+    /// The attempt was cancelled.
     Cancelled,
-    /// Its time ran out.
+    /// The deadline passed.
     TimedOut,
-    /// It failed.
+    /// The attempt failed.
     Failed,
 }
 
-/// All attempts of one engine or service, in memory and perhaps in a file.
+/// The records of one engine or service, in memory and optionally in a file.
 #[derive(Debug, Default)]
 pub struct RunLog {
     runs: IndexMap<String, RunRecord>,
@@ -62,7 +63,7 @@
 }
 
 impl RunLog {
-    /// An empty one; lines are appended to `path` if there is one.
+    /// Creates an empty log; records are appended to the file at `path`, if there is one.
     pub fn new(path: Option<&Path>) -> io::Result<Self> {
         let open = |path| OpenOptions::new().create(true).append(true).open(path);
         Ok(Self {
@@ -71,13 +72,14 @@
         })
     }
 
-    /// Notes a start. It is in the file before this returns, so that a crash can't hide a run.
+    /// Records a start. The record is written to the file before this function returns, so that a
+    /// crash can't hide a run.
     pub fn start(&mut self, run: RunRecord) {
         self.append(&run);
         self.runs.insert(run.attempt.clone(), run);
     }
 
-    /// Notes progress; the file hears of it at the end.
+    /// Records progress in memory; the file gets the counts with the end of the attempt.
     pub fn progress(&mut self, attempt: &str, prefilled_tokens: u64, output_tokens: u64) {
         if let Some(run) = self.runs.get_mut(attempt) {
             run.prefilled_tokens = prefilled_tokens;
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Notes an end.
+    /// Records an end.
     pub fn end(&mut self, attempt: &str, end: RunEnd) {
         let Some(run) = self.runs.get_mut(attempt) else {
             return;
@@ -96,22 +98,22 @@
         self.append(&run);
     }
 
-    /// All runs so far.
+    /// Returns all records.
     pub fn all(&self) -> Vec<RunRecord> {
         self.runs.values().cloned().collect()
     }
 
-    /// How many runs there are.
+    /// Returns the number of records.
     pub fn len(&self) -> u64 {
         self.runs.len() as u64
     }
 
-    /// Whether nothing ran.
+    /// Returns whether the log has no record.
     pub fn is_empty(&self) -> bool {
         self.runs.is_empty()
     }
 
-    /// Whether an attempt of this id ever ran.
+    /// Returns whether an attempt with this id was ever recorded.
     pub fn knows(&self, attempt: &str) -> bool {
         self.runs.contains_key(attempt)
     }
@@ -124,8 +126,8 @@
     }
 }
 
-/// Reads the file of a log. Later lines of an attempt replace earlier ones; a last line that was
-/// cut off by a crash is left out.
+/// Reads the file of a log. Later lines of an attempt replace earlier ones; lines that can't be
+/// parsed, such as a last line truncated by a crash, are skipped.
 pub fn read_runs(path: &Path) -> io::Result<Vec<RunRecord>> {
     let text = std::fs::read_to_string(path)?;
     let parsed = text
@@ -137,7 +139,7 @@
     Ok(by_attempt.into_values().collect())
 }
 
-/// The time of day in milliseconds.
+/// Returns the time since the Unix epoch, in milliseconds.
 pub fn wall_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| {
--- a/standin/src/engine/reports.rs
+++ b/standin/src/engine/reports.rs
@@ -1,4 +1,4 @@
-//! What an engine says of itself, late and with gaps.
+//! Load reports and cache events of an engine, delivered late and with gaps.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 const LOADS_MAX: usize = 1_000;
 const EVENTS_MAX: usize = 4_000;
 
-/// Load reports and cache events with the instants they are of.
+/// Load reports and cache events with the instants at which they were made.
 #[derive(Debug)]
 pub(crate) struct Reports {
     load_lag: Duration,
@@ -49,7 +49,8 @@
         }
     }
 
-    /// The newest load that is as old as the lag; none when the engine is younger than that.
+    /// Returns the newest load that is at least as old as the lag; `None` when the engine started
+    /// later than that.
     pub(crate) fn load(&self, now: Instant) -> Option<LoadReport> {
         let seen = self.loads.iter().rev();
         let mut old = seen.filter(|(at, _)| now >= *at + self.load_lag);
--- a/standin/src/engine/shared.rs
+++ b/standin/src/engine/shared.rs
@@ -1,4 +1,4 @@
-//! An engine's state, shared by its steps and its calls.
+//! State of an engine, shared by its step loop and its API.
 
 use std::io;
 use std::sync::Mutex;
@@ -19,9 +19,10 @@
 use crate::engine::reports::Reports;
 use crate::engine::stream::Source;
 
-/// How often the state is looked at when nothing happens.
+/// Interval at which the state is checked when there is no work.
 const IDLE_PAUSE: Duration = Duration::from_millis(20);
-/// A step that is later than this starts the schedule anew instead of catching up.
+/// Lateness of a step beyond which the schedule restarts at the current time instead of catching
+/// up.
 const LATE_MAX: Duration = Duration::from_millis(50);
 
 #[derive(Debug)]
@@ -31,7 +32,7 @@
     reports: Mutex<Reports>,
     loaded: Mutex<Loaded>,
     faults: watch::Sender<EngineFaults>,
-    /// Rings when there is new work.
+    /// Notified when there is new work.
     pub(crate) work: Notify,
 }
 
@@ -78,19 +79,19 @@
         self.faults.send_replace(faults);
     }
 
-    /// Returns when the engine does not stand still.
+    /// Waits until the engine is not frozen.
     pub(crate) async fn wait_until_thawed(&self) {
         let mut faults = self.faults.subscribe();
         let _ = faults.wait_for(|faults| !faults.freeze).await;
     }
 
-    /// Returns when the engine was told to die.
+    /// Waits for the `die` fault.
     pub(crate) async fn told_to_die(&self) {
         let mut faults = self.faults.subscribe();
         let _ = faults.wait_for(|faults| faults.die).await;
     }
 
-    /// Runs steps until a prompt kills the engine.
+    /// Runs steps until a prompt crashes the engine.
     pub(crate) async fn run_steps(&self) {
         let mut next = Instant::now();
         loop {
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Takes down the load and the cache's events.
+    /// Records the current load and the new cache events for later reports.
     pub(crate) fn note(&self, now: Instant) {
         let (load, events) = {
             let mut batch = self.batch();
@@ -126,12 +127,12 @@
         reports.add_events(events, now);
     }
 
-    /// What a reader of this attempt needs.
+    /// Returns what a reader of this attempt needs; `None` when there is no such attempt.
     pub(crate) fn source(&self, id: &str) -> Option<Source> {
         self.batch().attempts.get(id).map(source_of)
     }
 
-    /// The id and the text of some other attempt, or of one that never was.
+    /// Returns the id and body hash of another attempt, or of a made-up one when there is no other.
     pub(crate) fn another(&self, source: &Source) -> (String, ContentHash) {
         let batch = self.batch();
         let mut others = batch.attempts.values();
--- a/standin/src/engine/stream.rs
+++ b/standin/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! An answer as server-sent events.
+//! Streaming of an answer as server-sent events.
 
 use std::collections::VecDeque;
 use std::io;
@@ -46,18 +46,18 @@
     }
 }
 
-/// How an answer breaks off.
+/// How a fault truncates an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Break {
-    /// It does not.
+    /// The answer is not truncated.
     Never,
-    /// After half of its tokens the connection is cut.
+    /// The connection is cut after half of the tokens.
     Cut,
-    /// After half of its tokens it ends as if it were whole, without an end mark.
+    /// The answer ends after half of its tokens as if it were whole, without an end mark.
     Short,
 }
 
-/// The events of an answer from `offset` on.
+/// Returns the events of an answer, from the token at `offset` on.
 pub(crate) fn events(
     shared: Arc<Shared>,
     source: Source,
@@ -88,7 +88,7 @@
     source: Source,
     offset: u64,
     breaks: Break,
-    /// Where it breaks off.
+    /// The number of tokens after which the answer is truncated.
     limit: u64,
     ready: VecDeque<Bytes>,
     is_over: bool,
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Makes events of what is new.
+    /// Queues events for the tokens that are new, and for the end of the answer.
     fn take_in(&mut self, progress: Progress) {
         let until = progress.output_tokens.min(self.limit);
         if until > self.offset {
--- a/standin/src/engine/throughput.rs
+++ b/standin/src/engine/throughput.rs
@@ -1,4 +1,4 @@
-//! How fast an engine is, counted without waiting.
+//! Throughput of an engine, computed in virtual time.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,8 +9,8 @@
 use crate::engine::attempt::Offer;
 use crate::engine::batch::Batch;
 
-/// How long an engine takes for prompts of these lengths, each with its longest answer, when all
-/// are there at the start.
+/// Returns how long an engine takes for prompts of these lengths, each with the longest answer,
+/// when all of them are queued at the start. Sizes are pairs of prompt and answer tokens.
 pub fn throughput(options: &EngineOptions, sizes: &[(u64, u64)], start: Instant) -> Duration {
     let options = EngineOptions {
         queue_max: sizes.len(),
--- a/standin/src/fleet/child.rs
+++ b/standin/src/fleet/child.rs
@@ -1,4 +1,4 @@
-//! A child process: this program again, with another subcommand.
+//! A child process that runs this program with another subcommand.
 
 use std::fs;
 use std::fs::File;
@@ -18,17 +18,17 @@
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL: Duration = Duration::from_millis(10);
 
-/// A running child. Dropping it kills it.
+/// A running child process. Dropping it kills the process.
 #[derive(Debug)]
 pub struct Child {
-    /// Its name, which is also the name of its log.
+    /// The name of the process and of its log file.
     pub name: String,
     process: std::process::Child,
     out_path: std::path::PathBuf,
 }
 
 impl Child {
-    /// Starts it; its output goes to files in `dir`.
+    /// Starts the process; its output goes to files in `dir`.
     pub fn start(dir: &WorkDir, name: &str, args: &[String]) -> Result<Self, FleetError> {
         let out_path = dir.path(&format!("{name}.out"));
         let log = File::create(dir.path(&format!("{name}.log")))?;
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Waits for its line `listening ADDR`.
+    /// Waits until the process prints the line `listening ADDR`, and returns the address.
     pub async fn listening(&self) -> Result<SocketAddr, FleetError> {
         let give_up = Instant::now() + START_TIMEOUT;
         while Instant::now() < give_up {
@@ -60,25 +60,25 @@
         Err(FleetError(format!("{} did not come up", self.name)))
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.process.id()
     }
 
-    /// Ends it at once, as a crash would (SIGKILL).
+    /// Kills the process with SIGKILL, as a crash would, and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
 
-    /// Asks it to end (SIGTERM).
+    /// Asks the process to stop with SIGTERM.
     pub fn terminate(&self) {
         if let Ok(pid) = i32::try_from(self.process.id()) {
             let _ = signal::kill(Pid::from_raw(pid), Signal::SIGTERM);
         }
     }
 
-    /// Whether it has ended.
+    /// Returns whether the process has ended.
     pub fn has_ended(&mut self) -> bool {
         matches!(self.process.try_wait(), Ok(Some(_)))
     }
--- a/standin/src/fleet/dir.rs
+++ b/standin/src/fleet/dir.rs
@@ -1,4 +1,4 @@
-//! A directory for settings, records and logs of one run.
+//! Directory for the settings, records and logs of one run.
 
 use std::fs;
 use std::io;
@@ -7,7 +7,7 @@
 
 const TAIL_LINES: usize = 20;
 
-/// A fresh directory under the machine's temporary one, removed when dropped.
+/// A new directory under the system's temporary directory, removed when dropped.
 #[derive(Debug)]
 pub struct WorkDir {
     path: PathBuf,
@@ -15,7 +15,7 @@
 }
 
 impl WorkDir {
-    /// Makes it.
+    /// Creates the directory.
     pub fn new() -> io::Result<Self> {
         let name = format!(
             "standin-{}-{:08x}",
@@ -27,22 +27,22 @@
         Ok(Self { path, keeps: false })
     }
 
-    /// The path of a file in it.
+    /// Returns the path of a file in the directory.
     pub fn path(&self, name: &str) -> PathBuf {
         self.path.join(name)
     }
 
-    /// The directory itself.
+    /// Returns the path of the directory.
     pub fn root(&self) -> &Path {
         &self.path
     }
 
-    /// Leaves it in place.
+    /// Keeps the directory when `self` is dropped.
     pub fn keep(&mut self) {
         self.keeps = true;
     }
 
-    /// The last lines of a process's log.
+    /// Returns the last lines of the log of a process.
     pub fn tail(&self, name: &str) -> String {
         let text = fs::read_to_string(self.path(&format!("{name}.log"))).unwrap_or_default();
         let lines: Vec<&str> = text.lines().collect();
--- a/standin/src/fleet/host.rs
+++ b/standin/src/fleet/host.rs
@@ -27,19 +27,20 @@
 pub struct Host {
     /// The process.
     pub child: Child,
-    /// Its failure domain.
+    /// The failure domain of the host.
     pub domain: String,
-    /// Where callers reach it.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where other hosts reach it.
+    /// The address for other hosts.
     pub peers: SocketAddr,
-    /// Where its health and metrics are.
+    /// The address for health and metrics.
     pub status: SocketAddr,
 }
 
 impl Host {
-    /// Starts all hosts of a plan and waits until they are ready. Their ports are free when they
-    /// are picked; should another process be quicker to bind one, all are picked anew.
+    /// Starts all hosts of a plan and waits until they are ready. Ports are picked among those that
+    /// are free; if another process binds one of them first, all hosts are started again on new
+    /// ports.
     pub async fn start_all(
         dir: &WorkDir,
         plan: &FleetPlan,
@@ -151,7 +152,7 @@
     done.map_err(|e| FleetError(format!("{name}: {e}")))
 }
 
-/// Addresses that are free now.
+/// Returns loopback addresses with ports that are free at the moment.
 fn free_addrs(count: usize) -> Result<Vec<SocketAddr>, FleetError> {
     let bind = |_| TcpListener::bind(("127.0.0.1", 0));
     let held: Result<Vec<TcpListener>, _> = (0..count).map(bind).collect();
--- a/standin/src/fleet/manifest.rs
+++ b/standin/src/fleet/manifest.rs
@@ -1,4 +1,4 @@
-//! Publishes a manifest to the platform stand-in.
+//! Publishing of a manifest on the fake platform.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 use crate::fleet::FleetError;
 use crate::http::call_json;
 
-/// Publishes `text` as the first generation, by one conditional write.
+/// Publishes `text` as the first generation, in one conditional write.
 pub async fn publish(platform: SocketAddr, text: &str) -> Result<(), FleetError> {
     let object = json!({
         "metadata": {"name": "current"},
--- a/standin/src/fleet/mod.rs
+++ b/standin/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A platform, engines, a service and entry hosts as child processes on loopback.
+//! A fleet of a platform, engines, a plain service and entry hosts as child processes on loopback.
 
 mod child;
 mod dir;
@@ -21,7 +21,7 @@
 use crate::engine::RunRecord;
 use crate::engine::read_runs;
 
-/// Why a fleet did not come up, or a tool could not go on.
+/// Why a fleet could not be started, or a tool could not continue.
 #[derive(Debug)]
 pub struct FleetError(pub String);
 
@@ -39,22 +39,22 @@
     }
 }
 
-/// An upstream of a fleet.
+/// An engine or a service instance of a fleet.
 #[derive(Debug)]
 pub struct Node {
     /// The process.
     pub child: Child,
-    /// Where it listens.
+    /// The address that the process listens on.
     pub addr: SocketAddr,
     record_name: String,
 }
 
-/// A running fleet. Dropping it ends its processes.
+/// A running fleet. Dropping it kills its processes.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The platform stand-in.
+    /// The fake platform.
     pub platform: Child,
-    /// Where the platform listens.
+    /// The address that the platform listens on.
     pub platform_addr: SocketAddr,
     /// The engines.
     pub engines: Vec<Node>,
@@ -95,7 +95,7 @@
         Ok(fleet)
     }
 
-    /// All that engines and services ever ran, also those that have died.
+    /// Returns the records of all engines and services, including those that have been killed.
     pub fn runs(&self) -> Result<Vec<RunRecord>, FleetError> {
         let mut runs = Vec::new();
         for node in self.engines.iter().chain(&self.services) {
@@ -104,12 +104,12 @@
         Ok(runs)
     }
 
-    /// Where callers reach the hosts.
+    /// Returns the addresses on which the hosts serve callers.
     pub fn callers(&self) -> Vec<SocketAddr> {
         self.hosts.iter().map(|host| host.callers).collect()
     }
 
-    /// The last lines of each host's log, for a run that went wrong.
+    /// Returns the last lines of each host's log, for a run that failed.
     pub fn host_logs(&self) -> String {
         let logs = self
             .hosts
@@ -118,7 +118,7 @@
         logs.collect()
     }
 
-    /// Leaves the directory with the logs in place when the fleet ends.
+    /// Keeps the directory with the logs when the fleet ends.
     pub fn keep_dir(&mut self) {
         self.dir.keep();
     }
--- a/standin/src/fleet/plan.rs
+++ b/standin/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! What a fleet is made of.
+//! Plan of a fleet.
 
 use std::net::SocketAddr;
 
@@ -9,42 +9,43 @@
 use crate::engine::EngineOptions;
 use crate::service::ServiceOptions;
 
-/// The model that engines of a plan serve.
+/// The model that the engines of a plan serve.
 pub const MODEL: &str = "ledger-model";
 /// The plain service of a plan.
 pub const SERVICE: &str = "grants-app";
 
-/// A plan of a fleet.
+/// A plan of the processes of a fleet and their settings.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// The deployment's name.
+    /// The name of the deployment.
     pub deployment: &'static str,
     /// The failure domain of each engine.
     pub engine_domains: Vec<&'static str>,
-    /// How engines are made.
+    /// The options of each engine.
     pub engine: EngineOptions,
     /// The failure domain of each instance of the plain service.
     pub service_domains: Vec<&'static str>,
-    /// How instances of the plain service are made.
+    /// The options of each instance of the plain service.
     pub service: ServiceOptions,
-    /// Names of entry hosts with their failure domains.
+    /// The names of the entry hosts with their failure domains.
     pub hosts: Vec<(String, String)>,
-    /// Worker threads of a host.
+    /// The number of worker threads of a host.
     pub host_threads: usize,
-    /// How long a draining host still takes work.
+    /// How long a draining host still accepts work, in milliseconds.
     pub drain_notice_ms: u64,
-    /// The decisions that homes run.
+    /// The dispatch policy of the hosts.
     pub policy: PolicyName,
     /// The customers with their shares.
     pub customers: Vec<(String, u32)>,
-    /// Requests a second and burst of each customer.
+    /// The rate limit of each customer: requests a second, and burst.
     pub customer_rate: (f64, u32),
-    /// What the deployment weighs more heavily: `short_slowdown` or `first_token`.
+    /// The objective of the manifest: `short_slowdown` or `first_token`.
     pub objective: &'static str,
 }
 
 impl FleetPlan {
-    /// A plan with so many engines, service instances and hosts, dealt out over the domains.
+    /// Returns a plan with these numbers of engines, service instances and hosts, distributed over
+    /// the domains in turn.
     pub fn new(domains: &[&'static str], engines: usize, services: usize, hosts: usize) -> Self {
         let deal = |count: usize| -> Vec<&'static str> {
             domains.iter().copied().cycle().take(count).collect()
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The manifest, in JSON, which is YAML too.
+    /// Returns the manifest as JSON, which is valid YAML.
     pub fn manifest(&self) -> String {
         let (rate, burst) = self.customer_rate;
         let customers = self.customers.iter().map(|(name, share)| {
@@ -106,7 +107,7 @@
         serde_json::to_string_pretty(&manifest).unwrap_or_default()
     }
 
-    /// Names and arguments of the engines.
+    /// Returns the names and command-line arguments of the engines.
     pub(crate) fn engines(&self, platform: SocketAddr) -> Vec<(String, Vec<String>)> {
         let e = &self.engine;
         let options = [
@@ -123,7 +124,7 @@
         nodes("engine", MODEL, &self.engine_domains, &options, platform)
     }
 
-    /// Names and arguments of the service's instances.
+    /// Returns the names and command-line arguments of the service instances.
     pub(crate) fn services(&self, platform: SocketAddr) -> Vec<(String, Vec<String>)> {
         let options = [
             ("--latency-ms", self.service.latency_ms.to_string()),
--- a/standin/src/http/client.rs
+++ b/standin/src/http/client.rs
@@ -1,4 +1,4 @@
-//! A client that opens one connection a call, so that nothing is resent unseen.
+//! HTTP client that opens a new connection for each call, so that no call is resent implicitly.
 
 use std::error::Error;
 use std::fmt;
@@ -16,14 +16,14 @@
 use serde_json::Value;
 use tokio::net::TcpStream;
 
-/// Why a call gave no answer.
+/// Why a call did not return a successful response.
 #[derive(Debug)]
 pub enum CallError {
-    /// No connection came about, so nothing was sent.
+    /// The connection could not be established, so nothing was sent.
     Connect(String),
-    /// The connection broke after the call began.
+    /// The connection broke after the request was sent.
     Cut(String),
-    /// The answer had this status, with its body.
+    /// The response had this status code and body.
     Status(u16, String),
 }
 
@@ -39,7 +39,7 @@
 
 impl Error for CallError {}
 
-/// Sends one request and returns the answer's head with its body to read.
+/// Sends one request and returns the response with its body still to be read.
 pub async fn call(
     addr: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -54,7 +54,8 @@
     answer.map_err(|e| CallError::Cut(e.to_string()))
 }
 
-/// Sends JSON, or nothing where `value` is null, and reads a JSON answer; null for an empty one.
+/// Sends a JSON body, or none where `value` is null, and reads a JSON response; returns null for an
+/// empty or unparsable one.
 pub async fn call_json(
     addr: SocketAddr,
     method: Method,
--- a/standin/src/http/mod.rs
+++ b/standin/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The little HTTP that the fakes and the callers need, on hyper.
+//! HTTP server and client of the fakes and callers, on hyper.
 
 mod client;
 mod reply;
--- a/standin/src/http/reply.rs
+++ b/standin/src/http/reply.rs
@@ -1,4 +1,4 @@
-//! Replies of the fakes.
+//! Response bodies and constructors for the fakes.
 
 use std::io;
 
@@ -19,25 +19,25 @@
 use hyper::header::HeaderValue;
 use serde::Serialize;
 
-/// A reply's body; an error in it cuts the connection.
+/// Body of a response; an error in the body cuts the connection.
 pub type Body = UnsyncBoxBody<Bytes, io::Error>;
 
-/// A reply, or an error that closes the connection without one.
+/// A response, or an error that closes the connection without one.
 pub type Reply = io::Result<Response<Body>>;
 
-/// A reply without a body.
+/// Returns a response without a body.
 pub fn empty(status: StatusCode) -> Response<Body> {
     let body = Empty::new().map_err(|never| match never {}).boxed_unsync();
     with_status(status, body)
 }
 
-/// A reply in plain text.
+/// Returns a plain-text response.
 pub fn text(status: StatusCode, text: impl Into<Bytes>) -> Response<Body> {
     let body = Full::new(text.into()).map_err(|never| match never {});
     with_status(status, body.boxed_unsync())
 }
 
-/// A reply in JSON.
+/// Returns a JSON response.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
     let mut reply = text(status, bytes);
@@ -46,7 +46,7 @@
     reply
 }
 
-/// A refusal before anything ran.
+/// Returns a 503 response that marks the request as not run.
 pub fn not_run(why: &str) -> Response<Body> {
     let mut reply = text(StatusCode::SERVICE_UNAVAILABLE, why.to_owned());
     let headers = reply.headers_mut();
@@ -55,7 +55,7 @@
     reply
 }
 
-/// A reply whose pieces come as they are ready.
+/// Returns a response whose body is streamed as its pieces become ready.
 pub fn streamed(
     content_type: &'static str,
     pieces: impl Stream<Item = io::Result<Bytes>> + Send + 'static,
@@ -67,12 +67,12 @@
     reply
 }
 
-/// A header as text.
+/// Returns the value of a header, if it is present and valid text.
 pub fn header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// A whole body.
+/// Reads the whole body of a request.
 pub async fn read_body(body: Incoming) -> io::Result<Bytes> {
     let collected = body.collect().await.map_err(io::Error::other)?;
     Ok(collected.to_bytes())
--- a/standin/src/http/server.rs
+++ b/standin/src/http/server.rs
@@ -1,4 +1,4 @@
-//! A server that can vanish.
+//! HTTP server that can be closed at any time, as if its process had crashed.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,13 +16,13 @@
 
 use crate::http::Reply;
 
-/// What answers the calls.
+/// Handler of the requests of a server.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one call; an error closes the connection without an answer.
+    /// Handles one request; an error closes the connection without a response.
     fn handle(self: Arc<Self>, request: Request<Incoming>) -> BoxFuture<'static, Reply>;
 }
 
-/// A listening server. Dropping it closes the listener and cuts all connections.
+/// A running server. Dropping it closes the listener and all connections.
 #[derive(Debug)]
 pub struct Server {
     addr: SocketAddr,
@@ -39,17 +39,17 @@
         Ok(Self { addr, open })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Closes the listener and cuts all connections.
+    /// Closes the listener and all connections.
     pub fn close(&self) {
         self.open.send_replace(false);
     }
 
-    /// Returns when the server was closed.
+    /// Waits until the server is closed.
     pub async fn closed(&self) {
         let mut is_open = self.open.subscribe();
         let _ = is_open.wait_for(|open| !open).await;
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,9 +1,9 @@
-//! Small fakes of what stands around banyanarch (platform, model engines, plain services), and the
-//! load and demo tools that run them.
+//! Fakes of the systems around banyanarch (platform, model engines, plain services), and the load
+//! and demo tools that run them.
 //!
 //! Tests run the fakes in their own process: [`platform::PlatformFake::start`],
-//! [`engine::Engine::start`] and [`service::Service::start`] each return a handle with its address,
-//! its record and its faults.
+//! [`engine::Engine::start`] and [`service::Service::start`] each return a handle that gives the
+//! address of the fake, what it has recorded, and control of its faults.
 
 pub mod answer;
 pub mod caller;
--- a/standin/src/load/arrivals.rs
+++ b/standin/src/load/arrivals.rs
@@ -13,7 +13,7 @@
 use crate::load::scenario::Pattern;
 use crate::load::scenario::Scenario;
 
-/// What requests of a class look like.
+/// The shape of the requests of a length class.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClassShape {
     prompt_tokens: (u64, u64),
@@ -41,7 +41,7 @@
     }
 }
 
-/// All requests of a scenario, in order of arrival. `times` multiplies its load.
+/// Generates all requests of a scenario, in order of arrival. `times` multiplies the load.
 pub(crate) fn arrivals(scenario: &Scenario, times: f64, seed: u64) -> Vec<Ask> {
     let mut asks = Vec::new();
     let engine = &scenario.plan.engine;
@@ -50,7 +50,8 @@
         false => 1.0,
     };
     for (class, engine_share) in &scenario.mix {
-        // A generator for each class, so that a class alone is the same as in the mix.
+        // Each class has its own generator, so that a class played alone gets the same requests as
+        // in the mix.
         let mut rng = StdRng::seed_from_u64(seed.wrapping_mul(16) + *class as u64);
         let one = capacity::requests_per_second(engine, *class, &mut rng);
         let engines = scenario.plan.engine_domains.len() as f64;
@@ -108,7 +109,7 @@
 }
 
 impl Pattern {
-    /// How many times the even rate arrives at `at_s`.
+    /// Returns the factor on the average rate at `at_s` seconds into the run.
     pub(crate) fn times_at(&self, at_s: f64) -> f64 {
         match self {
             Self::Burst {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Arrivals that come together wait for the next common instant.
+    /// Moves arrivals of the synchronized pattern to the next common instant.
     pub(crate) fn shifted(&self, at_s: f64) -> f64 {
         match self {
             Self::Together { each_s } => (at_s / each_s).ceil() * each_s,
--- a/standin/src/load/capacity.rs
+++ b/standin/src/load/capacity.rs
@@ -1,4 +1,5 @@
-//! How much of a class one engine can do, counted on the engine's own model in virtual time.
+//! Capacity of one engine for a length class, computed in virtual time with the engine's own batch
+//! model.
 
 use std::time::Instant;
 
@@ -12,11 +13,11 @@
 use crate::load::arrivals::ClassShape;
 
 const ASKS: u64 = 60;
-/// The time of one engine that a mix is counted over.
+/// Engine time over which a mix is evaluated, in seconds.
 const MIX_S: f64 = 8.0;
 
-/// Requests of a class that one engine completes in a second when it has nothing else to do and
-/// there are always more.
+/// Returns the requests of a class that one engine completes in a second when it serves only that
+/// class and its queue never becomes empty.
 pub(crate) fn requests_per_second(
     options: &EngineOptions,
     class: LengthClass,
@@ -30,8 +31,8 @@
     ASKS as f64 / takes.as_secs_f64()
 }
 
-/// How many times faster one engine works off a mix than it would class after class: a step that
-/// reads in one prompt makes tokens for others.
+/// Returns how many times faster one engine completes a mix than it would complete the classes one
+/// after the other: a step that prefills one prompt also generates tokens for others.
 pub(crate) fn mix_gain(options: &EngineOptions, mix: &[(LengthClass, f64)], seed: u64) -> f64 {
     let mut rng = StdRng::seed_from_u64(seed);
     let in_all: f64 = mix.iter().map(|(_, share)| share).sum();
--- a/standin/src/load/fairness.rs
+++ b/standin/src/load/fairness.rs
@@ -1,10 +1,10 @@
-//! Who got how much of what they might have.
+//! Fairness between customers.
 
 use indexmap::IndexMap;
 
 use crate::load::player::Sample;
 
-/// What one customer wanted and got, in prompt tokens.
+/// Demand, service received and fair share of one customer, in prompt tokens.
 #[derive(Clone, Debug, Default)]
 struct Account {
     wanted: f64,
@@ -12,10 +12,12 @@
     fair: f64,
 }
 
-/// Jain's index over customers, and the least share of what was fair that one of them got.
+/// Returns Jain's index over customers, and the least fraction of its fair share that a customer
+/// got.
 ///
-/// What all got together is dealt out evenly, and what one does not want goes to the others
-/// (max-min fairness). A customer's figure is what it got over that share, at most 1.
+/// The tokens that all customers got together are divided evenly, and what one customer does not
+/// demand goes to the others (max-min fairness). The figure of a customer is what it got divided by
+/// that share, at most 1.
 pub(crate) fn fairness(samples: &[Sample]) -> (f64, f64) {
     let mut accounts: IndexMap<&str, Account> = IndexMap::new();
     for sample in samples {
--- a/standin/src/load/figures.rs
+++ b/standin/src/load/figures.rs
@@ -14,29 +14,30 @@
 use crate::load::fairness::fairness;
 use crate::load::player::Sample;
 
-/// Goodput counts from here on, since what needs seconds can't end in the first ones.
+/// Start of the interval in which goodput is counted, in seconds into the run: requests that take
+/// seconds can't complete in the first ones.
 const RAMP_S: f64 = 3.0;
 
-/// Figures of one length class, or of all.
+/// Figures of one length class, or of all requests.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize)]
 pub(crate) struct ClassFigures {
     pub(crate) class: String,
     pub(crate) sent: usize,
     pub(crate) completed: usize,
-    /// Completed within the limit.
+    /// Requests completed within their timeout.
     pub(crate) good: usize,
     pub(crate) not_run: usize,
     pub(crate) may_have_run: usize,
-    /// Cut off without an outcome, or answered wrongly.
+    /// Requests that were cut off without an outcome, or answered wrongly.
     pub(crate) broken: usize,
     pub(crate) ttft_p50_ms: Option<f64>,
     pub(crate) ttft_p95_ms: Option<f64>,
     pub(crate) ttft_p99_ms: Option<f64>,
     pub(crate) total_p95_ms: Option<f64>,
-    /// The total time at p95 when only this class is sent.
+    /// 95th percentile of the total time when only this class is sent.
     pub(crate) alone_p95_ms: Option<f64>,
-    /// The total time at p95 over that of the class alone.
+    /// 95th percentile of the total time divided by that of the class alone.
     pub(crate) slowdown_p95: Option<f64>,
 }
 
@@ -46,38 +47,40 @@
 pub(crate) struct Figures {
     pub(crate) classes: Vec<ClassFigures>,
     pub(crate) all: ClassFigures,
-    /// Requests completed within their limit, a second, while others arrive.
+    /// Requests a second completed within their timeout, while requests arrive.
     pub(crate) goodput_per_s: f64,
-    /// Prompt tokens of such requests, a second.
+    /// Prompt tokens a second of those requests.
     pub(crate) good_tokens_per_s: f64,
-    /// What came of the load that was played to compare with.
+    /// Comparison with the baseline load, if the scenario has one.
     pub(crate) compared: Option<Compared>,
-    /// The share of the engines' tokens that went into no good answer.
+    /// Fraction of the engines' tokens that were not part of an answer completed within its
+    /// timeout.
     pub(crate) wasted: f64,
     /// Jain's index over customers.
     pub(crate) jain: f64,
-    /// The least share of what was fair that a customer got.
+    /// Least fraction of its fair share that a customer got.
     pub(crate) least_of_fair: f64,
-    /// Sendings a request.
+    /// Mean number of sends of a request.
     pub(crate) sendings: f64,
-    /// What hosts said when they turned requests away, with counts.
+    /// Reasons of the requests that were not completed, with counts.
     pub(crate) reasons: IndexMap<String, usize>,
 }
 
-/// Figures of a run beside those of a load that was played before it.
+/// Comparison of a run with the baseline load that was played before it.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize)]
 pub(crate) struct Compared {
-    /// Goodput in tokens a second of the load before.
+    /// Goodput of the baseline, in prompt tokens a second.
     pub(crate) good_tokens_per_s: f64,
-    /// The share of its requests that completed within their limit.
+    /// Fraction of the baseline's requests that completed within their timeout.
     pub(crate) good_share: f64,
-    /// This run's goodput in tokens over that of the load before.
+    /// Goodput of this run divided by that of the baseline, in prompt tokens.
     pub(crate) goodput_ratio: f64,
 }
 
 impl Figures {
-    /// Works them out from what callers got and what engines ran in `lasts_s` of arrivals.
+    /// Computes the figures from what callers got and what engines ran in `lasts_s` seconds of
+    /// arrivals.
     pub(crate) fn new(
         samples: &[Sample],
         alone: &[Vec<Sample>],
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Takes in the figures of the load that was played before.
+    /// Adds the comparison with the baseline load that was played before.
     pub(crate) fn compare_with(&mut self, before: &Self) {
         self.compared = Some(Compared {
             good_tokens_per_s: before.good_tokens_per_s,
@@ -119,14 +122,14 @@
         });
     }
 
-    /// The figures of a class.
+    /// Returns the figures of a class, if any of its requests was sent.
     pub(crate) fn class(&self, class: LengthClass) -> Option<&ClassFigures> {
         self.classes.iter().find(|one| one.class == class.name())
     }
 }
 
 impl ClassFigures {
-    /// The share of requests that completed within their limit.
+    /// Returns the fraction of requests that completed within their timeout.
     pub(crate) fn good_share(&self) -> f64 {
         self.good as f64 / self.sent.max(1) as f64
     }
@@ -188,8 +191,9 @@
     reasons
 }
 
-/// Of the tokens that engines read in and made, the share that did not end in an answer that a
-/// caller got in time. Of several runs of one request only one completed run counts as useful.
+/// Returns the fraction of the tokens prefilled and generated by engines that did not belong to an
+/// answer received within its timeout. Of several runs of one request only one completed run counts
+/// as useful.
 fn wasted(samples: &[Sample], runs: &[RunRecord]) -> f64 {
     let mut is_good: IndexMap<ContentHash, bool> = samples
         .iter()
--- a/standin/src/load/html.rs
+++ b/standin/src/load/html.rs
@@ -1,4 +1,4 @@
-//! One page with plots, without network.
+//! Self-contained HTML page with plots.
 
 use std::fmt::Write;
 
@@ -9,11 +9,11 @@
 const WIDTH: f64 = 860.0;
 const HEIGHT: f64 = 320.0;
 const MARGIN: f64 = 45.0;
-/// The time axis of the distribution, in powers of ten of milliseconds.
+/// Bounds of the logarithmic time axis, as powers of ten of milliseconds.
 const DECADES: (f64, f64) = (0.0, 5.0);
 const COLOURS: [&str; 4] = ["#1b7f5c", "#2b5fad", "#b3641b", "#8b2f62"];
 
-/// The page.
+/// Renders the page.
 pub(crate) fn page(title: &str, text: &str, samples: &[Sample], alone: &[Vec<Sample>]) -> String {
     let mut out = format!(
         "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>{title}</title>\
@@ -151,7 +151,7 @@
     HEIGHT - MARGIN - (HEIGHT - 2.0 * MARGIN) * decades(value_ms)
 }
 
-/// Where a value lies between the ends of the logarithmic axis, from 0 to 1.
+/// Returns the position of a value on the logarithmic axis, from 0 to 1.
 fn decades(value_ms: f64) -> f64 {
     let at = value_ms.max(1.0).log10().clamp(DECADES.0, DECADES.1);
     (at - DECADES.0) / (DECADES.1 - DECADES.0)
--- a/standin/src/load/mod.rs
+++ b/standin/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! The load tool: plays a scenario against a fleet of its own and works out what callers got.
+//! The load tool: runs a scenario against a fleet of its own and computes what callers got.
 
 mod arrivals;
 mod capacity;
@@ -26,31 +26,32 @@
 use crate::load::player::play;
 use crate::load::scenario::Scenario;
 
-/// Numbers of requests in the parts of a run differ by this much, so that no cache helps the next.
+/// Offset between the request numbers of two parts of a run, so that no part profits from prefixes
+/// cached by the one before.
 const PART_STEP: u64 = 10_000_000;
-/// Engines and queues get empty between the parts of a run.
+/// Pause between the parts of a run, in which engines and queues become empty.
 const PAUSE: Duration = Duration::from_millis(500);
 
-/// A home begins with the first request, and rebuilds its ledger for some two seconds before it
-/// grants freely; what is measured is a fleet that has done so.
+/// Time for the homes to settle. A home starts with the first request and rebuilds its ledger for
+/// about two seconds before it grants without restriction.
 const SETTLE: Duration = Duration::from_millis(2_500);
 
-/// What to play.
+/// Options of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
-    /// The scenario's name.
+    /// The name of the scenario.
     pub scenario: String,
-    /// The decisions that homes run.
+    /// The dispatch policy of the hosts.
     pub policy: PolicyName,
-    /// What the manifest weighs more heavily.
+    /// The objective of the manifest.
     pub objective: String,
     /// The seed of the arrivals.
     pub seed: u64,
-    /// Whether the logs stay in place.
+    /// Whether the logs are kept after the run.
     pub keep: bool,
 }
 
-/// Plays a scenario.
+/// Runs a scenario.
 pub async fn run(options: &LoadOptions) -> Result<Outcome, FleetError> {
     if options.scenario == path_cost::NAME {
         return path_cost::run(options).await;
@@ -76,7 +77,7 @@
     ))
 }
 
-/// Sends some short requests through each host, and gives the homes time.
+/// Sends a few short requests through each host and waits until the homes have settled.
 async fn warm_up(scenario: &Scenario, fleet: &Fleet, asks: &[Ask]) {
     let short = asks.iter().filter(|ask| ask.class() == LengthClass::Short);
     let some = short.take(3 * fleet.hosts.len()).cloned().collect();
@@ -85,11 +86,11 @@
     tokio::time::sleep(SETTLE).await;
 }
 
-/// Plays the first seconds of each class without the others.
+/// Plays the first seconds of each class without the other classes.
 async fn play_alone(scenario: &Scenario, fleet: &Fleet, asks: &[Ask]) -> Vec<Vec<Sample>> {
     let mut parts = Vec::new();
     for (class, _) in &scenario.mix {
-        // The slowdown of short requests is what is looked at most closely.
+        // The slowdown of short requests is the main figure, so its baseline gets twice the time.
         let times = if *class == LengthClass::Short {
             2.0
         } else {
--- a/standin/src/load/outcome.rs
+++ b/standin/src/load/outcome.rs
@@ -1,4 +1,4 @@
-//! What a run shows, as text, JSON and a page.
+//! Result of a run as text, JSON and HTML.
 
 use std::fmt::Write;
 
@@ -23,17 +23,17 @@
 }
 
 impl Outcome {
-    /// For people.
+    /// Returns the result as a text table.
     pub fn to_text(&self) -> &str {
         &self.text
     }
 
-    /// For machines.
+    /// Returns the result as indented JSON.
     pub fn to_json(&self) -> String {
         format!("{:#}\n", self.json)
     }
 
-    /// One page with plots.
+    /// Returns an HTML page with plots.
     pub fn to_html(&self) -> &str {
         &self.html
     }
--- a/standin/src/load/path_cost.rs
+++ b/standin/src/load/path_cost.rs
@@ -1,5 +1,5 @@
-//! What the way through an entry host costs: the same load straight to a stand-in engine and through
-//! one host, by turns, in one run.
+//! Overhead of the path through an entry host: the same load is sent directly to a fake engine and
+//! through one host, in alternating rounds of one run.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
 const PROMPT_TOKENS: u64 = 2_000;
 const OUTPUT_TOKENS: u64 = 96;
 const LIMIT: Duration = Duration::from_secs(20);
-/// Ticks a second of the processor times in /proc, which Linux fixes for programs.
+/// Clock ticks a second of the processor times in /proc. Linux fixes the value for user space.
 const TICKS_PER_SECOND: f64 = 100.0;
 
 #[derive(Debug, Default)]
@@ -42,7 +42,7 @@
     engine_cpu_s: f64,
 }
 
-/// Runs both sides by turns and compares them.
+/// Measures both paths in alternating rounds and compares them.
 pub(crate) async fn run(options: &LoadOptions) -> Result<Outcome, FleetError> {
     let mut plan = FleetPlan::new(&[DOMAIN], 1, 0, 1);
     plan.policy = options.policy;
@@ -203,11 +203,11 @@
     }
 }
 
-/// The processor time that a process has used, in user and kernel mode.
+/// Returns the processor time that a process has used in user and kernel mode, in seconds.
 fn cpu_s(pid: u32) -> Result<f64, FleetError> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let (_, fields) = stat.rsplit_once(')').unwrap_or(("", ""));
-    // After the command's name, user and system time are the 12th and 13th field.
+    // After the command name, user and system time are the 12th and 13th field.
     let ticks = fields.split_whitespace().skip(11).take(2);
     let ticks: f64 = ticks.filter_map(|field| field.parse::<f64>().ok()).sum();
     Ok(ticks / TICKS_PER_SECOND)
--- a/standin/src/load/player.rs
+++ b/standin/src/load/player.rs
@@ -1,4 +1,4 @@
-//! Plays requests against entry hosts.
+//! Sends requests to entry hosts as they become due.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,12 +18,13 @@
 use crate::http::call_json;
 use crate::load::scenario::Scenario;
 
-/// Bodies are made so long before they are sent, so that making them costs no one's first token.
+/// Time before its due instant at which the body of a request is built, so that building it does
+/// not add to the time to first token.
 const HEAD_START: Duration = Duration::from_millis(60);
 const SENDINGS_MAX: u32 = 6;
 const SEND_AGAIN_PAUSE: Duration = Duration::from_millis(50);
 
-/// A request with what its caller got.
+/// A request with the result that its caller got.
 #[derive(Clone, Debug)]
 pub(crate) struct Sample {
     pub(crate) ask: Ask,
@@ -37,18 +38,18 @@
         self.sent.verdict == Verdict::Completed
     }
 
-    /// When it ended, from the start of the run on.
+    /// Returns when the request ended, in seconds from the start of the run.
     pub(crate) fn ended_s(&self) -> f64 {
         (self.ask.at + self.sent.total).as_secs_f64()
     }
 
-    /// Whether the whole answer came within the limit.
+    /// Returns whether the whole answer arrived within the timeout.
     pub(crate) fn is_good(&self) -> bool {
         self.is_completed() && self.sent.total <= self.ask.limit
     }
 }
 
-/// Sends all requests when they are due, and meanwhile sets the scenario's faults if `faulty`.
+/// Sends all requests when they are due, and injects the faults of the scenario if `faulty` is set.
 pub(crate) async fn play(
     scenario: &Scenario,
     fleet: &Fleet,
@@ -106,7 +107,8 @@
     sent.verdict != Verdict::Completed && sent.total + pause(sent) < ask.limit
 }
 
-/// A caller obeys Retry-After where it gets one, and is impatient where not.
+/// Returns the pause before a request is sent again: the caller obeys Retry-After if there is one,
+/// and otherwise retries almost at once.
 fn pause(sent: &Sent) -> Duration {
     match &sent.verdict {
         Verdict::NotRun {
--- a/standin/src/load/scenario.rs
+++ b/standin/src/load/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenarios: which load comes, and what goes wrong meanwhile.
+//! Scenarios: arriving load and faults injected during the run.
 
 use banyanarch::decide::LengthClass;
 use serde_json::Value;
@@ -11,51 +11,51 @@
 const ENGINES: usize = 8;
 const HOSTS: usize = 3;
 
-/// One scenario.
+/// A load scenario.
 #[derive(Clone, Debug)]
 pub(crate) struct Scenario {
     pub(crate) name: &'static str,
-    /// The load in one sentence.
+    /// Description of the load in one phrase.
     pub(crate) about: &'static str,
     pub(crate) plan: FleetPlan,
-    /// For how long requests arrive.
+    /// Duration of arrivals, in seconds.
     pub(crate) lasts_s: f64,
-    /// For how long each class is played alone before.
+    /// How long each class is played alone before the run, in seconds.
     pub(crate) alone_s: f64,
-    /// Classes with the share of all engines' time that their arrivals would take.
+    /// Classes with the fraction of the time of all engines that their arrivals need.
     pub(crate) mix: Vec<(LengthClass, f64)>,
-    /// Whether the shares are of what engines can do with the mix, which is more than with its
-    /// classes one by one.
+    /// Whether the fractions of `mix` refer to the throughput of the engines with the mix, which is
+    /// higher than with its classes one after the other.
     pub(crate) is_of_capacity: bool,
     pub(crate) pattern: Pattern,
-    /// Customers with their shares of the arrivals.
+    /// Customers with their fractions of the arrivals.
     pub(crate) customers: Vec<(String, f64)>,
-    /// The share of requests that begin with the same text.
+    /// Fraction of requests that begin with the same text.
     pub(crate) hot_share: f64,
-    /// Faults of engines: when, which, what.
+    /// Engine faults: time in seconds, affected engines, and the faults as JSON.
     pub(crate) faults: Vec<(f64, Engines, Value)>,
-    /// Callers send again what failed, as soon as they may.
+    /// Whether callers resend failed requests as soon as they may.
     pub(crate) sends_again: bool,
-    /// Play this part of the load first, to compare goodput with.
+    /// Factor on the load of a baseline that is played first, to compare goodput with.
     pub(crate) compare_with: Option<f64>,
 }
 
-/// When requests arrive.
+/// Pattern of arrivals.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Pattern {
-    /// At random, evenly.
+    /// Random arrivals at a constant rate.
     Even,
-    /// At random, and for some time at a higher rate.
+    /// Random arrivals, at a higher rate between `from_s` and `until_s`.
     Burst {
         from_s: f64,
         until_s: f64,
         times: f64,
     },
-    /// All at common instants.
+    /// All arrivals at common instants.
     Together { each_s: f64 },
 }
 
-/// Which engines.
+/// Engines that get a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Engines {
     All,
@@ -74,7 +74,7 @@
 }
 
 impl Scenario {
-    /// The scenario of a name.
+    /// Returns the scenario named by the options.
     pub(crate) fn named(options: &LoadOptions) -> Option<Self> {
         let mut scenario = match options.scenario.as_str() {
             "burst" => burst(),
@@ -99,7 +99,7 @@
         Some(scenario)
     }
 
-    /// The customer that `draw`, between 0 and 1, falls on.
+    /// Returns the customer for a random number `draw` between 0 and 1.
     pub(crate) fn customer(&self, draw: f64) -> String {
         let mut left = draw;
         for (name, share) in &self.customers {
--- a/standin/src/machine.rs
+++ b/standin/src/machine.rs
@@ -1,4 +1,4 @@
-//! Registers a fake in the platform's list, so that hosts find it.
+//! Registration of a fake in the platform's list of machines, where hosts find it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,26 +10,27 @@
 use crate::http::CallError;
 use crate::http::call_json;
 
-/// The path of the list.
+/// The path of the list of machines on the platform.
 pub const PATH: &str = "/apis/banyanarch.dev/v1/machines";
 const TRIES: u32 = 50;
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// What the platform's list says of an upstream.
+/// The entry of an upstream in the platform's list of machines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Machine {
-    /// Its name.
+    /// The name of the machine.
     pub name: String,
-    /// Its failure domain.
+    /// The failure domain of the machine.
     pub domain: String,
-    /// The model or service that it serves.
+    /// The model or service that the machine serves.
     pub target: String,
-    /// The platform stand-in.
+    /// The address of the fake platform.
     pub platform: SocketAddr,
 }
 
 impl Machine {
-    /// Reads `--machine`, `--domain`, `--target` and `--platform`; none when there is no `--machine`.
+    /// Reads `--machine`, `--domain`, `--target` and `--platform`; returns `None` without
+    /// `--machine`.
     pub fn from_args(args: &mut pico_args::Arguments) -> Result<Option<Self>, pico_args::Error> {
         let Some(name) = args.opt_value_from_str("--machine")? else {
             return Ok(None);
@@ -42,12 +43,13 @@
         }))
     }
 
-    /// Enters it in the list as live at `addr`, replacing an earlier entry of that name.
+    /// Registers the machine as live at `addr`, replacing an earlier entry of the same name.
     pub async fn register(&self, addr: SocketAddr) -> Result<(), CallError> {
         self.set_state(addr, "live").await
     }
 
-    /// Enters it in the list with a state, `live` or `leaving`. Tries for some seconds.
+    /// Registers the machine with a state, `live` or `leaving`. Retries for about five seconds
+    /// while the platform does not accept the write.
     pub async fn set_state(&self, addr: SocketAddr, state: &str) -> Result<(), CallError> {
         let spec = json!({
             "role": "upstream",
@@ -68,7 +70,7 @@
     }
 }
 
-/// Writes an object whatever its version is.
+/// Creates an object or replaces it, whatever its current version is.
 pub async fn put(
     platform: SocketAddr,
     path: &str,
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Small fakes of what stands around banyanarch, and a load tool.
+//! The `standin` program: fakes of the systems around banyanarch, a load tool and a demo.
 
 use std::io;
 use std::process::ExitCode;
@@ -41,8 +41,8 @@
     })
 }
 
-/// Ends the process when its standard input ends, which a dead parent can't keep open. Without this
-/// a tool that was interrupted would leave its fleet running.
+/// Exits when standard input is closed, which happens when the parent process ends. Otherwise the
+/// fleet of an interrupted tool would keep running.
 fn end_with_parent() {
     let _ = io::copy(&mut io::stdin(), &mut io::sink());
     std::process::exit(1);
--- a/standin/src/platform/api.rs
+++ b/standin/src/platform/api.rs
@@ -1,4 +1,4 @@
-//! The object API over HTTP.
+//! HTTP handler of the platform's object API.
 
 use std::collections::VecDeque;
 use std::io;
@@ -36,13 +36,13 @@
 const MACHINES: &str = "machines";
 const SECOND: Duration = Duration::from_secs(1);
 const WATCH_TIMEOUT_DEFAULT_S: u64 = 30;
-/// How often a watch on a lagging list looks whether something has become visible.
+/// Interval at which a watch on the lagging list of machines checks for newly visible changes.
 const LAG_POLL: Duration = Duration::from_millis(20);
 
 #[derive(Debug, Default)]
 pub(crate) struct Api {
     inner: Mutex<Inner>,
-    /// Counts writes and changes of faults, to wake watches.
+    /// Number of writes and fault changes; a change wakes the watches.
     changed: watch::Sender<u64>,
 }
 
@@ -51,7 +51,7 @@
     store: Store,
     stats: Stats,
     faults: PlatformFaults,
-    /// The second that calls are counted in, with its reads and writes.
+    /// Start of the second in which `reads` and `writes` are counted.
     second: Option<Instant>,
     reads: u64,
     writes: u64,
@@ -230,7 +230,7 @@
         most.is_some_and(|most| *count > most)
     }
 
-    /// The instant whose state a list of this kind shows.
+    /// Returns the instant whose state a list of this kind shows.
     fn seen_at(&self, kind: &str) -> Instant {
         let now = Instant::now();
         if kind != MACHINES {
@@ -272,7 +272,7 @@
 }
 
 impl Watcher {
-    /// The next line; none at the end of the watch, an error in an outage.
+    /// Returns the next line of the watch: `None` at its end, an error during an outage.
     async fn next_line(&mut self) -> Option<io::Result<Bytes>> {
         loop {
             if let Some(line) = self.ready.pop_front() {
@@ -300,7 +300,7 @@
         }
     }
 
-    /// Waits for a change; false when the watch's time is over.
+    /// Waits until something may have changed; returns false when the watch has timed out.
     async fn wait(&mut self) -> bool {
         let now = Instant::now();
         if now >= self.ends_at {
--- a/standin/src/platform/faults.rs
+++ b/standin/src/platform/faults.rs
@@ -1,37 +1,37 @@
-//! What can be wrong with the platform.
+//! Faults that can be injected into the fake platform.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Faults of the platform; the default is none.
+/// Faults of the fake platform; the default has none.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// Whether it serves at all.
+    /// The outage of the platform, if any.
     pub outage: Outage,
-    /// How long each call takes.
+    /// Delay of each call, in milliseconds.
     pub delay_ms: u64,
-    /// Of each so many writes one takes effect and loses its answer; 0 for none.
+    /// Drop the response of every n-th write, which still takes effect; 0 for none.
     pub lose_answer_one_in: u64,
-    /// How old the list of machines is.
+    /// Age of the state that lists and watches of machines show, in milliseconds.
     pub machines_lag_ms: u64,
-    /// Gets, lists and watches that it takes in a second; more get 429.
+    /// Limit of gets, lists and watches a second; calls beyond it get status 429.
     pub reads_per_second: Option<u64>,
-    /// Writes that it takes in a second; more get 429.
+    /// Limit of writes a second; calls beyond it get status 429.
     pub writes_per_second: Option<u64>,
 }
 
-/// How the platform is down.
+/// Kind of outage of the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outage {
-    /// It is up.
+    /// No outage.
     #[default]
     None,
-    /// Each call gets 503.
+    /// Each call gets status 503.
     Unavailable,
-    /// Each connection is closed without an answer.
+    /// Each connection is closed without a response.
     Closed,
 }
--- a/standin/src/platform/mod.rs
+++ b/standin/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's object service in memory. docs/PROTOCOLS.md gives the wire form.
+//! In-memory fake of the platform's object service. docs/PROTOCOLS.md describes the wire format.
 
 mod api;
 mod faults;
@@ -16,7 +16,7 @@
 use crate::http::Server;
 use crate::platform::api::Api;
 
-/// A running platform stand-in.
+/// A running fake platform. Dropping it closes the server and all its connections.
 #[derive(Debug)]
 pub struct PlatformFake {
     server: Server,
@@ -24,29 +24,29 @@
 }
 
 impl PlatformFake {
-    /// Starts it on the current runtime.
+    /// Starts the platform on the current runtime.
     pub async fn start(listen: SocketAddr) -> io::Result<Self> {
         let api = Arc::new(Api::default());
         let server = Server::start(listen, Arc::clone(&api) as _).await?;
         Ok(Self { server, api })
     }
 
-    /// Where it listens.
+    /// Returns the address that the platform listens on.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Sets all faults at once.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: PlatformFaults) {
         self.api.set_faults(faults);
     }
 
-    /// Counts of calls so far.
+    /// Returns the counts of calls so far.
     pub fn stats(&self) -> Stats {
         self.api.stats()
     }
 
-    /// Returns when the server was closed, which it never does by itself.
+    /// Waits until the server is closed, which happens only when the process ends.
     pub async fn closed(&self) {
         self.server.closed().await;
     }
--- a/standin/src/platform/stats.rs
+++ b/standin/src/platform/stats.rs
@@ -1,23 +1,23 @@
-//! Counts of calls.
+//! Call counts of the fake platform.
 
 use indexmap::IndexMap;
 use serde::Serialize;
 
-/// Calls so far; a watch counts once, however long it waits.
+/// Counts of calls so far; a watch counts once, however long it stays open.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Stats {
-    /// Gets, lists and watches.
+    /// Number of gets, lists and watches.
     pub reads: u64,
-    /// Creates, replacements and deletions, also those that met a conflict.
+    /// Number of creates, replacements and deletions, including those that met a conflict.
     pub writes: u64,
-    /// Writes that met a conflict.
+    /// Number of writes that met a conflict.
     pub conflicts: u64,
-    /// Writes that took effect and whose answer was lost.
+    /// Number of writes that took effect but whose response was dropped.
     pub lost_answers: u64,
-    /// Calls that an outage or a rate turned away.
+    /// Number of calls refused because of an outage or a rate limit.
     pub turned_away: u64,
-    /// Calls by method and kind, such as `PUT claims` or `WATCH manifests`.
+    /// Number of calls by method and kind, such as `PUT claims` or `WATCH manifests`.
     pub by_call: IndexMap<String, u64>,
 }
 
--- a/standin/src/platform/store.rs
+++ b/standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Objects with versions that grow over the whole store.
+//! Versioned object store; versions increase over the whole store.
 
 use std::time::Instant;
 
@@ -6,21 +6,21 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Revisions kept of one object, so that a lagging list can show an older one.
+/// Number of revisions kept of one object, so that a lagging list can show an older one.
 const REVISIONS_MAX: usize = 16;
 
-/// What came of a write.
+/// Result of a write.
 #[derive(Debug)]
 pub(crate) enum Written {
-    /// It took effect; the object as it is now.
+    /// The write took effect; holds the object as it is now.
     Done(Value),
-    /// The object exists, or has another version.
+    /// The object already exists, or has another version.
     Conflict,
-    /// There is no such object.
+    /// The object does not exist.
     Absent,
 }
 
-/// A change that a watch tells of.
+/// A change that a watch reports.
 #[derive(Debug)]
 pub(crate) struct Change {
     pub(crate) version: u64,
@@ -32,11 +32,11 @@
 struct Revision {
     at: Instant,
     version: u64,
-    /// None for a deletion.
+    /// `None` for a deletion.
     spec: Option<Value>,
 }
 
-/// All objects.
+/// All objects with their recent revisions.
 #[derive(Debug, Default)]
 pub(crate) struct Store {
     version: u64,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The objects of a kind as they were at `at`, and the version to watch after.
+    /// Returns the objects of a kind as they were at `at`, and the version to watch after.
     pub(crate) fn list(&self, kind: &str, at: Instant) -> (u64, Vec<Value>) {
         let seen = self.seen(kind, at);
         let newest = seen.iter().map(|(_, revision)| revision.version).max();
@@ -89,8 +89,8 @@
         (newest.unwrap_or(0), items.collect())
     }
 
-    /// What changed after a version, as seen at `at`, in order of version. An object that changed
-    /// twice is told of once, in its newest form.
+    /// Returns the changes after a version as visible at `at`, ordered by version. An object that
+    /// changed more than once is reported once, in its newest revision.
     pub(crate) fn changes(&self, kind: &str, after: u64, at: Instant) -> Vec<Change> {
         let seen = self.seen(kind, at);
         let newer = seen.into_iter().filter(|(_, r)| r.version > after);
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that echoes its calls after a while, and remembers them.
+//! A fake plain service that echoes the body of each call after a latency and records its calls.
 
 use std::io;
 use std::net::SocketAddr;
@@ -31,16 +31,17 @@
 use crate::http::Reply;
 use crate::http::Server;
 
-/// How a stand-in service is made.
+/// Configuration of a fake service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceOptions {
-    /// Where to listen.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// How long a call takes.
+    /// The latency of a call, in milliseconds.
     pub latency_ms: u64,
-    /// Calls that it can work on at once; more make all of them slower.
+    /// The number of concurrent calls up to which the latency does not grow.
     pub slots: u64,
-    /// Where starts and ends are written, so that they outlive a crash.
+    /// The file to which starts and ends of calls are appended, so that the record outlives a
+    /// crash.
     pub record_file: Option<PathBuf>,
 }
 
@@ -56,7 +57,7 @@
 }
 
 impl ServiceOptions {
-    /// Reads the options that the usage text names.
+    /// Reads the options that the usage text lists.
     pub fn from_args(args: &mut pico_args::Arguments) -> Result<Self, pico_args::Error> {
         let default = Self::default();
         Ok(Self {
@@ -72,20 +73,20 @@
     }
 }
 
-/// Faults of a service; the default is none.
+/// Faults of a fake service; the default has none.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// It stands still: calls are taken and not answered.
+    /// Accept calls but do not answer them.
     pub freeze: bool,
-    /// Each call takes so many times as long.
+    /// Factor by which the latency of each call is multiplied.
     pub slow_factor: f64,
-    /// Of each so many calls one fails with a status of 500.
+    /// Fail every n-th call with status 500; 0 for none.
     pub fail_one_in: u64,
-    /// Of each so many calls one runs and its answer is cut off.
+    /// Run every n-th call and cut the connection in place of its answer; 0 for none.
     pub cut_one_in: u64,
-    /// Each call is refused before it runs.
+    /// Refuse each call before it runs.
     pub refuse: bool,
 }
 
@@ -101,7 +102,7 @@
     }
 }
 
-/// A running service. Dropping it closes it.
+/// A running fake service. Dropping it closes the server and all its connections.
 #[derive(Debug)]
 pub struct Service {
     server: Server,
@@ -109,7 +110,7 @@
 }
 
 impl Service {
-    /// Starts it on the current runtime.
+    /// Starts the service on the current runtime.
     pub async fn start(options: ServiceOptions) -> io::Result<Self> {
         let listen = options.listen;
         let api = Arc::new(Api {
@@ -122,22 +123,22 @@
         Ok(Self { server, api })
     }
 
-    /// Where it listens.
+    /// Returns the address that the service listens on.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Sets all faults at once.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: ServiceFaults) {
         self.api.faults.send_replace(faults);
     }
 
-    /// Every call that ever ran.
+    /// Returns the record of every call that ran.
     pub fn record(&self) -> Vec<RunRecord> {
         self.api.log().all()
     }
 
-    /// Returns when it was closed.
+    /// Waits until the server is closed.
     pub async fn closed(&self) {
         self.server.closed().await;
     }
@@ -164,7 +165,7 @@
         if faults.refuse {
             return Ok(http::not_run("told to refuse"));
         }
-        // The work goes on when the caller goes away, as a real service's would.
+        // The call runs to its end when the caller disconnects, as it would in a real service.
         let worker = tokio::spawn(Arc::clone(&self).work(run_of(&head, &body), faults.clone()));
         let count = worker.await.map_err(io::Error::other)?;
         if is_nth(count, faults.cut_one_in) {
@@ -176,7 +177,7 @@
         Ok(http::text(StatusCode::OK, body))
     }
 
-    /// Works on a call and returns its number.
+    /// Runs a call and returns its number, counted from 1.
     async fn work(self: Arc<Self>, run: RunRecord, faults: ServiceFaults) -> u64 {
         let attempt = run.attempt.clone();
         let count = {
--- a/standin/tests/demo.rs
+++ b/standin/tests/demo.rs
@@ -1,10 +1,10 @@
-//! The demo as a stranger runs it, only shorter.
+//! Runs the demo as a user does, with a shorter duration.
 
 use std::process::Command;
 
-/// Callers keep sending while an engine and an entry host are killed. Each of them learns what
-/// became of its request, and no grant is made twice: the demo compares what callers saw with what
-/// engines and services ran, and says so in its last line.
+/// Callers keep sending while an engine and an entry host are killed. Each caller must learn the
+/// outcome of its request, and no grant may run twice: the demo compares what callers were told
+/// with what engines and services ran, and reports both counts in its last line.
 #[test]
 fn nothing_is_lost_or_doubled() {
     let output = Command::new(env!("CARGO_BIN_EXE_standin"))
--- a/standin/tests/engine.rs
+++ b/standin/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The stand-in engine, through the client that hosts use.
+//! Tests of the fake engine through the client that hosts use.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -96,8 +96,9 @@
     }
 }
 
-/// A host dies after the first tokens of an answer. The engine does not notice; another host reads
-/// the rest by the attempt's id, and both parts together are the answer to that very body.
+/// Guards against an attempt that ends with its connection. A host disconnects after the first
+/// tokens of an answer. Another host reads the rest by the attempt's id, and both parts together
+/// are the expected answer to the body.
 #[tokio::test]
 async fn an_attempt_outlives_its_reader() {
     let engine = engine(EngineOptions::default()).await;
@@ -113,8 +114,8 @@
     assert_eq!(engine.record()[0].end, Some(RunEnd::Completed));
 }
 
-/// A long prompt arrives first, a short one with a better rank right after. The short one is read
-/// in between two chunks of the long one, and ends before it.
+/// A long prompt arrives first, then a short one of a better priority. The short prompt must be
+/// prefilled between two chunks of the long one, and end first.
 #[tokio::test]
 async fn a_better_rank_goes_first() {
     let engine = engine(EngineOptions::default()).await;
@@ -127,8 +128,9 @@
     assert!(ended[1] < ended[0], "{ended:?}");
 }
 
-/// An engine's memory is full. Another request waits in the engine, a third one finds the queue
-/// full and is refused as not run. When the first is cancelled, its memory is free for the second.
+/// The memory of an engine is full: a second request waits in the engine, and a third finds the
+/// queue full and is refused as not run. When the first is cancelled, its memory goes to the
+/// second.
 #[tokio::test]
 async fn memory_is_limited_and_comes_back() {
     let options = EngineOptions {
@@ -157,7 +159,7 @@
     assert_eq!(engine.record().len(), 2);
 }
 
-/// A host holds a part of an engine for a gang and dies. The hold ends by itself.
+/// A host reserves memory for a gang and does not return. The reservation must expire.
 #[tokio::test]
 async fn a_hold_expires() {
     let engine = engine(EngineOptions::default()).await;
@@ -171,8 +173,9 @@
     until(|| engine.free_tokens() == 200_000).await;
 }
 
-/// A host whose lease has lapsed unnoticed gives an order after its successor did. An engine that
-/// checks who gives orders refuses it, one that does not obeys and ends up in the old state.
+/// A host whose lease has expired sends an order after its successor did. An engine that checks
+/// fencing numbers must refuse the order; one that does not applies it and ends up in the old
+/// state.
 #[parameterized(
     checked = { true, "new" },
     ignored = { false, "old" },
@@ -197,8 +200,8 @@
     assert_eq!(client(&engine).state().await.unwrap().version, version);
 }
 
-/// What a caller must be able to tell apart when it talks to an engine with a fault: an answer that
-/// is cut, one that ends early as if it were whole, one that is another's, and none at all.
+/// A caller of an engine with a fault must be able to distinguish an answer that is cut, one that
+/// ends early as if it were whole, one that belongs to another request, and no answer.
 #[parameterized(
     cut = { EngineFaults { cut_one_in: 1, ..EngineFaults::default() }, "cut" },
     short = { EngineFaults { short_one_in: 1, ..EngineFaults::default() }, "cut" },
@@ -226,8 +229,8 @@
     }
 }
 
-/// Two prompts share their first 16 KiB. The second is read in from there on, and the cache's
-/// events tell of the shared parts.
+/// Two prompts share their first 16 KiB. The second is prefilled from there on, and cache events
+/// report the shared segments. After export and import the prefix is also cached on another engine.
 #[tokio::test]
 async fn a_shared_prefix_is_cached() {
     let options = EngineOptions {
--- a/standin/tests/platform.rs
+++ b/standin/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-in platform, through the client that hosts use.
+//! Tests of the fake platform through the client that hosts use.
 
 use std::time::Duration;
 
@@ -30,7 +30,8 @@
     ObjectKey::new(kind, "one")
 }
 
-/// Two operators publish at the same moment: of two writes that expect the same version one wins.
+/// Two operators publish at the same time: of two writes that expect the same version one must fail
+/// with a conflict.
 #[tokio::test]
 async fn one_of_two_writes_wins() {
     let (fake, client) = platform().await;
@@ -53,7 +54,8 @@
     assert_eq!(fake.stats().conflicts, 2);
 }
 
-/// A write takes effect and its answer is lost: the client learns nothing, and must read it back.
+/// A write takes effect but its response is lost: the client gets no outcome and must read the
+/// object back.
 #[tokio::test]
 async fn a_lost_answer_has_taken_effect() {
     let (fake, client) = platform().await;
@@ -69,7 +71,7 @@
     assert_eq!(read.value, json!("mine"));
 }
 
-/// A watch waits through other kinds' writes, tells of its own, and counts as one call.
+/// A watch ignores writes of other kinds, reports those of its own, and counts as one call.
 #[tokio::test]
 async fn a_watch_waits_for_its_kind() {
     let (fake, client) = platform().await;
@@ -91,7 +93,7 @@
     assert_eq!(fake.stats().reads, 1);
 }
 
-/// The list of machines is older than the store, and catches up.
+/// The list of machines lags behind the store, and catches up.
 #[tokio::test]
 async fn the_list_of_machines_lags() {
     let (fake, client) = platform().await;
@@ -112,8 +114,8 @@
     assert_eq!(later.items.len(), 1);
 }
 
-/// In an outage, or when more is written than the platform takes, nothing is written, and the client
-/// can tell.
+/// During an outage, or beyond the write rate, nothing is written, and the client gets an error
+/// that says so.
 #[parameterized(
     outage = { PlatformFaults { outage: Outage::Unavailable, ..PlatformFaults::default() } },
     rate = { PlatformFaults { writes_per_second: Some(0), ..PlatformFaults::default() } },
--- a/standin/tests/service.rs
+++ b/standin/tests/service.rs
@@ -1,4 +1,4 @@
-//! The stand-in service.
+//! Tests of the fake service.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -29,8 +29,8 @@
     }
 }
 
-/// A licence grant is made and its answer gets lost. The caller can't know, but the record does; a
-/// grant that was refused is not in the record.
+/// A call whose response is lost is still in the record, so a checker can tell that it ran; a
+/// refused call is not.
 #[parameterized(
     answered = { ServiceFaults::default(), Some(RunEnd::Completed), true },
     cut = { ServiceFaults { cut_one_in: 1, ..ServiceFaults::default() }, Some(RunEnd::Completed), false },
