--- a/benches/claims.rs
+++ b/benches/claims.rs
@@ -27,15 +27,15 @@
 use fakes::make::host;
 use fakes::platform::FakePlatform;
 
-const LATENCY: Duration = Duration::from_millis(3);
-const RUN: Duration = Duration::from_secs(4);
+const ROUND_TRIP: Duration = Duration::from_millis(3);
+const RUN_DURATION: Duration = Duration::from_secs(4);
 /// Rates of requests that are not repeatable: 1, 5 and 10 percent of 5,600 requests a second.
 const RATES: [u64; 3] = [56, 280, 560];
-const HOSTS: [usize; 3] = [1, 7, 50];
+const HOST_COUNTS: [usize; 3] = [1, 7, 50];
 
 #[tokio::main]
 async fn main() {
-    for hosts in HOSTS {
+    for hosts in HOST_COUNTS {
         for rate in RATES {
             measure(hosts, rate).await;
         }
@@ -43,48 +43,51 @@
 }
 
 async fn measure(hosts: usize, rate: u64) {
-    let platform = Arc::new(FakePlatform::new(LATENCY));
+    let platform = Arc::new(FakePlatform::new(ROUND_TRIP));
     let stores: Vec<_> = (0..hosts).map(|n| store(&platform, n)).collect();
     let mut claims = Vec::new();
     let start = Instant::now();
-    for n in 0..rate * RUN.as_secs() {
+    for n in 0..rate * RUN_DURATION.as_secs() {
         let due = Duration::from_secs_f64(n as f64 / rate as f64);
         tokio::time::sleep(due.saturating_sub(start.elapsed())).await;
         let store = Arc::clone(&stores[usize::try_from(n).unwrap() % hosts]);
-        claims.push(tokio::spawn(async move { one(&store, n).await }));
+        claims.push(tokio::spawn(
+            async move { claim_and_finish(&store, n).await },
+        ));
     }
     let mut waits = Vec::new();
-    let mut lost = 0;
+    let mut failed = 0;
     for claim in claims {
         match claim.await.unwrap() {
             Some(wait) => waits.push(wait),
-            None => lost += 1,
+            None => failed += 1,
         }
     }
     let seconds = start.elapsed().as_secs_f64();
     waits.sort();
-    let at = |percent: usize| waits[(waits.len() - 1) * percent / 100].as_secs_f64() * 1_000.0;
-    let rate_of = |count: u64| count as f64 / seconds;
+    let percentile_ms =
+        |percent: usize| waits[(waits.len() - 1) * percent / 100].as_secs_f64() * 1_000.0;
+    let per_second = |count: u64| count as f64 / seconds;
     println!(
         "hosts {hosts}, claims {rate}/s: writes {:.0}/s and {:.0}/s that met another's, \
-         reads {:.0}/s, wait p50 {:.1} ms, p95 {:.1} ms, not run {lost}",
-        rate_of(platform.sum(|object| object.writes)),
-        rate_of(platform.sum(|object| object.conflicts)),
-        rate_of(platform.sum(|object| object.reads)),
-        at(50),
-        at(95),
+         reads {:.0}/s, wait p50 {:.1} ms, p95 {:.1} ms, not run {failed}",
+        per_second(platform.sum(|object| object.writes)),
+        per_second(platform.sum(|object| object.conflicts)),
+        per_second(platform.sum(|object| object.reads)),
+        percentile_ms(50),
+        percentile_ms(95),
     );
 }
 
 /// Claims the key of one request and finishes the claim 200 ms later. Returns the time that the
 /// claim took, or `None` if it failed.
-async fn one(store: &ClaimStore, n: u64) -> Option<Duration> {
+async fn claim_and_finish(store: &ClaimStore, n: u64) -> Option<Duration> {
     let key = claim_key(&format!("key-{n}"));
     let attempt = AttemptId(n.into());
     let start = Instant::now();
-    let verdict = store.claim(key, claim(attempt.0, &host("entry"), 1)).await;
+    let outcome = store.claim(key, claim(attempt.0, &host("entry"), 1)).await;
     let wait = start.elapsed();
-    if verdict != ClaimOutcome::Claimed {
+    if outcome != ClaimOutcome::Claimed {
         return None;
     }
     tokio::time::sleep(Duration::from_millis(200)).await;
--- a/benches/control.rs
+++ b/benches/control.rs
@@ -47,14 +47,14 @@
 const HOSTS: usize = 400;
 const STEP: Duration = Duration::from_millis(100);
 /// Latency of a message: hosts respond at once, not at their next tick.
-const HOP: Duration = Duration::from_millis(10);
-const HOPS_A_STEP: u32 = 10;
+const MESSAGE_LATENCY: Duration = Duration::from_millis(10);
+const HOPS_PER_STEP: u32 = 10;
 const ROUND: Duration = Duration::from_millis(500);
-const COUNTED: Duration = Duration::from_secs(780);
+const COUNT_DURATION: Duration = Duration::from_secs(780);
 const CHANGE_INTERVAL: Duration = Duration::from_secs(78);
-const RESTARTS_A_DAY_A_HOST: f64 = 490.0 / 400.0;
+const RESTARTS_PER_HOST_DAY: f64 = 490.0 / 400.0;
 const KILLS: usize = 5;
-const PATIENCE: Duration = Duration::from_secs(120);
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(120);
 /// Half of the control budget of a host, for each of membership and manifests.
 const BYTES_PER_SECOND: u64 = 2_048;
 
@@ -133,18 +133,18 @@
         }
     }
 
-    fn rounds_until(&mut self, holds: impl Fn(&Self) -> bool) -> f64 {
+    fn rounds_until(&mut self, condition: impl Fn(&Self) -> bool) -> f64 {
         let start = self.now;
-        while !holds(self) {
-            assert!(self.now - start < PATIENCE, "does not converge");
+        while !condition(self) {
+            assert!(self.now - start < CONVERGENCE_TIMEOUT, "does not converge");
             self.step();
         }
         (self.now - start).as_secs_f64() / ROUND.as_secs_f64()
     }
 
     fn step(&mut self) {
-        for _ in 0..HOPS_A_STEP {
-            self.now += HOP;
+        for _ in 0..HOPS_PER_STEP {
+            self.now += MESSAGE_LATENCY;
             for (from, to, message) in std::mem::take(&mut self.in_flight) {
                 self.deliver(&from, &to, message);
             }
@@ -154,9 +154,9 @@
             let id = id.clone();
             if host.is_running {
                 let actions = host.membership.tick(self.now);
-                self.act(&id, actions);
+                self.apply_membership_actions(&id, actions);
                 let actions = self.hosts[index].manifests.tick(self.now);
-                self.spread(&id, actions);
+                self.apply_manifest_actions(&id, actions);
             }
         }
     }
@@ -168,16 +168,16 @@
         match message {
             Message::Gossip(gossip) => {
                 let actions = host.membership.handle(from, gossip, self.now);
-                self.act(to, actions);
+                self.apply_membership_actions(to, actions);
             }
             message => {
                 let actions = host.manifests.handle(from, message, self.now);
-                self.spread(to, actions);
+                self.apply_manifest_actions(to, actions);
             }
         }
     }
 
-    fn act(&mut self, id: &HostId, actions: Vec<MembershipAction>) {
+    fn apply_membership_actions(&mut self, id: &HostId, actions: Vec<MembershipAction>) {
         let mut has_changed = false;
         for action in actions {
             match action {
@@ -188,15 +188,15 @@
             }
         }
         if has_changed {
-            self.meet(id);
+            self.update_manifest_hosts(id);
         }
     }
 
-    fn spread(&mut self, id: &HostId, actions: Vec<ManifestAction>) {
+    fn apply_manifest_actions(&mut self, id: &HostId, actions: Vec<ManifestAction>) {
         for action in actions {
             match action {
                 ManifestAction::Send { to, message } => self.send("manifests", id, to, message),
-                ManifestAction::ReadPlatform => self.tell(id),
+                ManifestAction::ReadPlatform => self.deliver_published(id),
                 ManifestAction::PutInForce(in_force) => {
                     let host = &mut self.hosts[id];
                     host.membership
@@ -214,12 +214,12 @@
     }
 
     /// Passes the hosts that membership knows to the manifest controller, as the daemon does.
-    fn meet(&mut self, id: &HostId) {
+    fn update_manifest_hosts(&mut self, id: &HostId) {
         let host = &mut self.hosts[id];
-        let present = host.membership.hosts();
-        let present = present.filter(|view| view.state != HostState::Dead && view.id != *id);
+        let live = host.membership.hosts();
+        let live = live.filter(|view| view.state != HostState::Dead && view.id != *id);
         let (near, far): (Vec<_>, Vec<_>) =
-            present.partition(|view| view.domain == host.seed.failure_domain);
+            live.partition(|view| view.domain == host.seed.failure_domain);
         let ids = |views: Vec<&banyanarch::cluster_view::HostView>| -> Vec<HostId> {
             views.into_iter().map(|view| view.id.clone()).collect()
         };
@@ -228,11 +228,11 @@
     }
 
     /// Delivers the manifest published on the platform to a host.
-    fn tell(&mut self, id: &HostId) {
+    fn deliver_published(&mut self, id: &HostId) {
         if let Some(published) = self.published.clone() {
-            let word = ManifestRead::Published(published);
-            let actions = self.hosts[id].manifests.on_platform_read(word, self.now);
-            self.spread(id, actions);
+            let read = ManifestRead::Published(published);
+            let actions = self.hosts[id].manifests.on_platform_read(read, self.now);
+            self.apply_manifest_actions(id, actions);
         }
     }
 
@@ -263,7 +263,7 @@
                 .find(|host| host.is_running && host.seed.failure_domain == domain);
             let members = first.unwrap().membership.members(&domain);
             for id in watchers(&domain, &members) {
-                self.tell(&id);
+                self.deliver_published(&id);
             }
         }
         published.generation
@@ -280,7 +280,7 @@
         running.all(|host| host.manifests.generation() >= Some(generation))
     }
 
-    fn has_settled(&self) -> bool {
+    fn has_converged(&self) -> bool {
         let is_alive = |view: &&banyanarch::cluster_view::HostView| view.state == HostState::Alive;
         let running = self.hosts.values().filter(|host| host.is_running);
         let count = running.clone().count();
@@ -291,7 +291,7 @@
 
     /// Returns whether all hosts of a failure domain agree on the homes, and none of the homes is
     /// `gone`.
-    fn homes_are_without(&self, gone: &HostId, domain: &FailureDomainId, pools: &[PoolId]) -> bool {
+    fn homes_exclude(&self, gone: &HostId, domain: &FailureDomainId, pools: &[PoolId]) -> bool {
         let neighbours = self.hosts.values();
         let neighbours =
             neighbours.filter(|host| host.is_running && host.seed.failure_domain == *domain);
@@ -322,7 +322,7 @@
         let seed = self.hosts[index].seed.clone();
         self.start(seed.clone(), &known, incarnation);
         // A host reads the platform when it starts.
-        self.tell(&seed.host);
+        self.deliver_published(&seed.host);
     }
 }
 
@@ -344,11 +344,11 @@
     fleet.bytes.clear();
     fleet.bytes_by_host.clear();
     let host_count = fleet.hosts.len() as f64;
-    let restarts_a_second = RESTARTS_A_DAY_A_HOST * host_count / 86_400.0;
+    let restarts_a_second = RESTARTS_PER_HOST_DAY * host_count / 86_400.0;
     let (mut restarts_due, mut restarts) = (0.0, 0);
     let start = fleet.now;
     let mut next_change = start;
-    while fleet.now - start < COUNTED {
+    while fleet.now - start < COUNT_DURATION {
         if fleet.now >= next_change {
             fleet.publish();
             next_change += CHANGE_INTERVAL;
@@ -361,7 +361,7 @@
         }
         fleet.step();
     }
-    let host_seconds = host_count * COUNTED.as_secs_f64();
+    let host_seconds = host_count * COUNT_DURATION.as_secs_f64();
     let most = fleet.bytes_by_host.values().max().copied().unwrap_or(0);
     eprintln!(
         "  {} hosts: membership {:.0} B/s, manifests {:.0} B/s, the busiest host {:.0} B/s, \
@@ -369,7 +369,7 @@
         host_count,
         fleet.bytes["membership"] as f64 / host_seconds,
         fleet.bytes["manifests"] as f64 / host_seconds,
-        most as f64 / COUNTED.as_secs_f64(),
+        most as f64 / COUNT_DURATION.as_secs_f64(),
     );
     fleet.bytes.values().sum::<u64>() as f64 / host_seconds
 }
@@ -383,7 +383,7 @@
         let pools = pools(&seed.failure_domain, host_count);
         fleet.hosts[index].is_running = false;
         rounds += fleet.rounds_until(|fleet| {
-            fleet.homes_are_without(&seed.host, &seed.failure_domain, &pools)
+            fleet.homes_exclude(&seed.host, &seed.failure_domain, &pools)
                 && is_seen_dead(fleet, &seed)
         });
         fleet.run(Duration::from_secs(5));
@@ -413,26 +413,26 @@
         fleet.publish();
         for index in 0..host_count {
             let id = fleet.hosts.get_index(index).unwrap().0.clone();
-            fleet.tell(&id);
+            fleet.deliver_published(&id);
         }
-        let to_settle = fleet.rounds_until(Fleet::has_settled);
+        let convergence_rounds = fleet.rounds_until(Fleet::has_converged);
         eprintln!(
-            "  {host_count} hosts: all started at once know each other after {to_settle:.1} rounds"
+            "  {host_count} hosts: all started at once know each other after {convergence_rounds:.1} rounds"
         );
         fleet.run(Duration::from_secs(60));
         let bytes = count_bytes(&mut fleet);
-        fleet.rounds_until(Fleet::has_settled);
-        let mut to_spread: f64 = 0.0;
+        fleet.rounds_until(Fleet::has_converged);
+        let mut spread_rounds: f64 = 0.0;
         for _ in 0..KILLS {
             let generation = fleet.publish();
-            to_spread += fleet.rounds_until(|fleet| fleet.all_have(generation));
+            spread_rounds += fleet.rounds_until(|fleet| fleet.all_have(generation));
             fleet.run(Duration::from_secs(5));
         }
-        let after_kill = rounds_after_kill(&mut fleet);
+        let failover_rounds = rounds_after_kill(&mut fleet);
         println!(
-            "hosts {host_count}, control {bytes:.0} B/s per host, rounds after kill {after_kill:.1}, \
+            "hosts {host_count}, control {bytes:.0} B/s per host, rounds after kill {failover_rounds:.1}, \
              rounds to spread a manifest {:.1}",
-            to_spread / KILLS as f64
+            spread_rounds / KILLS as f64
         );
     }
 }
--- a/benches/daemons/mod.rs
+++ b/benches/daemons/mod.rs
@@ -19,18 +19,18 @@
 use standin::http::call_json;
 use standin::platform::PlatformFake;
 
-const COUNTED: Duration = Duration::from_secs(20);
-const SETTLING: Duration = Duration::from_secs(10);
-const PATIENCE: Duration = Duration::from_secs(60);
-const POLL: Duration = Duration::from_millis(10);
+const COUNT_DURATION: Duration = Duration::from_secs(20);
+const SETTLE_DURATION: Duration = Duration::from_secs(10);
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 const KILLS: usize = 3;
 /// Clock ticks a second of the processor times in `/proc/PID/stat`.
-const TICKS_A_SECOND: f64 = 100.0;
-const KIND: &str = "/apis/banyanarch.dev/v1/";
+const TICKS_PER_SECOND: f64 = 100.0;
+const API_PATH: &str = "/apis/banyanarch.dev/v1/";
 
 struct Daemon {
     name: String,
-    status: SocketAddr,
+    status_addr: SocketAddr,
     process: Child,
 }
 
@@ -49,15 +49,15 @@
         .enable_all()
         .build()
         .unwrap();
-    runtime.block_on(count_with(host_count));
+    runtime.block_on(run_count(host_count));
 }
 
-async fn count_with(host_count: usize) {
+async fn run_count(host_count: usize) {
     let platform = PlatformFake::start(SocketAddr::from(([127, 0, 0, 1], 0)))
         .await
         .unwrap();
     let dir = WorkDir::new().unwrap();
-    let mut held = publish(platform.addr(), None).await;
+    let mut published = publish(platform.addr(), None).await;
     let mut daemons = start(&dir, platform.addr(), host_count).await;
     for n in 0..host_count * crate::RUNNERS / crate::HOSTS {
         let domain = format!("domain-{}", n % crate::DOMAINS);
@@ -65,22 +65,22 @@
             "address": "127.0.0.1:9", "state": "live"});
         register(platform.addr(), &format!("runner-{n}"), &spec).await;
     }
-    until(&daemons, |status| alive(status) == host_count).await;
-    tokio::time::sleep(SETTLING).await;
-    let bytes = count_load(&daemons, &platform).await;
-    let mut to_spread = 0.0;
+    wait_until(&daemons, |status| alive_count(status) == host_count).await;
+    tokio::time::sleep(SETTLE_DURATION).await;
+    let bytes = measure_traffic(&daemons, &platform).await;
+    let mut spread_s = 0.0;
     for _ in 0..KILLS {
-        held = publish(platform.addr(), Some(held)).await;
-        let generation = held.generation.0;
-        to_spread += until(&daemons, |status| status["generation"] == generation).await;
+        published = publish(platform.addr(), Some(published)).await;
+        let generation = published.generation.0;
+        spread_s += wait_until(&daemons, |status| status["generation"] == generation).await;
         tokio::time::sleep(Duration::from_secs(2)).await;
     }
-    let mut after_kill = 0.0;
+    let mut detection_s = 0.0;
     for _ in 0..KILLS.min(host_count - 1) {
         let killed = daemons.pop().unwrap();
         let (domain, name) = (domain_of(&killed.name).to_owned(), killed.name.clone());
         drop(killed);
-        after_kill += until(&daemons, |status| {
+        detection_s += wait_until(&daemons, |status| {
             status["domain"] != domain.as_str() || state_of(status, &name) == Some("dead")
         })
         .await;
@@ -88,48 +88,48 @@
     println!(
         "hosts {host_count}, control {bytes:.0} B/s per host, seconds after kill {:.1}, \
          seconds to spread a manifest {:.1}",
-        after_kill / KILLS.min(host_count - 1) as f64,
-        to_spread / KILLS as f64
+        detection_s / KILLS.min(host_count - 1) as f64,
+        spread_s / KILLS as f64
     );
 }
 
-async fn count_load(daemons: &[Daemon], platform: &PlatformFake) -> f64 {
-    let (bytes_before, cpu_before) = (sum_bytes(daemons).await, sum_cpu(daemons));
+async fn measure_traffic(daemons: &[Daemon], platform: &PlatformFake) -> f64 {
+    let (bytes_before, cpu_before) = (total_control_bytes(daemons).await, total_cpu_s(daemons));
     let (reads, writes) = (platform.stats().reads, platform.stats().writes);
-    tokio::time::sleep(COUNTED).await;
-    let host_seconds = daemons.len() as f64 * COUNTED.as_secs_f64();
+    tokio::time::sleep(COUNT_DURATION).await;
+    let host_seconds = daemons.len() as f64 * COUNT_DURATION.as_secs_f64();
     let stats = platform.stats();
     let rss = daemons.iter().map(|daemon| rss_kib(daemon.process.id()));
     eprintln!(
         "  {} daemons: {:.2}% of a core and {:.0} MiB each, platform {:.1} reads/s and {:.1} writes/s",
         daemons.len(),
-        (sum_cpu(daemons) - cpu_before) / host_seconds * 100.0,
+        (total_cpu_s(daemons) - cpu_before) / host_seconds * 100.0,
         rss.max().unwrap_or(0) as f64 / 1024.0,
-        (stats.reads - reads) as f64 / COUNTED.as_secs_f64(),
-        (stats.writes - writes) as f64 / COUNTED.as_secs_f64(),
+        (stats.reads - reads) as f64 / COUNT_DURATION.as_secs_f64(),
+        (stats.writes - writes) as f64 / COUNT_DURATION.as_secs_f64(),
     );
-    (sum_bytes(daemons).await - bytes_before) / host_seconds
+    (total_control_bytes(daemons).await - bytes_before) / host_seconds
 }
 
 async fn start(dir: &WorkDir, platform: SocketAddr, host_count: usize) -> Vec<Daemon> {
     let addrs = free_addrs(host_count * 3);
-    let seat = |n: usize| format!("domain-{}-{n:03}", n % crate::DOMAINS);
+    let host_name = |n: usize| format!("domain-{}-{n:03}", n % crate::DOMAINS);
     let seeds: Vec<Value> = (0..host_count.min(3 * crate::DOMAINS))
         .map(|n| {
-            let name = seat(n);
+            let name = host_name(n);
             json!({"host": name, "failure_domain": domain_of(&name), "address": addrs[n * 3 + 1]})
         })
         .collect();
     let mut daemons = Vec::new();
     for n in 0..host_count {
-        let name = seat(n);
-        let [callers, peers, status] = [addrs[n * 3], addrs[n * 3 + 1], addrs[n * 3 + 2]];
+        let name = host_name(n);
+        let [callers, peers, status_addr] = [addrs[n * 3], addrs[n * 3 + 1], addrs[n * 3 + 2]];
         let others: Vec<&Value> = seeds.iter().filter(|seed| seed["host"] != name).collect();
         let settings = json!({
             "host": name,
             "deployment": "desai",
             "failure_domain": domain_of(&name),
-            "listen": {"callers": callers, "peers": peers, "status": status},
+            "listen": {"callers": callers, "peers": peers, "status": status_addr},
             "platform": {"address": platform},
             "peers": {"seeds": others, "keys": [{"id": "k", "secret": "0123456789abcdef"}]},
             "threads": 1,
@@ -149,7 +149,7 @@
             .unwrap();
         daemons.push(Daemon {
             name,
-            status,
+            status_addr,
             process,
         });
     }
@@ -157,39 +157,39 @@
 }
 
 /// Polls the daemons until the status of each satisfies `holds`, and returns the seconds that took.
-async fn until(daemons: &[Daemon], holds: impl Fn(&Value) -> bool) -> f64 {
+async fn wait_until(daemons: &[Daemon], condition: impl Fn(&Value) -> bool) -> f64 {
     let start = Instant::now();
     loop {
-        let statuses = join_all(daemons.iter().map(status)).await;
+        let statuses = join_all(daemons.iter().map(read_status)).await;
         if statuses
             .iter()
-            .all(|status| status.as_ref().is_some_and(&holds))
+            .all(|status| status.as_ref().is_some_and(&condition))
         {
             return start.elapsed().as_secs_f64();
         }
-        assert!(start.elapsed() < PATIENCE, "does not converge");
-        tokio::time::sleep(POLL).await;
+        assert!(start.elapsed() < CONVERGENCE_TIMEOUT, "does not converge");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn status(daemon: &Daemon) -> Option<Value> {
-    call_json(daemon.status, Method::GET, "/status", &Value::Null)
+async fn read_status(daemon: &Daemon) -> Option<Value> {
+    call_json(daemon.status_addr, Method::GET, "/status", &Value::Null)
         .await
         .ok()
 }
 
-async fn sum_bytes(daemons: &[Daemon]) -> f64 {
-    let statuses = join_all(daemons.iter().map(status)).await;
+async fn total_control_bytes(daemons: &[Daemon]) -> f64 {
+    let statuses = join_all(daemons.iter().map(read_status)).await;
     let bytes = |status: Option<Value>| status.and_then(|status| status["control_bytes"].as_f64());
     statuses.into_iter().filter_map(bytes).sum()
 }
 
-fn sum_cpu(daemons: &[Daemon]) -> f64 {
+fn total_cpu_s(daemons: &[Daemon]) -> f64 {
     let seconds = |daemon: &Daemon| {
         let stat = fs::read_to_string(format!("/proc/{}/stat", daemon.process.id())).ok()?;
         let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
         let ticks: f64 = fields[11].parse::<f64>().ok()? + fields[12].parse::<f64>().ok()?;
-        Some(ticks / TICKS_A_SECOND)
+        Some(ticks / TICKS_PER_SECOND)
     };
     daemons.iter().filter_map(seconds).sum()
 }
@@ -201,18 +201,23 @@
     kib.and_then(|kib| kib.parse().ok()).unwrap_or(0)
 }
 
-async fn publish(platform: SocketAddr, held: Option<PublishedManifest>) -> PublishedManifest {
+async fn publish(platform: SocketAddr, published: Option<PublishedManifest>) -> PublishedManifest {
     let example = include_str!("../../examples/desai/manifest.yaml");
-    let last = held.map_or(Generation(0), |held| held.generation);
+    let last = published.map_or(Generation(0), |published| published.generation);
     let text = format!("{example}\n# {last}\n");
     let next = PublishedManifest::next_after(last, last.0.into(), &text);
     let mut object = json!({"metadata": {"name": "current"}, "spec": &next});
     if last == Generation(0) {
-        call_json(platform, Method::POST, &format!("{KIND}manifests"), &object)
-            .await
-            .unwrap();
+        call_json(
+            platform,
+            Method::POST,
+            &format!("{API_PATH}manifests"),
+            &object,
+        )
+        .await
+        .unwrap();
     } else {
-        let path = format!("{KIND}manifests/current");
+        let path = format!("{API_PATH}manifests/current");
         let current = call_json(platform, Method::GET, &path, &Value::Null)
             .await
             .unwrap();
@@ -226,12 +231,17 @@
 
 async fn register(platform: SocketAddr, name: &str, spec: &Value) {
     let object = json!({"metadata": {"name": name}, "spec": spec});
-    call_json(platform, Method::POST, &format!("{KIND}machines"), &object)
-        .await
-        .unwrap();
+    call_json(
+        platform,
+        Method::POST,
+        &format!("{API_PATH}machines"),
+        &object,
+    )
+    .await
+    .unwrap();
 }
 
-fn alive(status: &Value) -> usize {
+fn alive_count(status: &Value) -> usize {
     let hosts = status["hosts"].as_array();
     hosts.map_or(0, |hosts| {
         hosts.iter().filter(|host| host["state"] == "alive").count()
--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -24,15 +24,15 @@
 /// Fleet sizes, from the smallest deployment to the target size.
 const SIZES: [usize; 4] = [8, 70, 195, 400];
 /// Number of upstreams on which one host has work at a time.
-const NAMED: usize = 12;
+const UPSTREAMS_PER_HOST: usize = 12;
 /// Repetitions of each measurement.
 const ROUNDS: u32 = 200;
 
 fn main() {
     println!("hosts  read_us  choose_us  hear_us");
     for size in SIZES {
-        let (read, choose, hear) = measure(size);
-        println!("{size:>5}  {read:>7.1}  {choose:>9.1}  {hear:>7.1}");
+        let (read, choose, record) = measure(size);
+        println!("{size:>5}  {read:>7.1}  {choose:>9.1}  {record:>7.1}");
     }
 }
 
@@ -43,10 +43,10 @@
     let now = Instant::now();
     let mut ledger = LoadLedger::default();
     for host in 0..size {
-        hear(&mut ledger, host, &ids, now);
+        record_message(&mut ledger, host, &ids, now);
     }
     let model = model();
-    let ask = ask();
+    let request = engine_request();
     let views = |ledger: &LoadLedger| -> Vec<EngineView> {
         let view = |id: &UpstreamId| EngineView {
             id: id.clone(),
@@ -61,26 +61,26 @@
         black_box(views(&ledger));
     });
     let choose = time_us(|| {
-        black_box(choose_engines(&model, &views(&ledger), &ask));
+        black_box(choose_engines(&model, &views(&ledger), &request));
     });
     let mut host = 0;
-    let hear = time_us(|| {
+    let record = time_us(|| {
         host = (host + 1) % size;
-        hear(&mut ledger, host, &ids, now);
+        record_message(&mut ledger, host, &ids, now);
     });
-    (read, choose, hear)
+    (read, choose, record)
 }
 
 fn time_us(mut work: impl FnMut()) -> f64 {
-    let begun = Instant::now();
+    let start = Instant::now();
     for _ in 0..ROUNDS {
         work();
     }
-    begun.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
+    start.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
 }
 
-fn hear(ledger: &mut LoadLedger, host: usize, ids: &[UpstreamId], now: Instant) {
-    let loads: IndexMap<UpstreamId, HostLoad> = (0..NAMED.min(ids.len()))
+fn record_message(ledger: &mut LoadLedger, host: usize, ids: &[UpstreamId], now: Instant) {
+    let loads: IndexMap<UpstreamId, HostLoad> = (0..UPSTREAMS_PER_HOST.min(ids.len()))
         .map(|step| (ids[(host * 7 + step * 3) % ids.len()].clone(), load()))
         .collect();
     let host = format!("host-{host:03}").parse().unwrap();
@@ -99,7 +99,7 @@
     }
 }
 
-fn ask() -> EngineRequest {
+fn engine_request() -> EngineRequest {
     EngineRequest {
         prompt: Tokens(5_000),
         output: Tokens(1_800),
--- a/examples/engine_loads/main.rs
+++ b/examples/engine_loads/main.rs
@@ -32,49 +32,54 @@
 /// capacity of the engines.
 const LONG_RATES: [f64; 3] = [2.2, 2.8, 4.0];
 /// Loss of a caller that comes back and is refused again, as a fraction of the value of its answer.
-const REFUSED_AGAIN_COST: f64 = 0.3;
+const REPEATED_REFUSAL_COST: f64 = 0.3;
 
-fn play(site: &Site, long: f64, seed: u64) -> RunResults {
-    let load = Load::draw(site, &Phase::alternating(9.5, long), seed);
+fn simulate(site: &Site, long_rate: f64, seed: u64) -> RunResults {
+    let load = Load::draw(site, &Phase::alternating(9.5, long_rate), seed);
     World::run(site.clone(), load, seed)
 }
 
-fn play_all(site: &Site, long: f64, seeds: u64) -> Vec<RunResults> {
+fn simulate_seeds(site: &Site, long_rate: f64, seeds: u64) -> Vec<RunResults> {
     std::thread::scope(|scope| {
-        let plays = (1..=seeds).map(|seed| scope.spawn(move || play(site, long, seed)));
-        let plays: Vec<_> = plays.collect();
-        plays
+        let simulations =
+            (1..=seeds).map(|seed| scope.spawn(move || simulate(site, long_rate, seed)));
+        let simulations: Vec<_> = simulations.collect();
+        simulations
             .into_iter()
-            .map(|play| play.join().unwrap_or_else(|panic| resume_unwind(panic)))
+            .map(|simulation| {
+                simulation
+                    .join()
+                    .unwrap_or_else(|panic| resume_unwind(panic))
+            })
             .collect()
     })
 }
 
-fn print_means(name: &str, long: f64, tallies: &[RunResults]) {
-    let mean = |of: &dyn Fn(&RunResults) -> f64| {
-        tallies.iter().map(of).sum::<f64>() / tallies.len() as f64
+fn print_means(name: &str, long_rate: f64, results: &[RunResults]) {
+    let mean = |figure: &dyn Fn(&RunResults) -> f64| {
+        results.iter().map(figure).sum::<f64>() / results.len() as f64
     };
     println!(
-        "{name} x{long}: earned {:.3} less refused again {:.3} | short {:.3} medium {:.3} long {:.3} \
+        "{name} x{long_rate}: earned {:.3} less refused again {:.3} | short {:.3} medium {:.3} long {:.3} \
          (largest tenth {:.2} fifth {:.2} rest {:.2} late {:.2}) largest tenth served {:.2} of all {:.2} \
          turned away {:.0} forecast error \
          medium {:.0} {:.0} long {:.0} {:.0} ms (median, 90th percentile)",
         mean(&RunResults::earned_in_total),
-        mean(&|tally| tally.earned_in_total() - REFUSED_AGAIN_COST * tally.refused_again()),
-        mean(&|tally| tally.earned(SHORT)),
-        mean(&|tally| tally.earned(MEDIUM)),
-        mean(&|tally| tally.earned(LONG)),
-        mean(&|tally| tally.earned_by_size(LONG).0),
-        mean(&|tally| tally.earned_by_size(LONG).1),
-        mean(&|tally| tally.earned_by_size(LONG).2),
-        mean(&|tally| tally.fraction(LONG, RequestResult::Late)),
-        mean(&|tally| tally.served_by_size(LONG).0),
-        mean(&|tally| tally.served_by_size(LONG).2),
-        mean(&|tally| f64::from(tally.rejected_sends())),
-        mean(&|tally| tally.error_ms(MEDIUM, 0.5)),
-        mean(&|tally| tally.error_ms(MEDIUM, 0.9)),
-        mean(&|tally| tally.error_ms(LONG, 0.5)),
-        mean(&|tally| tally.error_ms(LONG, 0.9)),
+        mean(&|result| result.earned_in_total() - REPEATED_REFUSAL_COST * result.refused_again()),
+        mean(&|result| result.earned(SHORT)),
+        mean(&|result| result.earned(MEDIUM)),
+        mean(&|result| result.earned(LONG)),
+        mean(&|result| result.earned_by_size(LONG).0),
+        mean(&|result| result.earned_by_size(LONG).1),
+        mean(&|result| result.earned_by_size(LONG).2),
+        mean(&|result| result.fraction(LONG, RequestResult::Late)),
+        mean(&|result| result.served_by_size(LONG).0),
+        mean(&|result| result.served_by_size(LONG).2),
+        mean(&|result| f64::from(result.rejected_sends())),
+        mean(&|result| result.error_ms(MEDIUM, 0.5)),
+        mean(&|result| result.error_ms(MEDIUM, 0.9)),
+        mean(&|result| result.error_ms(LONG, 0.5)),
+        mean(&|result| result.error_ms(LONG, 0.9)),
     );
 }
 
@@ -112,8 +117,8 @@
         if only.as_ref().is_some_and(|only| only != name) {
             continue;
         }
-        for &long in &rates {
-            print_means(name, long, &play_all(&site, long, seeds));
+        for &long_rate in &rates {
+            print_means(name, long_rate, &simulate_seeds(&site, long_rate, seeds));
         }
     }
     Ok(())
--- a/examples/sweep/main.rs
+++ b/examples/sweep/main.rs
@@ -24,17 +24,18 @@
 ];
 
 fn main() {
-    let wanted: Vec<String> = std::env::args().skip(1).collect();
-    let is_wanted = |name: &str| wanted.is_empty() || wanted.iter().any(|want| want == name);
+    let selected: Vec<String> = std::env::args().skip(1).collect();
+    let is_selected =
+        |name: &str| selected.is_empty() || selected.iter().any(|selection| selection == name);
     for (name, play) in scenario::ALL {
-        if is_wanted(name) {
+        if is_selected(name) {
             println!("\n## {name}");
             for policy in POLICIES {
                 println!("{:<15} {}", format!("{policy:?}"), play(&Setup::of(policy)));
             }
         }
     }
-    if is_wanted("objective") {
+    if is_selected("objective") {
         println!("\n## objective, short-among-long");
         for objective in [Objective::ShortSlowdown, Objective::FirstToken] {
             let setup = Setup {
@@ -45,101 +46,109 @@
             println!("{objective:<15?} {}", scenario::short_among_long(&setup));
         }
     }
-    if is_wanted("thresholds") {
-        thresholds();
+    if is_selected("thresholds") {
+        sweep_thresholds();
     }
-    if is_wanted("timing") {
+    if is_selected("timing") {
         timing::print();
     }
 }
 
-fn thresholds() {
+fn sweep_thresholds() {
     let base = || Setup::of(PolicyName::Shipped).tuning;
     let ms = Duration::from_millis;
-    sweep("headroom, ms", &[0, 10, 30, 100, 300], |at| Tuning {
-        headroom: ms(at),
+    sweep_threshold("headroom, ms", &[0, 10, 30, 100, 300], |value| Tuning {
+        headroom: ms(value),
         ..base()
     });
-    sweep(
+    sweep_threshold(
         "equal_speed_ratio, percent",
         &[100, 120, 140, 200, 400],
-        |at| Tuning {
-            equal_speed_ratio: at as f64 / 100.0,
+        |value| Tuning {
+            equal_speed_ratio: value as f64 / 100.0,
             ..base()
         },
     );
-    sweep(
+    sweep_threshold(
         "short_tokens_max",
         &[1_000, 2_000, 4_000, 8_000, 16_000],
-        |at| Tuning {
-            short_tokens_max: Tokens(at),
+        |value| Tuning {
+            short_tokens_max: Tokens(value),
             ..base()
         },
     );
-    sweep("long_prefills_max", &[1, 2, 4, 8], |at| Tuning {
-        long_prefills_max: usize::try_from(at).unwrap_or(usize::MAX),
+    sweep_threshold("long_prefills_max", &[1, 2, 4, 8], |value| Tuning {
+        long_prefills_max: usize::try_from(value).unwrap_or(usize::MAX),
         ..base()
     });
-    sweep("long_utilization_max, percent", &[50, 70, 85, 100], |at| {
-        Tuning {
-            long_utilization_max: at as f64 / 100.0,
+    sweep_threshold(
+        "long_utilization_max, percent",
+        &[50, 70, 85, 100],
+        |value| Tuning {
+            long_utilization_max: value as f64 / 100.0,
             ..base()
-        }
-    });
-    sweep(
+        },
+    );
+    sweep_threshold(
         "short_utilization_max, percent",
         &[30, 45, 60, 80, 100],
-        |at| Tuning {
-            short_utilization_max: at as f64 / 100.0,
+        |value| Tuning {
+            short_utilization_max: value as f64 / 100.0,
             ..base()
         },
     );
-    sweep("long_fraction_min, percent", &[0, 10, 25, 50], |at| {
+    sweep_threshold("long_fraction_min, percent", &[0, 10, 25, 50], |value| {
         Tuning {
-            long_fraction_min: at as f64 / 100.0,
+            long_fraction_min: value as f64 / 100.0,
             ..base()
         }
     });
-    sweep(
+    sweep_threshold(
         "short_fraction_beside_long_max, percent",
         &[0, 10, 25, 50, 100],
-        |at| Tuning {
-            short_fraction_beside_long_max: at as f64 / 100.0,
+        |value| Tuning {
+            short_fraction_beside_long_max: value as f64 / 100.0,
             ..base()
         },
     );
-    sweep("admit_fraction, percent", &[60, 80, 90, 100, 120], |at| {
-        Tuning {
-            admit_fraction: at as f64 / 100.0,
+    sweep_threshold(
+        "admit_fraction, percent",
+        &[60, 80, 90, 100, 120],
+        |value| Tuning {
+            admit_fraction: value as f64 / 100.0,
             ..base()
-        }
-    });
-    sweep("wait_ratio_max, percent", &[0, 50, 80, 100], |at| Tuning {
-        wait_ratio_max: at as f64 / 100.0,
-        ..base()
-    });
-    sweep("slow_fraction, percent", &[0, 20, 40, 60, 80], |at| {
+        },
+    );
+    sweep_threshold("wait_ratio_max, percent", &[0, 50, 80, 100], |value| {
         Tuning {
-            slow_fraction: at as f64 / 100.0,
+            wait_ratio_max: value as f64 / 100.0,
             ..base()
         }
     });
-    sweep("ejected_fraction_max, percent", &[0, 25, 50, 100], |at| {
+    sweep_threshold("slow_fraction, percent", &[0, 20, 40, 60, 80], |value| {
         Tuning {
-            ejected_fraction_max: at as f64 / 100.0,
+            slow_fraction: value as f64 / 100.0,
             ..base()
         }
     });
+    sweep_threshold(
+        "ejected_fraction_max, percent",
+        &[0, 25, 50, 100],
+        |value| Tuning {
+            ejected_fraction_max: value as f64 / 100.0,
+            ..base()
+        },
+    );
 }
 
-fn sweep(name: &str, values: &[u64], tuning: impl Fn(u64) -> Tuning) {
+fn sweep_threshold(name: &str, values: &[u64], tuning: impl Fn(u64) -> Tuning) {
     println!("\n## threshold {name}");
-    for at in values {
+    for value in values {
         let setup = Setup {
-            tuning: tuning(*at),
+            tuning: tuning(*value),
             ..Setup::of(PolicyName::Shipped)
         };
-        println!("{at:>6} mixed: {}", scenario::short_among_long(&setup));
+        println!("{value:>6} mixed: {}", scenario::short_among_long(&setup));
         println!("{:>6} slow one: {}", "", scenario::slow_upstream(&setup));
         println!(
             "{:>6} saturated: {}",
--- a/examples/sweep/scenario.rs
+++ b/examples/sweep/scenario.rs
@@ -22,7 +22,7 @@
 
 const ENGINES: usize = 20;
 const SPEED: f64 = 8_000.0;
-const MINUTE: (f64, f64) = (0.0, 60.0);
+const ONE_MINUTE: (f64, f64) = (0.0, 60.0);
 
 /// A function that runs a load and returns the figures to print.
 pub(crate) type Scenario = fn(&Setup) -> String;
@@ -66,8 +66,8 @@
         }
     }
 
-    fn simulation(&self, hosts: u64) -> Simulation {
-        let policies = (0..hosts).map(|seed| policy_for(self.policy, &self.conf(), seed));
+    fn simulation(&self, host_count: u64) -> Simulation {
+        let policies = (0..host_count).map(|seed| policy_for(self.policy, &self.conf(), seed));
         let policies: Vec<Box<dyn Policy>> = policies.collect();
         let engines = (0..ENGINES).map(|_| Engine::new(300_000, SPEED)).collect();
         Simulation::new(engines, policies)
@@ -78,12 +78,12 @@
     }
 }
 
-fn shorts(seed: u64, rate: f64) -> Workload {
+fn short_load(seed: u64, rate: f64) -> Workload {
     Workload::new(seed).stream(rate, (0.0, 120.0), &RequestSpec::short())
 }
 
 /// Adds long prompts that take about half of the engines' time.
-fn with_long(load: Workload) -> Workload {
+fn add_long_prompts(load: Workload) -> Workload {
     let long = |prompt| RequestSpec {
         customer: "studio",
         ..RequestSpec::long(prompt)
@@ -94,41 +94,45 @@
         .stream(0.02, two_minutes, &long(500_000))
 }
 
-fn mixed(setup: &Setup, change: fn(&mut Engine)) -> String {
+fn compare_short_among_long(setup: &Setup, change: fn(&mut Engine)) -> String {
     let play = |load| {
         let mut simulation = setup.simulation(1);
         simulation.engines.iter_mut().for_each(change);
         simulation.run(load).0
     };
-    let alone = play(shorts(7, 24.0));
-    let all = play(with_long(shorts(7, 24.0)));
+    let alone = play(short_load(7, 24.0));
+    let all = play(add_long_prompts(short_load(7, 24.0)));
     let short = all.class(LengthClass::Short);
     format!(
         "short slowdown p50 {:.3} p95 {:.3} p99 {:.3}, {}, all p95 {:.3} s, done {:.3}",
         short.ttft(0.5) / alone.ttft(0.5),
         short.ttft(0.95) / alone.ttft(0.95),
         short.ttft(0.99) / alone.ttft(0.99),
-        by_class(&all),
+        format_classes(&all),
         all.ttft(0.95),
         all.completed_fraction(),
     )
 }
 
-fn by_class(all: &Outcomes) -> String {
+fn format_classes(all: &Outcomes) -> String {
     let classes = [LengthClass::Short, LengthClass::Long, LengthClass::Huge];
     let figures = classes.map(|class| {
-        let of = all.class(class);
-        format!("{class} p50 {:.2} p95 {:.2} s", of.ttft(0.5), of.ttft(0.95))
+        let outcomes = all.class(class);
+        format!(
+            "{class} p50 {:.2} p95 {:.2} s",
+            outcomes.ttft(0.5),
+            outcomes.ttft(0.95)
+        )
     });
     figures.join(", ")
 }
 
 pub(crate) fn short_among_long(setup: &Setup) -> String {
-    mixed(setup, |_| {})
+    compare_short_among_long(setup, |_| {})
 }
 
 fn short_among_long_no_ranks(setup: &Setup) -> String {
-    mixed(setup, |engine| engine.honours_priority = false)
+    compare_short_among_long(setup, |engine| engine.honours_priority = false)
 }
 
 /// Sends ten times the load for five seconds.
@@ -139,7 +143,7 @@
     };
     let load =
         Workload::new(3)
-            .stream(30.0, MINUTE, &request)
+            .stream(30.0, ONE_MINUTE, &request)
             .stream(270.0, (20.0, 25.0), &request);
     let all = setup.run(load);
     let after = all.only(|o| o.request.at >= Duration::from_secs(35));
@@ -161,10 +165,10 @@
     };
     let mut load = Workload::new(5);
     for large in ["studio", "agency"] {
-        load = load.stream(108.0, MINUTE, &request(large));
+        load = load.stream(108.0, ONE_MINUTE, &request(large));
     }
     for small in ["desk", "karaoke", "branch", "app"] {
-        load = load.stream(6.0, MINUTE, &request(small));
+        load = load.stream(6.0, ONE_MINUTE, &request(small));
     }
     let all = setup.run(load);
     let small = all.only(|o| !["studio", "agency"].contains(&o.request.customer));
@@ -186,9 +190,9 @@
         prefix: Some((prefix, 3_000)),
         ..RequestSpec::short()
     };
-    let mut load = Workload::new(9).stream(35.0, MINUTE, &request(1_000));
+    let mut load = Workload::new(9).stream(35.0, ONE_MINUTE, &request(1_000));
     for prefix in 0..100 {
-        load = load.stream(0.35, MINUTE, &request(prefix));
+        load = load.stream(0.35, ONE_MINUTE, &request(prefix));
     }
     let all = setup.run(load);
     let on = |index: usize| all.only(|o| o.engines.first() == Some(&index)).0.len();
@@ -206,7 +210,7 @@
 pub(crate) fn slow_upstream(setup: &Setup) -> String {
     let mut simulation = setup.simulation(1);
     simulation.engines[5].pace = 0.2;
-    let all = simulation.run(shorts(11, 60.0)).0;
+    let all = simulation.run(short_load(11, 60.0)).0;
     let slow = all.only(|o| o.engines.first() == Some(&5)).0.len();
     format!(
         "p50 {:.3} p95 {:.3} p99 {:.3} s, done {:.3}, on the slow one {:.3} of all",
@@ -224,7 +228,7 @@
         timeout: Duration::from_secs(6),
         ..RequestSpec::short()
     };
-    let play = |rate| setup.run(Workload::new(13).stream(rate, MINUTE, &request));
+    let play = |rate| setup.run(Workload::new(13).stream(rate, ONE_MINUTE, &request));
     let (once, twice) = (play(110.0), play(240.0));
     format!(
         "goodput at twice {:.3} of that at capacity, done {:.3}, refused {:.3}, p95 {:.2} s",
@@ -279,7 +283,7 @@
     simulation.enable_retries(|now| RetryBudget::new(1, now));
     simulation.outage = Some((0..10, 20.0, 25.0));
     let all = simulation
-        .run(Workload::new(19).stream(80.0, MINUTE, &request))
+        .run(Workload::new(19).stream(80.0, ONE_MINUTE, &request))
         .0;
     let attempts: u32 = all.0.iter().map(|o| o.attempts).sum();
     let after = all.only(|o| o.request.at >= Duration::from_secs(30));
@@ -308,7 +312,7 @@
     let figures = changes.map(|(name, change)| {
         let mut simulation = setup.simulation(1);
         simulation.alter_report = change;
-        let all = simulation.run(with_long(shorts(7, 24.0))).0;
+        let all = simulation.run(add_long_prompts(short_load(7, 24.0))).0;
         let short = all.class(LengthClass::Short);
         format!(
             "{name}: short p95 {:.3} s done {:.3}",
@@ -328,7 +332,7 @@
         };
         let engines = (0..ENGINES).map(|_| Engine::new(300_000, SPEED)).collect();
         let simulation = Simulation::new(engines, vec![policy_for(setup.policy, &conf, 1)]);
-        let all = simulation.run(with_long(shorts(7, 24.0))).0;
+        let all = simulation.run(add_long_prompts(short_load(7, 24.0))).0;
         let short = all.class(LengthClass::Short);
         format!(
             "x{factor}: short p95 {:.3} s done {:.3}",
@@ -342,10 +346,13 @@
 /// Compares seven hosts that each decide independently with one home.
 fn seven_hosts(setup: &Setup) -> String {
     let figures = [1, 7].map(|hosts| {
-        let all = setup.simulation(hosts).run(with_long(shorts(7, 60.0))).0;
+        let all = setup
+            .simulation(hosts)
+            .run(add_long_prompts(short_load(7, 60.0)))
+            .0;
         format!(
             "{hosts} deciding: {}, done {:.3}",
-            by_class(&all),
+            format_classes(&all),
             all.completed_fraction()
         )
     });
--- a/examples/sweep/timing.rs
+++ b/examples/sweep/timing.rs
@@ -37,7 +37,7 @@
         &config(Objective::ShortSlowdown, 8_000.0),
         1,
     );
-    let seen: Vec<UpstreamInfo> = (0..30)
+    let upstreams: Vec<UpstreamInfo> = (0..30)
         .map(|index| UpstreamInfo {
             id: format!("engine-{index:02}").parse().unwrap(),
             memory_tokens: Tokens(300_000),
@@ -45,8 +45,8 @@
             health: UpstreamHealth::Live,
         })
         .collect();
-    policy.set_upstreams(&seen, clock.now());
-    let done = AttemptSummary {
+    policy.set_upstreams(&upstreams, clock.now());
+    let summary = AttemptSummary {
         ended: AttemptOutcome::Completed,
         first_token: Some(Duration::from_millis(160)),
         total: Duration::from_secs(1),
@@ -82,15 +82,15 @@
     let works: Vec<Work> = (0..ROUNDS)
         .map(|round| work(number + u64::from(round), clock.now()))
         .collect();
-    let began = Instant::now();
+    let start = Instant::now();
     for work in works {
         clock.advance(Duration::from_millis(6));
         policy.offer(work, clock.now());
         granted.extend(policy.poll(clock.now()));
         if let Some(Decision::Dispatch(grant)) = granted.pop_front() {
-            policy.finish(grant.id, done.clone(), clock.now());
+            policy.finish(grant.id, summary.clone(), clock.now());
         }
         granted.extend(policy.poll(clock.now()));
     }
-    began.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
+    start.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
 }
--- a/standin/src/answer.rs
+++ b/standin/src/answer.rs
@@ -4,7 +4,7 @@
 use banyanarch::units::ContentHash;
 
 /// Returns the text of the token at `offset` of the answer to the body with this hash.
-pub fn text(body_hash: ContentHash, offset: u64) -> String {
+pub fn token_text(body_hash: ContentHash, offset: u64) -> String {
     let mut seed = [0; 24];
     seed[..16].copy_from_slice(&body_hash.0.to_le_bytes());
     seed[16..].copy_from_slice(&offset.to_le_bytes());
@@ -13,20 +13,20 @@
 }
 
 /// Returns the text of `count` tokens of an answer, from `offset` on.
-pub fn texts(body_hash: ContentHash, offset: u64, count: u64) -> String {
+pub fn tokens_text(body_hash: ContentHash, offset: u64, count: u64) -> String {
     (offset..offset + count)
-        .map(|at| text(body_hash, at))
+        .map(|index| token_text(body_hash, index))
         .collect()
 }
 
 /// Returns the length of the answer in tokens: between half of `max_tokens` and all of it.
 pub fn len_tokens(body_hash: ContentHash, max_tokens: u64) -> u64 {
     let half = max_tokens / 2;
-    let more = u64::try_from(body_hash.0 % u128::from(max_tokens - half + 1)).unwrap_or(0);
-    (half + more).max(1)
+    let extra = u64::try_from(body_hash.0 % u128::from(max_tokens - half + 1)).unwrap_or(0);
+    (half + extra).max(1)
 }
 
 /// Returns the whole answer to the body with this hash.
 pub fn full_text(body_hash: ContentHash, max_tokens: u64) -> String {
-    texts(body_hash, 0, len_tokens(body_hash, max_tokens))
+    tokens_text(body_hash, 0, len_tokens(body_hash, max_tokens))
 }
--- a/standin/src/caller/call.rs
+++ b/standin/src/caller/call.rs
@@ -10,9 +10,9 @@
 use hyper::body::Incoming;
 use serde_json::Value;
 
-use crate::caller::Ask;
-use crate::caller::Target;
-use crate::caller::Verdict;
+use crate::caller::CallOutcome;
+use crate::caller::CallerRequest;
+use crate::caller::RequestKind;
 use crate::caller::sse::Event;
 use crate::caller::sse::EventReader;
 use crate::http;
@@ -20,13 +20,13 @@
 use crate::http::call;
 
 /// How long a caller waits beyond the timeout of its request before it gives up.
-const PATIENCE: Duration = Duration::from_secs(5);
+const GRACE_PERIOD: Duration = Duration::from_secs(5);
 
 /// The result of sending a request once, with its times.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SendResult {
     /// The outcome as the caller knows it.
-    pub verdict: Verdict,
+    pub outcome: CallOutcome,
     /// The time until the first text arrived.
     pub first_token: Option<Duration>,
     /// The time until the outcome was known.
@@ -37,10 +37,10 @@
     pub request_id: Option<String>,
 }
 
-impl Sent {
-    fn new(verdict: Verdict, since: Instant) -> Self {
+impl SendResult {
+    fn new(outcome: CallOutcome, since: Instant) -> Self {
         Self {
-            verdict,
+            outcome,
             first_token: None,
             total: since.elapsed(),
             output_tokens: 0,
@@ -50,44 +50,57 @@
 }
 
 /// Sends a request once. Times are measured from `since`, the instant at which the request was due.
-pub async fn send(addr: SocketAddr, ask: &Ask, body: Bytes, since: Instant) -> Sent {
-    let limit = ask.limit + PATIENCE;
-    match tokio::time::timeout(limit, exchange(addr, ask, body, since)).await {
-        Ok(sent) => sent,
-        Err(_) => Sent::new(Verdict::Cut("no outcome in time".to_owned()), since),
+pub async fn send(
+    addr: SocketAddr,
+    request: &CallerRequest,
+    body: Bytes,
+    since: Instant,
+) -> SendResult {
+    let give_up_after = request.timeout + GRACE_PERIOD;
+    match tokio::time::timeout(give_up_after, send_and_read(addr, request, body, since)).await {
+        Ok(result) => result,
+        Err(_) => SendResult::new(CallOutcome::Cut("no outcome in time".to_owned()), since),
     }
 }
 
-async fn exchange(addr: SocketAddr, ask: &Ask, body: Bytes, since: Instant) -> Sent {
-    let request = match ask.request(body.clone()) {
-        Ok(request) => request,
-        Err(e) => return Sent::new(Verdict::Wrong(e.to_string()), since),
+async fn send_and_read(
+    addr: SocketAddr,
+    request: &CallerRequest,
+    body: Bytes,
+    since: Instant,
+) -> SendResult {
+    let http_request = match request.to_http(body.clone()) {
+        Ok(http_request) => http_request,
+        Err(e) => return SendResult::new(CallOutcome::Wrong(e.to_string()), since),
     };
-    let response = match call(addr, request).await {
+    let response = match call(addr, http_request).await {
         Ok(response) => response,
-        Err(e) => return Sent::new(verdict_of(&e), since),
+        Err(e) => return SendResult::new(outcome_of_error(&e), since),
     };
     let request_id = http::header(response.headers(), "banyanarch-request-id").map(str::to_owned);
-    let sent = match (response.status().is_success(), ask.target) {
+    let result = match (response.status().is_success(), request.kind) {
         (false, _) => read_failure(response, since).await,
-        (true, Target::Service) => read_whole(response, ask, &body, since).await,
-        (true, _) => read_stream(response, ask, &body, since).await,
+        (true, RequestKind::Service) => read_whole(response, request, &body, since).await,
+        (true, _) => read_stream(response, request, &body, since).await,
     };
-    Sent { request_id, ..sent }
+    SendResult {
+        request_id,
+        ..result
+    }
 }
 
 /// A connection that could not be established carried nothing, so the request did not run.
-fn verdict_of(e: &CallError) -> Verdict {
+fn outcome_of_error(e: &CallError) -> CallOutcome {
     match e {
-        CallError::Connect(why) => Verdict::NotRun {
-            reason: format!("no connection: {why}"),
+        CallError::ConnectFailed(reason) => CallOutcome::NotRun {
+            reason: format!("no connection: {reason}"),
             retry_after: None,
         },
-        e => Verdict::Cut(e.to_string()),
+        e => CallOutcome::Cut(e.to_string()),
     }
 }
 
-async fn read_failure(response: Response<Incoming>, since: Instant) -> Sent {
+async fn read_failure(response: Response<Incoming>, since: Instant) -> SendResult {
     let headers = response.headers();
     let outcome = http::header(headers, "banyanarch-outcome").map(str::to_owned);
     let refused = http::header(headers, "x-not-run") == Some("true");
@@ -100,43 +113,53 @@
         .as_str()
         .unwrap_or(status.as_str())
         .to_owned();
-    let verdict = match outcome.as_deref() {
-        Some("not-run") => Verdict::NotRun {
+    let outcome = match outcome.as_deref() {
+        Some("not-run") => CallOutcome::NotRun {
             reason,
             retry_after: retry_after.map(Duration::from_secs),
         },
-        None if refused => Verdict::NotRun {
+        None if refused => CallOutcome::NotRun {
             reason,
             retry_after: retry_after.map(Duration::from_secs),
         },
-        _ => Verdict::MayHaveRun(reason),
+        _ => CallOutcome::MayHaveRun(reason),
     };
-    Sent::new(verdict, since)
+    SendResult::new(outcome, since)
 }
 
-async fn read_whole(response: Response<Incoming>, ask: &Ask, body: &[u8], since: Instant) -> Sent {
+async fn read_whole(
+    response: Response<Incoming>,
+    request: &CallerRequest,
+    body: &[u8],
+    since: Instant,
+) -> SendResult {
     match response.into_body().collect().await {
-        Err(e) => Sent::new(Verdict::Cut(e.to_string()), since),
+        Err(e) => SendResult::new(CallOutcome::Cut(e.to_string()), since),
         Ok(collected) => {
             let text = String::from_utf8_lossy(&collected.to_bytes()).into_owned();
-            Sent {
+            SendResult {
                 first_token: Some(since.elapsed()),
-                ..Sent::new(judge(ask, body, &text), since)
+                ..SendResult::new(check_answer(request, body, &text), since)
             }
         }
     }
 }
 
-async fn read_stream(response: Response<Incoming>, ask: &Ask, body: &[u8], since: Instant) -> Sent {
+async fn read_stream(
+    response: Response<Incoming>,
+    request: &CallerRequest,
+    body: &[u8],
+    since: Instant,
+) -> SendResult {
     let mut reader = EventReader::default();
     let mut text = String::new();
     let mut first_token = None;
     let mut incoming = response.into_body();
-    let verdict = 'read: loop {
+    let outcome = 'read: loop {
         let frame = match incoming.frame().await {
             Some(Ok(frame)) => frame,
-            Some(Err(e)) => break Verdict::Cut(e.to_string()),
-            None => break Verdict::Cut("no end mark".to_owned()),
+            Some(Err(e)) => break CallOutcome::Cut(e.to_string()),
+            None => break CallOutcome::Cut("no end mark".to_owned()),
         };
         let Ok(bytes) = frame.into_data() else {
             continue;
@@ -147,45 +170,45 @@
                     first_token.get_or_insert_with(|| since.elapsed());
                     text.push_str(&piece);
                 }
-                Event::Failed(error) => break 'read failure_of(&error),
-                Event::Done => break 'read judge(ask, body, &text),
+                Event::Failed(error) => break 'read outcome_of_failure(&error),
+                Event::Done => break 'read check_answer(request, body, &text),
             }
         }
     };
-    Sent {
+    SendResult {
         first_token,
         output_tokens: text.split_whitespace().count() as u64,
-        ..Sent::new(verdict, since)
+        ..SendResult::new(outcome, since)
     }
 }
 
-fn failure_of(error: &Value) -> Verdict {
+fn outcome_of_failure(error: &Value) -> CallOutcome {
     let reason = error["type"].as_str().or(error["message"].as_str());
     let reason = reason.unwrap_or("failed").to_owned();
     let retry_after = error["retry_after_ms"].as_u64().map(Duration::from_millis);
     match error["outcome"].as_str() {
-        Some("not-run") => Verdict::NotRun {
+        Some("not-run") => CallOutcome::NotRun {
             reason,
             retry_after,
         },
-        _ => Verdict::MayHaveRun(reason),
+        _ => CallOutcome::MayHaveRun(reason),
     }
 }
 
-fn judge(ask: &Ask, body: &[u8], text: &str) -> Verdict {
-    let expected = ask.answer(body);
+fn check_answer(request: &CallerRequest, body: &[u8], text: &str) -> CallOutcome {
+    let expected = request.expected_answer(body);
     if text == expected {
-        return Verdict::Completed;
+        return CallOutcome::Completed;
     }
-    let same = text
+    let common_prefix = text
         .bytes()
         .zip(expected.bytes())
         .take_while(|(a, b)| a == b);
-    let why = format!(
+    let reason = format!(
         "{} of {} bytes, differs at {}",
         text.len(),
         expected.len(),
-        same.count()
+        common_prefix.count()
     );
-    Verdict::Wrong(why)
+    CallOutcome::Wrong(reason)
 }
--- a/standin/src/caller/verdict.rs
+++ b/standin/src/caller/call_outcome.rs
@@ -4,7 +4,7 @@
 
 /// The outcome of sending a request once, as the caller knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum CallOutcome {
     /// The whole answer arrived, and it is the expected answer.
     Completed,
     /// A complete answer arrived that is not the expected one; holds the difference.
--- a/standin/src/caller/ask.rs
+++ b/standin/src/caller/caller_request.rs
@@ -19,7 +19,7 @@
 
 /// The kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Target {
+pub enum RequestKind {
     /// A completion call.
     Completion,
     /// A chat call.
@@ -30,13 +30,13 @@
 
 /// A request of a caller.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct CallerRequest {
     /// The number of the request within the run.
     pub number: u64,
     /// When the request is sent, from the start of the run.
-    pub at: Duration,
+    pub arrival: Duration,
     /// The kind of the request.
-    pub target: Target,
+    pub kind: RequestKind,
     /// The customer on whose behalf the request is sent.
     pub customer: String,
     /// The length of the prompt in tokens.
@@ -48,14 +48,14 @@
     /// The maximum length of the answer in tokens.
     pub max_tokens: u64,
     /// The timeout of the request.
-    pub limit: Duration,
+    pub timeout: Duration,
     /// Whether the request may run more than once.
     pub repeatable: bool,
     /// The idempotency key, which identifies resent requests.
     pub key: Option<String>,
 }
 
-impl Ask {
+impl CallerRequest {
     /// Returns the length class of the prompt.
     pub fn class(&self) -> LengthClass {
         LengthClass::of(Tokens(self.prompt_tokens))
@@ -65,41 +65,44 @@
     pub fn body(&self) -> Bytes {
         let prompt = self.prompt();
         let (model, max_tokens) = (MODEL, self.max_tokens);
-        let body = match self.target {
-            Target::Completion => json!({
+        let body = match self.kind {
+            RequestKind::Completion => json!({
                 "model": model, "prompt": prompt, "max_tokens": max_tokens, "stream": true,
             }),
-            Target::Chat => json!({
+            RequestKind::Chat => json!({
                 "model": model,
                 "messages": [{"role": "user", "content": prompt}],
                 "max_tokens": max_tokens,
                 "stream": true,
             }),
-            Target::Service => json!({"grant": prompt}),
+            RequestKind::Service => json!({"grant": prompt}),
         };
         Bytes::from(body.to_string())
     }
 
     /// Returns the expected answer to a body of this request.
-    pub fn answer(&self, body: &[u8]) -> String {
-        match self.target {
-            Target::Service => String::from_utf8_lossy(body).into_owned(),
+    pub fn expected_answer(&self, body: &[u8]) -> String {
+        match self.kind {
+            RequestKind::Service => String::from_utf8_lossy(body).into_owned(),
             _ => answer::full_text(ContentHash::of(body), self.max_tokens),
         }
     }
 
     /// Builds the HTTP request.
-    pub fn request(&self, body: Bytes) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
-        let path = match self.target {
-            Target::Completion => "/v1/completions".to_owned(),
-            Target::Chat => "/v1/chat/completions".to_owned(),
-            Target::Service => format!("/{SERVICE}/grant"),
+    pub fn to_http(&self, body: Bytes) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
+        let path = match self.kind {
+            RequestKind::Completion => "/v1/completions".to_owned(),
+            RequestKind::Chat => "/v1/chat/completions".to_owned(),
+            RequestKind::Service => format!("/{SERVICE}/grant"),
         };
         let mut request = Request::post(path)
             .header("host", "entry")
             .header("content-type", "application/json")
             .header("banyanarch-customer", &self.customer)
-            .header("banyanarch-timeout-ms", self.limit.as_millis().to_string())
+            .header(
+                "banyanarch-timeout-ms",
+                self.timeout.as_millis().to_string(),
+            )
             .header("banyanarch-repeatable", self.repeatable.to_string());
         if let Some(key) = &self.key {
             request = request.header("idempotency-key", key);
--- a/standin/src/caller/mod.rs
+++ b/standin/src/caller/mod.rs
@@ -1,16 +1,16 @@
 //! Callers: requests whose answer is known, sent to entry hosts or directly to an engine or
 //! service.
 
-mod ask;
 mod call;
+mod call_outcome;
+mod caller_request;
 mod percentile;
 mod sse;
-mod verdict;
 
-pub use ask::Ask;
-pub use ask::Target;
-pub use call::Sent;
+pub use call::SendResult;
 pub use call::send;
+pub use call_outcome::CallOutcome;
+pub use caller_request::CallerRequest;
+pub use caller_request::RequestKind;
+pub use percentile::format_ms;
 pub use percentile::percentile_ms;
-pub use percentile::show_ms;
-pub use verdict::Verdict;
--- a/standin/src/caller/percentile.rs
+++ b/standin/src/caller/percentile.rs
@@ -21,6 +21,6 @@
 }
 
 /// Formats a value in milliseconds without decimals; `-` for `None`.
-pub fn show_ms(value: Option<f64>) -> String {
+pub fn format_ms(value: Option<f64>) -> String {
     value.map_or_else(|| "-".to_owned(), |ms| format!("{ms:.0}"))
 }
--- a/standin/src/caller/sse.rs
+++ b/standin/src/caller/sse.rs
@@ -29,11 +29,11 @@
         let rest = self.buf.split_off(last + 1);
         let lines = std::mem::replace(&mut self.buf, rest);
         let text = String::from_utf8_lossy(&lines);
-        text.lines().filter_map(event_of).collect()
+        text.lines().filter_map(parse_event).collect()
     }
 }
 
-fn event_of(line: &str) -> Option<Event> {
+fn parse_event(line: &str) -> Option<Event> {
     let data = line.strip_prefix("data:")?.trim();
     if data == "[DONE]" {
         return Some(Event::Done);
--- a/standin/src/cmd/daemon.rs
+++ b/standin/src/cmd/daemon.rs
@@ -7,7 +7,7 @@
 use pico_args::Arguments;
 
 use crate::cmd;
-use crate::cmd::Done;
+use crate::cmd::CommandResult;
 
 /// Usage text.
 pub const USAGE: &str = "\
@@ -23,13 +23,13 @@
 impl Args {
     fn parse(mut args: Arguments) -> Result<Self, Box<dyn Error>> {
         let settings = args.value_from_str("--settings")?;
-        cmd::finish(args)?;
+        cmd::reject_unknown(args)?;
         Ok(Self { settings })
     }
 }
 
 /// Runs the host until it receives a signal to stop.
-pub fn run(args: Arguments) -> Done {
+pub fn run(args: Arguments) -> CommandResult {
     let args = Args::parse(args)?;
     let code = banyanarch::daemon::run(&args.settings)?;
     Ok(ExitCode::from(u8::try_from(code).unwrap_or(1)))
--- a/standin/src/cmd/demo.rs
+++ b/standin/src/cmd/demo.rs
@@ -7,7 +7,7 @@
 use pico_args::Arguments;
 
 use crate::cmd;
-use crate::cmd::Done;
+use crate::cmd::CommandResult;
 use crate::demo;
 use crate::demo::DemoOptions;
 
@@ -22,7 +22,7 @@
 ";
 
 /// Default duration of arrivals, in seconds.
-const LASTS_S: u64 = 15;
+const DURATION_DEFAULT_S: u64 = 15;
 
 struct Args {
     options: DemoOptions,
@@ -30,19 +30,19 @@
 
 impl Args {
     fn parse(mut args: Arguments) -> Result<Self, Box<dyn Error>> {
-        let lasts_s = args.opt_value_from_str("--lasts-s")?;
+        let duration_s = args.opt_value_from_str("--lasts-s")?;
         let options = DemoOptions {
             seed: args.opt_value_from_str("--seed")?.unwrap_or(1),
-            lasts: Duration::from_secs(lasts_s.unwrap_or(LASTS_S)),
+            duration: Duration::from_secs(duration_s.unwrap_or(DURATION_DEFAULT_S)),
             keep: args.contains("--keep"),
         };
-        cmd::finish(args)?;
+        cmd::reject_unknown(args)?;
         Ok(Self { options })
     }
 }
 
 /// Runs the demo; the exit code is a failure if a request was lost or ran twice.
-pub fn run(args: Arguments) -> Done {
+pub fn run(args: Arguments) -> CommandResult {
     let args = Args::parse(args)?;
     cmd::block_on(4, async move {
         let tally = demo::run(&args.options).await?;
--- a/standin/src/cmd/engine.rs
+++ b/standin/src/cmd/engine.rs
@@ -6,7 +6,7 @@
 use pico_args::Arguments;
 
 use crate::cmd;
-use crate::cmd::Done;
+use crate::cmd::CommandResult;
 use crate::engine::Engine;
 use crate::engine::EngineOptions;
 use crate::machine::Machine;
@@ -35,15 +35,15 @@
     fn parse(mut args: Arguments) -> Result<Self, Box<dyn Error>> {
         let options = EngineOptions::from_args(&mut args)?;
         let machine = Machine::from_args(&mut args)?;
-        cmd::finish(args)?;
+        cmd::reject_unknown(args)?;
         Ok(Self { options, machine })
     }
 }
 
 /// Runs the engine until its process exits or a fault stops it.
-pub fn run(args: Arguments) -> Done {
+pub fn run(args: Arguments) -> CommandResult {
     let args = Args::parse(args)?;
-    cmd::block_on(cmd::THREADS, async move {
+    cmd::block_on(cmd::FAKE_THREADS, async move {
         let engine = Engine::start(args.options).await?;
         if let Some(machine) = args.machine {
             machine.register(engine.addr()).await?;
--- a/standin/src/cmd/load.rs
+++ b/standin/src/cmd/load.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 
 use crate::cmd;
-use crate::cmd::Done;
+use crate::cmd::CommandResult;
 use crate::load;
 use crate::load::LoadOptions;
 
@@ -38,14 +38,14 @@
         let objective: Option<String> = args.opt_value_from_str("--objective")?;
         let options = LoadOptions {
             scenario: args.value_from_str("--scenario")?,
-            policy: policy.map_or(Ok(PolicyName::default()), |name| policy_of(&name))?,
+            policy: policy.map_or(Ok(PolicyName::default()), |name| parse_policy(&name))?,
             objective: objective.unwrap_or_else(|| "short_slowdown".to_owned()),
             seed: args.opt_value_from_str("--seed")?.unwrap_or(1),
             keep: args.contains("--keep"),
         };
         let json = args.opt_value_from_str("--json")?;
         let report = args.opt_value_from_str("--report")?;
-        cmd::finish(args)?;
+        cmd::reject_unknown(args)?;
         Ok(Self {
             options,
             json,
@@ -54,22 +54,22 @@
     }
 }
 
-fn policy_of(name: &str) -> Result<PolicyName, String> {
+fn parse_policy(name: &str) -> Result<PolicyName, String> {
     serde_json::from_value(Value::from(name)).map_err(|_| format!("--policy: `{name}` is unknown"))
 }
 
 /// Runs a scenario, prints its figures and writes the requested files.
-pub fn run(args: Arguments) -> Done {
+pub fn run(args: Arguments) -> CommandResult {
     let args = Args::parse(args)?;
     cmd::block_on(4, async move {
-        let outcome = load::run(&args.options).await?;
+        let report = load::run(&args.options).await?;
         if let Some(path) = args.json {
-            std::fs::write(path, outcome.to_json())?;
+            std::fs::write(path, report.to_json())?;
         }
         if let Some(path) = args.report {
-            std::fs::write(path, outcome.to_html())?;
+            std::fs::write(path, report.to_html())?;
         }
-        print!("{}", outcome.to_text());
+        print!("{}", report.to_text());
         Ok(ExitCode::SUCCESS)
     })
 }
--- a/standin/src/cmd/mod.rs
+++ b/standin/src/cmd/mod.rs
@@ -13,22 +13,22 @@
 use pico_args::Arguments;
 
 /// Result of a subcommand.
-pub type Done = Result<ExitCode, Box<dyn Error>>;
+pub type CommandResult = Result<ExitCode, Box<dyn Error>>;
 
 /// Worker threads of a fake. Two are enough, since a fake mostly waits.
-const THREADS: usize = 2;
+const FAKE_THREADS: usize = 2;
 
 /// Runs a subcommand on a runtime of its own.
-fn block_on(threads: usize, work: impl Future<Output = Done>) -> Done {
+fn block_on(threads: usize, command: impl Future<Output = CommandResult>) -> CommandResult {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(threads)
         .enable_all()
         .build()?;
-    runtime.block_on(work)
+    runtime.block_on(command)
 }
 
 /// Returns an error if arguments are left that no option has consumed.
-fn finish(args: Arguments) -> Result<(), Box<dyn Error>> {
+fn reject_unknown(args: Arguments) -> Result<(), Box<dyn Error>> {
     match args.finish().as_slice() {
         [] => Ok(()),
         rest => Err(format!("unknown arguments: {rest:?}").into()),
--- a/standin/src/cmd/platform.rs
+++ b/standin/src/cmd/platform.rs
@@ -7,7 +7,7 @@
 use pico_args::Arguments;
 
 use crate::cmd;
-use crate::cmd::Done;
+use crate::cmd::CommandResult;
 use crate::platform::PlatformFake;
 
 /// Usage text.
@@ -27,7 +27,7 @@
 impl Args {
     fn parse(mut args: Arguments) -> Result<Self, Box<dyn Error>> {
         let listen = args.opt_value_from_str("--listen")?;
-        cmd::finish(args)?;
+        cmd::reject_unknown(args)?;
         Ok(Self {
             listen: listen.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0))),
         })
@@ -35,9 +35,9 @@
 }
 
 /// Runs the platform until its process is killed.
-pub fn run(args: Arguments) -> Done {
+pub fn run(args: Arguments) -> CommandResult {
     let args = Args::parse(args)?;
-    cmd::block_on(cmd::THREADS, async move {
+    cmd::block_on(cmd::FAKE_THREADS, async move {
         let platform = PlatformFake::start(args.listen).await?;
         println!("listening {}", platform.addr());
         platform.closed().await;
--- a/standin/src/demo/mod.rs
+++ b/standin/src/demo/mod.rs
@@ -1,8 +1,8 @@
 //! A demo of the whole path as separate processes; an engine and an entry host are killed during
 //! the run.
 
-mod asks;
-mod carry;
+mod requests;
+mod resend;
 mod tally;
 
 use std::net::SocketAddr;
@@ -16,9 +16,9 @@
 
 pub use tally::Tally;
 
-use crate::demo::asks::asks;
-use crate::demo::carry::Carried;
-use crate::demo::carry::carry;
+use crate::demo::requests::generate_requests;
+use crate::demo::resend::ResolvedRequest;
+use crate::demo::resend::send_until_resolved;
 use crate::fleet::Fleet;
 use crate::fleet::FleetError;
 use crate::fleet::FleetPlan;
@@ -29,8 +29,8 @@
 const SERVICES: usize = 2;
 const HOSTS: usize = 3;
 /// Fractions of the duration after which an engine and an entry host are killed.
-const ENGINE_DIES_AT: f64 = 0.33;
-const HOST_DIES_AT: f64 = 0.6;
+const ENGINE_KILL_FRACTION: f64 = 0.33;
+const HOST_KILL_FRACTION: f64 = 0.6;
 
 /// Options of the demo.
 #[derive(Clone, Debug)]
@@ -38,7 +38,7 @@
     /// The seed of the requests.
     pub seed: u64,
     /// How long requests arrive; their number is proportional to it.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Whether the logs are kept after the run.
     pub keep: bool,
 }
@@ -48,18 +48,18 @@
     let plan = FleetPlan::new(&[DOMAIN], ENGINES, SERVICES, HOSTS);
     println!("starting {ENGINES} engines, {SERVICES} service instances and {HOSTS} entry hosts");
     let mut fleet = Fleet::start(&plan).await?;
-    let hosts: Arc<[SocketAddr]> = fleet.callers().into();
+    let hosts: Arc<[SocketAddr]> = fleet.callers_addrs().into();
     let start = Instant::now();
     let mut callers = JoinSet::new();
-    for ask in asks(options.seed, options.lasts) {
-        callers.spawn(carry(ask, Arc::clone(&hosts), start));
+    for request in generate_requests(options.seed, options.duration) {
+        callers.spawn(send_until_resolved(request, Arc::clone(&hosts), start));
     }
-    tokio::time::sleep_until((start + options.lasts.mul_f64(ENGINE_DIES_AT)).into()).await;
+    tokio::time::sleep_until((start + options.duration.mul_f64(ENGINE_KILL_FRACTION)).into()).await;
     kill_busiest_engine(&mut fleet).await;
-    tokio::time::sleep_until((start + options.lasts.mul_f64(HOST_DIES_AT)).into()).await;
+    tokio::time::sleep_until((start + options.duration.mul_f64(HOST_KILL_FRACTION)).into()).await;
     kill_host(&mut fleet);
-    let carried: Vec<Carried> = callers.join_all().await;
-    let tally = Tally::new(&carried, &fleet.runs()?);
+    let resolved: Vec<ResolvedRequest> = callers.join_all().await;
+    let tally = Tally::new(&resolved, &fleet.runs()?);
     print!("{}", tally.to_text());
     if !tally.is_clean() {
         eprintln!("{}", fleet.host_logs());
@@ -72,13 +72,13 @@
 
 async fn kill_busiest_engine(fleet: &mut Fleet) {
     let mut busiest = (0, 0);
-    for (at, engine) in fleet.engines.iter().enumerate() {
+    for (index, engine) in fleet.engines.iter().enumerate() {
         let listed = call_json(engine.addr, Method::GET, "/v1/attempts", &Value::Null).await;
         let count = listed.map_or(0, |listed| listed.as_array().map_or(0, Vec::len));
-        busiest = busiest.max((count, at));
+        busiest = busiest.max((count, index));
     }
-    let (count, at) = busiest;
-    let child = &mut fleet.engines[at].child;
+    let (count, index) = busiest;
+    let child = &mut fleet.engines[index].child;
     println!("killing {} with {count} requests in it", child.name);
     child.kill();
 }
--- a/standin/src/demo/tally.rs
+++ b/standin/src/demo/tally.rs
@@ -7,25 +7,25 @@
 use banyanarch::units::ContentHash;
 use indexmap::IndexMap;
 
-use crate::caller::Target;
-use crate::caller::Verdict;
+use crate::caller::CallOutcome;
+use crate::caller::RequestKind;
+use crate::caller::format_ms;
 use crate::caller::percentile_ms;
-use crate::caller::show_ms;
-use crate::demo::carry::Carried;
+use crate::demo::resend::ResolvedRequest;
 use crate::engine::RunRecord;
 
 /// Counts of outcomes by kind of request.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     rows: Vec<Row>,
-    in_all: Row,
+    total: Row,
     /// The number of requests whose caller was told no outcome or a wrong one.
     pub lost: u64,
     /// The number of requests that must not run twice and did.
     pub doubled: u64,
     /// Reasons given to callers that got no answer, with counts.
     reasons: IndexMap<String, u64>,
-    faults: Vec<String>,
+    findings: Vec<String>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -35,38 +35,40 @@
     completed: u64,
     not_run: u64,
     may_have_run: u64,
-    sent_again: u64,
+    resent: u64,
     first_tokens: Vec<Duration>,
     totals: Vec<Duration>,
 }
 
 impl Tally {
     /// Compares what callers were told with the records of engines and services.
-    pub(crate) fn new(carried: &[Carried], runs: &[RunRecord]) -> Self {
-        let mut ran_ms: IndexMap<ContentHash, Vec<u64>> = IndexMap::new();
+    pub(crate) fn new(resolved: &[ResolvedRequest], runs: &[RunRecord]) -> Self {
+        let mut run_starts_ms: IndexMap<ContentHash, Vec<u64>> = IndexMap::new();
         for run in runs {
-            ran_ms
+            run_starts_ms
                 .entry(run.request_hash)
                 .or_default()
                 .push(run.taken_ms);
         }
         let mut tally = Self {
-            in_all: Row::named("all"),
+            total: Row::named("all"),
             ..Self::default()
         };
         let names = LengthClass::ALL.iter().map(|class| class.name());
         for name in names.chain(["service"]) {
             let mut row = Row::named(name);
-            for one in carried.iter().filter(|one| kind_of(one) == name) {
-                row.add(one);
-                tally.in_all.add(one);
+            for request in resolved.iter().filter(|request| kind_of(request) == name) {
+                row.add(request);
+                tally.total.add(request);
             }
             tally.rows.push(row);
         }
-        for one in carried {
-            tally.note_reason(&one.verdict);
-            let ran_ms = ran_ms.get(&one.body_hash).map_or(&[][..], Vec::as_slice);
-            tally.check(one, ran_ms);
+        for request in resolved {
+            tally.count_reason(&request.outcome);
+            let run_starts_ms = run_starts_ms
+                .get(&request.body_hash)
+                .map_or(&[][..], Vec::as_slice);
+            tally.check(request, run_starts_ms);
         }
         tally
     }
@@ -90,7 +92,7 @@
             "ttft p95",
             "total p95"
         );
-        for row in self.rows.iter().chain([&self.in_all]) {
+        for row in self.rows.iter().chain([&self.total]) {
             let _ = writeln!(
                 out,
                 "{:<8}{:>6}{:>11}{:>9}{:>14}{:>12}{:>7} ms{:>7} ms{:>8} ms",
@@ -99,62 +101,67 @@
                 row.completed,
                 row.not_run,
                 row.may_have_run,
-                row.sent_again,
-                show_ms(percentile_ms(&row.first_tokens, 50.0)),
-                show_ms(percentile_ms(&row.first_tokens, 95.0)),
-                show_ms(percentile_ms(&row.totals, 95.0)),
+                row.resent,
+                format_ms(percentile_ms(&row.first_tokens, 50.0)),
+                format_ms(percentile_ms(&row.first_tokens, 95.0)),
+                format_ms(percentile_ms(&row.totals, 95.0)),
             );
         }
         for (reason, count) in &self.reasons {
             let _ = writeln!(out, "{count:>6} {reason}");
         }
-        for fault in &self.faults {
+        for fault in &self.findings {
             let _ = writeln!(out, "{fault}");
         }
-        let sum = &self.in_all;
+        let total = &self.total;
         let _ = writeln!(
             out,
             "sent {}, completed {}, not run {}, may have run {}, lost {}, doubled {}",
-            sum.sent, sum.completed, sum.not_run, sum.may_have_run, self.lost, self.doubled
+            total.sent, total.completed, total.not_run, total.may_have_run, self.lost, self.doubled
         );
         out
     }
 
-    fn note_reason(&mut self, verdict: &Verdict) {
-        let reason = match verdict {
-            Verdict::NotRun { reason, .. } => format!("not run: {reason}"),
-            Verdict::MayHaveRun(reason) => format!("may have run: {reason}"),
+    fn count_reason(&mut self, outcome: &CallOutcome) {
+        let reason = match outcome {
+            CallOutcome::NotRun { reason, .. } => format!("not run: {reason}"),
+            CallOutcome::MayHaveRun(reason) => format!("may have run: {reason}"),
             _ => return,
         };
         *self.reasons.entry(reason).or_insert(0) += 1;
     }
 
-    fn check(&mut self, one: &Carried, ran_ms: &[u64]) {
-        let number = one.ask.number;
-        let ran = ran_ms.len();
-        let is_lie = |(begin_ms, end_ms): &(u64, u64)| {
-            ran_ms
+    fn check(&mut self, request: &ResolvedRequest, run_starts_ms: &[u64]) {
+        let number = request.request.number;
+        let run_count = run_starts_ms.len();
+        let ran_during_send = |(begin_ms, end_ms): &(u64, u64)| {
+            run_starts_ms
                 .iter()
-                .any(|at_ms| (*begin_ms..=*end_ms).contains(at_ms))
+                .any(|start_ms| (*begin_ms..=*end_ms).contains(start_ms))
         };
-        let lost = match &one.verdict {
-            Verdict::Cut(why) => Some(format!("no outcome: {why}")),
-            Verdict::Wrong(why) => Some(format!("not its own answer: {why}")),
-            Verdict::Completed if ran == 0 => Some("completed, but nothing ran it".to_owned()),
-            Verdict::NotRun { .. } if ran > 0 => Some("told `not run`, but it ran".to_owned()),
-            _ if one.told_not_run_ms.iter().any(is_lie) => {
+        let loss = match &request.outcome {
+            CallOutcome::Cut(reason) => Some(format!("no outcome: {reason}")),
+            CallOutcome::Wrong(reason) => Some(format!("not its own answer: {reason}")),
+            CallOutcome::Completed if run_count == 0 => {
+                Some("completed, but nothing ran it".to_owned())
+            }
+            CallOutcome::NotRun { .. } if run_count > 0 => {
+                Some("told `not run`, but it ran".to_owned())
+            }
+            _ if request.not_run_sends_ms.iter().any(ran_during_send) => {
                 Some("one sending was told `not run`, but it ran".to_owned())
             }
             _ => None,
         };
-        if let Some(why) = lost {
+        if let Some(reason) = loss {
             self.lost += 1;
-            self.faults.push(format!("request {number} lost: {why}"));
+            self.findings
+                .push(format!("request {number} lost: {reason}"));
         }
-        if !one.ask.repeatable && ran > 1 {
+        if !request.request.repeatable && run_count > 1 {
             self.doubled += 1;
-            self.faults
-                .push(format!("request {number} ran {ran} times"));
+            self.findings
+                .push(format!("request {number} ran {run_count} times"));
         }
     }
 }
@@ -167,25 +174,25 @@
         }
     }
 
-    fn add(&mut self, one: &Carried) {
+    fn add(&mut self, request: &ResolvedRequest) {
         self.sent += 1;
-        self.sent_again += u64::from(one.sendings > 1);
-        match one.verdict {
-            Verdict::Completed => {
+        self.resent += u64::from(request.send_count > 1);
+        match request.outcome {
+            CallOutcome::Completed => {
                 self.completed += 1;
-                self.first_tokens.extend(one.first_token);
-                self.totals.push(one.total);
+                self.first_tokens.extend(request.first_token);
+                self.totals.push(request.total);
             }
-            Verdict::NotRun { .. } => self.not_run += 1,
-            Verdict::MayHaveRun(_) => self.may_have_run += 1,
-            Verdict::Wrong(_) | Verdict::Cut(_) => (),
+            CallOutcome::NotRun { .. } => self.not_run += 1,
+            CallOutcome::MayHaveRun(_) => self.may_have_run += 1,
+            CallOutcome::Wrong(_) | CallOutcome::Cut(_) => (),
         }
     }
 }
 
-fn kind_of(one: &Carried) -> &'static str {
-    match one.ask.target {
-        Target::Service => "service",
-        _ => one.ask.class().name(),
+fn kind_of(request: &ResolvedRequest) -> &'static str {
+    match request.request.kind {
+        RequestKind::Service => "service",
+        _ => request.request.class().name(),
     }
 }
--- a/standin/src/engine/api.rs
+++ b/standin/src/engine/api.rs
@@ -23,15 +23,15 @@
 
 use crate::answer;
 use crate::engine::RunEnd;
-use crate::engine::attempt::Offer;
-use crate::engine::batch::Hold;
-use crate::engine::batch::Refusal;
+use crate::engine::attempt::AttemptSpec;
+use crate::engine::batch::GangReservation;
+use crate::engine::batch::SubmitError;
 use crate::engine::cache::Segment;
 use crate::engine::prompt::Prompt;
 use crate::engine::shared::Shared;
 use crate::engine::stream;
-use crate::engine::stream::Break;
-use crate::engine::stream::Source;
+use crate::engine::stream::AnswerSource;
+use crate::engine::stream::Truncation;
 use crate::http;
 use crate::http::Body;
 use crate::http::Handler;
@@ -44,7 +44,7 @@
 }
 
 #[derive(Deserialize)]
-struct HoldBody {
+struct ReserveBody {
     tokens: u64,
     hold_ms: u64,
     #[serde(default)]
@@ -56,43 +56,44 @@
         let (head, body) = request.into_parts();
         let body = http::read_body(body).await?;
         let path = head.uri.path();
-        if let Some(reply) = self.for_checkers(&head.method, path, &body) {
+        if let Some(reply) = self.test_endpoint(&head.method, path, &body) {
             return Ok(reply);
         }
-        self.shared.wait_until_thawed().await;
+        self.shared.wait_until_unfrozen().await;
         let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
         let reply = match (head.method.as_str(), parts.as_slice()) {
             ("POST", ["v1", "completions"]) | ("POST", ["v1", "chat", "completions"]) => {
                 return self.complete(&head, body).await;
             }
-            ("GET", ["v1", "attempts"]) => self.list(),
-            ("GET", ["v1", "attempts", id, "stream"]) => self.resume(id, &head.headers),
-            ("DELETE", ["v1", "attempts", id]) => self.cancel(id),
-            ("GET", ["load"]) => self.load(),
+            ("GET", ["v1", "attempts"]) => self.list_attempts(),
+            ("GET", ["v1", "attempts", id, "stream"]) => self.resume_stream(id, &head.headers),
+            ("DELETE", ["v1", "attempts", id]) => self.cancel_attempt(id),
+            ("GET", ["load"]) => self.load_report(),
             ("GET", ["v1", "cache", "events"]) => self.cache_events(head.uri.query()),
-            ("GET", ["v1", "state"]) => {
-                http::json(StatusCode::OK, &self.shared.loaded().state(Instant::now()))
-            }
-            ("PUT", ["v1", "state"]) => self.order(&body),
-            ("GET", ["v1", "kv", prefix]) => self.export(prefix).await,
-            ("PUT", ["v1", "kv", prefix]) => self.import(prefix, &body).await,
-            ("POST", ["v1", "gang", id]) => self.hold(id, &body),
-            ("DELETE", ["v1", "gang", id]) => self.give_back(id),
+            ("GET", ["v1", "state"]) => http::json(
+                StatusCode::OK,
+                &self.shared.loaded_state().state(Instant::now()),
+            ),
+            ("PUT", ["v1", "state"]) => self.apply_order(&body),
+            ("GET", ["v1", "kv", prefix]) => self.export_prefix(prefix).await,
+            ("PUT", ["v1", "kv", prefix]) => self.import_prefix(prefix, &body).await,
+            ("POST", ["v1", "gang", id]) => self.reserve(id, &body),
+            ("DELETE", ["v1", "gang", id]) => self.release_reservation(id),
             _ => http::empty(StatusCode::NOT_FOUND),
         };
         Ok(reply)
     }
 
     /// Handles the endpoints of tests and checkers, which work whatever the faults are.
-    fn for_checkers(&self, method: &Method, path: &str, body: &[u8]) -> Option<Response<Body>> {
+    fn test_endpoint(&self, method: &Method, path: &str, body: &[u8]) -> Option<Response<Body>> {
         match (method.as_str(), path) {
             ("GET", "/record") => {
                 let runs = self.shared.batch().log.all();
                 Some(http::json(StatusCode::OK, &runs))
             }
             ("GET", "/orders") => {
-                let obeyed = self.shared.loaded().obeyed.clone();
-                Some(http::json(StatusCode::OK, &obeyed))
+                let applied_orders = self.shared.loaded_state().applied_orders.clone();
+                Some(http::json(StatusCode::OK, &applied_orders))
             }
             ("PUT", "/faults") => Some(match serde_json::from_slice(body) {
                 Ok(faults) => {
@@ -108,27 +109,27 @@
     async fn complete(&self, head: &Parts, body: Bytes) -> Reply {
         let prompt = match Prompt::parse(&body) {
             Ok(prompt) => prompt,
-            Err(why) => return Ok(http::text(StatusCode::BAD_REQUEST, why)),
+            Err(reason) => return Ok(http::text(StatusCode::BAD_REQUEST, reason)),
         };
-        if self.shared.loaded().state(Instant::now()).loading {
+        if self.shared.loaded_state().state(Instant::now()).loading {
             return Ok(http::not_run("loading"));
         }
-        let offer = self.offer_of(head, &body, &prompt);
-        let id = offer.id.clone();
-        let is_chat = offer.path.contains("chat");
-        match self.shared.batch().offer(offer) {
+        let spec = self.attempt_spec(head, &body, &prompt);
+        let id = spec.id.clone();
+        let is_chat = spec.path.contains("chat");
+        match self.shared.batch().submit(spec) {
             Ok(()) => (),
-            Err(Refusal::Duplicate) => {
+            Err(SubmitError::Duplicate) => {
                 return Ok(http::text(
                     StatusCode::CONFLICT,
                     "this attempt was taken in before",
                 ));
             }
-            Err(Refusal::NoRoom(why)) => return Ok(http::not_run(why)),
+            Err(SubmitError::NoCapacity(reason)) => return Ok(http::not_run(reason)),
         }
-        let taken = self.shared.batch().log.len();
+        let accepted_count = self.shared.batch().log.len();
         let faults = self.shared.faults();
-        if is_nth(taken, faults.fail_one_in) {
+        if is_nth(accepted_count, faults.fail_one_in) {
             self.shared.batch().fail(&id, Instant::now());
             return Ok(http::text(StatusCode::INTERNAL_SERVER_ERROR, "failed"));
         }
@@ -136,29 +137,29 @@
         let Some(source) = self.shared.source(&id) else {
             return Err(io::Error::other("the attempt is gone"));
         };
-        let breaks = match (
-            is_nth(taken, faults.cut_one_in),
-            is_nth(taken, faults.short_one_in),
+        let truncation = match (
+            is_nth(accepted_count, faults.cut_one_in),
+            is_nth(accepted_count, faults.short_one_in),
         ) {
-            (true, _) => Break::Cut,
-            (_, true) => Break::Short,
-            _ => Break::Never,
+            (true, _) => Truncation::ConnectionCut,
+            (_, true) => Truncation::MissingEndMark,
+            _ => Truncation::None,
         };
         let wants_stream = http::header(&head.headers, "x-stream") == Some("true");
         if prompt.stream || wants_stream {
-            return Ok(self.streamed(source, 0, breaks));
+            return Ok(self.stream_answer(source, 0, truncation));
         }
-        whole(source, is_chat).await
+        whole_answer(source, is_chat).await
     }
 
-    fn offer_of(&self, head: &Parts, body: &[u8], prompt: &Prompt) -> Offer {
+    fn attempt_spec(&self, head: &Parts, body: &[u8], prompt: &Prompt) -> AttemptSpec {
         let text = |name| http::header(&head.headers, name);
         let number = |name| text(name).and_then(|value| value.parse::<u64>().ok());
         let new_id = || AttemptId(rand::random()).to_string();
         let timeout = number("x-timeout-ms").map(Duration::from_millis);
         let gang_len = text("x-gang").map_or(1, |names| names.split(',').count() as u64);
         let marker = self.shared.faults().crash_marker;
-        Offer {
+        AttemptSpec {
             id: text("x-request-id").map_or_else(new_id, str::to_owned),
             host: text("x-host").unwrap_or("none").to_owned(),
             key: text("idempotency-key").map(str::to_owned),
@@ -178,53 +179,58 @@
         }
     }
 
-    fn streamed(&self, source: Source, offset: u64, breaks: Break) -> Response<Body> {
-        let events = stream::events(Arc::clone(&self.shared), source, offset, breaks);
+    fn stream_answer(
+        &self,
+        source: AnswerSource,
+        offset: u64,
+        truncation: Truncation,
+    ) -> Response<Body> {
+        let events = stream::events(Arc::clone(&self.shared), source, offset, truncation);
         http::streamed("text/event-stream", events)
     }
 
-    fn list(&self) -> Response<Body> {
+    fn list_attempts(&self) -> Response<Body> {
         let batch = self.shared.batch();
         let attempts = batch
             .attempts
             .values()
             .filter(|a| !a.has_ended() || a.held_tokens > 0);
         let attempts = attempts.map(
-            |a| json!({"attempt": a.offer.id, "host": a.offer.host, "held_tokens": a.held_tokens}),
+            |a| json!({"attempt": a.spec.id, "host": a.spec.host, "held_tokens": a.held_tokens}),
         );
-        let holds = batch.holds.iter().map(
-            |(id, hold)| json!({"attempt": id, "host": hold.host, "held_tokens": hold.tokens}),
+        let reservations = batch.reservations.iter().map(
+            |(id, reservation)| json!({"attempt": id, "host": reservation.host, "held_tokens": reservation.tokens}),
         );
-        let listed: Vec<Value> = attempts.chain(holds).collect();
+        let listed: Vec<Value> = attempts.chain(reservations).collect();
         http::json(StatusCode::OK, &listed)
     }
 
-    fn resume(&self, id: &str, headers: &HeaderMap) -> Response<Body> {
+    fn resume_stream(&self, id: &str, headers: &HeaderMap) -> Response<Body> {
         let last = http::header(headers, "last-event-id").unwrap_or("");
         let offset = last
             .rsplit_once(':')
             .and_then(|(_, offset)| offset.parse().ok());
         match self.shared.source(id) {
-            Some(source) => self.streamed(source, offset.unwrap_or(0), Break::Never),
+            Some(source) => self.stream_answer(source, offset.unwrap_or(0), Truncation::None),
             None => http::text(StatusCode::NOT_FOUND, "no such attempt"),
         }
     }
 
-    fn cancel(&self, id: &str) -> Response<Body> {
+    fn cancel_attempt(&self, id: &str) -> Response<Body> {
         match self.shared.batch().cancel(id, Instant::now()) {
             true => http::empty(StatusCode::OK),
             false => http::text(StatusCode::NOT_FOUND, "no such attempt"),
         }
     }
 
-    fn load(&self) -> Response<Body> {
+    fn load_report(&self) -> Response<Body> {
         let report = self.shared.reports().load(Instant::now());
-        let first = || LoadReport {
+        let initial = || LoadReport {
             capacity_tokens: banyanarch::units::Tokens(self.shared.options.memory_tokens),
             prefill_tokens_per_second: self.shared.options.prefill_tokens_per_second,
             ..LoadReport::default()
         };
-        http::json(StatusCode::OK, &report.unwrap_or_else(first))
+        http::json(StatusCode::OK, &report.unwrap_or_else(initial))
     }
 
     fn cache_events(&self, query: Option<&str>) -> Response<Body> {
@@ -234,18 +240,18 @@
         http::json(StatusCode::OK, &events)
     }
 
-    fn order(&self, body: &[u8]) -> Response<Body> {
+    fn apply_order(&self, body: &[u8]) -> Response<Body> {
         let order = match serde_json::from_slice(body) {
             Ok(order) => order,
             Err(e) => return http::text(StatusCode::BAD_REQUEST, e.to_string()),
         };
-        match self.shared.loaded().order(order, Instant::now()) {
+        match self.shared.loaded_state().apply(order, Instant::now()) {
             true => http::empty(StatusCode::OK),
             false => http::text(StatusCode::CONFLICT, "the fencing number is old"),
         }
     }
 
-    async fn export(&self, prefix: &str) -> Response<Body> {
+    async fn export_prefix(&self, prefix: &str) -> Response<Body> {
         let chain = prefix
             .parse()
             .ok()
@@ -253,11 +259,11 @@
         let Some(chain) = chain else {
             return http::text(StatusCode::NOT_FOUND, "no such prefix");
         };
-        self.transfer(&chain).await;
+        self.wait_for_transfer(&chain).await;
         http::json(StatusCode::OK, &chain)
     }
 
-    async fn import(&self, prefix: &str, body: &[u8]) -> Response<Body> {
+    async fn import_prefix(&self, prefix: &str, body: &[u8]) -> Response<Body> {
         let chain: Vec<Segment> = match serde_json::from_slice(body) {
             Ok(chain) => chain,
             Err(e) => return http::text(StatusCode::BAD_REQUEST, e.to_string()),
@@ -266,37 +272,37 @@
         if last.as_deref() != Some(prefix) {
             return http::text(StatusCode::BAD_REQUEST, "not this prefix");
         }
-        self.transfer(&chain).await;
+        self.wait_for_transfer(&chain).await;
         let mut batch = self.shared.batch();
         let room = batch.free_tokens();
         batch.cache.store(&chain, room);
         http::empty(StatusCode::OK)
     }
 
-    async fn transfer(&self, chain: &[Segment]) {
+    async fn wait_for_transfer(&self, chain: &[Segment]) {
         let tokens: u64 = chain.iter().map(|segment| segment.tokens).sum();
-        let takes_s = tokens as f64 / self.shared.options.kv_tokens_per_second;
-        tokio::time::sleep(Duration::from_secs_f64(takes_s)).await;
+        let duration_s = tokens as f64 / self.shared.options.kv_tokens_per_second;
+        tokio::time::sleep(Duration::from_secs_f64(duration_s)).await;
     }
 
-    fn hold(&self, id: &str, body: &[u8]) -> Response<Body> {
-        let body: HoldBody = match serde_json::from_slice(body) {
+    fn reserve(&self, id: &str, body: &[u8]) -> Response<Body> {
+        let body: ReserveBody = match serde_json::from_slice(body) {
             Ok(body) => body,
             Err(e) => return http::text(StatusCode::BAD_REQUEST, e.to_string()),
         };
-        let hold = Hold {
+        let reservation = GangReservation {
             host: body.host,
             tokens: body.tokens,
             until: Instant::now() + Duration::from_millis(body.hold_ms),
         };
-        match self.shared.batch().hold(id, hold) {
+        match self.shared.batch().reserve(id, reservation) {
             true => http::empty(StatusCode::OK),
             false => http::text(StatusCode::CONFLICT, "no room"),
         }
     }
 
-    fn give_back(&self, id: &str) -> Response<Body> {
-        match self.shared.batch().holds.shift_remove(id) {
+    fn release_reservation(&self, id: &str) -> Response<Body> {
+        match self.shared.batch().reservations.shift_remove(id) {
             Some(_) => http::empty(StatusCode::OK),
             None => http::text(StatusCode::NOT_FOUND, "no such hold"),
         }
@@ -310,7 +316,7 @@
 }
 
 /// Waits for the end of an attempt and returns its whole answer as one JSON response.
-async fn whole(mut source: Source, is_chat: bool) -> Reply {
+async fn whole_answer(mut source: AnswerSource, is_chat: bool) -> Reply {
     let ended = source
         .progress
         .wait_for(|progress| progress.end.is_some())
@@ -322,7 +328,7 @@
             "it did not end well",
         ));
     }
-    let text = answer::texts(source.body_hash, 0, progress.output_tokens);
+    let text = answer::tokens_text(source.body_hash, 0, progress.output_tokens);
     let mut choice = json!({"index": 0, "finish_reason": source.finish_reason()});
     match is_chat {
         true => choice["message"] = json!({"role": "assistant", "content": text}),
--- a/standin/src/engine/attempt.rs
+++ b/standin/src/engine/attempt.rs
@@ -10,7 +10,7 @@
 
 /// The parameters of an attempt, from its request.
 #[derive(Clone, Debug)]
-pub(crate) struct Offer {
+pub(crate) struct AttemptSpec {
     pub(crate) id: String,
     pub(crate) host: String,
     pub(crate) key: Option<String>,
@@ -49,7 +49,7 @@
 
 #[derive(Debug)]
 pub(crate) struct Attempt {
-    pub(crate) offer: Offer,
+    pub(crate) spec: AttemptSpec,
     pub(crate) phase: Phase,
     /// The length of the answer in tokens, unless the attempt ends early.
     pub(crate) answer_tokens: u64,
@@ -59,10 +59,10 @@
 }
 
 impl Attempt {
-    pub(crate) fn new(offer: Offer) -> Self {
-        let answer_tokens = crate::answer::len_tokens(offer.body_hash, offer.max_tokens);
+    pub(crate) fn new(spec: AttemptSpec) -> Self {
+        let answer_tokens = crate::answer::len_tokens(spec.body_hash, spec.max_tokens);
         Self {
-            offer,
+            spec,
             phase: Phase::Waiting,
             answer_tokens,
             held_tokens: 0,
@@ -73,14 +73,14 @@
 
     /// Returns the memory that the attempt needs on this engine, in tokens: its share of the prompt
     /// and of the longest answer.
-    pub(crate) fn need_tokens(&self) -> u64 {
-        (self.offer.prompt_tokens + self.offer.max_tokens).div_ceil(self.offer.gang_len)
+    pub(crate) fn required_tokens(&self) -> u64 {
+        (self.spec.prompt_tokens + self.spec.max_tokens).div_ceil(self.spec.gang_len)
     }
 
     /// Returns the prompt tokens to prefill on this engine; the engines of a gang share the work.
     pub(crate) fn prefill_tokens(&self, cached_tokens: u64) -> u64 {
-        let left = self.offer.prompt_tokens.saturating_sub(cached_tokens);
-        left.div_ceil(self.offer.gang_len).max(1)
+        let uncached_tokens = self.spec.prompt_tokens.saturating_sub(cached_tokens);
+        uncached_tokens.div_ceil(self.spec.gang_len).max(1)
     }
 
     pub(crate) fn has_ended(&self) -> bool {
@@ -91,7 +91,7 @@
     pub(crate) fn backlog_tokens(&self) -> u64 {
         match self.phase {
             Phase::Waiting => self.prefill_tokens(0),
-            Phase::Prefill(left) => left,
+            Phase::Prefill(remaining) => remaining,
             Phase::Decode | Phase::Ended(_) => 0,
         }
     }
--- a/standin/src/engine/batch.rs
+++ b/standin/src/engine/batch.rs
@@ -15,24 +15,24 @@
 use crate::engine::RunLog;
 use crate::engine::RunRecord;
 use crate::engine::attempt::Attempt;
-use crate::engine::attempt::Offer;
+use crate::engine::attempt::AttemptSpec;
 use crate::engine::attempt::Phase;
 use crate::engine::cache::PrefixCache;
-use crate::engine::record::wall_ms;
+use crate::engine::record::unix_time_ms;
 
 /// Why an attempt is not accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Refusal {
+pub(crate) enum SubmitError {
     /// An attempt with this id was accepted before.
     Duplicate,
     /// The attempt is larger than the memory, or the queue is full; holds the reason.
-    NoRoom(&'static str),
+    NoCapacity(&'static str),
 }
 
 /// The work of one step.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct Step {
-    pub(crate) takes: Duration,
+    pub(crate) duration: Duration,
     /// Attempts to prefill, each with the number of prompt tokens.
     prefill: Vec<(String, u64)>,
     /// Attempts that generate one token.
@@ -43,7 +43,7 @@
 
 /// Memory that is reserved for the leader of a gang.
 #[derive(Debug)]
-pub(crate) struct Hold {
+pub(crate) struct GangReservation {
     pub(crate) host: String,
     pub(crate) tokens: u64,
     pub(crate) until: Instant,
@@ -55,7 +55,7 @@
     options: EngineOptions,
     pub(crate) faults: EngineFaults,
     pub(crate) attempts: IndexMap<String, Attempt>,
-    pub(crate) holds: IndexMap<String, Hold>,
+    pub(crate) reservations: IndexMap<String, GangReservation>,
     pub(crate) cache: PrefixCache,
     pub(crate) log: RunLog,
     ended_count: u64,
@@ -68,7 +68,7 @@
             options,
             faults: EngineFaults::default(),
             attempts: IndexMap::new(),
-            holds: IndexMap::new(),
+            reservations: IndexMap::new(),
             cache: PrefixCache::default(),
             log,
             ended_count: 0,
@@ -76,33 +76,36 @@
     }
 
     /// Accepts an attempt, which waits in the queue until the next step.
-    pub(crate) fn offer(&mut self, offer: Offer) -> Result<(), Refusal> {
-        if self.log.knows(&offer.id) {
-            return Err(Refusal::Duplicate);
+    pub(crate) fn submit(&mut self, spec: AttemptSpec) -> Result<(), SubmitError> {
+        if self.log.contains(&spec.id) {
+            return Err(SubmitError::Duplicate);
         }
-        let attempt = Attempt::new(offer);
-        if attempt.need_tokens() > self.options.memory_tokens {
-            return Err(Refusal::NoRoom("larger than the memory"));
+        let attempt = Attempt::new(spec);
+        if attempt.required_tokens() > self.options.memory_tokens {
+            return Err(SubmitError::NoCapacity("larger than the memory"));
         }
         let waiting = self.attempts.values().filter(|a| a.phase == Phase::Waiting);
-        let has_room = attempt.need_tokens() <= self.free_tokens_for(&attempt.offer.id);
-        if waiting.count() >= self.options.queue_max && !(has_room && self.has_slot()) {
-            return Err(Refusal::NoRoom("the queue is full"));
+        let fits_now = attempt.required_tokens() <= self.free_tokens_for(&attempt.spec.id);
+        if waiting.count() >= self.options.queue_max && !(fits_now && self.has_slot()) {
+            return Err(SubmitError::NoCapacity("the queue is full"));
         }
-        self.log.start(run_of(&attempt.offer));
-        self.attempts.insert(attempt.offer.id.clone(), attempt);
+        self.log.start(new_run_record(&attempt.spec));
+        self.attempts.insert(attempt.spec.id.clone(), attempt);
         Ok(())
     }
 
     /// Reserves memory for a gang, or renews its reservation; returns false when there is not
     /// enough.
-    pub(crate) fn hold(&mut self, id: &str, hold: Hold) -> bool {
-        let known = self.holds.get(id).map_or(0, |held| held.tokens);
-        if hold.tokens > self.free_tokens() + known {
+    pub(crate) fn reserve(&mut self, id: &str, reservation: GangReservation) -> bool {
+        let renewed_tokens = self
+            .reservations
+            .get(id)
+            .map_or(0, |reservation| reservation.tokens);
+        if reservation.tokens > self.free_tokens() + renewed_tokens {
             return false;
         }
-        self.holds.insert(id.to_owned(), hold);
-        self.fit_cache();
+        self.reservations.insert(id.to_owned(), reservation);
+        self.shrink_cache();
         true
     }
 
@@ -127,35 +130,35 @@
     }
 
     /// Returns the work of the next step, or `None` when there is nothing to do.
-    pub(crate) fn plan(&mut self, now: Instant) -> Option<Step> {
-        self.expire(now);
+    pub(crate) fn plan_step(&mut self, now: Instant) -> Option<Step> {
+        self.remove_expired(now);
         self.admit();
         let mut step = Step::default();
         let mut budget_tokens = self.options.prefill_chunk_tokens;
-        for id in self.in_order(|phase| matches!(phase, Phase::Prefill(_))) {
-            let Phase::Prefill(left) = self.attempts[&id].phase else {
+        for id in self.ids_in_order(|phase| matches!(phase, Phase::Prefill(_))) {
+            let Phase::Prefill(remaining) = self.attempts[&id].phase else {
                 continue;
             };
-            let chunk = left.min(budget_tokens);
+            let chunk = remaining.min(budget_tokens);
             budget_tokens -= chunk;
             if chunk > 0 {
-                step.crashes |= self.attempts[&id].offer.crashes;
+                step.crashes |= self.attempts[&id].spec.crashes;
                 step.prefill.push((id, chunk));
             }
         }
-        step.decode = self.in_order(|phase| phase == Phase::Decode);
-        step.takes = self.takes(&step);
+        step.decode = self.ids_in_order(|phase| phase == Phase::Decode);
+        step.duration = self.step_duration(&step);
         let is_empty = step.prefill.is_empty() && step.decode.is_empty();
         (!is_empty).then_some(step)
     }
 
     /// Applies the results of a step.
-    pub(crate) fn apply(&mut self, step: &Step, now: Instant) {
+    pub(crate) fn apply_step(&mut self, step: &Step, now: Instant) {
         for (id, chunk) in &step.prefill {
-            self.read_in(id, *chunk, now);
+            self.prefill(id, *chunk, now);
         }
         for id in &step.decode {
-            self.make_token(id, now);
+            self.generate_token(id, now);
         }
     }
 
@@ -163,8 +166,14 @@
     /// cache counts as free.
     pub(crate) fn free_tokens(&self) -> u64 {
         let attempts: u64 = self.attempts.values().map(|a| a.held_tokens).sum();
-        let holds: u64 = self.holds.values().map(|hold| hold.tokens).sum();
-        self.options.memory_tokens.saturating_sub(attempts + holds)
+        let reservations: u64 = self
+            .reservations
+            .values()
+            .map(|reservation| reservation.tokens)
+            .sum();
+        self.options
+            .memory_tokens
+            .saturating_sub(attempts + reservations)
     }
 
     /// Returns the current load, altered by the faults. Callers of the API see an older one.
@@ -188,73 +197,78 @@
         }
     }
 
-    fn expire(&mut self, now: Instant) {
-        self.holds.retain(|_, hold| hold.until > now);
+    fn remove_expired(&mut self, now: Instant) {
+        self.reservations
+            .retain(|_, reservation| reservation.until > now);
         let keep = Duration::from_millis(self.options.keep_ended_ms);
         self.attempts.retain(|_, attempt| match attempt.phase {
-            Phase::Ended(at) => attempt.held_tokens > 0 || now < at + keep,
+            Phase::Ended(ended_at) => attempt.held_tokens > 0 || now < ended_at + keep,
             _ => true,
         });
-        let is_late = |a: &&Attempt| !a.has_ended() && a.offer.deadline.is_some_and(|d| d <= now);
-        let late = self.attempts.values().filter(is_late);
-        let late: Vec<String> = late.map(|a| a.offer.id.clone()).collect();
-        for id in late {
+        let is_past_deadline =
+            |a: &&Attempt| !a.has_ended() && a.spec.deadline.is_some_and(|d| d <= now);
+        let late_ids = self.attempts.values().filter(is_past_deadline);
+        let late_ids: Vec<String> = late_ids.map(|a| a.spec.id.clone()).collect();
+        for id in late_ids {
             self.end(&id, RunEnd::TimedOut, now);
         }
     }
 
     /// Starts waiting attempts in order until one of them does not fit.
     fn admit(&mut self) {
-        for id in self.in_order(|phase| phase == Phase::Waiting) {
-            let need = self.attempts[&id].need_tokens();
-            if !self.has_slot() || need > self.free_tokens_for(&id) {
+        for id in self.ids_in_order(|phase| phase == Phase::Waiting) {
+            let required = self.attempts[&id].required_tokens();
+            if !self.has_slot() || required > self.free_tokens_for(&id) {
                 return;
             }
-            self.holds.shift_remove(&id);
+            self.reservations.shift_remove(&id);
             let attempt = &mut self.attempts[&id];
-            let cached = self.cache.hit(&attempt.offer.segments);
-            attempt.held_tokens = need;
+            let cached = self.cache.touch_cached(&attempt.spec.segments);
+            attempt.held_tokens = required;
             attempt.phase = Phase::Prefill(attempt.prefill_tokens(cached));
             attempt.progress.send_modify(|p| p.cached_tokens = cached);
-            self.fit_cache();
+            self.shrink_cache();
         }
     }
 
-    fn read_in(&mut self, id: &str, chunk: u64, now: Instant) {
+    fn prefill(&mut self, id: &str, chunk: u64, now: Instant) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
         };
-        let Phase::Prefill(left) = attempt.phase else {
+        let Phase::Prefill(remaining) = attempt.phase else {
             return;
         };
         attempt.prefilled_tokens += chunk;
         self.log.progress(id, attempt.prefilled_tokens, 0);
-        if left > chunk {
-            attempt.phase = Phase::Prefill(left - chunk);
+        if remaining > chunk {
+            attempt.phase = Phase::Prefill(remaining - chunk);
             return;
         }
         attempt.phase = Phase::Decode;
-        let segments = attempt.offer.segments.clone();
-        let room = self.free_tokens();
-        self.cache.store(&segments, room);
-        self.make_token(id, now);
+        let segments = attempt.spec.segments.clone();
+        let free_tokens = self.free_tokens();
+        self.cache.store(&segments, free_tokens);
+        self.generate_token(id, now);
     }
 
-    fn make_token(&mut self, id: &str, now: Instant) {
+    fn generate_token(&mut self, id: &str, now: Instant) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
         };
         if attempt.phase != Phase::Decode {
             return;
         }
-        let made = attempt.progress.borrow().output_tokens + 1;
-        self.log.progress(id, attempt.prefilled_tokens, made);
-        if made < attempt.answer_tokens {
-            attempt.progress.send_modify(|p| p.output_tokens = made);
+        let output_tokens = attempt.progress.borrow().output_tokens + 1;
+        self.log
+            .progress(id, attempt.prefilled_tokens, output_tokens);
+        if output_tokens < attempt.answer_tokens {
+            attempt
+                .progress
+                .send_modify(|p| p.output_tokens = output_tokens);
             return;
         }
         attempt.progress.send_if_modified(|p| {
-            p.output_tokens = made;
+            p.output_tokens = output_tokens;
             false
         });
         self.end(id, RunEnd::Completed, now);
@@ -277,28 +291,31 @@
         self.log.end(id, end);
     }
 
-    fn takes(&self, step: &Step) -> Duration {
+    fn step_duration(&self, step: &Step) -> Duration {
         let prefill: u64 = step.prefill.iter().map(|(_, chunk)| chunk).sum();
         let prefill_s = prefill as f64 / self.options.prefill_tokens_per_second;
         let attempts_us = self.options.step_per_attempt_us * step.decode.len() as u64;
         let base = Duration::from_micros(self.options.step_base_us + attempts_us);
-        let takes = base + Duration::from_secs_f64(prefill_s);
-        takes.mul_f64(self.faults.slow_factor.max(0.01))
+        let duration = base + Duration::from_secs_f64(prefill_s);
+        duration.mul_f64(self.faults.slow_factor.max(0.01))
     }
 
     /// Returns the ids of attempts in the given phases, by priority, then by arrival.
-    fn in_order(&self, keep: impl Fn(Phase) -> bool) -> Vec<String> {
+    fn ids_in_order(&self, keep: impl Fn(Phase) -> bool) -> Vec<String> {
         let kept = self.attempts.values().filter(|a| keep(a.phase));
-        let mut ids: Vec<(u8, String)> = kept
-            .map(|a| (a.offer.priority, a.offer.id.clone()))
-            .collect();
+        let mut ids: Vec<(u8, String)> =
+            kept.map(|a| (a.spec.priority, a.spec.id.clone())).collect();
         ids.sort_by_key(|(priority, _)| *priority);
         ids.into_iter().map(|(_, id)| id).collect()
     }
 
     /// Returns the free memory in tokens, counting the memory reserved for this attempt as free.
     fn free_tokens_for(&self, id: &str) -> u64 {
-        self.free_tokens() + self.holds.get(id).map_or(0, |hold| hold.tokens)
+        self.free_tokens()
+            + self
+                .reservations
+                .get(id)
+                .map_or(0, |reservation| reservation.tokens)
     }
 
     fn has_slot(&self) -> bool {
@@ -306,20 +323,20 @@
         self.attempts.values().filter(runs).count() < self.options.slots
     }
 
-    fn fit_cache(&mut self) {
-        let room = self.free_tokens();
-        self.cache.shrink_to(room);
+    fn shrink_cache(&mut self) {
+        let free_tokens = self.free_tokens();
+        self.cache.shrink_to(free_tokens);
     }
 }
 
-fn run_of(offer: &Offer) -> RunRecord {
+fn new_run_record(spec: &AttemptSpec) -> RunRecord {
     RunRecord {
-        attempt: offer.id.clone(),
-        host: offer.host.clone(),
-        request_hash: offer.body_hash,
-        key: offer.key.clone(),
-        path: offer.path.clone(),
-        taken_ms: wall_ms(),
+        attempt: spec.id.clone(),
+        host: spec.host.clone(),
+        request_hash: spec.body_hash,
+        key: spec.key.clone(),
+        path: spec.path.clone(),
+        taken_ms: unix_time_ms(),
         ended_ms: None,
         end: None,
         prefilled_tokens: 0,
--- a/standin/src/engine/cache.rs
+++ b/standin/src/engine/cache.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct PrefixCache {
     segments: IndexMap<ContentHash, Segment>,
-    held_tokens: u64,
+    cached_tokens: u64,
     seq: u64,
     /// Events that have not been collected yet.
     events: Vec<CacheEvent>,
@@ -33,40 +33,40 @@
 
 impl PrefixCache {
     /// Returns how many tokens of a prompt are cached, and marks their segments as used.
-    pub(crate) fn hit(&mut self, prefixes: &[Segment]) -> u64 {
+    pub(crate) fn touch_cached(&mut self, prefixes: &[Segment]) -> u64 {
         let chain = prefixes
             .iter()
             .take_while(|segment| self.segments.contains_key(&segment.prefix));
         let found: Vec<Segment> = chain.cloned().collect();
-        self.touch(&found);
+        self.mark_used(&found);
         found.last().map_or(0, |segment| segment.end_tokens)
     }
 
     /// Stores the segments of a prompt as far as `room_tokens` allows.
-    pub(crate) fn store(&mut self, prefixes: &[Segment], room_tokens: u64) {
+    pub(crate) fn store(&mut self, prefixes: &[Segment], capacity_tokens: u64) {
         for segment in prefixes {
             if self.segments.contains_key(&segment.prefix) {
                 continue;
             }
-            if segment.end_tokens > room_tokens {
+            if segment.end_tokens > capacity_tokens {
                 break;
             }
-            self.held_tokens += segment.tokens;
+            self.cached_tokens += segment.tokens;
             self.segments.insert(segment.prefix, segment.clone());
-            self.note(CacheEventKind::Stored, segment);
+            self.record_event(CacheEventKind::Stored, segment);
         }
-        self.touch(prefixes);
-        self.shrink_to(room_tokens);
+        self.mark_used(prefixes);
+        self.shrink_to(capacity_tokens);
     }
 
     /// Evicts segments until at most `room_tokens` are cached.
-    pub(crate) fn shrink_to(&mut self, room_tokens: u64) {
-        while self.held_tokens > room_tokens {
+    pub(crate) fn shrink_to(&mut self, capacity_tokens: u64) {
+        while self.cached_tokens > capacity_tokens {
             let Some((_, segment)) = self.segments.shift_remove_index(0) else {
                 return;
             };
-            self.held_tokens -= segment.tokens;
-            self.note(CacheEventKind::Evicted, &segment);
+            self.cached_tokens -= segment.tokens;
+            self.record_event(CacheEventKind::Evicted, &segment);
         }
     }
 
@@ -80,13 +80,13 @@
         Some(chain)
     }
 
-    pub(crate) fn take_events(&mut self) -> Vec<CacheEvent> {
+    pub(crate) fn drain_events(&mut self) -> Vec<CacheEvent> {
         std::mem::take(&mut self.events)
     }
 
     /// Marks a chain as most recently used. Its last segment is the first to be evicted, so that
     /// what remains of a chain is still a prefix.
-    fn touch(&mut self, chain: &[Segment]) {
+    fn mark_used(&mut self, chain: &[Segment]) {
         for segment in chain.iter().rev() {
             if let Some((prefix, segment)) = self.segments.shift_remove_entry(&segment.prefix) {
                 self.segments.insert(prefix, segment);
@@ -94,7 +94,7 @@
         }
     }
 
-    fn note(&mut self, kind: CacheEventKind, segment: &Segment) {
+    fn record_event(&mut self, kind: CacheEventKind, segment: &Segment) {
         self.seq += 1;
         self.events.push(CacheEvent {
             seq: self.seq,
--- a/standin/src/engine/mod.rs
+++ b/standin/src/engine/mod.rs
@@ -33,7 +33,7 @@
 pub use record::RunLog;
 pub use record::RunRecord;
 pub use record::read_runs;
-pub use record::wall_ms;
+pub use record::unix_time_ms;
 pub use throughput::throughput;
 
 use crate::engine::api::Api;
@@ -42,7 +42,7 @@
 
 /// Exit code of an engine process after the `die` fault or a crashing prompt: that of a process
 /// killed by SIGKILL.
-const DIED: i32 = 137;
+const CRASH_EXIT_CODE: i32 = 137;
 
 /// A running fake engine. Dropping it stops the engine and closes all its connections, as a crash
 /// would.
@@ -63,7 +63,11 @@
             shared: Arc::clone(&shared),
         });
         let server = Arc::new(Server::start(listen, api).await?);
-        let steps = tokio::spawn(live(Arc::clone(&shared), Arc::clone(&server), exits));
+        let steps = tokio::spawn(run_until_crash(
+            Arc::clone(&shared),
+            Arc::clone(&server),
+            exits,
+        ));
         Ok(Self {
             server,
             shared,
@@ -88,7 +92,7 @@
 
     /// Returns which model the engine has loaded, and whether it is still loading.
     pub fn state(&self) -> EngineState {
-        self.shared.loaded().state(Instant::now())
+        self.shared.loaded_state().state(Instant::now())
     }
 
     /// Returns the memory, in tokens, that neither attempts nor reservations use.
@@ -109,13 +113,13 @@
     }
 }
 
-async fn live(shared: Arc<Shared>, server: Arc<Server>, exits: bool) {
+async fn run_until_crash(shared: Arc<Shared>, server: Arc<Server>, exits: bool) {
     tokio::select! {
         () = shared.run_steps() => (),
-        () = shared.told_to_die() => (),
+        () = shared.wait_for_die_fault() => (),
     }
     if exits {
-        std::process::exit(DIED);
+        std::process::exit(CRASH_EXIT_CODE);
     }
     server.close();
 }
--- a/standin/src/engine/orders.rs
+++ b/standin/src/engine/orders.rs
@@ -9,47 +9,47 @@
 
 /// The loaded state of an engine, with a load in progress.
 #[derive(Debug)]
-pub(crate) struct Loaded {
+pub(crate) struct LoadedState {
     state: EngineState,
     loading_until: Option<Instant>,
     fencing_max: FencingNumber,
     checks_fencing: bool,
-    load_takes: Duration,
+    load_duration: Duration,
     /// Orders that were applied, in order, for checkers.
-    pub(crate) obeyed: Vec<Order>,
+    pub(crate) applied_orders: Vec<Order>,
 }
 
-impl Loaded {
-    pub(crate) fn new(state: EngineState, checks_fencing: bool, load_takes: Duration) -> Self {
+impl LoadedState {
+    pub(crate) fn new(state: EngineState, checks_fencing: bool, load_duration: Duration) -> Self {
         Self {
             state,
             loading_until: None,
             fencing_max: FencingNumber::default(),
             checks_fencing,
-            load_takes,
-            obeyed: Vec::new(),
+            load_duration,
+            applied_orders: Vec::new(),
         }
     }
 
     /// Applies an order; returns false when its fencing number is outdated and the engine checks
     /// fencing numbers.
-    pub(crate) fn order(&mut self, order: Order, now: Instant) -> bool {
+    pub(crate) fn apply(&mut self, order: Order, now: Instant) -> bool {
         if self.checks_fencing && order.fencing < self.fencing_max {
             return false;
         }
         self.fencing_max = self.fencing_max.max(order.fencing);
-        self.obeyed.push(order.clone());
-        let wanted = EngineState {
+        self.applied_orders.push(order.clone());
+        let new_state = EngineState {
             loading: false,
             ..order.state
         };
-        let same_weights = wanted.model == self.state.model
-            && wanted.version == self.state.version
-            && wanted.adapters == self.state.adapters;
+        let same_weights = new_state.model == self.state.model
+            && new_state.version == self.state.version
+            && new_state.adapters == self.state.adapters;
         if !same_weights {
-            self.loading_until = Some(now + self.load_takes);
+            self.loading_until = Some(now + self.load_duration);
         }
-        self.state = wanted;
+        self.state = new_state;
         true
     }
 
--- a/standin/src/engine/prompt.rs
+++ b/standin/src/engine/prompt.rs
@@ -19,7 +19,7 @@
 }
 
 #[derive(Deserialize)]
-struct Wire {
+struct RequestBody {
     #[serde(default)]
     prompt: Value,
     #[serde(default)]
@@ -39,18 +39,22 @@
 
 impl Prompt {
     pub(crate) fn parse(body: &[u8]) -> Result<Self, String> {
-        let wire: Wire = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-        let text = match wire.prompt {
-            Value::Null => wire.messages.iter().map(|m| text_of(&m.content)).collect(),
-            prompt => text_of(&prompt),
+        let body_fields: RequestBody = serde_json::from_slice(body).map_err(|e| e.to_string())?;
+        let text = match body_fields.prompt {
+            Value::Null => body_fields
+                .messages
+                .iter()
+                .map(|m| content_text(&m.content))
+                .collect(),
+            prompt => content_text(&prompt),
         };
         if text.is_empty() {
             return Err("neither prompt nor messages".to_owned());
         }
         Ok(Self {
             text,
-            max_tokens: wire.max_completion_tokens.or(wire.max_tokens),
-            stream: wire.stream,
+            max_tokens: body_fields.max_completion_tokens.or(body_fields.max_tokens),
+            stream: body_fields.stream,
         })
     }
 
@@ -81,10 +85,10 @@
 
 /// Returns the text of a prompt or message: a string, or a list of strings or of parts with a
 /// `text` field.
-fn text_of(content: &Value) -> String {
+fn content_text(content: &Value) -> String {
     match content {
         Value::String(text) => text.clone(),
-        Value::Array(parts) => parts.iter().map(text_of).collect(),
+        Value::Array(parts) => parts.iter().map(content_text).collect(),
         part => part["text"].as_str().unwrap_or("").to_owned(),
     }
 }
--- a/standin/src/engine/record.rs
+++ b/standin/src/engine/record.rs
@@ -93,7 +93,7 @@
             return;
         };
         run.end = Some(end);
-        run.ended_ms = Some(wall_ms());
+        run.ended_ms = Some(unix_time_ms());
         let run = run.clone();
         self.append(&run);
     }
@@ -114,7 +114,7 @@
     }
 
     /// Returns whether an attempt with this id was ever recorded.
-    pub fn knows(&self, attempt: &str) -> bool {
+    pub fn contains(&self, attempt: &str) -> bool {
         self.runs.contains_key(attempt)
     }
 
@@ -140,7 +140,7 @@
 }
 
 /// Returns the time since the Unix epoch, in milliseconds.
-pub fn wall_ms() -> u64 {
+pub fn unix_time_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| {
         u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
--- a/standin/src/engine/reports.rs
+++ b/standin/src/engine/reports.rs
@@ -7,12 +7,12 @@
 use banyanarch::upstream::CacheEvent;
 use banyanarch::upstream::LoadReport;
 
-const LOADS_MAX: usize = 1_000;
-const EVENTS_MAX: usize = 4_000;
+const LOAD_REPORTS_MAX: usize = 1_000;
+const CACHE_EVENTS_MAX: usize = 4_000;
 
 /// Load reports and cache events with the instants at which they were made.
 #[derive(Debug)]
-pub(crate) struct Reports {
+pub(crate) struct DelayedReports {
     load_lag: Duration,
     event_lag: Duration,
     gap_one_in: u64,
@@ -20,7 +20,7 @@
     events: VecDeque<(Instant, CacheEvent)>,
 }
 
-impl Reports {
+impl DelayedReports {
     pub(crate) fn new(load_lag: Duration, event_lag: Duration, gap_one_in: u64) -> Self {
         Self {
             load_lag,
@@ -34,17 +34,17 @@
     pub(crate) fn add_load(&mut self, load: LoadReport, now: Instant) {
         self.loads.push_back((now, load));
         let is_old = |(at, _): &(Instant, LoadReport)| now >= *at + self.load_lag;
-        while self.loads.len() > LOADS_MAX || self.loads.get(1).is_some_and(is_old) {
+        while self.loads.len() > LOAD_REPORTS_MAX || self.loads.get(1).is_some_and(is_old) {
             self.loads.pop_front();
         }
     }
 
     pub(crate) fn add_events(&mut self, events: Vec<CacheEvent>, now: Instant) {
-        let gap =
+        let is_dropped =
             |event: &CacheEvent| self.gap_one_in > 0 && event.seq.is_multiple_of(self.gap_one_in);
-        let kept = events.into_iter().filter(|event| !gap(event));
+        let kept = events.into_iter().filter(|event| !is_dropped(event));
         self.events.extend(kept.map(|event| (now, event)));
-        while self.events.len() > EVENTS_MAX {
+        while self.events.len() > CACHE_EVENTS_MAX {
             self.events.pop_front();
         }
     }
@@ -52,17 +52,17 @@
     /// Returns the newest load that is at least as old as the lag; `None` when the engine started
     /// later than that.
     pub(crate) fn load(&self, now: Instant) -> Option<LoadReport> {
-        let seen = self.loads.iter().rev();
-        let mut old = seen.filter(|(at, _)| now >= *at + self.load_lag);
+        let visible = self.loads.iter().rev();
+        let mut old = visible.filter(|(at, _)| now >= *at + self.load_lag);
         old.next().map(|(_, load)| load.clone())
     }
 
     pub(crate) fn events_after(&self, seq: u64, now: Instant) -> Vec<CacheEvent> {
-        let seen = self
+        let visible = self
             .events
             .iter()
             .filter(|(at, _)| now >= *at + self.event_lag);
-        let newer = seen.filter(|(_, event)| event.seq > seq);
+        let newer = visible.filter(|(_, event)| event.seq > seq);
         newer.map(|(_, event)| event.clone()).collect()
     }
 }
--- a/standin/src/engine/shared.rs
+++ b/standin/src/engine/shared.rs
@@ -15,22 +15,22 @@
 use crate::engine::EngineOptions;
 use crate::engine::attempt::Attempt;
 use crate::engine::batch::Batch;
-use crate::engine::orders::Loaded;
-use crate::engine::reports::Reports;
-use crate::engine::stream::Source;
+use crate::engine::orders::LoadedState;
+use crate::engine::reports::DelayedReports;
+use crate::engine::stream::AnswerSource;
 
 /// Interval at which the state is checked when there is no work.
-const IDLE_PAUSE: Duration = Duration::from_millis(20);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Lateness of a step beyond which the schedule restarts at the current time instead of catching
 /// up.
-const LATE_MAX: Duration = Duration::from_millis(50);
+const STEP_LATENESS_MAX: Duration = Duration::from_millis(50);
 
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) options: EngineOptions,
     batch: Mutex<Batch>,
-    reports: Mutex<Reports>,
-    loaded: Mutex<Loaded>,
+    reports: Mutex<DelayedReports>,
+    loaded_state: Mutex<LoadedState>,
     faults: watch::Sender<EngineFaults>,
     /// Notified when there is new work.
     pub(crate) work: Notify,
@@ -38,12 +38,12 @@
 
 impl Shared {
     pub(crate) fn new(options: EngineOptions) -> io::Result<Self> {
-        let reports = Reports::new(
+        let reports = DelayedReports::new(
             Duration::from_millis(options.report_lag_ms),
             Duration::from_millis(options.cache_event_lag_ms),
             options.cache_event_gap_one_in,
         );
-        let loaded = Loaded::new(
+        let loaded_state = LoadedState::new(
             options.state.clone(),
             options.checks_fencing,
             Duration::from_millis(options.load_ms),
@@ -51,7 +51,7 @@
         Ok(Self {
             batch: Mutex::new(Batch::new(options.clone())?),
             reports: Mutex::new(reports),
-            loaded: Mutex::new(loaded),
+            loaded_state: Mutex::new(loaded_state),
             faults: watch::Sender::new(EngineFaults::default()),
             work: Notify::new(),
             options,
@@ -62,12 +62,14 @@
         self.batch.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn reports(&self) -> MutexGuard<'_, Reports> {
+    pub(crate) fn reports(&self) -> MutexGuard<'_, DelayedReports> {
         self.reports.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn loaded(&self) -> MutexGuard<'_, Loaded> {
-        self.loaded.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn loaded_state(&self) -> MutexGuard<'_, LoadedState> {
+        self.loaded_state
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(crate) fn faults(&self) -> EngineFaults {
@@ -80,47 +82,47 @@
     }
 
     /// Waits until the engine is not frozen.
-    pub(crate) async fn wait_until_thawed(&self) {
+    pub(crate) async fn wait_until_unfrozen(&self) {
         let mut faults = self.faults.subscribe();
         let _ = faults.wait_for(|faults| !faults.freeze).await;
     }
 
     /// Waits for the `die` fault.
-    pub(crate) async fn told_to_die(&self) {
+    pub(crate) async fn wait_for_die_fault(&self) {
         let mut faults = self.faults.subscribe();
         let _ = faults.wait_for(|faults| faults.die).await;
     }
 
     /// Runs steps until a prompt crashes the engine.
     pub(crate) async fn run_steps(&self) {
-        let mut next = Instant::now();
+        let mut next_step_at = Instant::now();
         loop {
-            self.wait_until_thawed().await;
+            self.wait_until_unfrozen().await;
             let now = Instant::now();
-            let step = self.batch().plan(now);
-            self.note(now);
+            let step = self.batch().plan_step(now);
+            self.record_reports(now);
             let Some(step) = step else {
-                let _ = tokio::time::timeout(IDLE_PAUSE, self.work.notified()).await;
-                next = Instant::now();
+                let _ = tokio::time::timeout(IDLE_POLL_INTERVAL, self.work.notified()).await;
+                next_step_at = Instant::now();
                 continue;
             };
             if step.crashes {
                 return;
             }
-            if now > next + LATE_MAX {
-                next = now;
+            if now > next_step_at + STEP_LATENESS_MAX {
+                next_step_at = now;
             }
-            next += step.takes;
-            tokio::time::sleep_until(next.into()).await;
-            self.batch().apply(&step, Instant::now());
+            next_step_at += step.duration;
+            tokio::time::sleep_until(next_step_at.into()).await;
+            self.batch().apply_step(&step, Instant::now());
         }
     }
 
     /// Records the current load and the new cache events for later reports.
-    pub(crate) fn note(&self, now: Instant) {
+    pub(crate) fn record_reports(&self, now: Instant) {
         let (load, events) = {
             let mut batch = self.batch();
-            (batch.load(), batch.cache.take_events())
+            (batch.load(), batch.cache.drain_events())
         };
         let mut reports = self.reports();
         reports.add_load(load, now);
@@ -128,30 +130,30 @@
     }
 
     /// Returns what a reader of this attempt needs; `None` when there is no such attempt.
-    pub(crate) fn source(&self, id: &str) -> Option<Source> {
-        self.batch().attempts.get(id).map(source_of)
+    pub(crate) fn source(&self, id: &str) -> Option<AnswerSource> {
+        self.batch().attempts.get(id).map(answer_source_of)
     }
 
     /// Returns the id and body hash of another attempt, or of a made-up one when there is no other.
-    pub(crate) fn another(&self, source: &Source) -> (String, ContentHash) {
+    pub(crate) fn other_answer(&self, source: &AnswerSource) -> (String, ContentHash) {
         let batch = self.batch();
         let mut others = batch.attempts.values();
-        match others.find(|attempt| attempt.offer.id != source.id) {
-            Some(other) => (other.offer.id.clone(), other.offer.body_hash),
+        match others.find(|attempt| attempt.spec.id != source.id) {
+            Some(other) => (other.spec.id.clone(), other.spec.body_hash),
             None => {
-                let never = ContentHash::of(source.id.as_bytes());
-                (never.to_string(), never)
+                let made_up = ContentHash::of(source.id.as_bytes());
+                (made_up.to_string(), made_up)
             }
         }
     }
 }
 
-fn source_of(attempt: &Attempt) -> Source {
-    Source {
-        id: attempt.offer.id.clone(),
-        body_hash: attempt.offer.body_hash,
-        prompt_tokens: attempt.offer.prompt_tokens,
-        max_tokens: attempt.offer.max_tokens,
+fn answer_source_of(attempt: &Attempt) -> AnswerSource {
+    AnswerSource {
+        id: attempt.spec.id.clone(),
+        body_hash: attempt.spec.body_hash,
+        prompt_tokens: attempt.spec.prompt_tokens,
+        max_tokens: attempt.spec.max_tokens,
         answer_tokens: attempt.answer_tokens,
         progress: attempt.progress.subscribe(),
     }
--- a/standin/src/engine/stream.rs
+++ b/standin/src/engine/stream.rs
@@ -20,7 +20,7 @@
 
 /// What a reader needs of an attempt.
 #[derive(Clone, Debug)]
-pub(crate) struct Source {
+pub(crate) struct AnswerSource {
     pub(crate) id: String,
     pub(crate) body_hash: ContentHash,
     pub(crate) prompt_tokens: u64,
@@ -29,7 +29,7 @@
     pub(crate) progress: watch::Receiver<Progress>,
 }
 
-impl Source {
+impl AnswerSource {
     pub(crate) fn finish_reason(&self) -> &'static str {
         match self.answer_tokens == self.max_tokens {
             true => "length",
@@ -48,34 +48,34 @@
 
 /// How a fault truncates an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Break {
+pub(crate) enum Truncation {
     /// The answer is not truncated.
-    Never,
+    None,
     /// The connection is cut after half of the tokens.
-    Cut,
+    ConnectionCut,
     /// The answer ends after half of its tokens as if it were whole, without an end mark.
-    Short,
+    MissingEndMark,
 }
 
 /// Returns the events of an answer, from the token at `offset` on.
 pub(crate) fn events(
     shared: Arc<Shared>,
-    source: Source,
+    source: AnswerSource,
     offset: u64,
-    breaks: Break,
+    truncation: Truncation,
 ) -> impl Stream<Item = io::Result<Bytes>> + Send {
-    let limit = match breaks {
-        Break::Never => u64::MAX,
-        Break::Cut | Break::Short => source.answer_tokens.div_ceil(2),
+    let token_limit = match truncation {
+        Truncation::None => u64::MAX,
+        Truncation::ConnectionCut | Truncation::MissingEndMark => source.answer_tokens.div_ceil(2),
     };
-    let reader = Reader {
+    let reader = AnswerReader {
         shared,
         source,
         offset,
-        breaks,
-        limit,
-        ready: VecDeque::new(),
-        is_over: false,
+        truncation,
+        token_limit,
+        queue: VecDeque::new(),
+        is_finished: false,
     };
     stream::unfold(reader, |mut reader| async move {
         let piece = reader.next_piece().await?;
@@ -83,44 +83,44 @@
     })
 }
 
-struct Reader {
+struct AnswerReader {
     shared: Arc<Shared>,
-    source: Source,
+    source: AnswerSource,
     offset: u64,
-    breaks: Break,
+    truncation: Truncation,
     /// The number of tokens after which the answer is truncated.
-    limit: u64,
-    ready: VecDeque<Bytes>,
-    is_over: bool,
+    token_limit: u64,
+    queue: VecDeque<Bytes>,
+    is_finished: bool,
 }
 
-impl Reader {
+impl AnswerReader {
     async fn next_piece(&mut self) -> Option<io::Result<Bytes>> {
         loop {
-            if let Some(piece) = self.ready.pop_front() {
+            if let Some(piece) = self.queue.pop_front() {
                 return Some(Ok(piece));
             }
-            if self.is_over {
+            if self.is_finished {
                 return None;
             }
-            if self.offset >= self.limit {
-                return match self.breaks {
-                    Break::Cut => Some(Err(io::Error::other("cut off"))),
-                    Break::Short | Break::Never => None,
+            if self.offset >= self.token_limit {
+                return match self.truncation {
+                    Truncation::ConnectionCut => Some(Err(io::Error::other("cut off"))),
+                    Truncation::MissingEndMark | Truncation::None => None,
                 };
             }
             let progress = *self.source.progress.borrow_and_update();
             if progress.output_tokens > self.offset || progress.end.is_some() {
-                self.wait_for_faults().await;
-                self.take_in(progress);
+                self.apply_delay_faults().await;
+                self.queue_new_events(progress);
             } else if self.source.progress.changed().await.is_err() {
                 return Some(Err(io::Error::other("the attempt was forgotten")));
             }
         }
     }
 
-    async fn wait_for_faults(&self) {
-        self.shared.wait_until_thawed().await;
+    async fn apply_delay_faults(&self) {
+        self.shared.wait_until_unfrozen().await;
         let delay_ms = self.shared.faults().delay_answers_ms;
         if delay_ms > 0 {
             tokio::time::sleep(Duration::from_millis(delay_ms)).await;
@@ -128,44 +128,44 @@
     }
 
     /// Queues events for the tokens that are new, and for the end of the answer.
-    fn take_in(&mut self, progress: Progress) {
-        let until = progress.output_tokens.min(self.limit);
+    fn queue_new_events(&mut self, progress: Progress) {
+        let until = progress.output_tokens.min(self.token_limit);
         if until > self.offset {
-            let event = self.tokens(until - self.offset);
-            self.ready.push_back(event);
+            let event = self.token_event(until - self.offset);
+            self.queue.push_back(event);
             self.offset = until;
         }
-        if let Some(end) = progress.end.filter(|_| until < self.limit) {
-            self.finish(progress, end);
+        if let Some(end) = progress.end.filter(|_| until < self.token_limit) {
+            self.queue_end(progress, end);
         }
     }
 
-    fn tokens(&self, count: u64) -> Bytes {
+    fn token_event(&self, count: u64) -> Bytes {
         let (id, body_hash) = match self.shared.faults().cross_answers {
-            true => self.shared.another(&self.source),
+            true => self.shared.other_answer(&self.source),
             false => (self.source.id.clone(), self.source.body_hash),
         };
-        let text = answer::texts(body_hash, self.offset, count);
+        let text = answer::tokens_text(body_hash, self.offset, count);
         let data = json!({
             "id": id,
             "choices": [{"index": 0, "text": text, "finish_reason": null}],
             "offset": self.offset,
             "count": count,
         });
-        event(&id, self.offset, &data)
+        encode_event(&id, self.offset, &data)
     }
 
-    fn finish(&mut self, progress: Progress, end: RunEnd) {
-        self.is_over = true;
+    fn queue_end(&mut self, progress: Progress, end: RunEnd) {
+        self.is_finished = true;
         let id = &self.source.id;
         if end != RunEnd::Completed {
-            let why = match end {
+            let message = match end {
                 RunEnd::TimedOut => "the time ran out",
                 RunEnd::Cancelled => "cancelled",
                 RunEnd::Completed | RunEnd::Failed => "failed",
             };
-            let data = json!({"id": id, "error": {"message": why}});
-            self.ready.push_back(event(id, self.offset, &data));
+            let data = json!({"id": id, "error": {"message": message}});
+            self.queue.push_back(encode_event(id, self.offset, &data));
             return;
         }
         let data = json!({
@@ -175,12 +175,12 @@
             "count": 0,
             "usage": self.source.usage(progress),
         });
-        self.ready.push_back(event(id, self.offset, &data));
-        self.ready
+        self.queue.push_back(encode_event(id, self.offset, &data));
+        self.queue
             .push_back(Bytes::from_static(b"data: [DONE]\n\n"));
     }
 }
 
-fn event(id: &str, offset: u64, data: &Value) -> Bytes {
+fn encode_event(id: &str, offset: u64, data: &Value) -> Bytes {
     Bytes::from(format!("id: {id}:{offset}\ndata: {data}\n\n"))
 }
--- a/standin/src/engine/throughput.rs
+++ b/standin/src/engine/throughput.rs
@@ -6,7 +6,7 @@
 use banyanarch::units::ContentHash;
 
 use crate::engine::EngineOptions;
-use crate::engine::attempt::Offer;
+use crate::engine::attempt::AttemptSpec;
 use crate::engine::batch::Batch;
 
 /// Returns how long an engine takes for prompts of these lengths, each with the longest answer,
@@ -20,25 +20,25 @@
     let Ok(mut batch) = Batch::new(options) else {
         return Duration::MAX;
     };
-    for (number, size) in sizes.iter().enumerate() {
-        let _ = batch.offer(offer(number, *size));
+    for (index, size) in sizes.iter().enumerate() {
+        let _ = batch.submit(attempt_spec(index, *size));
     }
     let mut now = start;
-    while let Some(step) = batch.plan(now) {
-        now += step.takes;
-        batch.apply(&step, now);
+    while let Some(step) = batch.plan_step(now) {
+        now += step.duration;
+        batch.apply_step(&step, now);
     }
     now - start
 }
 
-fn offer(number: usize, (prompt_tokens, max_tokens): (u64, u64)) -> Offer {
-    Offer {
-        id: number.to_string(),
+fn attempt_spec(index: usize, (prompt_tokens, max_tokens): (u64, u64)) -> AttemptSpec {
+    AttemptSpec {
+        id: index.to_string(),
         host: String::new(),
         key: None,
         path: String::new(),
         priority: 0,
-        body_hash: ContentHash::of(&number.to_le_bytes()),
+        body_hash: ContentHash::of(&index.to_le_bytes()),
         prompt_tokens,
         max_tokens,
         segments: Vec::new(),
--- a/standin/src/fleet/child.rs
+++ b/standin/src/fleet/child.rs
@@ -16,46 +16,48 @@
 use crate::fleet::WorkDir;
 
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A running child process. Dropping it kills the process.
 #[derive(Debug)]
-pub struct Child {
+pub struct ChildProcess {
     /// The name of the process and of its log file.
     pub name: String,
     process: std::process::Child,
-    out_path: std::path::PathBuf,
+    stdout_path: std::path::PathBuf,
 }
 
-impl Child {
+impl ChildProcess {
     /// Starts the process; its output goes to files in `dir`.
     pub fn start(dir: &WorkDir, name: &str, args: &[String]) -> Result<Self, FleetError> {
-        let out_path = dir.path(&format!("{name}.out"));
+        let stdout_path = dir.path(&format!("{name}.out"));
         let log = File::create(dir.path(&format!("{name}.log")))?;
         let process = Command::new(std::env::current_exe()?)
             .args(args)
             .arg("--with-parent")
             .stdin(Stdio::piped())
-            .stdout(File::create(&out_path)?)
+            .stdout(File::create(&stdout_path)?)
             .stderr(log)
             .spawn()?;
         Ok(Self {
             name: name.to_owned(),
             process,
-            out_path,
+            stdout_path,
         })
     }
 
     /// Waits until the process prints the line `listening ADDR`, and returns the address.
-    pub async fn listening(&self) -> Result<SocketAddr, FleetError> {
-        let give_up = Instant::now() + START_TIMEOUT;
-        while Instant::now() < give_up {
-            let out = fs::read_to_string(&self.out_path)?;
-            let addr = out.lines().find_map(|line| line.strip_prefix("listening "));
+    pub async fn wait_until_listening(&self) -> Result<SocketAddr, FleetError> {
+        let deadline = Instant::now() + START_TIMEOUT;
+        while Instant::now() < deadline {
+            let stdout = fs::read_to_string(&self.stdout_path)?;
+            let addr = stdout
+                .lines()
+                .find_map(|line| line.strip_prefix("listening "));
             if let Some(addr) = addr.and_then(|addr| addr.parse().ok()) {
                 return Ok(addr);
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Err(FleetError(format!("{} did not come up", self.name)))
     }
@@ -84,7 +86,7 @@
     }
 }
 
-impl Drop for Child {
+impl Drop for ChildProcess {
     fn drop(&mut self) {
         self.kill();
     }
--- a/standin/src/fleet/dir.rs
+++ b/standin/src/fleet/dir.rs
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub struct WorkDir {
     path: PathBuf,
-    keeps: bool,
+    is_kept: bool,
 }
 
 impl WorkDir {
@@ -24,7 +24,10 @@
         );
         let path = std::env::temp_dir().join(name);
         fs::create_dir(&path)?;
-        Ok(Self { path, keeps: false })
+        Ok(Self {
+            path,
+            is_kept: false,
+        })
     }
 
     /// Returns the path of a file in the directory.
@@ -39,21 +42,21 @@
 
     /// Keeps the directory when `self` is dropped.
     pub fn keep(&mut self) {
-        self.keeps = true;
+        self.is_kept = true;
     }
 
     /// Returns the last lines of the log of a process.
     pub fn tail(&self, name: &str) -> String {
         let text = fs::read_to_string(self.path(&format!("{name}.log"))).unwrap_or_default();
         let lines: Vec<&str> = text.lines().collect();
-        let from = lines.len().saturating_sub(TAIL_LINES);
-        format!("--- {name}\n{}\n", lines[from..].join("\n"))
+        let first = lines.len().saturating_sub(TAIL_LINES);
+        format!("--- {name}\n{}\n", lines[first..].join("\n"))
     }
 }
 
 impl Drop for WorkDir {
     fn drop(&mut self) {
-        if self.keeps {
+        if self.is_kept {
             eprintln!("logs are in {}", self.path.display());
         } else {
             let _ = fs::remove_dir_all(&self.path);
--- a/standin/src/fleet/host.rs
+++ b/standin/src/fleet/host.rs
@@ -11,33 +11,33 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::fleet::Child;
+use crate::fleet::ChildProcess;
 use crate::fleet::FleetError;
 use crate::fleet::FleetPlan;
 use crate::fleet::WorkDir;
 use crate::http::call_json;
 use crate::machine;
 
-const START_TRIES: u32 = 3;
+const START_ATTEMPTS: u32 = 3;
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// An entry host of a fleet.
 #[derive(Debug)]
-pub struct Host {
+pub struct HostProcess {
     /// The process.
-    pub child: Child,
+    pub child: ChildProcess,
     /// The failure domain of the host.
     pub domain: String,
     /// The address for callers.
-    pub callers: SocketAddr,
+    pub callers_addr: SocketAddr,
     /// The address for other hosts.
-    pub peers: SocketAddr,
+    pub peers_addr: SocketAddr,
     /// The address for health and metrics.
-    pub status: SocketAddr,
+    pub status_addr: SocketAddr,
 }
 
-impl Host {
+impl HostProcess {
     /// Starts all hosts of a plan and waits until they are ready. Ports are picked among those that
     /// are free; if another process binds one of them first, all hosts are started again on new
     /// ports.
@@ -46,14 +46,14 @@
         plan: &FleetPlan,
         platform: SocketAddr,
     ) -> Result<Vec<Self>, FleetError> {
-        let mut last = FleetError("no host was started".to_owned());
-        for _ in 0..START_TRIES {
+        let mut last_error = FleetError("no host was started".to_owned());
+        for _ in 0..START_ATTEMPTS {
             match Self::try_start_all(dir, plan, platform).await {
                 Ok(hosts) => return Ok(hosts),
-                Err(e) => last = e,
+                Err(e) => last_error = e,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
     async fn try_start_all(
@@ -62,17 +62,17 @@
         platform: SocketAddr,
     ) -> Result<Vec<Self>, FleetError> {
         let ports = free_addrs(3 * plan.hosts.len())?;
-        let seats: Vec<(&(String, String), &[SocketAddr])> =
+        let host_addrs: Vec<(&(String, String), &[SocketAddr])> =
             plan.hosts.iter().zip(ports.chunks(3)).collect();
-        let seeds: Vec<Value> = seats
+        let seeds: Vec<Value> = host_addrs
             .iter()
             .map(|((name, domain), addrs)| {
                 json!({"host": name, "failure_domain": domain, "address": addrs[1]})
             })
             .collect();
         let mut hosts = Vec::new();
-        for ((name, domain), addrs) in seats {
-            let settings = settings(plan, (name, domain), addrs, &seeds, platform)?;
+        for ((name, domain), addrs) in host_addrs {
+            let settings = build_settings(plan, (name, domain), addrs, &seeds, platform)?;
             let path = dir.path(&format!("{name}.yaml"));
             fs::write(
                 &path,
@@ -80,13 +80,13 @@
             )?;
             let args = ["daemon", "--settings", &path.display().to_string()].map(str::to_owned);
             hosts.push(Self {
-                child: Child::start(dir, name, &args)?,
+                child: ChildProcess::start(dir, name, &args)?,
                 domain: domain.clone(),
-                callers: addrs[0],
-                peers: addrs[1],
-                status: addrs[2],
+                callers_addr: addrs[0],
+                peers_addr: addrs[1],
+                status_addr: addrs[2],
             });
-            register(name, domain, addrs[1], platform).await?;
+            register_host(name, domain, addrs[1], platform).await?;
         }
         for host in &mut hosts {
             host.wait_until_ready(dir).await?;
@@ -95,13 +95,13 @@
     }
 
     async fn wait_until_ready(&mut self, dir: &WorkDir) -> Result<(), FleetError> {
-        let give_up = Instant::now() + READY_TIMEOUT;
-        while Instant::now() < give_up && !self.child.has_ended() {
-            let ready = call_json(self.status, Method::GET, "/readyz", &Value::Null).await;
+        let deadline = Instant::now() + READY_TIMEOUT;
+        while Instant::now() < deadline && !self.child.has_ended() {
+            let ready = call_json(self.status_addr, Method::GET, "/readyz", &Value::Null).await;
             if ready.is_ok() {
                 return Ok(());
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         let log = dir.tail(&self.child.name);
         Err(FleetError(format!(
@@ -111,7 +111,7 @@
     }
 }
 
-fn settings(
+fn build_settings(
     plan: &FleetPlan,
     (name, domain): (&str, &str),
     addrs: &[SocketAddr],
@@ -136,26 +136,27 @@
     serde_json::from_value(settings).map_err(|e| FleetError(format!("settings: {e}")))
 }
 
-async fn register(
+async fn register_host(
     name: &str,
     domain: &str,
-    peers: SocketAddr,
+    peers_addr: SocketAddr,
     platform: SocketAddr,
 ) -> Result<(), FleetError> {
     let spec = json!({
         "role": "entry",
         "domain": domain,
-        "address": peers.to_string(),
+        "address": peers_addr.to_string(),
         "state": "live",
     });
-    let done = machine::put(platform, machine::PATH, name, &spec).await;
-    done.map_err(|e| FleetError(format!("{name}: {e}")))
+    let written = machine::put(platform, machine::PATH, name, &spec).await;
+    written.map_err(|e| FleetError(format!("{name}: {e}")))
 }
 
 /// Returns loopback addresses with ports that are free at the moment.
 fn free_addrs(count: usize) -> Result<Vec<SocketAddr>, FleetError> {
     let bind = |_| TcpListener::bind(("127.0.0.1", 0));
-    let held: Result<Vec<TcpListener>, _> = (0..count).map(bind).collect();
-    let addrs: Result<Vec<SocketAddr>, _> = held?.iter().map(TcpListener::local_addr).collect();
+    let listeners: Result<Vec<TcpListener>, _> = (0..count).map(bind).collect();
+    let addrs: Result<Vec<SocketAddr>, _> =
+        listeners?.iter().map(TcpListener::local_addr).collect();
     Ok(addrs?)
 }
--- a/standin/src/fleet/manifest.rs
+++ b/standin/src/fleet/manifest.rs
@@ -21,7 +21,8 @@
         },
     });
     let path = "/apis/banyanarch.dev/v1/manifests";
-    let done = call_json(platform, Method::POST, path, &object).await;
-    done.map(drop)
+    let written = call_json(platform, Method::POST, path, &object).await;
+    written
+        .map(drop)
         .map_err(|e| FleetError(format!("publish: {e}")))
 }
--- a/standin/src/fleet/mod.rs
+++ b/standin/src/fleet/mod.rs
@@ -10,9 +10,9 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-pub use child::Child;
+pub use child::ChildProcess;
 pub use dir::WorkDir;
-pub use host::Host;
+pub use host::HostProcess;
 pub use manifest::publish;
 pub use plan::FleetPlan;
 pub use plan::MODEL;
@@ -41,9 +41,9 @@
 
 /// An engine or a service instance of a fleet.
 #[derive(Debug)]
-pub struct Node {
+pub struct UpstreamProcess {
     /// The process.
-    pub child: Child,
+    pub child: ChildProcess,
     /// The address that the process listens on.
     pub addr: SocketAddr,
     record_name: String,
@@ -53,15 +53,15 @@
 #[derive(Debug)]
 pub struct Fleet {
     /// The fake platform.
-    pub platform: Child,
+    pub platform: ChildProcess,
     /// The address that the platform listens on.
     pub platform_addr: SocketAddr,
     /// The engines.
-    pub engines: Vec<Node>,
+    pub engines: Vec<UpstreamProcess>,
     /// The instances of the plain service.
-    pub services: Vec<Node>,
+    pub services: Vec<UpstreamProcess>,
     /// The entry hosts.
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<HostProcess>,
     dir: WorkDir,
 }
 
@@ -69,8 +69,8 @@
     /// Starts all processes, publishes the manifest and waits until each host is ready.
     pub async fn start(plan: &FleetPlan) -> Result<Self, FleetError> {
         let dir = WorkDir::new()?;
-        let platform = Child::start(&dir, "platform", &["platform".to_owned()])?;
-        let platform_addr = platform.listening().await?;
+        let platform = ChildProcess::start(&dir, "platform", &["platform".to_owned()])?;
+        let platform_addr = platform.wait_until_listening().await?;
         publish(platform_addr, &plan.manifest()).await?;
         let mut fleet = Self {
             platform,
@@ -80,33 +80,33 @@
             hosts: Vec::new(),
             dir,
         };
-        for (name, args) in plan.engines(platform_addr) {
-            let node = fleet.start_node(&name, args)?;
-            fleet.engines.push(node);
+        for (name, args) in plan.engine_commands(platform_addr) {
+            let upstream = fleet.start_upstream(&name, args)?;
+            fleet.engines.push(upstream);
         }
-        for (name, args) in plan.services(platform_addr) {
-            let node = fleet.start_node(&name, args)?;
-            fleet.services.push(node);
+        for (name, args) in plan.service_commands(platform_addr) {
+            let upstream = fleet.start_upstream(&name, args)?;
+            fleet.services.push(upstream);
         }
-        for node in fleet.engines.iter_mut().chain(&mut fleet.services) {
-            node.addr = node.child.listening().await?;
+        for upstream in fleet.engines.iter_mut().chain(&mut fleet.services) {
+            upstream.addr = upstream.child.wait_until_listening().await?;
         }
-        fleet.hosts = Host::start_all(&fleet.dir, plan, platform_addr).await?;
+        fleet.hosts = HostProcess::start_all(&fleet.dir, plan, platform_addr).await?;
         Ok(fleet)
     }
 
     /// Returns the records of all engines and services, including those that have been killed.
     pub fn runs(&self) -> Result<Vec<RunRecord>, FleetError> {
         let mut runs = Vec::new();
-        for node in self.engines.iter().chain(&self.services) {
-            runs.extend(read_runs(&self.dir.path(&node.record_name))?);
+        for upstream in self.engines.iter().chain(&self.services) {
+            runs.extend(read_runs(&self.dir.path(&upstream.record_name))?);
         }
         Ok(runs)
     }
 
     /// Returns the addresses on which the hosts serve callers.
-    pub fn callers(&self) -> Vec<SocketAddr> {
-        self.hosts.iter().map(|host| host.callers).collect()
+    pub fn callers_addrs(&self) -> Vec<SocketAddr> {
+        self.hosts.iter().map(|host| host.callers_addr).collect()
     }
 
     /// Returns the last lines of each host's log, for a run that failed.
@@ -123,12 +123,16 @@
         self.dir.keep();
     }
 
-    fn start_node(&self, name: &str, mut args: Vec<String>) -> Result<Node, FleetError> {
+    fn start_upstream(
+        &self,
+        name: &str,
+        mut args: Vec<String>,
+    ) -> Result<UpstreamProcess, FleetError> {
         let record_name = format!("{name}.record");
         let record_path = self.dir.path(&record_name);
         args.extend(["--record".to_owned(), record_path.display().to_string()]);
-        Ok(Node {
-            child: Child::start(&self.dir, name, &args)?,
+        Ok(UpstreamProcess {
+            child: ChildProcess::start(&self.dir, name, &args)?,
             addr: SocketAddr::from(([127, 0, 0, 1], 0)),
             record_name,
         })
--- a/standin/src/fleet/plan.rs
+++ b/standin/src/fleet/plan.rs
@@ -47,17 +47,22 @@
     /// Returns a plan with these numbers of engines, service instances and hosts, distributed over
     /// the domains in turn.
     pub fn new(domains: &[&'static str], engines: usize, services: usize, hosts: usize) -> Self {
-        let deal = |count: usize| -> Vec<&'static str> {
+        let assign_domains = |count: usize| -> Vec<&'static str> {
             domains.iter().copied().cycle().take(count).collect()
         };
-        let host = |(at, domain): (usize, &str)| (format!("entry-{}", at + 1), domain.to_owned());
+        let host =
+            |(index, domain): (usize, &str)| (format!("entry-{}", index + 1), domain.to_owned());
         Self {
             deployment: "standin",
-            engine_domains: deal(engines),
+            engine_domains: assign_domains(engines),
             engine: EngineOptions::default(),
-            service_domains: deal(services),
+            service_domains: assign_domains(services),
             service: ServiceOptions::default(),
-            hosts: deal(hosts).into_iter().enumerate().map(host).collect(),
+            hosts: assign_domains(hosts)
+                .into_iter()
+                .enumerate()
+                .map(host)
+                .collect(),
             host_threads: 2,
             drain_notice_ms: 500,
             policy: PolicyName::default(),
@@ -81,14 +86,14 @@
         });
         let customers: Vec<Value> = customers.collect();
         let engine = &self.engine;
-        let in_all = engine.memory_tokens * self.engine_domains.len() as u64;
+        let fleet_memory_tokens = engine.memory_tokens * self.engine_domains.len() as u64;
         let model = json!({
             "name": MODEL,
             "version": "1",
             "engine_memory_tokens": engine.memory_tokens,
             "engine_slots": engine.slots,
             "prefill_speed": format!("{}tok/s", engine.prefill_tokens_per_second),
-            "context_tokens_max": in_all.min(1_000_000),
+            "context_tokens_max": fleet_memory_tokens.min(1_000_000),
         });
         let service = json!({
             "name": SERVICE,
@@ -108,7 +113,7 @@
     }
 
     /// Returns the names and command-line arguments of the engines.
-    pub(crate) fn engines(&self, platform: SocketAddr) -> Vec<(String, Vec<String>)> {
+    pub(crate) fn engine_commands(&self, platform: SocketAddr) -> Vec<(String, Vec<String>)> {
         let e = &self.engine;
         let options = [
             ("--memory-tokens", e.memory_tokens.to_string()),
@@ -121,16 +126,16 @@
             ("--report-lag-ms", e.report_lag_ms.to_string()),
             ("--model", MODEL.to_owned()),
         ];
-        nodes("engine", MODEL, &self.engine_domains, &options, platform)
+        upstream_commands("engine", MODEL, &self.engine_domains, &options, platform)
     }
 
     /// Returns the names and command-line arguments of the service instances.
-    pub(crate) fn services(&self, platform: SocketAddr) -> Vec<(String, Vec<String>)> {
+    pub(crate) fn service_commands(&self, platform: SocketAddr) -> Vec<(String, Vec<String>)> {
         let options = [
             ("--latency-ms", self.service.latency_ms.to_string()),
             ("--slots", self.service.slots.to_string()),
         ];
-        nodes(
+        upstream_commands(
             "service",
             SERVICE,
             &self.service_domains,
@@ -140,24 +145,24 @@
     }
 }
 
-fn nodes(
+fn upstream_commands(
     command: &str,
     target: &str,
     domains: &[&str],
     options: &[(&str, String)],
     platform: SocketAddr,
 ) -> Vec<(String, Vec<String>)> {
-    let node = |(at, domain): (usize, &&str)| {
-        let name = format!("{command}-{}", at + 1);
+    let upstream = |(index, domain): (usize, &&str)| {
+        let name = format!("{command}-{}", index + 1);
         let mut args = vec![command.to_owned()];
         let platform = platform.to_string();
-        let place = [
+        let machine_args = [
             ("--machine", &name),
             ("--domain", &(*domain).to_owned()),
             ("--target", &target.to_owned()),
             ("--platform", &platform),
         ];
-        for (key, value) in place {
+        for (key, value) in machine_args {
             args.extend([key.to_owned(), value.clone()]);
         }
         for (key, value) in options {
@@ -165,5 +170,5 @@
         }
         (name, args)
     };
-    domains.iter().enumerate().map(node).collect()
+    domains.iter().enumerate().map(upstream).collect()
 }
--- a/standin/src/http/client.rs
+++ b/standin/src/http/client.rs
@@ -20,9 +20,9 @@
 #[derive(Debug)]
 pub enum CallError {
     /// The connection could not be established, so nothing was sent.
-    Connect(String),
+    ConnectFailed(String),
     /// The connection broke after the request was sent.
-    Cut(String),
+    ConnectionCut(String),
     /// The response had this status code and body.
     Status(u16, String),
 }
@@ -30,8 +30,8 @@
 impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Connect(why) => write!(f, "no connection: {why}"),
-            Self::Cut(why) => write!(f, "cut off: {why}"),
+            Self::ConnectFailed(reason) => write!(f, "no connection: {reason}"),
+            Self::ConnectionCut(reason) => write!(f, "cut off: {reason}"),
             Self::Status(status, body) => write!(f, "status {status}: {body}"),
         }
     }
@@ -45,13 +45,13 @@
     request: Request<Full<Bytes>>,
 ) -> Result<Response<Incoming>, CallError> {
     let conn = TcpStream::connect(addr).await;
-    let conn = conn.map_err(|e| CallError::Connect(e.to_string()))?;
+    let conn = conn.map_err(|e| CallError::ConnectFailed(e.to_string()))?;
     let _ = conn.set_nodelay(true);
     let handshake = http1::handshake(TokioIo::new(conn)).await;
-    let (mut sender, driver) = handshake.map_err(|e| CallError::Connect(e.to_string()))?;
+    let (mut sender, driver) = handshake.map_err(|e| CallError::ConnectFailed(e.to_string()))?;
     tokio::spawn(driver);
-    let answer = sender.send_request(request).await;
-    answer.map_err(|e| CallError::Cut(e.to_string()))
+    let response = sender.send_request(request).await;
+    response.map_err(|e| CallError::ConnectionCut(e.to_string()))
 }
 
 /// Sends a JSON body, or none where `value` is null, and reads a JSON response; returns null for an
@@ -72,12 +72,12 @@
         .header("host", addr.to_string())
         .header("content-type", "application/json")
         .body(Full::new(bytes));
-    let request = request.map_err(|e| CallError::Connect(e.to_string()))?;
-    let answer = call(addr, request).await?;
-    let status = answer.status();
-    let collected = answer.into_body().collect().await;
+    let request = request.map_err(|e| CallError::ConnectFailed(e.to_string()))?;
+    let response = call(addr, request).await?;
+    let status = response.status();
+    let collected = response.into_body().collect().await;
     let bytes = collected
-        .map_err(|e| CallError::Cut(e.to_string()))?
+        .map_err(|e| CallError::ConnectionCut(e.to_string()))?
         .to_bytes();
     if !status.is_success() {
         let body = String::from_utf8_lossy(&bytes).into_owned();
--- a/standin/src/http/reply.rs
+++ b/standin/src/http/reply.rs
@@ -47,8 +47,8 @@
 }
 
 /// Returns a 503 response that marks the request as not run.
-pub fn not_run(why: &str) -> Response<Body> {
-    let mut reply = text(StatusCode::SERVICE_UNAVAILABLE, why.to_owned());
+pub fn not_run(reason: &str) -> Response<Body> {
+    let mut reply = text(StatusCode::SERVICE_UNAVAILABLE, reason.to_owned());
     let headers = reply.headers_mut();
     headers.insert("x-not-run", HeaderValue::from_static("true"));
     headers.insert("retry-after", HeaderValue::from_static("1"));
--- a/standin/src/load/arrivals.rs
+++ b/standin/src/load/arrivals.rs
@@ -7,23 +7,23 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use crate::caller::Ask;
-use crate::caller::Target;
+use crate::caller::CallerRequest;
+use crate::caller::RequestKind;
 use crate::load::capacity;
-use crate::load::scenario::Pattern;
+use crate::load::scenario::ArrivalPattern;
 use crate::load::scenario::Scenario;
 
 /// The shape of the requests of a length class.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ClassShape {
+pub(crate) struct RequestShape {
     prompt_tokens: (u64, u64),
     pub(crate) max_tokens: u64,
-    limit_ms: u64,
+    timeout_ms: u64,
 }
 
-impl ClassShape {
+impl RequestShape {
     pub(crate) fn of(class: LengthClass) -> Self {
-        let (prompt_tokens, max_tokens, limit_ms) = match class {
+        let (prompt_tokens, max_tokens, timeout_ms) = match class {
             LengthClass::Short => ((1_000, 3_000), 48, 3_000),
             LengthClass::Medium => ((6_000, 24_000), 64, 6_000),
             LengthClass::Long => ((40_000, 90_000), 64, 12_000),
@@ -32,7 +32,7 @@
         Self {
             prompt_tokens,
             max_tokens,
-            limit_ms,
+            timeout_ms,
         }
     }
 
@@ -42,57 +42,66 @@
 }
 
 /// Generates all requests of a scenario, in order of arrival. `times` multiplies the load.
-pub(crate) fn arrivals(scenario: &Scenario, times: f64, seed: u64) -> Vec<Ask> {
-    let mut asks = Vec::new();
+pub(crate) fn generate_arrivals(
+    scenario: &Scenario,
+    load_factor: f64,
+    seed: u64,
+) -> Vec<CallerRequest> {
+    let mut requests = Vec::new();
     let engine = &scenario.plan.engine;
-    let gain = match scenario.is_of_capacity {
-        true => capacity::mix_gain(engine, &scenario.mix, seed),
+    let speedup = match scenario.is_relative_to_mix_capacity {
+        true => capacity::mix_speedup(engine, &scenario.mix, seed),
         false => 1.0,
     };
     for (class, engine_share) in &scenario.mix {
         // Each class has its own generator, so that a class played alone gets the same requests as
         // in the mix.
         let mut rng = StdRng::seed_from_u64(seed.wrapping_mul(16) + *class as u64);
-        let one = capacity::requests_per_second(engine, *class, &mut rng);
+        let engine_rate = capacity::requests_per_second(engine, *class, &mut rng);
         let engines = scenario.plan.engine_domains.len() as f64;
-        let rate = one * engines * engine_share * times * gain;
-        class_arrivals(scenario, *class, rate, &mut rng, &mut asks);
+        let rate = engine_rate * engines * engine_share * load_factor * speedup;
+        push_class_arrivals(scenario, *class, rate, &mut rng, &mut requests);
     }
-    asks.sort_by_key(|ask| ask.at);
-    for (number, ask) in asks.iter_mut().enumerate() {
-        ask.number = number as u64;
+    requests.sort_by_key(|request| request.arrival);
+    for (number, request) in requests.iter_mut().enumerate() {
+        request.number = number as u64;
     }
-    asks
+    requests
 }
 
-fn class_arrivals(
+fn push_class_arrivals(
     scenario: &Scenario,
     class: LengthClass,
     rate: f64,
     rng: &mut StdRng,
-    asks: &mut Vec<Ask>,
+    requests: &mut Vec<CallerRequest>,
 ) {
     let mut at_s = 0.0;
     loop {
-        let now_rate = rate * scenario.pattern.times_at(at_s);
-        let gap_s = -(1.0 - rng.random::<f64>()).ln() / now_rate;
+        let current_rate = rate * scenario.pattern.rate_factor_at(at_s);
+        let gap_s = -(1.0 - rng.random::<f64>()).ln() / current_rate;
         at_s += gap_s;
-        if at_s >= scenario.lasts_s {
+        if at_s >= scenario.duration_s {
             return;
         }
-        let at = Duration::from_secs_f64(scenario.pattern.shifted(at_s));
-        asks.push(ask(scenario, class, at, rng));
+        let arrival = Duration::from_secs_f64(scenario.pattern.align(at_s));
+        requests.push(new_request(scenario, class, arrival, rng));
     }
 }
 
-fn ask(scenario: &Scenario, class: LengthClass, at: Duration, rng: &mut StdRng) -> Ask {
-    let shape = ClassShape::of(class);
+fn new_request(
+    scenario: &Scenario,
+    class: LengthClass,
+    arrival: Duration,
+    rng: &mut StdRng,
+) -> CallerRequest {
+    let shape = RequestShape::of(class);
     let prompt_tokens = shape.prompt_tokens(rng);
-    let is_hot = rng.random::<f64>() < scenario.hot_share;
-    Ask {
+    let is_hot = rng.random::<f64>() < scenario.hot_fraction;
+    CallerRequest {
         number: 0,
-        at,
-        target: Target::Completion,
+        arrival,
+        kind: RequestKind::Completion,
         customer: scenario.customer(rng.random()),
         prompt_tokens,
         prefix_group: if is_hot {
@@ -102,15 +111,15 @@
         },
         prefix_tokens: prompt_tokens * 3 / 4,
         max_tokens: shape.max_tokens,
-        limit: Duration::from_millis(shape.limit_ms),
+        timeout: Duration::from_millis(shape.timeout_ms),
         repeatable: true,
         key: None,
     }
 }
 
-impl Pattern {
+impl ArrivalPattern {
     /// Returns the factor on the average rate at `at_s` seconds into the run.
-    pub(crate) fn times_at(&self, at_s: f64) -> f64 {
+    pub(crate) fn rate_factor_at(&self, at_s: f64) -> f64 {
         match self {
             Self::Burst {
                 from_s,
@@ -122,9 +131,9 @@
     }
 
     /// Moves arrivals of the synchronized pattern to the next common instant.
-    pub(crate) fn shifted(&self, at_s: f64) -> f64 {
+    pub(crate) fn align(&self, at_s: f64) -> f64 {
         match self {
-            Self::Together { each_s } => (at_s / each_s).ceil() * each_s,
+            Self::Synchronized { period_s } => (at_s / period_s).ceil() * period_s,
             _ => at_s,
         }
     }
--- a/standin/src/load/capacity.rs
+++ b/standin/src/load/capacity.rs
@@ -10,11 +10,11 @@
 
 use crate::engine::EngineOptions;
 use crate::engine::throughput;
-use crate::load::arrivals::ClassShape;
+use crate::load::arrivals::RequestShape;
 
-const ASKS: u64 = 60;
+const REQUESTS: u64 = 60;
 /// Engine time over which a mix is evaluated, in seconds.
-const MIX_S: f64 = 8.0;
+const MIX_ENGINE_TIME_S: f64 = 8.0;
 
 /// Returns the requests of a class that one engine completes in a second when it serves only that
 /// class and its queue never becomes empty.
@@ -23,32 +23,32 @@
     class: LengthClass,
     rng: &mut StdRng,
 ) -> f64 {
-    let shape = ClassShape::of(class);
-    let sizes: Vec<(u64, u64)> = (0..ASKS)
+    let shape = RequestShape::of(class);
+    let sizes: Vec<(u64, u64)> = (0..REQUESTS)
         .map(|_| (shape.prompt_tokens(rng), shape.max_tokens))
         .collect();
-    let takes = throughput(options, &sizes, Instant::now());
-    ASKS as f64 / takes.as_secs_f64()
+    let duration = throughput(options, &sizes, Instant::now());
+    REQUESTS as f64 / duration.as_secs_f64()
 }
 
 /// Returns how many times faster one engine completes a mix than it would complete the classes one
 /// after the other: a step that prefills one prompt also generates tokens for others.
-pub(crate) fn mix_gain(options: &EngineOptions, mix: &[(LengthClass, f64)], seed: u64) -> f64 {
+pub(crate) fn mix_speedup(options: &EngineOptions, mix: &[(LengthClass, f64)], seed: u64) -> f64 {
     let mut rng = StdRng::seed_from_u64(seed);
-    let in_all: f64 = mix.iter().map(|(_, share)| share).sum();
+    let total_share: f64 = mix.iter().map(|(_, share)| share).sum();
     let mut sizes: Vec<(u32, (u64, u64))> = Vec::new();
-    let mut apart_s = 0.0;
+    let mut separate_s = 0.0;
     for (class, share) in mix {
         let rate = requests_per_second(options, *class, &mut rng);
-        let shape = ClassShape::of(*class);
-        let until_s = apart_s + MIX_S * share / in_all;
-        while apart_s < until_s {
-            apart_s += 1.0 / rate;
+        let shape = RequestShape::of(*class);
+        let until_s = separate_s + MIX_ENGINE_TIME_S * share / total_share;
+        while separate_s < until_s {
+            separate_s += 1.0 / rate;
             let size = (shape.prompt_tokens(&mut rng), shape.max_tokens);
             sizes.push((rng.random(), size));
         }
     }
     sizes.sort_unstable();
     let sizes: Vec<(u64, u64)> = sizes.into_iter().map(|(_, size)| size).collect();
-    apart_s / throughput(options, &sizes, Instant::now()).as_secs_f64()
+    separate_s / throughput(options, &sizes, Instant::now()).as_secs_f64()
 }
--- a/standin/src/load/fairness.rs
+++ b/standin/src/load/fairness.rs
@@ -6,10 +6,10 @@
 
 /// Demand, service received and fair share of one customer, in prompt tokens.
 #[derive(Clone, Debug, Default)]
-struct Account {
-    wanted: f64,
-    got: f64,
-    fair: f64,
+struct CustomerUsage {
+    demanded: f64,
+    received: f64,
+    fair_share: f64,
 }
 
 /// Returns Jain's index over customers, and the least fraction of its fair share that a customer
@@ -19,42 +19,43 @@
 /// demand goes to the others (max-min fairness). The figure of a customer is what it got divided by
 /// that share, at most 1.
 pub(crate) fn fairness(samples: &[Sample]) -> (f64, f64) {
-    let mut accounts: IndexMap<&str, Account> = IndexMap::new();
+    let mut usages: IndexMap<&str, CustomerUsage> = IndexMap::new();
     for sample in samples {
-        let account = accounts.entry(&sample.ask.customer).or_default();
-        let tokens = sample.ask.prompt_tokens as f64;
-        account.wanted += tokens;
+        let usage = usages.entry(&sample.request.customer).or_default();
+        let tokens = sample.request.prompt_tokens as f64;
+        usage.demanded += tokens;
         if sample.is_good() {
-            account.got += tokens;
+            usage.received += tokens;
         }
     }
-    let mut accounts: Vec<Account> = accounts.into_values().collect();
-    deal(&mut accounts);
-    let of_fair = |account: &Account| (account.got / account.fair).min(1.0);
-    let figures: Vec<f64> = accounts
+    let mut usages: Vec<CustomerUsage> = usages.into_values().collect();
+    compute_fair_shares(&mut usages);
+    let fraction_of_fair_share =
+        |usage: &CustomerUsage| (usage.received / usage.fair_share).min(1.0);
+    let fractions: Vec<f64> = usages
         .iter()
-        .filter(|account| account.fair > 0.0)
-        .map(of_fair)
+        .filter(|usage| usage.fair_share > 0.0)
+        .map(fraction_of_fair_share)
         .collect();
-    let least = figures.iter().copied().fold(1.0, f64::min);
-    (jain(&figures), least)
+    let least = fractions.iter().copied().fold(1.0, f64::min);
+    (jain_index(&fractions), least)
 }
 
-fn deal(accounts: &mut [Account]) {
-    accounts.sort_by(|a, b| a.wanted.total_cmp(&b.wanted));
-    let mut left: f64 = accounts.iter().map(|account| account.got).sum();
-    let count = accounts.len();
-    for (at, account) in accounts.iter_mut().enumerate() {
-        account.fair = account.wanted.min(left / (count - at) as f64);
-        left -= account.fair;
+fn compute_fair_shares(usages: &mut [CustomerUsage]) {
+    usages.sort_by(|a, b| a.demanded.total_cmp(&b.demanded));
+    let mut remaining: f64 = usages.iter().map(|usage| usage.received).sum();
+    let count = usages.len();
+    for (index, usage) in usages.iter_mut().enumerate() {
+        usage.fair_share = usage.demanded.min(remaining / (count - index) as f64);
+        remaining -= usage.fair_share;
     }
 }
 
-fn jain(figures: &[f64]) -> f64 {
-    let sum: f64 = figures.iter().sum();
-    let squares: f64 = figures.iter().map(|figure| figure * figure).sum();
+fn jain_index(fractions: &[f64]) -> f64 {
+    let sum: f64 = fractions.iter().sum();
+    let squares: f64 = fractions.iter().map(|fraction| fraction * fraction).sum();
     if squares == 0.0 {
         return 0.0;
     }
-    sum * sum / (figures.len() as f64 * squares)
+    sum * sum / (fractions.len() as f64 * squares)
 }
--- a/standin/src/load/figures.rs
+++ b/standin/src/load/figures.rs
@@ -7,7 +7,7 @@
 use indexmap::IndexMap;
 use serde::Serialize;
 
-use crate::caller::Verdict;
+use crate::caller::CallOutcome;
 use crate::caller::percentile_ms;
 use crate::engine::RunEnd;
 use crate::engine::RunRecord;
@@ -16,7 +16,7 @@
 
 /// Start of the interval in which goodput is counted, in seconds into the run: requests that take
 /// seconds can't complete in the first ones.
-const RAMP_S: f64 = 3.0;
+const RAMP_UP_S: f64 = 3.0;
 
 /// Figures of one length class, or of all requests.
 #[derive(Clone, Debug, Default)]
@@ -52,7 +52,7 @@
     /// Prompt tokens a second of those requests.
     pub(crate) good_tokens_per_s: f64,
     /// Comparison with the baseline load, if the scenario has one.
-    pub(crate) compared: Option<Compared>,
+    pub(crate) compared: Option<BaselineComparison>,
     /// Fraction of the engines' tokens that were not part of an answer completed within its
     /// timeout.
     pub(crate) wasted: f64,
@@ -69,7 +69,7 @@
 /// Comparison of a run with the baseline load that was played before it.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize)]
-pub(crate) struct Compared {
+pub(crate) struct BaselineComparison {
     /// Goodput of the baseline, in prompt tokens a second.
     pub(crate) good_tokens_per_s: f64,
     /// Fraction of the baseline's requests that completed within their timeout.
@@ -85,46 +85,57 @@
         samples: &[Sample],
         alone: &[Vec<Sample>],
         runs: &[RunRecord],
-        lasts_s: f64,
+        duration_s: f64,
     ) -> Self {
-        let counted = RAMP_S..lasts_s;
+        let counted = RAMP_UP_S..duration_s;
         let good = samples
             .iter()
             .filter(|sample| sample.is_good() && counted.contains(&sample.ended_s()));
-        let good_tokens: u64 = good.clone().map(|sample| sample.ask.prompt_tokens).sum();
+        let good_tokens: u64 = good
+            .clone()
+            .map(|sample| sample.request.prompt_tokens)
+            .sum();
         let (jain, least_of_fair) = fairness(samples);
-        let sendings: u32 = samples.iter().map(|sample| sample.sendings).sum();
-        let of_class = |class: &LengthClass| {
-            let own: Vec<&Sample> = samples.iter().filter(|s| s.ask.class() == *class).collect();
-            let alone = alone.iter().flatten().filter(|s| s.ask.class() == *class);
+        let send_count: u32 = samples.iter().map(|sample| sample.send_count).sum();
+        let class_figures = |class: &LengthClass| {
+            let own: Vec<&Sample> = samples
+                .iter()
+                .filter(|s| s.request.class() == *class)
+                .collect();
+            let alone = alone
+                .iter()
+                .flatten()
+                .filter(|s| s.request.class() == *class);
             (!own.is_empty()).then(|| ClassFigures::new(class.name(), &own, &totals(alone)))
         };
         Self {
-            classes: LengthClass::ALL.iter().filter_map(of_class).collect(),
+            classes: LengthClass::ALL.iter().filter_map(class_figures).collect(),
             all: ClassFigures::new("all", &samples.iter().collect::<Vec<_>>(), &[]),
-            goodput_per_s: good.count() as f64 / (lasts_s - RAMP_S),
-            good_tokens_per_s: good_tokens as f64 / (lasts_s - RAMP_S),
+            goodput_per_s: good.count() as f64 / (duration_s - RAMP_UP_S),
+            good_tokens_per_s: good_tokens as f64 / (duration_s - RAMP_UP_S),
             compared: None,
-            wasted: wasted(samples, runs),
+            wasted: wasted_fraction(samples, runs),
             jain,
             least_of_fair,
-            sendings: f64::from(sendings) / samples.len().max(1) as f64,
-            reasons: reasons(samples),
+            sendings: f64::from(send_count) / samples.len().max(1) as f64,
+            reasons: count_reasons(samples),
         }
     }
 
     /// Adds the comparison with the baseline load that was played before.
-    pub(crate) fn compare_with(&mut self, before: &Self) {
-        self.compared = Some(Compared {
-            good_tokens_per_s: before.good_tokens_per_s,
-            good_share: before.all.good_share(),
-            goodput_ratio: self.good_tokens_per_s / before.good_tokens_per_s,
+    pub(crate) fn set_baseline(&mut self, baseline: &Self) {
+        self.compared = Some(BaselineComparison {
+            good_tokens_per_s: baseline.good_tokens_per_s,
+            good_share: baseline.all.good_share(),
+            goodput_ratio: self.good_tokens_per_s / baseline.good_tokens_per_s,
         });
     }
 
     /// Returns the figures of a class, if any of its requests was sent.
     pub(crate) fn class(&self, class: LengthClass) -> Option<&ClassFigures> {
-        self.classes.iter().find(|one| one.class == class.name())
+        self.classes
+            .iter()
+            .find(|figures| figures.class == class.name())
     }
 }
 
@@ -142,21 +153,22 @@
             .collect();
         let first: Vec<Duration> = completed
             .iter()
-            .filter_map(|s| s.sent.first_token)
+            .filter_map(|s| s.result.first_token)
             .collect();
         let totals = totals(completed.iter().copied());
         let total_p95_ms = percentile_ms(&totals, 95.0);
         let alone_p95_ms = percentile_ms(alone, 95.0);
-        let count =
-            |keep: fn(&Verdict) -> bool| samples.iter().filter(|s| keep(&s.sent.verdict)).count();
+        let count = |keep: fn(&CallOutcome) -> bool| {
+            samples.iter().filter(|s| keep(&s.result.outcome)).count()
+        };
         Self {
             class: name.to_owned(),
             sent: samples.len(),
             completed: completed.len(),
             good: samples.iter().filter(|s| s.is_good()).count(),
-            not_run: count(|v| matches!(v, Verdict::NotRun { .. })),
-            may_have_run: count(|v| matches!(v, Verdict::MayHaveRun(_))),
-            broken: count(|v| matches!(v, Verdict::Cut(_) | Verdict::Wrong(_))),
+            not_run: count(|v| matches!(v, CallOutcome::NotRun { .. })),
+            may_have_run: count(|v| matches!(v, CallOutcome::MayHaveRun(_))),
+            broken: count(|v| matches!(v, CallOutcome::Cut(_) | CallOutcome::Wrong(_))),
             ttft_p50_ms: percentile_ms(&first, 50.0),
             ttft_p95_ms: percentile_ms(&first, 95.0),
             ttft_p99_ms: percentile_ms(&first, 99.0),
@@ -172,19 +184,19 @@
 fn totals<'a>(samples: impl Iterator<Item = &'a Sample>) -> Vec<Duration> {
     samples
         .filter(|sample| sample.is_completed())
-        .map(|sample| sample.sent.total)
+        .map(|sample| sample.result.total)
         .collect()
 }
 
-fn reasons(samples: &[Sample]) -> IndexMap<String, usize> {
+fn count_reasons(samples: &[Sample]) -> IndexMap<String, usize> {
     let mut reasons = IndexMap::new();
     for sample in samples {
-        let reason = match &sample.sent.verdict {
-            Verdict::Completed => continue,
-            Verdict::NotRun { reason, .. } => format!("not run: {reason}"),
-            Verdict::MayHaveRun(reason) => format!("may have run: {reason}"),
-            Verdict::Cut(why) => format!("cut: {why}"),
-            Verdict::Wrong(why) => format!("wrong: {why}"),
+        let reason = match &sample.result.outcome {
+            CallOutcome::Completed => continue,
+            CallOutcome::NotRun { reason, .. } => format!("not run: {reason}"),
+            CallOutcome::MayHaveRun(reason) => format!("may have run: {reason}"),
+            CallOutcome::Cut(reason) => format!("cut: {reason}"),
+            CallOutcome::Wrong(reason) => format!("wrong: {reason}"),
         };
         *reasons.entry(reason).or_insert(0) += 1;
     }
@@ -194,7 +206,7 @@
 /// Returns the fraction of the tokens prefilled and generated by engines that did not belong to an
 /// answer received within its timeout. Of several runs of one request only one completed run counts
 /// as useful.
-fn wasted(samples: &[Sample], runs: &[RunRecord]) -> f64 {
+fn wasted_fraction(samples: &[Sample], runs: &[RunRecord]) -> f64 {
     let mut is_good: IndexMap<ContentHash, bool> = samples
         .iter()
         .map(|sample| (sample.body_hash, sample.is_good()))
--- a/standin/src/load/path_cost.rs
+++ b/standin/src/load/path_cost.rs
@@ -9,64 +9,64 @@
 use serde_json::json;
 use tokio::task::JoinSet;
 
-use crate::caller::Ask;
-use crate::caller::Sent;
-use crate::caller::Target;
-use crate::caller::Verdict;
+use crate::caller::CallOutcome;
+use crate::caller::CallerRequest;
+use crate::caller::RequestKind;
+use crate::caller::SendResult;
 use crate::caller::percentile_ms;
 use crate::caller::send;
 use crate::fleet::Fleet;
 use crate::fleet::FleetError;
 use crate::fleet::FleetPlan;
+use crate::load::HOMES_SETTLE_TIME;
 use crate::load::LoadOptions;
-use crate::load::SETTLE;
-use crate::load::outcome::Outcome;
+use crate::load::run_report::RunReport;
 
 pub(crate) const NAME: &str = "path-cost";
 
 const DOMAIN: &str = "hall-a";
 const ROUNDS: u64 = 3;
 const CALLERS: u64 = 8;
-const CALLS_A_ROUND: u64 = 10;
+const CALLS_PER_ROUND: u64 = 10;
 const PROMPT_TOKENS: u64 = 2_000;
 const OUTPUT_TOKENS: u64 = 96;
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// Clock ticks a second of the processor times in /proc. Linux fixes the value for user space.
 const TICKS_PER_SECOND: f64 = 100.0;
 
 #[derive(Debug, Default)]
-struct Side {
-    sent: Vec<Sent>,
-    wall: Duration,
+struct PathMeasurement {
+    results: Vec<SendResult>,
+    wall_time: Duration,
     host_cpu_s: f64,
     engine_cpu_s: f64,
 }
 
 /// Measures both paths in alternating rounds and compares them.
-pub(crate) async fn run(options: &LoadOptions) -> Result<Outcome, FleetError> {
+pub(crate) async fn run(options: &LoadOptions) -> Result<RunReport, FleetError> {
     let mut plan = FleetPlan::new(&[DOMAIN], 1, 0, 1);
     plan.policy = options.policy;
     let mut fleet = Fleet::start(&plan).await?;
     if options.keep {
         fleet.keep_dir();
     }
-    tokio::time::sleep(SETTLE).await;
-    let (engine, host) = (fleet.engines[0].addr, fleet.hosts[0].callers);
-    let mut direct = Side::default();
-    let mut through = Side::default();
-    round(&fleet, host, 1_000, &mut Side::default()).await?;
+    tokio::time::sleep(HOMES_SETTLE_TIME).await;
+    let (engine, host) = (fleet.engines[0].addr, fleet.hosts[0].callers_addr);
+    let mut direct = PathMeasurement::default();
+    let mut through_host = PathMeasurement::default();
+    run_round(&fleet, host, 1_000, &mut PathMeasurement::default()).await?;
     for nth in 0..ROUNDS {
-        round(&fleet, engine, 2 * nth, &mut direct).await?;
-        round(&fleet, host, 2 * nth + 1, &mut through).await?;
+        run_round(&fleet, engine, 2 * nth, &mut direct).await?;
+        run_round(&fleet, host, 2 * nth + 1, &mut through_host).await?;
     }
-    Ok(outcome(&direct, &through))
+    Ok(report(&direct, &through_host))
 }
 
-async fn round(
+async fn run_round(
     fleet: &Fleet,
     addr: SocketAddr,
     round: u64,
-    side: &mut Side,
+    measurement: &mut PathMeasurement,
 ) -> Result<(), FleetError> {
     let host_pid = fleet.hosts[0].child.pid();
     let engine_pid = fleet.engines[0].child.pid();
@@ -74,48 +74,48 @@
     let start = Instant::now();
     let mut callers = JoinSet::new();
     for caller in 0..CALLERS {
-        callers.spawn(call_in_turn(addr, round * 1_000 + caller * 100));
+        callers.spawn(send_sequentially(addr, round * 1_000 + caller * 100));
     }
-    let sent = callers.join_all().await;
-    side.wall += start.elapsed();
-    side.sent.extend(sent.into_iter().flatten());
-    side.host_cpu_s += cpu_s(host_pid)? - before.0;
-    side.engine_cpu_s += cpu_s(engine_pid)? - before.1;
+    let results = callers.join_all().await;
+    measurement.wall_time += start.elapsed();
+    measurement.results.extend(results.into_iter().flatten());
+    measurement.host_cpu_s += cpu_s(host_pid)? - before.0;
+    measurement.engine_cpu_s += cpu_s(engine_pid)? - before.1;
     Ok(())
 }
 
-async fn call_in_turn(addr: SocketAddr, first_number: u64) -> Vec<Sent> {
+async fn send_sequentially(addr: SocketAddr, first_number: u64) -> Vec<SendResult> {
     let mut all = Vec::new();
-    for number in first_number..first_number + CALLS_A_ROUND {
-        let ask = ask(number);
-        let body = ask.body();
-        all.push(send(addr, &ask, body, Instant::now()).await);
+    for number in first_number..first_number + CALLS_PER_ROUND {
+        let request = new_request(number);
+        let body = request.body();
+        all.push(send(addr, &request, body, Instant::now()).await);
     }
     all
 }
 
-fn ask(number: u64) -> Ask {
-    Ask {
+fn new_request(number: u64) -> CallerRequest {
+    CallerRequest {
         number,
-        at: Duration::ZERO,
-        target: Target::Completion,
+        arrival: Duration::ZERO,
+        kind: RequestKind::Completion,
         customer: "default".to_owned(),
         prompt_tokens: PROMPT_TOKENS,
         prefix_group: number,
         prefix_tokens: 0,
         max_tokens: OUTPUT_TOKENS,
-        limit: LIMIT,
+        timeout: TIMEOUT,
         repeatable: true,
         key: None,
     }
 }
 
-fn outcome(direct: &Side, through: &Side) -> Outcome {
-    let ttft = (direct.ttft_ms(50.0), through.ttft_ms(50.0));
-    let ttft_p95 = (direct.ttft_ms(95.0), through.ttft_ms(95.0));
-    let rate = (direct.tokens_per_s(), through.tokens_per_s());
-    let engine_cpu = (direct.engine_cpu_ms(), through.engine_cpu_ms());
-    let host_cpu = through.host_cpu_ms();
+fn report(direct: &PathMeasurement, through_host: &PathMeasurement) -> RunReport {
+    let ttft = (direct.ttft_ms(50.0), through_host.ttft_ms(50.0));
+    let ttft_p95 = (direct.ttft_ms(95.0), through_host.ttft_ms(95.0));
+    let rate = (direct.tokens_per_s(), through_host.tokens_per_s());
+    let engine_cpu = (direct.engine_cpu_ms(), through_host.engine_cpu_ms());
+    let host_cpu = through_host.host_cpu_ms();
     let text = format!(
         "path-cost: {CALLERS} callers, prompts of {PROMPT_TOKENS} tokens\n\n\
          {:<28}{:>10}{:>10}{:>8}\n\
@@ -132,7 +132,7 @@
         "ratio",
         "completed",
         direct.completed(),
-        through.completed(),
+        through_host.completed(),
         "ttft p50, ms",
         ttft.0,
         ttft.1,
@@ -156,7 +156,7 @@
         rate.1 / rate.0,
         host_cpu / engine_cpu.0,
     );
-    Outcome {
+    RunReport {
         json: json!({
             "scenario": NAME,
             "ttft_p50_ms": [ttft.0, ttft.1],
@@ -164,42 +164,42 @@
             "tokens_per_s": [rate.0, rate.1],
             "engine_cpu_ms": [engine_cpu.0, engine_cpu.1],
             "host_cpu_ms": host_cpu,
-            "completed": [direct.completed(), through.completed()],
+            "completed": [direct.completed(), through_host.completed()],
         }),
         html: format!("<!doctype html><title>path-cost</title><pre>{text}</pre>\n"),
         text,
     }
 }
 
-impl Side {
+impl PathMeasurement {
     fn completed(&self) -> usize {
         let done = self
-            .sent
+            .results
             .iter()
-            .filter(|sent| sent.verdict == Verdict::Completed);
+            .filter(|result| result.outcome == CallOutcome::Completed);
         done.count()
     }
 
     fn ttft_ms(&self, percent: f64) -> f64 {
         let first: Vec<Duration> = self
-            .sent
+            .results
             .iter()
-            .filter_map(|sent| sent.first_token)
+            .filter_map(|result| result.first_token)
             .collect();
         percentile_ms(&first, percent).unwrap_or(f64::NAN)
     }
 
     fn tokens_per_s(&self) -> f64 {
-        let tokens: u64 = self.sent.iter().map(|sent| sent.output_tokens).sum();
-        tokens as f64 / self.wall.as_secs_f64()
+        let tokens: u64 = self.results.iter().map(|result| result.output_tokens).sum();
+        tokens as f64 / self.wall_time.as_secs_f64()
     }
 
     fn host_cpu_ms(&self) -> f64 {
-        1_000.0 * self.host_cpu_s / self.sent.len() as f64
+        1_000.0 * self.host_cpu_s / self.results.len() as f64
     }
 
     fn engine_cpu_ms(&self) -> f64 {
-        1_000.0 * self.engine_cpu_s / self.sent.len() as f64
+        1_000.0 * self.engine_cpu_s / self.results.len() as f64
     }
 }
 
