--- a/standin/src/load/player.rs
+++ b/standin/src/load/player.rs
@@ -10,9 +10,9 @@
 use hyper::Method;
 use tokio::task::JoinSet;
 
-use crate::caller::Ask;
-use crate::caller::Sent;
-use crate::caller::Verdict;
+use crate::caller::CallOutcome;
+use crate::caller::CallerRequest;
+use crate::caller::SendResult;
 use crate::caller::send;
 use crate::fleet::Fleet;
 use crate::http::call_json;
@@ -20,32 +20,32 @@
 
 /// Time before its due instant at which the body of a request is built, so that building it does
 /// not add to the time to first token.
-const HEAD_START: Duration = Duration::from_millis(60);
-const SENDINGS_MAX: u32 = 6;
-const SEND_AGAIN_PAUSE: Duration = Duration::from_millis(50);
+const BODY_LEAD_TIME: Duration = Duration::from_millis(60);
+const SENDS_MAX: u32 = 6;
+const RESEND_PAUSE: Duration = Duration::from_millis(50);
 
 /// A request with the result that its caller got.
 #[derive(Clone, Debug)]
 pub(crate) struct Sample {
-    pub(crate) ask: Ask,
+    pub(crate) request: CallerRequest,
     pub(crate) body_hash: ContentHash,
-    pub(crate) sent: Sent,
-    pub(crate) sendings: u32,
+    pub(crate) result: SendResult,
+    pub(crate) send_count: u32,
 }
 
 impl Sample {
     pub(crate) fn is_completed(&self) -> bool {
-        self.sent.verdict == Verdict::Completed
+        self.result.outcome == CallOutcome::Completed
     }
 
     /// Returns when the request ended, in seconds from the start of the run.
     pub(crate) fn ended_s(&self) -> f64 {
-        (self.ask.at + self.sent.total).as_secs_f64()
+        (self.request.arrival + self.result.total).as_secs_f64()
     }
 
     /// Returns whether the whole answer arrived within the timeout.
     pub(crate) fn is_good(&self) -> bool {
-        self.is_completed() && self.sent.total <= self.ask.limit
+        self.is_completed() && self.result.total <= self.request.timeout
     }
 }
 
@@ -53,78 +53,101 @@
 pub(crate) async fn play(
     scenario: &Scenario,
     fleet: &Fleet,
-    asks: Vec<Ask>,
+    requests: Vec<CallerRequest>,
     faulty: bool,
 ) -> Vec<Sample> {
-    let hosts: Arc<[SocketAddr]> = fleet.callers().into();
-    let start = Instant::now() + HEAD_START;
+    let hosts: Arc<[SocketAddr]> = fleet.callers_addrs().into();
+    let start = Instant::now() + BODY_LEAD_TIME;
     let mut callers = JoinSet::new();
-    let feed = async {
-        for ask in asks {
-            let due = start + ask.at;
-            if let Some(early) = due.checked_sub(HEAD_START) {
-                tokio::time::sleep_until(early.into()).await;
+    let send_requests = async {
+        for request in requests {
+            let due_at = start + request.arrival;
+            if let Some(build_at) = due_at.checked_sub(BODY_LEAD_TIME) {
+                tokio::time::sleep_until(build_at.into()).await;
             }
             let hosts = Arc::clone(&hosts);
-            callers.spawn(one(ask, due, hosts, scenario.sends_again));
+            callers.spawn(send_when_due(
+                request,
+                due_at,
+                hosts,
+                scenario.resends_failed,
+            ));
         }
     };
-    let break_things = async {
+    let inject_faults = async {
         if faulty {
-            set_faults(scenario, fleet, start).await;
+            inject_engine_faults(scenario, fleet, start).await;
         }
     };
-    tokio::join!(feed, break_things);
+    tokio::join!(send_requests, inject_faults);
     callers.join_all().await
 }
 
-async fn one(ask: Ask, due: Instant, hosts: Arc<[SocketAddr]>, sends_again: bool) -> Sample {
-    let body = ask.body();
+async fn send_when_due(
+    request: CallerRequest,
+    due_at: Instant,
+    hosts: Arc<[SocketAddr]>,
+    resends_failed: bool,
+) -> Sample {
+    let body = request.body();
     let body_hash = ContentHash::of(&body);
-    tokio::time::sleep_until(due.into()).await;
-    let mut at = usize::try_from(ask.number).unwrap_or(0);
-    let mut sendings = 1;
-    let mut sent = send_to(&hosts, at, &ask, &body, due).await;
-    while sends_again && sendings < SENDINGS_MAX && wants_more(&sent, &ask) {
-        tokio::time::sleep(pause(&sent)).await;
-        at += 1;
-        sendings += 1;
-        sent = send_to(&hosts, at, &ask, &body, due).await;
+    tokio::time::sleep_until(due_at.into()).await;
+    let mut host_index = usize::try_from(request.number).unwrap_or(0);
+    let mut send_count = 1;
+    let mut result = send_to_host(&hosts, host_index, &request, &body, due_at).await;
+    while resends_failed && send_count < SENDS_MAX && should_resend(&result, &request) {
+        tokio::time::sleep(resend_pause(&result)).await;
+        host_index += 1;
+        send_count += 1;
+        result = send_to_host(&hosts, host_index, &request, &body, due_at).await;
     }
     Sample {
-        ask,
+        request,
         body_hash,
-        sent,
-        sendings,
+        result,
+        send_count,
     }
 }
 
-async fn send_to(hosts: &[SocketAddr], at: usize, ask: &Ask, body: &Bytes, due: Instant) -> Sent {
-    send(hosts[at % hosts.len()], ask, body.clone(), due).await
+async fn send_to_host(
+    hosts: &[SocketAddr],
+    host_index: usize,
+    request: &CallerRequest,
+    body: &Bytes,
+    due_at: Instant,
+) -> SendResult {
+    send(
+        hosts[host_index % hosts.len()],
+        request,
+        body.clone(),
+        due_at,
+    )
+    .await
 }
 
-fn wants_more(sent: &Sent, ask: &Ask) -> bool {
-    sent.verdict != Verdict::Completed && sent.total + pause(sent) < ask.limit
+fn should_resend(result: &SendResult, request: &CallerRequest) -> bool {
+    result.outcome != CallOutcome::Completed
+        && result.total + resend_pause(result) < request.timeout
 }
 
 /// Returns the pause before a request is sent again: the caller obeys Retry-After if there is one,
 /// and otherwise retries almost at once.
-fn pause(sent: &Sent) -> Duration {
-    match &sent.verdict {
-        Verdict::NotRun {
+fn resend_pause(result: &SendResult) -> Duration {
+    match &result.outcome {
+        CallOutcome::NotRun {
             retry_after: Some(after),
             ..
         } => *after,
-        _ => SEND_AGAIN_PAUSE,
+        _ => RESEND_PAUSE,
     }
 }
 
-async fn set_faults(scenario: &Scenario, fleet: &Fleet, start: Instant) {
+async fn inject_engine_faults(scenario: &Scenario, fleet: &Fleet, start: Instant) {
     for (at_s, engines, faults) in &scenario.faults {
-        let due = start + Duration::from_secs_f64(*at_s);
-        tokio::time::sleep_until(due.into()).await;
-        for (at, engine) in fleet.engines.iter().enumerate() {
-            if engines.has(at) {
+        let due_at = start + Duration::from_secs_f64(*at_s);
+        tokio::time::sleep_until(due_at.into()).await;
+        for (index, engine) in fleet.engines.iter().enumerate() {
+            if engines.contains(index) {
                 let _ = call_json(engine.addr, Method::PUT, "/faults", faults).await;
             }
         }
--- a/standin/src/load/outcome.rs
+++ b/standin/src/load/run_report.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::caller::show_ms;
+use crate::caller::format_ms;
 use crate::load::LoadOptions;
 use crate::load::figures::ClassFigures;
 use crate::load::figures::Figures;
@@ -16,13 +16,13 @@
 
 /// The result of a run.
 #[derive(Clone, Debug)]
-pub struct Outcome {
+pub struct RunReport {
     pub(crate) text: String,
     pub(crate) json: Value,
     pub(crate) html: String,
 }
 
-impl Outcome {
+impl RunReport {
     /// Returns the result as a text table.
     pub fn to_text(&self) -> &str {
         &self.text
@@ -38,7 +38,7 @@
         &self.html
     }
 
-    pub(crate) fn of_scenario(
+    pub(crate) fn new(
         scenario: &Scenario,
         options: &LoadOptions,
         figures: &Figures,
@@ -51,7 +51,7 @@
             "{}, policy {policy}, objective {}, seed {}",
             scenario.name, scenario.plan.objective, options.seed
         );
-        let text = text(&title, scenario, figures);
+        let text = render_text(&title, scenario, figures);
         Self {
             json: json!({
                 "scenario": scenario.name,
@@ -60,13 +60,13 @@
                 "seed": options.seed,
                 "figures": figures,
             }),
-            html: html::page(&title, &text, samples, alone),
+            html: html::render_page(&title, &text, samples, alone),
             text,
         }
     }
 }
 
-fn text(title: &str, scenario: &Scenario, figures: &Figures) -> String {
+fn render_text(title: &str, scenario: &Scenario, figures: &Figures) -> String {
     let mut out = format!("{title}\n{}\n\n", scenario.about);
     let _ = writeln!(
         out,
@@ -85,7 +85,7 @@
         "slowdown"
     );
     for class in figures.classes.iter().chain([&figures.all]) {
-        out.push_str(&row(class));
+        out.push_str(&render_row(class));
     }
     for (reason, count) in &figures.reasons {
         let _ = writeln!(out, "{count:>6} {reason}");
@@ -97,13 +97,13 @@
         figures.good_tokens_per_s,
         100.0 * figures.all.good_share()
     );
-    if let Some(before) = &figures.compared {
+    if let Some(baseline) = &figures.compared {
         let _ = writeln!(
             out,
             "at capacity {:.0} prompt tokens/s, {:.1} percent of requests; goodput ratio {:.3}",
-            before.good_tokens_per_s,
-            100.0 * before.good_share,
-            before.goodput_ratio
+            baseline.good_tokens_per_s,
+            100.0 * baseline.good_share,
+            baseline.goodput_ratio
         );
     }
     let _ = writeln!(
@@ -117,11 +117,11 @@
         "Jain's index over customers {:.3}, least of a fair share {:.3}",
         figures.jain, figures.least_of_fair
     );
-    let _ = writeln!(out, "{}", last_line(figures));
+    let _ = writeln!(out, "{}", summary_line(figures));
     out
 }
 
-fn row(class: &ClassFigures) -> String {
+fn render_row(class: &ClassFigures) -> String {
     let slowdown = class
         .slowdown_p95
         .map_or_else(|| "-".to_owned(), |s| format!("{s:.2}"));
@@ -133,22 +133,22 @@
         class.not_run,
         class.may_have_run,
         class.broken,
-        show_ms(class.ttft_p50_ms),
-        show_ms(class.ttft_p95_ms),
-        show_ms(class.ttft_p99_ms),
-        show_ms(class.total_p95_ms),
-        show_ms(class.alone_p95_ms),
+        format_ms(class.ttft_p50_ms),
+        format_ms(class.ttft_p95_ms),
+        format_ms(class.ttft_p99_ms),
+        format_ms(class.total_p95_ms),
+        format_ms(class.alone_p95_ms),
         slowdown,
     )
 }
 
-fn last_line(figures: &Figures) -> String {
+fn summary_line(figures: &Figures) -> String {
     let short = figures.class(LengthClass::Short);
     let slowdown = short.and_then(|class| class.slowdown_p95);
     format!(
         "short slowdown p95 {}, ttft p95 all {} ms, goodput {:.3}",
         slowdown.map_or_else(|| "-".to_owned(), |s| format!("{s:.2}")),
-        show_ms(figures.all.ttft_p95_ms),
+        format_ms(figures.all.ttft_p95_ms),
         figures.all.good_share()
     )
 }
--- a/standin/src/load/scenario.rs
+++ b/standin/src/load/scenario.rs
@@ -19,30 +19,30 @@
     pub(crate) about: &'static str,
     pub(crate) plan: FleetPlan,
     /// Duration of arrivals, in seconds.
-    pub(crate) lasts_s: f64,
+    pub(crate) duration_s: f64,
     /// How long each class is played alone before the run, in seconds.
-    pub(crate) alone_s: f64,
+    pub(crate) class_alone_s: f64,
     /// Classes with the fraction of the time of all engines that their arrivals need.
     pub(crate) mix: Vec<(LengthClass, f64)>,
     /// Whether the fractions of `mix` refer to the throughput of the engines with the mix, which is
     /// higher than with its classes one after the other.
-    pub(crate) is_of_capacity: bool,
-    pub(crate) pattern: Pattern,
+    pub(crate) is_relative_to_mix_capacity: bool,
+    pub(crate) pattern: ArrivalPattern,
     /// Customers with their fractions of the arrivals.
     pub(crate) customers: Vec<(String, f64)>,
     /// Fraction of requests that begin with the same text.
-    pub(crate) hot_share: f64,
+    pub(crate) hot_fraction: f64,
     /// Engine faults: time in seconds, affected engines, and the faults as JSON.
-    pub(crate) faults: Vec<(f64, Engines, Value)>,
+    pub(crate) faults: Vec<(f64, EngineSelection, Value)>,
     /// Whether callers resend failed requests as soon as they may.
-    pub(crate) sends_again: bool,
+    pub(crate) resends_failed: bool,
     /// Factor on the load of a baseline that is played first, to compare goodput with.
-    pub(crate) compare_with: Option<f64>,
+    pub(crate) baseline_load: Option<f64>,
 }
 
-/// Pattern of arrivals.
+/// ArrivalPattern of arrivals.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Pattern {
+pub(crate) enum ArrivalPattern {
     /// Random arrivals at a constant rate.
     Even,
     /// Random arrivals, at a higher rate between `from_s` and `until_s`.
@@ -52,23 +52,23 @@
         times: f64,
     },
     /// All arrivals at common instants.
-    Together { each_s: f64 },
+    Synchronized { period_s: f64 },
 }
 
-/// Engines that get a fault.
+/// EngineSelection that get a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Engines {
+pub(crate) enum EngineSelection {
     All,
     First,
     Even,
 }
 
-impl Engines {
-    pub(crate) fn has(self, at: usize) -> bool {
+impl EngineSelection {
+    pub(crate) fn contains(self, index: usize) -> bool {
         match self {
             Self::All => true,
-            Self::First => at == 0,
-            Self::Even => at.is_multiple_of(2),
+            Self::First => index == 0,
+            Self::Even => index.is_multiple_of(2),
         }
     }
 }
@@ -101,12 +101,12 @@
 
     /// Returns the customer for a random number `draw` between 0 and 1.
     pub(crate) fn customer(&self, draw: f64) -> String {
-        let mut left = draw;
+        let mut remaining = draw;
         for (name, share) in &self.customers {
-            if left < *share {
+            if remaining < *share {
                 return name.clone();
             }
-            left -= share;
+            remaining -= share;
         }
         self.customers[0].0.clone()
     }
@@ -117,28 +117,28 @@
         name,
         about,
         plan: FleetPlan::new(&[DOMAIN], ENGINES, 0, HOSTS),
-        lasts_s: 16.0,
-        alone_s: 3.5,
+        duration_s: 16.0,
+        class_alone_s: 3.5,
         mix: mix.to_vec(),
-        is_of_capacity: false,
-        pattern: Pattern::Even,
+        is_relative_to_mix_capacity: false,
+        pattern: ArrivalPattern::Even,
         customers: even_customers(8, 1.0),
-        hot_share: 0.0,
+        hot_fraction: 0.0,
         faults: Vec::new(),
-        sends_again: false,
-        compare_with: None,
+        resends_failed: false,
+        baseline_load: None,
     }
 }
 
 fn even_customers(count: usize, share: f64) -> Vec<(String, f64)> {
-    let customer = |at| (format!("customer-{at}"), share / count as f64);
+    let customer = |number| (format!("customer-{number}"), share / count as f64);
     (1..=count).map(customer).collect()
 }
 
 fn burst() -> Scenario {
     let mix = [(LengthClass::Short, 0.2), (LengthClass::Medium, 0.2)];
     Scenario {
-        pattern: Pattern::Burst {
+        pattern: ArrivalPattern::Burst {
             from_s: 5.0,
             until_s: 7.0,
             times: 10.0,
@@ -152,7 +152,7 @@
     let mut customers = vec![("large-1".to_owned(), 0.45), ("large-2".to_owned(), 0.45)];
     customers.extend(even_customers(8, 0.1));
     Scenario {
-        is_of_capacity: true,
+        is_relative_to_mix_capacity: true,
         customers,
         ..base(
             "two-customers",
@@ -165,7 +165,7 @@
 fn hot_key() -> Scenario {
     let mix = [(LengthClass::Short, 0.2), (LengthClass::Medium, 0.5)];
     Scenario {
-        hot_share: 0.5,
+        hot_fraction: 0.5,
         ..base(
             "hot-key",
             "half of all prompts begin with the same text",
@@ -177,7 +177,7 @@
 fn slow_upstream() -> Scenario {
     let mix = [(LengthClass::Short, 0.25), (LengthClass::Medium, 0.25)];
     Scenario {
-        faults: vec![(4.0, Engines::First, json!({"slow_factor": 5.0}))],
+        faults: vec![(4.0, EngineSelection::First, json!({"slow_factor": 5.0}))],
         ..base(
             "slow-upstream",
             "one engine gets five times slower after 4 s",
@@ -206,10 +206,10 @@
         (LengthClass::Long, 0.4),
     ];
     Scenario {
-        lasts_s: 11.0,
-        alone_s: 1.0,
-        is_of_capacity: true,
-        compare_with: Some(0.5),
+        duration_s: 11.0,
+        class_alone_s: 1.0,
+        is_relative_to_mix_capacity: true,
+        baseline_load: Some(0.5),
         ..base("saturation", "twice what the engines can do", &mix)
     }
 }
@@ -218,10 +218,10 @@
     let mix = [(LengthClass::Short, 0.35), (LengthClass::Medium, 0.25)];
     Scenario {
         faults: vec![
-            (4.0, Engines::All, json!({"fail_one_in": 1})),
-            (7.0, Engines::All, json!({})),
+            (4.0, EngineSelection::All, json!({"fail_one_in": 1})),
+            (7.0, EngineSelection::All, json!({})),
         ],
-        sends_again: true,
+        resends_failed: true,
         ..base(
             "retry-storm",
             "all engines fail from 4 s to 7 s, and callers send again at once",
@@ -238,7 +238,7 @@
         &mix,
     );
     scenario.plan.engine.report_lag_ms = 3_000;
-    scenario.faults = vec![(0.0, Engines::Even, json!({"report_factor": 0.0}))];
+    scenario.faults = vec![(0.0, EngineSelection::Even, json!({"report_factor": 0.0}))];
     scenario
 }
 
@@ -250,6 +250,6 @@
         &mix,
     );
     scenario.plan.hosts = FleetPlan::new(&[DOMAIN], 0, 0, 7).hosts;
-    scenario.pattern = Pattern::Together { each_s: 0.5 };
+    scenario.pattern = ArrivalPattern::Synchronized { period_s: 0.5 };
     scenario
 }
--- a/standin/src/machine.rs
+++ b/standin/src/machine.rs
@@ -12,8 +12,8 @@
 
 /// The path of the list of machines on the platform.
 pub const PATH: &str = "/apis/banyanarch.dev/v1/machines";
-const TRIES: u32 = 50;
-const PAUSE: Duration = Duration::from_millis(100);
+const REGISTER_ATTEMPTS: u32 = 50;
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// The entry of an upstream in the platform's list of machines.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -58,15 +58,15 @@
             "address": addr.to_string(),
             "state": state,
         });
-        let mut last = CallError::Connect("not tried".to_owned());
-        for _ in 0..TRIES {
+        let mut last_error = CallError::ConnectFailed("not tried".to_owned());
+        for _ in 0..REGISTER_ATTEMPTS {
             match put(self.platform, PATH, &self.name, &spec).await {
                 Ok(()) => return Ok(()),
-                Err(e) => last = e,
+                Err(e) => last_error = e,
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
-        Err(last)
+        Err(last_error)
     }
 }
 
@@ -77,17 +77,19 @@
     name: &str,
     spec: &Value,
 ) -> Result<(), CallError> {
-    let own_path = format!("{path}/{name}");
-    let (method, to, metadata) =
-        match call_json(platform, Method::GET, &own_path, &Value::Null).await {
+    let object_path = format!("{path}/{name}");
+    let (method, request_path, metadata) =
+        match call_json(platform, Method::GET, &object_path, &Value::Null).await {
             Ok(object) => {
                 let version = &object["metadata"]["resourceVersion"];
                 let metadata = json!({"name": name, "resourceVersion": version});
-                (Method::PUT, own_path.as_str(), metadata)
+                (Method::PUT, object_path.as_str(), metadata)
             }
             Err(CallError::Status(404, _)) => (Method::POST, path, json!({"name": name})),
             Err(e) => return Err(e),
         };
     let object = json!({"metadata": metadata, "spec": spec});
-    call_json(platform, method, to, &object).await.map(drop)
+    call_json(platform, method, request_path, &object)
+        .await
+        .map(drop)
 }
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -16,7 +16,7 @@
 fn main() -> ExitCode {
     let mut args = Arguments::from_env();
     let command = args.subcommand().ok().flatten();
-    let (usage, run): (&str, fn(Arguments) -> cmd::Done) = match command.as_deref() {
+    let (usage, run): (&str, fn(Arguments) -> cmd::CommandResult) = match command.as_deref() {
         Some("platform") => (cmd::platform::USAGE, cmd::platform::run),
         Some("engine") => (cmd::engine::USAGE, cmd::engine::run),
         Some("service") => (cmd::service::USAGE, cmd::service::run),
@@ -33,7 +33,7 @@
         return ExitCode::SUCCESS;
     }
     if args.contains("--with-parent") {
-        thread::spawn(end_with_parent);
+        thread::spawn(exit_with_parent);
     }
     run(args).unwrap_or_else(|e| {
         eprintln!("standin: {e}");
@@ -43,7 +43,7 @@
 
 /// Exits when standard input is closed, which happens when the parent process ends. Otherwise the
 /// fleet of an interrupted tool would keep running.
-fn end_with_parent() {
+fn exit_with_parent() {
     let _ = io::copy(&mut io::stdin(), &mut io::sink());
     std::process::exit(1);
 }
--- a/standin/src/platform/api.rs
+++ b/standin/src/platform/api.rs
@@ -26,18 +26,18 @@
 use crate::http::Body;
 use crate::http::Handler;
 use crate::http::Reply;
+use crate::platform::CallStats;
 use crate::platform::Outage;
 use crate::platform::PlatformFaults;
-use crate::platform::Stats;
 use crate::platform::store::Store;
-use crate::platform::store::Written;
+use crate::platform::store::WriteResult;
 
-const ROOT: &str = "/apis/banyanarch.dev/v1/";
-const MACHINES: &str = "machines";
+const API_ROOT: &str = "/apis/banyanarch.dev/v1/";
+const MACHINES_KIND: &str = "machines";
 const SECOND: Duration = Duration::from_secs(1);
 const WATCH_TIMEOUT_DEFAULT_S: u64 = 30;
 /// Interval at which a watch on the lagging list of machines checks for newly visible changes.
-const LAG_POLL: Duration = Duration::from_millis(20);
+const LAG_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 #[derive(Debug, Default)]
 pub(crate) struct Api {
@@ -49,10 +49,10 @@
 #[derive(Debug, Default)]
 struct Inner {
     store: Store,
-    stats: Stats,
+    stats: CallStats,
     faults: PlatformFaults,
     /// Start of the second in which `reads` and `writes` are counted.
-    second: Option<Instant>,
+    second_start: Option<Instant>,
     reads: u64,
     writes: u64,
 }
@@ -63,7 +63,7 @@
         self.wake();
     }
 
-    pub(crate) fn stats(&self) -> Stats {
+    pub(crate) fn stats(&self) -> CallStats {
         self.lock().stats.clone()
     }
 
@@ -77,12 +77,12 @@
             (&Method::PUT, "/faults") => return Ok(self.put_faults(&body)),
             _ => (),
         }
-        let Some(target) = path.strip_prefix(ROOT) else {
+        let Some(target) = path.strip_prefix(API_ROOT) else {
             return Ok(http::text(StatusCode::NOT_FOUND, "no such path"));
         };
         let faults = self.lock().faults.clone();
         tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
-        if let Some(reply) = self.turned_away(head.method == Method::GET) {
+        if let Some(reply) = self.refuse_call(head.method == Method::GET) {
             return reply;
         }
         match (&head.method, target.split_once('/')) {
@@ -96,7 +96,7 @@
         }
     }
 
-    fn turned_away(&self, is_read: bool) -> Option<Reply> {
+    fn refuse_call(&self, is_read: bool) -> Option<Reply> {
         let mut inner = self.lock();
         let outage = inner.faults.outage;
         let reply = match outage {
@@ -133,7 +133,7 @@
     fn list(&self, kind: &str) -> Response<Body> {
         let mut inner = self.lock();
         inner.stats.count_read("LIST", kind);
-        let (version, items) = inner.store.list(kind, inner.seen_at(kind));
+        let (version, items) = inner.store.list(kind, inner.visible_at(kind));
         let metadata = json!({"resourceVersion": version.to_string()});
         http::json(
             StatusCode::OK,
@@ -160,9 +160,9 @@
                 inner.store.create(kind, name, spec, now)
             }
             _ => {
-                let Some(expected) = version_of(&object["metadata"]["resourceVersion"]) else {
-                    let why = "no metadata.resourceVersion";
-                    return Ok(http::text(StatusCode::BAD_REQUEST, why));
+                let Some(expected) = parse_version(&object["metadata"]["resourceVersion"]) else {
+                    let reason = "no metadata.resourceVersion";
+                    return Ok(http::text(StatusCode::BAD_REQUEST, reason));
                 };
                 inner.store.replace((kind, name), expected, spec, now)
             }
@@ -176,11 +176,11 @@
     fn watch(self: &Arc<Self>, kind: &str, query: &Query) -> Response<Body> {
         self.lock().stats.count_read("WATCH", kind);
         let ends_at = Instant::now() + Duration::from_secs(query.timeout_s);
-        let lines = Arc::clone(self).watch_lines(kind.to_owned(), query.version, ends_at);
+        let lines = Arc::clone(self).watch_events(kind.to_owned(), query.version, ends_at);
         http::streamed("application/json", lines)
     }
 
-    fn watch_lines(
+    fn watch_events(
         self: Arc<Self>,
         kind: String,
         after: u64,
@@ -192,10 +192,10 @@
             kind,
             after,
             ends_at,
-            ready: VecDeque::new(),
+            queue: VecDeque::new(),
         };
         stream::unfold(watcher, |mut watcher| async move {
-            let line = watcher.next_line().await?;
+            let line = watcher.next_event_line().await?;
             Some((line, watcher))
         })
     }
@@ -217,34 +217,36 @@
 
 impl Inner {
     fn is_over_rate(&mut self, is_read: bool, now: Instant) -> bool {
-        if self.second.is_none_or(|start| now >= start + SECOND) {
-            self.second = Some(now);
+        if self.second_start.is_none_or(|start| now >= start + SECOND) {
+            self.second_start = Some(now);
             self.reads = 0;
             self.writes = 0;
         }
-        let (count, most) = match is_read {
+        let (count, limit) = match is_read {
             true => (&mut self.reads, self.faults.reads_per_second),
             false => (&mut self.writes, self.faults.writes_per_second),
         };
         *count += 1;
-        most.is_some_and(|most| *count > most)
+        limit.is_some_and(|limit| *count > limit)
     }
 
     /// Returns the instant whose state a list of this kind shows.
-    fn seen_at(&self, kind: &str) -> Instant {
+    fn visible_at(&self, kind: &str) -> Instant {
         let now = Instant::now();
-        if kind != MACHINES {
+        if kind != MACHINES_KIND {
             return now;
         }
         let lag = Duration::from_millis(self.faults.machines_lag_ms);
         now.checked_sub(lag).unwrap_or(now)
     }
 
-    fn reply_to(&mut self, call: &str, written: Written) -> Reply {
+    fn reply_to(&mut self, call: &str, written: WriteResult) -> Reply {
         let object = match written {
-            Written::Done(object) => object,
-            Written::Absent => return Ok(http::text(StatusCode::NOT_FOUND, "no such object")),
-            Written::Conflict => {
+            WriteResult::Applied(object) => object,
+            WriteResult::NotFound => {
+                return Ok(http::text(StatusCode::NOT_FOUND, "no such object"));
+            }
+            WriteResult::Conflict => {
                 self.stats.conflicts += 1;
                 return Ok(http::text(StatusCode::CONFLICT, "the object has changed"));
             }
@@ -268,47 +270,47 @@
     kind: String,
     after: u64,
     ends_at: Instant,
-    ready: VecDeque<Bytes>,
+    queue: VecDeque<Bytes>,
 }
 
 impl Watcher {
     /// Returns the next line of the watch: `None` at its end, an error during an outage.
-    async fn next_line(&mut self) -> Option<io::Result<Bytes>> {
+    async fn next_event_line(&mut self) -> Option<io::Result<Bytes>> {
         loop {
-            if let Some(line) = self.ready.pop_front() {
+            if let Some(line) = self.queue.pop_front() {
                 return Some(Ok(line));
             }
             if self.api.lock().faults.outage != Outage::None {
                 return Some(Err(io::Error::other("outage")));
             }
             self.changed.mark_unchanged();
-            self.collect();
-            if self.ready.is_empty() && !self.wait().await {
+            self.collect_changes();
+            if self.queue.is_empty() && !self.wait_for_change().await {
                 return None;
             }
         }
     }
 
-    fn collect(&mut self) {
+    fn collect_changes(&mut self) {
         let inner = self.api.lock();
-        let seen_at = inner.seen_at(&self.kind);
-        let changes = inner.store.changes(&self.kind, self.after, seen_at);
+        let visible_at = inner.visible_at(&self.kind);
+        let changes = inner.store.changes(&self.kind, self.after, visible_at);
         for change in changes {
             self.after = change.version;
-            let event = json!({"type": change.what, "object": change.object});
-            self.ready.push_back(Bytes::from(format!("{event}\n")));
+            let event = json!({"type": change.event_type, "object": change.object});
+            self.queue.push_back(Bytes::from(format!("{event}\n")));
         }
     }
 
     /// Waits until something may have changed; returns false when the watch has timed out.
-    async fn wait(&mut self) -> bool {
+    async fn wait_for_change(&mut self) -> bool {
         let now = Instant::now();
         if now >= self.ends_at {
             return false;
         }
         let lag_ms = self.api.lock().faults.machines_lag_ms;
         let until = match self.kind.as_str() {
-            MACHINES if lag_ms > 0 => self.ends_at.min(now + LAG_POLL),
+            MACHINES_KIND if lag_ms > 0 => self.ends_at.min(now + LAG_POLL_INTERVAL),
             _ => self.ends_at,
         };
         let _ = tokio::time::timeout_at(until.into(), self.changed.changed()).await;
@@ -337,6 +339,6 @@
     }
 }
 
-fn version_of(value: &Value) -> Option<u64> {
+fn parse_version(value: &Value) -> Option<u64> {
     value.as_str()?.parse().ok()
 }
--- a/standin/src/platform/stats.rs
+++ b/standin/src/platform/call_stats.rs
@@ -6,7 +6,7 @@
 /// Counts of calls so far; a watch counts once, however long it stays open.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize)]
-pub struct Stats {
+pub struct CallStats {
     /// Number of gets, lists and watches.
     pub reads: u64,
     /// Number of creates, replacements and deletions, including those that met a conflict.
@@ -21,7 +21,7 @@
     pub by_call: IndexMap<String, u64>,
 }
 
-impl Stats {
+impl CallStats {
     pub(crate) fn count_read(&mut self, call: &str, kind: &str) {
         self.reads += 1;
         self.count(call, kind);
--- a/standin/src/platform/mod.rs
+++ b/standin/src/platform/mod.rs
@@ -1,17 +1,17 @@
 //! In-memory fake of the platform's object service. docs/PROTOCOLS.md describes the wire format.
 
 mod api;
+mod call_stats;
 mod faults;
-mod stats;
 mod store;
 
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+pub use call_stats::CallStats;
 pub use faults::Outage;
 pub use faults::PlatformFaults;
-pub use stats::Stats;
 
 use crate::http::Server;
 use crate::platform::api::Api;
@@ -42,7 +42,7 @@
     }
 
     /// Returns the counts of calls so far.
-    pub fn stats(&self) -> Stats {
+    pub fn stats(&self) -> CallStats {
         self.api.stats()
     }
 
--- a/standin/src/platform/store.rs
+++ b/standin/src/platform/store.rs
@@ -11,26 +11,26 @@
 
 /// Result of a write.
 #[derive(Debug)]
-pub(crate) enum Written {
+pub(crate) enum WriteResult {
     /// The write took effect; holds the object as it is now.
-    Done(Value),
+    Applied(Value),
     /// The object already exists, or has another version.
     Conflict,
     /// The object does not exist.
-    Absent,
+    NotFound,
 }
 
 /// A change that a watch reports.
 #[derive(Debug)]
 pub(crate) struct Change {
     pub(crate) version: u64,
-    pub(crate) what: &'static str,
+    pub(crate) event_type: &'static str,
     pub(crate) object: Value,
 }
 
 #[derive(Debug)]
 struct Revision {
-    at: Instant,
+    written_at: Instant,
     version: u64,
     /// `None` for a deletion.
     spec: Option<Value>,
@@ -45,16 +45,25 @@
 
 impl Store {
     pub(crate) fn get(&self, kind: &str, name: &str) -> Option<Value> {
-        let revision = self.newest(kind, name)?;
+        let revision = self.latest_revision(kind, name)?;
         let spec = revision.spec.as_ref()?;
         Some(object(kind, name, revision.version, spec))
     }
 
-    pub(crate) fn create(&mut self, kind: &str, name: &str, spec: Value, now: Instant) -> Written {
-        if self.newest(kind, name).is_some_and(|r| r.spec.is_some()) {
-            return Written::Conflict;
+    pub(crate) fn create(
+        &mut self,
+        kind: &str,
+        name: &str,
+        spec: Value,
+        now: Instant,
+    ) -> WriteResult {
+        if self
+            .latest_revision(kind, name)
+            .is_some_and(|r| r.spec.is_some())
+        {
+            return WriteResult::Conflict;
         }
-        self.push(kind, name, Some(spec), now)
+        self.add_revision(kind, name, Some(spec), now)
     }
 
     pub(crate) fn replace(
@@ -63,26 +72,26 @@
         expected: u64,
         spec: Value,
         now: Instant,
-    ) -> Written {
-        match self.newest(kind, name) {
-            Some(Revision { spec: None, .. }) | None => Written::Absent,
-            Some(revision) if revision.version != expected => Written::Conflict,
-            Some(_) => self.push(kind, name, Some(spec), now),
+    ) -> WriteResult {
+        match self.latest_revision(kind, name) {
+            Some(Revision { spec: None, .. }) | None => WriteResult::NotFound,
+            Some(revision) if revision.version != expected => WriteResult::Conflict,
+            Some(_) => self.add_revision(kind, name, Some(spec), now),
         }
     }
 
-    pub(crate) fn delete(&mut self, kind: &str, name: &str, now: Instant) -> Written {
-        match self.newest(kind, name) {
-            Some(Revision { spec: Some(_), .. }) => self.push(kind, name, None, now),
-            _ => Written::Absent,
+    pub(crate) fn delete(&mut self, kind: &str, name: &str, now: Instant) -> WriteResult {
+        match self.latest_revision(kind, name) {
+            Some(Revision { spec: Some(_), .. }) => self.add_revision(kind, name, None, now),
+            _ => WriteResult::NotFound,
         }
     }
 
     /// Returns the objects of a kind as they were at `at`, and the version to watch after.
     pub(crate) fn list(&self, kind: &str, at: Instant) -> (u64, Vec<Value>) {
-        let seen = self.seen(kind, at);
-        let newest = seen.iter().map(|(_, revision)| revision.version).max();
-        let items = seen.iter().filter_map(|(name, revision)| {
+        let visible = self.visible_revisions(kind, at);
+        let newest = visible.iter().map(|(_, revision)| revision.version).max();
+        let items = visible.iter().filter_map(|(name, revision)| {
             let spec = revision.spec.as_ref()?;
             Some(object(kind, name, revision.version, spec))
         });
@@ -92,12 +101,15 @@
     /// Returns the changes after a version as visible at `at`, ordered by version. An object that
     /// changed more than once is reported once, in its newest revision.
     pub(crate) fn changes(&self, kind: &str, after: u64, at: Instant) -> Vec<Change> {
-        let seen = self.seen(kind, at);
-        let newer = seen.into_iter().filter(|(_, r)| r.version > after);
+        let visible = self.visible_revisions(kind, at);
+        let newer = visible.into_iter().filter(|(_, r)| r.version > after);
         let mut changes: Vec<Change> = newer
             .map(|(name, revision)| Change {
                 version: revision.version,
-                what: match (&revision.spec, self.is_first(kind, name, revision.version)) {
+                event_type: match (
+                    &revision.spec,
+                    self.is_creation(kind, name, revision.version),
+                ) {
                     (None, _) => "DELETED",
                     (Some(_), true) => "ADDED",
                     (Some(_), false) => "MODIFIED",
@@ -114,29 +126,35 @@
         changes
     }
 
-    fn seen(&self, kind: &str, at: Instant) -> Vec<(&str, &Revision)> {
+    fn visible_revisions(&self, kind: &str, at: Instant) -> Vec<(&str, &Revision)> {
         let of_kind = self.objects.iter().filter(|((k, _), _)| k == kind);
         of_kind
             .filter_map(|((_, name), revisions)| {
-                let revision = revisions.iter().rev().find(|r| r.at <= at)?;
+                let revision = revisions.iter().rev().find(|r| r.written_at <= at)?;
                 Some((name.as_str(), revision))
             })
             .collect()
     }
 
-    fn is_first(&self, kind: &str, name: &str, version: u64) -> bool {
+    fn is_creation(&self, kind: &str, name: &str, version: u64) -> bool {
         let revisions = self.objects.get(&(kind.to_owned(), name.to_owned()));
         revisions
             .and_then(|revisions| revisions.first())
             .is_some_and(|first| first.version == version)
     }
 
-    fn newest(&self, kind: &str, name: &str) -> Option<&Revision> {
+    fn latest_revision(&self, kind: &str, name: &str) -> Option<&Revision> {
         let revisions = self.objects.get(&(kind.to_owned(), name.to_owned()));
         revisions.and_then(|revisions| revisions.last())
     }
 
-    fn push(&mut self, kind: &str, name: &str, spec: Option<Value>, now: Instant) -> Written {
+    fn add_revision(
+        &mut self,
+        kind: &str,
+        name: &str,
+        spec: Option<Value>,
+        now: Instant,
+    ) -> WriteResult {
         self.version += 1;
         let version = self.version;
         let shown = object(kind, name, version, spec.as_ref().unwrap_or(&Value::Null));
@@ -146,11 +164,11 @@
             revisions.remove(0);
         }
         revisions.push(Revision {
-            at: now,
+            written_at: now,
             version,
             spec,
         });
-        Written::Done(shown)
+        WriteResult::Applied(shown)
     }
 }
 
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -24,7 +24,7 @@
 use crate::engine::RunEnd;
 use crate::engine::RunLog;
 use crate::engine::RunRecord;
-use crate::engine::wall_ms;
+use crate::engine::unix_time_ms;
 use crate::http;
 use crate::http::Body;
 use crate::http::Handler;
@@ -116,7 +116,7 @@
         let api = Arc::new(Api {
             log: Mutex::new(RunLog::new(options.record_file.as_deref())?),
             faults: watch::Sender::new(ServiceFaults::default()),
-            at_work: watch::Sender::new(0),
+            active_calls: watch::Sender::new(0),
             options,
         });
         let server = Server::start(listen, Arc::clone(&api) as _).await?;
@@ -149,7 +149,7 @@
     options: ServiceOptions,
     log: Mutex<RunLog>,
     faults: watch::Sender<ServiceFaults>,
-    at_work: watch::Sender<u64>,
+    active_calls: watch::Sender<u64>,
 }
 
 impl Api {
@@ -166,8 +166,9 @@
             return Ok(http::not_run("told to refuse"));
         }
         // The call runs to its end when the caller disconnects, as it would in a real service.
-        let worker = tokio::spawn(Arc::clone(&self).work(run_of(&head, &body), faults.clone()));
-        let count = worker.await.map_err(io::Error::other)?;
+        let call_task =
+            tokio::spawn(Arc::clone(&self).run_call(new_run_record(&head, &body), faults.clone()));
+        let count = call_task.await.map_err(io::Error::other)?;
         if is_nth(count, faults.cut_one_in) {
             return Err(io::Error::other("cut off"));
         }
@@ -178,23 +179,26 @@
     }
 
     /// Runs a call and returns its number, counted from 1.
-    async fn work(self: Arc<Self>, run: RunRecord, faults: ServiceFaults) -> u64 {
+    async fn run_call(self: Arc<Self>, run: RunRecord, faults: ServiceFaults) -> u64 {
         let attempt = run.attempt.clone();
         let count = {
             let mut log = self.log();
             log.start(run);
             log.len()
         };
-        self.at_work.send_modify(|at_work| *at_work += 1);
+        self.active_calls
+            .send_modify(|active_calls| *active_calls += 1);
         let _ = self
             .faults
             .subscribe()
             .wait_for(|faults| !faults.freeze)
             .await;
-        let crowd = (*self.at_work.borrow() as f64 / self.options.slots.max(1) as f64).max(1.0);
+        let overload =
+            (*self.active_calls.borrow() as f64 / self.options.slots.max(1) as f64).max(1.0);
         let latency = Duration::from_millis(self.options.latency_ms);
-        tokio::time::sleep(latency.mul_f64(faults.slow_factor.max(0.0) * crowd)).await;
-        self.at_work.send_modify(|at_work| *at_work -= 1);
+        tokio::time::sleep(latency.mul_f64(faults.slow_factor.max(0.0) * overload)).await;
+        self.active_calls
+            .send_modify(|active_calls| *active_calls -= 1);
         let end = match is_nth(count, faults.fail_one_in) {
             true => RunEnd::Failed,
             false => RunEnd::Completed,
@@ -224,7 +228,7 @@
     }
 }
 
-fn run_of(head: &Parts, body: &[u8]) -> RunRecord {
+fn new_run_record(head: &Parts, body: &[u8]) -> RunRecord {
     let text = |name| http::header(&head.headers, name).map(str::to_owned);
     RunRecord {
         attempt: text("x-request-id").unwrap_or_else(|| AttemptId(rand::random()).to_string()),
@@ -232,7 +236,7 @@
         request_hash: ContentHash::of(body),
         key: text("idempotency-key"),
         path: head.uri.path().to_owned(),
-        taken_ms: wall_ms(),
+        taken_ms: unix_time_ms(),
         ended_ms: None,
         end: None,
         prefilled_tokens: 0,
--- a/standin/tests/engine.rs
+++ b/standin/tests/engine.rs
@@ -23,9 +23,9 @@
 use hyper::Method;
 use serde_json::json;
 use standin::answer;
-use standin::caller::Ask;
-use standin::caller::Target;
-use standin::caller::Verdict;
+use standin::caller::CallOutcome;
+use standin::caller::CallerRequest;
+use standin::caller::RequestKind;
 use standin::caller::send;
 use standin::engine::Engine;
 use standin::engine::EngineFaults;
@@ -36,17 +36,17 @@
 
 const MAX_TOKENS: u64 = 40;
 
-fn ask(number: u64, prompt_tokens: u64) -> Ask {
-    Ask {
+fn ask(number: u64, prompt_tokens: u64) -> CallerRequest {
+    CallerRequest {
         number,
-        at: Duration::ZERO,
-        target: Target::Completion,
+        arrival: Duration::ZERO,
+        kind: RequestKind::Completion,
         customer: "default".to_owned(),
         prompt_tokens,
         prefix_group: number,
         prefix_tokens: 0,
         max_tokens: MAX_TOKENS,
-        limit: Duration::from_secs(10),
+        timeout: Duration::from_secs(10),
         repeatable: true,
         key: None,
     }
@@ -220,12 +220,12 @@
 
 async fn told_by(addr: SocketAddr) -> &'static str {
     let ask = ask(1, 500);
-    match send(addr, &ask, ask.body(), Instant::now()).await.verdict {
-        Verdict::Completed => "completed",
-        Verdict::Wrong(_) => "wrong",
-        Verdict::NotRun { .. } => "not run",
-        Verdict::MayHaveRun(_) => "may have run",
-        Verdict::Cut(_) => "cut",
+    match send(addr, &ask, ask.body(), Instant::now()).await.outcome {
+        CallOutcome::Completed => "completed",
+        CallOutcome::Wrong(_) => "wrong",
+        CallOutcome::NotRun { .. } => "not run",
+        CallOutcome::MayHaveRun(_) => "may have run",
+        CallOutcome::Cut(_) => "cut",
     }
 }
 
@@ -239,7 +239,7 @@
         ..EngineOptions::default()
     };
     let engine = engine(options).await;
-    let of_group = |number| Ask {
+    let of_group = |number| CallerRequest {
         prefix_group: 3,
         prefix_tokens: 5_000,
         ..ask(number, 6_000)
--- a/standin/tests/service.rs
+++ b/standin/tests/service.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use standin::caller::Ask;
-use standin::caller::Target;
-use standin::caller::Verdict;
+use standin::caller::CallOutcome;
+use standin::caller::CallerRequest;
+use standin::caller::RequestKind;
 use standin::caller::send;
 use standin::engine::RunEnd;
 use standin::service::Service;
@@ -13,17 +13,17 @@
 use standin::service::ServiceOptions;
 use yare::parameterized;
 
-fn grant() -> Ask {
-    Ask {
+fn grant() -> CallerRequest {
+    CallerRequest {
         number: 1,
-        at: Duration::ZERO,
-        target: Target::Service,
+        arrival: Duration::ZERO,
+        kind: RequestKind::Service,
         customer: "film-studio".to_owned(),
         prompt_tokens: 20,
         prefix_group: 1,
         prefix_tokens: 0,
         max_tokens: 0,
-        limit: Duration::from_secs(5),
+        timeout: Duration::from_secs(5),
         repeatable: false,
         key: Some("grant-1".to_owned()),
     }
@@ -43,9 +43,9 @@
     service.set_faults(faults);
     let ask = grant();
     let sent = send(service.addr(), &ask, ask.body(), Instant::now()).await;
-    assert_eq!(sent.verdict == Verdict::Completed, completed);
+    assert_eq!(sent.outcome == CallOutcome::Completed, completed);
     assert_eq!(
-        matches!(sent.verdict, Verdict::NotRun { .. }),
+        matches!(sent.outcome, CallOutcome::NotRun { .. }),
         end.is_none()
     );
     let record = service.record();
