--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -42,7 +42,7 @@
 pub use model_call::CallKind;
 pub use model_call::ModelCall;
 pub use parts::EntryParts;
-pub use parts::PoisonSpread;
+pub use parts::PoisonBroadcast;
 pub use reply::CallerGone;
 pub use reply::Failure;
 pub use reply::Piece;
--- a/src/entry/parts.rs
+++ b/src/entry/parts.rs
@@ -24,7 +24,7 @@
 use crate::units::TargetId;
 
 /// Tells other hosts of requests that crash upstreams.
-pub trait PoisonSpread: Send + Sync {
+pub trait PoisonBroadcast: Send + Sync {
     /// Sends this to all hosts.
     fn spread(&self, poison: &PoisonReport);
 }
@@ -52,7 +52,7 @@
     /// Requests that crash upstreams.
     pub poison: Mutex<PoisonList>,
     /// Tells other hosts of them.
-    pub poison_spread: Arc<dyn PoisonSpread>,
+    pub poison_spread: Arc<dyn PoisonBroadcast>,
     /// Metrics.
     pub metrics: Arc<Metrics>,
     /// What was decided for requests.
--- a/src/fleet/membership_desk.rs
+++ b/src/fleet/membership_desk.rs
@@ -19,7 +19,7 @@
 use crate::control::status::EventLog;
 use crate::decide::PoisonReport;
 use crate::decide::UpstreamHealth;
-use crate::entry::PoisonSpread;
+use crate::entry::PoisonBroadcast;
 use crate::fleet::poison_wire;
 use crate::peer::Peers;
 use crate::peer::message::Gossip;
@@ -221,7 +221,7 @@
     }
 }
 
-impl PoisonSpread for MembershipDesk {
+impl PoisonBroadcast for MembershipDesk {
     fn spread(&self, poison: &PoisonReport) {
         self.note_poison(poison_wire::notice_of(poison));
     }
