--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -201,7 +201,7 @@
             bodies: BodyMemory::new(settings.body_memory_size),
             in_flight: InFlight::default(),
             poison: Mutex::new(PoisonList::new()),
-            poison_spread: Arc::clone(&membership) as _,
+            poison_broadcast: Arc::clone(&membership) as _,
             retries: Mutex::new(IndexMap::new()),
             metrics: Arc::new(Metrics::new()?),
             explanations: Arc::new(Explanations::new(
--- a/src/entry/parts.rs
+++ b/src/entry/parts.rs
@@ -52,7 +52,7 @@
     /// Requests that crash upstreams.
     pub poison: Mutex<PoisonList>,
     /// Tells other hosts of them.
-    pub poison_spread: Arc<dyn PoisonBroadcast>,
+    pub poison_broadcast: Arc<dyn PoisonBroadcast>,
     /// Metrics.
     pub metrics: Arc<Metrics>,
     /// What was decided for requests.
