--- a/src/entry/driver/mod.rs
+++ b/src/entry/driver/mod.rs
@@ -272,7 +272,7 @@
             .poison_list()
             .on_crash(&self.poison_marks(), attempt.id(), now);
         for poison in &news {
-            self.parts.poison_broadcast.spread(poison);
+            self.parts.poison_broadcast.broadcast(poison);
         }
     }
 
--- a/src/entry/parts.rs
+++ b/src/entry/parts.rs
@@ -26,7 +26,7 @@
 /// Tells other hosts of requests that crash upstreams.
 pub trait PoisonBroadcast: Send + Sync {
     /// Sends this to all hosts.
-    fn spread(&self, poison: &PoisonReport);
+    fn broadcast(&self, poison: &PoisonReport);
 }
 
 /// What the entry works with; shared by all requests.
--- a/src/fleet/membership_desk.rs
+++ b/src/fleet/membership_desk.rs
@@ -222,7 +222,7 @@
 }
 
 impl PoisonBroadcast for MembershipDesk {
-    fn spread(&self, poison: &PoisonReport) {
+    fn broadcast(&self, poison: &PoisonReport) {
         self.note_poison(poison_wire::notice_of(poison));
     }
 }
