--- a/src/entry/driver/mod.rs
+++ b/src/entry/driver/mod.rs
@@ -178,7 +178,7 @@
         let parts = Arc::clone(self.parts);
         let ask = parts
             .granter
-            .ask(self.job.target.clone(), self.job.work.clone());
+            .request_grant(self.job.target.clone(), self.job.work.clone());
         let deadline = self.job.work.deadline;
         let answer = tokio::select! {
             answer = ask => answer,
--- a/src/entry/granter.rs
+++ b/src/entry/granter.rs
@@ -67,7 +67,7 @@
 /// Whoever grants dispatches.
 pub trait Granter: Send + Sync {
     /// Asks for a grant and waits for the decision. Dropped before that, the request is withdrawn.
-    fn ask(&self, target: TargetId, work: Work) -> BoxFuture<'_, GrantAnswer>;
+    fn request_grant(&self, target: TargetId, work: Work) -> BoxFuture<'_, GrantAnswer>;
 
     /// Gives a grant back.
     fn finish(&self, held: &HeldGrant, done: AttemptSummary);
--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -336,7 +336,7 @@
 }
 
 impl Granter for HomeGranter {
-    fn ask(&self, target: TargetId, work: Work) -> BoxFuture<'_, GrantAnswer> {
+    fn request_grant(&self, target: TargetId, work: Work) -> BoxFuture<'_, GrantAnswer> {
         async move { self.decide(&target, &work).await }.boxed()
     }
 
