--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -16,5 +16,5 @@
 pub use error::DaemonError;
 pub use run::run;
 pub(crate) use status_server::Page;
-pub(crate) use status_server::Pages;
+pub(crate) use status_server::PageSource;
 pub(crate) use status_server::serve as serve_pages;
--- a/src/daemon/pages.rs
+++ b/src/daemon/pages.rs
@@ -8,14 +8,14 @@
 use crate::daemon::host::Host;
 use crate::daemon::status_loop;
 use crate::daemon::status_server::Page;
-use crate::daemon::status_server::Pages;
+use crate::daemon::status_server::PageSource;
 use crate::observe::HostCounts;
 use crate::units::RequestId;
 
 /// The pages of a host.
 pub(crate) struct HostPages(pub(crate) Arc<Host>);
 
-impl Pages for HostPages {
+impl PageSource for HostPages {
     fn page(&self, path: &str) -> Option<Page> {
         match path {
             "/livez" => Some(Page::text(StatusCode::OK, "live\n")),
--- a/src/daemon/status_server.rs
+++ b/src/daemon/status_server.rs
@@ -54,7 +54,7 @@
 }
 
 /// Whoever knows what the pages say.
-pub(crate) trait Pages: Send + Sync + 'static {
+pub(crate) trait PageSource: Send + Sync + 'static {
     /// The page at a path; none if there is no such page.
     fn page(&self, path: &str) -> Option<Page>;
 }
@@ -63,7 +63,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Serves the pages for as long as the process runs.
-pub(crate) async fn serve(pages: Arc<dyn Pages>, listener: TcpListener) {
+pub(crate) async fn serve(pages: Arc<dyn PageSource>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(ACCEPT_PAUSE).await;
@@ -84,7 +84,7 @@
 }
 
 async fn answer(
-    pages: Arc<dyn Pages>,
+    pages: Arc<dyn PageSource>,
     req: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let page = pages.page(req.uri().path()).unwrap_or_else(Page::not_found);
--- a/src/gateway/pages.rs
+++ b/src/gateway/pages.rs
@@ -3,13 +3,13 @@
 use hyper::StatusCode;
 
 use crate::daemon::Page;
-use crate::daemon::Pages;
+use crate::daemon::PageSource;
 use crate::gateway::Gateway;
 
 /// The pages of a gateway: liveness, readiness and metrics.
 pub(crate) struct GatewayPages(pub(crate) std::sync::Arc<Gateway>);
 
-impl Pages for GatewayPages {
+impl PageSource for GatewayPages {
     fn page(&self, path: &str) -> Option<Page> {
         let gateway = &self.0;
         match path {
