--- a/src/daemon/drain.rs
+++ b/src/daemon/drain.rs
@@ -16,10 +16,10 @@
 use crate::settings::DrainSettings;
 
 /// How often the shutdown looks at what is left.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Once nothing is in flight, the last answers still have to leave for their callers.
-const LAST_WRITES: Duration = Duration::from_millis(200);
+const FLUSH_DELAY: Duration = Duration::from_millis(200);
 
 /// The shutdown of a host.
 pub(crate) struct Drain {
@@ -44,20 +44,20 @@
             return code;
         }
         loop {
-            sleep(LOOK_PAUSE).await;
-            let left = DrainEvent::Remaining {
-                in_flight: host.parts.in_flight.count(),
-                claims: host.parts.claims.pending(),
+            sleep(POLL_INTERVAL).await;
+            let remaining = DrainEvent::Remaining {
+                in_flight: host.entry.in_flight.count(),
+                claims: host.entry.claims.pending(),
             };
-            if let Some(code) = self.step(host, left) {
-                sleep(LAST_WRITES).await;
+            if let Some(code) = self.step(host, remaining) {
+                sleep(FLUSH_DELAY).await;
                 return code;
             }
         }
     }
 
     /// The second signal.
-    pub(crate) fn cut(&self, host: &Host) -> i32 {
+    pub(crate) fn abort(&self, host: &Host) -> i32 {
         self.step(host, DrainEvent::Signal).unwrap_or(1)
     }
 
@@ -69,7 +69,7 @@
                 DrainAction::AnnounceLeaving => host.membership.leave(),
                 DrainAction::HandOverHomes => host.homes.shut_down(),
                 DrainAction::StopAccepting => {
-                    host.parts.in_flight.close();
+                    host.entry.in_flight.close();
                     host.stop_callers.send_replace(true);
                 }
                 DrainAction::Exit(exit) => code = Some(exit),
--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -26,14 +26,14 @@
 use crate::daemon::drain::Drain;
 use crate::daemon::loops;
 use crate::daemon::manifest_loop;
-use crate::daemon::news::News;
+use crate::daemon::membership_handler::MembershipHandler;
 use crate::daemon::pages::HostPages;
 use crate::daemon::poll;
 use crate::daemon::status_server;
 use crate::decide::PoisonList;
 use crate::entry::BodyMemory;
-use crate::entry::EntryParts;
-use crate::entry::InFlight;
+use crate::entry::EntryContext;
+use crate::entry::InFlightCounter;
 use crate::entry::serve_callers;
 use crate::fleet::FleetHomes;
 use crate::fleet::GrantWaiters;
@@ -71,7 +71,7 @@
     pub(crate) settings: Settings,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) cluster_view: Arc<ClusterView>,
-    pub(crate) parts: Arc<EntryParts>,
+    pub(crate) entry: Arc<EntryContext>,
     pub(crate) homes: Arc<HomeDesk>,
     pub(crate) home_table: Arc<FleetHomes>,
     pub(crate) granter: Arc<HomeGranter>,
@@ -82,7 +82,7 @@
     pub(crate) platform: Arc<dyn Platform>,
     pub(crate) addrs: Arc<SeededAddrs>,
     pub(crate) traffic: Arc<Traffic>,
-    pub(crate) news: Arc<News>,
+    pub(crate) news: Arc<MembershipHandler>,
     pub(crate) drain: Arc<Drain>,
     pub(crate) stop_callers: watch::Sender<bool>,
 }
@@ -190,7 +190,7 @@
             ClaimConf::default(),
             &mut StdRng::from_os_rng(),
         );
-        let parts = Arc::new(EntryParts {
+        let entry = Arc::new(EntryContext {
             clock: Arc::clone(&clock),
             host: settings.host.clone(),
             cluster_view: Arc::clone(&cluster_view),
@@ -199,10 +199,10 @@
             upstreams: Arc::clone(&upstreams) as _,
             policy: settings.policy,
             bodies: BodyMemory::new(settings.body_memory_size),
-            in_flight: InFlight::default(),
+            in_flight: InFlightCounter::default(),
             poison: Mutex::new(PoisonList::new()),
             poison_broadcast: Arc::clone(&membership) as _,
-            retries: Mutex::new(IndexMap::new()),
+            retry_budgets: Mutex::new(IndexMap::new()),
             metrics: Arc::new(Metrics::new()?),
             explanations: Arc::new(Explanations::new(
                 Arc::clone(&clock),
@@ -215,12 +215,12 @@
                 cluster_view: Arc::clone(&cluster_view),
                 events: Arc::clone(&events),
                 peers: Arc::clone(&peers) as _,
-                metrics: Arc::clone(&parts.metrics),
+                metrics: Arc::clone(&entry.metrics),
                 host: settings.host.clone(),
                 domain: settings.failure_domain.clone(),
             },
             ManifestController::new(
-                manifest_loop::check_for(settings.deployment.clone()),
+                manifest_loop::validator(settings.deployment.clone()),
                 settings.peers.control_bytes_per_second,
                 StdRng::from_os_rng(),
                 clock.now(),
@@ -236,8 +236,8 @@
             host: settings.host.clone(),
             incarnation,
         }));
-        let news = Arc::new(News {
-            parts: Arc::clone(&parts),
+        let news = Arc::new(MembershipHandler {
+            entry: Arc::clone(&entry),
             homes: Arc::clone(&homes),
             peers: Arc::clone(&peers),
             domain: settings.failure_domain.clone(),
@@ -265,7 +265,7 @@
             settings,
             clock,
             cluster_view,
-            parts,
+            entry,
             homes,
             home_table,
             granter,
@@ -285,11 +285,11 @@
             listeners.status,
         ));
         tokio::spawn(peer_server.serve(listeners.peers, CancellationToken::new()));
-        tokio::spawn(manifest_loop::keep(Arc::clone(&host)));
-        tokio::spawn(poll::keep(Arc::clone(&host.homes), map, upstreams));
+        tokio::spawn(manifest_loop::run(Arc::clone(&host)));
+        tokio::spawn(poll::run(Arc::clone(&host.homes), map, upstreams));
         loops::start(&host);
         tokio::spawn(serve_callers(
-            Arc::clone(&host.parts),
+            Arc::clone(&host.entry),
             listeners.callers,
             callers_stopped,
         ));
--- a/src/daemon/loops.rs
+++ b/src/daemon/loops.rs
@@ -20,27 +20,27 @@
 const MEMBERSHIP_TICK: Duration = Duration::from_millis(100);
 const ANNOUNCE_PAUSE: Duration = Duration::from_secs(1);
 const MACHINES_PAUSE: Duration = Duration::from_secs(1);
-const MACHINES_WAIT: Duration = Duration::from_secs(10);
+const MACHINES_WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 const ORDERS_PAUSE: Duration = Duration::from_secs(1);
 const REFRESH_PAUSE: Duration = Duration::from_millis(100);
 
 /// Starts the loops of a host.
 pub(crate) fn start(host: &Arc<Host>) {
-    every(host, MEMBERSHIP_TICK, |host| {
+    spawn_periodic(host, MEMBERSHIP_TICK, |host| {
         host.news.take(host.membership.tick());
     });
-    every(host, MEMBERSHIP_TICK, |host| host.manifests.tick());
-    every(host, ANNOUNCE_PAUSE, |host| host.granter.announce());
-    every(host, REFRESH_PAUSE, |host| {
+    spawn_periodic(host, MEMBERSHIP_TICK, |host| host.manifests.tick());
+    spawn_periodic(host, ANNOUNCE_PAUSE, |host| host.granter.announce());
+    spawn_periodic(host, REFRESH_PAUSE, |host| {
         host.home_table.refresh();
         host.homes.refresh();
     });
-    every(host, ORDERS_PAUSE, |host| host.orders.tick());
-    tokio::spawn(status_loop::keep(Arc::clone(host)));
-    tokio::spawn(keep_machines(Arc::clone(host)));
+    spawn_periodic(host, ORDERS_PAUSE, |host| host.orders.tick());
+    tokio::spawn(status_loop::run(Arc::clone(host)));
+    tokio::spawn(watch_machines(Arc::clone(host)));
 }
 
-fn every(host: &Arc<Host>, pause: Duration, step: impl Fn(&Host) + Send + 'static) {
+fn spawn_periodic(host: &Arc<Host>, pause: Duration, step: impl Fn(&Host) + Send + 'static) {
     let host = Arc::clone(host);
     tokio::spawn(async move {
         let mut ticks = interval(pause);
@@ -54,14 +54,14 @@
 
 /// Reads the list of machines when it has changed. A list a second of each of 400 hosts would be a
 /// fifth of the reads that the platform takes; a waiting watch is a tenth of that.
-async fn keep_machines(host: Arc<Host>) {
+async fn watch_machines(host: Arc<Host>) {
     let mut after = None;
     loop {
         let read = match after {
             None => read_machines(&host).await,
             Some(version) => match host
                 .platform
-                .watch(Kind::Machines, version, MACHINES_WAIT)
+                .watch(Kind::Machines, version, MACHINES_WATCH_TIMEOUT)
                 .await
             {
                 Ok(changes) if changes.version > version => read_machines(&host).await,
@@ -82,7 +82,7 @@
 
 async fn read_machines(host: &Host) -> Result<ObjectVersion, PlatformError> {
     let list = host.platform.list(Kind::Machines).await?;
-    let listed = machine_list::take_in(&host.cluster_view, &list);
+    let listed = machine_list::apply(&host.cluster_view, &list);
     host.addrs.learn(&listed.seeds);
     host.membership.seed(&listed.seeds);
     for (upstream, version) in listed.leaving {
--- a/src/daemon/machine_list.rs
+++ b/src/daemon/machine_list.rs
@@ -44,7 +44,7 @@
 
 /// What the list told.
 #[derive(Default)]
-pub(crate) struct Listed {
+pub(crate) struct ListedMachines {
     /// Hosts that may be there.
     pub(crate) seeds: Vec<PeerSeed>,
     /// Upstreams that are leaving, for those who have an older list.
@@ -54,22 +54,22 @@
 /// Puts the upstreams of the platform's list in the cluster view. One that is no longer listed counts as
 /// leaving: its running requests still need its address. The list lags, so what a peer has told of
 /// a later version stays.
-pub(crate) fn take_in(cluster_view: &ClusterView, list: &ObjectList) -> Listed {
-    let mut listed = Listed::default();
+pub(crate) fn apply(cluster_view: &ClusterView, list: &ObjectList) -> ListedMachines {
+    let mut listed = ListedMachines::default();
     let mut ids: IndexSet<UpstreamId> = IndexSet::new();
     for object in &list.items {
-        match machine_of(object) {
+        match parse_machine(object) {
             Some(Machine::Upstream(view)) => {
                 ids.insert(view.id.clone());
-                take_in_upstream(cluster_view, view);
+                apply_upstream(cluster_view, view);
             }
             Some(Machine::Entry(seed)) => listed.seeds.push(seed),
             None => {}
         }
     }
     for (id, mut view) in cluster_view.upstreams.snapshot() {
-        let is_gone = !ids.contains(&id) && view.version <= list.version;
-        if is_gone && view.health != UpstreamHealth::Leaving {
+        let is_removed = !ids.contains(&id) && view.version <= list.version;
+        if is_removed && view.health != UpstreamHealth::Leaving {
             view.health = UpstreamHealth::Leaving;
             cluster_view.upstreams.insert(id.clone(), view.clone());
         }
@@ -80,10 +80,10 @@
     listed
 }
 
-fn take_in_upstream(cluster_view: &ClusterView, view: UpstreamView) {
+fn apply_upstream(cluster_view: &ClusterView, view: UpstreamView) {
     let known = cluster_view.upstreams.get(&view.id);
-    let is_news = |known: &UpstreamView| known.version <= view.version && *known != view;
-    if known.as_ref().is_none_or(is_news) {
+    let is_newer = |known: &UpstreamView| known.version <= view.version && *known != view;
+    if known.as_ref().is_none_or(is_newer) {
         cluster_view.upstreams.insert(view.id.clone(), view);
     }
 }
@@ -93,7 +93,7 @@
     Entry(PeerSeed),
 }
 
-fn machine_of(object: &Object) -> Option<Machine> {
+fn parse_machine(object: &Object) -> Option<Machine> {
     let name = &object.key.name;
     let spec = match MachineSpec::deserialize(&object.value) {
         Ok(spec) => spec,
--- a/src/daemon/manifest_loop.rs
+++ b/src/daemon/manifest_loop.rs
@@ -21,13 +21,13 @@
 
 /// A watch is asked again at this interval even if nothing changed, so that a connection that is
 /// dead without a sign is noticed.
-const WATCH_WAIT: Duration = Duration::from_secs(10);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// After a failure, and between looks at whether this host has become a watcher.
 const PAUSE: Duration = Duration::from_secs(1);
 
 /// What a published manifest must be for this host to take it.
-pub(crate) fn check_for(deployment: String) -> ManifestValidator {
+pub(crate) fn validator(deployment: String) -> ManifestValidator {
     Box::new(move |text| {
         let manifest = Manifest::parse(text, "manifest").map_err(|errors| errors.to_string())?;
         if manifest.deployment == deployment {
@@ -40,12 +40,12 @@
 
 /// Tells the desk what the platform says: all the time if this host watches for its failure domain,
 /// else once at the start and whenever the desk wants to know.
-pub(crate) async fn keep(host: std::sync::Arc<Host>) {
+pub(crate) async fn run(host: std::sync::Arc<Host>) {
     let mut version = None;
     loop {
         let read = match version {
             Some(after) if is_watcher(&host) => watch(&host, after).await,
-            Some(_) => wait_until_wanted(&host).await,
+            Some(_) => wait_until_requested(&host).await,
             None => list(&host).await,
         };
         match read {
@@ -62,22 +62,22 @@
 async fn watch(host: &Host, after: ObjectVersion) -> Result<Option<ObjectVersion>, PlatformError> {
     let changes = host
         .platform
-        .watch(Kind::Manifests, after, WATCH_WAIT)
+        .watch(Kind::Manifests, after, WATCH_TIMEOUT)
         .await?;
     if changes.items.is_empty() {
         host.manifests.platform(ManifestRead::Unchanged);
     }
-    take_in(host, &changes);
+    submit_manifests(host, &changes);
     Ok(Some(changes.version))
 }
 
 /// A host that does not watch hears of new generations from peers.
-async fn wait_until_wanted(host: &Host) -> Result<Option<ObjectVersion>, PlatformError> {
-    let is_wanted = timeout(PAUSE, host.manifests.wants_platform())
+async fn wait_until_requested(host: &Host) -> Result<Option<ObjectVersion>, PlatformError> {
+    let is_requested = timeout(PAUSE, host.manifests.wants_platform())
         .await
         .is_ok();
     let has_become_watcher = is_watcher(host);
-    Ok(if is_wanted || has_become_watcher {
+    Ok(if is_requested || has_become_watcher {
         None
     } else {
         Some(ObjectVersion::default())
@@ -91,7 +91,7 @@
     if list.items.is_empty() {
         host.manifests.platform(ManifestRead::Absent);
     }
-    take_in(host, &list);
+    submit_manifests(host, &list);
     Ok(Some(list.version))
 }
 
@@ -101,7 +101,7 @@
     watchers(domain, &members).contains(&host.settings.host)
 }
 
-fn take_in(host: &Host, list: &ObjectList) {
+fn submit_manifests(host: &Host, list: &ObjectList) {
     for object in &list.items {
         match PublishedManifest::deserialize(&object.value) {
             Ok(published) => host.manifests.platform(ManifestRead::Published(published)),
--- a/src/daemon/news.rs
+++ b/src/daemon/membership_handler.rs
@@ -5,7 +5,7 @@
 use log::info;
 
 use crate::control::home::HomeEvent;
-use crate::entry::EntryParts;
+use crate::entry::EntryContext;
 use crate::fleet::FleetNews;
 use crate::fleet::HomeDesk;
 use crate::fleet::NewsSink;
@@ -15,21 +15,21 @@
 use crate::units::HostId;
 
 /// Tells the parts of a host what has changed among the others.
-pub(crate) struct News {
-    pub(crate) parts: Arc<EntryParts>,
+pub(crate) struct MembershipHandler {
+    pub(crate) entry: Arc<EntryContext>,
     pub(crate) homes: Arc<HomeDesk>,
     pub(crate) peers: Arc<PeerPool>,
     pub(crate) domain: FailureDomainId,
 }
 
-impl News {
+impl MembershipHandler {
     fn is_neighbour(&self, host: &HostId) -> bool {
-        let view = self.parts.cluster_view.hosts.get(host);
+        let view = self.entry.cluster_view.hosts.get(host);
         view.is_some_and(|view| view.domain == self.domain)
     }
 }
 
-impl NewsSink for News {
+impl NewsSink for MembershipHandler {
     fn take(&self, news: Vec<FleetNews>) {
         for item in news {
             match item {
@@ -47,9 +47,9 @@
                 }
                 FleetNews::DropWhatIsHeld => self.homes.hand_over(),
                 FleetNews::Poison(notice) => {
-                    let now = self.parts.clock.now();
+                    let now = self.entry.clock.now();
                     if let Some(poison) = poison_wire::poison_of(&notice)
-                        && self.parts.poison_list().merge(&poison, now)
+                        && self.entry.poison_list().merge(&poison, now)
                     {
                         info!(
                             "poison: another host saw {:?} crash an upstream",
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -6,7 +6,7 @@
 mod loops;
 mod machine_list;
 mod manifest_loop;
-mod news;
+mod membership_handler;
 mod pages;
 mod poll;
 mod run;
--- a/src/daemon/pages.rs
+++ b/src/daemon/pages.rs
@@ -40,7 +40,7 @@
 
     fn metrics(&self) -> Page {
         let host = &self.0;
-        let metrics = &host.parts.metrics;
+        let metrics = &host.entry.metrics;
         metrics.update_cluster_counts(&host.cluster_view);
         metrics.update_host_counts(HostCounts {
             peer_control_bytes: host.traffic.control_bytes(),
@@ -61,7 +61,7 @@
             Ok(request) => request,
             Err(err) => return Page::text(StatusCode::BAD_REQUEST, format!("{err}\n")),
         };
-        let Some(explanation) = self.0.parts.explanations.get(request) else {
+        let Some(explanation) = self.0.entry.explanations.get(request) else {
             let why = "this host knows nothing of the request, or no longer\n";
             return Page::text(StatusCode::NOT_FOUND, why);
         };
@@ -93,10 +93,10 @@
             .collect();
         page["pools"] = json!(pools);
         page["orders"] = json!(orders);
-        page["in_flight"] = json!(host.parts.in_flight.count());
+        page["in_flight"] = json!(host.entry.in_flight.count());
         page["grants"] = json!(host.granter.live_count());
-        page["claims_pending"] = json!(host.parts.claims.pending());
-        page["body_bytes"] = json!(host.parts.bodies.used_bytes());
+        page["claims_pending"] = json!(host.entry.claims.pending());
+        page["body_bytes"] = json!(host.entry.bodies.used_bytes());
         page["control_bytes"] = json!(host.traffic.control_bytes());
         page["work_bytes"] = json!(host.traffic.work_bytes());
         Page::json(StatusCode::OK, format!("{page}\n"))
--- a/src/daemon/poll.rs
+++ b/src/daemon/poll.rs
@@ -14,41 +14,41 @@
 use crate::units::UpstreamId;
 
 /// Reports lag by about as much at the engine already; asking more often tells nothing new.
-const PAUSE: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Polls the upstreams of the homes on this host.
-pub(crate) async fn keep(
-    desk: Arc<HomeDesk>,
+pub(crate) async fn run(
+    homes: Arc<HomeDesk>,
     map: Arc<dyn HomeMap>,
     upstreams: Arc<dyn UpstreamDirectory>,
 ) {
-    let mut seqs: IndexMap<UpstreamId, u64> = IndexMap::new();
+    let mut last_seqs: IndexMap<UpstreamId, u64> = IndexMap::new();
     loop {
-        sleep(PAUSE).await;
-        let mut asked = JoinSet::new();
-        let ids = desk
+        sleep(POLL_INTERVAL).await;
+        let mut polls = JoinSet::new();
+        let ids = homes
             .pools()
             .into_iter()
             .flat_map(|(pool, _)| map.upstreams_of(&pool));
         for id in ids {
-            let after_seq = seqs.get(&id).copied().unwrap_or(0);
-            asked.spawn(poll_one(
-                Arc::clone(&desk),
+            let after_seq = last_seqs.get(&id).copied().unwrap_or(0);
+            polls.spawn(poll_one(
+                Arc::clone(&homes),
                 Arc::clone(&upstreams),
                 id,
                 after_seq,
             ));
         }
-        while let Some(polled) = asked.join_next().await {
+        while let Some(polled) = polls.join_next().await {
             if let Ok((id, seq)) = polled {
-                seqs.insert(id, seq);
+                last_seqs.insert(id, seq);
             }
         }
     }
 }
 
 async fn poll_one(
-    desk: Arc<HomeDesk>,
+    homes: Arc<HomeDesk>,
     upstreams: Arc<dyn UpstreamDirectory>,
     id: UpstreamId,
     after_seq: u64,
@@ -61,7 +61,7 @@
             upstream: id.clone(),
             report,
         };
-        desk.tell_of_upstream(&id, &event);
+        homes.tell_of_upstream(&id, &event);
     }
     let Ok(events) = client.cache_events(after_seq).await else {
         return (id, after_seq);
@@ -76,7 +76,7 @@
             upstream: id.clone(),
             events,
         };
-        desk.tell_of_upstream(&id, &event);
+        homes.tell_of_upstream(&id, &event);
     }
     (id, seq)
 }
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -30,17 +30,17 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let host = Host::start(settings).await?;
-    any_of(&mut terminate, &mut interrupt).await;
+    wait_for_signal(&mut terminate, &mut interrupt).await;
     info!("daemon: drains, a second signal ends it at once");
     let code = tokio::select! {
         code = host.drain.run(&host) => code,
-        () = any_of(&mut terminate, &mut interrupt) => host.drain.cut(&host),
+        () = wait_for_signal(&mut terminate, &mut interrupt) => host.drain.abort(&host),
     };
     info!("daemon: ends with code {code}");
     Ok(code)
 }
 
-async fn any_of(terminate: &mut Signal, interrupt: &mut Signal) {
+async fn wait_for_signal(terminate: &mut Signal, interrupt: &mut Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
--- a/src/daemon/status_loop.rs
+++ b/src/daemon/status_loop.rs
@@ -21,7 +21,7 @@
 use crate::units::ObjectVersion;
 
 /// A report of 400 hosts takes about a millisecond to make; the reporter writes it once in 30 s at most.
-const PAUSE: Duration = Duration::from_secs(5);
+const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The report of a host as it is now.
 pub(crate) fn report(host: &Host) -> StatusReport {
@@ -37,11 +37,11 @@
 }
 
 /// Writes the report whenever the reporter wants it.
-pub(crate) async fn keep(host: Arc<Host>) {
+pub(crate) async fn run(host: Arc<Host>) {
     let mut reporter = Reporter::new(StdRng::from_os_rng(), host.clock.now());
     let key = ObjectKey::new(Kind::Statuses, host.settings.host.as_str());
     loop {
-        sleep(PAUSE).await;
+        sleep(REPORT_INTERVAL).await;
         let report = report(&host).for_platform();
         match reporter.tick(hash_without_ages(&report), host.clock.now()) {
             Some(ReporterAction::Read) => {
@@ -73,12 +73,12 @@
 
 /// Ages change all the time and are no news.
 fn hash_without_ages(report: &StatusReport) -> u64 {
-    let mut ageless = report.clone();
-    ageless.generation_confirmed_ago_s = None;
-    for event in &mut ageless.lately {
+    let mut stable = report.clone();
+    stable.generation_confirmed_ago_s = None;
+    for event in &mut stable.lately {
         event.ago_s = 0;
     }
-    for home in &mut ageless.homes {
+    for home in &mut stable.homes {
         (
             home.waiting,
             home.running,
@@ -86,5 +86,5 @@
             home.free_tokens,
         ) = (0, 0, 0, 0);
     }
-    xxh3_64(format!("{ageless:?}").as_bytes())
+    xxh3_64(format!("{stable:?}").as_bytes())
 }
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -8,7 +8,7 @@
 use crate::control::outcome::AnswerStep;
 use crate::decide::AttemptOutcome;
 use crate::decide::AttemptSummary;
-use crate::entry::Break;
+use crate::entry::AttemptFailure;
 use crate::entry::HeldGrant;
 use crate::entry::Usage;
 use crate::units::AttemptId;
@@ -19,7 +19,7 @@
 
 /// What to do with a piece of an answer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Piece {
+pub enum AttemptOutput {
     /// Hand on this text; it is the first of the answer or comes this long after the last.
     Text {
         /// The text.
@@ -37,21 +37,21 @@
     /// Hand on bytes.
     Data(bytes::Bytes),
     /// The answer is whole.
-    Whole {
+    Complete {
         /// Why the model stopped.
         finish_reason: String,
     },
     /// There is nothing in it that was not handed on before.
-    Repeated,
+    Duplicate,
     /// It is not the next piece of this attempt's answer.
-    Wrong(AnswerFault),
+    Invalid(AnswerFault),
 }
 
 /// An attempt, from its grant to its end.
 #[derive(Debug)]
 pub struct Attempt {
     /// The grant it uses up.
-    pub held: HeldGrant,
+    pub grant: HeldGrant,
     started: Instant,
     first_token: Option<Duration>,
     last_token: Option<Instant>,
@@ -62,10 +62,10 @@
 
 impl Attempt {
     /// An attempt that is about to be dispatched.
-    pub fn new(held: HeldGrant, is_model: bool, now: Instant) -> Self {
-        let id = held.attempt();
+    pub fn new(grant: HeldGrant, is_model: bool, now: Instant) -> Self {
+        let id = grant.attempt();
         Self {
-            held,
+            grant,
             started: now,
             first_token: None,
             last_token: None,
@@ -81,12 +81,12 @@
 
     /// Its id.
     pub fn id(&self) -> AttemptId {
-        self.held.attempt()
+        self.grant.attempt()
     }
 
     /// The upstream that answers.
     pub fn leader(&self) -> Option<&UpstreamId> {
-        self.held.upstreams.first()
+        self.grant.upstreams.first()
     }
 
     /// How many tokens have been handed on.
@@ -96,38 +96,38 @@
 
     /// Checks a piece before a byte of it reaches the caller. Answers can be late, crossed, cut or
     /// repeated; only the next tokens of this very attempt may pass.
-    pub fn take(&mut self, event: ResponseEvent, now: Instant) -> Piece {
+    pub fn on_event(&mut self, event: ResponseEvent, now: Instant) -> AttemptOutput {
         match self.check.on_event(event) {
-            AnswerStep::Skip => Piece::Repeated,
-            AnswerStep::Fault(fault) => Piece::Wrong(fault),
+            AnswerStep::Skip => AttemptOutput::Duplicate,
+            AnswerStep::Fault(fault) => AttemptOutput::Invalid(fault),
             AnswerStep::Forward(event) => self.forward(event, now),
             AnswerStep::End(event) => self.end(event),
         }
     }
 
-    fn forward(&mut self, event: ResponseEvent, now: Instant) -> Piece {
+    fn forward(&mut self, event: ResponseEvent, now: Instant) -> AttemptOutput {
         match event {
             ResponseEvent::Head {
                 status,
                 content_type,
-            } => Piece::Head {
+            } => AttemptOutput::Head {
                 status,
                 content_type,
             },
             ResponseEvent::Data(bytes) => {
-                self.note_token(now);
-                Piece::Data(bytes)
+                self.record_token(now);
+                AttemptOutput::Data(bytes)
             }
-            ResponseEvent::Tokens { count: 0, .. } => Piece::Repeated,
+            ResponseEvent::Tokens { count: 0, .. } => AttemptOutput::Duplicate,
             ResponseEvent::Tokens { text, .. } => {
-                let gap = self.note_token(now);
-                Piece::Text { text, gap }
+                let gap = self.record_token(now);
+                AttemptOutput::Text { text, gap }
             }
             ResponseEvent::End { .. } => self.end(event),
         }
     }
 
-    fn end(&mut self, event: ResponseEvent) -> Piece {
+    fn end(&mut self, event: ResponseEvent) -> AttemptOutput {
         let ResponseEvent::End {
             finish_reason,
             prompt_tokens,
@@ -135,14 +135,14 @@
             ..
         } = event
         else {
-            return Piece::Wrong(AnswerFault::Unexpected("an end"));
+            return AttemptOutput::Invalid(AnswerFault::Unexpected("an end"));
         };
         self.prompt_tokens = prompt_tokens;
         self.cached_tokens = cached_tokens;
-        Piece::Whole { finish_reason }
+        AttemptOutput::Complete { finish_reason }
     }
 
-    fn note_token(&mut self, now: Instant) -> Option<Duration> {
+    fn record_token(&mut self, now: Instant) -> Option<Duration> {
         let gap = self
             .last_token
             .map(|last| now.saturating_duration_since(last));
@@ -162,7 +162,7 @@
     }
 
     /// The report for the home.
-    pub fn done(&self, ended: AttemptOutcome, now: Instant) -> AttemptSummary {
+    pub fn summary(&self, ended: AttemptOutcome, now: Instant) -> AttemptSummary {
         AttemptSummary {
             ended,
             first_token: self.first_token,
@@ -176,7 +176,7 @@
 
 /// The error that a faulty answer amounts to. Where the same attempt can be read on, what was wrong
 /// was the stream, and not the attempt.
-pub(crate) fn error_of(fault: AnswerFault) -> UpstreamError {
+pub(crate) fn error_for_fault(fault: AnswerFault) -> UpstreamError {
     if fault.can_resume() {
         UpstreamError::Interrupted(fault.to_string())
     } else {
@@ -185,11 +185,11 @@
 }
 
 /// What an upstream's error means for the life of a request.
-pub fn break_of(err: &UpstreamError) -> Break {
+pub fn classify_failure(err: &UpstreamError) -> AttemptFailure {
     match err {
-        UpstreamError::NotSent(_) | UpstreamError::Refused { .. } => Break::DidNotRun,
-        UpstreamError::Interrupted(_) => Break::Cut,
-        UpstreamError::InvalidResponse(_) => Break::Garbled,
-        UpstreamError::Failed(_) | UpstreamError::UnknownAttempt => Break::Lost,
+        UpstreamError::NotSent(_) | UpstreamError::Refused { .. } => AttemptFailure::DidNotRun,
+        UpstreamError::Interrupted(_) => AttemptFailure::Interrupted,
+        UpstreamError::InvalidResponse(_) => AttemptFailure::InvalidResponse,
+        UpstreamError::Failed(_) | UpstreamError::UnknownAttempt => AttemptFailure::Lost,
     }
 }
--- a/src/entry/body_reader.rs
+++ b/src/entry/body_reader.rs
@@ -11,27 +11,27 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::sync::Semaphore;
 
-use crate::entry::FailReason;
+use crate::entry::FailureReason;
 use crate::units::ByteSize;
 
 /// Memory is counted in steps of this size, since a semaphore counts in 32 bits.
-const STEP_BYTES: usize = 1 << 10;
+const PERMIT_BYTES: usize = 1 << 10;
 
 /// A caller that sends nothing for this long in the middle of its body is gone.
-const BODY_STALL: Duration = Duration::from_secs(10);
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The memory for bodies of requests that have not ended. A body is kept until then, since a retry
 /// sends it again. Without this bound a burst of million-token prompts would take the host's memory
 /// and every request on it; with it the surplus is told to come back.
 #[derive(Clone, Debug)]
 pub struct BodyMemory {
-    steps: Arc<Semaphore>,
-    steps_max: usize,
+    permits: Arc<Semaphore>,
+    permits_max: usize,
 }
 
 /// A body that has been read, and the memory it takes.
 #[derive(Debug)]
-pub struct HeldBody {
+pub struct BufferedBody {
     /// The bytes in one piece.
     pub bytes: Bytes,
     _permit: OwnedSemaphorePermit,
@@ -40,16 +40,16 @@
 impl BodyMemory {
     /// Memory of this size.
     pub fn new(size: ByteSize) -> Self {
-        let steps_max = (size.as_usize() / STEP_BYTES).min(Semaphore::MAX_PERMITS);
+        let permits_max = (size.as_usize() / PERMIT_BYTES).min(Semaphore::MAX_PERMITS);
         Self {
-            steps: Arc::new(Semaphore::new(steps_max)),
-            steps_max,
+            permits: Arc::new(Semaphore::new(permits_max)),
+            permits_max,
         }
     }
 
     /// The bytes that are taken now.
     pub fn used_bytes(&self) -> usize {
-        (self.steps_max - self.steps.available_permits()) * STEP_BYTES
+        (self.permits_max - self.permits.available_permits()) * PERMIT_BYTES
     }
 
     /// Reads a body of at most `size_max`.
@@ -57,41 +57,41 @@
         &self,
         mut body: Incoming,
         size_max: ByteSize,
-    ) -> Result<HeldBody, FailReason> {
+    ) -> Result<BufferedBody, FailureReason> {
         let announced = body.size_hint().upper();
         if announced.is_some_and(|len| len > size_max.0) {
-            return Err(FailReason::BodyTooLarge);
+            return Err(FailureReason::BodyTooLarge);
         }
         let announced_len = announced.and_then(|len| usize::try_from(len).ok());
-        let mut permit = self.take(announced_len.unwrap_or(0))?;
+        let mut permit = self.reserve(announced_len.unwrap_or(0))?;
         let mut bytes = BytesMut::with_capacity(announced_len.unwrap_or(0));
         loop {
-            let frame = tokio::time::timeout(BODY_STALL, body.frame()).await;
-            let Some(frame) = frame.map_err(|_| FailReason::BadRequest)? else {
+            let frame = tokio::time::timeout(BODY_READ_TIMEOUT, body.frame()).await;
+            let Some(frame) = frame.map_err(|_| FailureReason::BadRequest)? else {
                 break;
             };
-            let frame = frame.map_err(|_| FailReason::BadRequest)?;
+            let frame = frame.map_err(|_| FailureReason::BadRequest)?;
             let Ok(data) = frame.into_data() else {
                 continue;
             };
             if (bytes.len() + data.len()) as u64 > size_max.0 {
-                return Err(FailReason::BodyTooLarge);
+                return Err(FailureReason::BodyTooLarge);
             }
             if announced_len.is_none() {
-                permit.merge(self.take(data.len())?);
+                permit.merge(self.reserve(data.len())?);
             }
             bytes.extend_from_slice(&data);
         }
-        Ok(HeldBody {
+        Ok(BufferedBody {
             bytes: bytes.freeze(),
             _permit: permit,
         })
     }
 
-    fn take(&self, len: usize) -> Result<OwnedSemaphorePermit, FailReason> {
-        let steps = u32::try_from(len.div_ceil(STEP_BYTES));
-        let steps = steps.map_err(|_| FailReason::BodyTooLarge)?;
-        let permit = Arc::clone(&self.steps).try_acquire_many_owned(steps);
-        permit.map_err(|_| FailReason::BodyMemory)
+    fn reserve(&self, len: usize) -> Result<OwnedSemaphorePermit, FailureReason> {
+        let permits = u32::try_from(len.div_ceil(PERMIT_BYTES));
+        let permits = permits.map_err(|_| FailureReason::BodyTooLarge)?;
+        let permit = Arc::clone(&self.permits).try_acquire_many_owned(permits);
+        permit.map_err(|_| FailureReason::BodyMemory)
     }
 }
--- a/src/entry/claim_desk.rs
+++ b/src/entry/claim_registry.rs
@@ -11,7 +11,7 @@
 use crate::units::AttemptId;
 
 /// Whoever records claims.
-pub trait ClaimDesk: Send + Sync {
+pub trait ClaimRegistry: Send + Sync {
     /// Records a claim. Only [`ClaimOutcome::Claimed`] allows to dispatch.
     fn claim(&self, key: ClaimKey, claim: Claim) -> BoxFuture<'_, ClaimOutcome>;
 
@@ -25,7 +25,7 @@
     fn pending(&self) -> usize;
 }
 
-impl ClaimDesk for ClaimStore {
+impl ClaimRegistry for ClaimStore {
     fn claim(&self, key: ClaimKey, claim: Claim) -> BoxFuture<'_, ClaimOutcome> {
         self.claim(key, claim).boxed()
     }
--- a/src/entry/parts.rs
+++ b/src/entry/context.rs
@@ -13,9 +13,9 @@
 use crate::decide::PoisonReport;
 use crate::decide::RetryBudget;
 use crate::entry::BodyMemory;
-use crate::entry::ClaimDesk;
+use crate::entry::ClaimRegistry;
 use crate::entry::Granter;
-use crate::entry::InFlight;
+use crate::entry::InFlightCounter;
 use crate::entry::UpstreamDirectory;
 use crate::observe::Explanations;
 use crate::observe::Metrics;
@@ -30,7 +30,7 @@
 }
 
 /// What the entry works with; shared by all requests.
-pub struct EntryParts {
+pub struct EntryContext {
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// This host.
@@ -40,7 +40,7 @@
     /// Grants.
     pub granter: Arc<dyn Granter>,
     /// Claims.
-    pub claims: Arc<dyn ClaimDesk>,
+    pub claims: Arc<dyn ClaimRegistry>,
     /// Upstreams.
     pub upstreams: Arc<dyn UpstreamDirectory>,
     /// The decisions; baselines give engines no ranks by length.
@@ -48,7 +48,7 @@
     /// Memory for bodies.
     pub bodies: BodyMemory,
     /// Requests that have not ended.
-    pub in_flight: InFlight,
+    pub in_flight: InFlightCounter,
     /// Requests that crash upstreams.
     pub poison: Mutex<PoisonList>,
     /// Tells other hosts of them.
@@ -58,18 +58,22 @@
     /// What was decided for requests.
     pub explanations: Arc<Explanations>,
     /// A retry budget for each target.
-    pub retries: Mutex<IndexMap<TargetId, RetryBudget>>,
+    pub retry_budgets: Mutex<IndexMap<TargetId, RetryBudget>>,
 }
 
-impl EntryParts {
+impl EntryContext {
     /// Works with the retry budget of a target.
-    pub fn with_budget<R>(&self, target: &TargetId, work: impl FnOnce(&mut RetryBudget) -> R) -> R {
+    pub fn with_retry_budget<R>(
+        &self,
+        target: &TargetId,
+        update: impl FnOnce(&mut RetryBudget) -> R,
+    ) -> R {
         let now = self.clock.now();
-        let mut budgets = lock(&self.retries);
+        let mut budgets = lock(&self.retry_budgets);
         let budget = budgets
             .entry(target.clone())
             .or_insert_with(|| RetryBudget::new(rand::random(), now));
-        work(budget)
+        update(budget)
     }
 
     /// The list of requests that crash upstreams.
--- /dev/null
+++ b/src/entry/driver/forwarding.rs
@@ -0,0 +1,136 @@
+//! Hands an upstream's answer on to the caller.
+
+use std::time::Duration;
+
+use futures_util::StreamExt;
+use statig::prelude::*;
+use tokio::time::sleep_until;
+
+use crate::control::outcome::AnswerFault;
+use crate::entry::Attempt;
+use crate::entry::AttemptFailure;
+use crate::entry::LifecycleEvent;
+use crate::entry::RequestLifecycle;
+use crate::entry::advance;
+use crate::entry::attempt::AttemptOutput;
+use crate::entry::attempt::error_for_fault;
+use crate::entry::driver::Driver;
+use crate::entry::driver::caller_gone;
+use crate::entry::driver::unresponsive::unresponsive_error;
+use crate::entry::driver::unresponsive::wait_until_unresponsive;
+use crate::observe::StepKind;
+use crate::upstream::ResponseStream;
+use crate::upstream::UpstreamError;
+
+impl Driver<'_> {
+    /// Hands an answer on until it ends, whichever way.
+    pub(super) async fn forward_response(
+        &mut self,
+        mut response: ResponseStream,
+        lifecycle: &mut StateMachine<RequestLifecycle>,
+    ) -> LifecycleEvent {
+        let deadline = self.job.work.deadline;
+        let upstream = self.engine();
+        loop {
+            let event = tokio::select! {
+                event = response.next() => event,
+                () = caller_gone(self.reply, self.is_detached) => {
+                    if !self.detach() {
+                        return LifecycleEvent::CallerGone;
+                    }
+                    continue;
+                }
+                () = sleep_until(deadline.into()) => return LifecycleEvent::DeadlineExceeded,
+                () = wait_until_unresponsive(upstream.as_deref()) => return self.on_attempt_failure(unresponsive_error()).await,
+            };
+            let event = match event {
+                Some(Ok(event)) => event,
+                Some(Err(err)) => return self.on_attempt_failure(err).await,
+                None => {
+                    let why = "the answer ended without its end mark".to_owned();
+                    return self
+                        .on_attempt_failure(UpstreamError::Interrupted(why))
+                        .await;
+                }
+            };
+            let now = self.context.clock.now();
+            let Some(attempt) = &mut self.attempt else {
+                return LifecycleEvent::AttemptFailed(AttemptFailure::Lost);
+            };
+            let output = attempt.on_event(event, now);
+            match self.forward(output).await {
+                ForwardResult::Continue => {}
+                ForwardResult::Complete => return LifecycleEvent::Ended,
+                ForwardResult::Invalid(fault) => {
+                    return self.on_attempt_failure(error_for_fault(fault)).await;
+                }
+                ForwardResult::CallerGone if self.detach() => {}
+                ForwardResult::CallerGone => return LifecycleEvent::CallerGone,
+            }
+            if self.reply.is_delivered() {
+                advance(lifecycle, LifecycleEvent::Delivered);
+            }
+        }
+    }
+
+    async fn forward(&mut self, output: AttemptOutput) -> ForwardResult {
+        let sent = match output {
+            AttemptOutput::Text { text, gap } => {
+                self.record_token_times(gap);
+                self.reply.send_tokens(&text).await
+            }
+            AttemptOutput::Head {
+                status,
+                content_type,
+            } => self
+                .reply
+                .send_service_head(status, content_type.as_deref()),
+            AttemptOutput::Data(bytes) => self.reply.send_data(bytes).await,
+            AttemptOutput::Complete { finish_reason } => {
+                let usage = self
+                    .attempt
+                    .as_ref()
+                    .map(Attempt::usage)
+                    .unwrap_or_default();
+                // The answer is whole whether its caller still listens or not.
+                let _ = self.reply.complete(&finish_reason, usage).await;
+                return ForwardResult::Complete;
+            }
+            AttemptOutput::Duplicate => Ok(()),
+            AttemptOutput::Invalid(fault) => return ForwardResult::Invalid(fault),
+        };
+        match sent {
+            Ok(()) => ForwardResult::Continue,
+            Err(_) if self.is_detached => ForwardResult::Continue,
+            Err(_) => ForwardResult::CallerGone,
+        }
+    }
+
+    pub(super) fn record_token_times(&self, gap: Option<Duration>) {
+        let work = &self.job.work;
+        let metrics = &self.context.metrics;
+        match gap {
+            Some(gap) => metrics.record_token_gap(&work.customer, work.class(), gap),
+            None => {
+                let now = self.context.clock.now();
+                let took = now.saturating_duration_since(self.job.received);
+                metrics.record_first_token(&work.customer, work.class(), took);
+                self.record_step(StepKind::FirstToken, self.leader(), "");
+            }
+        }
+    }
+
+    /// A claimed request runs on without its caller, who will ask for the answer again with the
+    /// same key: ending it would leave nothing but "may have run".
+    pub(super) fn detach(&mut self) -> bool {
+        self.is_detached = self.is_detached || self.recorded_claim.is_some();
+        self.is_detached
+    }
+}
+
+enum ForwardResult {
+    Continue,
+    Complete,
+    Invalid(AnswerFault),
+    CallerGone,
+}
--- a/src/entry/driver/mod.rs
+++ b/src/entry/driver/mod.rs
@@ -2,8 +2,8 @@
 
 mod claiming;
 mod dispatching;
-mod frozen;
-mod pumping;
+mod forwarding;
+mod unresponsive;
 
 use std::borrow::Cow;
 use std::sync::Arc;
@@ -25,21 +25,21 @@
 use crate::decide::RequestFingerprint;
 use crate::decide::RetryDecision;
 use crate::entry::Attempt;
-use crate::entry::Break;
-use crate::entry::EntryParts;
-use crate::entry::FailReason;
-use crate::entry::Failure;
+use crate::entry::AttemptFailure;
+use crate::entry::EntryContext;
+use crate::entry::FailureReason;
+use crate::entry::FailureReply;
 use crate::entry::GrantAnswer;
 use crate::entry::HeldGrant;
 use crate::entry::Job;
-use crate::entry::Life;
-use crate::entry::LifeEvent;
-use crate::entry::LifeStep;
+use crate::entry::LifecycleAction;
+use crate::entry::LifecycleEvent;
 use crate::entry::Reply;
-use crate::entry::Verdict;
+use crate::entry::RequestLifecycle;
+use crate::entry::RequestOutcome;
 use crate::entry::advance;
-use crate::entry::break_of;
-use crate::entry::settle::settle;
+use crate::entry::classify_failure;
+use crate::entry::release::release_attempt;
 use crate::observe::StepKind;
 use crate::units::AttemptId;
 use crate::units::RequestId;
@@ -51,16 +51,16 @@
 const RETRY_AFTER_DEFAULT: Duration = Duration::from_secs(1);
 
 /// An attempt that breaks this close to the time limit broke for the limit.
-const NEARLY_OVER: Duration = Duration::from_millis(100);
+const NEAR_DEADLINE: Duration = Duration::from_millis(100);
 
 /// One request on its way.
 pub(crate) struct Driver<'a> {
-    parts: &'a Arc<EntryParts>,
+    context: &'a Arc<EntryContext>,
     job: Job,
     reply: &'a mut Reply,
     attempt: Option<Attempt>,
-    claimed: Option<(ClaimKey, AttemptId)>,
-    followed: Option<Claim>,
+    recorded_claim: Option<(ClaimKey, AttemptId)>,
+    followed_claim: Option<Claim>,
     attempts: u32,
     last_error: Option<UpstreamError>,
     message: String,
@@ -69,14 +69,14 @@
 }
 
 impl<'a> Driver<'a> {
-    pub(crate) fn new(parts: &'a Arc<EntryParts>, job: Job, reply: &'a mut Reply) -> Self {
+    pub(crate) fn new(context: &'a Arc<EntryContext>, job: Job, reply: &'a mut Reply) -> Self {
         Self {
-            parts,
+            context,
             job,
             reply,
             attempt: None,
-            claimed: None,
-            followed: None,
+            recorded_claim: None,
+            followed_claim: None,
             attempts: 0,
             last_error: None,
             message: String::new(),
@@ -86,45 +86,45 @@
     }
 
     /// Takes the request from here to its end and returns how it ended; none if its caller went.
-    pub(crate) async fn run(&mut self) -> Option<Verdict> {
-        let mut life = Life::new(self.job.rules).state_machine();
+    pub(crate) async fn run(&mut self) -> Option<RequestOutcome> {
+        let mut lifecycle = RequestLifecycle::new(self.job.rules).state_machine();
         let mut event = self.admit();
         loop {
-            let step = advance(&mut life, event);
+            let action = advance(&mut lifecycle, event);
             debug!(
-                "entry: request {} {event:?} leads to {step:?}",
+                "entry: request {} {event:?} leads to {action:?}",
                 self.job.request
             );
-            event = match step {
-                LifeStep::AskGrant => self.ask_grant().await,
-                LifeStep::Claim => self.claim().await,
-                LifeStep::Dispatch => self.dispatch(&mut life).await,
-                LifeStep::Resume => self.resume(&mut life).await,
-                LifeStep::ConsiderRetry => self.consider_retry().await,
-                LifeStep::Follow => self.follow(&mut life).await,
-                LifeStep::Finish(verdict) => {
-                    self.finish(verdict).await;
-                    return Some(verdict);
+            event = match action {
+                LifecycleAction::RequestGrant => self.request_grant().await,
+                LifecycleAction::Claim => self.claim().await,
+                LifecycleAction::Dispatch => self.dispatch(&mut lifecycle).await,
+                LifecycleAction::Resume => self.resume(&mut lifecycle).await,
+                LifecycleAction::DecideRetry => self.decide_retry().await,
+                LifecycleAction::FollowClaim => self.follow_claim(&mut lifecycle).await,
+                LifecycleAction::Finish(outcome) => {
+                    self.finish(outcome).await;
+                    return Some(outcome);
                 }
-                LifeStep::Abandon => {
+                LifecycleAction::Abandon => {
                     self.end_attempt(AttemptOutcome::Cancelled);
                     return None;
                 }
-                LifeStep::Nothing => {
+                LifecycleAction::Nothing => {
                     // Every event that a step reports has its transition; if one had none, waiting
                     // for the next would hold the caller up for ever.
                     warn!(
                         "entry: request {} got {event:?} out of place",
                         self.job.request
                     );
-                    LifeEvent::TimeUp
+                    LifecycleEvent::DeadlineExceeded
                 }
             };
         }
     }
 
-    fn note(&self, what: StepKind, place: &str, why: impl Into<Cow<'static, str>>) {
-        self.parts
+    fn record_step(&self, what: StepKind, place: &str, why: impl Into<Cow<'static, str>>) {
+        self.context
             .explanations
             .record(self.job.request, what, place, why);
     }
@@ -133,7 +133,7 @@
     fn engine(&self) -> Option<Arc<dyn UpstreamClient>> {
         let leader = self.attempt.as_ref().and_then(Attempt::leader);
         let leader = leader.filter(|_| self.job.is_model());
-        leader.and_then(|id| self.parts.upstreams.upstream(id))
+        leader.and_then(|id| self.context.upstreams.upstream(id))
     }
 
     fn leader(&self) -> &str {
@@ -144,7 +144,7 @@
     }
 
     /// A request that crashed upstreams before is turned away before it costs anything.
-    fn admit(&mut self) -> LifeEvent {
+    fn admit(&mut self) -> LifecycleEvent {
         let work = &self.job.work;
         let why = format!(
             "{} for {}, {} prompt tokens ({}), rank {}",
@@ -154,43 +154,43 @@
             work.class(),
             work.priority
         );
-        self.note(StepKind::Received, self.parts.host.as_str(), why);
+        self.record_step(StepKind::Received, self.context.host.as_str(), why);
         if self
-            .parts
+            .context
             .poison_list()
-            .is_poison(&self.poison_marks(), self.parts.clock.now())
+            .is_poison(&self.fingerprints(), self.context.clock.now())
         {
             "it crashed the upstreams that ran it".clone_into(&mut self.message);
-            return LifeEvent::Rejected(FailReason::Refused(RefuseReason::Poison));
+            return LifecycleEvent::Rejected(FailureReason::Refused(RefuseReason::Poison));
         }
-        LifeEvent::Admitted
+        LifecycleEvent::Admitted
     }
 
-    fn poison_marks(&self) -> Vec<RequestFingerprint> {
-        let mut marks = vec![RequestFingerprint::of_content(self.job.content)];
+    fn fingerprints(&self) -> Vec<RequestFingerprint> {
+        let mut fingerprints = vec![RequestFingerprint::of_content(self.job.content)];
         if let Some(key) = &self.job.key {
-            marks.push(RequestFingerprint::of_key(&self.job.work.customer, key));
+            fingerprints.push(RequestFingerprint::of_key(&self.job.work.customer, key));
         }
-        marks
+        fingerprints
     }
 
-    async fn ask_grant(&mut self) -> LifeEvent {
-        let parts = Arc::clone(self.parts);
-        let ask = parts
+    async fn request_grant(&mut self) -> LifecycleEvent {
+        let context = Arc::clone(self.context);
+        let ask = context
             .granter
             .request_grant(self.job.target.clone(), self.job.work.clone());
         let deadline = self.job.work.deadline;
         let answer = tokio::select! {
             answer = ask => answer,
-            () = gone(self.reply, self.is_detached) => return LifeEvent::CallerGone,
-            () = sleep_until(deadline.into()) => return LifeEvent::TimeUp,
+            () = caller_gone(self.reply, self.is_detached) => return LifecycleEvent::CallerGone,
+            () = sleep_until(deadline.into()) => return LifecycleEvent::DeadlineExceeded,
         };
         match answer {
-            GrantAnswer::Granted(held) => {
-                self.note_granted(&held);
-                let now = self.parts.clock.now();
-                self.attempt = Some(Attempt::new(*held, self.job.is_model(), now));
-                LifeEvent::Granted
+            GrantAnswer::Granted(grant) => {
+                self.record_granted(&grant);
+                let now = self.context.clock.now();
+                self.attempt = Some(Attempt::new(*grant, self.job.is_model(), now));
+                LifecycleEvent::Granted
             }
             GrantAnswer::Refused {
                 reason,
@@ -198,93 +198,98 @@
             } => {
                 self.retry_after = Some(retry_after);
                 self.message = format!("turned away: {reason}");
-                self.note(StepKind::Refused, "", reason.name());
-                LifeEvent::Refused(reason)
+                self.record_step(StepKind::Refused, "", reason.name());
+                LifecycleEvent::Refused(reason)
             }
         }
     }
 
-    fn note_granted(&self, held: &HeldGrant) {
-        let places: Vec<&str> = held.upstreams.iter().map(UpstreamId::as_str).collect();
-        let why = format!("{} after {:?}, pool {}", held.why, held.waited, held.pool);
-        self.note(StepKind::Granted, &places.join(","), why);
-        let work = &held.work;
-        self.parts
+    fn record_granted(&self, grant: &HeldGrant) {
+        let places: Vec<&str> = grant.upstreams.iter().map(UpstreamId::as_str).collect();
+        let why = format!(
+            "{} after {:?}, pool {}",
+            grant.why, grant.waited, grant.pool
+        );
+        self.record_step(StepKind::Granted, &places.join(","), why);
+        let work = &grant.work;
+        self.context
             .metrics
-            .record_queue_wait(&work.customer, work.class(), held.waited);
+            .record_queue_wait(&work.customer, work.class(), grant.waited);
     }
 
-    pub(super) async fn broken(&mut self, err: UpstreamError) -> LifeEvent {
-        let broke = break_of(&err);
-        info!("entry: request {} broke: {err}", self.job.request);
+    pub(super) async fn on_attempt_failure(&mut self, err: UpstreamError) -> LifecycleEvent {
+        let failure = classify_failure(&err);
+        info!("entry: request {} failure: {err}", self.job.request);
         self.message = err.to_string();
-        let is_cut = broke == Break::Cut;
+        let is_cut = failure == AttemptFailure::Interrupted;
         let what = if is_cut {
             StepKind::Resumed
         } else {
             StepKind::Retried
         };
-        self.note(what, self.leader(), err.to_string());
+        self.record_step(what, self.leader(), err.to_string());
         if let UpstreamError::Refused { retry_after, .. } = &err {
             self.retry_after = *retry_after;
         }
-        match broke {
-            Break::DidNotRun => {
+        match failure {
+            AttemptFailure::DidNotRun => {
                 let is_refusal = matches!(err, UpstreamError::Refused { .. });
-                self.give_back(if is_refusal {
+                self.release_unsent(if is_refusal {
                     AttemptOutcome::Refused
                 } else {
                     AttemptOutcome::NotSent
                 });
             }
-            Break::Cut => {}
-            Break::Lost | Break::Garbled => self.end_attempt(AttemptOutcome::Failed),
+            AttemptFailure::Interrupted => {}
+            AttemptFailure::Lost | AttemptFailure::InvalidResponse => {
+                self.end_attempt(AttemptOutcome::Failed)
+            }
         }
         self.last_error = Some(err);
-        if broke != Break::DidNotRun && self.is_nearly_over() {
-            return LifeEvent::TimeUp;
+        if failure != AttemptFailure::DidNotRun && self.is_near_deadline() {
+            return LifecycleEvent::DeadlineExceeded;
         }
-        LifeEvent::Broken(broke)
+        LifecycleEvent::AttemptFailed(failure)
     }
 
     /// Engines end an attempt at the same time limit; whichever is first, the caller is told that
     /// the time ran out, and not that the engine failed.
-    fn is_nearly_over(&self) -> bool {
-        let now = self.parts.clock.now();
-        self.job.work.deadline.saturating_duration_since(now) < NEARLY_OVER
+    fn is_near_deadline(&self) -> bool {
+        let now = self.context.clock.now();
+        self.job.work.deadline.saturating_duration_since(now) < NEAR_DEADLINE
     }
 
     /// The attempt provably did not run: its grant and its claim are free again.
-    pub(super) fn give_back(&mut self, ended: AttemptOutcome) {
+    pub(super) fn release_unsent(&mut self, ended: AttemptOutcome) {
         self.end_attempt(ended);
-        if let Some((key, attempt)) = self.claimed.take() {
-            self.parts.claims.give_back(key, attempt);
+        if let Some((key, attempt)) = self.recorded_claim.take() {
+            self.context.claims.give_back(key, attempt);
         }
     }
 
-    pub(super) fn note_crash(&mut self) {
+    pub(super) fn report_crash(&mut self) {
         let Some(attempt) = &self.attempt else {
             return;
         };
-        let now = self.parts.clock.now();
+        let now = self.context.clock.now();
         let news = self
-            .parts
+            .context
             .poison_list()
-            .on_crash(&self.poison_marks(), attempt.id(), now);
+            .on_crash(&self.fingerprints(), attempt.id(), now);
         for poison in &news {
-            self.parts.poison_broadcast.broadcast(poison);
+            self.context.poison_broadcast.broadcast(poison);
         }
     }
 
-    pub(super) async fn consider_retry(&mut self) -> LifeEvent {
-        let now = self.parts.clock.now();
+    pub(super) async fn decide_retry(&mut self) -> LifecycleEvent {
+        let now = self.context.clock.now();
         // Its own retries may be what crashes one upstream after the other.
         if self
-            .parts
+            .context
             .poison_list()
-            .is_poison(&self.poison_marks(), now)
+            .is_poison(&self.fingerprints(), now)
         {
-            return LifeEvent::RetryDenied;
+            return LifecycleEvent::RetryDenied;
         }
         let did_not_run = self
             .last_error
@@ -299,11 +304,11 @@
             deadline: self.job.work.deadline,
         };
         match self
-            .parts
-            .with_budget(&self.job.target, |budget| budget.decide(&failed, now))
+            .context
+            .with_retry_budget(&self.job.target, |budget| budget.decide(&failed, now))
         {
             RetryDecision::Retry { after } => {
-                self.parts.metrics.count_retry(self.last_reason());
+                self.context.metrics.count_retry(self.retry_reason());
                 self.reply.restart();
                 // Homes answer a request that is asked again with the grant it has. If the end of the
                 // failed attempt got lost on its way, that would be the same grant, and its attempt
@@ -311,19 +316,19 @@
                 // its own.
                 self.job.work.request = RequestId(rand::random());
                 sleep(after).await;
-                LifeEvent::RetryAllowed
+                LifecycleEvent::RetryAllowed
             }
             RetryDecision::GiveUp(stop) => {
                 debug!(
                     "entry: request {} is not retried: {stop:?}",
                     self.job.request
                 );
-                LifeEvent::RetryDenied
+                LifecycleEvent::RetryDenied
             }
         }
     }
 
-    pub(super) fn last_reason(&self) -> &'static str {
+    pub(super) fn retry_reason(&self) -> &'static str {
         match &self.last_error {
             Some(UpstreamError::NotSent(_)) => "not_sent",
             Some(UpstreamError::Refused { .. }) => "refused",
@@ -343,9 +348,9 @@
         ) {
             self.job.work.avoid.extend(attempt.leader().cloned());
         }
-        if self.followed.is_none() {
-            settle(
-                self.parts,
+        if self.followed_claim.is_none() {
+            release_attempt(
+                self.context,
                 &attempt,
                 ended,
                 self.job.work.deadline,
@@ -354,35 +359,35 @@
         }
     }
 
-    pub(super) async fn finish(&mut self, verdict: Verdict) {
-        self.note(
+    pub(super) async fn finish(&mut self, outcome: RequestOutcome) {
+        self.record_step(
             StepKind::Ended,
             "",
-            format!("{} {}", verdict.outcome(), verdict.reason()),
+            format!("{} {}", outcome.kind(), outcome.reason()),
         );
-        let ended = match verdict {
-            Verdict::Completed => AttemptOutcome::Completed,
-            Verdict::NotRun(_) => AttemptOutcome::NotSent,
-            Verdict::MayHaveRun(_) => AttemptOutcome::Cancelled,
+        let ended = match outcome {
+            RequestOutcome::Completed => AttemptOutcome::Completed,
+            RequestOutcome::NotRun(_) => AttemptOutcome::NotSent,
+            RequestOutcome::MayHaveRun(_) => AttemptOutcome::Cancelled,
         };
         self.end_attempt(ended);
-        if let Some((key, attempt)) = self.claimed.take() {
-            let state = match verdict {
-                Verdict::Completed => ClaimState::Completed,
-                Verdict::NotRun(_) | Verdict::MayHaveRun(_) => ClaimState::MayHaveRun,
+        if let Some((key, attempt)) = self.recorded_claim.take() {
+            let state = match outcome {
+                RequestOutcome::Completed => ClaimState::Completed,
+                RequestOutcome::NotRun(_) | RequestOutcome::MayHaveRun(_) => ClaimState::MayHaveRun,
             };
-            self.parts.claims.finish(key, attempt, state);
+            self.context.claims.finish(key, attempt, state);
         }
-        if verdict == Verdict::Completed {
+        if outcome == RequestOutcome::Completed {
             return;
         }
-        let retry_after = match verdict {
-            Verdict::NotRun(_) => self.retry_after.or(Some(RETRY_AFTER_DEFAULT)),
+        let retry_after = match outcome {
+            RequestOutcome::NotRun(_) => self.retry_after.or(Some(RETRY_AFTER_DEFAULT)),
             _ => None,
         };
         let message = std::mem::take(&mut self.message);
-        let failure = Failure {
-            verdict,
+        let failure = FailureReply {
+            outcome,
             message,
             retry_after,
         };
@@ -395,10 +400,10 @@
     }
 }
 
-async fn gone(reply: &mut Reply, is_detached: bool) {
+async fn caller_gone(reply: &mut Reply, is_detached: bool) {
     if is_detached {
         std::future::pending::<()>().await;
     } else {
-        reply.gone().await;
+        reply.wait_until_gone().await;
     }
 }
--- a/src/entry/granter.rs
+++ b/src/entry/granter.rs
@@ -33,7 +33,7 @@
 
 impl HeldGrant {
     /// Stands in for the grant of an earlier sending whose answer is read; it is never given back.
-    pub fn followed(claim: &Claim, work: &Work) -> Self {
+    pub fn of_claim(claim: &Claim, work: &Work) -> Self {
         Self {
             pool: PoolId::placeholder(),
             grant: GrantId(claim.attempt.0),
@@ -70,5 +70,5 @@
     fn request_grant(&self, target: TargetId, work: Work) -> BoxFuture<'_, GrantAnswer>;
 
     /// Gives a grant back.
-    fn finish(&self, held: &HeldGrant, done: AttemptSummary);
+    fn finish(&self, grant: &HeldGrant, summary: AttemptSummary);
 }
--- a/src/entry/in_flight.rs
+++ b/src/entry/in_flight.rs
@@ -7,7 +7,7 @@
 
 /// Requests that have not ended.
 #[derive(Clone, Debug, Default)]
-pub struct InFlight {
+pub struct InFlightCounter {
     inner: Arc<Inner>,
 }
 
@@ -23,7 +23,7 @@
     inner: Arc<Inner>,
 }
 
-impl InFlight {
+impl InFlightCounter {
     /// Counts a request in, unless the host takes no new ones.
     pub fn enter(&self) -> Option<InFlightGuard> {
         // Counted first and asked second, so that a drain that closes in between still waits for it.
--- a/src/entry/job.rs
+++ b/src/entry/job.rs
@@ -9,10 +9,10 @@
 use crate::decide::Work;
 use crate::entry::CallKind;
 use crate::entry::CallerHeaders;
-use crate::entry::FailReason;
-use crate::entry::LifeRules;
+use crate::entry::FailureReason;
+use crate::entry::LifecycleRules;
 use crate::entry::ModelCall;
-use crate::entry::ReplyShape;
+use crate::entry::ReplyFormat;
 use crate::manifest::CustomerSpec;
 use crate::manifest::Manifest;
 use crate::manifest::ModelSpec;
@@ -31,7 +31,7 @@
 
 /// What a failure takes to reach the caller, so that it does so within the time limit: a twentieth
 /// of the limit, at most this.
-const ANSWER_MARGIN_MAX: Duration = Duration::from_millis(100);
+const REPLY_MARGIN_MAX: Duration = Duration::from_millis(100);
 
 /// A request that was read and checked.
 #[derive(Clone, Debug)]
@@ -45,9 +45,9 @@
     /// When its first byte came.
     pub received: Instant,
     /// What it may be put through.
-    pub rules: LifeRules,
+    pub rules: LifecycleRules,
     /// The form of its answer.
-    pub shape: ReplyShape,
+    pub format: ReplyFormat,
     /// The model's name as the caller gave it; empty for plain services.
     pub model: String,
     /// The key that makes repeated sendings one request.
@@ -67,7 +67,7 @@
 impl Job {
     /// Whether its answer is a stream of tokens.
     pub fn is_model(&self) -> bool {
-        self.shape != ReplyShape::Plain
+        self.format != ReplyFormat::PassThrough
     }
 }
 
@@ -94,7 +94,7 @@
 
 /// What a path leads to.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Route {
+pub enum RequestRoute {
     /// A model call; which model is in the body.
     Model(CallKind),
     /// A plain service.
@@ -102,11 +102,11 @@
 }
 
 /// A request that can't be served, with a sentence for its caller.
-pub type Rejection = (FailReason, String);
+pub type Rejection = (FailureReason, String);
 
 impl JobHead {
     /// Where the request goes.
-    pub fn route(&self, manifest: &Manifest) -> Result<Route, Rejection> {
+    pub fn route(&self, manifest: &Manifest) -> Result<RequestRoute, Rejection> {
         let kind = match self.path.as_str() {
             "/v1/completions" => Some(CallKind::Completion),
             "/v1/chat/completions" => Some(CallKind::Chat),
@@ -114,9 +114,12 @@
         };
         if let Some(kind) = kind {
             if self.method != Method::POST {
-                return Err((FailReason::NotServed, format!("{} takes POST", self.path)));
+                return Err((
+                    FailureReason::NotServed,
+                    format!("{} takes POST", self.path),
+                ));
             }
-            return Ok(Route::Model(kind));
+            return Ok(RequestRoute::Model(kind));
         }
         let name = self
             .path
@@ -130,11 +133,14 @@
             .find(|service| service.name.as_str() == name);
         let unknown = || {
             (
-                FailReason::NotServed,
+                FailureReason::NotServed,
                 format!("no service at {}", self.path),
             )
         };
-        service.cloned().map(Route::Service).ok_or_else(unknown)
+        service
+            .cloned()
+            .map(RequestRoute::Service)
+            .ok_or_else(unknown)
     }
 
     /// Who the request is for.
@@ -152,7 +158,7 @@
         };
         let unknown = || {
             (
-                FailReason::Forbidden,
+                FailureReason::Forbidden,
                 format!("customer {name} is not in the manifest"),
             )
         };
@@ -162,10 +168,10 @@
     /// When it must have been answered.
     pub fn deadline(&self, manifest: &Manifest) -> Instant {
         let limits = &manifest.limits;
-        let longest = Duration::from_millis(limits.deadline_max_ms);
-        let usual = Duration::from_millis(limits.deadline_default_ms);
-        let limit = self.headers.timeout.unwrap_or(usual).min(longest);
-        self.received + limit.saturating_sub((limit / 20).min(ANSWER_MARGIN_MAX))
+        let max_limit = Duration::from_millis(limits.deadline_max_ms);
+        let default_limit = Duration::from_millis(limits.deadline_default_ms);
+        let limit = self.headers.timeout.unwrap_or(default_limit).min(max_limit);
+        self.received + limit.saturating_sub((limit / 20).min(REPLY_MARGIN_MAX))
     }
 
     /// The largest body it may have.
@@ -176,7 +182,7 @@
     /// The whole job, once the body is there.
     pub fn into_job(
         self,
-        route: &Route,
+        route: &RequestRoute,
         manifest: &Manifest,
         body: Bytes,
     ) -> Result<Job, Rejection> {
@@ -189,13 +195,13 @@
             .unwrap_or_else(|| customer.name.clone());
         let deadline = self.deadline(manifest);
         let plan = match route {
-            Route::Model(kind) => model_plan(*kind, manifest, &body)?,
-            Route::Service(service) => self.service_plan(service),
+            RequestRoute::Model(kind) => model_plan(*kind, manifest, &body)?,
+            RequestRoute::Service(service) => self.service_plan(service),
         };
         let repeatable = self.headers.repeatable.unwrap_or(plan.repeatable);
         if plan.key_required && !repeatable && self.headers.key.is_none() {
             let why = format!("{} needs an Idempotency-Key", plan.target);
-            return Err((FailReason::BadRequest, why));
+            return Err((FailureReason::BadRequest, why));
         }
         let needs_claim = !repeatable && self.headers.key.is_some();
         let content = self.content_hash(&customer, &body);
@@ -214,11 +220,11 @@
             },
             target: plan.target,
             received: self.received,
-            rules: LifeRules {
+            rules: LifecycleRules {
                 repeatable,
                 needs_claim,
             },
-            shape: plan.shape,
+            format: plan.format,
             model: plan.model,
             key: self.headers.key,
             content,
@@ -237,35 +243,35 @@
         let rank = |name: &str| {
             let unknown = || {
                 (
-                    FailReason::BadRequest,
+                    FailureReason::BadRequest,
                     format!("no priority is named {name}"),
                 )
             };
             manifest.rank(name).ok_or_else(unknown)
         };
-        let first = rank(&customer.priority)?;
+        let customer_rank = rank(&customer.priority)?;
         let Some(name) = &self.headers.priority else {
-            return Ok(first);
+            return Ok(customer_rank);
         };
-        let wanted = rank(name)?;
-        if wanted < first {
+        let requested = rank(name)?;
+        if requested < customer_rank {
             let why = format!("{} may not name the priority {name}", customer.name);
-            return Err((FailReason::Forbidden, why));
+            return Err((FailureReason::Forbidden, why));
         }
-        Ok(wanted)
+        Ok(requested)
     }
 
-    fn service_plan(&self, service: &ServiceSpec) -> Plan {
+    fn service_plan(&self, service: &ServiceSpec) -> TargetPlan {
         let repeatable = match service.repeatable {
             RepeatRule::Always => true,
             RepeatRule::Never => false,
             RepeatRule::ByMethod => self.method.is_idempotent(),
         };
-        Plan {
+        TargetPlan {
             target: service.name.clone(),
             repeatable,
             key_required: service.key_required,
-            shape: ReplyShape::Plain,
+            format: ReplyFormat::PassThrough,
             model: String::new(),
             prompt_tokens: Tokens::ZERO,
             output_tokens: Tokens::ZERO,
@@ -288,22 +294,22 @@
     }
 }
 
-struct Plan {
+struct TargetPlan {
     target: TargetId,
     repeatable: bool,
     key_required: bool,
-    shape: ReplyShape,
+    format: ReplyFormat,
     model: String,
     prompt_tokens: Tokens,
     output_tokens: Tokens,
     prefixes: Vec<(ContentHash, Tokens)>,
 }
 
-fn model_plan(kind: CallKind, manifest: &Manifest, body: &[u8]) -> Result<Plan, Rejection> {
-    let call = ModelCall::read(kind, body).map_err(|why| (FailReason::BadRequest, why))?;
+fn model_plan(kind: CallKind, manifest: &Manifest, body: &[u8]) -> Result<TargetPlan, Rejection> {
+    let call = ModelCall::read(kind, body).map_err(|why| (FailureReason::BadRequest, why))?;
     let unknown = || {
         (
-            FailReason::UnknownTarget,
+            FailureReason::UnknownTarget,
             format!("no model is named {}", call.target),
         )
     };
@@ -318,16 +324,16 @@
             spec.name,
             spec.context_tokens_max
         );
-        return Err((FailReason::BodyTooLarge, why));
+        return Err((FailureReason::BodyTooLarge, why));
     }
-    Ok(Plan {
+    Ok(TargetPlan {
         target: spec.name.clone(),
         repeatable: true,
         key_required: false,
-        shape: if call.stream {
-            ReplyShape::Stream(kind)
+        format: if call.stream {
+            ReplyFormat::Stream(kind)
         } else {
-            ReplyShape::Whole(kind)
+            ReplyFormat::Json(kind)
         },
         model: call.target.to_string(),
         prompt_tokens: call.prompt_tokens,
--- a/src/entry/life.rs
+++ b/src/entry/lifecycle.rs
@@ -6,8 +6,8 @@
 use crate::control::outcome::Outcome as RunOutcome;
 use crate::control::outcome::RunTracker;
 use crate::decide::RefuseReason;
-use crate::entry::FailReason;
-use crate::entry::Verdict;
+use crate::entry::FailureReason;
+use crate::entry::RequestOutcome;
 
 /// How often a cut answer is read on at the same upstream before the attempt counts as lost.
 /// A connection that breaks three times in one answer is not worth a fourth.
@@ -15,7 +15,7 @@
 
 /// What a request may be put through; fixed when it has been read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LifeRules {
+pub struct LifecycleRules {
     /// It may run more than once.
     pub repeatable: bool,
     /// It must be claimed before each dispatch.
@@ -24,11 +24,11 @@
 
 /// What happened to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LifeEvent {
+pub enum LifecycleEvent {
     /// It has been read and may go on.
     Admitted,
     /// It was turned away before anything else.
-    Rejected(FailReason),
+    Rejected(FailureReason),
     /// A home granted a dispatch.
     Granted,
     /// A home turned it away.
@@ -38,43 +38,43 @@
     /// An earlier sending of the same key has the claim, and its answer can be read.
     ClaimHeld,
     /// The claim could not be recorded, and never will be.
-    ClaimFailed(FailReason),
+    ClaimFailed(FailureReason),
     /// The first byte of the answer went to the caller.
     Delivered,
     /// The whole answer came.
     Ended,
     /// The attempt ended otherwise.
-    Broken(Break),
+    AttemptFailed(AttemptFailure),
     /// The retry budget and the time left allow another attempt.
     RetryAllowed,
     /// They don't.
     RetryDenied,
     /// The time limit has come.
-    TimeUp,
+    DeadlineExceeded,
     /// The caller is gone, or reads too slowly.
     CallerGone,
 }
 
 /// How an attempt broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Break {
+pub enum AttemptFailure {
     /// It is certain that it did not run.
     DidNotRun,
     /// The connection broke; the attempt may go on at the upstream.
-    Cut,
+    Interrupted,
     /// The upstream failed it, forgot it or died.
     Lost,
     /// What came is not this attempt's answer.
-    Garbled,
+    InvalidResponse,
 }
 
 /// What to do next for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LifeStep {
+pub enum LifecycleAction {
     /// Nothing: the event changes nothing.
     Nothing,
     /// Ask a home for a grant.
-    AskGrant,
+    RequestGrant,
     /// Record the claim.
     Claim,
     /// Dispatch under the grant.
@@ -82,11 +82,11 @@
     /// Read on from where the answer was cut.
     Resume,
     /// Ask whether the budget and the time left allow another attempt.
-    ConsiderRetry,
+    DecideRetry,
     /// Read the answer of the sending that holds the claim.
-    Follow,
+    FollowClaim,
     /// Tell the caller how it ended.
-    Finish(Verdict),
+    Finish(RequestOutcome),
     /// Give everything back: nobody waits for the answer.
     Abandon,
 }
@@ -96,62 +96,65 @@
 /// What it must keep apart: whether any attempt may have run (then "not run" is never said), and
 /// whether a byte of an answer went to the caller (then no other attempt's answer may follow).
 #[derive(Debug)]
-pub struct Life {
-    rules: LifeRules,
+pub struct RequestLifecycle {
+    rules: LifecycleRules,
     record: RunTracker,
     delivered: bool,
     resumes: u8,
-    last_break: Option<Break>,
+    last_failure: Option<AttemptFailure>,
 }
 
-impl Life {
+impl RequestLifecycle {
     /// The life of a request that has yet to be read.
-    pub fn new(rules: LifeRules) -> Self {
+    pub fn new(rules: LifecycleRules) -> Self {
         Self {
             rules,
             record: RunTracker::new(rules.repeatable),
             delivered: false,
             resumes: 0,
-            last_break: None,
+            last_failure: None,
         }
     }
 
-    fn failed(&self, reason: FailReason) -> LifeStep {
-        LifeStep::Finish(match self.record.outcome() {
-            RunOutcome::NotRun => Verdict::NotRun(reason),
-            RunOutcome::MayHaveRun | RunOutcome::Completed => Verdict::MayHaveRun(reason),
+    fn finish_failed(&self, reason: FailureReason) -> LifecycleAction {
+        LifecycleAction::Finish(match self.record.outcome() {
+            RunOutcome::NotRun => RequestOutcome::NotRun(reason),
+            RunOutcome::MayHaveRun | RunOutcome::Completed => RequestOutcome::MayHaveRun(reason),
         })
     }
 
-    fn dispatch(&mut self) -> LifeStep {
+    fn dispatch(&mut self) -> LifecycleAction {
         self.record.on_send();
         self.resumes = 0;
-        LifeStep::Dispatch
+        LifecycleAction::Dispatch
     }
 
-    fn after_break(&mut self, broke: Break) -> NextAfterBreak {
-        self.last_break = Some(broke);
-        if broke == Break::Cut && self.resumes < RESUMES_MAX {
+    fn after_attempt_failure(&mut self, failure: AttemptFailure) -> AfterAttempt {
+        self.last_failure = Some(failure);
+        if failure == AttemptFailure::Interrupted && self.resumes < RESUMES_MAX {
             self.resumes += 1;
-            return NextAfterBreak::Resume;
+            return AfterAttempt::Resume;
         }
-        match self.record.on_attempt_ended(broke == Break::DidNotRun) {
-            AfterFailure::RetryAllowed if !self.delivered => NextAfterBreak::ConsiderRetry,
-            _ => NextAfterBreak::Fail,
+        match self
+            .record
+            .on_attempt_ended(failure == AttemptFailure::DidNotRun)
+        {
+            AfterFailure::RetryAllowed if !self.delivered => AfterAttempt::DecideRetry,
+            _ => AfterAttempt::Fail,
         }
     }
 
-    fn break_reason(&self) -> FailReason {
-        match self.last_break {
-            Some(Break::Garbled) => FailReason::UpstreamGarbled,
-            _ => FailReason::UpstreamFailed,
+    fn failure_reason(&self) -> FailureReason {
+        match self.last_failure {
+            Some(AttemptFailure::InvalidResponse) => FailureReason::UpstreamInvalidResponse,
+            _ => FailureReason::UpstreamFailed,
         }
     }
 }
 
-enum NextAfterBreak {
+enum AfterAttempt {
     Resume,
-    ConsiderRetry,
+    DecideRetry,
     Fail,
 }
 
@@ -160,12 +163,12 @@
     state(derive(Debug)),
     superstate(derive(Debug))
 )]
-impl Life {
+impl RequestLifecycle {
     #[state(superstate = "open")]
-    fn reading(context: &mut LifeStep, event: &LifeEvent) -> Outcome<State> {
+    fn reading(context: &mut LifecycleAction, event: &LifecycleEvent) -> Outcome<State> {
         match event {
-            LifeEvent::Admitted => {
-                *context = LifeStep::AskGrant;
+            LifecycleEvent::Admitted => {
+                *context = LifecycleAction::RequestGrant;
                 Transition(State::waiting())
             }
             _ => Super,
@@ -173,18 +176,18 @@
     }
 
     #[state(superstate = "open")]
-    fn waiting(&mut self, context: &mut LifeStep, event: &LifeEvent) -> Outcome<State> {
+    fn waiting(&mut self, context: &mut LifecycleAction, event: &LifecycleEvent) -> Outcome<State> {
         match event {
-            LifeEvent::Granted if self.rules.needs_claim => {
-                *context = LifeStep::Claim;
+            LifecycleEvent::Granted if self.rules.needs_claim => {
+                *context = LifecycleAction::Claim;
                 Transition(State::claiming())
             }
-            LifeEvent::Granted => {
+            LifecycleEvent::Granted => {
                 *context = self.dispatch();
                 Transition(State::running())
             }
-            LifeEvent::Refused(reason) => {
-                *context = self.failed(FailReason::Refused(*reason));
+            LifecycleEvent::Refused(reason) => {
+                *context = self.finish_failed(FailureReason::Refused(*reason));
                 Transition(State::closed())
             }
             _ => Super,
@@ -192,25 +195,29 @@
     }
 
     #[state(superstate = "open")]
-    fn claiming(&mut self, context: &mut LifeStep, event: &LifeEvent) -> Outcome<State> {
+    fn claiming(
+        &mut self,
+        context: &mut LifecycleAction,
+        event: &LifecycleEvent,
+    ) -> Outcome<State> {
         match event {
-            LifeEvent::Claimed => {
+            LifecycleEvent::Claimed => {
                 *context = self.dispatch();
                 Transition(State::running())
             }
-            LifeEvent::ClaimHeld => {
+            LifecycleEvent::ClaimHeld => {
                 // The key's earlier sending has run or runs: "not run" would be wrong from here on.
                 self.record.on_response_start();
-                *context = LifeStep::Follow;
+                *context = LifecycleAction::FollowClaim;
                 Transition(State::following())
             }
-            LifeEvent::ClaimFailed(FailReason::KeyMayHaveRun) => {
+            LifecycleEvent::ClaimFailed(FailureReason::KeyMayHaveRun) => {
                 self.record.on_response_start();
-                *context = self.failed(FailReason::KeyMayHaveRun);
+                *context = self.finish_failed(FailureReason::KeyMayHaveRun);
                 Transition(State::closed())
             }
-            LifeEvent::ClaimFailed(reason) => {
-                *context = self.failed(*reason);
+            LifecycleEvent::ClaimFailed(reason) => {
+                *context = self.finish_failed(*reason);
                 Transition(State::closed())
             }
             _ => Super,
@@ -218,23 +225,23 @@
     }
 
     #[state(superstate = "open")]
-    fn running(&mut self, context: &mut LifeStep, event: &LifeEvent) -> Outcome<State> {
+    fn running(&mut self, context: &mut LifecycleAction, event: &LifecycleEvent) -> Outcome<State> {
         match event {
-            LifeEvent::Ended => {
-                *context = LifeStep::Finish(Verdict::Completed);
+            LifecycleEvent::Ended => {
+                *context = LifecycleAction::Finish(RequestOutcome::Completed);
                 Transition(State::closed())
             }
-            LifeEvent::Broken(broke) => match self.after_break(*broke) {
-                NextAfterBreak::Resume => {
-                    *context = LifeStep::Resume;
+            LifecycleEvent::AttemptFailed(failure) => match self.after_attempt_failure(*failure) {
+                AfterAttempt::Resume => {
+                    *context = LifecycleAction::Resume;
                     Handled
                 }
-                NextAfterBreak::ConsiderRetry => {
-                    *context = LifeStep::ConsiderRetry;
+                AfterAttempt::DecideRetry => {
+                    *context = LifecycleAction::DecideRetry;
                     Transition(State::retrying())
                 }
-                NextAfterBreak::Fail => {
-                    *context = self.failed(self.break_reason());
+                AfterAttempt::Fail => {
+                    *context = self.finish_failed(self.failure_reason());
                     Transition(State::closed())
                 }
             },
@@ -243,14 +250,18 @@
     }
 
     #[state(superstate = "open")]
-    fn retrying(&mut self, context: &mut LifeStep, event: &LifeEvent) -> Outcome<State> {
+    fn retrying(
+        &mut self,
+        context: &mut LifecycleAction,
+        event: &LifecycleEvent,
+    ) -> Outcome<State> {
         match event {
-            LifeEvent::RetryAllowed => {
-                *context = LifeStep::AskGrant;
+            LifecycleEvent::RetryAllowed => {
+                *context = LifecycleAction::RequestGrant;
                 Transition(State::waiting())
             }
-            LifeEvent::RetryDenied => {
-                *context = self.failed(self.break_reason());
+            LifecycleEvent::RetryDenied => {
+                *context = self.finish_failed(self.failure_reason());
                 Transition(State::closed())
             }
             _ => Super,
@@ -258,19 +269,25 @@
     }
 
     #[state(superstate = "open")]
-    fn following(&mut self, context: &mut LifeStep, event: &LifeEvent) -> Outcome<State> {
+    fn following(
+        &mut self,
+        context: &mut LifecycleAction,
+        event: &LifecycleEvent,
+    ) -> Outcome<State> {
         match event {
-            LifeEvent::Ended => {
-                *context = LifeStep::Finish(Verdict::Completed);
+            LifecycleEvent::Ended => {
+                *context = LifecycleAction::Finish(RequestOutcome::Completed);
                 Transition(State::closed())
             }
-            LifeEvent::Broken(Break::Cut) if self.resumes < RESUMES_MAX => {
+            LifecycleEvent::AttemptFailed(AttemptFailure::Interrupted)
+                if self.resumes < RESUMES_MAX =>
+            {
                 self.resumes += 1;
-                *context = LifeStep::Follow;
+                *context = LifecycleAction::FollowClaim;
                 Handled
             }
-            LifeEvent::Broken(_) => {
-                *context = self.failed(FailReason::KeyMayHaveRun);
+            LifecycleEvent::AttemptFailed(_) => {
+                *context = self.finish_failed(FailureReason::KeyMayHaveRun);
                 Transition(State::closed())
             }
             _ => Super,
@@ -278,28 +295,28 @@
     }
 
     #[state]
-    fn closed(event: &LifeEvent) -> Outcome<State> {
+    fn closed(event: &LifecycleEvent) -> Outcome<State> {
         let _ = event;
         Handled
     }
 
     #[superstate]
-    fn open(&mut self, context: &mut LifeStep, event: &LifeEvent) -> Outcome<State> {
+    fn open(&mut self, context: &mut LifecycleAction, event: &LifecycleEvent) -> Outcome<State> {
         match event {
-            LifeEvent::Delivered => {
+            LifecycleEvent::Delivered => {
                 self.delivered = true;
                 Handled
             }
-            LifeEvent::Rejected(reason) => {
-                *context = self.failed(*reason);
+            LifecycleEvent::Rejected(reason) => {
+                *context = self.finish_failed(*reason);
                 Transition(State::closed())
             }
-            LifeEvent::TimeUp => {
-                *context = self.failed(FailReason::TimeUp);
+            LifecycleEvent::DeadlineExceeded => {
+                *context = self.finish_failed(FailureReason::DeadlineExceeded);
                 Transition(State::closed())
             }
-            LifeEvent::CallerGone => {
-                *context = LifeStep::Abandon;
+            LifecycleEvent::CallerGone => {
+                *context = LifecycleAction::Abandon;
                 Transition(State::closed())
             }
             _ => Handled,
@@ -308,8 +325,11 @@
 }
 
 /// Hands an event to a life and returns what to do next.
-pub fn advance(life: &mut StateMachine<Life>, event: LifeEvent) -> LifeStep {
-    let mut step = LifeStep::Nothing;
-    life.handle_with_context(&event, &mut step);
-    step
+pub fn advance(
+    lifecycle: &mut StateMachine<RequestLifecycle>,
+    event: LifecycleEvent,
+) -> LifecycleAction {
+    let mut action = LifecycleAction::Nothing;
+    lifecycle.handle_with_context(&event, &mut action);
+    action
 }
--- a/src/entry/model_call.rs
+++ b/src/entry/model_call.rs
@@ -140,23 +140,23 @@
     let mut hasher = Xxh3::new();
     let mut hashed_len = 0;
     let mut prefixes = Vec::new();
-    let mut marks = PREFIX_LENS_BYTES.into_iter().peekable();
+    let mut boundaries = PREFIX_LENS_BYTES.into_iter().peekable();
     for piece in pieces {
         let mut rest = piece.as_bytes();
-        while let Some(mark) = marks.peek().copied() {
-            let missing = mark - hashed_len;
+        while let Some(boundary) = boundaries.peek().copied() {
+            let missing = boundary - hashed_len;
             if rest.len() < missing {
                 break;
             }
             let (head, tail) = rest.split_at(missing);
             hasher.update(head);
-            hashed_len = mark;
+            hashed_len = boundary;
             rest = tail;
-            marks.next();
-            let tokens = Tokens(mark as u64 / BYTES_PER_TOKEN);
+            boundaries.next();
+            let tokens = Tokens(boundary as u64 / BYTES_PER_TOKEN);
             prefixes.push((ContentHash(hasher.digest128()), tokens));
         }
-        if marks.peek().is_none() {
+        if boundaries.peek().is_none() {
             break;
         }
         hasher.update(rest);
--- a/src/entry/settle.rs
+++ b/src/entry/release.rs
@@ -9,7 +9,7 @@
 
 use crate::decide::AttemptOutcome;
 use crate::entry::Attempt;
-use crate::entry::EntryParts;
+use crate::entry::EntryContext;
 use crate::entry::HeldGrant;
 use crate::units::UpstreamId;
 
@@ -26,54 +26,57 @@
 /// Gives back all that an attempt holds. The grant is given back only when the engine has confirmed
 /// that the attempt's memory is free: a grant that ended earlier would let the home promise memory
 /// that the engine does not have.
-pub(crate) fn settle(
-    parts: &Arc<EntryParts>,
+pub(crate) fn release_attempt(
+    context: &Arc<EntryContext>,
     attempt: &Attempt,
     ended: AttemptOutcome,
     deadline: Instant,
     is_model: bool,
 ) {
-    let held = attempt.held.clone();
-    let done = attempt.done(ended, parts.clock.now());
-    let is_gang = held.upstreams.len() > 1;
+    let grant = attempt.grant.clone();
+    let summary = attempt.summary(ended, context.clock.now());
+    let is_gang = grant.upstreams.len() > 1;
     let may_hold = is_model && matches!(ended, AttemptOutcome::Cancelled | AttemptOutcome::Failed);
     if !may_hold && !is_gang {
-        parts.granter.finish(&held, done);
+        context.granter.finish(&grant, summary);
         return;
     }
-    let parts = Arc::clone(parts);
-    let guard = parts.in_flight.track();
+    let context = Arc::clone(context);
+    let guard = context.in_flight.track();
     tokio::spawn(async move {
         let until = deadline + CANCEL_GRACE;
-        for (position, id) in held.upstreams.iter().enumerate() {
+        for (position, id) in grant.upstreams.iter().enumerate() {
             if position > 0 || may_hold {
-                release(&parts, &held, id, position > 0, until).await;
+                release_at_upstream(&context, &grant, id, position > 0, until).await;
             }
         }
-        parts.granter.finish(&held, done);
+        context.granter.finish(&grant, summary);
         drop(guard);
     });
 }
 
-async fn release(
-    parts: &EntryParts,
-    held: &HeldGrant,
+async fn release_at_upstream(
+    context: &EntryContext,
+    grant: &HeldGrant,
     id: &UpstreamId,
     is_member: bool,
     until: Instant,
 ) {
     let mut pause = CANCEL_PAUSE_MIN;
-    while let Some(upstream) = parts.upstreams.upstream(id) {
+    while let Some(upstream) = context.upstreams.upstream(id) {
         let released = if is_member {
-            upstream.release_gang(held.attempt()).await
+            upstream.release_gang(grant.attempt()).await
         } else {
-            upstream.cancel(held.attempt()).await
+            upstream.cancel(grant.attempt()).await
         };
         let Err(err) = released else {
             return;
         };
-        debug!("entry: cancel of attempt {} at {id}: {err}", held.attempt());
-        if parts.clock.now() + pause > until {
+        debug!(
+            "entry: cancel of attempt {} at {id}: {err}",
+            grant.attempt()
+        );
+        if context.clock.now() + pause > until {
             return;
         }
         sleep(pause).await;
--- a/src/entry/reply.rs
+++ b/src/entry/reply.rs
@@ -17,17 +17,17 @@
 use tokio::sync::oneshot;
 
 use crate::entry::CallKind;
-use crate::entry::Verdict;
+use crate::entry::RequestOutcome;
 use crate::units::HostId;
 use crate::units::RequestId;
 
 /// Pieces that wait for a caller that reads slowly. Beyond them the upstream's stream is not read
 /// on, so that the memory a request takes here does not depend on its caller.
-const PIECES_MAX: usize = 32;
+const QUEUED_CHUNKS_MAX: usize = 32;
 
 /// A caller that takes nothing for this long pins an engine's memory for an answer that it does not
 /// read. Someone who listens to an answer being read out pauses for seconds, not for this long.
-const STALL_MAX: Duration = Duration::from_secs(30);
+const CALLER_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The caller is gone or has stalled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,20 +35,20 @@
 
 /// The form of the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReplyShape {
+pub enum ReplyFormat {
     /// Server-sent events in the form of the API.
     Stream(CallKind),
     /// One JSON object.
-    Whole(CallKind),
+    Json(CallKind),
     /// Whatever a plain service answers.
-    Plain,
+    PassThrough,
 }
 
 /// A failure as the caller is told.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Failure {
+pub struct FailureReply {
     /// The outcome and its reason.
-    pub verdict: Verdict,
+    pub outcome: RequestOutcome,
     /// A sentence for people.
     pub message: String,
     /// When to come back, if that helps.
@@ -68,57 +68,57 @@
 #[derive(Debug)]
 pub enum ReplyBody {
     /// All of it.
-    Whole(Option<Bytes>),
+    Full(Option<Bytes>),
     /// In pieces.
-    Pieces(mpsc::Receiver<Piece>),
+    Chunks(mpsc::Receiver<BodyChunk>),
 }
 
 /// A piece of a body, or a cut, which breaks the connection so that nobody takes a part of an
 /// answer for the whole.
 #[derive(Debug)]
-pub enum Piece {
+pub enum BodyChunk {
     /// Bytes.
     Data(Bytes),
     /// The answer ends here and is not whole.
-    Cut,
+    Abort,
 }
 
 /// The error that makes the server break a connection.
 #[derive(Debug)]
-pub struct CutAnswer;
+pub struct TruncatedBody;
 
-impl std::fmt::Display for CutAnswer {
+impl std::fmt::Display for TruncatedBody {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the answer was cut")
+        f.write_str("the response was truncated")
     }
 }
 
-impl std::error::Error for CutAnswer {}
+impl std::error::Error for TruncatedBody {}
 
 impl Body for ReplyBody {
     type Data = Bytes;
-    type Error = CutAnswer;
+    type Error = TruncatedBody;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutAnswer>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         match &mut *self {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Pieces(pieces) => pieces.poll_recv(cx).map(|piece| match piece? {
-                Piece::Data(bytes) => Some(Ok(Frame::data(bytes))),
-                Piece::Cut => Some(Err(CutAnswer)),
+            Self::Full(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Chunks(chunks) => chunks.poll_recv(cx).map(|chunk| match chunk? {
+                BodyChunk::Data(bytes) => Some(Ok(Frame::data(bytes))),
+                BodyChunk::Abort => Some(Err(TruncatedBody)),
             }),
         }
     }
 
     fn size_hint(&self) -> hyper::body::SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Full(bytes) => {
                 let len = bytes.as_ref().map_or(0, Bytes::len);
                 hyper::body::SizeHint::with_exact(len as u64)
             }
-            Self::Pieces(_) => hyper::body::SizeHint::default(),
+            Self::Chunks(_) => hyper::body::SizeHint::default(),
         }
     }
 }
@@ -126,13 +126,13 @@
 /// Makes the answer to one request.
 #[derive(Debug)]
 pub struct Reply {
-    shape: ReplyShape,
+    format: ReplyFormat,
     request: RequestId,
     host: HostId,
     model: String,
     head: Option<oneshot::Sender<Response<ReplyBody>>>,
-    pieces: Option<mpsc::Sender<Piece>>,
-    whole_text: String,
+    chunks: Option<mpsc::Sender<BodyChunk>>,
+    full_text: String,
 }
 
 impl Reply {
@@ -143,49 +143,49 @@
         head: oneshot::Sender<Response<ReplyBody>>,
     ) -> Self {
         Self {
-            shape: ReplyShape::Plain,
+            format: ReplyFormat::PassThrough,
             request,
             host,
             model: String::new(),
             head: Some(head),
-            pieces: None,
-            whole_text: String::new(),
+            chunks: None,
+            full_text: String::new(),
         }
     }
 
     /// Sets the form once the request has been read.
-    pub fn set_shape(&mut self, shape: ReplyShape, model: &str) {
-        self.shape = shape;
+    pub fn set_format(&mut self, format: ReplyFormat, model: &str) {
+        self.format = format;
         model.clone_into(&mut self.model);
     }
 
     /// Forgets what an attempt that is made again has answered so far.
     pub fn restart(&mut self) {
-        self.whole_text.clear();
+        self.full_text.clear();
     }
 
     /// Whether something of an answer has gone to the caller.
     pub fn is_delivered(&self) -> bool {
-        self.pieces.is_some()
+        self.chunks.is_some()
     }
 
     /// Comes back when the caller is gone.
-    pub async fn gone(&mut self) {
-        if let Some(pieces) = &self.pieces {
-            pieces.closed().await;
+    pub async fn wait_until_gone(&mut self) {
+        if let Some(chunks) = &self.chunks {
+            chunks.closed().await;
         } else if let Some(head) = &mut self.head {
             head.closed().await;
         }
     }
 
     /// Hands on tokens of a model's answer.
-    pub async fn tokens(&mut self, text: &str) -> Result<(), CallerGone> {
-        match self.shape {
-            ReplyShape::Whole(_) | ReplyShape::Plain => {
-                self.whole_text.push_str(text);
+    pub async fn send_tokens(&mut self, text: &str) -> Result<(), CallerGone> {
+        match self.format {
+            ReplyFormat::Json(_) | ReplyFormat::PassThrough => {
+                self.full_text.push_str(text);
                 Ok(())
             }
-            ReplyShape::Stream(kind) => {
+            ReplyFormat::Stream(kind) => {
                 self.open_stream()?;
                 let event = self.stream_event(kind, text, None);
                 self.send(event).await
@@ -194,7 +194,7 @@
     }
 
     /// Hands on the head of a plain service's answer.
-    pub fn service_head(
+    pub fn send_service_head(
         &mut self,
         status: u16,
         content_type: Option<&str>,
@@ -205,52 +205,55 @@
     }
 
     /// Hands on bytes of a plain service's answer.
-    pub async fn data(&mut self, bytes: Bytes) -> Result<(), CallerGone> {
+    pub async fn send_data(&mut self, bytes: Bytes) -> Result<(), CallerGone> {
         self.send(bytes).await
     }
 
     /// Ends a whole answer.
     pub async fn complete(&mut self, finish_reason: &str, usage: Usage) -> Result<(), CallerGone> {
-        match self.shape {
-            ReplyShape::Plain => {
-                self.pieces = None;
+        match self.format {
+            ReplyFormat::PassThrough => {
+                self.chunks = None;
                 Ok(())
             }
-            ReplyShape::Stream(kind) => {
+            ReplyFormat::Stream(kind) => {
                 self.open_stream()?;
                 let last = self.stream_event(kind, "", Some((finish_reason, usage)));
                 self.send(last).await?;
                 self.send(Bytes::from_static(b"data: [DONE]\n\n")).await?;
-                self.pieces = None;
+                self.chunks = None;
                 Ok(())
             }
-            ReplyShape::Whole(kind) => {
-                let body = self.whole_body(kind, finish_reason, usage);
+            ReplyFormat::Json(kind) => {
+                let body = self.json_body(kind, finish_reason, usage);
                 let head = self.head_builder().status(200);
-                let head = head.header("Banyanarch-Outcome", Verdict::Completed.outcome().name());
-                self.send_whole(head.header(CONTENT_TYPE, "application/json"), &body)
+                let head = head.header(
+                    "Banyanarch-Outcome",
+                    RequestOutcome::Completed.kind().name(),
+                );
+                self.send_full(head.header(CONTENT_TYPE, "application/json"), &body)
             }
         }
     }
 
     /// Tells the caller at once that the request failed.
-    pub async fn fail(&mut self, failure: &Failure) -> Result<(), CallerGone> {
+    pub async fn fail(&mut self, failure: &FailureReply) -> Result<(), CallerGone> {
         let body = self.failure_body(failure);
-        if self.pieces.is_none() {
-            let mut head = self.head_builder().status(failure.verdict.status());
-            head = head.header("Banyanarch-Outcome", failure.verdict.outcome().name());
+        if self.chunks.is_none() {
+            let mut head = self.head_builder().status(failure.outcome.status());
+            head = head.header("Banyanarch-Outcome", failure.outcome.kind().name());
             if let Some(retry_after) = failure.retry_after {
                 let retry_after_s = retry_after.as_secs_f64().ceil().max(1.0);
                 head = head.header(RETRY_AFTER, retry_after_s.to_string());
             }
-            return self.send_whole(head.header(CONTENT_TYPE, "application/json"), &body);
+            return self.send_full(head.header(CONTENT_TYPE, "application/json"), &body);
         }
-        if let ReplyShape::Stream(_) = self.shape {
+        if let ReplyFormat::Stream(_) = self.format {
             self.send(Bytes::from(format!("data: {body}\n\n"))).await?;
         } else {
-            self.send_piece(Piece::Cut).await?;
+            self.send_chunk(BodyChunk::Abort).await?;
         }
-        self.pieces = None;
+        self.chunks = None;
         Ok(())
     }
 
@@ -261,7 +264,7 @@
     }
 
     fn open_stream(&mut self) -> Result<(), CallerGone> {
-        if self.pieces.is_some() {
+        if self.chunks.is_some() {
             return Ok(());
         }
         let head = self.head_builder().status(200);
@@ -270,16 +273,16 @@
     }
 
     fn open(&mut self, head: Builder) -> Result<(), CallerGone> {
-        let (tx, rx) = mpsc::channel(PIECES_MAX);
-        self.send_head(head, ReplyBody::Pieces(rx))?;
-        self.pieces = Some(tx);
+        let (tx, rx) = mpsc::channel(QUEUED_CHUNKS_MAX);
+        self.send_head(head, ReplyBody::Chunks(rx))?;
+        self.chunks = Some(tx);
         Ok(())
     }
 
-    fn send_whole(&mut self, head: Builder, body: &serde_json::Value) -> Result<(), CallerGone> {
+    fn send_full(&mut self, head: Builder, body: &serde_json::Value) -> Result<(), CallerGone> {
         let mut text = body.to_string();
         text.push('\n');
-        self.send_head(head, ReplyBody::Whole(Some(Bytes::from(text))))
+        self.send_head(head, ReplyBody::Full(Some(Bytes::from(text))))
     }
 
     fn send_head(&mut self, head: Builder, body: ReplyBody) -> Result<(), CallerGone> {
@@ -289,12 +292,12 @@
     }
 
     async fn send(&self, bytes: Bytes) -> Result<(), CallerGone> {
-        self.send_piece(Piece::Data(bytes)).await
+        self.send_chunk(BodyChunk::Data(bytes)).await
     }
 
-    async fn send_piece(&self, piece: Piece) -> Result<(), CallerGone> {
-        let pieces = self.pieces.as_ref().ok_or(CallerGone)?;
-        let sent = tokio::time::timeout(STALL_MAX, pieces.send(piece)).await;
+    async fn send_chunk(&self, chunk: BodyChunk) -> Result<(), CallerGone> {
+        let chunks = self.chunks.as_ref().ok_or(CallerGone)?;
+        let sent = tokio::time::timeout(CALLER_STALL_TIMEOUT, chunks.send(chunk)).await;
         sent.map_err(|_| CallerGone)?.map_err(|_| CallerGone)
     }
 
@@ -320,18 +323,18 @@
         });
         if let Some((_, usage)) = end {
             event["usage"] = usage.to_json();
-            event["outcome"] = json!(Verdict::Completed.outcome().name());
+            event["outcome"] = json!(RequestOutcome::Completed.kind().name());
         }
         Bytes::from(format!("data: {event}\n\n"))
     }
 
-    fn whole_body(
+    fn json_body(
         &mut self,
         kind: CallKind,
         finish_reason: &str,
         usage: Usage,
     ) -> serde_json::Value {
-        let text = std::mem::take(&mut self.whole_text);
+        let text = std::mem::take(&mut self.full_text);
         let (object, choice) = match kind {
             CallKind::Completion => (
                 "text_completion",
@@ -355,12 +358,12 @@
         })
     }
 
-    fn failure_body(&self, failure: &Failure) -> serde_json::Value {
+    fn failure_body(&self, failure: &FailureReply) -> serde_json::Value {
         let retry_after_ms = failure.retry_after.map(|after| after.as_millis());
         json!({"error": {
             "message": failure.message,
-            "type": failure.verdict.reason(),
-            "outcome": failure.verdict.outcome().name(),
+            "type": failure.outcome.reason(),
+            "outcome": failure.outcome.kind().name(),
             "request_id": self.request,
             "host": self.host,
             "retry_after_ms": retry_after_ms,
--- a/src/entry/verdict.rs
+++ b/src/entry/request_outcome.rs
@@ -7,18 +7,18 @@
 
 /// The three outcomes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RequestOutcome {
     /// The caller has the whole answer.
     Completed,
     /// It truly did not run.
-    NotRun(FailReason),
+    NotRun(FailureReason),
     /// It may have run, wholly or in part.
-    MayHaveRun(FailReason),
+    MayHaveRun(FailureReason),
 }
 
-impl Verdict {
+impl RequestOutcome {
     /// The outcome as headers and bodies give it.
-    pub fn outcome(self) -> Outcome {
+    pub fn kind(self) -> Outcome {
         match self {
             Self::Completed => Outcome::Completed,
             Self::NotRun(_) => Outcome::NotRun,
@@ -45,7 +45,7 @@
 
 /// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FailReason {
+pub enum FailureReason {
     /// The request itself is wrong.
     BadRequest,
     /// Nothing of that name is in the manifest.
@@ -73,12 +73,12 @@
     /// An upstream failed it.
     UpstreamFailed,
     /// An upstream sent what is not its answer.
-    UpstreamGarbled,
+    UpstreamInvalidResponse,
     /// The time limit came.
-    TimeUp,
+    DeadlineExceeded,
 }
 
-impl FailReason {
+impl FailureReason {
     /// The reason as one word for headers, metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
@@ -95,8 +95,8 @@
             Self::KeyReused => "key_reused",
             Self::KeyMayHaveRun => "key_may_have_run",
             Self::UpstreamFailed => "upstream_failed",
-            Self::UpstreamGarbled => "upstream_garbled",
-            Self::TimeUp => "time_up",
+            Self::UpstreamInvalidResponse => "upstream_garbled",
+            Self::DeadlineExceeded => "time_up",
         }
     }
 
@@ -117,8 +117,8 @@
                 StatusCode::SERVICE_UNAVAILABLE
             }
             Self::KeyMayHaveRun => StatusCode::CONFLICT,
-            Self::UpstreamFailed | Self::UpstreamGarbled => StatusCode::BAD_GATEWAY,
-            Self::TimeUp => StatusCode::GATEWAY_TIMEOUT,
+            Self::UpstreamFailed | Self::UpstreamInvalidResponse => StatusCode::BAD_GATEWAY,
+            Self::DeadlineExceeded => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 }
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -21,16 +21,16 @@
 
 use crate::control::outcome::Outcome;
 use crate::entry::CallerHeaders;
-use crate::entry::EntryParts;
-use crate::entry::FailReason;
-use crate::entry::Failure;
+use crate::entry::EntryContext;
+use crate::entry::FailureReason;
+use crate::entry::FailureReply;
 use crate::entry::Job;
 use crate::entry::JobHead;
 use crate::entry::Rejection;
 use crate::entry::Reply;
 use crate::entry::ReplyBody;
-use crate::entry::Route;
-use crate::entry::Verdict;
+use crate::entry::RequestOutcome;
+use crate::entry::RequestRoute;
 use crate::entry::driver::Driver;
 use crate::manifest::ManifestInForce;
 use crate::units::RequestId;
@@ -53,7 +53,7 @@
 
 /// Serves callers until `stop` turns true, then finishes the connections that carry a request.
 pub async fn serve_callers(
-    parts: Arc<EntryParts>,
+    context: Arc<EntryContext>,
     listener: TcpListener,
     mut stop: watch::Receiver<bool>,
 ) {
@@ -75,8 +75,8 @@
             debug!("entry: a connection closed at once: {err}");
             continue;
         }
-        let parts = Arc::clone(&parts);
-        let service = service_fn(move |req| answer(Arc::clone(&parts), req));
+        let context = Arc::clone(&context);
+        let service = service_fn(move |req| answer(Arc::clone(&context), req));
         let conn = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(HEAD_TIMEOUT)
@@ -93,7 +93,7 @@
 }
 
 async fn answer(
-    parts: Arc<EntryParts>,
+    context: Arc<EntryContext>,
     req: Request<Incoming>,
 ) -> Result<Response<ReplyBody>, hyper::Error> {
     let request = RequestId(rand::random());
@@ -101,8 +101,8 @@
     // A task of its own: hyper drops this future when the caller goes, and what an upstream holds
     // for the request has to be given back even then.
     tokio::spawn(async move {
-        let mut reply = Reply::new(request, parts.host.clone(), head_tx);
-        handle(&parts, request, req, &mut reply).await;
+        let mut reply = Reply::new(request, context.host.clone(), head_tx);
+        handle(&context, request, req, &mut reply).await;
     });
     Ok(head_rx.await.unwrap_or_else(|_| broken_reply()))
 }
@@ -111,7 +111,7 @@
 fn broken_reply() -> Response<ReplyBody> {
     let body =
         r#"{"error":{"message":"internal error","type":"internal","outcome":"may-have-run"}}"#;
-    let mut res = Response::new(ReplyBody::Whole(Some(body.into())));
+    let mut res = Response::new(ReplyBody::Full(Some(body.into())));
     *res.status_mut() = hyper::StatusCode::INTERNAL_SERVER_ERROR;
     let headers = res.headers_mut();
     headers.insert(
@@ -126,35 +126,34 @@
 }
 
 async fn handle(
-    parts: &Arc<EntryParts>,
+    context: &Arc<EntryContext>,
     request: RequestId,
     req: Request<Incoming>,
     reply: &mut Reply,
 ) {
-    let Some(_guard) = parts.in_flight.enter() else {
+    let Some(_guard) = context.in_flight.enter() else {
         let why = "this host is shutting down".to_owned();
-        return reject(reply, (FailReason::Draining, why)).await;
+        return reject(reply, (FailureReason::Draining, why)).await;
     };
-    let Some(in_force) = parts.cluster_view.manifest() else {
+    let Some(in_force) = context.cluster_view.manifest() else {
         let why = "this host knows no manifest yet".to_owned();
-        return reject(reply, (FailReason::NotReady, why)).await;
+        return reject(reply, (FailureReason::NotReady, why)).await;
     };
-    match read_job(parts, request, req, &in_force).await {
+    match read_job(context, request, req, &in_force).await {
         Ok((job, _body)) => {
-            reply.set_shape(job.shape, &job.model);
+            reply.set_format(job.format, &job.model);
             let (customer, class) = (job.work.customer.clone(), job.work.class());
-            parts.metrics.add_in_flight(class, 1);
-            let verdict = Driver::new(parts, job, reply).run().await;
-            parts.metrics.add_in_flight(class, -1);
+            context.metrics.add_in_flight(class, 1);
+            let outcome = Driver::new(context, job, reply).run().await;
+            context.metrics.add_in_flight(class, -1);
             // A caller that went away before the end did not see whether it ran.
-            let (outcome, reason) = verdict
-                .map_or((Outcome::MayHaveRun, "caller_gone"), |verdict| {
-                    (verdict.outcome(), verdict.reason())
-                });
-            parts
+            let (kind, reason) = outcome.map_or((Outcome::MayHaveRun, "caller_gone"), |outcome| {
+                (outcome.kind(), outcome.reason())
+            });
+            context
                 .metrics
-                .count_outcome(&customer, class, outcome, reason);
-            debug!(request:% = request; "entry: {outcome} {reason}");
+                .count_outcome(&customer, class, kind, reason);
+            debug!(request:% = request; "entry: {kind} {reason}");
         }
         Err(rejection) => reject(reply, rejection).await,
     }
@@ -163,11 +162,11 @@
 async fn reject(reply: &mut Reply, (reason, message): Rejection) {
     let comes_back = matches!(
         reason,
-        FailReason::Draining | FailReason::NotReady | FailReason::BodyMemory
+        FailureReason::Draining | FailureReason::NotReady | FailureReason::BodyMemory
     );
     let retry_after = comes_back.then_some(RETRY_AFTER_HOST);
-    let failure = Failure {
-        verdict: Verdict::NotRun(reason),
+    let failure = FailureReply {
+        outcome: RequestOutcome::NotRun(reason),
         message,
         retry_after,
     };
@@ -177,24 +176,24 @@
 }
 
 async fn read_job(
-    parts: &Arc<EntryParts>,
+    context: &Arc<EntryContext>,
     request: RequestId,
     req: Request<Incoming>,
     in_force: &Arc<ManifestInForce>,
-) -> Result<(Job, crate::entry::HeldBody), Rejection> {
+) -> Result<(Job, crate::entry::BufferedBody), Rejection> {
     let manifest = &in_force.manifest;
     let (head, body) = req.into_parts();
     check_head(&head.headers)?;
     let headers = CallerHeaders::read(&head.headers);
-    let headers = headers.map_err(|why| (FailReason::BadRequest, why))?;
+    let headers = headers.map_err(|why| (FailureReason::BadRequest, why))?;
     let content_type = head
         .headers
         .get(CONTENT_TYPE)
         .and_then(|value| value.to_str().ok());
     let job_head = JobHead {
         request,
-        host: parts.host.clone(),
-        received: parts.clock.now(),
+        host: context.host.clone(),
+        received: context.clock.now(),
         method: head.method,
         path: head.uri.path().to_owned(),
         path_and_query: head
@@ -208,19 +207,19 @@
     let route = job_head.route(manifest)?;
     job_head.customer(manifest)?;
     let deadline = job_head.deadline(manifest);
-    let read = parts.bodies.read(body, JobHead::body_size_max(manifest));
-    let held = tokio::time::timeout_at(deadline.into(), read).await;
-    let late = |_| {
+    let read = context.bodies.read(body, JobHead::body_size_max(manifest));
+    let buffered = tokio::time::timeout_at(deadline.into(), read).await;
+    let timed_out = |_| {
         (
-            FailReason::TimeUp,
+            FailureReason::DeadlineExceeded,
             "the body did not come in time".to_owned(),
         )
     };
-    let held = held
-        .map_err(late)?
+    let buffered = buffered
+        .map_err(timed_out)?
         .map_err(|reason| (reason, body_message(reason).to_owned()))?;
-    let job = parse_job(job_head, route, in_force, held.bytes.clone()).await?;
-    Ok((job, held))
+    let job = parse_job(job_head, route, in_force, buffered.bytes.clone()).await?;
+    Ok((job, buffered))
 }
 
 /// hyper bounds what it reads ahead, which a head that arrives at once can exceed.
@@ -233,22 +232,22 @@
         return Ok(());
     }
     Err((
-        FailReason::HeadTooLarge,
+        FailureReason::HeadTooLarge,
         format!("the head has {len} bytes, at most {HEAD_LEN_MAX} are taken"),
     ))
 }
 
-fn body_message(reason: FailReason) -> &'static str {
+fn body_message(reason: FailureReason) -> &'static str {
     match reason {
-        FailReason::BodyTooLarge => "the body is larger than the manifest's body_size_max",
-        FailReason::BodyMemory => "this host has no memory left for the body",
-        _ => "the body broke off",
+        FailureReason::BodyTooLarge => "the body is larger than the manifest's body_size_max",
+        FailureReason::BodyMemory => "this host has no memory left for the body",
+        _ => "the body failure off",
     }
 }
 
 async fn parse_job(
     head: JobHead,
-    route: Route,
+    route: RequestRoute,
     in_force: &Arc<ManifestInForce>,
     body: bytes::Bytes,
 ) -> Result<Job, Rejection> {
@@ -258,5 +257,10 @@
     let in_force = Arc::clone(in_force);
     let parsed =
         tokio::task::spawn_blocking(move || head.into_job(&route, &in_force.manifest, body)).await;
-    parsed.unwrap_or_else(|_| Err((FailReason::BadRequest, "the body can't be read".to_owned())))
+    parsed.unwrap_or_else(|_| {
+        Err((
+            FailureReason::BadRequest,
+            "the body can't be read".to_owned(),
+        ))
+    })
 }
