--- a/src/daemon/drain.rs
+++ b/src/daemon/drain.rs
@@ -1,4 +1,4 @@
-//! Runs the shutdown of a host.
+//! Runs the graceful shutdown of a host.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -15,13 +15,14 @@
 use crate::daemon::host::Host;
 use crate::settings::DrainSettings;
 
-/// How often the shutdown looks at what is left.
+/// How often the shutdown checks what remains in flight.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Once nothing is in flight, the last answers still have to leave for their callers.
+/// The pause between the end of the last request and the exit, in which the last replies are
+/// written to their connections.
 const FLUSH_DELAY: Duration = Duration::from_millis(200);
 
-/// The shutdown of a host.
+/// The graceful shutdown of a host.
 pub(crate) struct Drain {
     controller: Mutex<DrainController>,
 }
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Whether the balancer may send work, as far as the shutdown is concerned.
+    /// Whether the load balancer may send requests, as far as the shutdown is concerned.
     pub(crate) fn is_ready(&self) -> bool {
         self.lock().is_ready()
     }
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The second signal.
+    /// Handles the second signal and returns the exit code for an immediate exit.
     pub(crate) fn abort(&self, host: &Host) -> i32 {
         self.step(host, DrainEvent::Signal).unwrap_or(1)
     }
--- a/src/daemon/error.rs
+++ b/src/daemon/error.rs
@@ -1,4 +1,4 @@
-//! What keeps a daemon from starting.
+//! Errors that keep a daemon from starting.
 
 use std::error::Error;
 use std::fmt;
@@ -8,18 +8,18 @@
 use crate::observe::ObserveError;
 use crate::settings::SettingsErrors;
 
-/// Why a daemon could not start.
+/// An error that keeps a daemon from starting.
 #[derive(Debug)]
 pub enum DaemonError {
-    /// The settings are wrong.
+    /// The settings are invalid.
     Settings(SettingsErrors),
     /// An address could not be bound.
     Bind {
-        /// Which listener, as the settings name it.
+        /// The listener's field in the settings.
         field: &'static str,
         /// The address.
         addr: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// Logs or metrics could not be set up.
--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -1,4 +1,4 @@
-//! One host: all parts of a running daemon.
+//! Builds the components of a host and connects them.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -66,7 +66,7 @@
 use crate::settings::Settings;
 use crate::units::Incarnation;
 
-/// A running daemon: what its loops and its shutdown work with.
+/// The components of a running daemon, shared by its background loops and its shutdown.
 pub(crate) struct Host {
     pub(crate) settings: Settings,
     pub(crate) clock: Arc<dyn Clock>,
@@ -94,7 +94,7 @@
 }
 
 impl Host {
-    /// Binds all ports and starts all parts.
+    /// Binds all ports and starts all components.
     pub(crate) async fn start(settings: Settings) -> Result<Arc<Self>, DaemonError> {
         let listeners = Listeners::bind(&settings).await?;
         let peer_addr = listeners.peers.local_addr()?;
--- a/src/daemon/loops.rs
+++ b/src/daemon/loops.rs
@@ -1,4 +1,4 @@
-//! What a host does again and again.
+//! The periodic background work of a host.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use crate::objects::PlatformError;
 use crate::units::ObjectVersion;
 
-/// The membership expects a tick each 100 ms and takes a longer gap for a pause of the process.
+/// The membership expects a tick every 100 ms and treats a longer gap as a pause of the process.
 const MEMBERSHIP_TICK: Duration = Duration::from_millis(100);
 const ANNOUNCE_PAUSE: Duration = Duration::from_secs(1);
 const MACHINES_PAUSE: Duration = Duration::from_secs(1);
@@ -24,7 +24,7 @@
 const ORDERS_PAUSE: Duration = Duration::from_secs(1);
 const REFRESH_PAUSE: Duration = Duration::from_millis(100);
 
-/// Starts the loops of a host.
+/// Starts the background loops of a host.
 pub(crate) fn start(host: &Arc<Host>) {
     spawn_periodic(host, MEMBERSHIP_TICK, |host| {
         host.news.take(host.membership.tick());
@@ -52,8 +52,9 @@
     });
 }
 
-/// Reads the list of machines when it has changed. A list a second of each of 400 hosts would be a
-/// fifth of the reads that the platform takes; a waiting watch is a tenth of that.
+/// Reads the list of machines whenever it has changed. If each of 400 hosts read the list once a
+/// second, the reads would take a fifth of the platform's read capacity; a long-polling watch needs
+/// a tenth of those reads.
 async fn watch_machines(host: Arc<Host>) {
     let mut after = None;
     loop {
@@ -72,7 +73,7 @@
         match read {
             Ok(version) => after = Some(version),
             Err(err) => {
-                warn!("platform: no list of machines: {err}");
+                warn!("platform: cannot read the list of machines: {err}");
                 after = None;
             }
         }
--- a/src/daemon/machine_list.rs
+++ b/src/daemon/machine_list.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of machines.
+//! Applies the platform's list of machines, which lags behind the actual state.
 
 use std::net::SocketAddr;
 
@@ -42,18 +42,18 @@
     Leaving,
 }
 
-/// What the list told.
+/// What membership needs from a list of machines.
 #[derive(Default)]
 pub(crate) struct ListedMachines {
-    /// Hosts that may be there.
+    /// Hosts that may be alive.
     pub(crate) seeds: Vec<PeerSeed>,
-    /// Upstreams that are leaving, for those who have an older list.
+    /// Upstreams that are leaving, for peers with an older list.
     pub(crate) leaving: Vec<(UpstreamId, ObjectVersion)>,
 }
 
-/// Puts the upstreams of the platform's list in the cluster view. One that is no longer listed counts as
-/// leaving: its running requests still need its address. The list lags, so what a peer has told of
-/// a later version stays.
+/// Applies the platform's list of machines to the cluster view. An upstream that is no longer
+/// listed counts as leaving and is kept, since its running requests still need its address. Since
+/// the list lags, state that peers reported with a later version is not overwritten.
 pub(crate) fn apply(cluster_view: &ClusterView, list: &ObjectList) -> ListedMachines {
     let mut listed = ListedMachines::default();
     let mut ids: IndexSet<UpstreamId> = IndexSet::new();
@@ -98,7 +98,7 @@
     let spec = match MachineSpec::deserialize(&object.value) {
         Ok(spec) => spec,
         Err(err) => {
-            warn!("platform: machine {name} is not understood: {err}");
+            warn!("platform: machine {name} is invalid: {err}");
             return None;
         }
     };
--- a/src/daemon/manifest_loop.rs
+++ b/src/daemon/manifest_loop.rs
@@ -1,4 +1,4 @@
-//! Reads the manifest from the platform.
+//! Reads published manifests from the platform.
 
 use std::time::Duration;
 
@@ -19,27 +19,30 @@
 use crate::objects::PlatformError;
 use crate::units::ObjectVersion;
 
-/// A watch is asked again at this interval even if nothing changed, so that a connection that is
-/// dead without a sign is noticed.
+/// The time limit of a watch. A watch is repeated at this interval even if nothing changed, so that
+/// a connection that died silently is noticed.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// After a failure, and between looks at whether this host has become a watcher.
+/// The pause after a failure, and between checks of whether this host has become a watcher.
 const PAUSE: Duration = Duration::from_secs(1);
 
-/// What a published manifest must be for this host to take it.
+/// Creates the check of published manifests: they must be valid and name this host's deployment.
 pub(crate) fn validator(deployment: String) -> ManifestValidator {
     Box::new(move |text| {
         let manifest = Manifest::parse(text, "manifest").map_err(|errors| errors.to_string())?;
         if manifest.deployment == deployment {
             Ok(manifest)
         } else {
-            Err(format!("it is for deployment {}", manifest.deployment))
+            Err(format!(
+                "the manifest is for deployment {}",
+                manifest.deployment
+            ))
         }
     })
 }
 
-/// Tells the desk what the platform says: all the time if this host watches for its failure domain,
-/// else once at the start and whenever the desk wants to know.
+/// Feeds manifests from the platform to the manifest controller: continuously if this host is a
+/// watcher of its failure domain, else once at the start and whenever the controller asks for them.
 pub(crate) async fn run(host: std::sync::Arc<Host>) {
     let mut version = None;
     loop {
@@ -71,7 +74,8 @@
     Ok(Some(changes.version))
 }
 
-/// A host that does not watch hears of new generations from peers.
+/// Waits until the controller asks for a read or this host becomes a watcher. A host that does not
+/// watch receives new generations from peers.
 async fn wait_until_requested(host: &Host) -> Result<Option<ObjectVersion>, PlatformError> {
     let is_requested = timeout(PAUSE, host.manifests.wants_platform())
         .await
@@ -85,7 +89,7 @@
 }
 
 async fn list(host: &Host) -> Result<Option<ObjectVersion>, PlatformError> {
-    // What the desk wanted until now is answered by this read.
+    // Clears a pending request of the controller, which this read answers.
     let _ = host.manifests.wants_platform().now_or_never();
     let list = host.platform.list(Kind::Manifests).await?;
     if list.items.is_empty() {
@@ -105,7 +109,7 @@
     for object in &list.items {
         match PublishedManifest::deserialize(&object.value) {
             Ok(published) => host.manifests.platform(ManifestRead::Published(published)),
-            Err(err) => warn!("manifests: {} is not understood: {err}", object.key),
+            Err(err) => warn!("manifests: {} is invalid: {err}", object.key),
         }
     }
 }
--- a/src/daemon/membership_handler.rs
+++ b/src/daemon/membership_handler.rs
@@ -1,4 +1,4 @@
-//! Acts on changes of the membership.
+//! Handles membership changes.
 
 use std::sync::Arc;
 
@@ -14,7 +14,8 @@
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
-/// Tells the parts of a host what has changed among the others.
+/// Passes changes of the membership and poison reports of other hosts to the components of this
+/// host.
 pub(crate) struct MembershipHandler {
     pub(crate) entry: Arc<EntryContext>,
     pub(crate) homes: Arc<HomeDesk>,
@@ -36,11 +37,13 @@
                 FleetNews::HostAlive(host) if self.is_neighbour(&host) => {
                     self.homes.tell_all(&HomeEvent::HostAlive(host));
                 }
-                // A home learns of hosts of other failure domains when they announce something.
+                // Homes learn of hosts in other failure domains from the announcements of those
+                // hosts.
                 FleetNews::HostAlive(_) => {}
                 FleetNews::HostDead(host) => {
                     self.peers.reset(&host);
-                    // The dead are weighed against the living, so that both count in one domain.
+                    // Homes compare the number of dead hosts with the number of live ones, so both
+                    // must come from the same failure domain.
                     if self.is_neighbour(&host) {
                         self.homes.tell_all(&HomeEvent::HostDead(host));
                     }
@@ -52,7 +55,7 @@
                         && self.entry.poison_list().merge(&poison, now)
                     {
                         info!(
-                            "poison: another host saw {:?} crash an upstream",
+                            "poison: another host reported that {:?} crashed an upstream",
                             poison.fingerprint
                         );
                     }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon: builds the parts and connects them.
+//! The daemon: builds the components of a host, connects them and runs them.
 
 mod drain;
 mod error;
--- a/src/daemon/pages.rs
+++ b/src/daemon/pages.rs
@@ -1,4 +1,4 @@
-//! What the status port says.
+//! The pages of a host's status port.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use crate::observe::HostCounts;
 use crate::units::RequestId;
 
-/// The pages of a host.
+/// The status pages of a host.
 pub(crate) struct HostPages(pub(crate) Arc<Host>);
 
 impl PageSource for HostPages {
@@ -62,7 +62,7 @@
             Err(err) => return Page::text(StatusCode::BAD_REQUEST, format!("{err}\n")),
         };
         let Some(explanation) = self.0.entry.explanations.get(request) else {
-            let why = "this host knows nothing of the request, or no longer\n";
+            let why = "this host has no record of the request, or no longer has it\n";
             return Page::text(StatusCode::NOT_FOUND, why);
         };
         match serde_json::to_value(&explanation) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The report that the platform gets too, and what only this host can tell.
+    /// The report that is also written to the platform, with additional state of this host.
     fn status(&self) -> Page {
         let host = &self.0;
         let mut page = match serde_json::to_value(status_loop::report(host)) {
--- a/src/daemon/poll.rs
+++ b/src/daemon/poll.rs
@@ -1,4 +1,4 @@
-//! Asks upstreams for their load and cache events, for the homes on this host.
+//! Polls upstreams for load reports and cache events, for the homes on this host.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,10 +13,11 @@
 use crate::fleet::HomeMap;
 use crate::units::UpstreamId;
 
-/// Reports lag by about as much at the engine already; asking more often tells nothing new.
+/// The interval between polls. Engines' reports are themselves delayed by about this much, so
+/// polling more often would yield no newer data.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Polls the upstreams of the homes on this host.
+/// Polls the upstreams of the homes on this host for as long as the process runs.
 pub(crate) async fn run(
     homes: Arc<HomeDesk>,
     map: Arc<dyn HomeMap>,
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -1,4 +1,4 @@
-//! From the settings to the end of the process.
+//! Runs the daemon, from reading the settings to its exit.
 
 use std::path::Path;
 
@@ -13,7 +13,7 @@
 use crate::observe::logs;
 use crate::settings::Settings;
 
-/// Runs a daemon until it has drained after SIGTERM or SIGINT, or until the second of them, and
+/// Runs a daemon until it has drained after SIGTERM or SIGINT, or until a second such signal, and
 /// returns the exit code.
 pub fn run(settings_path: &Path) -> Result<i32, DaemonError> {
     let settings = Settings::read(settings_path)?;
@@ -31,12 +31,12 @@
     let mut interrupt = signal(SignalKind::interrupt())?;
     let host = Host::start(settings).await?;
     wait_for_signal(&mut terminate, &mut interrupt).await;
-    info!("daemon: drains, a second signal ends it at once");
+    info!("daemon: draining; a second signal exits immediately");
     let code = tokio::select! {
         code = host.drain.run(&host) => code,
         () = wait_for_signal(&mut terminate, &mut interrupt) => host.drain.abort(&host),
     };
-    info!("daemon: ends with code {code}");
+    info!("daemon: exiting with code {code}");
     Ok(code)
 }
 
--- a/src/daemon/status_loop.rs
+++ b/src/daemon/status_loop.rs
@@ -1,4 +1,4 @@
-//! Writes this host's report to the platform at a bounded rate.
+//! Writes this host's status report to the platform at a limited rate.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,10 +20,11 @@
 use crate::objects::PlatformError;
 use crate::units::ObjectVersion;
 
-/// A report of 400 hosts takes about a millisecond to make; the reporter writes it once in 30 s at most.
+/// The interval at which the report is built and checked for changes. Building the report for 400
+/// hosts takes about a millisecond. The reporter writes the report at most once in 30 s.
 const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The report of a host as it is now.
+/// Builds the current status report of a host.
 pub(crate) fn report(host: &Host) -> StatusReport {
     StatusReport::new(StatusInputs {
         host: &host.settings.host,
@@ -36,7 +37,7 @@
     })
 }
 
-/// Writes the report whenever the reporter wants it.
+/// Builds the report periodically and writes it whenever the reporter decides so.
 pub(crate) async fn run(host: Arc<Host>) {
     let mut reporter = Reporter::new(StdRng::from_os_rng(), host.clock.now());
     let key = ObjectKey::new(Kind::Statuses, host.settings.host.as_str());
@@ -51,7 +52,7 @@
             Some(ReporterAction::Write(expected)) => {
                 let written = write(&host, key.clone(), &report, expected).await;
                 if let Err(err) = &written {
-                    debug!("status: the report was not written: {err}");
+                    debug!("status: cannot write the report: {err}");
                 }
                 reporter.on_written(&written, host.clock.now());
             }
@@ -71,14 +72,15 @@
     host.platform.put(key, value, expected).await
 }
 
-/// Ages change all the time and are no news.
+/// Hashes the report without ages and load figures, which change constantly and do not warrant a
+/// write.
 fn hash_without_ages(report: &StatusReport) -> u64 {
-    let mut stable = report.clone();
-    stable.generation_confirmed_ago_s = None;
-    for event in &mut stable.lately {
+    let mut ageless = report.clone();
+    ageless.generation_confirmed_ago_s = None;
+    for event in &mut ageless.lately {
         event.ago_s = 0;
     }
-    for home in &mut stable.homes {
+    for home in &mut ageless.homes {
         (
             home.waiting,
             home.running,
@@ -86,5 +88,5 @@
             home.free_tokens,
         ) = (0, 0, 0, 0);
     }
-    xxh3_64(format!("{stable:?}").as_bytes())
+    xxh3_64(format!("{ageless:?}").as_bytes())
 }
--- a/src/daemon/status_server.rs
+++ b/src/daemon/status_server.rs
@@ -1,4 +1,4 @@
-//! The port for health, metrics and status.
+//! Serves the HTTP port for health, metrics and status.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -18,13 +18,13 @@
 use log::debug;
 use tokio::net::TcpListener;
 
-/// A page of the status port.
+/// A rendered page of the status port.
 pub(crate) struct Page {
     /// The HTTP status.
     pub(crate) status: StatusCode,
     /// The content type.
     pub(crate) content_type: &'static str,
-    /// The text.
+    /// The body of the page.
     pub(crate) text: String,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// Whoever knows what the pages say.
+/// Renders the pages of a status port.
 pub(crate) trait PageSource: Send + Sync + 'static {
     /// The page at a path; none if there is no such page.
     fn page(&self, path: &str) -> Option<Page>;
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt while its answer comes.
+//! One attempt, from its grant until its response has been read.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,40 +17,40 @@
 use crate::upstream::ResponseEvent;
 use crate::upstream::UpstreamError;
 
-/// What to do with a piece of an answer.
+/// What a response event contributes to the reply, once it has been checked.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptOutput {
-    /// Hand on this text; it is the first of the answer or comes this long after the last.
+    /// Text to forward to the caller.
     Text {
         /// The text.
         text: String,
-        /// The gap since the last tokens; none for the first.
+        /// The time since the previous tokens; none for the first tokens of the response.
         gap: Option<Duration>,
     },
-    /// Hand on the head of a plain service's answer.
+    /// The head of a plain service's response, to forward to the caller.
     Head {
         /// The HTTP status.
         status: u16,
         /// The content type.
         content_type: Option<String>,
     },
-    /// Hand on bytes.
+    /// Bytes of a plain service's response, to forward to the caller.
     Data(bytes::Bytes),
-    /// The answer is whole.
+    /// The response is complete.
     Complete {
-        /// Why the model stopped.
+        /// Why the model stopped, as the upstream reports it.
         finish_reason: String,
     },
-    /// There is nothing in it that was not handed on before.
+    /// The event holds nothing that was not forwarded before.
     Duplicate,
-    /// It is not the next piece of this attempt's answer.
+    /// The event is not the next one of this attempt's response.
     Invalid(AnswerFault),
 }
 
 /// An attempt, from its grant to its end.
 #[derive(Debug)]
 pub struct Attempt {
-    /// The grant it uses up.
+    /// The grant that the attempt uses up.
     pub grant: HeldGrant,
     started: Instant,
     first_token: Option<Duration>,
@@ -61,7 +61,7 @@
 }
 
 impl Attempt {
-    /// An attempt that is about to be dispatched.
+    /// Creates an attempt that is about to be dispatched.
     pub fn new(grant: HeldGrant, is_model: bool, now: Instant) -> Self {
         let id = grant.attempt();
         Self {
@@ -79,23 +79,23 @@
         }
     }
 
-    /// Its id.
+    /// The id of the attempt.
     pub fn id(&self) -> AttemptId {
         self.grant.attempt()
     }
 
-    /// The upstream that answers.
+    /// The upstream that sends the response; of a gang, its leader.
     pub fn leader(&self) -> Option<&UpstreamId> {
         self.grant.upstreams.first()
     }
 
-    /// How many tokens have been handed on.
+    /// The number of tokens that have been forwarded to the caller.
     pub fn offset_tokens(&self) -> u64 {
         self.check.offset_tokens()
     }
 
-    /// Checks a piece before a byte of it reaches the caller. Answers can be late, crossed, cut or
-    /// repeated; only the next tokens of this very attempt may pass.
+    /// Checks an event before any byte of it reaches the caller. Responses can be late, truncated,
+    /// repeated or belong to another attempt; only the next tokens of this attempt may pass.
     pub fn on_event(&mut self, event: ResponseEvent, now: Instant) -> AttemptOutput {
         match self.check.on_event(event) {
             AnswerStep::Skip => AttemptOutput::Duplicate,
@@ -153,7 +153,7 @@
         gap
     }
 
-    /// The counts for the caller.
+    /// The token counts that the caller is told.
     pub fn usage(&self) -> Usage {
         Usage {
             prompt_tokens: self.prompt_tokens,
@@ -161,7 +161,7 @@
         }
     }
 
-    /// The report for the home.
+    /// The summary that the home receives when the attempt ends.
     pub fn summary(&self, ended: AttemptOutcome, now: Instant) -> AttemptSummary {
         AttemptSummary {
             ended,
@@ -174,8 +174,8 @@
     }
 }
 
-/// The error that a faulty answer amounts to. Where the same attempt can be read on, what was wrong
-/// was the stream, and not the attempt.
+/// Converts a fault in a response into an upstream error. If the same attempt can be resumed, only
+/// the stream was faulty, so the error is an interruption and not an invalid response.
 pub(crate) fn error_for_fault(fault: AnswerFault) -> UpstreamError {
     if fault.can_resume() {
         UpstreamError::Interrupted(fault.to_string())
@@ -184,7 +184,7 @@
     }
 }
 
-/// What an upstream's error means for the life of a request.
+/// Classifies an upstream error by what it means for the lifecycle of the request.
 pub fn classify_failure(err: &UpstreamError) -> AttemptFailure {
     match err {
         UpstreamError::NotSent(_) | UpstreamError::Refused { .. } => AttemptFailure::DidNotRun,
--- a/src/entry/body_reader.rs
+++ b/src/entry/body_reader.rs
@@ -1,4 +1,4 @@
-//! Reads callers' bodies within bounds.
+//! Reads request bodies within limits on size, time and memory.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,31 +14,34 @@
 use crate::entry::FailureReason;
 use crate::units::ByteSize;
 
-/// Memory is counted in steps of this size, since a semaphore counts in 32 bits.
+/// The memory that one semaphore permit stands for. The semaphore takes at most 2^32 - 1 permits in
+/// one call, so a permit for each byte would limit a single body to 4 GiB.
 const PERMIT_BYTES: usize = 1 << 10;
 
-/// A caller that sends nothing for this long in the middle of its body is gone.
+/// A caller that sends nothing for this long in the middle of its body is considered gone.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The memory for bodies of requests that have not ended. A body is kept until then, since a retry
-/// sends it again. Without this bound a burst of million-token prompts would take the host's memory
-/// and every request on it; with it the surplus is told to come back.
+/// The memory budget for the bodies of requests that have not ended.
+///
+/// A body is kept until its request ends, since a retry sends it again. Without a limit, a burst of
+/// million-token prompts would exhaust the host's memory and fail every request on it; with the
+/// limit, the requests that do not fit are told to retry later.
 #[derive(Clone, Debug)]
 pub struct BodyMemory {
     permits: Arc<Semaphore>,
     permits_max: usize,
 }
 
-/// A body that has been read, and the memory it takes.
+/// A body that has been read, with its reservation in the memory budget.
 #[derive(Debug)]
 pub struct BufferedBody {
-    /// The bytes in one piece.
+    /// The whole body as one contiguous buffer.
     pub bytes: Bytes,
     _permit: OwnedSemaphorePermit,
 }
 
 impl BodyMemory {
-    /// Memory of this size.
+    /// Creates a budget of this size.
     pub fn new(size: ByteSize) -> Self {
         let permits_max = (size.as_usize() / PERMIT_BYTES).min(Semaphore::MAX_PERMITS);
         Self {
@@ -47,12 +50,12 @@
         }
     }
 
-    /// The bytes that are taken now.
+    /// The number of bytes that are reserved now.
     pub fn used_bytes(&self) -> usize {
         (self.permits_max - self.permits.available_permits()) * PERMIT_BYTES
     }
 
-    /// Reads a body of at most `size_max`.
+    /// Reads a body of at most `size_max`, and reserves memory for it before storing it.
     pub async fn read(
         &self,
         mut body: Incoming,
--- a/src/entry/claim_registry.rs
+++ b/src/entry/claim_registry.rs
@@ -1,4 +1,4 @@
-//! Claims as the entry asks for them.
+//! The interface through which request handling records claims.
 
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
@@ -10,18 +10,19 @@
 use crate::control::claims::ClaimStore;
 use crate::units::AttemptId;
 
-/// Whoever records claims.
+/// Records claims, which keep requests with the same idempotency key from running twice.
 pub trait ClaimRegistry: Send + Sync {
-    /// Records a claim. Only [`ClaimOutcome::Claimed`] allows to dispatch.
+    /// Records a claim. Only [`ClaimOutcome::Claimed`] permits a dispatch.
     fn claim(&self, key: ClaimKey, claim: Claim) -> BoxFuture<'_, ClaimOutcome>;
 
-    /// Gives a claim back, with the promise that its attempt is not dispatched any more.
+    /// Gives a claim back. The caller of this method guarantees that the claim's attempt is not
+    /// dispatched afterwards.
     fn give_back(&self, key: ClaimKey, attempt: AttemptId);
 
-    /// Notes how the attempt has ended, so that the claim can be collected in time.
+    /// Records how the claim's attempt ended, so that the claim can be garbage-collected later.
     fn finish(&self, key: ClaimKey, attempt: AttemptId, state: ClaimState);
 
-    /// How many claims the platform does not know the end of.
+    /// The number of claims whose end has not been stored on the platform yet.
     fn pending(&self) -> usize;
 }
 
--- a/src/entry/context.rs
+++ b/src/entry/context.rs
@@ -1,4 +1,4 @@
-//! What the entry works with.
+//! The state and the interfaces that all requests share.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -23,46 +23,46 @@
 use crate::units::HostId;
 use crate::units::TargetId;
 
-/// Tells other hosts of requests that crash upstreams.
+/// Broadcasts reports of requests that crash upstreams.
 pub trait PoisonBroadcast: Send + Sync {
-    /// Sends this to all hosts.
+    /// Sends a report to all hosts.
     fn broadcast(&self, poison: &PoisonReport);
 }
 
-/// What the entry works with; shared by all requests.
+/// The state and the interfaces that all requests of a host share.
 pub struct EntryContext {
-    /// The clock.
+    /// The clock for deadlines and measurements.
     pub clock: Arc<dyn Clock>,
-    /// This host.
+    /// The id of this host.
     pub host: HostId,
-    /// The blackboard.
+    /// The cluster state that this host knows, with the manifest in force.
     pub cluster_view: Arc<ClusterView>,
-    /// Grants.
+    /// The source of grants.
     pub granter: Arc<dyn Granter>,
-    /// Claims.
+    /// The registry of claims.
     pub claims: Arc<dyn ClaimRegistry>,
-    /// Upstreams.
+    /// The clients of upstreams.
     pub upstreams: Arc<dyn UpstreamDirectory>,
-    /// The decisions; baselines give engines no ranks by length.
+    /// The scheduling policy. Baseline policies send engines no priorities that depend on length.
     pub policy: PolicyName,
-    /// Memory for bodies.
+    /// The memory budget for request bodies.
     pub bodies: BodyMemory,
-    /// Requests that have not ended.
+    /// The counter of requests that have not ended.
     pub in_flight: InFlightCounter,
-    /// Requests that crash upstreams.
+    /// The list of requests that crash upstreams.
     pub poison: Mutex<PoisonList>,
-    /// Tells other hosts of them.
+    /// Broadcasts new reports of requests that crash upstreams.
     pub poison_broadcast: Arc<dyn PoisonBroadcast>,
-    /// Metrics.
+    /// The metrics of this host.
     pub metrics: Arc<Metrics>,
-    /// What was decided for requests.
+    /// The record of the steps of recent requests.
     pub explanations: Arc<Explanations>,
-    /// A retry budget for each target.
+    /// The retry budget of each target.
     pub retry_budgets: Mutex<IndexMap<TargetId, RetryBudget>>,
 }
 
 impl EntryContext {
-    /// Works with the retry budget of a target.
+    /// Calls a function with the retry budget of a target, and creates the budget on first use.
     pub fn with_retry_budget<R>(
         &self,
         target: &TargetId,
@@ -76,7 +76,7 @@
         update(budget)
     }
 
-    /// The list of requests that crash upstreams.
+    /// Locks the list of requests that crash upstreams.
     pub fn poison_list(&self) -> MutexGuard<'_, PoisonList> {
         lock(&self.poison)
     }
--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -1,12 +1,12 @@
-//! Upstreams by name.
+//! The lookup of upstream clients by id.
 
 use std::sync::Arc;
 
 use crate::units::UpstreamId;
 use crate::upstream::UpstreamClient;
 
-/// Whoever knows how to reach an upstream.
+/// Looks up clients for upstreams.
 pub trait UpstreamDirectory: Send + Sync {
-    /// The upstream of that name, if it is known.
+    /// The client for an upstream; none if the upstream is unknown.
     fn upstream(&self, id: &UpstreamId) -> Option<Arc<dyn UpstreamClient>>;
 }
--- a/src/entry/driver/claiming.rs
+++ b/src/entry/driver/claiming.rs
@@ -1,4 +1,4 @@
-//! Claims before the dispatch.
+//! Records a claim before the dispatch.
 
 use crate::control::claims::Claim;
 use crate::control::claims::ClaimKey;
@@ -16,8 +16,8 @@
         let Some((key, claim)) = self.new_claim() else {
             return LifecycleEvent::ClaimFailed(FailureReason::Refused(RefuseReason::NoClaim));
         };
-        // Not raced against the deadline or the caller: the store bounds its own time, and what it
-        // says of a claim has to be heard.
+        // Not raced against the deadline or the caller: the store limits its own time, and its
+        // answer on a claim must not be lost.
         match self.context.claims.claim(key, claim.clone()).await {
             ClaimOutcome::Claimed => {
                 self.record_step(
@@ -45,7 +45,7 @@
 
     fn on_claim_held(&mut self, existing: Claim) -> LifecycleEvent {
         let why = format!(
-            "attempt {} of {} has it: {:?}",
+            "held by attempt {} of host {}: {:?}",
             existing.attempt, existing.holder, existing.state
         );
         self.record_step(StepKind::Claimed, existing.upstream.as_str(), why);
--- a/src/entry/driver/dispatching.rs
+++ b/src/entry/driver/dispatching.rs
@@ -1,4 +1,4 @@
-//! Dispatches, resumes and follows attempts.
+//! Dispatches and resumes attempts, and reads the responses of claimed attempts.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -21,8 +21,8 @@
 use crate::entry::classify_failure;
 use crate::entry::driver::Driver;
 use crate::entry::driver::caller_gone;
-use crate::entry::driver::unresponsive::unresponsive_error;
-use crate::entry::driver::unresponsive::wait_until_unresponsive;
+use crate::entry::driver::hang_detection::hang_error;
+use crate::entry::driver::hang_detection::wait_for_hang;
 use crate::observe::StepKind;
 use crate::settings::PolicyName;
 use crate::units::Priority;
@@ -33,12 +33,12 @@
 use crate::upstream::UpstreamClient;
 use crate::upstream::UpstreamError;
 
-/// How long to wait before an answer is read on: long enough for an upstream to notice that the
-/// connection broke, short against the time between tokens that a caller notices.
+/// The pause before a response is resumed: long enough for an upstream to notice that the
+/// connection broke, and shorter than a gap between tokens that a caller would notice.
 const RESUME_PAUSE: Duration = Duration::from_millis(20);
 
-/// From the record of a claim to the engine's knowledge of its attempt, at most; a host that is
-/// slower than this is taken for dead.
+/// The longest time from the recording of a claim until the engine knows its attempt. A host that
+/// takes longer is considered dead.
 const DISPATCH_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Driver<'_> {
@@ -52,7 +52,8 @@
                 .with_retry_budget(&self.job.target, RetryBudget::on_first_attempt);
         }
         let now = self.context.clock.now();
-        // Checked again right before the dispatch: the host may have been paused since the grant.
+        // Checked again right before the dispatch, since the process may have been paused after the
+        // grant.
         if now >= self.job.work.deadline {
             self.release_unsent(AttemptOutcome::NotSent);
             advance(
@@ -72,7 +73,7 @@
             .first()
             .and_then(|id| self.context.upstreams.upstream(id));
         let Some(upstream) = leader else {
-            let why = format!("{:?} is not known here", grant.upstreams);
+            let why = format!("upstream {:?} is unknown to this host", grant.upstreams);
             return self.on_attempt_failure(UpstreamError::NotSent(why)).await;
         };
         let dispatch = self.build_dispatch(&grant, now);
@@ -86,7 +87,7 @@
             started = upstream.start(dispatch) => started,
             () = caller_gone(self.reply, self.is_detached) => return LifecycleEvent::CallerGone,
             () = sleep_until(deadline.into()) => return LifecycleEvent::DeadlineExceeded,
-            () = wait_until_unresponsive(self.job.is_model().then_some(&*upstream)) => Err(unresponsive_error()),
+            () = wait_for_hang(self.job.is_model().then_some(&*upstream)) => Err(hang_error()),
         };
         match started {
             Ok(answer) => self.forward_response(answer, lifecycle).await,
@@ -94,8 +95,8 @@
         }
     }
 
-    /// Ranks by length are one of the shipped decisions: a baseline that had them would be stronger
-    /// than what it stands for.
+    /// The priority for the engine's queue. Only the shipped policy derives it from the request's
+    /// length; a baseline with such priorities would perform better than the policy it represents.
     fn dispatch_priority(&self) -> Priority {
         match self.context.policy {
             PolicyName::Shipped => engine_priority(&self.job.work),
@@ -125,9 +126,9 @@
         }
     }
 
-    /// Holds the memory of the gang's members, the leader's own excepted. They are asked in the
-    /// order of their names: two gangs that want the same engines meet at the first of them, and
-    /// neither waits while it holds what the other needs.
+    /// Reserves memory at all members of the gang except the leader. Members are asked in the order
+    /// of their ids, which prevents deadlock: two gangs that need the same engines compete at the
+    /// first common one, and neither waits while it holds memory that the other needs.
     pub(super) async fn reserve_gang(&self, grant: &HeldGrant) -> Result<(), UpstreamError> {
         let mut members: Vec<&UpstreamId> = grant.upstreams.iter().skip(1).collect();
         members.sort();
@@ -143,14 +144,15 @@
             .0
             .div_ceil(grant.upstreams.len() as u64);
         for id in members {
-            let unknown = || UpstreamError::NotSent(format!("{id} is not known here"));
+            let unknown =
+                || UpstreamError::NotSent(format!("upstream {id} is unknown to this host"));
             let upstream = self.context.upstreams.upstream(id).ok_or_else(unknown)?;
             let host = self.context.host.clone();
             let tokens = crate::units::Tokens(tokens);
             let taken = upstream
                 .hold_gang(grant.attempt(), host, tokens, hold)
                 .await;
-            // A hold is no run: whatever became of it, the request itself has not left.
+            // A reservation runs nothing: whether or not it succeeded, the request was not sent.
             taken.map_err(|err| UpstreamError::NotSent(format!("gang member {id}: {err}")))?;
         }
         Ok(())
@@ -177,8 +179,8 @@
                 self.forward_response(answer, lifecycle).await
             }
             Err(UpstreamError::NotSent(why)) => {
-                // The attempt had started, its connection broke, and now nobody listens there: the
-                // upstream died with it.
+                // The attempt had started, its connection broke, and the upstream now refuses
+                // connections: the upstream crashed while it ran the attempt.
                 self.report_crash();
                 self.on_attempt_failure(UpstreamError::Failed(why)).await
             }
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Reads the answer of an earlier sending of the same key.
+    /// Reads the response of the attempt that holds the claim on the request's key.
     pub(super) async fn follow_claim(
         &mut self,
         lifecycle: &mut StateMachine<RequestLifecycle>,
@@ -194,7 +196,7 @@
         let Some(claim) = self.followed_claim.clone() else {
             return LifecycleEvent::AttemptFailed(AttemptFailure::Lost);
         };
-        "an earlier sending of this key may have run".clone_into(&mut self.message);
+        "an earlier request with this key may have run".clone_into(&mut self.message);
         let Some(upstream) = self.context.upstreams.upstream(&claim.upstream) else {
             return LifecycleEvent::AttemptFailed(AttemptFailure::Lost);
         };
@@ -215,9 +217,9 @@
         }
     }
 
-    /// Resumes the answer of another sending. Its claim is recorded a moment before it is
-    /// dispatched; the engine does not know it until then, and never will if its host died in
-    /// between.
+    /// Resumes the response of a claimed attempt. A claim is recorded shortly before its attempt is
+    /// dispatched, so the engine may not know the attempt yet, and never will if the host that
+    /// holds the claim died in between.
     async fn resume_claimed(
         &self,
         upstream: &dyn UpstreamClient,
--- a/src/entry/driver/forwarding.rs
+++ b/src/entry/driver/forwarding.rs
@@ -1,4 +1,4 @@
-//! Hands an upstream's answer on to the caller.
+//! Forwards an upstream's response to the caller.
 
 use std::time::Duration;
 
@@ -16,14 +16,14 @@
 use crate::entry::attempt::error_for_fault;
 use crate::entry::driver::Driver;
 use crate::entry::driver::caller_gone;
-use crate::entry::driver::unresponsive::unresponsive_error;
-use crate::entry::driver::unresponsive::wait_until_unresponsive;
+use crate::entry::driver::hang_detection::hang_error;
+use crate::entry::driver::hang_detection::wait_for_hang;
 use crate::observe::StepKind;
 use crate::upstream::ResponseStream;
 use crate::upstream::UpstreamError;
 
 impl Driver<'_> {
-    /// Hands an answer on until it ends, whichever way.
+    /// Forwards a response until it ends, fails, or the caller disconnects.
     pub(super) async fn forward_response(
         &mut self,
         mut response: ResponseStream,
@@ -41,13 +41,15 @@
                     continue;
                 }
                 () = sleep_until(deadline.into()) => return LifecycleEvent::DeadlineExceeded,
-                () = wait_until_unresponsive(upstream.as_deref()) => return self.on_attempt_failure(unresponsive_error()).await,
+                () = wait_for_hang(upstream.as_deref()) => {
+                    return self.on_attempt_failure(hang_error()).await;
+                }
             };
             let event = match event {
                 Some(Ok(event)) => event,
                 Some(Err(err)) => return self.on_attempt_failure(err).await,
                 None => {
-                    let why = "the answer ended without its end mark".to_owned();
+                    let why = "the response ended without its end event".to_owned();
                     return self
                         .on_attempt_failure(UpstreamError::Interrupted(why))
                         .await;
@@ -92,7 +94,7 @@
                     .as_ref()
                     .map(Attempt::usage)
                     .unwrap_or_default();
-                // The answer is whole whether its caller still listens or not.
+                // The response is complete even if the caller has disconnected.
                 let _ = self.reply.complete(&finish_reason, usage).await;
                 return ForwardResult::Complete;
             }
@@ -120,8 +122,9 @@
         }
     }
 
-    /// A claimed request runs on without its caller, who will ask for the answer again with the
-    /// same key: ending it would leave nothing but "may have run".
+    /// Lets a claimed request run on without its caller, who can fetch the response later with the
+    /// same key; ending the request would leave only the outcome "may have run". Returns whether
+    /// the request runs on.
     pub(super) fn detach(&mut self) -> bool {
         self.is_detached = self.is_detached || self.recorded_claim.is_some();
         self.is_detached
--- /dev/null
+++ b/src/entry/driver/hang_detection.rs
@@ -0,0 +1,37 @@
+//! Detects engines that neither respond nor close their connections.
+
+use std::time::Duration;
+
+use tokio::time::sleep;
+
+use crate::upstream::UpstreamClient;
+use crate::upstream::UpstreamError;
+
+/// How long an engine may send nothing before it is probed. The prefill of a long prompt takes
+/// longer than this, so silence alone proves nothing, and a probe costs the engine little.
+const PROBE_INTERVAL: Duration = Duration::from_secs(3);
+
+/// Waits until an engine that sends nothing also fails to answer a load query. For a plain service,
+/// which has no such query, this waits forever.
+///
+/// The connections of an engine that hangs, or whose machine hangs, stay open without any data.
+/// Without the probe, every request there would wait until its time limit although other engines
+/// are idle.
+pub(super) async fn wait_for_hang(engine: Option<&dyn UpstreamClient>) {
+    let Some(engine) = engine else {
+        return std::future::pending().await;
+    };
+    loop {
+        sleep(PROBE_INTERVAL).await;
+        if let Err(UpstreamError::NotSent(_) | UpstreamError::Interrupted(_)) = engine.load().await
+        {
+            return;
+        }
+    }
+}
+
+/// The error for an unresponsive engine. It is an interruption, since the attempt may go on when
+/// the engine recovers.
+pub(super) fn hang_error() -> UpstreamError {
+    UpstreamError::Interrupted("the engine stopped responding".to_owned())
+}
--- a/src/entry/driver/mod.rs
+++ b/src/entry/driver/mod.rs
@@ -1,9 +1,9 @@
-//! Does what the life of a request says, and reports back what came of it.
+//! Performs the actions of a request's lifecycle and reports the resulting events.
 
 mod claiming;
 mod dispatching;
 mod forwarding;
-mod unresponsive;
+mod hang_detection;
 
 use std::borrow::Cow;
 use std::sync::Arc;
@@ -47,13 +47,13 @@
 use crate::upstream::UpstreamClient;
 use crate::upstream::UpstreamError;
 
-/// When a request that failed not run may come back where nothing better is known.
+/// The retry time for a request that did not run, if no upstream or home gave one.
 const RETRY_AFTER_DEFAULT: Duration = Duration::from_secs(1);
 
-/// An attempt that breaks this close to the time limit broke for the limit.
+/// An attempt that fails this close to the deadline is considered to have failed because of it.
 const NEAR_DEADLINE: Duration = Duration::from_millis(100);
 
-/// One request on its way.
+/// Drives one request through its lifecycle.
 pub(crate) struct Driver<'a> {
     context: &'a Arc<EntryContext>,
     job: Job,
@@ -85,14 +85,14 @@
         }
     }
 
-    /// Takes the request from here to its end and returns how it ended; none if its caller went.
+    /// Runs the request to its end and returns the outcome; none if the caller disconnected.
     pub(crate) async fn run(&mut self) -> Option<RequestOutcome> {
         let mut lifecycle = RequestLifecycle::new(self.job.rules).state_machine();
         let mut event = self.admit();
         loop {
             let action = advance(&mut lifecycle, event);
             debug!(
-                "entry: request {} {event:?} leads to {action:?}",
+                "entry: request {}: {event:?} leads to {action:?}",
                 self.job.request
             );
             event = match action {
@@ -111,10 +111,10 @@
                     return None;
                 }
                 LifecycleAction::Nothing => {
-                    // Every event that a step reports has its transition; if one had none, waiting
-                    // for the next would hold the caller up for ever.
+                    // Every event that an action reports has a transition. If one had none, waiting
+                    // for the next event would block the caller forever.
                     warn!(
-                        "entry: request {} got {event:?} out of place",
+                        "entry: request {}: unexpected event {event:?}",
                         self.job.request
                     );
                     LifecycleEvent::DeadlineExceeded
@@ -129,7 +129,7 @@
             .record(self.job.request, what, place, why);
     }
 
-    /// The engine of the current attempt; none for a plain service.
+    /// The client of the engine that runs the current attempt; none for a plain service.
     fn engine(&self) -> Option<Arc<dyn UpstreamClient>> {
         let leader = self.attempt.as_ref().and_then(Attempt::leader);
         let leader = leader.filter(|_| self.job.is_model());
@@ -143,7 +143,7 @@
             .map_or("", UpstreamId::as_str)
     }
 
-    /// A request that crashed upstreams before is turned away before it costs anything.
+    /// Rejects a request that crashed upstreams before, so that it uses no resources.
     fn admit(&mut self) -> LifecycleEvent {
         let work = &self.job.work;
         let why = format!(
@@ -160,7 +160,7 @@
             .poison_list()
             .is_poison(&self.fingerprints(), self.context.clock.now())
         {
-            "it crashed the upstreams that ran it".clone_into(&mut self.message);
+            "the request crashed the upstreams that ran it".clone_into(&mut self.message);
             return LifecycleEvent::Rejected(FailureReason::Refused(RefuseReason::Poison));
         }
         LifecycleEvent::Admitted
@@ -197,7 +197,7 @@
                 retry_after,
             } => {
                 self.retry_after = Some(retry_after);
-                self.message = format!("turned away: {reason}");
+                self.message = format!("refused: {reason}");
                 self.record_step(StepKind::Refused, "", reason.name());
                 LifecycleEvent::Refused(reason)
             }
@@ -219,7 +219,10 @@
 
     pub(super) async fn on_attempt_failure(&mut self, err: UpstreamError) -> LifecycleEvent {
         let failure = classify_failure(&err);
-        info!("entry: request {} failure: {err}", self.job.request);
+        info!(
+            "entry: an attempt of request {} failed: {err}",
+            self.job.request
+        );
         self.message = err.to_string();
         let is_cut = failure == AttemptFailure::Interrupted;
         let what = if is_cut {
@@ -252,14 +255,15 @@
         LifecycleEvent::AttemptFailed(failure)
     }
 
-    /// Engines end an attempt at the same time limit; whichever is first, the caller is told that
-    /// the time ran out, and not that the engine failed.
+    /// Whether the deadline is so close that a failure counts as a timeout. Engines end an attempt
+    /// at the same time limit as this host; whichever is first, the caller is told that the time
+    /// ran out, and not that the engine failed.
     fn is_near_deadline(&self) -> bool {
         let now = self.context.clock.now();
         self.job.work.deadline.saturating_duration_since(now) < NEAR_DEADLINE
     }
 
-    /// The attempt provably did not run: its grant and its claim are free again.
+    /// Releases the grant and the claim of an attempt that certainly did not run.
     pub(super) fn release_unsent(&mut self, ended: AttemptOutcome) {
         self.end_attempt(ended);
         if let Some((key, attempt)) = self.recorded_claim.take() {
@@ -283,7 +287,7 @@
 
     pub(super) async fn decide_retry(&mut self) -> LifecycleEvent {
         let now = self.context.clock.now();
-        // Its own retries may be what crashes one upstream after the other.
+        // This request's own retries may be crashing one upstream after another.
         if self
             .context
             .poison_list()
@@ -310,10 +314,10 @@
             RetryDecision::Retry { after } => {
                 self.context.metrics.count_retry(self.retry_reason());
                 self.reply.restart();
-                // Homes answer a request that is asked again with the grant it has. If the end of the
-                // failed attempt got lost on its way, that would be the same grant, and its attempt
-                // would run a second time under one id. So each attempt is asked for under an id of
-                // its own.
+                // A home answers a repeated request with the grant that it already issued. If the
+                // message that ended the failed attempt was lost, the home would return the same
+                // grant, and a second attempt would run under the same id. So the grant for each
+                // attempt is requested under a new request id.
                 self.job.work.request = RequestId(rand::random());
                 sleep(after).await;
                 LifecycleEvent::RetryAllowed
@@ -337,7 +341,8 @@
         }
     }
 
-    /// Ends the current attempt, if there is one, and remembers its upstreams as ones to avoid.
+    /// Ends the current attempt, if there is one. If the attempt failed, later attempts avoid its
+    /// leader.
     pub(super) fn end_attempt(&mut self, ended: AttemptOutcome) {
         let Some(attempt) = self.attempt.take() else {
             return;
@@ -393,7 +398,7 @@
         };
         if self.reply.fail(&failure).await.is_err() {
             debug!(
-                "entry: the caller of {} went before the failure",
+                "entry: the caller of request {} disconnected before the failure was sent",
                 self.job.request
             );
         }
--- a/src/entry/granter.rs
+++ b/src/entry/granter.rs
@@ -1,4 +1,4 @@
-//! Grants as the entry asks for them.
+//! The interface through which request handling obtains grants from homes.
 
 use std::time::Duration;
 
@@ -14,61 +14,62 @@
 use crate::units::TargetId;
 use crate::units::UpstreamId;
 
-/// A grant with what is needed to give it back.
+/// A grant, with the data that is needed to give it back.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeldGrant {
-    /// The pool whose home gave it.
+    /// The pool whose home issued the grant.
     pub pool: PoolId,
-    /// The grant.
+    /// The id of the grant.
     pub grant: GrantId,
-    /// The engines, the leader first.
+    /// The upstreams to dispatch to; of a gang, the leader is first.
     pub upstreams: Vec<UpstreamId>,
-    /// How long it waited in the home's queue.
+    /// How long the request waited in the home's queue.
     pub waited: Duration,
-    /// Why these upstreams.
+    /// Why the home selected these upstreams, for explanations.
     pub why: String,
-    /// The work it was given for.
+    /// The work that the grant was issued for.
     pub work: Work,
 }
 
 impl HeldGrant {
-    /// Stands in for the grant of an earlier sending whose answer is read; it is never given back.
+    /// Creates a substitute for the grant behind an existing claim, for reading that attempt's
+    /// response. The substitute is never given back.
     pub fn of_claim(claim: &Claim, work: &Work) -> Self {
         Self {
             pool: PoolId::placeholder(),
             grant: GrantId(claim.attempt.0),
             upstreams: vec![claim.upstream.clone()],
             waited: Duration::ZERO,
-            why: "answer of an earlier sending".to_owned(),
+            why: "response to an earlier request with the same key".to_owned(),
             work: work.clone(),
         }
     }
 
-    /// The attempt that uses the grant up.
+    /// The id of the attempt that uses up the grant.
     pub fn attempt(&self) -> AttemptId {
         AttemptId(self.grant.0)
     }
 }
 
-/// What came of asking for a grant.
+/// The answer to a request for a grant.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GrantAnswer {
-    /// One dispatch is allowed.
+    /// One dispatch is permitted.
     Granted(Box<HeldGrant>),
-    /// The request is turned away.
+    /// The request is refused.
     Refused {
-        /// Why.
+        /// Why the request is refused.
         reason: RefuseReason,
-        /// When to come back.
+        /// How long the caller should wait before it retries.
         retry_after: Duration,
     },
 }
 
-/// Whoever grants dispatches.
+/// Obtains grants from homes. Each grant permits one dispatch.
 pub trait Granter: Send + Sync {
-    /// Asks for a grant and waits for the decision. Dropped before that, the request is withdrawn.
+    /// Requests a grant and waits for the decision. Dropping the future withdraws the request.
     fn request_grant(&self, target: TargetId, work: Work) -> BoxFuture<'_, GrantAnswer>;
 
-    /// Gives a grant back.
+    /// Gives a grant back, with the summary of its attempt.
     fn finish(&self, grant: &HeldGrant, summary: AttemptSummary);
 }
--- a/src/entry/headers.rs
+++ b/src/entry/headers.rs
@@ -1,4 +1,4 @@
-//! What callers say in headers.
+//! The request headers that callers set.
 
 use std::fmt::Display;
 use std::str::FromStr;
@@ -9,23 +9,23 @@
 use crate::units::CustomerId;
 use crate::units::IdempotencyKey;
 
-/// The headers of a caller, checked.
+/// The parsed and checked request headers of a caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallerHeaders {
-    /// Who the request is for.
+    /// The customer that the request is made for.
     pub customer: Option<CustomerId>,
-    /// The priority it names.
+    /// The name of the requested priority.
     pub priority: Option<String>,
-    /// Its time limit.
+    /// The time limit for the request.
     pub timeout: Option<Duration>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: Option<bool>,
-    /// The key that makes repeated sendings one request.
+    /// The idempotency key, which identifies repeated deliveries of one request.
     pub key: Option<IdempotencyKey>,
 }
 
 impl CallerHeaders {
-    /// Reads and checks them; the error names the header.
+    /// Parses the headers. An error text starts with the name of the invalid header.
     pub fn read(headers: &HeaderMap) -> Result<Self, String> {
         let timeout_ms: Option<u64> = parse(headers, "Banyanarch-Timeout-Ms")?;
         Ok(Self {
--- a/src/entry/in_flight.rs
+++ b/src/entry/in_flight.rs
@@ -1,11 +1,11 @@
-//! Counts requests that have not ended, and turns new ones away while draining.
+//! Counts requests that have not ended, and rejects new ones while the host drains.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::AtomicUsize;
 use std::sync::atomic::Ordering;
 
-/// Requests that have not ended.
+/// A counter of requests that have not ended. Its clones share one count.
 #[derive(Clone, Debug, Default)]
 pub struct InFlightCounter {
     inner: Arc<Inner>,
@@ -17,21 +17,23 @@
     is_closed: AtomicBool,
 }
 
-/// One request that has not ended; dropping it ends it.
+/// Counts one request for as long as the guard is held.
 #[derive(Debug)]
 pub struct InFlightGuard {
     inner: Arc<Inner>,
 }
 
 impl InFlightCounter {
-    /// Counts a request in, unless the host takes no new ones.
+    /// Counts a new request; none if the host accepts no new requests.
     pub fn enter(&self) -> Option<InFlightGuard> {
-        // Counted first and asked second, so that a drain that closes in between still waits for it.
+        // Counts before checking, so that a drain that closes in between still waits for this
+        // request.
         let guard = self.track();
         (!self.inner.is_closed.load(Ordering::SeqCst)).then_some(guard)
     }
 
-    /// Counts work that belongs to an earlier request.
+    /// Counts work that outlives its request, such as a cancellation. This also works after
+    /// [`Self::close`].
     pub fn track(&self) -> InFlightGuard {
         self.inner.count.fetch_add(1, Ordering::SeqCst);
         InFlightGuard {
@@ -39,12 +41,12 @@
         }
     }
 
-    /// Takes no new requests from now on.
+    /// Rejects new requests from now on.
     pub fn close(&self) {
         self.inner.is_closed.store(true, Ordering::SeqCst);
     }
 
-    /// How many there are.
+    /// The number of guards that are held.
     pub fn count(&self) -> usize {
         self.inner.count.load(Ordering::SeqCst)
     }
--- a/src/entry/job.rs
+++ b/src/entry/job.rs
@@ -1,4 +1,4 @@
-//! What is to be done for one request.
+//! Parses a request into a job: target, work, rules and body.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -29,34 +29,34 @@
 use crate::units::TargetId;
 use crate::units::Tokens;
 
-/// What a failure takes to reach the caller, so that it does so within the time limit: a twentieth
-/// of the limit, at most this.
+/// The largest part of a time limit that is kept for telling the caller about a failure, so that a
+/// failure still arrives within the limit. The part is a twentieth of the limit, at most this.
 const REPLY_MARGIN_MAX: Duration = Duration::from_millis(100);
 
-/// A request that was read and checked.
+/// A request that has been read and checked.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The request, by the id that its caller is told.
+    /// The request id that the caller is told.
     pub request: RequestId,
-    /// The upstreams it needs.
+    /// The target that serves the request.
     pub target: TargetId,
-    /// The request for the decisions.
+    /// The request as homes and policies see it.
     pub work: Work,
-    /// When its first byte came.
+    /// When the head of the request had been read.
     pub received: Instant,
-    /// What it may be put through.
+    /// Whether the request may run more than once, and whether it needs a claim.
     pub rules: LifecycleRules,
-    /// The form of its answer.
+    /// The format of the reply.
     pub format: ReplyFormat,
-    /// The model's name as the caller gave it; empty for plain services.
+    /// The name of the model as the caller wrote it; empty for plain services.
     pub model: String,
-    /// The key that makes repeated sendings one request.
+    /// The idempotency key, which identifies repeated deliveries of one request.
     pub key: Option<IdempotencyKey>,
-    /// A hash over customer, path and body.
+    /// A hash over customer, method, path with query, and body.
     pub content: ContentHash,
     /// The HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// The path with the query.
     pub path: String,
     /// The content type of the body.
     pub content_type: Option<String>,
@@ -65,47 +65,47 @@
 }
 
 impl Job {
-    /// Whether its answer is a stream of tokens.
+    /// Whether the target is a model, whose response is a stream of tokens.
     pub fn is_model(&self) -> bool {
         self.format != ReplyFormat::PassThrough
     }
 }
 
-/// The head of a request: all that is known before its body.
+/// The head of a request: everything that is known before its body is read.
 #[derive(Clone, Debug)]
 pub struct JobHead {
-    /// The request.
+    /// The request id.
     pub request: RequestId,
     /// The host that holds the caller's connection.
     pub host: HostId,
-    /// When its first byte came.
+    /// When the head of the request had been read.
     pub received: Instant,
     /// The HTTP method.
     pub method: Method,
     /// The path.
     pub path: String,
-    /// Path and query.
+    /// The path with the query.
     pub path_and_query: String,
     /// The content type of the body.
     pub content_type: Option<String>,
-    /// What the caller says in headers.
+    /// The parsed headers of the caller.
     pub headers: CallerHeaders,
 }
 
-/// What a path leads to.
+/// What the path of a request selects.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestRoute {
-    /// A model call; which model is in the body.
+    /// A model call. The body names the model.
     Model(CallKind),
     /// A plain service.
     Service(ServiceSpec),
 }
 
-/// A request that can't be served, with a sentence for its caller.
+/// Why a request can't be served, with a message for its caller.
 pub type Rejection = (FailureReason, String);
 
 impl JobHead {
-    /// Where the request goes.
+    /// Finds what serves the request's path and method.
     pub fn route(&self, manifest: &Manifest) -> Result<RequestRoute, Rejection> {
         let kind = match self.path.as_str() {
             "/v1/completions" => Some(CallKind::Completion),
@@ -116,7 +116,7 @@
             if self.method != Method::POST {
                 return Err((
                     FailureReason::NotServed,
-                    format!("{} takes POST", self.path),
+                    format!("{} accepts only POST", self.path),
                 ));
             }
             return Ok(RequestRoute::Model(kind));
@@ -143,7 +143,8 @@
             .ok_or_else(unknown)
     }
 
-    /// Who the request is for.
+    /// The manifest's entry for the request's customer. Customers without an entry of their own
+    /// share the entry `default`, if there is one.
     pub fn customer<'a>(&self, manifest: &'a Manifest) -> Result<&'a CustomerSpec, Rejection> {
         let name = self
             .headers
@@ -165,7 +166,7 @@
         find(name).or_else(|| find("default")).ok_or_else(unknown)
     }
 
-    /// When it must have been answered.
+    /// When the caller must have the reply or the failure, less the time to deliver a failure.
     pub fn deadline(&self, manifest: &Manifest) -> Instant {
         let limits = &manifest.limits;
         let max_limit = Duration::from_millis(limits.deadline_max_ms);
@@ -174,12 +175,12 @@
         self.received + limit.saturating_sub((limit / 20).min(REPLY_MARGIN_MAX))
     }
 
-    /// The largest body it may have.
+    /// The largest body that the manifest allows.
     pub fn body_size_max(manifest: &Manifest) -> ByteSize {
         manifest.limits.body_size_max
     }
 
-    /// The whole job, once the body is there.
+    /// Builds the job once the body has been read.
     pub fn into_job(
         self,
         route: &RequestRoute,
@@ -200,7 +201,7 @@
         };
         let repeatable = self.headers.repeatable.unwrap_or(plan.repeatable);
         if plan.key_required && !repeatable && self.headers.key.is_none() {
-            let why = format!("{} needs an Idempotency-Key", plan.target);
+            let why = format!("{} requires an Idempotency-Key header", plan.target);
             return Err((FailureReason::BadRequest, why));
         }
         let needs_claim = !repeatable && self.headers.key.is_some();
@@ -255,7 +256,7 @@
         };
         let requested = rank(name)?;
         if requested < customer_rank {
-            let why = format!("{} may not name the priority {name}", customer.name);
+            let why = format!("customer {} may not use the priority {name}", customer.name);
             return Err((FailureReason::Forbidden, why));
         }
         Ok(requested)
@@ -319,7 +320,7 @@
         .unwrap_or(manifest.limits.output_tokens_default);
     if call.prompt_tokens + output_tokens > spec.context_tokens_max {
         let why = format!(
-            "prompt and answer come to about {} tokens, {} takes {}",
+            "prompt and output need about {} tokens, but {} accepts at most {}",
             call.prompt_tokens + output_tokens,
             spec.name,
             spec.context_tokens_max
@@ -342,7 +343,7 @@
     })
 }
 
-/// A model by its name, or by `MODEL:ADAPTER`.
+/// Finds a model by its name, or by `MODEL:ADAPTER`.
 fn find_model<'a>(manifest: &'a Manifest, target: &TargetId) -> Option<&'a ModelSpec> {
     match manifest.target(target)? {
         Target::Model(model) | Target::Adapter { model, .. } => Some(model),
--- a/src/entry/lifecycle.rs
+++ b/src/entry/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a request as a state machine without I/O.
+//! The lifecycle of a request as a state machine without I/O.
 
 use statig::prelude::*;
 
@@ -9,92 +9,92 @@
 use crate::entry::FailureReason;
 use crate::entry::RequestOutcome;
 
-/// How often a cut answer is read on at the same upstream before the attempt counts as lost.
-/// A connection that breaks three times in one answer is not worth a fourth.
+/// How often an interrupted response is resumed at the same upstream before the attempt counts as
+/// lost. A connection that breaks more often than this within one response is unlikely to recover.
 const RESUMES_MAX: u8 = 3;
 
-/// What a request may be put through; fixed when it has been read.
+/// The rules for running a request, fixed once it has been read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LifecycleRules {
-    /// It may run more than once.
+    /// The request may run more than once.
     pub repeatable: bool,
-    /// It must be claimed before each dispatch.
+    /// The request must be claimed before each dispatch.
     pub needs_claim: bool,
 }
 
-/// What happened to a request.
+/// An event in the lifecycle of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleEvent {
-    /// It has been read and may go on.
+    /// The request passed the admission check.
     Admitted,
-    /// It was turned away before anything else.
+    /// The request failed the admission check.
     Rejected(FailureReason),
-    /// A home granted a dispatch.
+    /// A home granted one dispatch.
     Granted,
-    /// A home turned it away.
+    /// A home refused the request.
     Refused(RefuseReason),
-    /// The claim is recorded and is this request's own.
+    /// The claim is recorded for this request.
     Claimed,
-    /// An earlier sending of the same key has the claim, and its answer can be read.
+    /// An earlier request with the same key holds the claim, and its response can be read.
     ClaimHeld,
-    /// The claim could not be recorded, and never will be.
+    /// The claim was not recorded, and will not be.
     ClaimFailed(FailureReason),
-    /// The first byte of the answer went to the caller.
+    /// The first byte of the reply went to the caller.
     Delivered,
-    /// The whole answer came.
+    /// The response was received completely.
     Ended,
-    /// The attempt ended otherwise.
+    /// The attempt ended without a complete response.
     AttemptFailed(AttemptFailure),
-    /// The retry budget and the time left allow another attempt.
+    /// The retry budget and the remaining time allow another attempt.
     RetryAllowed,
-    /// They don't.
+    /// The retry budget or the remaining time does not allow another attempt.
     RetryDenied,
-    /// The time limit has come.
+    /// The time limit has passed.
     DeadlineExceeded,
-    /// The caller is gone, or reads too slowly.
+    /// The caller has disconnected, or reads too slowly.
     CallerGone,
 }
 
-/// How an attempt broke.
+/// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// It is certain that it did not run.
+    /// The attempt certainly did not run.
     DidNotRun,
-    /// The connection broke; the attempt may go on at the upstream.
+    /// The connection broke; the attempt may still be running at the upstream.
     Interrupted,
-    /// The upstream failed it, forgot it or died.
+    /// The upstream failed the attempt, no longer knows the attempt, or died.
     Lost,
-    /// What came is not this attempt's answer.
+    /// The upstream sent something that is not this attempt's response.
     InvalidResponse,
 }
 
-/// What to do next for a request.
+/// The next action for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleAction {
-    /// Nothing: the event changes nothing.
+    /// No action, since the event changes nothing.
     Nothing,
-    /// Ask a home for a grant.
+    /// Request a grant from a home.
     RequestGrant,
-    /// Record the claim.
+    /// Record a claim.
     Claim,
-    /// Dispatch under the grant.
+    /// Dispatch the request under its grant.
     Dispatch,
-    /// Read on from where the answer was cut.
+    /// Resume the response from the point of its interruption.
     Resume,
-    /// Ask whether the budget and the time left allow another attempt.
+    /// Decide whether the retry budget and the remaining time allow another attempt.
     DecideRetry,
-    /// Read the answer of the sending that holds the claim.
+    /// Read the response of the attempt that holds the claim.
     FollowClaim,
-    /// Tell the caller how it ended.
+    /// Tell the caller the outcome.
     Finish(RequestOutcome),
-    /// Give everything back: nobody waits for the answer.
+    /// Release everything, since no caller waits for the reply.
     Abandon,
 }
 
-/// The life of one request.
+/// The lifecycle of one request.
 ///
-/// What it must keep apart: whether any attempt may have run (then "not run" is never said), and
-/// whether a byte of an answer went to the caller (then no other attempt's answer may follow).
+/// The state machine enforces two rules. Once an attempt may have run, the outcome is never "not
+/// run". Once a byte of a reply went to the caller, no other attempt's response may follow.
 #[derive(Debug)]
 pub struct RequestLifecycle {
     rules: LifecycleRules,
@@ -105,7 +105,7 @@
 }
 
 impl RequestLifecycle {
-    /// The life of a request that has yet to be read.
+    /// Creates the lifecycle of a request that has not passed the admission check yet.
     pub fn new(rules: LifecycleRules) -> Self {
         Self {
             rules,
@@ -206,7 +206,8 @@
                 Transition(State::running())
             }
             LifecycleEvent::ClaimHeld => {
-                // The key's earlier sending has run or runs: "not run" would be wrong from here on.
+                // The earlier request with this key has run or is running, so "not run" would be
+                // wrong from here on.
                 self.record.on_response_start();
                 *context = LifecycleAction::FollowClaim;
                 Transition(State::following())
@@ -324,7 +325,7 @@
     }
 }
 
-/// Hands an event to a life and returns what to do next.
+/// Feeds an event to the state machine and returns the next action.
 pub fn advance(
     lifecycle: &mut StateMachine<RequestLifecycle>,
     event: LifecycleEvent,
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! Callers' requests from the first byte to the outcome.
+//! Handles callers' HTTP requests, from the first byte to the outcome.
 
 mod attempt;
 mod body_reader;
--- a/src/entry/model_call.rs
+++ b/src/entry/model_call.rs
@@ -1,4 +1,4 @@
-//! The body of a completion or chat call, as far as the system needs to know it.
+//! Parses the fields of a completion or chat call that scheduling needs.
 
 use std::borrow::Cow;
 
@@ -9,37 +9,37 @@
 use crate::units::TargetId;
 use crate::units::Tokens;
 
-/// Prefixes are hashed at these lengths, as far as a prompt reaches. Four lengths tell apart a
-/// shared instruction, a shared case file and a shared archive.
+/// The lengths at which prompt prefixes are hashed, as far as a prompt is long enough. Four lengths
+/// suffice to distinguish a shared instruction, a shared case file and a shared archive.
 const PREFIX_LENS_BYTES: [usize; 4] = [4_096, 16_384, 65_536, 262_144];
 
-/// A token is about four bytes of text in the languages of the models in use. It is a first
-/// estimate: homes correct it by what engines count.
+/// The average size of a token in the languages of the models in use. The resulting counts are
+/// first estimates, which homes correct by the counts that engines report.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// Which of the two calls it is.
+/// The API of a model call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// `/v1/completions`.
+    /// The completions API at `/v1/completions`.
     Completion,
-    /// `/v1/chat/completions`.
+    /// The chat API at `/v1/chat/completions`.
     Chat,
 }
 
-/// What a call asks for.
+/// The fields of a model call that scheduling needs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelCall {
-    /// Which call.
+    /// The API of the call.
     pub kind: CallKind,
-    /// The model, perhaps with an adapter.
+    /// The model, optionally with an adapter.
     pub target: TargetId,
-    /// Whether the caller wants the answer as a stream.
+    /// Whether the caller wants the reply as a stream.
     pub stream: bool,
-    /// The longest answer, if the caller named one.
+    /// The limit on output tokens, if the caller set one.
     pub output_tokens: Option<Tokens>,
-    /// The prompt's estimated length.
+    /// The estimated length of the prompt.
     pub prompt_tokens: Tokens,
-    /// Hashes of the prompt's prefixes with their estimated lengths, the shortest first.
+    /// Hashes of the prompt's prefixes with their estimated lengths, shortest first.
     pub prefixes: Vec<(ContentHash, Tokens)>,
 }
 
@@ -86,7 +86,7 @@
 }
 
 impl ModelCall {
-    /// Reads a body; the error names what is wrong with it.
+    /// Parses a body. The error text says what is wrong with the body.
     pub fn read(kind: CallKind, body: &[u8]) -> Result<Self, String> {
         let call: CallBody<'_> = serde_json::from_slice(body).map_err(|err| err.to_string())?;
         let target = call.model.parse().map_err(|err| format!("model: {err}"))?;
--- a/src/entry/release.rs
+++ b/src/entry/release.rs
@@ -1,4 +1,4 @@
-//! Ends an attempt: its grant, and what it may still hold at its upstreams.
+//! Releases what an attempt holds: memory at its upstreams, then its grant.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,19 +13,21 @@
 use crate::entry::HeldGrant;
 use crate::units::UpstreamId;
 
-/// The first pause between two tries to cancel; it doubles up to [`CANCEL_PAUSE_MAX`].
+/// The first pause between two tries to cancel an attempt. The pause doubles up to
+/// [`CANCEL_PAUSE_MAX`].
 const CANCEL_PAUSE_MIN: Duration = Duration::from_millis(100);
 
-/// An upstream that does not answer is asked this often.
+/// The longest pause between two tries to cancel an attempt.
 const CANCEL_PAUSE_MAX: Duration = Duration::from_secs(5);
 
-/// Engines end an attempt at its own time limit. This much later an attempt that could not be
-/// cancelled holds nothing any more, or its home finds it in the engine's list.
+/// How long after the deadline of an attempt the tries to cancel it go on. Engines end an attempt
+/// at its own time limit. This much later, an attempt that could not be cancelled holds no memory
+/// any more, or its home finds it in the engine's list of attempts.
 const CANCEL_GRACE: Duration = Duration::from_secs(10);
 
-/// Gives back all that an attempt holds. The grant is given back only when the engine has confirmed
-/// that the attempt's memory is free: a grant that ended earlier would let the home promise memory
-/// that the engine does not have.
+/// Releases everything that an attempt holds. The grant is given back only after the engine has
+/// confirmed that the attempt's memory is free, or after the tries to cancel have run out: a grant
+/// that ended earlier would let the home assign memory that the engine does not have.
 pub(crate) fn release_attempt(
     context: &Arc<EntryContext>,
     attempt: &Attempt,
@@ -73,7 +75,7 @@
             return;
         };
         debug!(
-            "entry: cancel of attempt {} at {id}: {err}",
+            "entry: cannot cancel attempt {} at {id}: {err}",
             grant.attempt()
         );
         if context.clock.now() + pause > until {
--- a/src/entry/reply.rs
+++ b/src/entry/reply.rs
@@ -1,4 +1,4 @@
-//! The answer to a caller while it is being made.
+//! Builds and sends the reply to a caller.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -21,69 +21,71 @@
 use crate::units::HostId;
 use crate::units::RequestId;
 
-/// Pieces that wait for a caller that reads slowly. Beyond them the upstream's stream is not read
-/// on, so that the memory a request takes here does not depend on its caller.
+/// The number of chunks that are queued for a caller that reads slowly. When the queue is full, the
+/// upstream's stream is not read, so that a request's memory on this host does not depend on its
+/// caller.
 const QUEUED_CHUNKS_MAX: usize = 32;
 
-/// A caller that takes nothing for this long pins an engine's memory for an answer that it does not
-/// read. Someone who listens to an answer being read out pauses for seconds, not for this long.
+/// How long a caller may read nothing while the queue is full. Such a caller occupies an engine's
+/// memory for a reply that it does not read. A person who listens to a reply being read aloud
+/// pauses for seconds, not for this long.
 const CALLER_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The caller is gone or has stalled.
+/// The error for a caller that has disconnected or stalled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerGone;
 
-/// The form of the answer.
+/// The format of a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyFormat {
-    /// Server-sent events in the form of the API.
+    /// Server-sent events in the format of the API.
     Stream(CallKind),
     /// One JSON object.
     Json(CallKind),
-    /// Whatever a plain service answers.
+    /// The response of a plain service, unchanged.
     PassThrough,
 }
 
-/// A failure as the caller is told.
+/// A failure as it is reported to the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FailureReply {
     /// The outcome and its reason.
     pub outcome: RequestOutcome,
-    /// A sentence for people.
+    /// A message for people.
     pub message: String,
-    /// When to come back, if that helps.
+    /// How long the caller should wait before it retries; none if no time is known.
     pub retry_after: Option<Duration>,
 }
 
-/// The counts at the end of a model's answer.
+/// The token counts at the end of a model's reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// The number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// The number of generated tokens.
     pub completion_tokens: u64,
 }
 
-/// The body of an answer.
+/// The body of a reply.
 #[derive(Debug)]
 pub enum ReplyBody {
-    /// All of it.
+    /// The whole body in one buffer; none once it has been sent.
     Full(Option<Bytes>),
-    /// In pieces.
+    /// A body that is sent in chunks.
     Chunks(mpsc::Receiver<BodyChunk>),
 }
 
-/// A piece of a body, or a cut, which breaks the connection so that nobody takes a part of an
-/// answer for the whole.
+/// A chunk of a body, or the order to break the connection, so that no caller mistakes a part of a
+/// reply for the whole.
 #[derive(Debug)]
 pub enum BodyChunk {
-    /// Bytes.
+    /// Bytes of the body.
     Data(Bytes),
-    /// The answer ends here and is not whole.
+    /// The reply ends here and is incomplete.
     Abort,
 }
 
-/// The error that makes the server break a connection.
+/// The body error that makes the server break a connection.
 #[derive(Debug)]
 pub struct TruncatedBody;
 
@@ -123,7 +125,7 @@
     }
 }
 
-/// Makes the answer to one request.
+/// Builds and sends the reply to one request.
 #[derive(Debug)]
 pub struct Reply {
     format: ReplyFormat,
@@ -136,7 +138,7 @@
 }
 
 impl Reply {
-    /// A reply whose head goes to `head`.
+    /// Creates a reply whose response head is sent to `head`.
     pub fn new(
         request: RequestId,
         host: HostId,
@@ -153,23 +155,23 @@
         }
     }
 
-    /// Sets the form once the request has been read.
+    /// Sets the format and the model name once the request has been read.
     pub fn set_format(&mut self, format: ReplyFormat, model: &str) {
         self.format = format;
         model.clone_into(&mut self.model);
     }
 
-    /// Forgets what an attempt that is made again has answered so far.
+    /// Discards the buffered text of a failed attempt before a retry.
     pub fn restart(&mut self) {
         self.full_text.clear();
     }
 
-    /// Whether something of an answer has gone to the caller.
+    /// Whether any part of a reply has gone to the caller.
     pub fn is_delivered(&self) -> bool {
         self.chunks.is_some()
     }
 
-    /// Comes back when the caller is gone.
+    /// Waits until the caller has disconnected.
     pub async fn wait_until_gone(&mut self) {
         if let Some(chunks) = &self.chunks {
             chunks.closed().await;
@@ -178,7 +180,7 @@
         }
     }
 
-    /// Hands on tokens of a model's answer.
+    /// Sends text of a model's response, or buffers it for a reply that is not streamed.
     pub async fn send_tokens(&mut self, text: &str) -> Result<(), CallerGone> {
         match self.format {
             ReplyFormat::Json(_) | ReplyFormat::PassThrough => {
@@ -193,7 +195,7 @@
         }
     }
 
-    /// Hands on the head of a plain service's answer.
+    /// Sends the head of a plain service's response.
     pub fn send_service_head(
         &mut self,
         status: u16,
@@ -204,12 +206,12 @@
         self.open(head.header(CONTENT_TYPE, content_type))
     }
 
-    /// Hands on bytes of a plain service's answer.
+    /// Sends bytes of a plain service's response.
     pub async fn send_data(&mut self, bytes: Bytes) -> Result<(), CallerGone> {
         self.send(bytes).await
     }
 
-    /// Ends a whole answer.
+    /// Ends the reply after a complete response.
     pub async fn complete(&mut self, finish_reason: &str, usage: Usage) -> Result<(), CallerGone> {
         match self.format {
             ReplyFormat::PassThrough => {
@@ -236,7 +238,8 @@
         }
     }
 
-    /// Tells the caller at once that the request failed.
+    /// Ends the reply with a failure: as a status and body if no head was sent, as a last event in
+    /// a stream, else by breaking the connection.
     pub async fn fail(&mut self, failure: &FailureReply) -> Result<(), CallerGone> {
         let body = self.failure_body(failure);
         if self.chunks.is_none() {
--- a/src/entry/request_outcome.rs
+++ b/src/entry/request_outcome.rs
@@ -1,23 +1,23 @@
-//! How a request ended, as its caller is told.
+//! The outcome of a request as its caller is told, with the reason for a failure.
 
 use hyper::StatusCode;
 
 use crate::control::outcome::Outcome;
 use crate::decide::RefuseReason;
 
-/// The three outcomes.
+/// The outcome of a request, with the reason for a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The caller has the whole answer.
+    /// The response was complete.
     Completed,
-    /// It truly did not run.
+    /// The request certainly did not run.
     NotRun(FailureReason),
-    /// It may have run, wholly or in part.
+    /// The request may have run, completely or in part.
     MayHaveRun(FailureReason),
 }
 
 impl RequestOutcome {
-    /// The outcome as headers and bodies give it.
+    /// The outcome without its reason, as headers and bodies state it.
     pub fn kind(self) -> Outcome {
         match self {
             Self::Completed => Outcome::Completed,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The reason as one word; `ok` when it completed.
+    /// The name of the reason; `ok` for a completed request.
     pub fn reason(self) -> &'static str {
         match self {
             Self::Completed => "ok",
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The HTTP status, when no other has been sent.
+    /// The HTTP status for the outcome. It applies only if no status has been sent before.
     pub fn status(self) -> StatusCode {
         match self {
             Self::Completed => StatusCode::OK,
@@ -46,40 +46,40 @@
 /// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureReason {
-    /// The request itself is wrong.
+    /// The request is malformed.
     BadRequest,
-    /// Nothing of that name is in the manifest.
+    /// The manifest has no model of the given name.
     UnknownTarget,
-    /// The customer is unknown, or may not name that priority.
+    /// The customer is unknown, or may not use the requested priority.
     Forbidden,
-    /// The head is larger than any client library sends.
+    /// The head exceeds the size limit.
     HeadTooLarge,
-    /// The body is larger than the manifest allows.
+    /// The body, or prompt and output together, are larger than the manifest allows.
     BodyTooLarge,
-    /// The method or path is not served.
+    /// No model API or service accepts the method and path.
     NotServed,
-    /// The host has no memory left for the body.
+    /// The host's memory budget for bodies is used up.
     BodyMemory,
-    /// The host knows no manifest yet.
+    /// The host has no manifest yet.
     NotReady,
     /// The host is shutting down.
     Draining,
-    /// A home turned it away.
+    /// A home refused the request, or an equivalent check on this host did.
     Refused(RefuseReason),
-    /// The key was used for another request.
+    /// The idempotency key was used before for a request with other content.
     KeyReused,
-    /// A sending of the same key may have run, and its answer is gone.
+    /// An earlier request with the same key may have run, and its response is not available.
     KeyMayHaveRun,
-    /// An upstream failed it.
+    /// The last attempt failed at its upstream.
     UpstreamFailed,
-    /// An upstream sent what is not its answer.
+    /// An upstream sent something that is not a response to the last attempt.
     UpstreamInvalidResponse,
-    /// The time limit came.
+    /// The time limit passed.
     DeadlineExceeded,
 }
 
 impl FailureReason {
-    /// The reason as one word for headers, metrics and logs.
+    /// The name of the reason in bodies, metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::BadRequest => "bad_request",
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The HTTP status of a failure for this reason.
+    /// The HTTP status for a failure with this reason.
     pub fn status(self) -> StatusCode {
         match self {
             Self::BadRequest => StatusCode::BAD_REQUEST,
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -1,4 +1,4 @@
-//! The port for callers.
+//! Serves the HTTP port for callers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,23 +35,27 @@
 use crate::manifest::ManifestInForce;
 use crate::units::RequestId;
 
-/// A caller that has not sent its whole head by then holds a connection for nothing.
+/// The time limit for reading the head of a request. It keeps idle or slow clients from holding
+/// connections.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// More than any client library sends; larger heads get 431.
+/// The largest head in bytes, more than any client library sends. Larger heads get status 431.
 const HEAD_LEN_MAX: usize = 64 << 10;
 
-/// Parsing a body of a million tokens takes milliseconds, in which the thread would serve nobody
-/// else and short requests would wait. Bodies beyond this size are parsed on a thread of their own.
+/// The largest body in bytes that is parsed on a runtime thread. Parsing a body of a million tokens
+/// takes milliseconds, during which short requests on the same thread would wait, so larger bodies
+/// are parsed on a blocking thread.
 const PARSE_INLINE_MAX: usize = 256 << 10;
 
-/// The pause after the system refused a connection, mostly for want of file descriptors.
+/// The pause after a failed accept, which is mostly due to a lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// When to come back to a host that has no manifest yet, drains, or has no memory for the body.
+/// The retry time for callers of a host that has no manifest yet, drains, or has no memory for the
+/// body.
 const RETRY_AFTER_HOST: Duration = Duration::from_secs(1);
 
-/// Serves callers until `stop` turns true, then finishes the connections that carry a request.
+/// Serves callers until `stop` becomes true, then lets connections with an unfinished request
+/// finish.
 pub async fn serve_callers(
     context: Arc<EntryContext>,
     listener: TcpListener,
@@ -66,13 +70,13 @@
         let stream = match accepted {
             Ok((stream, _)) => stream,
             Err(err) => {
-                warn!("entry: cannot accept: {err}");
+                warn!("entry: cannot accept a connection: {err}");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
         if let Err(err) = stream.set_nodelay(true) {
-            debug!("entry: a connection closed at once: {err}");
+            debug!("entry: a connection was closed right after accept: {err}");
             continue;
         }
         let context = Arc::clone(&context);
@@ -98,8 +102,8 @@
 ) -> Result<Response<ReplyBody>, hyper::Error> {
     let request = RequestId(rand::random());
     let (head_tx, head_rx) = oneshot::channel();
-    // A task of its own: hyper drops this future when the caller goes, and what an upstream holds
-    // for the request has to be given back even then.
+    // Runs in its own task, since hyper drops this future when the caller disconnects, and
+    // resources that an upstream holds for the request must be released even then.
     tokio::spawn(async move {
         let mut reply = Reply::new(request, context.host.clone(), head_tx);
         handle(&context, request, req, &mut reply).await;
@@ -107,7 +111,7 @@
     Ok(head_rx.await.unwrap_or_else(|_| broken_reply()))
 }
 
-/// The answer if the request's task broke down; it can't know whether anything ran.
+/// The reply if the request's task panicked. Whether an attempt ran is unknown then.
 fn broken_reply() -> Response<ReplyBody> {
     let body =
         r#"{"error":{"message":"internal error","type":"internal","outcome":"may-have-run"}}"#;
@@ -136,7 +140,7 @@
         return reject(reply, (FailureReason::Draining, why)).await;
     };
     let Some(in_force) = context.cluster_view.manifest() else {
-        let why = "this host knows no manifest yet".to_owned();
+        let why = "this host has no manifest yet".to_owned();
         return reject(reply, (FailureReason::NotReady, why)).await;
     };
     match read_job(context, request, req, &in_force).await {
@@ -146,7 +150,7 @@
             context.metrics.add_in_flight(class, 1);
             let outcome = Driver::new(context, job, reply).run().await;
             context.metrics.add_in_flight(class, -1);
-            // A caller that went away before the end did not see whether it ran.
+            // For a caller that disconnected before the end, the request may have run.
             let (kind, reason) = outcome.map_or((Outcome::MayHaveRun, "caller_gone"), |outcome| {
                 (outcome.kind(), outcome.reason())
             });
@@ -171,7 +175,7 @@
         retry_after,
     };
     if reply.fail(&failure).await.is_err() {
-        debug!("entry: a caller went before its rejection");
+        debug!("entry: a caller disconnected before its rejection was sent");
     }
 }
 
@@ -212,7 +216,7 @@
     let timed_out = |_| {
         (
             FailureReason::DeadlineExceeded,
-            "the body did not come in time".to_owned(),
+            "the body did not arrive within the time limit".to_owned(),
         )
     };
     let buffered = buffered
@@ -222,7 +226,8 @@
     Ok((job, buffered))
 }
 
-/// hyper bounds what it reads ahead, which a head that arrives at once can exceed.
+/// Checks the size of the headers. hyper limits only what it reads ahead, and a head that arrives
+/// in one read can exceed that limit.
 fn check_head(headers: &HeaderMap) -> Result<(), Rejection> {
     let len: usize = headers
         .iter()
@@ -233,7 +238,7 @@
     }
     Err((
         FailureReason::HeadTooLarge,
-        format!("the head has {len} bytes, at most {HEAD_LEN_MAX} are taken"),
+        format!("the head has {len} bytes, more than the limit of {HEAD_LEN_MAX}"),
     ))
 }
 
@@ -241,7 +246,7 @@
     match reason {
         FailureReason::BodyTooLarge => "the body is larger than the manifest's body_size_max",
         FailureReason::BodyMemory => "this host has no memory left for the body",
-        _ => "the body failure off",
+        _ => "the body ended early or stalled",
     }
 }
 
@@ -260,7 +265,7 @@
     parsed.unwrap_or_else(|_| {
         Err((
             FailureReason::BadRequest,
-            "the body can't be read".to_owned(),
+            "the body could not be parsed".to_owned(),
         ))
     })
 }
