--- a/src/daemon/manifest_loop.rs
+++ b/src/daemon/manifest_loop.rs
@@ -24,7 +24,7 @@
 const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The pause after a failure, and between checks of whether this host has become a watcher.
-const PAUSE: Duration = Duration::from_secs(1);
+const POLL_PAUSE: Duration = Duration::from_secs(1);
 
 /// Creates the check of published manifests: they must be valid and name this host's deployment.
 pub(crate) fn validator(deployment: String) -> ManifestValidator {
@@ -56,7 +56,7 @@
             Err(err) => {
                 warn!("manifests: {err}");
                 version = None;
-                sleep(PAUSE).await;
+                sleep(POLL_PAUSE).await;
             }
         }
     }
@@ -77,7 +77,7 @@
 /// Waits until the controller asks for a read or this host becomes a watcher. A host that does not
 /// watch receives new generations from peers.
 async fn wait_until_requested(host: &Host) -> Result<Option<ObjectVersion>, PlatformError> {
-    let is_requested = timeout(PAUSE, host.manifests.wants_platform())
+    let is_requested = timeout(POLL_PAUSE, host.manifests.wants_platform())
         .await
         .is_ok();
     let has_become_watcher = is_watcher(host);
--- a/src/daemon/membership_handler.rs
+++ b/src/daemon/membership_handler.rs
@@ -24,7 +24,7 @@
 }
 
 impl MembershipHandler {
-    fn is_neighbour(&self, host: &HostId) -> bool {
+    fn is_in_same_domain(&self, host: &HostId) -> bool {
         let view = self.entry.cluster_view.hosts.get(host);
         view.is_some_and(|view| view.domain == self.domain)
     }
@@ -34,7 +34,7 @@
     fn take(&self, news: Vec<FleetNews>) {
         for item in news {
             match item {
-                FleetNews::HostAlive(host) if self.is_neighbour(&host) => {
+                FleetNews::HostAlive(host) if self.is_in_same_domain(&host) => {
                     self.homes.tell_all(&HomeEvent::HostAlive(host));
                 }
                 // Homes learn of hosts in other failure domains from the announcements of those
@@ -44,7 +44,7 @@
                     self.peers.reset(&host);
                     // Homes compare the number of dead hosts with the number of live ones, so both
                     // must come from the same failure domain.
-                    if self.is_neighbour(&host) {
+                    if self.is_in_same_domain(&host) {
                         self.homes.tell_all(&HomeEvent::HostDead(host));
                     }
                 }
--- a/src/entry/driver/dispatching.rs
+++ b/src/entry/driver/dispatching.rs
@@ -73,7 +73,10 @@
             .first()
             .and_then(|id| self.context.upstreams.upstream(id));
         let Some(upstream) = leader else {
-            let why = format!("upstream {:?} is unknown to this host", grant.upstreams);
+            let why = format!(
+                "the leader of {:?} is unknown to this host",
+                grant.upstreams
+            );
             return self.on_attempt_failure(UpstreamError::NotSent(why)).await;
         };
         let dispatch = self.build_dispatch(&grant, now);
@@ -90,7 +93,7 @@
             () = wait_for_hang(self.job.is_model().then_some(&*upstream)) => Err(hang_error()),
         };
         match started {
-            Ok(answer) => self.forward_response(answer, lifecycle).await,
+            Ok(response) => self.forward_response(response, lifecycle).await,
             Err(err) => self.on_attempt_failure(err).await,
         }
     }
@@ -149,11 +152,11 @@
             let upstream = self.context.upstreams.upstream(id).ok_or_else(unknown)?;
             let host = self.context.host.clone();
             let tokens = crate::units::Tokens(tokens);
-            let taken = upstream
+            let reserved = upstream
                 .hold_gang(grant.attempt(), host, tokens, hold)
                 .await;
             // A reservation runs nothing: whether or not it succeeded, the request was not sent.
-            taken.map_err(|err| UpstreamError::NotSent(format!("gang member {id}: {err}")))?;
+            reserved.map_err(|err| UpstreamError::NotSent(format!("gang member {id}: {err}")))?;
         }
         Ok(())
     }
@@ -173,10 +176,10 @@
             return self.on_attempt_failure(UpstreamError::UnknownAttempt).await;
         };
         match upstream.resume(attempt.id(), attempt.offset_tokens()).await {
-            Ok(answer) => {
+            Ok(response) => {
                 let why = format!("from token {}", attempt.offset_tokens());
                 self.record_step(StepKind::Resumed, self.leader(), why);
-                self.forward_response(answer, lifecycle).await
+                self.forward_response(response, lifecycle).await
             }
             Err(UpstreamError::NotSent(why)) => {
                 // The attempt had started, its connection broke, and the upstream now refuses
@@ -212,7 +215,7 @@
         }
         let offset_tokens = self.attempt.as_ref().map_or(0, Attempt::offset_tokens);
         match self.resume_claimed(&*upstream, &claim, offset_tokens).await {
-            Ok(answer) => self.forward_response(answer, lifecycle).await,
+            Ok(response) => self.forward_response(response, lifecycle).await,
             Err(err) => LifecycleEvent::AttemptFailed(classify_follow_failure(&err)),
         }
     }
@@ -227,11 +230,11 @@
         offset_tokens: u64,
     ) -> Result<ResponseStream, UpstreamError> {
         let clock = &self.context.clock;
-        let give_up = (clock.now() + DISPATCH_TIMEOUT).min(self.job.work.deadline);
+        let give_up_at = (clock.now() + DISPATCH_TIMEOUT).min(self.job.work.deadline);
         loop {
             match upstream.resume(claim.attempt, offset_tokens).await {
                 Err(UpstreamError::UnknownAttempt)
-                    if claim.state == ClaimState::Held && clock.now() < give_up =>
+                    if claim.state == ClaimState::Held && clock.now() < give_up_at =>
                 {
                     sleep(RESUME_PAUSE).await;
                 }
--- a/src/entry/driver/forwarding.rs
+++ b/src/entry/driver/forwarding.rs
@@ -62,15 +62,15 @@
             let output = attempt.on_event(event, now);
             match self.forward(output).await {
                 ForwardResult::Continue => {}
-                ForwardResult::Complete => return LifecycleEvent::Ended,
+                ForwardResult::Complete => return LifecycleEvent::ResponseCompleted,
                 ForwardResult::Invalid(fault) => {
                     return self.on_attempt_failure(error_for_fault(fault)).await;
                 }
                 ForwardResult::CallerGone if self.detach() => {}
                 ForwardResult::CallerGone => return LifecycleEvent::CallerGone,
             }
-            if self.reply.is_delivered() {
-                advance(lifecycle, LifecycleEvent::Delivered);
+            if self.reply.has_started() {
+                advance(lifecycle, LifecycleEvent::ReplyStarted);
             }
         }
     }
--- a/src/entry/driver/mod.rs
+++ b/src/entry/driver/mod.rs
@@ -123,10 +123,10 @@
         }
     }
 
-    fn record_step(&self, what: StepKind, place: &str, why: impl Into<Cow<'static, str>>) {
+    fn record_step(&self, kind: StepKind, place: &str, why: impl Into<Cow<'static, str>>) {
         self.context
             .explanations
-            .record(self.job.request, what, place, why);
+            .record(self.job.request, kind, place, why);
     }
 
     /// The client of the engine that runs the current attempt; none for a plain service.
@@ -176,12 +176,12 @@
 
     async fn request_grant(&mut self) -> LifecycleEvent {
         let context = Arc::clone(self.context);
-        let ask = context
+        let pending = context
             .granter
             .request_grant(self.job.target.clone(), self.job.work.clone());
         let deadline = self.job.work.deadline;
         let answer = tokio::select! {
-            answer = ask => answer,
+            answer = pending => answer,
             () = caller_gone(self.reply, self.is_detached) => return LifecycleEvent::CallerGone,
             () = sleep_until(deadline.into()) => return LifecycleEvent::DeadlineExceeded,
         };
@@ -224,13 +224,13 @@
             self.job.request
         );
         self.message = err.to_string();
-        let is_cut = failure == AttemptFailure::Interrupted;
-        let what = if is_cut {
+        let is_interrupted = failure == AttemptFailure::Interrupted;
+        let step = if is_interrupted {
             StepKind::Resumed
         } else {
             StepKind::Retried
         };
-        self.record_step(what, self.leader(), err.to_string());
+        self.record_step(step, self.leader(), err.to_string());
         if let UpstreamError::Refused { retry_after, .. } = &err {
             self.retry_after = *retry_after;
         }
@@ -276,11 +276,11 @@
             return;
         };
         let now = self.context.clock.now();
-        let news = self
+        let reports = self
             .context
             .poison_list()
             .on_crash(&self.fingerprints(), attempt.id(), now);
-        for poison in &news {
+        for poison in &reports {
             self.context.poison_broadcast.broadcast(poison);
         }
     }
@@ -303,7 +303,7 @@
             attempts: self.attempts,
             did_not_run,
             is_repeatable: self.job.rules.repeatable,
-            response_started: self.reply.is_delivered(),
+            response_started: self.reply.has_started(),
             retry_after: self.retry_after,
             deadline: self.job.work.deadline,
         };
--- a/src/entry/lifecycle.rs
+++ b/src/entry/lifecycle.rs
@@ -40,9 +40,9 @@
     /// The claim was not recorded, and will not be.
     ClaimFailed(FailureReason),
     /// The first byte of the reply went to the caller.
-    Delivered,
+    ReplyStarted,
     /// The response was received completely.
-    Ended,
+    ResponseCompleted,
     /// The attempt ended without a complete response.
     AttemptFailed(AttemptFailure),
     /// The retry budget and the remaining time allow another attempt.
@@ -98,8 +98,8 @@
 #[derive(Debug)]
 pub struct RequestLifecycle {
     rules: LifecycleRules,
-    record: RunTracker,
-    delivered: bool,
+    run_tracker: RunTracker,
+    reply_started: bool,
     resumes: u8,
     last_failure: Option<AttemptFailure>,
 }
@@ -109,38 +109,38 @@
     pub fn new(rules: LifecycleRules) -> Self {
         Self {
             rules,
-            record: RunTracker::new(rules.repeatable),
-            delivered: false,
+            run_tracker: RunTracker::new(rules.repeatable),
+            reply_started: false,
             resumes: 0,
             last_failure: None,
         }
     }
 
     fn finish_failed(&self, reason: FailureReason) -> LifecycleAction {
-        LifecycleAction::Finish(match self.record.outcome() {
+        LifecycleAction::Finish(match self.run_tracker.outcome() {
             RunOutcome::NotRun => RequestOutcome::NotRun(reason),
             RunOutcome::MayHaveRun | RunOutcome::Completed => RequestOutcome::MayHaveRun(reason),
         })
     }
 
     fn dispatch(&mut self) -> LifecycleAction {
-        self.record.on_send();
+        self.run_tracker.on_send();
         self.resumes = 0;
         LifecycleAction::Dispatch
     }
 
-    fn after_attempt_failure(&mut self, failure: AttemptFailure) -> AfterAttempt {
+    fn after_attempt_failure(&mut self, failure: AttemptFailure) -> NextStep {
         self.last_failure = Some(failure);
         if failure == AttemptFailure::Interrupted && self.resumes < RESUMES_MAX {
             self.resumes += 1;
-            return AfterAttempt::Resume;
+            return NextStep::Resume;
         }
         match self
-            .record
+            .run_tracker
             .on_attempt_ended(failure == AttemptFailure::DidNotRun)
         {
-            AfterFailure::RetryAllowed if !self.delivered => AfterAttempt::DecideRetry,
-            _ => AfterAttempt::Fail,
+            AfterFailure::RetryAllowed if !self.reply_started => NextStep::DecideRetry,
+            _ => NextStep::Fail,
         }
     }
 
@@ -152,7 +152,7 @@
     }
 }
 
-enum AfterAttempt {
+enum NextStep {
     Resume,
     DecideRetry,
     Fail,
@@ -208,12 +208,12 @@
             LifecycleEvent::ClaimHeld => {
                 // The earlier request with this key has run or is running, so "not run" would be
                 // wrong from here on.
-                self.record.on_response_start();
+                self.run_tracker.on_response_start();
                 *context = LifecycleAction::FollowClaim;
                 Transition(State::following())
             }
             LifecycleEvent::ClaimFailed(FailureReason::KeyMayHaveRun) => {
-                self.record.on_response_start();
+                self.run_tracker.on_response_start();
                 *context = self.finish_failed(FailureReason::KeyMayHaveRun);
                 Transition(State::closed())
             }
@@ -228,20 +228,20 @@
     #[state(superstate = "open")]
     fn running(&mut self, context: &mut LifecycleAction, event: &LifecycleEvent) -> Outcome<State> {
         match event {
-            LifecycleEvent::Ended => {
+            LifecycleEvent::ResponseCompleted => {
                 *context = LifecycleAction::Finish(RequestOutcome::Completed);
                 Transition(State::closed())
             }
             LifecycleEvent::AttemptFailed(failure) => match self.after_attempt_failure(*failure) {
-                AfterAttempt::Resume => {
+                NextStep::Resume => {
                     *context = LifecycleAction::Resume;
                     Handled
                 }
-                AfterAttempt::DecideRetry => {
+                NextStep::DecideRetry => {
                     *context = LifecycleAction::DecideRetry;
                     Transition(State::retrying())
                 }
-                AfterAttempt::Fail => {
+                NextStep::Fail => {
                     *context = self.finish_failed(self.failure_reason());
                     Transition(State::closed())
                 }
@@ -276,7 +276,7 @@
         event: &LifecycleEvent,
     ) -> Outcome<State> {
         match event {
-            LifecycleEvent::Ended => {
+            LifecycleEvent::ResponseCompleted => {
                 *context = LifecycleAction::Finish(RequestOutcome::Completed);
                 Transition(State::closed())
             }
@@ -304,8 +304,8 @@
     #[superstate]
     fn open(&mut self, context: &mut LifecycleAction, event: &LifecycleEvent) -> Outcome<State> {
         match event {
-            LifecycleEvent::Delivered => {
-                self.delivered = true;
+            LifecycleEvent::ReplyStarted => {
+                self.reply_started = true;
                 Handled
             }
             LifecycleEvent::Rejected(reason) => {
--- a/src/entry/release.rs
+++ b/src/entry/release.rs
@@ -46,10 +46,10 @@
     let context = Arc::clone(context);
     let guard = context.in_flight.track();
     tokio::spawn(async move {
-        let until = deadline + CANCEL_GRACE;
+        let give_up_at = deadline + CANCEL_GRACE;
         for (position, id) in grant.upstreams.iter().enumerate() {
             if position > 0 || may_hold {
-                release_at_upstream(&context, &grant, id, position > 0, until).await;
+                release_at_upstream(&context, &grant, id, position > 0, give_up_at).await;
             }
         }
         context.granter.finish(&grant, summary);
@@ -62,7 +62,7 @@
     grant: &HeldGrant,
     id: &UpstreamId,
     is_member: bool,
-    until: Instant,
+    give_up_at: Instant,
 ) {
     let mut pause = CANCEL_PAUSE_MIN;
     while let Some(upstream) = context.upstreams.upstream(id) {
@@ -78,7 +78,7 @@
             "entry: cannot cancel attempt {} at {id}: {err}",
             grant.attempt()
         );
-        if context.clock.now() + pause > until {
+        if context.clock.now() + pause > give_up_at {
             return;
         }
         sleep(pause).await;
--- a/src/entry/reply.rs
+++ b/src/entry/reply.rs
@@ -167,7 +167,7 @@
     }
 
     /// Whether any part of a reply has gone to the caller.
-    pub fn is_delivered(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         self.chunks.is_some()
     }
 
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,4 +1,5 @@
-//! The whole path: callers, a host as a process, stand-ins of upstreams and platform.
+//! End-to-end tests of the request path: callers, a host as a process of its own, and simulated
+//! upstreams and platform.
 
 mod site;
 
@@ -30,7 +31,7 @@
 }
 
 #[tokio::test]
-async fn a_streamed_answer_ends_with_its_end_mark() {
+async fn a_streamed_answer_ends_with_the_done_event() {
     let site = TestSite::with(1, 1).await;
     let body = completion("stream this", 12, true);
     let res = call(site.hosts[0].callers_addr, "/v1/completions", &[], &body)
@@ -71,7 +72,7 @@
         .unwrap();
     let page = String::from_utf8(page.body().to_vec()).unwrap();
     for step in ["received", "granted", "dispatched", "ended"] {
-        assert!(page.contains(step), "{step} is missing in {page}");
+        assert!(page.contains(step), "step {step} is missing in {page}");
     }
     let metrics = get(host.status_addr, "/metrics").await.unwrap();
     let metrics = String::from_utf8(metrics.body().to_vec()).unwrap();
@@ -86,7 +87,12 @@
     too_long = { "/v1/completions", r#"{"model":"geet-model","prompt":"y","max_tokens":2000000}"#, 413, "body_too_large" },
 )]
 #[test_macro(tokio::test)]
-async fn a_wrong_request_is_told_what_is_wrong(path: &str, body: &str, status: u16, reason: &str) {
+async fn an_invalid_request_is_rejected_with_its_reason(
+    path: &str,
+    body: &str,
+    status: u16,
+    reason: &str,
+) {
     let site = TestSite::with(1, 1).await;
     let res = call(site.hosts[0].callers_addr, path, &[], body)
         .await
@@ -97,28 +103,29 @@
     assert!(text.contains(reason), "{text}");
 }
 
-/// A port scanner, a broken client or a wrong balancer sends bytes that are no request. The caller
-/// beside it must not notice. The cause would be a parser error that ends more than its connection.
+/// Guards against a parser error that affects more than its own connection. A port scanner, a broken
+/// client or a misconfigured load balancer sends bytes that are not a valid request; other callers
+/// must still be served.
 #[parameterized(
     garbage = { &b"\x00\x01\x02\x03\xff\xfe garbage\r\n\r\n"[..] },
-    half_a_head = { &b"POST /v1/completions HTTP/1.1\r\nHost: x\r\n"[..] },
-    half_a_body = { &b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nhalf"[..] },
+    partial_head = { &b"POST /v1/completions HTTP/1.1\r\nHost: x\r\n"[..] },
+    partial_body = { &b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nhalf"[..] },
     two_lengths = { &b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello"[..] },
     bad_length = { &b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: minus\r\n\r\n"[..] },
 )]
 #[test_macro(tokio::test)]
-async fn garbage_closes_its_own_connection_only(bytes: &[u8]) {
+async fn malformed_bytes_close_only_their_own_connection(bytes: &[u8]) {
     let site = TestSite::with(1, 1).await;
     let host = &site.hosts[0];
     for port in [host.callers_addr, host.status_addr, host.peers_addr] {
         let mut stream = TcpStream::connect(port).await.unwrap();
         stream.write_all(bytes).await.unwrap();
         stream.shutdown().await.unwrap();
-        let mut answer = Vec::new();
-        // The connection ends, with an error page or without.
-        let _ = stream.read_to_end(&mut answer).await;
-        let answer = String::from_utf8_lossy(&answer);
-        assert!(!answer.starts_with("HTTP/1.1 2"), "{answer}");
+        let mut response = Vec::new();
+        // The connection ends, with or without an error response.
+        let _ = stream.read_to_end(&mut response).await;
+        let response = String::from_utf8_lossy(&response);
+        assert!(!response.starts_with("HTTP/1.1 2"), "{response}");
     }
     let res = host.complete("still there?", 2).await.unwrap();
     assert_eq!(res.status(), 200);
@@ -149,7 +156,7 @@
 }
 
 #[tokio::test]
-async fn a_prompt_of_a_million_tokens_passes_as_it_was_sent() {
+async fn a_prompt_of_a_million_tokens_arrives_unchanged() {
     let mut site = TestSite::start().await;
     for _ in 0..6 {
         let options = standin::engine::EngineOptions {
@@ -169,10 +176,13 @@
     assert_eq!(res.status(), 200, "{:?}", res.body());
     assert_eq!(completion_text(&res), expected_answer(&body, 8));
     let hash = ContentHash::of(body.as_bytes());
-    let gang: usize = site
+    let run_count: usize = site
         .engines
         .iter()
         .map(|engine| engine.record().len())
         .sum();
-    assert!(gang >= 1, "nothing ran for {hash}");
+    assert!(
+        run_count >= 1,
+        "no engine ran the request with content hash {hash}"
+    );
 }
