--- a/src/entry/driver/mod.rs
+++ b/src/entry/driver/mod.rs
@@ -245,7 +245,7 @@
             }
             AttemptFailure::Interrupted => {}
             AttemptFailure::Lost | AttemptFailure::InvalidResponse => {
-                self.end_attempt(AttemptOutcome::Failed)
+                self.end_attempt(AttemptOutcome::Failed);
             }
         }
         self.last_error = Some(err);
