--- a/src/objects/http/mod.rs
+++ b/src/objects/http/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's object service over HTTP.
+//! The HTTP client of the platform's object service.
 
 mod wire;
 
@@ -31,15 +31,17 @@
 use crate::objects::http::wire::WireObject;
 use crate::units::ObjectVersion;
 
+/// The path of the API, before the plural of a kind.
 const BASE: &str = "/apis/banyanarch.dev/v1";
 
-/// The service holds values up to a megabyte; a list holds many.
-const ANSWER_LEN_MAX: usize = 64 << 20;
+/// The largest response body, in bytes. The service stores values of up to a megabyte, and a list
+/// holds many of them.
+const RESPONSE_SIZE_MAX: usize = 64 << 20;
 
-/// How much longer than its own wait a watch may take to answer.
+/// How much longer than its wait a watch may take to respond.
 const WATCH_GRACE: Duration = Duration::from_secs(2);
 
-/// A client of the platform's object service.
+/// An HTTP client of the platform's object service.
 #[derive(Debug)]
 pub struct HttpPlatformClient {
     client: HttpClient,
@@ -47,32 +49,33 @@
 }
 
 impl HttpPlatformClient {
-    /// A client that gives each call `timeout`.
+    /// A client that allows each call `timeout`. A watch may take its own wait instead.
     pub fn new(client: HttpClient, timeout: Duration) -> Self {
         Self { client, timeout }
     }
 
+    /// Gets the body of a path, with `limit` as the timeout.
     async fn read(&self, path: &str, limit: Duration) -> Result<Bytes, PlatformError> {
         let req = Request::get(path).body(ChunksBody::default());
         let req = req.map_err(|err| PlatformError::Refused(err.to_string()))?;
         let res = self
             .client
-            .call(req, ANSWER_LEN_MAX, limit)
+            .call(req, RESPONSE_SIZE_MAX, limit)
             .await
             .map_err(|err| read_error(&err))?;
         match res.status() {
             StatusCode::OK => Ok(res.into_body()),
             StatusCode::NOT_FOUND => Err(PlatformError::NotFound),
             status if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS => {
-                Err(PlatformError::Refused(reason(&res)))
+                Err(PlatformError::Refused(error_reason(&res)))
             }
-            _ => Err(PlatformError::Unavailable(reason(&res))),
+            _ => Err(PlatformError::Unavailable(error_reason(&res))),
         }
     }
 
-    /// Reads a watch up to the end of its first lines. The service would hold it open to send later
-    /// changes too; they come with the next watch.
-    async fn first_lines(&self, path: &str) -> Result<Vec<u8>, PlatformError> {
+    /// Reads the response of a watch up to the first chunk that ends with a line. The service would
+    /// keep the response open to send later changes too; the next watch returns those.
+    async fn read_first_lines(&self, path: &str) -> Result<Vec<u8>, PlatformError> {
         let req = Request::get(path).body(ChunksBody::default());
         let req = req.map_err(|err| PlatformError::Refused(err.to_string()))?;
         let res = self
@@ -95,6 +98,7 @@
         Ok(lines)
     }
 
+    /// Creates or replaces an object, and returns its new version.
     async fn write(
         &self,
         key: &ObjectKey,
@@ -111,14 +115,14 @@
             ),
         };
         let object = WireObject::new(key, value, version);
-        let refused = |err: serde_json::Error| PlatformError::Refused(err.to_string());
-        let body = serde_json::to_vec(&object).map_err(refused)?;
+        let encode_error = |err: serde_json::Error| PlatformError::Refused(err.to_string());
+        let body = serde_json::to_vec(&object).map_err(encode_error)?;
         let req = Request::builder().method(method).uri(path);
         let req = req
             .header(CONTENT_TYPE, "application/json")
             .body(ChunksBody::single(body));
         let req = req.map_err(|err| PlatformError::Refused(err.to_string()))?;
-        let res = self.client.call(req, ANSWER_LEN_MAX, self.timeout).await;
+        let res = self.client.call(req, RESPONSE_SIZE_MAX, self.timeout).await;
         let res = res.map_err(write_error)?;
         match res.status() {
             StatusCode::OK | StatusCode::CREATED => {
@@ -129,10 +133,10 @@
             StatusCode::CONFLICT => Err(PlatformError::Conflict),
             StatusCode::NOT_FOUND => Err(PlatformError::NotFound),
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-                Err(PlatformError::Unavailable(reason(&res)))
+                Err(PlatformError::Unavailable(error_reason(&res)))
             }
-            status if status.is_client_error() => Err(PlatformError::Refused(reason(&res))),
-            _ => Err(PlatformError::OutcomeUnknown(reason(&res))),
+            status if status.is_client_error() => Err(PlatformError::Refused(error_reason(&res))),
+            _ => Err(PlatformError::OutcomeUnknown(error_reason(&res))),
         }
     }
 }
@@ -182,7 +186,7 @@
                 kind.plural()
             );
             let limit = Duration::from_secs(wait_s) + WATCH_GRACE;
-            let body = timeout(limit, self.first_lines(&path)).await;
+            let body = timeout(limit, self.read_first_lines(&path)).await;
             let body =
                 body.map_err(|_| PlatformError::Unavailable("watch timed out".to_owned()))??;
             let mut list = ObjectList {
@@ -211,14 +215,17 @@
     }
 }
 
+/// Parses a JSON body.
 fn parse<'a, T: serde::Deserialize<'a>>(body: &'a [u8]) -> Result<T, String> {
-    serde_json::from_slice(body).map_err(|err| format!("not the object API: {err}"))
+    serde_json::from_slice(body).map_err(|err| format!("invalid response of the object API: {err}"))
 }
 
+/// The error of a read that failed. A read has no effect, so that its outcome is never unknown.
 fn read_error(err: &HttpError) -> PlatformError {
     PlatformError::Unavailable(err.to_string())
 }
 
+/// The error of a write that failed. A write that was sent may have taken effect.
 fn write_error(err: HttpError) -> PlatformError {
     match err {
         HttpError::NotSent(why) => PlatformError::Unavailable(why),
@@ -226,7 +233,8 @@
     }
 }
 
-fn reason(res: &Response<Bytes>) -> String {
+/// The status of a response, with the first characters of its body.
+fn error_reason(res: &Response<Bytes>) -> String {
     let text = String::from_utf8_lossy(res.body());
     let text: String = text.chars().take(200).collect();
     format!("{}: {text}", res.status())
--- a/src/objects/http/wire.rs
+++ b/src/objects/http/wire.rs
@@ -1,4 +1,4 @@
-//! The JSON of the object API.
+//! The JSON representation of objects, lists and watch events.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,6 +9,7 @@
 use crate::objects::ObjectList;
 use crate::units::ObjectVersion;
 
+/// An object in JSON.
 #[derive(Debug)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
@@ -19,6 +20,7 @@
     spec: serde_json::Value,
 }
 
+/// The metadata of an object or of a list. A list has no name.
 #[derive(Debug)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
@@ -29,6 +31,7 @@
     resource_version: Option<String>,
 }
 
+/// A list of objects in JSON.
 #[derive(Debug)]
 #[derive(Deserialize)]
 pub(crate) struct WireList {
@@ -36,9 +39,11 @@
     items: Vec<WireObject>,
 }
 
+/// A line of a watch: one changed object.
 #[derive(Debug)]
 #[derive(Deserialize)]
 pub(crate) struct WireEvent {
+    /// The kind of change, such as `DELETED`.
     #[serde(rename = "type")]
     pub(crate) kind: String,
     pub(crate) object: WireObject,
--- a/src/objects/mod.rs
+++ b/src/objects/mod.rs
@@ -1,8 +1,9 @@
-//! The platform's object service as an interface.
+//! The client of the platform's object service.
 //!
-//! The wire form follows the published conventions of the Kubernetes object API (resources with
-//! `metadata.resourceVersion`, conditional updates that answer 409, watches as lines of JSON), of
-//! which only get, list, create, replace and watch are used. docs/PROTOCOLS.md gives the details.
+//! The protocol follows the published conventions of the Kubernetes object API: resources with
+//! `metadata.resourceVersion`, conditional updates that fail with status 409, and watches as lines
+//! of JSON. Only get, list, create, replace and watch are used. docs/PROTOCOLS.md gives the
+//! details.
 
 mod error;
 mod http;
@@ -22,12 +23,13 @@
 
 use crate::units::ObjectVersion;
 
-/// The platform's object service. Each call counts against its rates, a waiting watch as one.
+/// A client of the platform's object service. Each call counts against the rate limits of the
+/// service; a watch counts as one call, however long it waits.
 pub trait PlatformClient: Send + Sync {
     /// Reads one object.
     fn get(&self, key: ObjectKey) -> BoxFuture<'_, Result<Object, PlatformError>>;
 
-    /// Writes one object if it still is what the caller expects, and returns its new version.
+    /// Writes one object if the precondition holds, and returns the new version of the object.
     fn put(
         &self,
         key: ObjectKey,
@@ -38,8 +40,8 @@
     /// Reads all objects of a kind.
     fn list(&self, kind: ObjectKind) -> BoxFuture<'_, Result<ObjectList, PlatformError>>;
 
-    /// Waits until objects of a kind change after `after`, at most `wait`. Returns what changed,
-    /// empty when nothing did.
+    /// Waits, for at most `wait`, until objects of a kind change after version `after`. Returns the
+    /// changed objects; the list is empty if none has changed.
     fn watch(
         &self,
         kind: ObjectKind,
--- a/src/objects/object.rs
+++ b/src/objects/object.rs
@@ -1,26 +1,26 @@
-//! Objects of the platform and how they are named.
+//! The objects of the platform, their kinds and their keys.
 
 use std::fmt;
 
 use crate::units::ObjectVersion;
 
-/// The kinds of objects the system reads and writes. The plural is what stands in the URL.
+/// The kinds of objects that the system reads and writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ObjectKind {
-    /// The one manifest.
+    /// The manifest, of which there is one.
     Manifests,
-    /// Shards of claims for requests that are not repeatable.
+    /// The shards of the claims that are made for requests which are not repeatable.
     Claims,
-    /// Leases to give orders to upstreams.
+    /// The leases that permit a host to order the engines of a pool.
     Leases,
-    /// Reports of hosts.
+    /// The status reports of hosts.
     Statuses,
-    /// The platform's own list of live and leaving machines; read only.
+    /// The machines that the platform runs, with those that are leaving. This kind is read-only.
     Machines,
 }
 
 impl ObjectKind {
-    /// The plural in the URL.
+    /// The plural name of the kind, as it stands in URLs.
     pub fn plural(self) -> &'static str {
         match self {
             Self::Manifests => "manifests",
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The kind with this plural.
+    /// The kind with the given plural name.
     pub fn from_plural(plural: &str) -> Option<Self> {
         let kinds = [
             Self::Manifests,
@@ -44,17 +44,17 @@
     }
 }
 
-/// The name of one object.
+/// The key of an object: its kind and its name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ObjectKey {
-    /// What kind of object.
+    /// The kind of the object.
     pub kind: ObjectKind,
-    /// Its name within the kind.
+    /// The name of the object, unique within its kind.
     pub name: String,
 }
 
 impl ObjectKey {
-    /// The object `name` of a kind.
+    /// The key of the object `name` of a kind.
     pub fn new(kind: ObjectKind, name: impl Into<String>) -> Self {
         Self {
             kind,
@@ -69,31 +69,31 @@
     }
 }
 
-/// An object as read.
+/// An object as read from the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Object {
-    /// Its name.
+    /// The key of the object.
     pub key: ObjectKey,
-    /// The version that a conditional write can expect.
+    /// The version of the object, which a conditional write can require.
     pub version: ObjectVersion,
-    /// The object's `spec`.
+    /// The `spec` of the object.
     pub value: serde_json::Value,
 }
 
-/// Objects of one kind.
+/// A list of objects of one kind.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ObjectList {
     /// The objects.
     pub items: Vec<Object>,
-    /// The version to watch after.
+    /// The version after which a watch continues the list.
     pub version: ObjectVersion,
 }
 
-/// What a conditional write expects to find.
+/// The precondition of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Precondition {
-    /// No object of that name.
+    /// No object with the key exists.
     Absent,
-    /// The object in this version.
+    /// The object exists in this version.
     Version(ObjectVersion),
 }
--- a/src/peer/addrs.rs
+++ b/src/peer/addrs.rs
@@ -1,4 +1,4 @@
-//! Where other hosts listen.
+//! The addresses on which hosts listen for peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,13 +8,13 @@
 use crate::settings::PeerSeed;
 use crate::units::HostId;
 
-/// Knows where hosts listen for peers.
+/// A directory of the addresses on which hosts listen for peers.
 pub trait PeerAddrs: Send + Sync {
-    /// The address of a host, if it is known.
+    /// The address of a host; none if the address is not known.
     fn peer_addr(&self, host: &HostId) -> Option<SocketAddr>;
 }
 
-/// The addresses that the membership knows, and for others those of seeds.
+/// The addresses of the hosts in the cluster view, and the addresses of seeds for all other hosts.
 #[derive(Debug)]
 pub struct SeededAddrs {
     cluster_view: Arc<ClusterView>,
@@ -22,7 +22,7 @@
 }
 
 impl SeededAddrs {
-    /// The addresses in the cluster view, and no seeds yet.
+    /// A directory of the addresses in the cluster view, without seeds.
     pub fn new(cluster_view: Arc<ClusterView>) -> Self {
         Self {
             cluster_view,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Takes in seeds of the settings or of the platform's list.
+    /// Adds seeds from the settings or from the platform's list of machines.
     pub fn add_seeds(&self, seeds: &[PeerSeed]) {
         for seed in seeds {
             self.seeds.insert(seed.host.clone(), seed.address);
--- a/src/peer/codec.rs
+++ b/src/peer/codec.rs
@@ -1,4 +1,4 @@
-//! Envelopes in length-delimited frames with a tag.
+//! The codec of envelopes: length-delimited frames with an authentication tag.
 
 use bytes::BufMut;
 use bytes::BytesMut;
@@ -13,41 +13,43 @@
 use crate::peer::frame_authenticator::TAG_LEN;
 use crate::peer::message::Envelope;
 
-/// The largest frame. The largest message is a batch of manifest parts; the bound keeps a broken
-/// or hostile peer from making this host reserve more.
+/// The largest frame, in bytes. The largest message is a batch of manifest parts; the limit keeps a
+/// faulty or hostile peer from making this host allocate more.
 pub const FRAME_SIZE_MAX: usize = 4 << 20;
 
-/// What a frame adds to its envelope: the length and the tag.
+/// The bytes that a frame adds to its envelope: the length and the tag.
 pub const FRAME_OVERHEAD: usize = LENGTH_LEN + TAG_LEN;
 
 const LENGTH_LEN: usize = 4;
 
-/// Reads and writes envelopes on a connection whose ends have authenticated each other.
+/// Encodes and decodes the envelopes of a connection whose ends have authenticated each other.
 ///
-/// The sender's name is not on the wire: it is that of the handshake, and is filled in here.
+/// The name of the sender is not sent with each envelope: the decoder fills in the name that the
+/// sender proved in the handshake.
 pub struct EnvelopeCodec {
     framing: LengthDelimitedCodec,
-    sending: FrameAuthenticator,
-    receiving: FrameAuthenticator,
+    outbound: FrameAuthenticator,
+    inbound: FrameAuthenticator,
     peer: String,
 }
 
 impl EnvelopeCodec {
-    /// A codec towards the host `peer`.
-    pub fn new(peer: &str, sending: FrameAuthenticator, receiving: FrameAuthenticator) -> Self {
+    /// A codec for the connection to the host `peer`.
+    pub fn new(peer: &str, outbound: FrameAuthenticator, inbound: FrameAuthenticator) -> Self {
         Self {
             framing: framing(FRAME_SIZE_MAX),
-            sending,
-            receiving,
+            outbound,
+            inbound,
             peer: peer.to_owned(),
         }
     }
 
-    fn open(&mut self, frame: &BytesMut) -> Result<Envelope, FrameError> {
+    /// Verifies the tag of a frame and decodes its envelope.
+    fn decode_frame(&mut self, frame: &BytesMut) -> Result<Envelope, FrameError> {
         let (tag, payload) = frame
             .split_at_checked(TAG_LEN)
             .ok_or(FrameError::TooShort)?;
-        if !self.receiving.verify(payload, tag) {
+        if !self.inbound.verify(payload, tag) {
             return Err(FrameError::WrongTag);
         }
         let mut envelope = Envelope::decode(payload)?;
@@ -65,7 +67,7 @@
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Envelope>, FrameError> {
         match self.framing.decode(src)? {
-            Some(frame) => self.open(&frame).map(Some),
+            Some(frame) => self.decode_frame(&frame).map(Some),
             None => Ok(None),
         }
     }
@@ -84,18 +86,19 @@
         let frame_len = u32::try_from(payload_len + TAG_LEN).unwrap_or(u32::MAX);
         dst.reserve(FRAME_OVERHEAD + payload_len);
         dst.put_u32(frame_len);
-        dst.put_slice(&self.sending.sign(&payload));
+        dst.put_slice(&self.outbound.sign(&payload));
         dst.put_slice(&payload);
         Ok(())
     }
 }
 
-/// How many bytes a message without a call takes on a connection, but for those of TCP and IP.
+/// The bytes that a message without a call id takes on a connection, without the headers of TCP and
+/// IP.
 pub fn wire_len(message: &Message) -> usize {
     FRAME_OVERHEAD + message.encoded_len()
 }
 
-/// Length-delimited frames of at most `size_max` bytes.
+/// A codec of length-delimited frames of at most `size_max` bytes.
 pub(crate) fn framing(size_max: usize) -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .length_field_length(LENGTH_LEN)
--- a/src/peer/error.rs
+++ b/src/peer/error.rs
@@ -1,28 +1,28 @@
-//! What can come of a message to another host.
+//! The errors of requests to other hosts.
 
 use std::error::Error;
 use std::fmt;
 
-/// Why a peer did not answer.
+/// Why a request to a peer got no reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerError {
     /// No address is known for the host.
     UnknownHost,
-    /// It could not be connected to; the message did not leave.
+    /// No connection to the host could be made, or its queue is full; the message was not sent.
     Unreachable(String),
-    /// The connection broke or nothing came in time; the message may have arrived.
+    /// The connection broke or no reply came in time; the message may have arrived.
     NoReply,
-    /// A frame that is too large, of an unknown kind, or not by an authenticated peer.
+    /// The message does not fit into a frame.
     BadFrame(String),
 }
 
 impl fmt::Display for PeerError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::UnknownHost => f.write_str("peer: no such host"),
+            Self::UnknownHost => f.write_str("peer: no address is known for the host"),
             Self::Unreachable(why) => write!(f, "peer unreachable: {why}"),
-            Self::NoReply => f.write_str("peer gave no answer"),
-            Self::BadFrame(why) => write!(f, "peer sent a bad frame: {why}"),
+            Self::NoReply => f.write_str("no reply from the peer"),
+            Self::BadFrame(why) => write!(f, "peer: bad frame: {why}"),
         }
     }
 }
--- a/src/peer/frame_error.rs
+++ b/src/peer/frame_error.rs
@@ -1,25 +1,27 @@
-//! What can be wrong with a frame.
+//! The errors that end a connection between two hosts.
 
 use std::error::Error;
 use std::fmt;
 use std::io;
 
-/// Why a connection between two hosts can't go on.
+/// Why a connection between two hosts can't be used any longer. [`FrameError::TooLarge`] alone
+/// leaves the connection usable.
 #[derive(Debug)]
 pub enum FrameError {
-    /// The connection broke, or a frame's length is above the bound.
+    /// The connection broke, or a frame is longer than the limit.
     Io(io::Error),
-    /// The frame can't hold a tag.
+    /// The frame is too short to hold a tag.
     TooShort,
-    /// A message that is too large to be sent, with its size.
+    /// The message is too large to be sent; its size is in bytes.
     TooLarge(usize),
-    /// The tag is not the one that the session's key gives for this frame.
+    /// The tag does not match the frame under the key of the session.
     WrongTag,
-    /// The content is not an envelope.
-    NotAnEnvelope(prost::DecodeError),
-    /// The envelope names another sender than the handshake.
+    /// The payload is not an envelope.
+    InvalidEnvelope(prost::DecodeError),
+    /// The envelope names a sender other than the authenticated peer.
     WrongSender(String),
-    /// A message that does not belong here, such as a reply to nothing.
+    /// Something that the protocol does not permit at this point, such as a request on the client
+    /// side of a connection.
     Unexpected(&'static str),
 }
 
@@ -30,8 +32,8 @@
             Self::TooShort => f.write_str("frame too short for a tag"),
             Self::TooLarge(size) => write!(f, "message of {size} bytes is too large"),
             Self::WrongTag => f.write_str("frame with a wrong tag"),
-            Self::NotAnEnvelope(error) => write!(f, "frame without a message: {error}"),
-            Self::WrongSender(name) => write!(f, "frame claims to be by {name}"),
+            Self::InvalidEnvelope(error) => write!(f, "frame without a valid envelope: {error}"),
+            Self::WrongSender(name) => write!(f, "frame names a wrong sender: {name}"),
             Self::Unexpected(what) => write!(f, "unexpected {what}"),
         }
     }
@@ -47,6 +49,6 @@
 
 impl From<prost::DecodeError> for FrameError {
     fn from(error: prost::DecodeError) -> Self {
-        Self::NotAnEnvelope(error)
+        Self::InvalidEnvelope(error)
     }
 }
--- a/src/peer/handshake.rs
+++ b/src/peer/handshake.rs
@@ -1,8 +1,8 @@
 //! The handshake by which two hosts prove to each other that they hold the same key.
 //!
-//! The caller sends its name, a key's name and a fresh nonce; the server answers with its own nonce
-//! and an HMAC over all of it; the caller answers with another. Both nonces go into the keys of the
-//! session, so that a recorded connection can't be played again.
+//! The client sends its host name, the id of a key and a fresh nonce. The server replies with its
+//! own nonce and an HMAC over the transcript, and the client replies with another HMAC. Both nonces
+//! enter the keys of the session, so that a recorded connection can't be replayed.
 
 use std::fmt;
 
@@ -27,10 +27,12 @@
 use crate::settings::PeerKey;
 use crate::units::HostId;
 
-/// A stranger can't make this host read more than this.
+/// The largest frame of a handshake, in bytes. It bounds what an unauthenticated client can make
+/// this host read.
 const HANDSHAKE_FRAME_SIZE_MAX: usize = 1 << 10;
 const NONCE_LEN: usize = 32;
-const PROTOCOL: u32 = 1;
+/// The version of the protocol. Both ends must have the same one.
+const PROTOCOL_VERSION: u32 = 1;
 
 /// A connection whose ends have authenticated each other.
 pub(crate) type PeerStream = Framed<TcpStream, EnvelopeCodec>;
@@ -40,12 +42,12 @@
 /// Why a handshake failed.
 #[derive(Debug)]
 pub(crate) enum HandshakeError {
-    /// The connection broke or carried something else than a handshake.
+    /// The connection broke, or a frame was not a message of the handshake.
     Frame(FrameError),
-    /// The other side refused, with its reason.
+    /// The server refused the handshake, for the given reason.
     Refused(String),
-    /// The other side is not who it should be or lacks the key.
-    Stranger(String),
+    /// The other end has another name than expected, or did not prove that it holds the key.
+    NotAuthenticated(String),
     /// The settings hold no key.
     NoKey,
 }
@@ -53,10 +55,10 @@
 impl fmt::Display for HandshakeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Frame(error) => write!(f, "handshake broke: {error}"),
+            Self::Frame(error) => write!(f, "handshake failed: {error}"),
             Self::Refused(why) => write!(f, "handshake refused: {why}"),
-            Self::Stranger(why) => write!(f, "not a peer: {why}"),
-            Self::NoKey => f.write_str("no key in the settings"),
+            Self::NotAuthenticated(why) => write!(f, "peer not authenticated: {why}"),
+            Self::NoKey => f.write_str("no peer key in the settings"),
         }
     }
 }
@@ -73,6 +75,7 @@
     }
 }
 
+/// The first message of the client.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 struct Hello {
@@ -86,6 +89,7 @@
     nonce: Vec<u8>,
 }
 
+/// The reply of the server to a [`Hello`].
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 struct Challenge {
@@ -95,11 +99,12 @@
     nonce: Vec<u8>,
     #[prost(bytes = "vec", tag = "3")]
     proof: Vec<u8>,
-    /// Why the server refuses; empty when it does not.
+    /// Why the server refuses the handshake; empty if the server accepts.
     #[prost(string, tag = "4")]
     refusal: String,
 }
 
+/// The second message of the client, which ends the handshake.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 struct Proof {
@@ -107,7 +112,8 @@
     proof: Vec<u8>,
 }
 
-/// What both sides have said, under the key they share.
+/// What both ends have sent, with the key that they share. Proofs and session keys are derived from
+/// the transcript, each under a purpose of its own.
 struct Transcript<'a> {
     key: &'a PeerKey,
     hello: &'a Hello,
@@ -116,6 +122,8 @@
 }
 
 impl Transcript<'_> {
+    /// An HMAC over the purpose and the transcript. The length of each part comes before the part,
+    /// so that no two transcripts have the same input.
     fn mac(&self, purpose: &str) -> Result<hmac::Hmac<sha2::Sha256>, InvalidLength> {
         let mut mac = hmac_with(self.key.secret.as_bytes())?;
         let hello = self.hello.encode_to_vec();
@@ -135,13 +143,15 @@
         Ok(self.mac(purpose)?.finalize().into_bytes().to_vec())
     }
 
-    fn check(&self, purpose: &str, proof: &[u8]) -> Result<(), HandshakeError> {
+    /// Verifies a proof in constant time.
+    fn verify(&self, purpose: &str, proof: &[u8]) -> Result<(), HandshakeError> {
         let mac = self.mac(purpose)?;
         mac.verify_slice(proof)
-            .map_err(|_| HandshakeError::Stranger("wrong proof of the key".to_owned()))
+            .map_err(|_| HandshakeError::NotAuthenticated("wrong proof of the key".to_owned()))
     }
 
-    fn seal(&self, purpose: &str) -> Result<FrameAuthenticator, InvalidLength> {
+    /// The authenticator of the frames of one direction.
+    fn frame_authenticator(&self, purpose: &str) -> Result<FrameAuthenticator, InvalidLength> {
         FrameAuthenticator::new(&self.proof(purpose)?)
     }
 }
@@ -157,19 +167,19 @@
     let key = keys.signing().ok_or(HandshakeError::NoKey)?;
     let mut stream = Framed::new(stream, framing(HANDSHAKE_FRAME_SIZE_MAX));
     let hello = Hello {
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
         host: host.to_string(),
         key_id: key.id.clone(),
-        nonce: nonce(rng),
+        nonce: random_nonce(rng),
     };
-    write(&mut stream, &hello).await?;
-    let challenge: Challenge = read(&mut stream).await?;
+    write_message(&mut stream, &hello).await?;
+    let challenge: Challenge = read_message(&mut stream).await?;
     if !challenge.refusal.is_empty() {
         return Err(HandshakeError::Refused(challenge.refusal));
     }
     if challenge.host != server.as_str() {
         let why = format!("the address of {server} belongs to {}", challenge.host);
-        return Err(HandshakeError::Stranger(why));
+        return Err(HandshakeError::NotAuthenticated(why));
     }
     let transcript = Transcript {
         key,
@@ -177,18 +187,18 @@
         server: &challenge.host,
         server_nonce: &challenge.nonce,
     };
-    transcript.check("server", &challenge.proof)?;
+    transcript.verify("server", &challenge.proof)?;
     let proof = transcript.proof("client")?;
-    write(&mut stream, &Proof { proof }).await?;
+    write_message(&mut stream, &Proof { proof }).await?;
     let codec = EnvelopeCodec::new(
         server.as_str(),
-        transcript.seal("to server")?,
-        transcript.seal("to client")?,
+        transcript.frame_authenticator("to server")?,
+        transcript.frame_authenticator("to client")?,
     );
     Ok(stream.map_codec(|_| codec))
 }
 
-/// Authenticates a connection that another host opened, and tells its name.
+/// Authenticates a connection that another host opened, and returns the name of that host.
 pub(crate) async fn accept(
     stream: TcpStream,
     host: &HostId,
@@ -196,21 +206,21 @@
     rng: &mut StdRng,
 ) -> Result<(HostId, PeerStream), HandshakeError> {
     let mut stream = Framed::new(stream, framing(HANDSHAKE_FRAME_SIZE_MAX));
-    let hello: Hello = read(&mut stream).await?;
+    let hello: Hello = read_message(&mut stream).await?;
     let Some(key) = accepted_key(&hello, keys) else {
         let refusal = format!("protocol {} with key `{}`", hello.protocol, hello.key_id);
         let challenge = Challenge {
             refusal: refusal.clone(),
             ..Challenge::default()
         };
-        write(&mut stream, &challenge).await?;
-        return Err(HandshakeError::Stranger(refusal));
+        write_message(&mut stream, &challenge).await?;
+        return Err(HandshakeError::NotAuthenticated(refusal));
     };
     let client: HostId = hello
         .host
         .parse()
-        .map_err(|error| HandshakeError::Stranger(format!("{error}")))?;
-    let server_nonce = nonce(rng);
+        .map_err(|error| HandshakeError::NotAuthenticated(format!("{error}")))?;
+    let server_nonce = random_nonce(rng);
     let transcript = Transcript {
         key,
         hello: &hello,
@@ -223,33 +233,39 @@
         proof: transcript.proof("server")?,
         refusal: String::new(),
     };
-    write(&mut stream, &challenge).await?;
-    let answer: Proof = read(&mut stream).await?;
-    transcript.check("client", &answer.proof)?;
+    write_message(&mut stream, &challenge).await?;
+    let reply: Proof = read_message(&mut stream).await?;
+    transcript.verify("client", &reply.proof)?;
     let codec = EnvelopeCodec::new(
         client.as_str(),
-        transcript.seal("to client")?,
-        transcript.seal("to server")?,
+        transcript.frame_authenticator("to client")?,
+        transcript.frame_authenticator("to server")?,
     );
     Ok((client, stream.map_codec(|_| codec)))
 }
 
+/// The key that a client names, if the hello is well-formed and this host accepts the key.
 fn accepted_key<'a>(hello: &Hello, keys: &'a Keyring) -> Option<&'a PeerKey> {
-    let is_well_formed = hello.protocol == PROTOCOL && hello.nonce.len() == NONCE_LEN;
+    let is_well_formed = hello.protocol == PROTOCOL_VERSION && hello.nonce.len() == NONCE_LEN;
     is_well_formed.then(|| keys.find(&hello.key_id)).flatten()
 }
 
-fn nonce(rng: &mut StdRng) -> Vec<u8> {
+fn random_nonce(rng: &mut StdRng) -> Vec<u8> {
     let mut nonce = vec![0; NONCE_LEN];
     rng.fill_bytes(&mut nonce);
     nonce
 }
 
-async fn write(stream: &mut HandshakeStream, message: &impl Message) -> Result<(), HandshakeError> {
+async fn write_message(
+    stream: &mut HandshakeStream,
+    message: &impl Message,
+) -> Result<(), HandshakeError> {
     Ok(stream.send(Bytes::from(message.encode_to_vec())).await?)
 }
 
-async fn read<M: Message + Default>(stream: &mut HandshakeStream) -> Result<M, HandshakeError> {
+async fn read_message<M: Message + Default>(
+    stream: &mut HandshakeStream,
+) -> Result<M, HandshakeError> {
     let frame = stream
         .next()
         .await
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -1,4 +1,4 @@
-//! One connection to another host, with its reconnects.
+//! The link to one other host: its connection, which is reopened when it breaks.
 
 use std::io;
 use std::sync::Arc;
@@ -23,35 +23,41 @@
 use crate::peer::pool::PoolShared;
 use crate::units::HostId;
 
-/// Long for one round trip inside a site, short against the time limits of callers.
+/// The timeout of a connect with its handshake. It is long for a few round trips inside a site, and
+/// short compared with the timeouts of callers.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a peer may take to read what is sent before the connection is given up.
+/// How long a write may take, if the peer does not read, before the connection is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A peer that has answered nothing for this long while requests waited is cut off or frozen.
-/// After a cut heals, the machine resends on the old connection only at ever longer intervals, so
-/// requests would go on failing for up to minutes; a new connection works at once.
+/// How long a peer may send no reply while requests are pending, before the connection is closed.
+/// Such a peer is unreachable or frozen. After a network partition heals, TCP retransmits on the
+/// old connection only at ever longer intervals, so that requests would fail for minutes; a new
+/// connection works at once.
 const STALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// An unused connection is closed, so that hosts which rarely talk hold none.
+/// How long a connection may be unused before it is closed, so that hosts which rarely exchange
+/// messages keep no connections.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(300);
 
+/// The bounds of the pause after a failed attempt to connect, before jitter.
 const BACKOFF_MIN: Duration = Duration::from_millis(50);
 const BACKOFF_MAX: Duration = Duration::from_secs(2);
 
-/// Requests whose callers have not given up; callers that have are swept out at this many.
+/// The number of pending requests at which those whose callers have given up are removed.
 const PENDING_SWEEP_LEN: usize = 4_096;
 
-type Reply = oneshot::Sender<Result<Message, PeerError>>;
+/// The channel on which the caller of a request gets the reply.
+type ReplySender = oneshot::Sender<Result<Message, PeerError>>;
 
-/// A message on its way, and who waits for its reply.
-pub(crate) struct Outgoing {
+/// A message to be sent, with the channel of its reply if one is expected.
+pub(crate) struct OutgoingMessage {
     pub(crate) message: Message,
-    pub(crate) reply: Option<Reply>,
+    pub(crate) reply: Option<ReplySender>,
 }
 
-impl Outgoing {
+impl OutgoingMessage {
+    /// Tells the caller, if it waits for a reply, that the message failed.
     fn fail(self, error: PeerError) {
         if let Some(reply) = self.reply {
             // The caller may have given up already.
@@ -60,26 +66,30 @@
     }
 }
 
-/// The task behind one host of a pool.
+/// The task that sends the messages of a pool to one host.
 pub(crate) struct Link {
     shared: Arc<PoolShared>,
     peer: HostId,
-    outgoing: mpsc::Receiver<Outgoing>,
+    outgoing: mpsc::Receiver<OutgoingMessage>,
     rng: StdRng,
     backoff: Duration,
 }
 
-/// Why an open connection ended.
-enum Closed {
+/// Why an open connection was closed.
+enum CloseReason {
+    /// The connection was not used for [`IDLE_TIMEOUT`].
     Idle,
-    PoolGone,
+    /// The pool has dropped the link.
+    LinkDropped,
     Broken(FrameError),
 }
 
-/// Requests on one connection that wait for their replies.
-struct Pending {
-    replies: IndexMap<u64, Reply>,
+/// The requests on one connection that wait for their replies.
+struct PendingRequests {
+    replies: IndexMap<u64, ReplySender>,
     next_call_id: u64,
+    /// When the last reply came, or when the first of the pending requests was sent; none if no
+    /// request is pending.
     silent_since: Option<Instant>,
 }
 
@@ -87,7 +97,7 @@
     pub(crate) fn new(
         shared: Arc<PoolShared>,
         peer: HostId,
-        outgoing: mpsc::Receiver<Outgoing>,
+        outgoing: mpsc::Receiver<OutgoingMessage>,
         rng: StdRng,
     ) -> Self {
         Self {
@@ -99,22 +109,23 @@
         }
     }
 
-    /// Connects when there is something to send, until the pool drops the link.
+    /// Connects whenever there is a message to send, and serves the connection, until the pool
+    /// drops the link.
     pub(crate) async fn run(mut self) {
         while let Some(first) = self.outgoing.recv().await {
             match self.connect().await {
                 Ok(stream) => {
                     self.backoff = BACKOFF_MIN;
-                    match self.exchange(stream, first).await {
-                        Closed::PoolGone => return,
-                        Closed::Idle => {}
-                        Closed::Broken(error) => {
-                            log::debug!("peer: connection to {} broke: {error}", self.peer);
+                    match self.serve_connection(stream, first).await {
+                        CloseReason::LinkDropped => return,
+                        CloseReason::Idle => {}
+                        CloseReason::Broken(error) => {
+                            log::debug!("peer: connection to {} failed: {error}", self.peer);
                         }
                     }
                 }
                 Err(error) => {
-                    log::debug!("peer: {}: {error}", self.peer);
+                    log::debug!("peer: can't connect to {}: {error}", self.peer);
                     first.fail(error.clone());
                     self.back_off(&error).await;
                 }
@@ -122,6 +133,7 @@
         }
     }
 
+    /// Opens a connection and authenticates both ends.
     async fn connect(&mut self) -> Result<PeerStream, PeerError> {
         let addr = self
             .shared
@@ -149,11 +161,11 @@
         };
         tokio::time::timeout(CONNECT_TIMEOUT, connecting)
             .await
-            .unwrap_or_else(|_| Err(unreachable("no connection in time".to_owned())))
+            .unwrap_or_else(|_| Err(unreachable("connect timed out".to_owned())))
     }
 
-    /// Waits before the next attempt to connect. What is queued meanwhile fails at once, so that
-    /// callers turn to another host instead of waiting for their timeouts.
+    /// Waits before the next attempt to connect. Messages that are queued during the wait fail at
+    /// once, so that their callers try another host instead of waiting for their timeouts.
     async fn back_off(&mut self, error: &PeerError) {
         let wait = self.backoff.mul_f64(self.rng.random_range(0.5..1.0));
         self.backoff = (self.backoff * 2).min(BACKOFF_MAX);
@@ -163,48 +175,53 @@
         }
     }
 
-    async fn exchange(&mut self, mut stream: PeerStream, first: Outgoing) -> Closed {
-        let mut pending = Pending::new();
-        if let Err(error) = self.write(&mut stream, &mut pending, first).await {
-            return Closed::Broken(error);
+    /// Sends messages and passes on replies until the connection is closed.
+    async fn serve_connection(
+        &mut self,
+        mut stream: PeerStream,
+        first: OutgoingMessage,
+    ) -> CloseReason {
+        let mut pending = PendingRequests::new();
+        if let Err(error) = self.write_batch(&mut stream, &mut pending, first).await {
+            return CloseReason::Broken(error);
         }
         loop {
-            let wake = pending.wake();
+            let deadline = pending.deadline();
             tokio::select! {
                 outgoing = self.outgoing.recv() => {
                     let Some(outgoing) = outgoing else {
-                        return Closed::PoolGone;
+                        return CloseReason::LinkDropped;
                     };
-                    if let Err(error) = self.write(&mut stream, &mut pending, outgoing).await {
-                        return Closed::Broken(error);
+                    if let Err(error) = self.write_batch(&mut stream, &mut pending, outgoing).await {
+                        return CloseReason::Broken(error);
                     }
                 }
                 read = stream.next() => {
-                    if let Err(error) = pending.take_in(read) {
-                        return Closed::Broken(error);
+                    if let Err(error) = pending.on_read(read) {
+                        return CloseReason::Broken(error);
                     }
                 }
-                () = tokio::time::sleep_until(wake) => {
+                () = tokio::time::sleep_until(deadline) => {
                     if pending.is_idle() {
-                        return Closed::Idle;
+                        return CloseReason::Idle;
                     }
-                    return Closed::Broken(io::Error::from(io::ErrorKind::TimedOut).into());
+                    return CloseReason::Broken(io::Error::from(io::ErrorKind::TimedOut).into());
                 }
             }
         }
     }
 
-    /// Writes a message and all that are queued behind it, then flushes.
-    async fn write(
+    /// Writes a message and all messages that are queued behind it, then flushes.
+    async fn write_batch(
         &mut self,
         stream: &mut PeerStream,
-        pending: &mut Pending,
-        first: Outgoing,
+        pending: &mut PendingRequests,
+        first: OutgoingMessage,
     ) -> Result<(), FrameError> {
         let writing = async {
             let mut next = Some(first);
             while let Some(outgoing) = next {
-                self.feed(stream, pending, outgoing).await?;
+                self.write_one(stream, pending, outgoing).await?;
                 next = self.outgoing.try_recv().ok();
             }
             stream.flush().await
@@ -214,15 +231,17 @@
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
     }
 
-    async fn feed(
+    /// Writes one message into the buffer of the stream, unless its caller has given up or the
+    /// limit of control traffic is reached.
+    async fn write_one(
         &self,
         stream: &mut PeerStream,
-        pending: &mut Pending,
-        outgoing: Outgoing,
+        pending: &mut PendingRequests,
+        outgoing: OutgoingMessage,
     ) -> Result<(), FrameError> {
-        let Outgoing { message, reply } = outgoing;
+        let OutgoingMessage { message, reply } = outgoing;
         let call_id = match &reply {
-            // The caller gave up while the message was queued: it must not run late.
+            // The caller gave up while the message was queued, and must not have it handled late.
             Some(reply) if reply.is_closed() => return Ok(()),
             Some(_) => pending.next_call_id(),
             None => 0,
@@ -235,17 +254,17 @@
         };
         if !self.shared.traffic.admit(&envelope) {
             if let Some(reply) = reply {
-                let why = "the control bound is reached".to_owned();
+                let why = "limit of control traffic is reached".to_owned();
                 let _ = reply.send(Err(PeerError::Unreachable(why)));
             }
             return Ok(());
         }
         match stream.feed(envelope).await {
             Ok(()) => {
-                pending.wait_for(call_id, reply);
+                pending.insert(call_id, reply);
                 Ok(())
             }
-            // Nothing was written: only this message fails, not the connection.
+            // Nothing was written, so that only this message fails and the connection stays usable.
             Err(FrameError::TooLarge(size)) => {
                 let error = PeerError::BadFrame(FrameError::TooLarge(size).to_string());
                 if let Some(reply) = reply {
@@ -254,14 +273,14 @@
                 Ok(())
             }
             Err(error) => {
-                pending.wait_for(call_id, reply);
+                pending.insert(call_id, reply);
                 Err(error)
             }
         }
     }
 }
 
-impl Pending {
+impl PendingRequests {
     fn new() -> Self {
         Self {
             replies: IndexMap::new(),
@@ -275,7 +294,8 @@
         self.next_call_id
     }
 
-    fn wait_for(&mut self, call_id: u64, reply: Option<Reply>) {
+    /// Adds a request, if a reply is expected.
+    fn insert(&mut self, call_id: u64, reply: Option<ReplySender>) {
         let Some(reply) = reply else {
             return;
         };
@@ -286,13 +306,14 @@
         self.silent_since.get_or_insert_with(Instant::now);
     }
 
-    fn take_in(&mut self, read: Option<Result<Envelope, FrameError>>) -> Result<(), FrameError> {
+    /// Passes a reply to its caller. A reply to a request that is no longer pending is ignored.
+    fn on_read(&mut self, read: Option<Result<Envelope, FrameError>>) -> Result<(), FrameError> {
         let envelope = read.ok_or(FrameError::Unexpected("end of the connection"))??;
         if !envelope.is_reply {
             return Err(FrameError::Unexpected("request"));
         }
         if let Some(reply) = self.replies.swap_remove(&envelope.call_id) {
-            // A kind that this version does not know reads as a plain reply.
+            // A reply of a kind that this version does not know is decoded as no message.
             let _ = reply.send(Ok(envelope.message.unwrap_or(Message::Ack(()))));
         }
         let is_waiting = !self.replies.is_empty();
@@ -304,8 +325,8 @@
         self.silent_since.is_none()
     }
 
-    /// When the connection is to be given up unless something happens before.
-    fn wake(&self) -> Instant {
+    /// When the connection is to be closed unless something is sent or received before.
+    fn deadline(&self) -> Instant {
         match self.silent_since {
             Some(since) => since + STALL_TIMEOUT,
             None => Instant::now() + IDLE_TIMEOUT,
--- a/src/peer/message/gossip.rs
+++ b/src/peer/message/gossip.rs
@@ -1,156 +1,160 @@
-//! Messages of the membership.
+//! The messages of the membership.
 
 use crate::peer::message::PoisonNotice;
 
-/// One message of the membership: news of others around one step of the protocol.
+/// A message of the membership: one step of the protocol, with recent changes of hosts and
+/// upstreams piggybacked.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Gossip {
-    /// The sender's incarnation.
+    /// The incarnation of the sender.
     #[prost(uint64, tag = "1")]
     pub incarnation: u64,
-    /// The generation that the sender has in force.
+    /// The generation of the manifest that the sender has in force.
     #[prost(uint64, tag = "2")]
     pub generation: u64,
-    /// What the sender wants.
+    /// The step of the protocol.
     #[prost(oneof = "GossipBody", tags = "10, 11, 12, 13, 14, 15, 16")]
     pub body: Option<GossipBody>,
-    /// What the sender lately heard of hosts.
+    /// Recent changes of hosts that the sender knows, or the hosts that the receiver asked for.
     #[prost(message, repeated, tag = "20")]
     pub hosts: Vec<HostRecord>,
-    /// What the sender lately heard of upstreams that leave.
+    /// Upstreams that were recently reported to leave.
     #[prost(message, repeated, tag = "21")]
     pub leaving: Vec<LeavingUpstream>,
-    /// Requests that lately crashed upstreams.
+    /// Requests that recently crashed upstreams.
     #[prost(message, repeated, tag = "22")]
     pub poison: Vec<PoisonNotice>,
 }
 
-/// The steps of the protocol.
+/// The step of the membership protocol that a message takes.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Oneof)]
 pub enum GossipBody {
-    /// Are you there?
+    /// Checks whether the receiver is alive.
     #[prost(message, tag = "10")]
     Probe(Probe),
-    /// The probed host is there.
+    /// Confirms that the probed host is alive.
     #[prost(message, tag = "11")]
     Ack(ProbeAck),
-    /// Probe another host for the sender, who gets no answer from it.
+    /// Asks the receiver to probe another host, which does not reply to the sender.
     #[prost(message, tag = "12")]
     IndirectProbe(IndirectProbe),
-    /// The sender has just come; tell it who is there.
+    /// Announces a host that joins, and asks the receiver for the hosts that it knows.
     #[prost(message, tag = "13")]
     Join(HostRecord),
-    /// Hosts that the receiver asked for, in `hosts`.
+    /// Carries the hosts that the receiver asked for, in [`Gossip::hosts`].
     #[prost(message, tag = "14")]
     Members(()),
-    /// What the sender knows of its own failure domain, for another one.
+    /// Carries a hash of the hosts of the sender's failure domain to a host of another one.
     #[prost(message, tag = "15")]
     Digest(DomainDigest),
-    /// Tell the sender the hosts of each failure domain that it sees differently.
+    /// Asks the receiver for the hosts of each failure domain that the two hosts see differently.
     #[prost(message, tag = "16")]
     Pull(Pull),
 }
 
-/// A probe.
+/// A probe of a host.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Probe {
-    /// The number that the answer repeats.
+    /// The sequence number, which the reply repeats.
     #[prost(uint64, tag = "1")]
     pub seq: u64,
-    /// A hash of all hosts that the sender knows.
+    /// A hash of all hosts that the sender knows, by which the receiver detects a difference.
     #[prost(fixed64, tag = "2")]
     pub view_hash: u64,
 }
 
-/// The answer to a probe.
+/// The reply to a probe.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct ProbeAck {
-    /// The probe's number.
+    /// The sequence number of the probe.
     #[prost(uint64, tag = "1")]
     pub seq: u64,
 }
 
-/// A request to probe another host.
+/// A request to probe another host on behalf of the sender.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct IndirectProbe {
-    /// The number that the answer repeats.
+    /// The sequence number, which the reply repeats.
     #[prost(uint64, tag = "1")]
     pub seq: u64,
-    /// The host to probe.
+    /// The id of the host to probe.
     #[prost(string, tag = "2")]
     pub target: String,
 }
 
-/// A hash of the hosts of a failure domain.
+/// A hash of the hosts of one failure domain.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct DomainDigest {
-    /// The failure domain.
+    /// The id of the failure domain.
     #[prost(string, tag = "1")]
     pub domain: String,
-    /// The hash.
+    /// The hash of the hosts that the sender knows there.
     #[prost(fixed64, tag = "2")]
     pub hash: u64,
-    /// Whether the receiver is to answer with that of its own failure domain.
+    /// Whether the receiver is to reply with the digest of its own failure domain.
     #[prost(bool, tag = "3")]
     pub wants_reply: bool,
 }
 
-/// A request for hosts.
+/// A request for the hosts that the receiver knows.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Pull {
-    /// How the sender sees failure domains.
+    /// A digest of each failure domain that the sender asks about or knows.
     #[prost(message, repeated, tag = "1")]
     pub known: Vec<DomainDigest>,
-    /// Whether it wants only these, and not also those that it has never heard of.
+    /// Whether the reply is limited to the failure domains in `known`, and leaves out those that
+    /// the sender does not know.
     #[prost(bool, tag = "2")]
     pub only_known: bool,
 }
 
-/// A host.
+/// The state of a host, as the sender knows it.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct HostRecord {
-    /// Its name.
+    /// The id of the host.
     #[prost(string, tag = "1")]
     pub host: String,
-    /// Its failure domain.
+    /// The failure domain of the host.
     #[prost(string, tag = "2")]
     pub domain: String,
-    /// Where it listens for peers: 4 or 16 bytes.
+    /// The IP address on which the host listens for peers: 4 bytes or 16.
     #[prost(bytes = "vec", tag = "3")]
     pub ip: Vec<u8>,
-    /// The port there.
+    /// The port on which the host listens for peers.
     #[prost(uint32, tag = "4")]
     pub port: u32,
-    /// Its incarnation.
+    /// The incarnation of the host.
     #[prost(uint64, tag = "5")]
     pub incarnation: u64,
-    /// 0 alive, 1 suspect, 2 leaving, 3 dead.
+    /// The state: 0 alive, 1 suspect, 2 leaving, 3 dead.
     #[prost(uint32, tag = "6")]
     pub state: u32,
-    /// The generation that it was last heard to have in force.
+    /// The generation of the manifest that the host was last known to have in force.
     #[prost(uint64, tag = "7")]
     pub generation: u64,
-    /// How long it has been dead, so that all forget it at about the same time.
+    /// For how many seconds the host has been dead, so that all hosts remove it at about the same
+    /// time.
     #[prost(uint32, tag = "8")]
     pub dead_for_s: u32,
 }
 
-/// An upstream that leaves.
+/// An upstream that is leaving.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct LeavingUpstream {
-    /// Its name.
+    /// The id of the upstream.
     #[prost(string, tag = "1")]
     pub upstream: String,
-    /// The version of the platform's object that says so; a later one may say otherwise.
+    /// The version of the platform's object that lists the upstream as leaving. A later version can
+    /// revoke it.
     #[prost(uint64, tag = "2")]
     pub version: u64,
 }
--- a/src/peer/message/grant.rs
+++ b/src/peer/message/grant.rs
@@ -1,185 +1,187 @@
-//! Messages between entry hosts and homes.
+//! The messages between entry hosts and homes.
 
 /// The state of a request at its home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(prost::Enumeration)]
 #[repr(i32)]
 pub enum GrantState {
-    /// The receiver is not the home of that pool.
+    /// The host that was asked is not the home of the pool.
     NotHome = 0,
-    /// The request waits; the decision is pushed, and asking again is harmless.
+    /// The request is queued. The home pushes the decision; asking again has no further effect.
     Queued = 1,
-    /// It may be dispatched.
+    /// The request may be dispatched.
     Granted = 2,
-    /// It is turned away.
+    /// The request is refused.
     Refused = 3,
 }
 
-/// A hash of a prompt's prefix with its length.
+/// The hash and the length of a prefix of a prompt.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct PrefixHash {
-    /// The hash, 16 bytes.
+    /// The hash of the prefix, 16 bytes.
     #[prost(bytes = "vec", tag = "1")]
     pub hash: Vec<u8>,
-    /// The prefix's length.
+    /// The length of the prefix, in tokens.
     #[prost(uint64, tag = "2")]
     pub tokens: u64,
 }
 
-/// [`crate::decide::Work`] on the wire.
+/// The encoding of [`crate::decide::Work`].
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct WorkItem {
-    /// The request, 16 bytes.
+    /// The id of the request, 16 bytes.
     #[prost(bytes = "vec", tag = "1")]
     pub request: Vec<u8>,
-    /// The entry host.
+    /// The id of the entry host.
     #[prost(string, tag = "2")]
     pub host: String,
-    /// The customer.
+    /// The id of the customer.
     #[prost(string, tag = "3")]
     pub customer: String,
-    /// The rank; 0 first.
+    /// The rank of the priority; 0 is served first.
     #[prost(uint32, tag = "4")]
     pub priority: u32,
-    /// The prompt's estimated length.
+    /// The estimated length of the prompt, in tokens.
     #[prost(uint64, tag = "5")]
     pub prompt_tokens: u64,
-    /// The longest answer.
+    /// The largest length of the answer, in tokens.
     #[prost(uint64, tag = "6")]
     pub output_tokens: u64,
-    /// The prompt's prefixes.
+    /// The prefixes of the prompt.
     #[prost(message, repeated, tag = "7")]
     pub prefixes: Vec<PrefixHash>,
-    /// The time that remains until the deadline.
+    /// The time that remains until the deadline, in milliseconds.
     #[prost(uint64, tag = "8")]
     pub remaining_ms: u64,
-    /// Upstreams to be tried last.
+    /// The upstreams to use only if there is no other.
     #[prost(string, repeated, tag = "9")]
     pub avoid: Vec<String>,
 }
 
-/// A request for a grant. Sent again with the same request id it gets the same answer.
+/// A request for a grant. It is idempotent: a repetition with the same request id gets the same
+/// reply.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct GrantRequest {
-    /// The pool.
+    /// The id of the pool.
     #[prost(string, tag = "1")]
     pub pool: String,
-    /// The work.
+    /// The work of the request.
     #[prost(message, optional, tag = "2")]
     pub work: Option<WorkItem>,
 }
 
-/// What a home says of a request.
+/// The status of a request at its home, as a reply or as a pushed decision.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct GrantReply {
-    /// The pool.
+    /// The id of the pool.
     #[prost(string, tag = "1")]
     pub pool: String,
-    /// The request, 16 bytes.
+    /// The id of the request, 16 bytes.
     #[prost(bytes = "vec", tag = "2")]
     pub request: Vec<u8>,
-    /// Where it stands.
+    /// The state of the request.
     #[prost(enumeration = "GrantState", tag = "3")]
     pub state: i32,
-    /// The grant, 16 bytes, when granted.
+    /// The id of the grant, 16 bytes, if granted.
     #[prost(bytes = "vec", tag = "4")]
     pub grant: Vec<u8>,
-    /// The engines, the leader first, when granted.
+    /// The ids of the upstreams, the leader first, if granted.
     #[prost(string, repeated, tag = "5")]
     pub upstreams: Vec<String>,
-    /// How long it waited in the home's queue.
+    /// How long the request waited in the queue of the home, in milliseconds.
     #[prost(uint64, tag = "6")]
     pub waited_ms: u64,
-    /// Why these upstreams, or why it was refused.
+    /// Why these upstreams were chosen, or why the request was refused.
     #[prost(string, tag = "7")]
     pub why: String,
-    /// When the caller should come back, when refused.
+    /// After how many milliseconds the caller should retry, if refused.
     #[prost(uint64, tag = "8")]
     pub retry_after_ms: u64,
 }
 
-/// A request that waits is to be forgotten.
+/// Withdraws a queued request.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Withdraw {
-    /// The pool.
+    /// The id of the pool.
     #[prost(string, tag = "1")]
     pub pool: String,
-    /// The request, 16 bytes.
+    /// The id of the request, 16 bytes.
     #[prost(bytes = "vec", tag = "2")]
     pub request: Vec<u8>,
 }
 
-/// [`crate::decide::AttemptSummary`] on the wire.
+/// The encoding of [`crate::decide::AttemptSummary`].
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct AttemptReport {
-    /// The end: 0 completed, 1 cancelled, 2 not sent, 3 refused, 4 failed.
+    /// How the attempt ended: 0 completed, 1 cancelled, 2 not sent, 3 refused, 4 failed.
     #[prost(uint32, tag = "1")]
     pub ended: u32,
-    /// From dispatch to the first token, in microseconds; none if no token came.
+    /// The time from dispatch to the first token, in microseconds; none if no token came.
     #[prost(uint64, optional, tag = "2")]
     pub first_token_us: Option<u64>,
-    /// From dispatch to the end.
+    /// The time from dispatch to the end, in microseconds.
     #[prost(uint64, tag = "3")]
     pub total_us: u64,
-    /// The prompt's length as the engine counted it.
+    /// The length of the prompt in tokens, as the engine counted it.
     #[prost(uint64, tag = "4")]
     pub prompt_tokens: u64,
-    /// Prompt tokens found in the cache.
+    /// The number of prompt tokens that the engine found in its cache.
     #[prost(uint64, tag = "5")]
     pub cached_tokens: u64,
-    /// Tokens of the answer.
+    /// The number of tokens of the answer.
     #[prost(uint64, tag = "6")]
     pub output_tokens: u64,
 }
 
-/// A grant has ended.
+/// Reports that a grant has ended.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Finish {
-    /// The pool.
+    /// The id of the pool.
     #[prost(string, tag = "1")]
     pub pool: String,
-    /// The grant, 16 bytes.
+    /// The id of the grant, 16 bytes.
     #[prost(bytes = "vec", tag = "2")]
     pub grant: Vec<u8>,
-    /// How.
+    /// How the attempt of the grant ended.
     #[prost(message, optional, tag = "3")]
     pub done: Option<AttemptReport>,
 }
 
-/// A live grant with its work.
+/// A live grant with the work of its request.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct AnnouncedGrant {
-    /// The grant, 16 bytes.
+    /// The id of the grant, 16 bytes.
     #[prost(bytes = "vec", tag = "1")]
     pub grant: Vec<u8>,
-    /// The work.
+    /// The work of the request.
     #[prost(message, optional, tag = "2")]
     pub work: Option<WorkItem>,
-    /// The engines that hold memory for it.
+    /// The ids of the upstreams that reserve memory for the grant.
     #[prost(string, repeated, tag = "3")]
     pub upstreams: Vec<String>,
 }
 
-/// All live grants of one pool that an entry host holds. A home drops what its host no longer
-/// announces, and adopts what an earlier home gave.
+/// All live grants of one pool that an entry host holds, or a query for them. A home removes grants
+/// that their host no longer announces, and adopts grants that an earlier home has issued.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Announce {
-    /// The pool.
+    /// The id of the pool.
     #[prost(string, tag = "1")]
     pub pool: String,
-    /// The grants.
+    /// The live grants; empty in a query.
     #[prost(message, repeated, tag = "2")]
     pub grants: Vec<AnnouncedGrant>,
-    /// Whether this is a home's question for the receiver's grants, and no announcement.
+    /// Whether the message is a query of a home for the grants of the receiver, and not an
+    /// announcement.
     #[prost(bool, tag = "3")]
     pub is_query: bool,
 }
--- a/src/peer/message/manifest.rs
+++ b/src/peer/message/manifest.rs
@@ -1,43 +1,45 @@
-//! Messages by which hosts pass manifests on.
+//! The messages by which hosts distribute manifests.
 
-/// What the sender knows; generation 0 when it knows no manifest.
+/// The manifest that the sender has in force.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct ManifestNotice {
-    /// The generation that it has in force.
+    /// The generation in force; 0 if the sender has no manifest.
     #[prost(uint64, tag = "1")]
     pub generation: u64,
-    /// How long ago the platform said, to the sender or to others, that there is no newer one.
+    /// How long ago, in milliseconds, the platform confirmed to the sender or to another host that
+    /// no newer generation exists; none if never.
     #[prost(uint64, optional, tag = "2")]
     pub confirmed_ago_ms: Option<u64>,
 }
 
-/// What do you know? The receiver answers with a [`ManifestNotice`].
+/// A query for the manifest that the receiver has in force. The reply is a [`ManifestNotice`].
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct ManifestQuery {
-    /// The generation that the sender has in force; 0 for none.
+    /// The generation that the sender has in force; 0 if the sender has no manifest.
     #[prost(uint64, tag = "1")]
     pub generation: u64,
 }
 
-/// A request for the pages that list the parts of a manifest.
+/// A request for the index of a manifest, which lists the parts.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct IndexRequest {
-    /// The least generation wanted.
+    /// The lowest generation that the sender accepts.
     #[prost(uint64, tag = "1")]
     pub generation: u64,
 }
 
-/// The pages on which the parts of a manifest are listed.
+/// The index of a manifest. The hashes of its parts are listed on pages, and the index lists the
+/// hashes of the pages.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct ManifestIndex {
-    /// Its generation.
+    /// The generation of the manifest.
     #[prost(uint64, tag = "1")]
     pub generation: u64,
-    /// The hash of its whole text, 16 bytes.
+    /// The hash of the whole text of the manifest, 16 bytes.
     #[prost(bytes = "vec", tag = "2")]
     pub hash: Vec<u8>,
     /// The hashes of the pages in order, 16 bytes each.
@@ -45,20 +47,20 @@
     pub pages: Vec<u8>,
 }
 
-/// A request for parts and pages.
+/// A request for parts and pages of a manifest.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct PartsRequest {
-    /// Their hashes, 16 bytes each.
+    /// The hashes of the parts and pages, 16 bytes each.
     #[prost(bytes = "vec", tag = "1")]
     pub parts: Vec<u8>,
 }
 
-/// Parts and pages of a manifest; the receiver hashes them itself.
+/// Parts and pages of a manifest, without their hashes, which the receiver computes itself.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct ManifestParts {
-    /// The parts.
+    /// The texts of the parts and pages.
     #[prost(string, repeated, tag = "1")]
     pub parts: Vec<String>,
 }
--- a/src/peer/message/mod.rs
+++ b/src/peer/message/mod.rs
@@ -1,7 +1,8 @@
-//! The messages between hosts. Derives generate the codec; no generator is needed.
+//! The messages between hosts. The protobuf codec is derived from the Rust types, without `.proto`
+//! files.
 //!
-//! Field numbers are never used again for another meaning, so that hosts of neighbouring versions
-//! understand each other while they are replaced one by one.
+//! A field number is never reused with another meaning, so that hosts of neighbouring versions
+//! understand each other during a rolling upgrade.
 
 mod gossip;
 mod grant;
@@ -37,20 +38,21 @@
 pub use relay::PlatformReply;
 pub use relay::PoisonNotice;
 
-/// A frame's content: who sent it, which request it answers, and one message.
+/// The payload of a frame: one message, with its sender and its call id.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Envelope {
-    /// The sender.
+    /// The host id of the sender. It is empty on the wire, and set when a frame is decoded.
     #[prost(string, tag = "1")]
     pub from: String,
-    /// The number that a reply repeats; 0 when no reply is wanted.
+    /// The number of the call, which the reply repeats; 0 if no reply is expected.
     #[prost(uint64, tag = "2")]
     pub call_id: u64,
-    /// Whether this is the reply to `call_id`.
+    /// Whether the message is the reply to the call `call_id`.
     #[prost(bool, tag = "3")]
     pub is_reply: bool,
-    /// The message. Tags below 30 are taken by grants and relays, from 30 on by the fleet.
+    /// The message. Tags below 30 belong to grants and relays, tags from 30 on to the membership
+    /// and to manifests.
     #[prost(
         oneof = "Message",
         tags = "10, 11, 12, 13, 14, 20, 21, 22, 29, 30, 31, 32, 33, 34, 35, 36"
@@ -58,56 +60,56 @@
     pub message: Option<Message>,
 }
 
-/// All kinds of messages.
+/// A message between hosts.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Oneof)]
 pub enum Message {
-    /// An entry host asks a home for a grant.
+    /// A request of an entry host for a grant, sent to a home.
     #[prost(message, tag = "10")]
     GrantRequest(GrantRequest),
-    /// The home's answer, also pushed when a queued request is decided.
+    /// The reply of the home, which is also pushed when a queued request is decided.
     #[prost(message, tag = "11")]
     GrantReply(GrantReply),
-    /// A grant has ended.
+    /// The report of an entry host that a grant has ended.
     #[prost(message, tag = "12")]
     Finish(Finish),
-    /// A request that waits is to be forgotten.
+    /// The withdrawal of a queued request.
     #[prost(message, tag = "13")]
     Withdraw(Withdraw),
-    /// The grants that an entry host holds of one pool.
+    /// The live grants of one pool that an entry host holds, or a query for them.
     #[prost(message, tag = "14")]
     Announce(Announce),
-    /// A call to the platform made for a host that can't reach it.
+    /// A call to the platform that the receiver makes for the sender.
     #[prost(message, tag = "20")]
     PlatformCall(PlatformCall),
-    /// What came of it.
+    /// The result of a call to the platform.
     #[prost(message, tag = "21")]
     PlatformReply(PlatformReply),
-    /// A request that crashed an upstream.
+    /// The fingerprint of a request that crashed upstreams.
     #[prost(message, tag = "22")]
     PoisonNotice(PoisonNotice),
-    /// Taken in; there is nothing to say.
+    /// The acknowledgement of a message that has no other reply.
     #[prost(message, tag = "29")]
     Ack(()),
-    /// Membership.
+    /// A message of the membership.
     #[prost(message, tag = "30")]
     Gossip(Gossip),
-    /// What a host knows of manifests.
+    /// The manifest that a host has in force.
     #[prost(message, tag = "31")]
     ManifestNotice(ManifestNotice),
-    /// A question for that.
+    /// A query for the manifest that a host has in force.
     #[prost(message, tag = "32")]
     ManifestQuery(ManifestQuery),
-    /// A question for the parts of a manifest.
+    /// A request for the index of a manifest.
     #[prost(message, tag = "33")]
     IndexRequest(IndexRequest),
-    /// The parts of a manifest.
+    /// The index of a manifest.
     #[prost(message, tag = "34")]
     ManifestIndex(ManifestIndex),
-    /// A question for the content of parts.
+    /// A request for parts of a manifest.
     #[prost(message, tag = "35")]
     PartsRequest(PartsRequest),
-    /// The content of parts.
+    /// Parts of a manifest.
     #[prost(message, tag = "36")]
     ManifestParts(ManifestParts),
 }
--- a/src/peer/message/relay.rs
+++ b/src/peer/message/relay.rs
@@ -1,50 +1,52 @@
-//! Messages that one host passes on for another.
+//! The messages of relayed calls to the platform, and the notice of requests that crash upstreams.
 
-/// A call to the platform that a host asks a peer to make for it.
+/// A call to the platform that the receiver makes for the sender: a read if `value` is none, else a
+/// write.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct PlatformCall {
-    /// The kind's plural.
+    /// The plural name of the kind of the object.
     #[prost(string, tag = "1")]
     pub kind: String,
-    /// The object's name.
+    /// The name of the object.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// The new value as JSON; none to read.
+    /// The new value of the object as JSON; none for a read.
     #[prost(bytes = "vec", optional, tag = "3")]
     pub value: Option<Vec<u8>>,
-    /// The version that a write expects; none means that there is no such object.
+    /// The version of the object that a write requires; none if the object must not exist.
     #[prost(uint64, optional, tag = "4")]
     pub expected_version: Option<u64>,
 }
 
-/// What came of a call to the platform.
+/// The result of a call to the platform.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct PlatformReply {
-    /// 0 done, 1 absent, 2 conflict, 3 refused, 4 unavailable, 5 unknown.
+    /// The status: 0 done, 1 not found, 2 conflict, 3 refused, 4 unavailable, 5 outcome unknown.
     #[prost(uint32, tag = "1")]
     pub status: u32,
-    /// The reason, where there is one.
+    /// The reason of a failure; empty if there is none.
     #[prost(string, tag = "2")]
     pub why: String,
-    /// The object's version.
+    /// The version of the object.
     #[prost(uint64, tag = "3")]
     pub version: u64,
-    /// The object's value as JSON, when read.
+    /// The value of the object as JSON, in the reply to a read.
     #[prost(bytes = "vec", tag = "4")]
     pub value: Vec<u8>,
 }
 
-/// A request that crashed upstreams, by its content or its key.
+/// The fingerprint of a request that crashed upstreams, and the attempts that ended in a crash.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct PoisonNotice {
-    /// What it is recognised by: the 16 bytes of a content hash, or a byte 1 and the 16 bytes of
-    /// the hash of an idempotency key.
+    /// The fingerprint of the request: the 16 bytes of a hash of its content, or the byte 1 and the
+    /// 16 bytes of a hash of its idempotency key.
     #[prost(bytes = "vec", tag = "1")]
     pub content: Vec<u8>,
-    /// The attempts that ended in a crash, 16 bytes each, so that none counts twice.
+    /// The ids of the attempts that ended in a crash, 16 bytes each, so that no attempt is counted
+    /// twice.
     #[prost(bytes = "vec", repeated, tag = "2")]
     pub attempts: Vec<Vec<u8>>,
 }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,4 +1,6 @@
-//! The protocol between the system's own processes: framed protobuf over TCP.
+//! The protocol between the hosts of the system: protobuf messages in frames over TCP.
+//!
+//! Two hosts authenticate each other by a handshake, after which every frame carries a tag.
 
 mod addrs;
 mod codec;
@@ -38,12 +40,12 @@
 
 use crate::units::HostId;
 
-/// Other hosts, as something to send messages to.
+/// A transport of messages to other hosts.
 pub trait PeerTransport: Send + Sync {
-    /// Sends a message without waiting; it may be lost.
+    /// Sends a message without waiting for a reply. The message may be lost.
     fn send(&self, to: &HostId, message: Message);
 
-    /// Sends a message and waits for its reply.
+    /// Sends a message and waits for its reply, at most for `timeout`.
     fn request(
         &self,
         to: &HostId,
@@ -52,8 +54,9 @@
     ) -> BoxFuture<'_, Result<Message, PeerError>>;
 }
 
-/// What takes in the messages of other hosts.
+/// A handler of the messages of other hosts.
 pub trait PeerHandler: Send + Sync {
-    /// Handles one message; the reply, if any, goes back to the sender.
+    /// Handles one message of host `from`, and returns the reply. A request without a reply is
+    /// answered by [`Message::Ack`].
     fn handle(&self, from: HostId, message: Message) -> BoxFuture<'_, Option<Message>>;
 }
--- a/src/peer/pool.rs
+++ b/src/peer/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to other hosts, one a host.
+//! The pool of connections to other hosts, one connection for each host.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -21,24 +21,26 @@
 use crate::peer::PeerTransport;
 use crate::peer::Traffic;
 use crate::peer::link::Link;
-use crate::peer::link::Outgoing;
+use crate::peer::link::OutgoingMessage;
 use crate::units::HostId;
 
-/// Messages that wait for one host. A host that reads too slowly costs this much memory and no
-/// more; what does not fit is lost at once, which its sender sees.
+/// The number of messages that can wait for one host. It bounds the memory that a slow host takes.
+/// A message that does not fit is dropped at once: it is counted, and a request fails.
 const QUEUE_LEN: usize = 1_024;
 
-/// The connections of one host to all others. Each is opened by the first message, opened again
-/// with jittered backoff, and runs in a task of its own, so that a frozen host delays no other.
+/// The connections of this host to all others. Each connection is opened by the first message,
+/// reopened with a jittered backoff, and run by a task of its own, so that a frozen host delays no
+/// other.
 ///
-/// A host that answers none of its requests for three seconds is taken for cut off or frozen, and
-/// its connection is closed; a handler that needs longer must answer first and send again later.
+/// A host that replies to none of its pending requests for three seconds is assumed to be frozen or
+/// unreachable, and its connection is closed. A handler that takes longer must reply first and send
+/// its result in a later message.
 pub struct PeerPool {
     shared: Arc<PoolShared>,
     links: Mutex<Links>,
 }
 
-/// What all links of a pool use.
+/// What the links of a pool share.
 pub(crate) struct PoolShared {
     pub(crate) host: HostId,
     pub(crate) keys: Keyring,
@@ -46,13 +48,15 @@
     pub(crate) traffic: Arc<Traffic>,
 }
 
+/// The links by host, and the source of the random numbers of new links.
 struct Links {
     by_host: IndexMap<HostId, LinkHandle>,
     rng: StdRng,
 }
 
+/// The pool's end of a link. Dropping the handle stops the task of the link.
 struct LinkHandle {
-    queue: mpsc::Sender<Outgoing>,
+    queue: mpsc::Sender<OutgoingMessage>,
     stop: CancellationToken,
 }
 
@@ -63,8 +67,8 @@
 }
 
 impl PeerPool {
-    /// A pool without connections. The nonces come from `rng`, which must be seeded by the system's
-    /// random source outside of tests.
+    /// A pool without connections. The nonces of handshakes come from `rng`, which must be seeded
+    /// from the random source of the operating system except in tests.
     pub fn new(
         host: HostId,
         keys: Keyring,
@@ -84,13 +88,14 @@
         }
     }
 
-    /// Closes the connection to a host that is believed gone. After a cut, the machine would go on
-    /// resending on the old connection at ever longer intervals; a new one works at once.
+    /// Closes the connection to a host that is assumed to be dead. After a network partition, TCP
+    /// would retransmit on the old connection at ever longer intervals; a new connection works at
+    /// once.
     pub fn disconnect(&self, host: &HostId) {
         self.links().by_host.swap_remove(host);
     }
 
-    /// How many hosts there are connections or attempts to connect to.
+    /// The number of hosts to which there is a connection or an attempt to connect.
     pub fn link_count(&self) -> usize {
         self.links().by_host.len()
     }
@@ -99,10 +104,11 @@
         self.links.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn queue(&self, host: &HostId) -> mpsc::Sender<Outgoing> {
+    /// The queue of the link to a host. The link is created if there is none or if it has ended.
+    fn queue(&self, host: &HostId) -> mpsc::Sender<OutgoingMessage> {
         let mut links = self.links();
-        let open = links.by_host.get(host).map(|link| &link.queue);
-        if let Some(queue) = open.filter(|queue| !queue.is_closed()) {
+        let existing = links.by_host.get(host).map(|link| &link.queue);
+        if let Some(queue) = existing.filter(|queue| !queue.is_closed()) {
             return queue.clone();
         }
         let rng = StdRng::from_rng(&mut links.rng);
@@ -121,7 +127,7 @@
 
 impl PeerTransport for PeerPool {
     fn send(&self, to: &HostId, message: Message) {
-        let outgoing = Outgoing {
+        let outgoing = OutgoingMessage {
             message,
             reply: None,
         };
@@ -136,19 +142,19 @@
         message: Message,
         timeout: Duration,
     ) -> BoxFuture<'_, Result<Message, PeerError>> {
-        let (reply, answered) = oneshot::channel();
-        let outgoing = Outgoing {
+        let (reply_sender, reply_receiver) = oneshot::channel();
+        let outgoing = OutgoingMessage {
             message,
-            reply: Some(reply),
+            reply: Some(reply_sender),
         };
         let queued = self.queue(to).try_send(outgoing);
         Box::pin(async move {
             if queued.is_err() {
                 self.shared.traffic.count_dropped();
-                return Err(PeerError::Unreachable("its queue is full".to_owned()));
+                return Err(PeerError::Unreachable("message queue is full".to_owned()));
             }
-            match tokio::time::timeout(timeout, answered).await {
-                Ok(Ok(answer)) => answer,
+            match tokio::time::timeout(timeout, reply_receiver).await {
+                Ok(Ok(reply)) => reply,
                 Ok(Err(_)) | Err(_) => Err(PeerError::NoReply),
             }
         })
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Takes in the connections of other hosts.
+//! The server for the connections of other hosts.
 
 use std::io;
 use std::net::SocketAddr;
@@ -30,32 +30,37 @@
 use crate::peer::message::Envelope;
 use crate::units::HostId;
 
-/// Requests of one connection that are handled at once; beyond it the connection is not read, which
-/// the sender sees as a full queue of its own.
+/// The number of messages of one connection that are handled at once. The connection is not read
+/// beyond this number, which the sender notices when its own queue is full.
 const IN_FLIGHT_MAX: usize = 512;
 
-/// Connections at once: two for each of 400 hosts, with room for those that are being replaced.
+/// The number of open connections: two for each of 400 hosts, with spare ones for connections that
+/// are being replaced.
 const CONNECTIONS_MAX: usize = 2_048;
 
-/// Connections that have not authenticated yet. Without a bound of its own, strangers could use up
-/// all connections.
+/// The number of connections that have not been authenticated yet. Without this limit
+/// unauthenticated clients could use up all connections.
 const HANDSHAKES_MAX: usize = 128;
 
+/// How long a client may take for the handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a peer may take to read a reply before its connection is given up.
+/// How long the write of a reply may take, if the peer does not read, before the connection is
+/// closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What `accept` waits after an error, such as no more file descriptors, which would repeat at
-/// once.
+/// The pause after a failed `accept`. An error such as a lack of file descriptors would otherwise
+/// repeat at once.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
+/// The messages of one connection that are being handled, each with its call id.
 type Replies<'a> = FuturesUnordered<BoxFuture<'a, (u64, Option<Message>)>>;
 
-/// The server for other hosts: it hands each message to a [`PeerHandler`] and sends back its reply.
+/// The server for the connections of other hosts. It passes each message to a [`PeerHandler`], and
+/// sends back the reply.
 ///
-/// The messages of one connection reach the handler in order; its replies may leave in another.
-/// A handler that waits is dropped when its connection ends.
+/// The messages of one connection reach the handler in order; the replies may be sent in another
+/// order. The future of a handler is dropped when its connection ends.
 pub struct PeerServer {
     host: HostId,
     keys: Keyring,
@@ -67,8 +72,8 @@
 }
 
 impl PeerServer {
-    /// A server that knows itself as `host`. The nonces come from `rng`, which must be seeded by
-    /// the system's random source outside of tests.
+    /// A server that authenticates itself as `host`. The nonces of handshakes come from `rng`,
+    /// which must be seeded from the random source of the operating system except in tests.
     pub fn new(
         host: HostId,
         keys: Keyring,
@@ -87,7 +92,7 @@
         }
     }
 
-    /// Serves until `stop` is cancelled; then all connections are closed.
+    /// Serves until `stop` is cancelled, and closes all connections then.
     pub async fn serve(self: Arc<Self>, listener: TcpListener, stop: CancellationToken) {
         let mut tasks = JoinSet::new();
         loop {
@@ -95,7 +100,7 @@
                 () = stop.cancelled() => break,
                 Some(_) = tasks.join_next() => {}
                 accepted = listener.accept() => match accepted {
-                    Ok((stream, addr)) => self.spawn(&mut tasks, stream, addr),
+                    Ok((stream, addr)) => self.spawn_connection(&mut tasks, stream, addr),
                     Err(error) => {
                         log::warn!("peer: can't accept connections: {error}");
                         tokio::time::sleep(ACCEPT_PAUSE).await;
@@ -106,35 +111,49 @@
         tasks.shutdown().await;
     }
 
-    fn spawn(self: &Arc<Self>, tasks: &mut JoinSet<()>, stream: TcpStream, addr: SocketAddr) {
+    /// Serves a connection in a task of its own, or refuses it if there are too many.
+    fn spawn_connection(
+        self: &Arc<Self>,
+        tasks: &mut JoinSet<()>,
+        stream: TcpStream,
+        addr: SocketAddr,
+    ) {
         let permits = (
             Arc::clone(&self.connections).try_acquire_owned(),
             Arc::clone(&self.handshakes).try_acquire_owned(),
         );
         let (Ok(connection), Ok(handshake)) = permits else {
             self.traffic.count_refused();
-            log::warn!("peer: too many connections, closed {addr}");
+            log::warn!("peer: closed connection from {addr}: too many connections");
             return;
         };
         let server = Arc::clone(self);
         tasks.spawn(async move {
             let _connection = connection;
-            server.connection(stream, addr, handshake).await;
+            server.serve_connection(stream, addr, handshake).await;
         });
     }
 
-    async fn connection(&self, stream: TcpStream, addr: SocketAddr, permit: OwnedSemaphorePermit) {
+    /// Authenticates a connection, and serves it until it ends. The permit of the handshake is
+    /// released once the peer is authenticated.
+    async fn serve_connection(
+        &self,
+        stream: TcpStream,
+        addr: SocketAddr,
+        permit: OwnedSemaphorePermit,
+    ) {
         let Some((peer, mut stream)) = self.authenticate(stream, addr).await else {
             self.traffic.count_refused();
             return;
         };
         drop(permit);
-        match self.exchange(&peer, &mut stream).await {
+        match self.handle_messages(&peer, &mut stream).await {
             Ok(()) => log::debug!("peer: {peer} closed its connection"),
-            Err(error) => log::warn!("peer: closed the connection of {peer}: {error}"),
+            Err(error) => log::warn!("peer: closed connection from {peer}: {error}"),
         }
     }
 
+    /// Runs the handshake; none if it fails or takes too long.
     async fn authenticate(
         &self,
         stream: TcpStream,
@@ -146,28 +165,33 @@
         };
         let no_delay = stream.set_nodelay(true);
         if let Err(error) = no_delay {
-            log::debug!("peer: {addr}: {error}");
+            log::debug!("peer: can't set TCP_NODELAY for {addr}: {error}");
         }
         let accepting = handshake::accept(stream, &self.host, &self.keys, &mut rng);
         match tokio::time::timeout(HANDSHAKE_TIMEOUT, accepting).await {
             Ok(Ok(accepted)) => Some(accepted),
             Ok(Err(error)) => {
-                log::warn!("peer: closed {addr}: {error}");
+                log::warn!("peer: closed connection from {addr}: {error}");
                 None
             }
             Err(_) => {
-                log::warn!("peer: closed {addr}: no handshake in time");
+                log::warn!("peer: closed connection from {addr}: handshake timed out");
                 None
             }
         }
     }
 
-    async fn exchange(&self, peer: &HostId, stream: &mut PeerStream) -> Result<(), FrameError> {
+    /// Handles the messages of a connection until the peer closes it.
+    async fn handle_messages(
+        &self,
+        peer: &HostId,
+        stream: &mut PeerStream,
+    ) -> Result<(), FrameError> {
         let mut replies = Replies::new();
         loop {
             tokio::select! {
                 Some((call_id, reply)) = replies.next() => {
-                    self.reply(stream, call_id, reply).await?;
+                    self.send_reply(stream, call_id, reply).await?;
                 }
                 read = stream.next(), if replies.len() < IN_FLIGHT_MAX => match read {
                     Some(envelope) => replies.push(self.handle(peer, envelope?)?),
@@ -177,6 +201,7 @@
         }
     }
 
+    /// Passes a message to the handler, and returns the future of its reply.
     fn handle(
         &self,
         peer: &HostId,
@@ -185,8 +210,8 @@
         if envelope.is_reply {
             return Err(FrameError::Unexpected("reply"));
         }
-        // A kind that this version doesn't know decodes to none: the caller gets the plain reply,
-        // so that neighbouring versions can be mixed while hosts are replaced.
+        // A message of a kind that this version does not know is decoded as none. It gets an
+        // acknowledgement, so that hosts of neighbouring versions work together during an upgrade.
         let call_id = envelope.call_id;
         let Some(message) = envelope.message else {
             return Ok(Box::pin(async move { (call_id, None) }));
@@ -195,7 +220,8 @@
         Ok(Box::pin(async move { (call_id, handling.await) }))
     }
 
-    async fn reply(
+    /// Sends a reply, unless the sender expects none or the limit of control traffic is reached.
+    async fn send_reply(
         &self,
         stream: &mut PeerStream,
         call_id: u64,
--- a/src/peer/token_bucket.rs
+++ b/src/peer/token_bucket.rs
@@ -1,8 +1,8 @@
-//! A rate with a burst.
+//! A token bucket, which limits a rate but permits bursts.
 
 use std::time::Instant;
 
-/// A token bucket over bytes, without I/O.
+/// A token bucket without I/O or a clock of its own. A token usually stands for a byte.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     rate: f64,
@@ -12,7 +12,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket that fills at `rate` a second up to `burst`.
+    /// A full bucket that gains `rate` tokens a second and holds at most `burst` tokens.
     pub fn new(rate: f64, burst: f64, now: Instant) -> Self {
         Self {
             rate,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// What could be taken now.
+    /// The tokens that can be taken now.
     pub fn available(&mut self, now: Instant) -> f64 {
         let elapsed = now.saturating_duration_since(self.filled_at);
         self.level = (self.level + self.rate * elapsed.as_secs_f64()).min(self.burst);
@@ -30,12 +30,12 @@
         self.level
     }
 
-    /// Takes `amount` if it is there.
+    /// Takes `amount` tokens if the bucket holds as many, and returns whether it did.
     pub fn take(&mut self, amount: f64, now: Instant) -> bool {
-        let is_there = self.available(now) >= amount;
-        if is_there {
+        let is_available = self.available(now) >= amount;
+        if is_available {
             self.level -= amount;
         }
-        is_there
+        is_available
     }
 }
--- a/src/peer/traffic.rs
+++ b/src/peer/traffic.rs
@@ -1,4 +1,4 @@
-//! How many bytes go to other hosts, and the bound on those for control.
+//! The count of the bytes sent to other hosts, and the limit of control traffic.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -14,21 +14,21 @@
 use crate::peer::message::Envelope;
 use crate::peer::token_bucket::TokenBucket;
 
-/// The window over which the control rate is kept. It lets a host that joins be given a whole
-/// manifest at once, which is a megabyte, and still holds the average.
+/// The window over which the rate of control traffic is averaged. It permits a burst that sends a
+/// whole manifest, which is a megabyte, to a host that joins.
 const CONTROL_WINDOW: Duration = Duration::from_secs(300);
 
-/// What a message counts as.
+/// The class of traffic that a message belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrafficClass {
-    /// Membership and manifests.
+    /// Messages of the membership and of manifests, whose rate is limited.
     Control,
-    /// Grants and what hosts pass on for each other; it grows with the requests.
+    /// Messages about grants and relayed calls, whose rate grows with the rate of requests.
     Work,
 }
 
 impl TrafficClass {
-    /// The class of a message.
+    /// The class of the given message.
     pub fn of(message: &Message) -> Self {
         match message {
             Message::GrantRequest(_)
@@ -51,7 +51,7 @@
     }
 }
 
-/// Counts what this host sends to others and bounds the part for control.
+/// Counts the traffic from this host to others, and limits the rate of control traffic.
 pub struct Traffic {
     clock: std::sync::Arc<dyn Clock>,
     control: Mutex<TokenBucket>,
@@ -62,7 +62,8 @@
 }
 
 impl Traffic {
-    /// Nothing sent yet; control may use `control_bytes_per_second` in the long run.
+    /// Counters at zero, with a limit of `control_bytes_per_second` for the average of control
+    /// traffic.
     pub fn new(clock: std::sync::Arc<dyn Clock>, control_bytes_per_second: u64) -> Self {
         let rate = control_bytes_per_second as f64;
         let burst = rate * CONTROL_WINDOW.as_secs_f64();
@@ -77,27 +78,29 @@
         }
     }
 
-    /// Bytes sent for membership and manifests.
+    /// The bytes sent for the membership and for manifests.
     pub fn control_bytes(&self) -> u64 {
         self.control_bytes.load(Ordering::Relaxed)
     }
 
-    /// Bytes sent for grants and relayed calls.
+    /// The bytes sent for grants and relayed calls.
     pub fn work_bytes(&self) -> u64 {
         self.work_bytes.load(Ordering::Relaxed)
     }
 
-    /// Messages that were dropped because a queue was full or the control bound was reached.
+    /// The number of messages that were dropped because a queue was full or the limit of control
+    /// traffic was reached.
     pub fn dropped_messages(&self) -> u64 {
         self.dropped_messages.load(Ordering::Relaxed)
     }
 
-    /// Connections that did not get through the handshake.
+    /// The number of connections that were refused, or that failed the handshake.
     pub fn refused_connections(&self) -> u64 {
         self.refused_connections.load(Ordering::Relaxed)
     }
 
-    /// Counts a message that is about to be sent; `false` when the control bound forbids it.
+    /// Counts a message that is about to be sent. Returns whether it may be sent: `false` if it is
+    /// control traffic above the limit.
     pub(crate) fn admit(&self, envelope: &Envelope) -> bool {
         let bytes = (envelope.encoded_len() + FRAME_OVERHEAD) as u64;
         let class = envelope.message.as_ref().map(TrafficClass::of);
--- a/tests/peer.rs
+++ b/tests/peer.rs
@@ -1,4 +1,5 @@
-//! The protocol between hosts: who is let in, what is refused, and what a bad peer can disturb.
+//! Tests of the protocol between hosts: authentication, the refusal of invalid frames, and the
+//! isolation of faulty peers.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -40,14 +41,15 @@
 use tokio_util::sync::CancellationToken;
 use yare::parameterized;
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const WAIT_MAX: Duration = Duration::from_secs(10);
 
-/// Answers a call with its own name; the name `wait` is answered only when the test says so.
-struct Echo {
+/// Replies to a call with the name in the call. The call `wait` is held until `release` is
+/// cancelled.
+struct EchoHandler {
     release: CancellationToken,
 }
 
-impl PeerHandler for Echo {
+impl PeerHandler for EchoHandler {
     fn handle(&self, from: HostId, message: Message) -> BoxFuture<'_, Option<Message>> {
         Box::pin(async move {
             let Message::PlatformCall(call) = message else {
@@ -65,10 +67,11 @@
     }
 }
 
-/// All hosts have one address, but for those that are named.
-struct Fixed(SocketAddr, &'static str, SocketAddr);
+/// The same address for all hosts, except for the named host, which has the last address. The host
+/// `nowhere` has no address.
+struct FixedAddrs(SocketAddr, &'static str, SocketAddr);
 
-impl PeerAddrs for Fixed {
+impl PeerAddrs for FixedAddrs {
     fn peer_addr(&self, host: &HostId) -> Option<SocketAddr> {
         match host.as_str() {
             "nowhere" => None,
@@ -78,14 +81,15 @@
     }
 }
 
-struct Server {
+/// A running peer server, with the handles that control it.
+struct TestServer {
     addr: SocketAddr,
     release: CancellationToken,
     traffic: Arc<Traffic>,
     stop: CancellationToken,
 }
 
-fn keys(ids: &[&str]) -> Keyring {
+fn keyring(ids: &[&str]) -> Keyring {
     let key = |id: &&str| PeerKey {
         id: (*id).to_owned(),
         secret: format!("secret of the key {id}"),
@@ -97,20 +101,20 @@
     Arc::new(Traffic::new(Arc::new(SystemClock), 4_096))
 }
 
-async fn server(ids: &[&str]) -> Server {
+async fn start_server(ids: &[&str]) -> TestServer {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let addr = listener.local_addr().unwrap();
     let release = CancellationToken::new();
     let stop = CancellationToken::new();
     let traffic = traffic();
-    let handler = Arc::new(Echo {
+    let handler = Arc::new(EchoHandler {
         release: release.clone(),
     });
     let host = "server".parse().unwrap();
     let rng = StdRng::seed_from_u64(1);
-    let server = PeerServer::new(host, keys(ids), handler, Arc::clone(&traffic), rng);
+    let server = PeerServer::new(host, keyring(ids), handler, Arc::clone(&traffic), rng);
     tokio::spawn(Arc::new(server).serve(listener, stop.clone()));
-    Server {
+    TestServer {
         addr,
         release,
         traffic,
@@ -118,11 +122,11 @@
     }
 }
 
-fn pool(addr: SocketAddr, ids: &[&str]) -> PeerPool {
+fn client_pool(addr: SocketAddr, ids: &[&str]) -> PeerPool {
     let host = "client".parse().unwrap();
     let rng = StdRng::seed_from_u64(2);
-    let addrs = Arc::new(Fixed(addr, "", addr));
-    PeerPool::new(host, keys(ids), addrs, traffic(), rng)
+    let addrs = Arc::new(FixedAddrs(addr, "", addr));
+    PeerPool::new(host, keyring(ids), addrs, traffic(), rng)
 }
 
 fn call(name: &str) -> Message {
@@ -132,41 +136,49 @@
     })
 }
 
-async fn ask(pool: &PeerPool, to: &str, name: &str) -> Result<String, PeerError> {
+async fn request_echo(pool: &PeerPool, to: &str, name: &str) -> Result<String, PeerError> {
     match pool
-        .request(&to.parse().unwrap(), call(name), PATIENCE)
+        .request(&to.parse().unwrap(), call(name), WAIT_MAX)
         .await?
     {
         Message::PlatformReply(reply) => Ok(reply.why),
-        other => panic!("unexpected {other:?}"),
+        other => panic!("unexpected reply {other:?}"),
     }
 }
 
-/// Waits until a server has refused this many connections, and no more. It counts one after it has
-/// told the other end, which may be faster.
-async fn refused(traffic: &Traffic, count: u64) {
+/// Waits until a server has counted `count` refused connections, and checks that it counted no
+/// more. The server counts a refusal after it has told the client, so that the client may notice
+/// it earlier.
+async fn expect_refused_connections(traffic: &Traffic, count: u64) {
     let counting = async {
         while traffic.refused_connections() < count {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    let counted = tokio::time::timeout(PATIENCE, counting).await;
-    assert!(counted.is_ok(), "refused {}", traffic.refused_connections());
+    let counted = tokio::time::timeout(WAIT_MAX, counting).await;
+    assert!(
+        counted.is_ok(),
+        "{} connections were refused",
+        traffic.refused_connections()
+    );
     assert_eq!(traffic.refused_connections(), count);
 }
 
-/// One slow call (a platform that hangs) shares its connection with quick ones. If calls were
-/// handled one after the other, every grant between two hosts would wait behind it.
+/// A slow call, such as one to a platform that does not respond, shares its connection with quick
+/// calls. If calls were handled one after the other, every grant between two hosts would wait for
+/// the slow call.
 #[tokio::test]
 async fn a_slow_call_delays_no_other_on_its_connection() {
-    let server = server(&["a"]).await;
-    let pool = Arc::new(pool(server.addr, &["a"]));
+    let server = start_server(&["a"]).await;
+    let pool = Arc::new(client_pool(server.addr, &["a"]));
     let slow = {
         let pool = Arc::clone(&pool);
-        tokio::spawn(async move { ask(&pool, "server", "wait").await })
+        tokio::spawn(async move { request_echo(&pool, "server", "wait").await })
     };
     for n in 0..100 {
-        let answer = ask(&pool, "server", &format!("call-{n}")).await.unwrap();
+        let answer = request_echo(&pool, "server", &format!("call-{n}"))
+            .await
+            .unwrap();
         assert_eq!(answer, format!("call-{n} by client"));
     }
     server.release.cancel();
@@ -174,66 +186,66 @@
     assert_eq!(pool.link_count(), 1);
 }
 
-/// Rotation in three steps: the new key is added, moved to the front, and the old one removed.
-/// Hosts stand at neighbouring steps meanwhile; none may be refused. A host that has only a key
-/// which nobody else has is a stranger.
+/// Keys are rotated in three steps: the new key is added, the new key is moved to the front, and
+/// the old key is removed. Hosts at neighbouring steps must accept each other. A host that holds
+/// only an unknown key is refused.
 #[parameterized(
     added_at_server = { &["old", "new"], &["old"], true },
     added_at_client = { &["old"], &["old", "new"], true },
     moved_at_client = { &["old", "new"], &["new", "old"], true },
     removed_at_server = { &["new"], &["new", "old"], true },
-    stranger = { &["old", "new"], &["other"], false },
+    unknown_key = { &["old", "new"], &["other"], false },
 )]
-fn keys_rotate_without_a_stop(at_server: &[&str], at_client: &[&str], is_let_in: bool) {
+fn hosts_connect_during_key_rotation(at_server: &[&str], at_client: &[&str], is_accepted: bool) {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
-        let server = server(at_server).await;
-        let pool = pool(server.addr, at_client);
-        let answer = ask(&pool, "server", "x").await;
-        assert_eq!(answer.is_ok(), is_let_in, "{answer:?}");
+        let server = start_server(at_server).await;
+        let pool = client_pool(server.addr, at_client);
+        let answer = request_echo(&pool, "server", "x").await;
+        assert_eq!(answer.is_ok(), is_accepted, "{answer:?}");
         if let Err(error) = answer {
             assert!(error.to_string().contains("key `other`"), "{error}");
-            refused(&server.traffic, 1).await;
+            expect_refused_connections(&server.traffic, 1).await;
         }
     });
 }
 
-/// The stranger knows a key's name but not its secret.
+/// The client knows the id of a key but not its secret.
 #[tokio::test]
-async fn a_wrong_secret_under_a_known_name_is_refused() {
-    let server = server(&["a"]).await;
+async fn a_wrong_secret_for_a_known_key_is_refused() {
+    let server = start_server(&["a"]).await;
     let forged = Keyring::new(vec![PeerKey {
         id: "a".to_owned(),
         secret: "a guess of sixteen characters".to_owned(),
     }]);
-    let addrs = Arc::new(Fixed(server.addr, "", server.addr));
+    let addrs = Arc::new(FixedAddrs(server.addr, "", server.addr));
     let rng = StdRng::seed_from_u64(3);
     let pool = PeerPool::new("client".parse().unwrap(), forged, addrs, traffic(), rng);
-    let error = ask(&pool, "server", "x").await.unwrap_err();
+    let error = request_echo(&pool, "server", "x").await.unwrap_err();
     assert!(matches!(error, PeerError::Unreachable(_)), "{error}");
 }
 
-/// After replacements an address may belong to another host. A grant request that reached it
-/// would be answered by a host that is not the home.
+/// After hosts were replaced, an address may belong to another host. A grant request that reached
+/// this host would get its reply from a host that is not the home.
 #[tokio::test]
-async fn an_address_that_belongs_to_another_host_is_noticed() {
-    let server = server(&["a"]).await;
-    let pool = pool(server.addr, &["a"]);
-    let error = ask(&pool, "other", "x").await.unwrap_err();
+async fn an_address_that_belongs_to_another_host_is_refused() {
+    let server = start_server(&["a"]).await;
+    let pool = client_pool(server.addr, &["a"]);
+    let error = request_echo(&pool, "other", "x").await.unwrap_err();
     assert!(error.to_string().contains("belongs to server"), "{error}");
-    let error = ask(&pool, "nowhere", "x").await.unwrap_err();
+    let error = request_echo(&pool, "nowhere", "x").await.unwrap_err();
     assert_eq!(error, PeerError::UnknownHost);
 }
 
-/// Somebody who can read the wire records a whole connection and plays its bytes again later,
-/// hoping that the calls in it run a second time.
+/// An attacker who can read the network records a whole connection and replays its bytes later, to
+/// have the calls in it handled a second time.
 #[tokio::test]
-async fn a_recorded_connection_cannot_be_played_again() {
-    let server = server(&["a"]).await;
-    let tap = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
-    let pool = pool(tap.local_addr().unwrap(), &["a"]);
+async fn a_recorded_connection_cannot_be_replayed() {
+    let server = start_server(&["a"]).await;
+    let proxy = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
+    let pool = client_pool(proxy.local_addr().unwrap(), &["a"]);
     let recording = tokio::spawn(async move {
-        let (mut client, _) = tap.accept().await.unwrap();
+        let (mut client, _) = proxy.accept().await.unwrap();
         let mut target = TcpStream::connect(server.addr).await.unwrap();
         let mut recorded = Vec::new();
         let mut buf = [0; 4_096];
@@ -253,7 +265,7 @@
             }
         }
     });
-    assert!(ask(&pool, "server", "x").await.is_ok());
+    assert!(request_echo(&pool, "server", "x").await.is_ok());
     drop(pool);
     let recorded = recording.await.unwrap();
     let before = server.traffic.refused_connections();
@@ -261,45 +273,49 @@
     replay.write_all(&recorded).await.unwrap();
     replay.shutdown().await.unwrap();
     let mut answer = Vec::new();
-    // Reading ends when the server closes, by an error or without one.
+    // The read ends when the server closes the connection, with or without an error.
     let _ = replay.read_to_end(&mut answer).await;
-    refused(&server.traffic, before + 1).await;
+    expect_refused_connections(&server.traffic, before + 1).await;
 }
 
-/// A port scanner, a browser or a broken program talks to the peer port. Its connection is closed;
-/// the connections of hosts go on.
+/// A port scanner, a browser or a faulty program connects to the peer port. Its connection is
+/// closed; the connections of hosts are not affected.
 #[parameterized(
     http = { b"GET / HTTP/1.1\r\nHost: x\r\n\r\n" },
     huge_length = { &[0xff; 64] },
     empty_frame = { &[0, 0, 0, 0] },
     zeros = { &[0; 64] },
 )]
-fn garbage_closes_only_its_own_connection(garbage: &[u8]) {
+fn invalid_bytes_close_only_their_own_connection(garbage: &[u8]) {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
-        let server = server(&["a"]).await;
-        let pool = pool(server.addr, &["a"]);
-        ask(&pool, "server", "before").await.unwrap();
-        let mut stranger = TcpStream::connect(server.addr).await.unwrap();
-        stranger.write_all(garbage).await.unwrap();
+        let server = start_server(&["a"]).await;
+        let pool = client_pool(server.addr, &["a"]);
+        request_echo(&pool, "server", "before").await.unwrap();
+        let mut client = TcpStream::connect(server.addr).await.unwrap();
+        client.write_all(garbage).await.unwrap();
         let mut rest = Vec::new();
-        let _ = stranger.read_to_end(&mut rest).await;
-        ask(&pool, "server", "after").await.unwrap();
+        let _ = client.read_to_end(&mut rest).await;
+        request_echo(&pool, "server", "after").await.unwrap();
         assert_eq!(pool.link_count(), 1);
     });
 }
 
-/// A host is frozen: its machine still accepts connections, nothing answers. Callers that ask it
-/// lose their own timeouts; callers of other hosts notice nothing.
+/// A host is frozen: its operating system still accepts connections, but the process does not
+/// reply. Requests to this host time out or fail; requests to other hosts are not affected.
 #[tokio::test]
-async fn a_frozen_peer_costs_only_its_own_callers() {
-    let server = server(&["a"]).await;
+async fn a_frozen_peer_delays_only_its_own_callers() {
+    let server = start_server(&["a"]).await;
     let frozen = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
-    let addrs = Arc::new(Fixed(server.addr, "frozen", frozen.local_addr().unwrap()));
+    let addrs = Arc::new(FixedAddrs(
+        server.addr,
+        "frozen",
+        frozen.local_addr().unwrap(),
+    ));
     let rng = StdRng::seed_from_u64(5);
     let pool = PeerPool::new(
         "client".parse().unwrap(),
-        keys(&["a"]),
+        keyring(&["a"]),
         addrs,
         traffic(),
         rng,
@@ -310,17 +326,17 @@
     for _ in 0..5_000 {
         pool.send(&to, call("y"));
     }
-    let full = pool.request(&to, call("z"), PATIENCE).await.unwrap_err();
+    let full = pool.request(&to, call("z"), WAIT_MAX).await.unwrap_err();
     assert!(matches!(full, PeerError::Unreachable(_)), "{full}");
-    ask(&pool, "server", "x").await.unwrap();
+    request_echo(&pool, "server", "x").await.unwrap();
 }
 
-/// A host is replaced by one of the same name at the same address.
+/// A host is replaced by a host with the same name at the same address.
 #[tokio::test]
-async fn a_restarted_peer_is_connected_to_again() {
-    let first = server(&["a"]).await;
-    let pool = pool(first.addr, &["a"]);
-    ask(&pool, "server", "x").await.unwrap();
+async fn a_restarted_peer_is_reconnected() {
+    let first = start_server(&["a"]).await;
+    let pool = client_pool(first.addr, &["a"]);
+    request_echo(&pool, "server", "x").await.unwrap();
     first.stop.cancel();
     let listener = loop {
         match TcpListener::bind(first.addr).await {
@@ -328,33 +344,33 @@
             Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
         }
     };
-    let handler = Arc::new(Echo {
+    let handler = Arc::new(EchoHandler {
         release: CancellationToken::new(),
     });
     let host = "server".parse().unwrap();
     let rng = StdRng::seed_from_u64(4);
-    let second = PeerServer::new(host, keys(&["a"]), handler, traffic(), rng);
+    let second = PeerServer::new(host, keyring(&["a"]), handler, traffic(), rng);
     tokio::spawn(Arc::new(second).serve(listener, CancellationToken::new()));
-    while ask(&pool, "server", "x").await.is_err() {
+    while request_echo(&pool, "server", "x").await.is_err() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// A message above the frame bound fails by itself; the connection and its other calls go on.
+/// A message above the limit of a frame fails; the connection and its other calls are not affected.
 #[tokio::test]
 async fn a_message_that_is_too_large_fails_alone() {
-    let server = server(&["a"]).await;
-    let pool = pool(server.addr, &["a"]);
+    let server = start_server(&["a"]).await;
+    let pool = client_pool(server.addr, &["a"]);
     let name = "x".repeat(FRAME_SIZE_MAX);
-    let error = ask(&pool, "server", &name).await.unwrap_err();
+    let error = request_echo(&pool, "server", &name).await.unwrap_err();
     assert!(matches!(error, PeerError::BadFrame(_)), "{error}");
-    ask(&pool, "server", "x").await.unwrap();
+    request_echo(&pool, "server", "x").await.unwrap();
 }
 
 fn codec_pair() -> (EnvelopeCodec, EnvelopeCodec) {
-    let seal = |key: &[u8]| FrameAuthenticator::new(key).unwrap();
-    let client = EnvelopeCodec::new("server", seal(b"up"), seal(b"down"));
-    let server = EnvelopeCodec::new("client", seal(b"down"), seal(b"up"));
+    let authenticator = |key: &[u8]| FrameAuthenticator::new(key).unwrap();
+    let client = EnvelopeCodec::new("server", authenticator(b"up"), authenticator(b"down"));
+    let server = EnvelopeCodec::new("client", authenticator(b"down"), authenticator(b"up"));
     (client, server)
 }
 
@@ -379,9 +395,9 @@
     TestRunner::new_with_rng(config, rng)
 }
 
-/// Whatever is cut into whatever pieces comes out whole and in order.
+/// Envelopes that arrive in pieces of any size are decoded whole and in order.
 #[test]
-fn envelopes_survive_any_cut() {
+fn envelopes_in_pieces_are_decoded_in_order() {
     let input = (
         proptest::collection::vec(("[a-z]{0,300}", any::<u64>()), 1..8),
         1..64_usize,
@@ -412,10 +428,10 @@
         .unwrap();
 }
 
-/// Any change of any byte on the way, and any garbage, is an error or a frame that never ends; it
-/// is never taken for a message and never panics.
+/// A frame with any one byte changed, and any random bytes, yield an error or an incomplete frame.
+/// They are never decoded as a message, and cause no panic.
 #[test]
-fn changed_bytes_are_never_taken_for_a_message() {
+fn changed_bytes_are_never_decoded_as_a_message() {
     let input = (
         any::<proptest::sample::Index>(),
         1..=255_u8,
@@ -437,7 +453,7 @@
         .unwrap();
 }
 
-/// A frame that is repeated on the way, as by a resender in the middle, is refused.
+/// A frame that an attacker on the network repeats is refused.
 #[test]
 fn a_repeated_frame_is_refused() {
     let (mut client, mut server) = codec_pair();
