--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -183,7 +183,7 @@
             let answer = self.request_grant_in_pool(pool, work).await;
             match &answer {
                 GrantAnswer::Refused { reason, .. } if is_specific_to_pool(*reason) => {
-                    refused = answer
+                    refused = answer;
                 }
                 _ => return answer,
             }
@@ -197,7 +197,7 @@
         let mut withdrawal = Withdrawal {
             granter: self,
             pool,
-            queued_at: None,
+            home: None,
             work,
         };
         loop {
@@ -210,7 +210,7 @@
                     }
                     CandidateReply::Status(status) => status,
                 };
-                withdrawal.queued_at = Some(candidate.clone());
+                withdrawal.home = Some(candidate.clone());
                 let outcome = match status {
                     Verdict::Queued => {
                         self.wait_for_decision(&mut pushes, &candidate, pool, work)
@@ -220,14 +220,14 @@
                 };
                 match outcome {
                     WaitOutcome::Decided(Verdict::Granted(granted)) => {
-                        withdrawal.queued_at = None;
+                        withdrawal.home = None;
                         return self.hold_grant(pool, granted, work);
                     }
                     WaitOutcome::Decided(Verdict::Refused {
                         reason,
                         retry_after,
                     }) => {
-                        withdrawal.queued_at = None;
+                        withdrawal.home = None;
                         return GrantAnswer::Refused {
                             reason,
                             retry_after,
@@ -380,14 +380,14 @@
 struct Withdrawal<'a> {
     granter: &'a HomeGranter,
     pool: &'a PoolId,
-    queued_at: Option<HostId>,
+    home: Option<HostId>,
     work: &'a Work,
 }
 
 impl Drop for Withdrawal<'_> {
     fn drop(&mut self) {
         self.granter.waiters.unregister(self.work.request);
-        if let Some(home) = &self.queued_at {
+        if let Some(home) = &self.home {
             self.granter
                 .send_withdraw(home, self.pool, self.work.request);
         }
--- a/src/fleet/reconciler_runner.rs
+++ b/src/fleet/reconciler_runner.rs
@@ -177,7 +177,7 @@
         match upstream.state().await {
             Ok(state) => {
                 self.with_reconciler(pool, |reconciler| {
-                    reconciler.engine_read(&id, state, asked_at)
+                    reconciler.engine_read(&id, state, asked_at);
                 });
             }
             Err(err) => debug!("orders: can't read the state of {id}: {err}"),
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -188,11 +188,11 @@
         loop {
             let deadline = pending.deadline();
             tokio::select! {
-                outgoing = self.outgoing.recv() => {
-                    let Some(outgoing) = outgoing else {
+                next = self.outgoing.recv() => {
+                    let Some(next) = next else {
                         return CloseReason::LinkDropped;
                     };
-                    if let Err(error) = self.write_batch(&mut stream, &mut pending, outgoing).await {
+                    if let Err(error) = self.write_batch(&mut stream, &mut pending, next).await {
                         return CloseReason::Broken(error);
                     }
                 }
