--- a/src/daemon/loops.rs
+++ b/src/daemon/loops.rs
@@ -30,9 +30,7 @@
         host.news.on_events(host.membership.tick());
     });
     every(host, MEMBERSHIP_TICK, |host| host.manifests.tick());
-    every(host, ANNOUNCE_PAUSE, |host| {
-        host.granter.announce_live_grants()
-    });
+    every(host, ANNOUNCE_PAUSE, |host| host.granter.announce_grants());
     every(host, REFRESH_PAUSE, |host| {
         host.home_table.refresh();
         host.homes.refresh();
--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -116,7 +116,7 @@
     /// Announces the live grants to the homes of their pools. A new home learns from the
     /// announcement which grants an earlier home has issued; a home that knows the grants keeps
     /// them.
-    pub fn announce_live_grants(&self) {
+    pub fn announce_grants(&self) {
         for (pool, grants) in self.live_grants.by_pool() {
             if let Some(home) = self.candidates(&pool).into_iter().next() {
                 self.send_announcement(&pool, grants, &home);
