--- a/src/fleet/home_runner/pool_inputs.rs
+++ b/src/fleet/home_runner/pool_inputs.rs
@@ -13,12 +13,12 @@
     /// The configuration of the policy of a pool; none without a manifest that lists the target.
     pub(super) fn policy_config(&self, pool: &PoolId, target: &TargetId) -> Option<PolicyConfig> {
         let in_force = self.cluster_view.manifest()?;
-        let pool_upstreams = self.home_directory.upstreams_of(pool).len();
-        let target_upstreams = self
+        let pool_size = self.home_directory.upstreams_of(pool).len();
+        let target_size = self
             .cluster_view
             .upstreams
             .count(|view| view.target == *target);
-        let pool_fraction = pool_upstreams as f64 / target_upstreams.max(1) as f64;
+        let pool_fraction = pool_size as f64 / target_size.max(1) as f64;
         PolicyConfig::for_pool(&in_force.manifest, target, pool_fraction)
     }
 
