--- a/src/fleet/cluster_home_directory.rs
+++ b/src/fleet/cluster_home_directory.rs
@@ -168,9 +168,9 @@
         let tables = self.tables();
         let mut pools = tables.by_target.get(target).cloned().unwrap_or_default();
         let is_own = |pool: &PoolId| pool.domain().as_ref() == Some(&self.domain);
-        let own = pools.iter().take_while(|pool| is_own(pool)).count();
-        rotate(&mut pools[..own], rotation);
-        rotate(&mut pools[own..], rotation);
+        let own_count = pools.iter().take_while(|pool| is_own(pool)).count();
+        rotate(&mut pools[..own_count], rotation);
+        rotate(&mut pools[own_count..], rotation);
         pools
     }
 
@@ -180,8 +180,8 @@
 
     fn pools_with_local_home(&self) -> Vec<PoolId> {
         let tables = self.tables();
-        let own = tables.homes.get(&self.domain);
-        let pools = own.map(|homes| homes.pools_of(&self.host).cloned().collect());
+        let own_table = tables.homes.get(&self.domain);
+        let pools = own_table.map(|homes| homes.pools_of(&self.host).cloned().collect());
         pools.unwrap_or_default()
     }
 
--- a/src/fleet/manifest_runner.rs
+++ b/src/fleet/manifest_runner.rs
@@ -91,8 +91,8 @@
 
     /// Passes the result of reading the manifest from the platform to the controller, and performs
     /// its actions.
-    pub fn on_platform_read(&self, word: PlatformWord) {
-        let actions = self.lock().platform(word, self.clock.now());
+    pub fn on_platform_read(&self, read: PlatformWord) {
+        let actions = self.lock().platform(read, self.clock.now());
         self.perform(actions);
     }
 
--- a/src/fleet/membership_runner.rs
+++ b/src/fleet/membership_runner.rs
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Stores a host in the cluster view; returns an event if its state is now alive or dead.
+    /// Stores a host in the cluster view; returns an event if its state changed to alive or dead.
     fn update_host(&self, view: HostView) -> Option<MembershipEvent> {
         let id = view.id.clone();
         let state = view.state;
--- a/tests/peer.rs
+++ b/tests/peer.rs
@@ -321,13 +321,13 @@
         rng,
     );
     let to = "frozen".parse().unwrap();
-    let asked = pool.request(&to, call("x"), Duration::from_millis(50));
-    assert_eq!(asked.await.unwrap_err(), PeerError::NoReply);
+    let reply = pool.request(&to, call("x"), Duration::from_millis(50));
+    assert_eq!(reply.await.unwrap_err(), PeerError::NoReply);
     for _ in 0..5_000 {
         pool.send(&to, call("y"));
     }
-    let full = pool.request(&to, call("z"), WAIT_MAX).await.unwrap_err();
-    assert!(matches!(full, PeerError::Unreachable(_)), "{full}");
+    let error = pool.request(&to, call("z"), WAIT_MAX).await.unwrap_err();
+    assert!(matches!(error, PeerError::Unreachable(_)), "{error}");
     request_echo(&pool, "server", "x").await.unwrap();
 }
 
