--- a/src/decide/concurrency.rs
+++ b/src/decide/concurrency.rs
@@ -69,9 +69,9 @@
             .map(|floor| Duration::from_secs_f64(floor * LATENCY_TOLERANCE))
     }
 
-    /// Records the duration of a completed call and how many calls were running at its end.
-    pub fn observe(&mut self, took: Duration, running: u32, now: Instant) {
-        self.sum_seconds += took.as_secs_f64();
+    /// Records the latency of a completed call and how many calls were running at its end.
+    pub fn observe(&mut self, latency: Duration, running: u32, now: Instant) {
+        self.sum_seconds += latency.as_secs_f64();
         self.calls += 1;
         self.was_full |= f64::from(running) >= self.limit.floor();
         if self.calls >= SAMPLE_CALLS {
--- a/src/decide/ledger.rs
+++ b/src/decide/ledger.rs
@@ -35,7 +35,7 @@
 /// as still running for that time, because meeting it costs them more than avoiding an idle engine.
 const TAIL_FRACTION: f64 = 0.1;
 /// The longest estimate of a time to the first token. A longer time counts as never.
-const TIME_MAX: Duration = Duration::from_secs(86_400);
+const FIRST_TOKEN_TIME_MAX: Duration = Duration::from_secs(86_400);
 
 /// The grants of one upstream that have not ended, with their memory and prefill.
 #[derive(Debug)]
@@ -267,7 +267,7 @@
         let seconds = self.work_until_done(prefill, priority) / self.speed.get();
         duration_from_secs(seconds)
             .saturating_add(self.speed.overhead())
-            .min(TIME_MAX)
+            .min(FIRST_TOKEN_TIME_MAX)
     }
 
     /// The grants that have not ended, with what each holds.
--- a/src/decide/prefill_queue.rs
+++ b/src/decide/prefill_queue.rs
@@ -32,7 +32,7 @@
 /// The time at which each upstream is expected to have finished its prefill.
 #[derive(Debug, Default)]
 pub(crate) struct PrefillQueue {
-    until: IndexMap<UpstreamId, Instant>,
+    busy_until: IndexMap<UpstreamId, Instant>,
 }
 
 impl PrefillQueue {
@@ -44,7 +44,7 @@
         prefill_time: Duration,
         now: Instant,
     ) -> Instant {
-        let until = self.until.entry(upstream.clone()).or_insert(now);
+        let until = self.busy_until.entry(upstream.clone()).or_insert(now);
         *until = (*until).max(now + PREFILL_START_DELAY) + prefill_time;
         *until
     }
@@ -58,7 +58,7 @@
         reported: PrefillSent,
         now: Instant,
     ) {
-        let until = self.until.entry(upstream.clone()).or_insert(now);
+        let until = self.busy_until.entry(upstream.clone()).or_insert(now);
         *until = match previous_total {
             // Prefill that the reporting host counts as done is no longer pending.
             Some(previous_total) if previous_total <= reported.total => {
@@ -75,12 +75,12 @@
 
     /// The time until an upstream has processed all prefill that was sent to it.
     pub(crate) fn backlog(&self, upstream: &UpstreamId, now: Instant) -> Duration {
-        let until = self.until.get(upstream);
+        let until = self.busy_until.get(upstream);
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
     /// Removes upstreams without pending prefill.
     pub(crate) fn remove_drained(&mut self, now: Instant) {
-        self.until.retain(|_, until| *until > now);
+        self.busy_until.retain(|_, until| *until > now);
     }
 }
