--- a/tests/decide_fakes/outcome.rs
+++ b/tests/decide_fakes/outcome.rs
@@ -17,6 +17,7 @@
     /// The time from the request to its end, if the request completed before its deadline.
     pub completed: Option<Duration>,
     pub refused: Option<RefuseReason>,
+    /// The indexes of the engines that ran the last attempt.
     pub engines: Vec<usize>,
     pub attempts: u32,
 }
@@ -25,6 +26,7 @@
 pub struct Outcomes(pub Vec<Outcome>);
 
 impl Outcomes {
+    /// The outcomes for which `keep` returns true.
     pub fn only(&self, keep: impl Fn(&Outcome) -> bool) -> Self {
         Self(
             self.0
@@ -35,10 +37,12 @@
         )
     }
 
+    /// The outcomes of requests of this length class.
     pub fn class(&self, class: LengthClass) -> Self {
         self.only(|outcome| LengthClass::of(Tokens(outcome.request.prompt)) == class)
     }
 
+    /// The outcomes of this customer's requests.
     pub fn customer(&self, name: &str) -> Self {
         self.only(|outcome| outcome.request.customer == name)
     }
@@ -58,6 +62,7 @@
             .unwrap_or(f64::NAN)
     }
 
+    /// The number of requests that completed before their deadline.
     pub fn completed(&self) -> usize {
         self.0
             .iter()
@@ -65,6 +70,7 @@
             .count()
     }
 
+    /// The number of requests that a policy refused.
     pub fn refused(&self) -> usize {
         self.0
             .iter()
--- a/tests/decide_fakes/simulation.rs
+++ b/tests/decide_fakes/simulation.rs
@@ -43,6 +43,7 @@
     pub engines: Vec<Engine>,
     running_attempts: IndexMap<AttemptId, RunningAttempt>,
     outcomes: Vec<Outcome>,
+    /// Requests to retry, each with its time, its index and the engines on which it failed.
     retries: Vec<(Instant, usize, Vec<UpstreamId>)>,
     budget: Option<RetryBudget>,
     /// The engines that fail, with the start and the end of the outage in seconds.
@@ -56,8 +57,11 @@
 
 /// An attempt that has not ended.
 struct RunningAttempt {
+    /// The index of the request in the outcomes.
     request_index: usize,
+    /// The index of the policy that granted the attempt.
     policy: usize,
+    /// The indexes of the engines that run the attempt, the leader first.
     engines: Vec<usize>,
     work: Work,
     since: Instant,
@@ -136,7 +140,7 @@
     fn register_engines(&mut self) {
         let listed: Vec<UpstreamInfo> = (0..self.engines.len())
             .map(|index| UpstreamInfo {
-                id: name(index),
+                id: engine_id(index),
                 memory_tokens: Tokens(self.engines[index].memory),
                 slots: self.engines[index].slots as u32,
                 health: UpstreamHealth::Live,
@@ -156,6 +160,7 @@
             .map(|(hash, tokens)| (ContentHash(hash), Tokens(tokens)));
         let policy = request_index % self.policies.len();
         let work = Work {
+            // The low half of the id is the index of the request, the high half the attempt.
             request: RequestId(request_index as u128 | (u128::from(outcome.attempts) << 64)),
             host: format!("host-{policy}").parse().unwrap(),
             customer: request.customer.parse().unwrap(),
@@ -330,7 +335,7 @@
         }
         if let RetryDecision::Retry { after } = budget.decide(&failed, now) {
             let mut avoid = running.work.avoid.clone();
-            avoid.extend(running.engines.iter().map(|index| name(*index)));
+            avoid.extend(running.engines.iter().map(|index| engine_id(*index)));
             self.retries
                 .push((now + after, running.request_index, avoid));
         }
@@ -354,7 +359,7 @@
         for (index, report) in reports.iter().enumerate() {
             let report = (self.alter_report)(report);
             for policy in &mut self.policies {
-                policy.on_load_report(&name(index), &report, self.clock.now());
+                policy.on_load_report(&engine_id(index), &report, self.clock.now());
             }
         }
     }
@@ -367,7 +372,7 @@
     }
 }
 
-pub fn name(index: usize) -> UpstreamId {
+pub fn engine_id(index: usize) -> UpstreamId {
     format!("engine-{index:02}").parse().unwrap()
 }
 
