--- a/examples/sweep/timing.rs
+++ b/examples/sweep/timing.rs
@@ -1,4 +1,4 @@
-//! How long decisions take, by how many requests wait.
+//! Measures how long decisions take, by the length of the queue.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -22,7 +22,7 @@
 
 const ROUNDS: u32 = 20_000;
 
-/// Prints the time of one offer, poll, finish and poll, with a queue of each length.
+/// Prints the time of one offer, poll, finish and poll for each queue length.
 pub(crate) fn print() {
     println!("\n## timing, 30 upstreams: one offer, poll, finish and poll");
     for waiting in [0, 100, 500, 2_000, 8_000] {
@@ -37,7 +37,7 @@
         &config(Objective::ShortSlowdown, 8_000.0),
         1,
     );
-    let seen: Vec<UpstreamInfo> = (0..30)
+    let upstreams: Vec<UpstreamInfo> = (0..30)
         .map(|index| UpstreamInfo {
             id: format!("engine-{index:02}").parse().unwrap(),
             memory_tokens: Tokens(300_000),
@@ -45,8 +45,8 @@
             health: UpstreamHealth::Live,
         })
         .collect();
-    policy.set_upstreams(&seen, clock.now());
-    let done = AttemptSummary {
+    policy.set_upstreams(&upstreams, clock.now());
+    let summary = AttemptSummary {
         ended: AttemptOutcome::Completed,
         first_token: Some(Duration::from_millis(160)),
         total: Duration::from_secs(1),
@@ -69,7 +69,7 @@
     };
     let mut granted = std::collections::VecDeque::new();
     let mut number = 0;
-    // Fill the engines' slots, then the queue.
+    // Fill the slots of the engines, then the queue.
     while policy.load(clock.now()).waiting < waiting.max(1) {
         policy.offer(work(number, clock.now()), clock.now());
         number += 1;
@@ -82,15 +82,15 @@
     let works: Vec<Work> = (0..ROUNDS)
         .map(|round| work(number + u64::from(round), clock.now()))
         .collect();
-    let began = Instant::now();
+    let start = Instant::now();
     for work in works {
         clock.advance(Duration::from_millis(6));
         policy.offer(work, clock.now());
         granted.extend(policy.poll(clock.now()));
         if let Some(Decision::Dispatch(grant)) = granted.pop_front() {
-            policy.finish(grant.id, done.clone(), clock.now());
+            policy.finish(grant.id, summary.clone(), clock.now());
         }
         granted.extend(policy.poll(clock.now()));
     }
-    began.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
+    start.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
 }
--- a/src/daemon/drain.rs
+++ b/src/daemon/drain.rs
@@ -1,4 +1,4 @@
-//! Runs the shutdown of a host.
+//! Runs the graceful shutdown of a host.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -15,13 +15,14 @@
 use crate::daemon::host::Host;
 use crate::settings::DrainSettings;
 
-/// How often the shutdown looks at what is left.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+/// How often the shutdown checks what remains in flight.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Once nothing is in flight, the last answers still have to leave for their callers.
-const LAST_WRITES: Duration = Duration::from_millis(200);
+/// The pause between the end of the last request and the exit, in which the last replies are
+/// written to their connections.
+const FLUSH_DELAY: Duration = Duration::from_millis(200);
 
-/// The shutdown of a host.
+/// The graceful shutdown of a host.
 pub(crate) struct Drain {
     controller: Mutex<DrainController>,
 }
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Whether the balancer may send work, as far as the shutdown is concerned.
+    /// Whether the load balancer may send requests, as far as the shutdown is concerned.
     pub(crate) fn is_ready(&self) -> bool {
         self.lock().is_ready()
     }
@@ -44,20 +45,20 @@
             return code;
         }
         loop {
-            sleep(LOOK_PAUSE).await;
-            let left = DrainEvent::Remaining {
-                in_flight: host.parts.in_flight.count(),
-                claims: host.parts.claims.pending(),
+            sleep(POLL_INTERVAL).await;
+            let remaining = DrainEvent::Remaining {
+                in_flight: host.entry.in_flight.count(),
+                claims: host.entry.claims.pending(),
             };
-            if let Some(code) = self.step(host, left) {
-                sleep(LAST_WRITES).await;
+            if let Some(code) = self.step(host, remaining) {
+                sleep(FLUSH_DELAY).await;
                 return code;
             }
         }
     }
 
-    /// The second signal.
-    pub(crate) fn cut(&self, host: &Host) -> i32 {
+    /// Handles the second signal and returns the exit code for an immediate exit.
+    pub(crate) fn abort(&self, host: &Host) -> i32 {
         self.step(host, DrainEvent::Signal).unwrap_or(1)
     }
 
@@ -69,7 +70,7 @@
                 DrainAction::AnnounceLeaving => host.membership.leave(),
                 DrainAction::HandOverHomes => host.homes.shut_down(),
                 DrainAction::StopAccepting => {
-                    host.parts.in_flight.close();
+                    host.entry.in_flight.close();
                     host.stop_callers.send_replace(true);
                 }
                 DrainAction::Exit(exit) => code = Some(exit),
--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -1,4 +1,4 @@
-//! One host: all parts of a running daemon.
+//! Builds the components of a host and connects them.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -26,14 +26,14 @@
 use crate::daemon::drain::Drain;
 use crate::daemon::loops;
 use crate::daemon::manifest_loop;
-use crate::daemon::news::News;
+use crate::daemon::membership_handler::MembershipHandler;
 use crate::daemon::pages::HostPages;
 use crate::daemon::poll;
 use crate::daemon::status_server;
 use crate::decide::PoisonList;
 use crate::entry::BodyMemory;
-use crate::entry::EntryParts;
-use crate::entry::InFlight;
+use crate::entry::EntryContext;
+use crate::entry::InFlightCounter;
 use crate::entry::serve_callers;
 use crate::fleet::ClusterHomeDirectory;
 use crate::fleet::GrantWaiters;
@@ -66,12 +66,12 @@
 use crate::settings::Settings;
 use crate::units::Incarnation;
 
-/// A running daemon: what its loops and its shutdown work with.
+/// The components of a running daemon, shared by its background loops and its shutdown.
 pub(crate) struct Host {
     pub(crate) settings: Settings,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) cluster_view: Arc<ClusterView>,
-    pub(crate) parts: Arc<EntryParts>,
+    pub(crate) entry: Arc<EntryContext>,
     pub(crate) homes: Arc<HomeRunner>,
     pub(crate) home_table: Arc<ClusterHomeDirectory>,
     pub(crate) granter: Arc<HomeGranter>,
@@ -82,7 +82,7 @@
     pub(crate) platform: Arc<dyn PlatformClient>,
     pub(crate) addrs: Arc<SeededAddrs>,
     pub(crate) traffic: Arc<Traffic>,
-    pub(crate) news: Arc<News>,
+    pub(crate) news: Arc<MembershipHandler>,
     pub(crate) drain: Arc<Drain>,
     pub(crate) stop_callers: watch::Sender<bool>,
 }
@@ -94,7 +94,7 @@
 }
 
 impl Host {
-    /// Binds all ports and starts all parts.
+    /// Binds all ports and starts all components.
     pub(crate) async fn start(settings: Settings) -> Result<Arc<Self>, DaemonError> {
         let listeners = Listeners::bind(&settings).await?;
         let peer_addr = listeners.peers.local_addr()?;
@@ -191,7 +191,7 @@
             ClaimConf::default(),
             &mut StdRng::from_os_rng(),
         );
-        let parts = Arc::new(EntryParts {
+        let entry = Arc::new(EntryContext {
             clock: Arc::clone(&clock),
             host: settings.host.clone(),
             cluster_view: Arc::clone(&cluster_view),
@@ -200,10 +200,10 @@
             upstreams: Arc::clone(&upstreams) as _,
             policy: settings.policy,
             bodies: BodyMemory::new(settings.body_memory_size),
-            in_flight: InFlight::default(),
+            in_flight: InFlightCounter::default(),
             poison: Mutex::new(PoisonList::new()),
-            poison_spread: Arc::clone(&membership) as _,
-            retries: Mutex::new(IndexMap::new()),
+            poison_broadcast: Arc::clone(&membership) as _,
+            retry_budgets: Mutex::new(IndexMap::new()),
             metrics: Arc::new(Metrics::new()?),
             explanations: Arc::new(Explanations::new(
                 Arc::clone(&clock),
@@ -216,12 +216,12 @@
                 cluster_view: Arc::clone(&cluster_view),
                 events: Arc::clone(&events),
                 peers: Arc::clone(&peers) as _,
-                metrics: Arc::clone(&parts.metrics),
+                metrics: Arc::clone(&entry.metrics),
                 host: settings.host.clone(),
                 domain: settings.failure_domain.clone(),
             },
             ManifestController::new(
-                manifest_loop::check_for(settings.deployment.clone()),
+                manifest_loop::validator(settings.deployment.clone()),
                 settings.peers.control_bytes_per_second,
                 StdRng::from_os_rng(),
                 clock.now(),
@@ -237,8 +237,8 @@
             host: settings.host.clone(),
             incarnation,
         }));
-        let news = Arc::new(News {
-            parts: Arc::clone(&parts),
+        let news = Arc::new(MembershipHandler {
+            entry: Arc::clone(&entry),
             homes: Arc::clone(&homes),
             peers: Arc::clone(&peers),
             domain: settings.failure_domain.clone(),
@@ -266,7 +266,7 @@
             settings,
             clock,
             cluster_view,
-            parts,
+            entry,
             homes,
             home_table,
             granter,
@@ -286,11 +286,11 @@
             listeners.status,
         ));
         tokio::spawn(peer_server.serve(listeners.peers, CancellationToken::new()));
-        tokio::spawn(manifest_loop::keep(Arc::clone(&host)));
-        tokio::spawn(poll::keep(Arc::clone(&host.homes), map, upstreams));
+        tokio::spawn(manifest_loop::run(Arc::clone(&host)));
+        tokio::spawn(poll::run(Arc::clone(&host.homes), map, upstreams));
         loops::start(&host);
         tokio::spawn(serve_callers(
-            Arc::clone(&host.parts),
+            Arc::clone(&host.entry),
             listeners.callers,
             callers_stopped,
         ));
--- a/src/daemon/loops.rs
+++ b/src/daemon/loops.rs
@@ -1,4 +1,4 @@
-//! What a host does again and again.
+//! The periodic background work of a host.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,33 +16,31 @@
 use crate::objects::PlatformError;
 use crate::units::ObjectVersion;
 
-/// The membership expects a tick each 100 ms and takes a longer gap for a pause of the process.
+/// The membership expects a tick every 100 ms and treats a longer gap as a pause of the process.
 const MEMBERSHIP_TICK: Duration = Duration::from_millis(100);
 const ANNOUNCE_PAUSE: Duration = Duration::from_secs(1);
 const MACHINES_PAUSE: Duration = Duration::from_secs(1);
-const MACHINES_WAIT: Duration = Duration::from_secs(10);
+const MACHINES_WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 const ORDERS_PAUSE: Duration = Duration::from_secs(1);
 const REFRESH_PAUSE: Duration = Duration::from_millis(100);
 
-/// Starts the loops of a host.
+/// Starts the background loops of a host.
 pub(crate) fn start(host: &Arc<Host>) {
-    every(host, MEMBERSHIP_TICK, |host| {
+    spawn_periodic(host, MEMBERSHIP_TICK, |host| {
         host.news.on_events(host.membership.tick());
     });
-    every(host, MEMBERSHIP_TICK, |host| host.manifests.tick());
-    every(host, ANNOUNCE_PAUSE, |host| {
-        host.granter.announce_live_grants();
-    });
-    every(host, REFRESH_PAUSE, |host| {
+    spawn_periodic(host, MEMBERSHIP_TICK, |host| host.manifests.tick());
+    spawn_periodic(host, ANNOUNCE_PAUSE, |host| host.granter.announce_grants());
+    spawn_periodic(host, REFRESH_PAUSE, |host| {
         host.home_table.refresh();
         host.homes.refresh();
     });
-    every(host, ORDERS_PAUSE, |host| host.orders.tick());
-    tokio::spawn(status_loop::keep(Arc::clone(host)));
-    tokio::spawn(keep_machines(Arc::clone(host)));
+    spawn_periodic(host, ORDERS_PAUSE, |host| host.orders.tick());
+    tokio::spawn(status_loop::run(Arc::clone(host)));
+    tokio::spawn(watch_machines(Arc::clone(host)));
 }
 
-fn every(host: &Arc<Host>, pause: Duration, step: impl Fn(&Host) + Send + 'static) {
+fn spawn_periodic(host: &Arc<Host>, pause: Duration, step: impl Fn(&Host) + Send + 'static) {
     let host = Arc::clone(host);
     tokio::spawn(async move {
         let mut ticks = interval(pause);
@@ -54,16 +52,17 @@
     });
 }
 
-/// Reads the list of machines when it has changed. A list a second of each of 400 hosts would be a
-/// fifth of the reads that the platform takes; a waiting watch is a tenth of that.
-async fn keep_machines(host: Arc<Host>) {
+/// Reads the list of machines whenever it has changed. If each of 400 hosts read the list once a
+/// second, the reads would take a fifth of the platform's read capacity; a long-polling watch needs
+/// a tenth of those reads.
+async fn watch_machines(host: Arc<Host>) {
     let mut after = None;
     loop {
         let read = match after {
             None => read_machines(&host).await,
             Some(version) => match host
                 .platform
-                .watch(ObjectKind::Machines, version, MACHINES_WAIT)
+                .watch(ObjectKind::Machines, version, MACHINES_WATCH_TIMEOUT)
                 .await
             {
                 Ok(changes) if changes.version > version => read_machines(&host).await,
@@ -74,7 +73,7 @@
         match read {
             Ok(version) => after = Some(version),
             Err(err) => {
-                warn!("platform: no list of machines: {err}");
+                warn!("platform: cannot read the list of machines: {err}");
                 after = None;
             }
         }
@@ -84,7 +83,7 @@
 
 async fn read_machines(host: &Host) -> Result<ObjectVersion, PlatformError> {
     let list = host.platform.list(ObjectKind::Machines).await?;
-    let listed = machine_list::take_in(&host.cluster_view, &list);
+    let listed = machine_list::apply(&host.cluster_view, &list);
     host.addrs.add_seeds(&listed.seeds);
     host.membership.add_seeds(&listed.seeds);
     for (upstream, version) in listed.leaving {
--- a/src/daemon/manifest_loop.rs
+++ b/src/daemon/manifest_loop.rs
@@ -1,4 +1,4 @@
-//! Reads the manifest from the platform.
+//! Reads published manifests from the platform.
 
 use std::time::Duration;
 
@@ -19,33 +19,36 @@
 use crate::objects::PlatformError;
 use crate::units::ObjectVersion;
 
-/// A watch is asked again at this interval even if nothing changed, so that a connection that is
-/// dead without a sign is noticed.
-const WATCH_WAIT: Duration = Duration::from_secs(10);
+/// The time limit of a watch. A watch is repeated at this interval even if nothing changed, so that
+/// a connection that died silently is noticed.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// After a failure, and between looks at whether this host has become a watcher.
-const PAUSE: Duration = Duration::from_secs(1);
+/// The pause after a failure, and between checks of whether this host has become a watcher.
+const POLL_PAUSE: Duration = Duration::from_secs(1);
 
-/// What a published manifest must be for this host to take it.
-pub(crate) fn check_for(deployment: String) -> ManifestValidator {
+/// Creates the check of published manifests: they must be valid and name this host's deployment.
+pub(crate) fn validator(deployment: String) -> ManifestValidator {
     Box::new(move |text| {
         let manifest = Manifest::parse(text, "manifest").map_err(|errors| errors.to_string())?;
         if manifest.deployment == deployment {
             Ok(manifest)
         } else {
-            Err(format!("it is for deployment {}", manifest.deployment))
+            Err(format!(
+                "the manifest is for deployment {}",
+                manifest.deployment
+            ))
         }
     })
 }
 
-/// Tells the desk what the platform says: all the time if this host watches for its failure domain,
-/// else once at the start and whenever the desk wants to know.
-pub(crate) async fn keep(host: std::sync::Arc<Host>) {
+/// Feeds manifests from the platform to the manifest controller: continuously if this host is a
+/// watcher of its failure domain, else once at the start and whenever the controller asks for them.
+pub(crate) async fn run(host: std::sync::Arc<Host>) {
     let mut version = None;
     loop {
         let read = match version {
             Some(after) if is_watcher(&host) => watch(&host, after).await,
-            Some(_) => wait_until_wanted(&host).await,
+            Some(_) => wait_until_requested(&host).await,
             None => list(&host).await,
         };
         match read {
@@ -53,7 +56,7 @@
             Err(err) => {
                 warn!("manifests: {err}");
                 version = None;
-                sleep(PAUSE).await;
+                sleep(POLL_PAUSE).await;
             }
         }
     }
@@ -62,22 +65,23 @@
 async fn watch(host: &Host, after: ObjectVersion) -> Result<Option<ObjectVersion>, PlatformError> {
     let changes = host
         .platform
-        .watch(ObjectKind::Manifests, after, WATCH_WAIT)
+        .watch(ObjectKind::Manifests, after, WATCH_TIMEOUT)
         .await?;
     if changes.items.is_empty() {
         host.manifests.on_platform_read(ManifestRead::Unchanged);
     }
-    take_in(host, &changes);
+    submit_manifests(host, &changes);
     Ok(Some(changes.version))
 }
 
-/// A host that does not watch hears of new generations from peers.
-async fn wait_until_wanted(host: &Host) -> Result<Option<ObjectVersion>, PlatformError> {
-    let is_wanted = timeout(PAUSE, host.manifests.wait_for_read_request())
+/// Waits until the controller asks for a read or this host becomes a watcher. A host that does not
+/// watch receives new generations from peers.
+async fn wait_until_requested(host: &Host) -> Result<Option<ObjectVersion>, PlatformError> {
+    let is_requested = timeout(POLL_PAUSE, host.manifests.wait_for_read_request())
         .await
         .is_ok();
     let has_become_watcher = is_watcher(host);
-    Ok(if is_wanted || has_become_watcher {
+    Ok(if is_requested || has_become_watcher {
         None
     } else {
         Some(ObjectVersion::default())
@@ -85,13 +89,13 @@
 }
 
 async fn list(host: &Host) -> Result<Option<ObjectVersion>, PlatformError> {
-    // What the desk wanted until now is answered by this read.
+    // Clears a pending request of the controller, which this read answers.
     let _ = host.manifests.wait_for_read_request().now_or_never();
     let list = host.platform.list(ObjectKind::Manifests).await?;
     if list.items.is_empty() {
         host.manifests.on_platform_read(ManifestRead::Absent);
     }
-    take_in(host, &list);
+    submit_manifests(host, &list);
     Ok(Some(list.version))
 }
 
@@ -101,13 +105,13 @@
     watchers(domain, &members).contains(&host.settings.host)
 }
 
-fn take_in(host: &Host, list: &ObjectList) {
+fn submit_manifests(host: &Host, list: &ObjectList) {
     for object in &list.items {
         match PublishedManifest::deserialize(&object.value) {
             Ok(published) => host
                 .manifests
                 .on_platform_read(ManifestRead::Published(published)),
-            Err(err) => warn!("manifests: {} is not understood: {err}", object.key),
+            Err(err) => warn!("manifests: {} is invalid: {err}", object.key),
         }
     }
 }
--- a/src/daemon/news.rs
+++ b/src/daemon/membership_handler.rs
@@ -1,11 +1,11 @@
-//! Acts on changes of the membership.
+//! Handles membership changes.
 
 use std::sync::Arc;
 
 use log::info;
 
 use crate::control::home::HomeEvent;
-use crate::entry::EntryParts;
+use crate::entry::EntryContext;
 use crate::fleet::HomeRunner;
 use crate::fleet::MembershipEvent;
 use crate::fleet::MembershipEventHandler;
@@ -14,45 +14,48 @@
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
-/// Tells the parts of a host what has changed among the others.
-pub(crate) struct News {
-    pub(crate) parts: Arc<EntryParts>,
+/// Passes changes of the membership and poison reports of other hosts to the components of this
+/// host.
+pub(crate) struct MembershipHandler {
+    pub(crate) entry: Arc<EntryContext>,
     pub(crate) homes: Arc<HomeRunner>,
     pub(crate) peers: Arc<PeerPool>,
     pub(crate) domain: FailureDomainId,
 }
 
-impl News {
-    fn is_neighbour(&self, host: &HostId) -> bool {
-        let view = self.parts.cluster_view.hosts.get(host);
+impl MembershipHandler {
+    fn is_in_same_domain(&self, host: &HostId) -> bool {
+        let view = self.entry.cluster_view.hosts.get(host);
         view.is_some_and(|view| view.domain == self.domain)
     }
 }
 
-impl MembershipEventHandler for News {
+impl MembershipEventHandler for MembershipHandler {
     fn on_events(&self, news: Vec<MembershipEvent>) {
         for item in news {
             match item {
-                MembershipEvent::HostAlive(host) if self.is_neighbour(&host) => {
+                MembershipEvent::HostAlive(host) if self.is_in_same_domain(&host) => {
                     self.homes.send_to_all_homes(&HomeEvent::HostAlive(host));
                 }
-                // A home learns of hosts of other failure domains when they announce something.
+                // Homes learn of hosts in other failure domains from the announcements of those
+                // hosts.
                 MembershipEvent::HostAlive(_) => {}
                 MembershipEvent::HostDead(host) => {
                     self.peers.disconnect(&host);
-                    // The dead are weighed against the living, so that both count in one domain.
-                    if self.is_neighbour(&host) {
+                    // Homes compare the number of dead hosts with the number of live ones, so both
+                    // must come from the same failure domain.
+                    if self.is_in_same_domain(&host) {
                         self.homes.send_to_all_homes(&HomeEvent::HostDead(host));
                     }
                 }
                 MembershipEvent::PausedOrDeclaredDead => self.homes.hand_over_all(),
                 MembershipEvent::Poison(notice) => {
-                    let now = self.parts.clock.now();
+                    let now = self.entry.clock.now();
                     if let Some(poison) = poison_wire::decode_notice(&notice)
-                        && self.parts.poison_list().merge(&poison, now)
+                        && self.entry.poison_list().merge(&poison, now)
                     {
                         info!(
-                            "poison: another host saw {:?} crash an upstream",
+                            "poison: another host reported that {:?} crashed an upstream",
                             poison.fingerprint
                         );
                     }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon: builds the parts and connects them.
+//! The daemon: builds the components of a host, connects them and runs them.
 
 mod drain;
 mod error;
@@ -6,7 +6,7 @@
 mod loops;
 mod machine_list;
 mod manifest_loop;
-mod news;
+mod membership_handler;
 mod pages;
 mod poll;
 mod run;
@@ -16,5 +16,5 @@
 pub use error::DaemonError;
 pub use run::run;
 pub(crate) use status_server::Page;
-pub(crate) use status_server::Pages;
+pub(crate) use status_server::PageSource;
 pub(crate) use status_server::serve as serve_pages;
--- a/src/daemon/pages.rs
+++ b/src/daemon/pages.rs
@@ -1,4 +1,4 @@
-//! What the status port says.
+//! The pages of a host's status port.
 
 use std::sync::Arc;
 
@@ -8,14 +8,14 @@
 use crate::daemon::host::Host;
 use crate::daemon::status_loop;
 use crate::daemon::status_server::Page;
-use crate::daemon::status_server::Pages;
+use crate::daemon::status_server::PageSource;
 use crate::observe::HostCounts;
 use crate::units::RequestId;
 
-/// The pages of a host.
+/// The status pages of a host.
 pub(crate) struct HostPages(pub(crate) Arc<Host>);
 
-impl Pages for HostPages {
+impl PageSource for HostPages {
     fn page(&self, path: &str) -> Option<Page> {
         match path {
             "/livez" => Some(Page::text(StatusCode::OK, "live\n")),
@@ -40,7 +40,7 @@
 
     fn metrics(&self) -> Page {
         let host = &self.0;
-        let metrics = &host.parts.metrics;
+        let metrics = &host.entry.metrics;
         metrics.update_cluster_counts(&host.cluster_view);
         metrics.update_host_counts(HostCounts {
             peer_control_bytes: host.traffic.control_bytes(),
@@ -61,8 +61,8 @@
             Ok(request) => request,
             Err(err) => return Page::text(StatusCode::BAD_REQUEST, format!("{err}\n")),
         };
-        let Some(explanation) = self.0.parts.explanations.get(request) else {
-            let why = "this host knows nothing of the request, or no longer\n";
+        let Some(explanation) = self.0.entry.explanations.get(request) else {
+            let why = "this host has no record of the request, or no longer has it\n";
             return Page::text(StatusCode::NOT_FOUND, why);
         };
         match serde_json::to_value(&explanation) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The report that the platform gets too, and what only this host can tell.
+    /// The report that is also written to the platform, with additional state of this host.
     fn status(&self) -> Page {
         let host = &self.0;
         let mut page = match serde_json::to_value(status_loop::report(host)) {
@@ -93,10 +93,10 @@
             .collect();
         page["pools"] = json!(pools);
         page["orders"] = json!(orders);
-        page["in_flight"] = json!(host.parts.in_flight.count());
+        page["in_flight"] = json!(host.entry.in_flight.count());
         page["grants"] = json!(host.granter.live_count());
-        page["claims_pending"] = json!(host.parts.claims.pending());
-        page["body_bytes"] = json!(host.parts.bodies.used_bytes());
+        page["claims_pending"] = json!(host.entry.claims.pending());
+        page["body_bytes"] = json!(host.entry.bodies.used_bytes());
         page["control_bytes"] = json!(host.traffic.control_bytes());
         page["work_bytes"] = json!(host.traffic.work_bytes());
         Page::json(StatusCode::OK, format!("{page}\n"))
--- a/src/daemon/poll.rs
+++ b/src/daemon/poll.rs
@@ -1,4 +1,4 @@
-//! Asks upstreams for their load and cache events, for the homes on this host.
+//! Polls upstreams for load reports and cache events, for the homes on this host.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,42 +13,43 @@
 use crate::fleet::HomeRunner;
 use crate::units::UpstreamId;
 
-/// Reports lag by about as much at the engine already; asking more often tells nothing new.
-const PAUSE: Duration = Duration::from_millis(500);
+/// The interval between polls. Engines' reports are themselves delayed by about this much, so
+/// polling more often would yield no newer data.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Polls the upstreams of the homes on this host.
-pub(crate) async fn keep(
-    desk: Arc<HomeRunner>,
+/// Polls the upstreams of the homes on this host for as long as the process runs.
+pub(crate) async fn run(
+    homes: Arc<HomeRunner>,
     map: Arc<dyn HomeDirectory>,
     upstreams: Arc<dyn UpstreamDirectory>,
 ) {
-    let mut seqs: IndexMap<UpstreamId, u64> = IndexMap::new();
+    let mut last_seqs: IndexMap<UpstreamId, u64> = IndexMap::new();
     loop {
-        sleep(PAUSE).await;
-        let mut asked = JoinSet::new();
-        let ids = desk
+        sleep(POLL_INTERVAL).await;
+        let mut polls = JoinSet::new();
+        let ids = homes
             .pool_loads()
             .into_iter()
             .flat_map(|(pool, _)| map.upstreams_of(&pool));
         for id in ids {
-            let after_seq = seqs.get(&id).copied().unwrap_or(0);
-            asked.spawn(poll_one(
-                Arc::clone(&desk),
+            let after_seq = last_seqs.get(&id).copied().unwrap_or(0);
+            polls.spawn(poll_one(
+                Arc::clone(&homes),
                 Arc::clone(&upstreams),
                 id,
                 after_seq,
             ));
         }
-        while let Some(polled) = asked.join_next().await {
+        while let Some(polled) = polls.join_next().await {
             if let Ok((id, seq)) = polled {
-                seqs.insert(id, seq);
+                last_seqs.insert(id, seq);
             }
         }
     }
 }
 
 async fn poll_one(
-    desk: Arc<HomeRunner>,
+    homes: Arc<HomeRunner>,
     upstreams: Arc<dyn UpstreamDirectory>,
     id: UpstreamId,
     after_seq: u64,
@@ -61,7 +62,7 @@
             upstream: id.clone(),
             report,
         };
-        desk.send_to_homes_of_upstream(&id, &event);
+        homes.send_to_homes_of_upstream(&id, &event);
     }
     let Ok(events) = client.cache_events(after_seq).await else {
         return (id, after_seq);
@@ -76,7 +77,7 @@
             upstream: id.clone(),
             events,
         };
-        desk.send_to_homes_of_upstream(&id, &event);
+        homes.send_to_homes_of_upstream(&id, &event);
     }
     (id, seq)
 }
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -1,4 +1,4 @@
-//! From the settings to the end of the process.
+//! Runs the daemon, from reading the settings to its exit.
 
 use std::path::Path;
 
@@ -13,7 +13,7 @@
 use crate::observe::logs;
 use crate::settings::Settings;
 
-/// Runs a daemon until it has drained after SIGTERM or SIGINT, or until the second of them, and
+/// Runs a daemon until it has drained after SIGTERM or SIGINT, or until a second such signal, and
 /// returns the exit code.
 pub fn run(settings_path: &Path) -> Result<i32, DaemonError> {
     let settings = Settings::read(settings_path)?;
@@ -30,17 +30,17 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let host = Host::start(settings).await?;
-    any_of(&mut terminate, &mut interrupt).await;
-    info!("daemon: drains, a second signal ends it at once");
+    wait_for_signal(&mut terminate, &mut interrupt).await;
+    info!("daemon: draining; a second signal exits immediately");
     let code = tokio::select! {
         code = host.drain.run(&host) => code,
-        () = any_of(&mut terminate, &mut interrupt) => host.drain.cut(&host),
+        () = wait_for_signal(&mut terminate, &mut interrupt) => host.drain.abort(&host),
     };
-    info!("daemon: ends with code {code}");
+    info!("daemon: exiting with code {code}");
     Ok(code)
 }
 
-async fn any_of(terminate: &mut Signal, interrupt: &mut Signal) {
+async fn wait_for_signal(terminate: &mut Signal, interrupt: &mut Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt while its answer comes.
+//! One attempt, from its grant until its response has been read.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,7 +8,7 @@
 use crate::control::outcome::AnswerStep;
 use crate::decide::AttemptOutcome;
 use crate::decide::AttemptSummary;
-use crate::entry::Break;
+use crate::entry::AttemptFailure;
 use crate::entry::HeldGrant;
 use crate::entry::Usage;
 use crate::units::AttemptId;
@@ -17,41 +17,41 @@
 use crate::upstream::ResponseEvent;
 use crate::upstream::UpstreamError;
 
-/// What to do with a piece of an answer.
+/// What a response event contributes to the reply, once it has been checked.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Piece {
-    /// Hand on this text; it is the first of the answer or comes this long after the last.
+pub enum AttemptOutput {
+    /// Text to forward to the caller.
     Text {
         /// The text.
         text: String,
-        /// The gap since the last tokens; none for the first.
+        /// The time since the previous tokens; none for the first tokens of the response.
         gap: Option<Duration>,
     },
-    /// Hand on the head of a plain service's answer.
+    /// The head of a plain service's response, to forward to the caller.
     Head {
         /// The HTTP status.
         status: u16,
         /// The content type.
         content_type: Option<String>,
     },
-    /// Hand on bytes.
+    /// Bytes of a plain service's response, to forward to the caller.
     Data(bytes::Bytes),
-    /// The answer is whole.
-    Whole {
-        /// Why the model stopped.
+    /// The response is complete.
+    Complete {
+        /// Why the model stopped, as the upstream reports it.
         finish_reason: String,
     },
-    /// There is nothing in it that was not handed on before.
-    Repeated,
-    /// It is not the next piece of this attempt's answer.
-    Wrong(AnswerFault),
+    /// The event holds nothing that was not forwarded before.
+    Duplicate,
+    /// The event is not the next one of this attempt's response.
+    Invalid(AnswerFault),
 }
 
 /// An attempt, from its grant to its end.
 #[derive(Debug)]
 pub struct Attempt {
-    /// The grant it uses up.
-    pub held: HeldGrant,
+    /// The grant that the attempt uses up.
+    pub grant: HeldGrant,
     started: Instant,
     first_token: Option<Duration>,
     last_token: Option<Instant>,
@@ -61,11 +61,11 @@
 }
 
 impl Attempt {
-    /// An attempt that is about to be dispatched.
-    pub fn new(held: HeldGrant, is_model: bool, now: Instant) -> Self {
-        let id = held.attempt();
+    /// Creates an attempt that is about to be dispatched.
+    pub fn new(grant: HeldGrant, is_model: bool, now: Instant) -> Self {
+        let id = grant.attempt();
         Self {
-            held,
+            grant,
             started: now,
             first_token: None,
             last_token: None,
@@ -79,55 +79,55 @@
         }
     }
 
-    /// Its id.
+    /// The id of the attempt.
     pub fn id(&self) -> AttemptId {
-        self.held.attempt()
+        self.grant.attempt()
     }
 
-    /// The upstream that answers.
+    /// The upstream that sends the response; of a gang, its leader.
     pub fn leader(&self) -> Option<&UpstreamId> {
-        self.held.upstreams.first()
+        self.grant.upstreams.first()
     }
 
-    /// How many tokens have been handed on.
+    /// The number of tokens that have been forwarded to the caller.
     pub fn offset_tokens(&self) -> u64 {
         self.check.offset_tokens()
     }
 
-    /// Checks a piece before a byte of it reaches the caller. Answers can be late, crossed, cut or
-    /// repeated; only the next tokens of this very attempt may pass.
-    pub fn take(&mut self, event: ResponseEvent, now: Instant) -> Piece {
+    /// Checks an event before any byte of it reaches the caller. Responses can be late, truncated,
+    /// repeated or belong to another attempt; only the next tokens of this attempt may pass.
+    pub fn on_event(&mut self, event: ResponseEvent, now: Instant) -> AttemptOutput {
         match self.check.on_event(event) {
-            AnswerStep::Skip => Piece::Repeated,
-            AnswerStep::Fault(fault) => Piece::Wrong(fault),
+            AnswerStep::Skip => AttemptOutput::Duplicate,
+            AnswerStep::Fault(fault) => AttemptOutput::Invalid(fault),
             AnswerStep::Forward(event) => self.forward(event, now),
             AnswerStep::End(event) => self.end(event),
         }
     }
 
-    fn forward(&mut self, event: ResponseEvent, now: Instant) -> Piece {
+    fn forward(&mut self, event: ResponseEvent, now: Instant) -> AttemptOutput {
         match event {
             ResponseEvent::Head {
                 status,
                 content_type,
-            } => Piece::Head {
+            } => AttemptOutput::Head {
                 status,
                 content_type,
             },
             ResponseEvent::Data(bytes) => {
-                self.note_token(now);
-                Piece::Data(bytes)
+                self.record_token(now);
+                AttemptOutput::Data(bytes)
             }
-            ResponseEvent::Tokens { count: 0, .. } => Piece::Repeated,
+            ResponseEvent::Tokens { count: 0, .. } => AttemptOutput::Duplicate,
             ResponseEvent::Tokens { text, .. } => {
-                let gap = self.note_token(now);
-                Piece::Text { text, gap }
+                let gap = self.record_token(now);
+                AttemptOutput::Text { text, gap }
             }
             ResponseEvent::End { .. } => self.end(event),
         }
     }
 
-    fn end(&mut self, event: ResponseEvent) -> Piece {
+    fn end(&mut self, event: ResponseEvent) -> AttemptOutput {
         let ResponseEvent::End {
             finish_reason,
             prompt_tokens,
@@ -135,14 +135,14 @@
             ..
         } = event
         else {
-            return Piece::Wrong(AnswerFault::Unexpected("an end"));
+            return AttemptOutput::Invalid(AnswerFault::Unexpected("an end"));
         };
         self.prompt_tokens = prompt_tokens;
         self.cached_tokens = cached_tokens;
-        Piece::Whole { finish_reason }
+        AttemptOutput::Complete { finish_reason }
     }
 
-    fn note_token(&mut self, now: Instant) -> Option<Duration> {
+    fn record_token(&mut self, now: Instant) -> Option<Duration> {
         let gap = self
             .last_token
             .map(|last| now.saturating_duration_since(last));
@@ -153,7 +153,7 @@
         gap
     }
 
-    /// The counts for the caller.
+    /// The token counts that the caller is told.
     pub fn usage(&self) -> Usage {
         Usage {
             prompt_tokens: self.prompt_tokens,
@@ -161,8 +161,8 @@
         }
     }
 
-    /// The report for the home.
-    pub fn done(&self, ended: AttemptOutcome, now: Instant) -> AttemptSummary {
+    /// The summary that the home receives when the attempt ends.
+    pub fn summary(&self, ended: AttemptOutcome, now: Instant) -> AttemptSummary {
         AttemptSummary {
             ended,
             first_token: self.first_token,
@@ -174,9 +174,9 @@
     }
 }
 
-/// The error that a faulty answer amounts to. Where the same attempt can be read on, what was wrong
-/// was the stream, and not the attempt.
-pub(crate) fn error_of(fault: AnswerFault) -> UpstreamError {
+/// Converts a fault in a response into an upstream error. If the same attempt can be resumed, only
+/// the stream was faulty, so the error is an interruption and not an invalid response.
+pub(crate) fn error_for_fault(fault: AnswerFault) -> UpstreamError {
     if fault.can_resume() {
         UpstreamError::Interrupted(fault.to_string())
     } else {
@@ -184,12 +184,12 @@
     }
 }
 
-/// What an upstream's error means for the life of a request.
-pub fn break_of(err: &UpstreamError) -> Break {
+/// Classifies an upstream error by what it means for the lifecycle of the request.
+pub fn classify_failure(err: &UpstreamError) -> AttemptFailure {
     match err {
-        UpstreamError::NotSent(_) | UpstreamError::Refused { .. } => Break::DidNotRun,
-        UpstreamError::Interrupted(_) => Break::Cut,
-        UpstreamError::InvalidResponse(_) => Break::Garbled,
-        UpstreamError::Failed(_) | UpstreamError::UnknownAttempt => Break::Lost,
+        UpstreamError::NotSent(_) | UpstreamError::Refused { .. } => AttemptFailure::DidNotRun,
+        UpstreamError::Interrupted(_) => AttemptFailure::Interrupted,
+        UpstreamError::InvalidResponse(_) => AttemptFailure::InvalidResponse,
+        UpstreamError::Failed(_) | UpstreamError::UnknownAttempt => AttemptFailure::Lost,
     }
 }
--- a/src/entry/driver/mod.rs
+++ b/src/entry/driver/mod.rs
@@ -1,9 +1,9 @@
-//! Does what the life of a request says, and reports back what came of it.
+//! Performs the actions of a request's lifecycle and reports the resulting events.
 
 mod claiming;
 mod dispatching;
-mod frozen;
-mod pumping;
+mod forwarding;
+mod hang_detection;
 
 use std::borrow::Cow;
 use std::sync::Arc;
@@ -25,21 +25,21 @@
 use crate::decide::RequestFingerprint;
 use crate::decide::RetryDecision;
 use crate::entry::Attempt;
-use crate::entry::Break;
-use crate::entry::EntryParts;
-use crate::entry::FailReason;
-use crate::entry::Failure;
+use crate::entry::AttemptFailure;
+use crate::entry::EntryContext;
+use crate::entry::FailureReason;
+use crate::entry::FailureReply;
 use crate::entry::GrantAnswer;
 use crate::entry::HeldGrant;
 use crate::entry::Job;
-use crate::entry::Life;
-use crate::entry::LifeEvent;
-use crate::entry::LifeStep;
+use crate::entry::LifecycleAction;
+use crate::entry::LifecycleEvent;
 use crate::entry::Reply;
-use crate::entry::Verdict;
+use crate::entry::RequestLifecycle;
+use crate::entry::RequestOutcome;
 use crate::entry::advance;
-use crate::entry::break_of;
-use crate::entry::settle::settle;
+use crate::entry::classify_failure;
+use crate::entry::release::release_attempt;
 use crate::observe::StepKind;
 use crate::units::AttemptId;
 use crate::units::RequestId;
@@ -47,20 +47,20 @@
 use crate::upstream::UpstreamClient;
 use crate::upstream::UpstreamError;
 
-/// When a request that failed not run may come back where nothing better is known.
+/// The retry time for a request that did not run, if no upstream or home gave one.
 const RETRY_AFTER_DEFAULT: Duration = Duration::from_secs(1);
 
-/// An attempt that breaks this close to the time limit broke for the limit.
-const NEARLY_OVER: Duration = Duration::from_millis(100);
+/// An attempt that fails this close to the deadline is considered to have failed because of it.
+const NEAR_DEADLINE: Duration = Duration::from_millis(100);
 
-/// One request on its way.
+/// Drives one request through its lifecycle.
 pub(crate) struct Driver<'a> {
-    parts: &'a Arc<EntryParts>,
+    context: &'a Arc<EntryContext>,
     job: Job,
     reply: &'a mut Reply,
     attempt: Option<Attempt>,
-    claimed: Option<(ClaimKey, AttemptId)>,
-    followed: Option<Claim>,
+    recorded_claim: Option<(ClaimKey, AttemptId)>,
+    followed_claim: Option<Claim>,
     attempts: u32,
     last_error: Option<UpstreamError>,
     message: String,
@@ -69,14 +69,14 @@
 }
 
 impl<'a> Driver<'a> {
-    pub(crate) fn new(parts: &'a Arc<EntryParts>, job: Job, reply: &'a mut Reply) -> Self {
+    pub(crate) fn new(context: &'a Arc<EntryContext>, job: Job, reply: &'a mut Reply) -> Self {
         Self {
-            parts,
+            context,
             job,
             reply,
             attempt: None,
-            claimed: None,
-            followed: None,
+            recorded_claim: None,
+            followed_claim: None,
             attempts: 0,
             last_error: None,
             message: String::new(),
@@ -85,55 +85,55 @@
         }
     }
 
-    /// Takes the request from here to its end and returns how it ended; none if its caller went.
-    pub(crate) async fn run(&mut self) -> Option<Verdict> {
-        let mut life = Life::new(self.job.rules).state_machine();
+    /// Runs the request to its end and returns the outcome; none if the caller disconnected.
+    pub(crate) async fn run(&mut self) -> Option<RequestOutcome> {
+        let mut lifecycle = RequestLifecycle::new(self.job.rules).state_machine();
         let mut event = self.admit();
         loop {
-            let step = advance(&mut life, event);
+            let action = advance(&mut lifecycle, event);
             debug!(
-                "entry: request {} {event:?} leads to {step:?}",
+                "entry: request {}: {event:?} leads to {action:?}",
                 self.job.request
             );
-            event = match step {
-                LifeStep::AskGrant => self.ask_grant().await,
-                LifeStep::Claim => self.claim().await,
-                LifeStep::Dispatch => self.dispatch(&mut life).await,
-                LifeStep::Resume => self.resume(&mut life).await,
-                LifeStep::ConsiderRetry => self.consider_retry().await,
-                LifeStep::Follow => self.follow(&mut life).await,
-                LifeStep::Finish(verdict) => {
-                    self.finish(verdict).await;
-                    return Some(verdict);
+            event = match action {
+                LifecycleAction::RequestGrant => self.request_grant().await,
+                LifecycleAction::Claim => self.claim().await,
+                LifecycleAction::Dispatch => self.dispatch(&mut lifecycle).await,
+                LifecycleAction::Resume => self.resume(&mut lifecycle).await,
+                LifecycleAction::DecideRetry => self.decide_retry().await,
+                LifecycleAction::FollowClaim => self.follow_claim(&mut lifecycle).await,
+                LifecycleAction::Finish(outcome) => {
+                    self.finish(outcome).await;
+                    return Some(outcome);
                 }
-                LifeStep::Abandon => {
+                LifecycleAction::Abandon => {
                     self.end_attempt(AttemptOutcome::Cancelled);
                     return None;
                 }
-                LifeStep::Nothing => {
-                    // Every event that a step reports has its transition; if one had none, waiting
-                    // for the next would hold the caller up for ever.
+                LifecycleAction::Nothing => {
+                    // Every event that an action reports has a transition. If one had none, waiting
+                    // for the next event would block the caller forever.
                     warn!(
-                        "entry: request {} got {event:?} out of place",
+                        "entry: request {}: unexpected event {event:?}",
                         self.job.request
                     );
-                    LifeEvent::TimeUp
+                    LifecycleEvent::DeadlineExceeded
                 }
             };
         }
     }
 
-    fn note(&self, what: StepKind, place: &str, why: impl Into<Cow<'static, str>>) {
-        self.parts
+    fn record_step(&self, kind: StepKind, place: &str, why: impl Into<Cow<'static, str>>) {
+        self.context
             .explanations
-            .record(self.job.request, what, place, why);
+            .record(self.job.request, kind, place, why);
     }
 
-    /// The engine of the current attempt; none for a plain service.
+    /// The client of the engine that runs the current attempt; none for a plain service.
     fn engine(&self) -> Option<Arc<dyn UpstreamClient>> {
         let leader = self.attempt.as_ref().and_then(Attempt::leader);
         let leader = leader.filter(|_| self.job.is_model());
-        leader.and_then(|id| self.parts.upstreams.upstream(id))
+        leader.and_then(|id| self.context.upstreams.upstream(id))
     }
 
     fn leader(&self) -> &str {
@@ -143,8 +143,8 @@
             .map_or("", UpstreamId::as_str)
     }
 
-    /// A request that crashed upstreams before is turned away before it costs anything.
-    fn admit(&mut self) -> LifeEvent {
+    /// Rejects a request that crashed upstreams before, so that it uses no resources.
+    fn admit(&mut self) -> LifecycleEvent {
         let work = &self.job.work;
         let why = format!(
             "{} for {}, {} prompt tokens ({}), rank {}",
@@ -154,137 +154,146 @@
             work.class(),
             work.priority
         );
-        self.note(StepKind::Received, self.parts.host.as_str(), why);
+        self.record_step(StepKind::Received, self.context.host.as_str(), why);
         if self
-            .parts
+            .context
             .poison_list()
-            .is_poison(&self.poison_marks(), self.parts.clock.now())
+            .is_poison(&self.fingerprints(), self.context.clock.now())
         {
-            "it crashed the upstreams that ran it".clone_into(&mut self.message);
-            return LifeEvent::Rejected(FailReason::Refused(RefuseReason::Poison));
+            "the request crashed the upstreams that ran it".clone_into(&mut self.message);
+            return LifecycleEvent::Rejected(FailureReason::Refused(RefuseReason::Poison));
         }
-        LifeEvent::Admitted
+        LifecycleEvent::Admitted
     }
 
-    fn poison_marks(&self) -> Vec<RequestFingerprint> {
-        let mut marks = vec![RequestFingerprint::of_content(self.job.content)];
+    fn fingerprints(&self) -> Vec<RequestFingerprint> {
+        let mut fingerprints = vec![RequestFingerprint::of_content(self.job.content)];
         if let Some(key) = &self.job.key {
-            marks.push(RequestFingerprint::of_key(&self.job.work.customer, key));
+            fingerprints.push(RequestFingerprint::of_key(&self.job.work.customer, key));
         }
-        marks
+        fingerprints
     }
 
-    async fn ask_grant(&mut self) -> LifeEvent {
-        let parts = Arc::clone(self.parts);
-        let ask = parts
+    async fn request_grant(&mut self) -> LifecycleEvent {
+        let context = Arc::clone(self.context);
+        let pending = context
             .granter
-            .ask(self.job.target.clone(), self.job.work.clone());
+            .request_grant(self.job.target.clone(), self.job.work.clone());
         let deadline = self.job.work.deadline;
         let answer = tokio::select! {
-            answer = ask => answer,
-            () = gone(self.reply, self.is_detached) => return LifeEvent::CallerGone,
-            () = sleep_until(deadline.into()) => return LifeEvent::TimeUp,
+            answer = pending => answer,
+            () = caller_gone(self.reply, self.is_detached) => return LifecycleEvent::CallerGone,
+            () = sleep_until(deadline.into()) => return LifecycleEvent::DeadlineExceeded,
         };
         match answer {
-            GrantAnswer::Granted(held) => {
-                self.note_granted(&held);
-                let now = self.parts.clock.now();
-                self.attempt = Some(Attempt::new(*held, self.job.is_model(), now));
-                LifeEvent::Granted
+            GrantAnswer::Granted(grant) => {
+                self.record_granted(&grant);
+                let now = self.context.clock.now();
+                self.attempt = Some(Attempt::new(*grant, self.job.is_model(), now));
+                LifecycleEvent::Granted
             }
             GrantAnswer::Refused {
                 reason,
                 retry_after,
             } => {
                 self.retry_after = Some(retry_after);
-                self.message = format!("turned away: {reason}");
-                self.note(StepKind::Refused, "", reason.name());
-                LifeEvent::Refused(reason)
+                self.message = format!("refused: {reason}");
+                self.record_step(StepKind::Refused, "", reason.name());
+                LifecycleEvent::Refused(reason)
             }
         }
     }
 
-    fn note_granted(&self, held: &HeldGrant) {
-        let places: Vec<&str> = held.upstreams.iter().map(UpstreamId::as_str).collect();
-        let why = format!("{} after {:?}, pool {}", held.why, held.waited, held.pool);
-        self.note(StepKind::Granted, &places.join(","), why);
-        let work = &held.work;
-        self.parts
+    fn record_granted(&self, grant: &HeldGrant) {
+        let places: Vec<&str> = grant.upstreams.iter().map(UpstreamId::as_str).collect();
+        let why = format!(
+            "{} after {:?}, pool {}",
+            grant.why, grant.waited, grant.pool
+        );
+        self.record_step(StepKind::Granted, &places.join(","), why);
+        let work = &grant.work;
+        self.context
             .metrics
-            .record_queue_wait(&work.customer, work.class(), held.waited);
+            .record_queue_wait(&work.customer, work.class(), grant.waited);
     }
 
-    pub(super) async fn broken(&mut self, err: UpstreamError) -> LifeEvent {
-        let broke = break_of(&err);
-        info!("entry: request {} broke: {err}", self.job.request);
+    pub(super) async fn on_attempt_failure(&mut self, err: UpstreamError) -> LifecycleEvent {
+        let failure = classify_failure(&err);
+        info!(
+            "entry: an attempt of request {} failed: {err}",
+            self.job.request
+        );
         self.message = err.to_string();
-        let is_cut = broke == Break::Cut;
-        let what = if is_cut {
+        let is_interrupted = failure == AttemptFailure::Interrupted;
+        let step = if is_interrupted {
             StepKind::Resumed
         } else {
             StepKind::Retried
         };
-        self.note(what, self.leader(), err.to_string());
+        self.record_step(step, self.leader(), err.to_string());
         if let UpstreamError::Refused { retry_after, .. } = &err {
             self.retry_after = *retry_after;
         }
-        match broke {
-            Break::DidNotRun => {
+        match failure {
+            AttemptFailure::DidNotRun => {
                 let is_refusal = matches!(err, UpstreamError::Refused { .. });
-                self.give_back(if is_refusal {
+                self.release_unsent(if is_refusal {
                     AttemptOutcome::Refused
                 } else {
                     AttemptOutcome::NotSent
                 });
             }
-            Break::Cut => {}
-            Break::Lost | Break::Garbled => self.end_attempt(AttemptOutcome::Failed),
+            AttemptFailure::Interrupted => {}
+            AttemptFailure::Lost | AttemptFailure::InvalidResponse => {
+                self.end_attempt(AttemptOutcome::Failed);
+            }
         }
         self.last_error = Some(err);
-        if broke != Break::DidNotRun && self.is_nearly_over() {
-            return LifeEvent::TimeUp;
+        if failure != AttemptFailure::DidNotRun && self.is_near_deadline() {
+            return LifecycleEvent::DeadlineExceeded;
         }
-        LifeEvent::Broken(broke)
+        LifecycleEvent::AttemptFailed(failure)
     }
 
-    /// Engines end an attempt at the same time limit; whichever is first, the caller is told that
-    /// the time ran out, and not that the engine failed.
-    fn is_nearly_over(&self) -> bool {
-        let now = self.parts.clock.now();
-        self.job.work.deadline.saturating_duration_since(now) < NEARLY_OVER
+    /// Whether the deadline is so close that a failure counts as a timeout. Engines end an attempt
+    /// at the same time limit as this host; whichever is first, the caller is told that the time
+    /// ran out, and not that the engine failed.
+    fn is_near_deadline(&self) -> bool {
+        let now = self.context.clock.now();
+        self.job.work.deadline.saturating_duration_since(now) < NEAR_DEADLINE
     }
 
-    /// The attempt provably did not run: its grant and its claim are free again.
-    pub(super) fn give_back(&mut self, ended: AttemptOutcome) {
+    /// Releases the grant and the claim of an attempt that certainly did not run.
+    pub(super) fn release_unsent(&mut self, ended: AttemptOutcome) {
         self.end_attempt(ended);
-        if let Some((key, attempt)) = self.claimed.take() {
-            self.parts.claims.give_back(key, attempt);
+        if let Some((key, attempt)) = self.recorded_claim.take() {
+            self.context.claims.give_back(key, attempt);
         }
     }
 
-    pub(super) fn note_crash(&mut self) {
+    pub(super) fn report_crash(&mut self) {
         let Some(attempt) = &self.attempt else {
             return;
         };
-        let now = self.parts.clock.now();
-        let news = self
-            .parts
+        let now = self.context.clock.now();
+        let reports = self
+            .context
             .poison_list()
-            .on_crash(&self.poison_marks(), attempt.id(), now);
-        for poison in &news {
-            self.parts.poison_spread.spread(poison);
+            .on_crash(&self.fingerprints(), attempt.id(), now);
+        for poison in &reports {
+            self.context.poison_broadcast.broadcast(poison);
         }
     }
 
-    pub(super) async fn consider_retry(&mut self) -> LifeEvent {
-        let now = self.parts.clock.now();
-        // Its own retries may be what crashes one upstream after the other.
+    pub(super) async fn decide_retry(&mut self) -> LifecycleEvent {
+        let now = self.context.clock.now();
+        // This request's own retries may be crashing one upstream after another.
         if self
-            .parts
+            .context
             .poison_list()
-            .is_poison(&self.poison_marks(), now)
+            .is_poison(&self.fingerprints(), now)
         {
-            return LifeEvent::RetryDenied;
+            return LifecycleEvent::RetryDenied;
         }
         let did_not_run = self
             .last_error
@@ -294,36 +303,36 @@
             attempts: self.attempts,
             did_not_run,
             is_repeatable: self.job.rules.repeatable,
-            response_started: self.reply.is_delivered(),
+            response_started: self.reply.has_started(),
             retry_after: self.retry_after,
             deadline: self.job.work.deadline,
         };
         match self
-            .parts
-            .with_budget(&self.job.target, |budget| budget.decide(&failed, now))
+            .context
+            .with_retry_budget(&self.job.target, |budget| budget.decide(&failed, now))
         {
             RetryDecision::Retry { after } => {
-                self.parts.metrics.count_retry(self.last_reason());
+                self.context.metrics.count_retry(self.retry_reason());
                 self.reply.restart();
-                // Homes answer a request that is asked again with the grant it has. If the end of the
-                // failed attempt got lost on its way, that would be the same grant, and its attempt
-                // would run a second time under one id. So each attempt is asked for under an id of
-                // its own.
+                // A home answers a repeated request with the grant that it already issued. If the
+                // message that ended the failed attempt was lost, the home would return the same
+                // grant, and a second attempt would run under the same id. So the grant for each
+                // attempt is requested under a new request id.
                 self.job.work.request = RequestId(rand::random());
                 sleep(after).await;
-                LifeEvent::RetryAllowed
+                LifecycleEvent::RetryAllowed
             }
             RetryDecision::GiveUp(stop) => {
                 debug!(
                     "entry: request {} is not retried: {stop:?}",
                     self.job.request
                 );
-                LifeEvent::RetryDenied
+                LifecycleEvent::RetryDenied
             }
         }
     }
 
-    pub(super) fn last_reason(&self) -> &'static str {
+    pub(super) fn retry_reason(&self) -> &'static str {
         match &self.last_error {
             Some(UpstreamError::NotSent(_)) => "not_sent",
             Some(UpstreamError::Refused { .. }) => "refused",
@@ -332,7 +341,8 @@
         }
     }
 
-    /// Ends the current attempt, if there is one, and remembers its upstreams as ones to avoid.
+    /// Ends the current attempt, if there is one. If the attempt failed, later attempts avoid its
+    /// leader.
     pub(super) fn end_attempt(&mut self, ended: AttemptOutcome) {
         let Some(attempt) = self.attempt.take() else {
             return;
@@ -343,9 +353,9 @@
         ) {
             self.job.work.avoid.extend(attempt.leader().cloned());
         }
-        if self.followed.is_none() {
-            settle(
-                self.parts,
+        if self.followed_claim.is_none() {
+            release_attempt(
+                self.context,
                 &attempt,
                 ended,
                 self.job.work.deadline,
@@ -354,51 +364,51 @@
         }
     }
 
-    pub(super) async fn finish(&mut self, verdict: Verdict) {
-        self.note(
+    pub(super) async fn finish(&mut self, outcome: RequestOutcome) {
+        self.record_step(
             StepKind::Ended,
             "",
-            format!("{} {}", verdict.outcome(), verdict.reason()),
+            format!("{} {}", outcome.kind(), outcome.reason()),
         );
-        let ended = match verdict {
-            Verdict::Completed => AttemptOutcome::Completed,
-            Verdict::NotRun(_) => AttemptOutcome::NotSent,
-            Verdict::MayHaveRun(_) => AttemptOutcome::Cancelled,
+        let ended = match outcome {
+            RequestOutcome::Completed => AttemptOutcome::Completed,
+            RequestOutcome::NotRun(_) => AttemptOutcome::NotSent,
+            RequestOutcome::MayHaveRun(_) => AttemptOutcome::Cancelled,
         };
         self.end_attempt(ended);
-        if let Some((key, attempt)) = self.claimed.take() {
-            let state = match verdict {
-                Verdict::Completed => ClaimState::Completed,
-                Verdict::NotRun(_) | Verdict::MayHaveRun(_) => ClaimState::MayHaveRun,
+        if let Some((key, attempt)) = self.recorded_claim.take() {
+            let state = match outcome {
+                RequestOutcome::Completed => ClaimState::Completed,
+                RequestOutcome::NotRun(_) | RequestOutcome::MayHaveRun(_) => ClaimState::MayHaveRun,
             };
-            self.parts.claims.finish(key, attempt, state);
+            self.context.claims.finish(key, attempt, state);
         }
-        if verdict == Verdict::Completed {
+        if outcome == RequestOutcome::Completed {
             return;
         }
-        let retry_after = match verdict {
-            Verdict::NotRun(_) => self.retry_after.or(Some(RETRY_AFTER_DEFAULT)),
+        let retry_after = match outcome {
+            RequestOutcome::NotRun(_) => self.retry_after.or(Some(RETRY_AFTER_DEFAULT)),
             _ => None,
         };
         let message = std::mem::take(&mut self.message);
-        let failure = Failure {
-            verdict,
+        let failure = FailureReply {
+            outcome,
             message,
             retry_after,
         };
         if self.reply.fail(&failure).await.is_err() {
             debug!(
-                "entry: the caller of {} went before the failure",
+                "entry: the caller of request {} disconnected before the failure was sent",
                 self.job.request
             );
         }
     }
 }
 
-async fn gone(reply: &mut Reply, is_detached: bool) {
+async fn caller_gone(reply: &mut Reply, is_detached: bool) {
     if is_detached {
         std::future::pending::<()>().await;
     } else {
-        reply.gone().await;
+        reply.wait_until_gone().await;
     }
 }
--- a/src/entry/job.rs
+++ b/src/entry/job.rs
@@ -1,4 +1,4 @@
-//! What is to be done for one request.
+//! Parses a request into a job: target, work, rules and body.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,10 +9,10 @@
 use crate::decide::Work;
 use crate::entry::CallKind;
 use crate::entry::CallerHeaders;
-use crate::entry::FailReason;
-use crate::entry::LifeRules;
+use crate::entry::FailureReason;
+use crate::entry::LifecycleRules;
 use crate::entry::ModelCall;
-use crate::entry::ReplyShape;
+use crate::entry::ReplyFormat;
 use crate::manifest::CustomerSpec;
 use crate::manifest::Manifest;
 use crate::manifest::ModelSpec;
@@ -29,34 +29,34 @@
 use crate::units::TargetId;
 use crate::units::Tokens;
 
-/// What a failure takes to reach the caller, so that it does so within the time limit: a twentieth
-/// of the limit, at most this.
-const ANSWER_MARGIN_MAX: Duration = Duration::from_millis(100);
+/// The largest part of a time limit that is kept for telling the caller about a failure, so that a
+/// failure still arrives within the limit. The part is a twentieth of the limit, at most this.
+const REPLY_MARGIN_MAX: Duration = Duration::from_millis(100);
 
-/// A request that was read and checked.
+/// A request that has been read and checked.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The request, by the id that its caller is told.
+    /// The request id that the caller is told.
     pub request: RequestId,
-    /// The upstreams it needs.
+    /// The target that serves the request.
     pub target: TargetId,
-    /// The request for the decisions.
+    /// The request as homes and policies see it.
     pub work: Work,
-    /// When its first byte came.
+    /// When the head of the request had been read.
     pub received: Instant,
-    /// What it may be put through.
-    pub rules: LifeRules,
-    /// The form of its answer.
-    pub shape: ReplyShape,
-    /// The model's name as the caller gave it; empty for plain services.
+    /// Whether the request may run more than once, and whether it needs a claim.
+    pub rules: LifecycleRules,
+    /// The format of the reply.
+    pub format: ReplyFormat,
+    /// The name of the model as the caller wrote it; empty for plain services.
     pub model: String,
-    /// The key that makes repeated sendings one request.
+    /// The idempotency key, which identifies repeated deliveries of one request.
     pub key: Option<IdempotencyKey>,
-    /// A hash over customer, path and body.
+    /// A hash over customer, method, path with query, and body.
     pub content: ContentHash,
     /// The HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// The path with the query.
     pub path: String,
     /// The content type of the body.
     pub content_type: Option<String>,
@@ -65,48 +65,48 @@
 }
 
 impl Job {
-    /// Whether its answer is a stream of tokens.
+    /// Whether the target is a model, whose response is a stream of tokens.
     pub fn is_model(&self) -> bool {
-        self.shape != ReplyShape::Plain
+        self.format != ReplyFormat::PassThrough
     }
 }
 
-/// The head of a request: all that is known before its body.
+/// The head of a request: everything that is known before its body is read.
 #[derive(Clone, Debug)]
 pub struct JobHead {
-    /// The request.
+    /// The request id.
     pub request: RequestId,
     /// The host that holds the caller's connection.
     pub host: HostId,
-    /// When its first byte came.
+    /// When the head of the request had been read.
     pub received: Instant,
     /// The HTTP method.
     pub method: Method,
     /// The path.
     pub path: String,
-    /// Path and query.
+    /// The path with the query.
     pub path_and_query: String,
     /// The content type of the body.
     pub content_type: Option<String>,
-    /// What the caller says in headers.
+    /// The parsed headers of the caller.
     pub headers: CallerHeaders,
 }
 
-/// What a path leads to.
+/// What the path of a request selects.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Route {
-    /// A model call; which model is in the body.
+pub enum RequestRoute {
+    /// A model call. The body names the model.
     Model(CallKind),
     /// A plain service.
     Service(ServiceSpec),
 }
 
-/// A request that can't be served, with a sentence for its caller.
-pub type Rejection = (FailReason, String);
+/// Why a request can't be served, with a message for its caller.
+pub type Rejection = (FailureReason, String);
 
 impl JobHead {
-    /// Where the request goes.
-    pub fn route(&self, manifest: &Manifest) -> Result<Route, Rejection> {
+    /// Finds what serves the request's path and method.
+    pub fn route(&self, manifest: &Manifest) -> Result<RequestRoute, Rejection> {
         let kind = match self.path.as_str() {
             "/v1/completions" => Some(CallKind::Completion),
             "/v1/chat/completions" => Some(CallKind::Chat),
@@ -114,9 +114,12 @@
         };
         if let Some(kind) = kind {
             if self.method != Method::POST {
-                return Err((FailReason::NotServed, format!("{} takes POST", self.path)));
+                return Err((
+                    FailureReason::NotServed,
+                    format!("{} accepts only POST", self.path),
+                ));
             }
-            return Ok(Route::Model(kind));
+            return Ok(RequestRoute::Model(kind));
         }
         let name = self
             .path
@@ -130,14 +133,18 @@
             .find(|service| service.name.as_str() == name);
         let unknown = || {
             (
-                FailReason::NotServed,
+                FailureReason::NotServed,
                 format!("no service at {}", self.path),
             )
         };
-        service.cloned().map(Route::Service).ok_or_else(unknown)
+        service
+            .cloned()
+            .map(RequestRoute::Service)
+            .ok_or_else(unknown)
     }
 
-    /// Who the request is for.
+    /// The manifest's entry for the request's customer. Customers without an entry of their own
+    /// share the entry `default`, if there is one.
     pub fn customer<'a>(&self, manifest: &'a Manifest) -> Result<&'a CustomerSpec, Rejection> {
         let name = self
             .headers
@@ -152,31 +159,31 @@
         };
         let unknown = || {
             (
-                FailReason::Forbidden,
+                FailureReason::Forbidden,
                 format!("customer {name} is not in the manifest"),
             )
         };
         find(name).or_else(|| find("default")).ok_or_else(unknown)
     }
 
-    /// When it must have been answered.
+    /// When the caller must have the reply or the failure, less the time to deliver a failure.
     pub fn deadline(&self, manifest: &Manifest) -> Instant {
         let limits = &manifest.limits;
-        let longest = Duration::from_millis(limits.deadline_max_ms);
-        let usual = Duration::from_millis(limits.deadline_default_ms);
-        let limit = self.headers.timeout.unwrap_or(usual).min(longest);
-        self.received + limit.saturating_sub((limit / 20).min(ANSWER_MARGIN_MAX))
+        let max_limit = Duration::from_millis(limits.deadline_max_ms);
+        let default_limit = Duration::from_millis(limits.deadline_default_ms);
+        let limit = self.headers.timeout.unwrap_or(default_limit).min(max_limit);
+        self.received + limit.saturating_sub((limit / 20).min(REPLY_MARGIN_MAX))
     }
 
-    /// The largest body it may have.
+    /// The largest body that the manifest allows.
     pub fn body_size_max(manifest: &Manifest) -> ByteSize {
         manifest.limits.body_size_max
     }
 
-    /// The whole job, once the body is there.
+    /// Builds the job once the body has been read.
     pub fn into_job(
         self,
-        route: &Route,
+        route: &RequestRoute,
         manifest: &Manifest,
         body: Bytes,
     ) -> Result<Job, Rejection> {
@@ -189,13 +196,13 @@
             .unwrap_or_else(|| customer.name.clone());
         let deadline = self.deadline(manifest);
         let plan = match route {
-            Route::Model(kind) => model_plan(*kind, manifest, &body)?,
-            Route::Service(service) => self.service_plan(service),
+            RequestRoute::Model(kind) => model_plan(*kind, manifest, &body)?,
+            RequestRoute::Service(service) => self.service_plan(service),
         };
         let repeatable = self.headers.repeatable.unwrap_or(plan.repeatable);
         if plan.key_required && !repeatable && self.headers.key.is_none() {
-            let why = format!("{} needs an Idempotency-Key", plan.target);
-            return Err((FailReason::BadRequest, why));
+            let why = format!("{} requires an Idempotency-Key header", plan.target);
+            return Err((FailureReason::BadRequest, why));
         }
         let needs_claim = !repeatable && self.headers.key.is_some();
         let content = self.content_hash(&customer, &body);
@@ -214,11 +221,11 @@
             },
             target: plan.target,
             received: self.received,
-            rules: LifeRules {
+            rules: LifecycleRules {
                 repeatable,
                 needs_claim,
             },
-            shape: plan.shape,
+            format: plan.format,
             model: plan.model,
             key: self.headers.key,
             content,
@@ -237,35 +244,35 @@
         let rank = |name: &str| {
             let unknown = || {
                 (
-                    FailReason::BadRequest,
+                    FailureReason::BadRequest,
                     format!("no priority is named {name}"),
                 )
             };
             manifest.rank(name).ok_or_else(unknown)
         };
-        let first = rank(&customer.priority)?;
+        let customer_rank = rank(&customer.priority)?;
         let Some(name) = &self.headers.priority else {
-            return Ok(first);
+            return Ok(customer_rank);
         };
-        let wanted = rank(name)?;
-        if wanted < first {
-            let why = format!("{} may not name the priority {name}", customer.name);
-            return Err((FailReason::Forbidden, why));
+        let requested = rank(name)?;
+        if requested < customer_rank {
+            let why = format!("customer {} may not use the priority {name}", customer.name);
+            return Err((FailureReason::Forbidden, why));
         }
-        Ok(wanted)
+        Ok(requested)
     }
 
-    fn service_plan(&self, service: &ServiceSpec) -> Plan {
+    fn service_plan(&self, service: &ServiceSpec) -> TargetPlan {
         let repeatable = match service.repeatable {
             RepeatRule::Always => true,
             RepeatRule::Never => false,
             RepeatRule::ByMethod => self.method.is_idempotent(),
         };
-        Plan {
+        TargetPlan {
             target: service.name.clone(),
             repeatable,
             key_required: service.key_required,
-            shape: ReplyShape::Plain,
+            format: ReplyFormat::PassThrough,
             model: String::new(),
             prompt_tokens: Tokens::ZERO,
             output_tokens: Tokens::ZERO,
@@ -288,22 +295,22 @@
     }
 }
 
-struct Plan {
+struct TargetPlan {
     target: TargetId,
     repeatable: bool,
     key_required: bool,
-    shape: ReplyShape,
+    format: ReplyFormat,
     model: String,
     prompt_tokens: Tokens,
     output_tokens: Tokens,
     prefixes: Vec<(ContentHash, Tokens)>,
 }
 
-fn model_plan(kind: CallKind, manifest: &Manifest, body: &[u8]) -> Result<Plan, Rejection> {
-    let call = ModelCall::read(kind, body).map_err(|why| (FailReason::BadRequest, why))?;
+fn model_plan(kind: CallKind, manifest: &Manifest, body: &[u8]) -> Result<TargetPlan, Rejection> {
+    let call = ModelCall::read(kind, body).map_err(|why| (FailureReason::BadRequest, why))?;
     let unknown = || {
         (
-            FailReason::UnknownTarget,
+            FailureReason::UnknownTarget,
             format!("no model is named {}", call.target),
         )
     };
@@ -313,21 +320,21 @@
         .unwrap_or(manifest.limits.output_tokens_default);
     if call.prompt_tokens + output_tokens > spec.context_tokens_max {
         let why = format!(
-            "prompt and answer come to about {} tokens, {} takes {}",
+            "prompt and output need about {} tokens, but {} accepts at most {}",
             call.prompt_tokens + output_tokens,
             spec.name,
             spec.context_tokens_max
         );
-        return Err((FailReason::BodyTooLarge, why));
+        return Err((FailureReason::BodyTooLarge, why));
     }
-    Ok(Plan {
+    Ok(TargetPlan {
         target: spec.name.clone(),
         repeatable: true,
         key_required: false,
-        shape: if call.stream {
-            ReplyShape::Stream(kind)
+        format: if call.stream {
+            ReplyFormat::Stream(kind)
         } else {
-            ReplyShape::Whole(kind)
+            ReplyFormat::Json(kind)
         },
         model: call.target.to_string(),
         prompt_tokens: call.prompt_tokens,
@@ -336,7 +343,7 @@
     })
 }
 
-/// A model by its name, or by `MODEL:ADAPTER`.
+/// Finds a model by its name, or by `MODEL:ADAPTER`.
 fn find_model<'a>(manifest: &'a Manifest, target: &TargetId) -> Option<&'a ModelSpec> {
     match manifest.target(target)? {
         Target::Model(model) | Target::Adapter { model, .. } => Some(model),
--- /dev/null
+++ b/src/entry/lifecycle.rs
@@ -0,0 +1,336 @@
+//! The lifecycle of a request as a state machine without I/O.
+
+use statig::prelude::*;
+
+use crate::control::outcome::AfterFailure;
+use crate::control::outcome::Outcome as RunOutcome;
+use crate::control::outcome::RunTracker;
+use crate::decide::RefuseReason;
+use crate::entry::FailureReason;
+use crate::entry::RequestOutcome;
+
+/// How often an interrupted response is resumed at the same upstream before the attempt counts as
+/// lost. A connection that breaks more often than this within one response is unlikely to recover.
+const RESUMES_MAX: u8 = 3;
+
+/// The rules for running a request, fixed once it has been read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LifecycleRules {
+    /// The request may run more than once.
+    pub repeatable: bool,
+    /// The request must be claimed before each dispatch.
+    pub needs_claim: bool,
+}
+
+/// An event in the lifecycle of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LifecycleEvent {
+    /// The request passed the admission check.
+    Admitted,
+    /// The request failed the admission check.
+    Rejected(FailureReason),
+    /// A home granted one dispatch.
+    Granted,
+    /// A home refused the request.
+    Refused(RefuseReason),
+    /// The claim is recorded for this request.
+    Claimed,
+    /// An earlier request with the same key holds the claim, and its response can be read.
+    ClaimHeld,
+    /// The claim was not recorded, and will not be.
+    ClaimFailed(FailureReason),
+    /// The first byte of the reply went to the caller.
+    ReplyStarted,
+    /// The response was received completely.
+    ResponseCompleted,
+    /// The attempt ended without a complete response.
+    AttemptFailed(AttemptFailure),
+    /// The retry budget and the remaining time allow another attempt.
+    RetryAllowed,
+    /// The retry budget or the remaining time does not allow another attempt.
+    RetryDenied,
+    /// The time limit has passed.
+    DeadlineExceeded,
+    /// The caller has disconnected, or reads too slowly.
+    CallerGone,
+}
+
+/// How an attempt failed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AttemptFailure {
+    /// The attempt certainly did not run.
+    DidNotRun,
+    /// The connection broke; the attempt may still be running at the upstream.
+    Interrupted,
+    /// The upstream failed the attempt, no longer knows the attempt, or died.
+    Lost,
+    /// The upstream sent something that is not this attempt's response.
+    InvalidResponse,
+}
+
+/// The next action for a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LifecycleAction {
+    /// No action, since the event changes nothing.
+    Nothing,
+    /// Request a grant from a home.
+    RequestGrant,
+    /// Record a claim.
+    Claim,
+    /// Dispatch the request under its grant.
+    Dispatch,
+    /// Resume the response from the point of its interruption.
+    Resume,
+    /// Decide whether the retry budget and the remaining time allow another attempt.
+    DecideRetry,
+    /// Read the response of the attempt that holds the claim.
+    FollowClaim,
+    /// Tell the caller the outcome.
+    Finish(RequestOutcome),
+    /// Release everything, since no caller waits for the reply.
+    Abandon,
+}
+
+/// The lifecycle of one request.
+///
+/// The state machine enforces two rules. Once an attempt may have run, the outcome is never "not
+/// run". Once a byte of a reply went to the caller, no other attempt's response may follow.
+#[derive(Debug)]
+pub struct RequestLifecycle {
+    rules: LifecycleRules,
+    run_tracker: RunTracker,
+    reply_started: bool,
+    resumes: u8,
+    last_failure: Option<AttemptFailure>,
+}
+
+impl RequestLifecycle {
+    /// Creates the lifecycle of a request that has not passed the admission check yet.
+    pub fn new(rules: LifecycleRules) -> Self {
+        Self {
+            rules,
+            run_tracker: RunTracker::new(rules.repeatable),
+            reply_started: false,
+            resumes: 0,
+            last_failure: None,
+        }
+    }
+
+    fn finish_failed(&self, reason: FailureReason) -> LifecycleAction {
+        LifecycleAction::Finish(match self.run_tracker.outcome() {
+            RunOutcome::NotRun => RequestOutcome::NotRun(reason),
+            RunOutcome::MayHaveRun | RunOutcome::Completed => RequestOutcome::MayHaveRun(reason),
+        })
+    }
+
+    fn dispatch(&mut self) -> LifecycleAction {
+        self.run_tracker.on_send();
+        self.resumes = 0;
+        LifecycleAction::Dispatch
+    }
+
+    fn after_attempt_failure(&mut self, failure: AttemptFailure) -> NextStep {
+        self.last_failure = Some(failure);
+        if failure == AttemptFailure::Interrupted && self.resumes < RESUMES_MAX {
+            self.resumes += 1;
+            return NextStep::Resume;
+        }
+        match self
+            .run_tracker
+            .on_attempt_ended(failure == AttemptFailure::DidNotRun)
+        {
+            AfterFailure::RetryAllowed if !self.reply_started => NextStep::DecideRetry,
+            _ => NextStep::Fail,
+        }
+    }
+
+    fn failure_reason(&self) -> FailureReason {
+        match self.last_failure {
+            Some(AttemptFailure::InvalidResponse) => FailureReason::UpstreamInvalidResponse,
+            _ => FailureReason::UpstreamFailed,
+        }
+    }
+}
+
+enum NextStep {
+    Resume,
+    DecideRetry,
+    Fail,
+}
+
+#[state_machine(
+    initial = "State::reading()",
+    state(derive(Debug)),
+    superstate(derive(Debug))
+)]
+impl RequestLifecycle {
+    #[state(superstate = "open")]
+    fn reading(context: &mut LifecycleAction, event: &LifecycleEvent) -> Outcome<State> {
+        match event {
+            LifecycleEvent::Admitted => {
+                *context = LifecycleAction::RequestGrant;
+                Transition(State::waiting())
+            }
+            _ => Super,
+        }
+    }
+
+    #[state(superstate = "open")]
+    fn waiting(&mut self, context: &mut LifecycleAction, event: &LifecycleEvent) -> Outcome<State> {
+        match event {
+            LifecycleEvent::Granted if self.rules.needs_claim => {
+                *context = LifecycleAction::Claim;
+                Transition(State::claiming())
+            }
+            LifecycleEvent::Granted => {
+                *context = self.dispatch();
+                Transition(State::running())
+            }
+            LifecycleEvent::Refused(reason) => {
+                *context = self.finish_failed(FailureReason::Refused(*reason));
+                Transition(State::closed())
+            }
+            _ => Super,
+        }
+    }
+
+    #[state(superstate = "open")]
+    fn claiming(
+        &mut self,
+        context: &mut LifecycleAction,
+        event: &LifecycleEvent,
+    ) -> Outcome<State> {
+        match event {
+            LifecycleEvent::Claimed => {
+                *context = self.dispatch();
+                Transition(State::running())
+            }
+            LifecycleEvent::ClaimHeld => {
+                // The earlier request with this key has run or is running, so "not run" would be
+                // wrong from here on.
+                self.run_tracker.on_response_start();
+                *context = LifecycleAction::FollowClaim;
+                Transition(State::following())
+            }
+            LifecycleEvent::ClaimFailed(FailureReason::KeyMayHaveRun) => {
+                self.run_tracker.on_response_start();
+                *context = self.finish_failed(FailureReason::KeyMayHaveRun);
+                Transition(State::closed())
+            }
+            LifecycleEvent::ClaimFailed(reason) => {
+                *context = self.finish_failed(*reason);
+                Transition(State::closed())
+            }
+            _ => Super,
+        }
+    }
+
+    #[state(superstate = "open")]
+    fn running(&mut self, context: &mut LifecycleAction, event: &LifecycleEvent) -> Outcome<State> {
+        match event {
+            LifecycleEvent::ResponseCompleted => {
+                *context = LifecycleAction::Finish(RequestOutcome::Completed);
+                Transition(State::closed())
+            }
+            LifecycleEvent::AttemptFailed(failure) => match self.after_attempt_failure(*failure) {
+                NextStep::Resume => {
+                    *context = LifecycleAction::Resume;
+                    Handled
+                }
+                NextStep::DecideRetry => {
+                    *context = LifecycleAction::DecideRetry;
+                    Transition(State::retrying())
+                }
+                NextStep::Fail => {
+                    *context = self.finish_failed(self.failure_reason());
+                    Transition(State::closed())
+                }
+            },
+            _ => Super,
+        }
+    }
+
+    #[state(superstate = "open")]
+    fn retrying(
+        &mut self,
+        context: &mut LifecycleAction,
+        event: &LifecycleEvent,
+    ) -> Outcome<State> {
+        match event {
+            LifecycleEvent::RetryAllowed => {
+                *context = LifecycleAction::RequestGrant;
+                Transition(State::waiting())
+            }
+            LifecycleEvent::RetryDenied => {
+                *context = self.finish_failed(self.failure_reason());
+                Transition(State::closed())
+            }
+            _ => Super,
+        }
+    }
+
+    #[state(superstate = "open")]
+    fn following(
+        &mut self,
+        context: &mut LifecycleAction,
+        event: &LifecycleEvent,
+    ) -> Outcome<State> {
+        match event {
+            LifecycleEvent::ResponseCompleted => {
+                *context = LifecycleAction::Finish(RequestOutcome::Completed);
+                Transition(State::closed())
+            }
+            LifecycleEvent::AttemptFailed(AttemptFailure::Interrupted)
+                if self.resumes < RESUMES_MAX =>
+            {
+                self.resumes += 1;
+                *context = LifecycleAction::FollowClaim;
+                Handled
+            }
+            LifecycleEvent::AttemptFailed(_) => {
+                *context = self.finish_failed(FailureReason::KeyMayHaveRun);
+                Transition(State::closed())
+            }
+            _ => Super,
+        }
+    }
+
+    #[state]
+    fn closed(event: &LifecycleEvent) -> Outcome<State> {
+        let _ = event;
+        Handled
+    }
+
+    #[superstate]
+    fn open(&mut self, context: &mut LifecycleAction, event: &LifecycleEvent) -> Outcome<State> {
+        match event {
+            LifecycleEvent::ReplyStarted => {
+                self.reply_started = true;
+                Handled
+            }
+            LifecycleEvent::Rejected(reason) => {
+                *context = self.finish_failed(*reason);
+                Transition(State::closed())
+            }
+            LifecycleEvent::DeadlineExceeded => {
+                *context = self.finish_failed(FailureReason::DeadlineExceeded);
+                Transition(State::closed())
+            }
+            LifecycleEvent::CallerGone => {
+                *context = LifecycleAction::Abandon;
+                Transition(State::closed())
+            }
+            _ => Handled,
+        }
+    }
+}
+
+/// Feeds an event to the state machine and returns the next action.
+pub fn advance(
+    lifecycle: &mut StateMachine<RequestLifecycle>,
+    event: LifecycleEvent,
+) -> LifecycleAction {
+    let mut action = LifecycleAction::Nothing;
+    lifecycle.handle_with_context(&event, &mut action);
+    action
+}
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -1,4 +1,4 @@
-//! The port for callers.
+//! Serves the HTTP port for callers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,39 +21,43 @@
 
 use crate::control::outcome::Outcome;
 use crate::entry::CallerHeaders;
-use crate::entry::EntryParts;
-use crate::entry::FailReason;
-use crate::entry::Failure;
+use crate::entry::EntryContext;
+use crate::entry::FailureReason;
+use crate::entry::FailureReply;
 use crate::entry::Job;
 use crate::entry::JobHead;
 use crate::entry::Rejection;
 use crate::entry::Reply;
 use crate::entry::ReplyBody;
-use crate::entry::Route;
-use crate::entry::Verdict;
+use crate::entry::RequestOutcome;
+use crate::entry::RequestRoute;
 use crate::entry::driver::Driver;
 use crate::manifest::ManifestInForce;
 use crate::units::RequestId;
 
-/// A caller that has not sent its whole head by then holds a connection for nothing.
+/// The time limit for reading the head of a request. It keeps idle or slow clients from holding
+/// connections.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// More than any client library sends; larger heads get 431.
+/// The largest head in bytes, more than any client library sends. Larger heads get status 431.
 const HEAD_LEN_MAX: usize = 64 << 10;
 
-/// Parsing a body of a million tokens takes milliseconds, in which the thread would serve nobody
-/// else and short requests would wait. Bodies beyond this size are parsed on a thread of their own.
+/// The largest body in bytes that is parsed on a runtime thread. Parsing a body of a million tokens
+/// takes milliseconds, during which short requests on the same thread would wait, so larger bodies
+/// are parsed on a blocking thread.
 const PARSE_INLINE_MAX: usize = 256 << 10;
 
-/// The pause after the system refused a connection, mostly for want of file descriptors.
+/// The pause after a failed accept, which is mostly due to a lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// When to come back to a host that has no manifest yet, drains, or has no memory for the body.
+/// The retry time for callers of a host that has no manifest yet, drains, or has no memory for the
+/// body.
 const RETRY_AFTER_HOST: Duration = Duration::from_secs(1);
 
-/// Serves callers until `stop` turns true, then finishes the connections that carry a request.
+/// Serves callers until `stop` becomes true, then lets connections with an unfinished request
+/// finish.
 pub async fn serve_callers(
-    parts: Arc<EntryParts>,
+    context: Arc<EntryContext>,
     listener: TcpListener,
     mut stop: watch::Receiver<bool>,
 ) {
@@ -66,17 +70,17 @@
         let stream = match accepted {
             Ok((stream, _)) => stream,
             Err(err) => {
-                warn!("entry: cannot accept: {err}");
+                warn!("entry: cannot accept a connection: {err}");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
         if let Err(err) = stream.set_nodelay(true) {
-            debug!("entry: a connection closed at once: {err}");
+            debug!("entry: a connection was closed right after accept: {err}");
             continue;
         }
-        let parts = Arc::clone(&parts);
-        let service = service_fn(move |req| answer(Arc::clone(&parts), req));
+        let context = Arc::clone(&context);
+        let service = service_fn(move |req| answer(Arc::clone(&context), req));
         let conn = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(HEAD_TIMEOUT)
@@ -93,25 +97,25 @@
 }
 
 async fn answer(
-    parts: Arc<EntryParts>,
+    context: Arc<EntryContext>,
     req: Request<Incoming>,
 ) -> Result<Response<ReplyBody>, hyper::Error> {
     let request = RequestId(rand::random());
     let (head_tx, head_rx) = oneshot::channel();
-    // A task of its own: hyper drops this future when the caller goes, and what an upstream holds
-    // for the request has to be given back even then.
+    // Runs in its own task, since hyper drops this future when the caller disconnects, and
+    // resources that an upstream holds for the request must be released even then.
     tokio::spawn(async move {
-        let mut reply = Reply::new(request, parts.host.clone(), head_tx);
-        handle(&parts, request, req, &mut reply).await;
+        let mut reply = Reply::new(request, context.host.clone(), head_tx);
+        handle(&context, request, req, &mut reply).await;
     });
     Ok(head_rx.await.unwrap_or_else(|_| broken_reply()))
 }
 
-/// The answer if the request's task broke down; it can't know whether anything ran.
+/// The reply if the request's task panicked. Whether an attempt ran is unknown then.
 fn broken_reply() -> Response<ReplyBody> {
     let body =
         r#"{"error":{"message":"internal error","type":"internal","outcome":"may-have-run"}}"#;
-    let mut res = Response::new(ReplyBody::Whole(Some(body.into())));
+    let mut res = Response::new(ReplyBody::Full(Some(body.into())));
     *res.status_mut() = hyper::StatusCode::INTERNAL_SERVER_ERROR;
     let headers = res.headers_mut();
     headers.insert(
@@ -126,35 +130,34 @@
 }
 
 async fn handle(
-    parts: &Arc<EntryParts>,
+    context: &Arc<EntryContext>,
     request: RequestId,
     req: Request<Incoming>,
     reply: &mut Reply,
 ) {
-    let Some(_guard) = parts.in_flight.enter() else {
+    let Some(_guard) = context.in_flight.enter() else {
         let why = "this host is shutting down".to_owned();
-        return reject(reply, (FailReason::Draining, why)).await;
+        return reject(reply, (FailureReason::Draining, why)).await;
     };
-    let Some(in_force) = parts.cluster_view.manifest() else {
-        let why = "this host knows no manifest yet".to_owned();
-        return reject(reply, (FailReason::NotReady, why)).await;
+    let Some(in_force) = context.cluster_view.manifest() else {
+        let why = "this host has no manifest yet".to_owned();
+        return reject(reply, (FailureReason::NotReady, why)).await;
     };
-    match read_job(parts, request, req, &in_force).await {
+    match read_job(context, request, req, &in_force).await {
         Ok((job, _body)) => {
-            reply.set_shape(job.shape, &job.model);
+            reply.set_format(job.format, &job.model);
             let (customer, class) = (job.work.customer.clone(), job.work.class());
-            parts.metrics.add_in_flight(class, 1);
-            let verdict = Driver::new(parts, job, reply).run().await;
-            parts.metrics.add_in_flight(class, -1);
-            // A caller that went away before the end did not see whether it ran.
-            let (outcome, reason) = verdict
-                .map_or((Outcome::MayHaveRun, "caller_gone"), |verdict| {
-                    (verdict.outcome(), verdict.reason())
-                });
-            parts
+            context.metrics.add_in_flight(class, 1);
+            let outcome = Driver::new(context, job, reply).run().await;
+            context.metrics.add_in_flight(class, -1);
+            // For a caller that disconnected before the end, the request may have run.
+            let (kind, reason) = outcome.map_or((Outcome::MayHaveRun, "caller_gone"), |outcome| {
+                (outcome.kind(), outcome.reason())
+            });
+            context
                 .metrics
-                .count_outcome(&customer, class, outcome, reason);
-            debug!(request:% = request; "entry: {outcome} {reason}");
+                .count_outcome(&customer, class, kind, reason);
+            debug!(request:% = request; "entry: {kind} {reason}");
         }
         Err(rejection) => reject(reply, rejection).await,
     }
@@ -163,38 +166,38 @@
 async fn reject(reply: &mut Reply, (reason, message): Rejection) {
     let comes_back = matches!(
         reason,
-        FailReason::Draining | FailReason::NotReady | FailReason::BodyMemory
+        FailureReason::Draining | FailureReason::NotReady | FailureReason::BodyMemory
     );
     let retry_after = comes_back.then_some(RETRY_AFTER_HOST);
-    let failure = Failure {
-        verdict: Verdict::NotRun(reason),
+    let failure = FailureReply {
+        outcome: RequestOutcome::NotRun(reason),
         message,
         retry_after,
     };
     if reply.fail(&failure).await.is_err() {
-        debug!("entry: a caller went before its rejection");
+        debug!("entry: a caller disconnected before its rejection was sent");
     }
 }
 
 async fn read_job(
-    parts: &Arc<EntryParts>,
+    context: &Arc<EntryContext>,
     request: RequestId,
     req: Request<Incoming>,
     in_force: &Arc<ManifestInForce>,
-) -> Result<(Job, crate::entry::HeldBody), Rejection> {
+) -> Result<(Job, crate::entry::BufferedBody), Rejection> {
     let manifest = &in_force.manifest;
     let (head, body) = req.into_parts();
     check_head(&head.headers)?;
     let headers = CallerHeaders::read(&head.headers);
-    let headers = headers.map_err(|why| (FailReason::BadRequest, why))?;
+    let headers = headers.map_err(|why| (FailureReason::BadRequest, why))?;
     let content_type = head
         .headers
         .get(CONTENT_TYPE)
         .and_then(|value| value.to_str().ok());
     let job_head = JobHead {
         request,
-        host: parts.host.clone(),
-        received: parts.clock.now(),
+        host: context.host.clone(),
+        received: context.clock.now(),
         method: head.method,
         path: head.uri.path().to_owned(),
         path_and_query: head
@@ -208,22 +211,23 @@
     let route = job_head.route(manifest)?;
     job_head.customer(manifest)?;
     let deadline = job_head.deadline(manifest);
-    let read = parts.bodies.read(body, JobHead::body_size_max(manifest));
-    let held = tokio::time::timeout_at(deadline.into(), read).await;
-    let late = |_| {
+    let read = context.bodies.read(body, JobHead::body_size_max(manifest));
+    let buffered = tokio::time::timeout_at(deadline.into(), read).await;
+    let timed_out = |_| {
         (
-            FailReason::TimeUp,
-            "the body did not come in time".to_owned(),
+            FailureReason::DeadlineExceeded,
+            "the body did not arrive within the time limit".to_owned(),
         )
     };
-    let held = held
-        .map_err(late)?
+    let buffered = buffered
+        .map_err(timed_out)?
         .map_err(|reason| (reason, body_message(reason).to_owned()))?;
-    let job = parse_job(job_head, route, in_force, held.bytes.clone()).await?;
-    Ok((job, held))
+    let job = parse_job(job_head, route, in_force, buffered.bytes.clone()).await?;
+    Ok((job, buffered))
 }
 
-/// hyper bounds what it reads ahead, which a head that arrives at once can exceed.
+/// Checks the size of the headers. hyper limits only what it reads ahead, and a head that arrives
+/// in one read can exceed that limit.
 fn check_head(headers: &HeaderMap) -> Result<(), Rejection> {
     let len: usize = headers
         .iter()
@@ -233,22 +237,22 @@
         return Ok(());
     }
     Err((
-        FailReason::HeadTooLarge,
-        format!("the head has {len} bytes, at most {HEAD_LEN_MAX} are taken"),
+        FailureReason::HeadTooLarge,
+        format!("the head has {len} bytes, more than the limit of {HEAD_LEN_MAX}"),
     ))
 }
 
-fn body_message(reason: FailReason) -> &'static str {
+fn body_message(reason: FailureReason) -> &'static str {
     match reason {
-        FailReason::BodyTooLarge => "the body is larger than the manifest's body_size_max",
-        FailReason::BodyMemory => "this host has no memory left for the body",
-        _ => "the body broke off",
+        FailureReason::BodyTooLarge => "the body is larger than the manifest's body_size_max",
+        FailureReason::BodyMemory => "this host has no memory left for the body",
+        _ => "the body ended early or stalled",
     }
 }
 
 async fn parse_job(
     head: JobHead,
-    route: Route,
+    route: RequestRoute,
     in_force: &Arc<ManifestInForce>,
     body: bytes::Bytes,
 ) -> Result<Job, Rejection> {
@@ -258,5 +262,10 @@
     let in_force = Arc::clone(in_force);
     let parsed =
         tokio::task::spawn_blocking(move || head.into_job(&route, &in_force.manifest, body)).await;
-    parsed.unwrap_or_else(|_| Err((FailReason::BadRequest, "the body can't be read".to_owned())))
+    parsed.unwrap_or_else(|_| {
+        Err((
+            FailureReason::BadRequest,
+            "the body could not be parsed".to_owned(),
+        ))
+    })
 }
--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -116,7 +116,7 @@
     /// Announces the live grants to the homes of their pools. A new home learns from the
     /// announcement which grants an earlier home has issued; a home that knows the grants keeps
     /// them.
-    pub fn announce_live_grants(&self) {
+    pub fn announce_grants(&self) {
         for (pool, grants) in self.live_grants.by_pool() {
             if let Some(home) = self.candidates(&pool).into_iter().next() {
                 self.send_announcement(&pool, grants, &home);
@@ -197,7 +197,7 @@
         let mut withdrawal = Withdrawal {
             granter: self,
             pool,
-            queued_at: None,
+            home: None,
             work,
         };
         loop {
@@ -210,7 +210,7 @@
                     }
                     CandidateReply::Status(status) => status,
                 };
-                withdrawal.queued_at = Some(candidate.clone());
+                withdrawal.home = Some(candidate.clone());
                 let outcome = match status {
                     GrantStatus::Queued => {
                         self.wait_for_decision(&mut pushes, &candidate, pool, work)
@@ -220,14 +220,14 @@
                 };
                 match outcome {
                     WaitOutcome::Decided(GrantStatus::Granted(granted)) => {
-                        withdrawal.queued_at = None;
+                        withdrawal.home = None;
                         return self.hold_grant(pool, granted, work);
                     }
                     WaitOutcome::Decided(GrantStatus::Refused {
                         reason,
                         retry_after,
                     }) => {
-                        withdrawal.queued_at = None;
+                        withdrawal.home = None;
                         return GrantAnswer::Refused {
                             reason,
                             retry_after,
@@ -364,7 +364,7 @@
 }
 
 impl Granter for HomeGranter {
-    fn ask(&self, target: TargetId, work: Work) -> BoxFuture<'_, GrantAnswer> {
+    fn request_grant(&self, target: TargetId, work: Work) -> BoxFuture<'_, GrantAnswer> {
         async move { self.request_grant(&target, &work).await }.boxed()
     }
 
@@ -380,14 +380,14 @@
 struct Withdrawal<'a> {
     granter: &'a HomeGranter,
     pool: &'a PoolId,
-    queued_at: Option<HostId>,
+    home: Option<HostId>,
     work: &'a Work,
 }
 
 impl Drop for Withdrawal<'_> {
     fn drop(&mut self) {
         self.granter.waiters.unregister(self.work.request);
-        if let Some(home) = &self.queued_at {
+        if let Some(home) = &self.home {
             self.granter
                 .send_withdraw(home, self.pool, self.work.request);
         }
--- a/src/fleet/manifest_runner.rs
+++ b/src/fleet/manifest_runner.rs
@@ -91,8 +91,8 @@
 
     /// Passes the result of reading the manifest from the platform to the controller, and performs
     /// its actions.
-    pub fn on_platform_read(&self, word: ManifestRead) {
-        let actions = self.lock().on_platform_read(word, self.clock.now());
+    pub fn on_platform_read(&self, read: ManifestRead) {
+        let actions = self.lock().on_platform_read(read, self.clock.now());
         self.perform(actions);
     }
 
--- a/src/fleet/membership_runner.rs
+++ b/src/fleet/membership_runner.rs
@@ -19,7 +19,7 @@
 use crate::control::status::EventLog;
 use crate::decide::PoisonReport;
 use crate::decide::UpstreamHealth;
-use crate::entry::PoisonSpread;
+use crate::entry::PoisonBroadcast;
 use crate::fleet::poison_wire;
 use crate::peer::PeerTransport;
 use crate::peer::message::Gossip;
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Stores a host in the cluster view; returns an event if its state is now alive or dead.
+    /// Stores a host in the cluster view; returns an event if its state changed to alive or dead.
     fn update_host(&self, view: HostView) -> Option<MembershipEvent> {
         let id = view.id.clone();
         let state = view.state;
@@ -225,8 +225,8 @@
     }
 }
 
-impl PoisonSpread for MembershipRunner {
-    fn spread(&self, poison: &PoisonReport) {
+impl PoisonBroadcast for MembershipRunner {
+    fn broadcast(&self, poison: &PoisonReport) {
         self.announce_poison(poison_wire::encode_notice(poison));
     }
 }
--- a/standin/src/cmd/mod.rs
+++ b/standin/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands, one a file, each with its usage text, its arguments and one `run`.
+//! The subcommands. Each module holds the usage text, the arguments and `run` of one.
 
 pub mod daemon;
 pub mod demo;
@@ -12,23 +12,23 @@
 
 use pico_args::Arguments;
 
-/// What a subcommand returns.
-pub type Done = Result<ExitCode, Box<dyn Error>>;
+/// Result of a subcommand.
+pub type CommandResult = Result<ExitCode, Box<dyn Error>>;
 
-/// Threads of a fake: it mostly waits.
-const THREADS: usize = 2;
+/// Worker threads of a fake. Two are enough, since a fake mostly waits.
+const FAKE_THREADS: usize = 2;
 
 /// Runs a subcommand on a runtime of its own.
-fn block_on(threads: usize, work: impl Future<Output = Done>) -> Done {
+fn block_on(threads: usize, command: impl Future<Output = CommandResult>) -> CommandResult {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(threads)
         .enable_all()
         .build()?;
-    runtime.block_on(work)
+    runtime.block_on(command)
 }
 
-/// Fails when arguments are left that no option took.
-fn finish(args: Arguments) -> Result<(), Box<dyn Error>> {
+/// Returns an error if arguments are left that no option has consumed.
+fn reject_unknown(args: Arguments) -> Result<(), Box<dyn Error>> {
     match args.finish().as_slice() {
         [] => Ok(()),
         rest => Err(format!("unknown arguments: {rest:?}").into()),
--- a/standin/src/cmd/platform.rs
+++ b/standin/src/cmd/platform.rs
@@ -1,4 +1,4 @@
-//! `standin platform`.
+//! The `platform` subcommand.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -7,10 +7,10 @@
 use pico_args::Arguments;
 
 use crate::cmd;
-use crate::cmd::Done;
+use crate::cmd::CommandResult;
 use crate::platform::PlatformFake;
 
-/// What it takes.
+/// Usage text.
 pub const USAGE: &str = "\
 standin platform [--listen ADDR]
 
@@ -27,17 +27,17 @@
 impl Args {
     fn parse(mut args: Arguments) -> Result<Self, Box<dyn Error>> {
         let listen = args.opt_value_from_str("--listen")?;
-        cmd::finish(args)?;
+        cmd::reject_unknown(args)?;
         Ok(Self {
             listen: listen.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0))),
         })
     }
 }
 
-/// Runs it until it is killed.
-pub fn run(args: Arguments) -> Done {
+/// Runs the platform until its process is killed.
+pub fn run(args: Arguments) -> CommandResult {
     let args = Args::parse(args)?;
-    cmd::block_on(cmd::THREADS, async move {
+    cmd::block_on(cmd::FAKE_THREADS, async move {
         let platform = PlatformFake::start(args.listen).await?;
         println!("listening {}", platform.addr());
         platform.closed().await;
--- a/standin/src/engine/prompt.rs
+++ b/standin/src/engine/prompt.rs
@@ -1,4 +1,4 @@
-//! What an engine reads out of a request's body.
+//! Parsing of a request body by an engine.
 
 use banyanarch::units::ContentHash;
 use serde::Deserialize;
@@ -6,11 +6,11 @@
 
 use crate::engine::cache::Segment;
 
-/// Lengths in bytes at which prefixes are hashed, as docs/PROTOCOLS.md gives them.
+/// Prefix lengths in bytes at which prompts are hashed, as docs/PROTOCOLS.md gives them.
 const PREFIX_LENS_BYTES: [usize; 4] = [4_096, 16_384, 65_536, 262_144];
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// A request's body, as far as an engine cares.
+/// The fields of a request body that an engine uses.
 #[derive(Clone, Debug)]
 pub(crate) struct Prompt {
     pub(crate) text: String,
@@ -19,7 +19,7 @@
 }
 
 #[derive(Deserialize)]
-struct Wire {
+struct RequestBody {
     #[serde(default)]
     prompt: Value,
     #[serde(default)]
@@ -39,18 +39,22 @@
 
 impl Prompt {
     pub(crate) fn parse(body: &[u8]) -> Result<Self, String> {
-        let wire: Wire = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-        let text = match wire.prompt {
-            Value::Null => wire.messages.iter().map(|m| text_of(&m.content)).collect(),
-            prompt => text_of(&prompt),
+        let body_fields: RequestBody = serde_json::from_slice(body).map_err(|e| e.to_string())?;
+        let text = match body_fields.prompt {
+            Value::Null => body_fields
+                .messages
+                .iter()
+                .map(|m| content_text(&m.content))
+                .collect(),
+            prompt => content_text(&prompt),
         };
         if text.is_empty() {
             return Err("neither prompt nor messages".to_owned());
         }
         Ok(Self {
             text,
-            max_tokens: wire.max_completion_tokens.or(wire.max_tokens),
-            stream: wire.stream,
+            max_tokens: body_fields.max_completion_tokens.or(body_fields.max_tokens),
+            stream: body_fields.stream,
         })
     }
 
@@ -58,7 +62,7 @@
         (self.text.len() as u64).div_ceil(BYTES_PER_TOKEN)
     }
 
-    /// The segments of the prompt that a cache can hold.
+    /// Returns the segments of the prompt that the prefix cache can hold.
     pub(crate) fn segments(&self) -> Vec<Segment> {
         let mut segments: Vec<Segment> = Vec::new();
         let bytes = self.text.as_bytes();
@@ -79,11 +83,12 @@
     }
 }
 
-/// The text of a prompt or a message: a string, or a list of strings or of parts with a text.
-fn text_of(content: &Value) -> String {
+/// Returns the text of a prompt or message: a string, or a list of strings or of parts with a
+/// `text` field.
+fn content_text(content: &Value) -> String {
     match content {
         Value::String(text) => text.clone(),
-        Value::Array(parts) => parts.iter().map(text_of).collect(),
+        Value::Array(parts) => parts.iter().map(content_text).collect(),
         part => part["text"].as_str().unwrap_or("").to_owned(),
     }
 }
--- a/standin/src/fleet/dir.rs
+++ b/standin/src/fleet/dir.rs
@@ -1,4 +1,4 @@
-//! A directory for settings, records and logs of one run.
+//! Directory for the settings, records and logs of one run.
 
 use std::fs;
 use std::io;
@@ -7,15 +7,15 @@
 
 const TAIL_LINES: usize = 20;
 
-/// A fresh directory under the machine's temporary one, removed when dropped.
+/// A new directory under the system's temporary directory, removed when dropped.
 #[derive(Debug)]
 pub struct WorkDir {
     path: PathBuf,
-    keeps: bool,
+    is_kept: bool,
 }
 
 impl WorkDir {
-    /// Makes it.
+    /// Creates the directory.
     pub fn new() -> io::Result<Self> {
         let name = format!(
             "standin-{}-{:08x}",
@@ -24,36 +24,39 @@
         );
         let path = std::env::temp_dir().join(name);
         fs::create_dir(&path)?;
-        Ok(Self { path, keeps: false })
+        Ok(Self {
+            path,
+            is_kept: false,
+        })
     }
 
-    /// The path of a file in it.
+    /// Returns the path of a file in the directory.
     pub fn path(&self, name: &str) -> PathBuf {
         self.path.join(name)
     }
 
-    /// The directory itself.
+    /// Returns the path of the directory.
     pub fn root(&self) -> &Path {
         &self.path
     }
 
-    /// Leaves it in place.
+    /// Keeps the directory when `self` is dropped.
     pub fn keep(&mut self) {
-        self.keeps = true;
+        self.is_kept = true;
     }
 
-    /// The last lines of a process's log.
+    /// Returns the last lines of the log of a process.
     pub fn tail(&self, name: &str) -> String {
         let text = fs::read_to_string(self.path(&format!("{name}.log"))).unwrap_or_default();
         let lines: Vec<&str> = text.lines().collect();
-        let from = lines.len().saturating_sub(TAIL_LINES);
-        format!("--- {name}\n{}\n", lines[from..].join("\n"))
+        let first = lines.len().saturating_sub(TAIL_LINES);
+        format!("--- {name}\n{}\n", lines[first..].join("\n"))
     }
 }
 
 impl Drop for WorkDir {
     fn drop(&mut self) {
-        if self.keeps {
+        if self.is_kept {
             eprintln!("logs are in {}", self.path.display());
         } else {
             let _ = fs::remove_dir_all(&self.path);
--- a/standin/src/fleet/plan.rs
+++ b/standin/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! What a fleet is made of.
+//! Plan of a fleet.
 
 use std::net::SocketAddr;
 
@@ -9,54 +9,60 @@
 use crate::engine::EngineOptions;
 use crate::service::ServiceOptions;
 
-/// The model that engines of a plan serve.
+/// The model that the engines of a plan serve.
 pub const MODEL: &str = "ledger-model";
 /// The plain service of a plan.
 pub const SERVICE: &str = "grants-app";
 
-/// A plan of a fleet.
+/// A plan of the processes of a fleet and their settings.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// The deployment's name.
+    /// The name of the deployment.
     pub deployment: &'static str,
     /// The failure domain of each engine.
     pub engine_domains: Vec<&'static str>,
-    /// How engines are made.
+    /// The options of each engine.
     pub engine: EngineOptions,
     /// The failure domain of each instance of the plain service.
     pub service_domains: Vec<&'static str>,
-    /// How instances of the plain service are made.
+    /// The options of each instance of the plain service.
     pub service: ServiceOptions,
-    /// Names of entry hosts with their failure domains.
+    /// The names of the entry hosts with their failure domains.
     pub hosts: Vec<(String, String)>,
-    /// Worker threads of a host.
+    /// The number of worker threads of a host.
     pub host_threads: usize,
-    /// How long a draining host still takes work.
+    /// How long a draining host still accepts work, in milliseconds.
     pub drain_notice_ms: u64,
-    /// The decisions that homes run.
+    /// The dispatch policy of the hosts.
     pub policy: PolicyName,
     /// The customers with their shares.
     pub customers: Vec<(String, u32)>,
-    /// Requests a second and burst of each customer.
+    /// The rate limit of each customer: requests a second, and burst.
     pub customer_rate: (f64, u32),
-    /// What the deployment weighs more heavily: `short_slowdown` or `first_token`.
+    /// The objective of the manifest: `short_slowdown` or `first_token`.
     pub objective: &'static str,
 }
 
 impl FleetPlan {
-    /// A plan with so many engines, service instances and hosts, dealt out over the domains.
+    /// Returns a plan with these numbers of engines, service instances and hosts, distributed over
+    /// the domains in turn.
     pub fn new(domains: &[&'static str], engines: usize, services: usize, hosts: usize) -> Self {
-        let deal = |count: usize| -> Vec<&'static str> {
+        let assign_domains = |count: usize| -> Vec<&'static str> {
             domains.iter().copied().cycle().take(count).collect()
         };
-        let host = |(at, domain): (usize, &str)| (format!("entry-{}", at + 1), domain.to_owned());
+        let host =
+            |(index, domain): (usize, &str)| (format!("entry-{}", index + 1), domain.to_owned());
         Self {
             deployment: "standin",
-            engine_domains: deal(engines),
+            engine_domains: assign_domains(engines),
             engine: EngineOptions::default(),
-            service_domains: deal(services),
+            service_domains: assign_domains(services),
             service: ServiceOptions::default(),
-            hosts: deal(hosts).into_iter().enumerate().map(host).collect(),
+            hosts: assign_domains(hosts)
+                .into_iter()
+                .enumerate()
+                .map(host)
+                .collect(),
             host_threads: 2,
             drain_notice_ms: 500,
             policy: PolicyName::default(),
@@ -66,7 +72,7 @@
         }
     }
 
-    /// The manifest, in JSON, which is YAML too.
+    /// Returns the manifest as JSON, which is valid YAML.
     pub fn manifest(&self) -> String {
         let (rate, burst) = self.customer_rate;
         let customers = self.customers.iter().map(|(name, share)| {
@@ -80,14 +86,14 @@
         });
         let customers: Vec<Value> = customers.collect();
         let engine = &self.engine;
-        let in_all = engine.memory_tokens * self.engine_domains.len() as u64;
+        let fleet_memory_tokens = engine.memory_tokens * self.engine_domains.len() as u64;
         let model = json!({
             "name": MODEL,
             "version": "1",
             "engine_memory_tokens": engine.memory_tokens,
             "engine_slots": engine.slots,
             "prefill_speed": format!("{}tok/s", engine.prefill_tokens_per_second),
-            "context_tokens_max": in_all.min(1_000_000),
+            "context_tokens_max": fleet_memory_tokens.min(1_000_000),
         });
         let service = json!({
             "name": SERVICE,
@@ -106,8 +112,8 @@
         serde_json::to_string_pretty(&manifest).unwrap_or_default()
     }
 
-    /// Names and arguments of the engines.
-    pub(crate) fn engines(&self, platform: SocketAddr) -> Vec<(String, Vec<String>)> {
+    /// Returns the names and command-line arguments of the engines.
+    pub(crate) fn engine_commands(&self, platform: SocketAddr) -> Vec<(String, Vec<String>)> {
         let e = &self.engine;
         let options = [
             ("--memory-tokens", e.memory_tokens.to_string()),
@@ -120,16 +126,16 @@
             ("--report-lag-ms", e.report_lag_ms.to_string()),
             ("--model", MODEL.to_owned()),
         ];
-        nodes("engine", MODEL, &self.engine_domains, &options, platform)
+        upstream_commands("engine", MODEL, &self.engine_domains, &options, platform)
     }
 
-    /// Names and arguments of the service's instances.
-    pub(crate) fn services(&self, platform: SocketAddr) -> Vec<(String, Vec<String>)> {
+    /// Returns the names and command-line arguments of the service instances.
+    pub(crate) fn service_commands(&self, platform: SocketAddr) -> Vec<(String, Vec<String>)> {
         let options = [
             ("--latency-ms", self.service.latency_ms.to_string()),
             ("--slots", self.service.slots.to_string()),
         ];
-        nodes(
+        upstream_commands(
             "service",
             SERVICE,
             &self.service_domains,
@@ -139,24 +145,24 @@
     }
 }
 
-fn nodes(
+fn upstream_commands(
     command: &str,
     target: &str,
     domains: &[&str],
     options: &[(&str, String)],
     platform: SocketAddr,
 ) -> Vec<(String, Vec<String>)> {
-    let node = |(at, domain): (usize, &&str)| {
-        let name = format!("{command}-{}", at + 1);
+    let upstream = |(index, domain): (usize, &&str)| {
+        let name = format!("{command}-{}", index + 1);
         let mut args = vec![command.to_owned()];
         let platform = platform.to_string();
-        let place = [
+        let machine_args = [
             ("--machine", &name),
             ("--domain", &(*domain).to_owned()),
             ("--target", &target.to_owned()),
             ("--platform", &platform),
         ];
-        for (key, value) in place {
+        for (key, value) in machine_args {
             args.extend([key.to_owned(), value.clone()]);
         }
         for (key, value) in options {
@@ -164,5 +170,5 @@
         }
         (name, args)
     };
-    domains.iter().enumerate().map(node).collect()
+    domains.iter().enumerate().map(upstream).collect()
 }
--- a/standin/src/http/client.rs
+++ b/standin/src/http/client.rs
@@ -1,4 +1,4 @@
-//! A client that opens one connection a call, so that nothing is resent unseen.
+//! HTTP client that opens a new connection for each call, so that no call is resent implicitly.
 
 use std::error::Error;
 use std::fmt;
@@ -16,22 +16,22 @@
 use serde_json::Value;
 use tokio::net::TcpStream;
 
-/// Why a call gave no answer.
+/// Why a call did not return a successful response.
 #[derive(Debug)]
 pub enum CallError {
-    /// No connection came about, so nothing was sent.
-    Connect(String),
-    /// The connection broke after the call began.
-    Cut(String),
-    /// The answer had this status, with its body.
+    /// The connection could not be established, so nothing was sent.
+    ConnectFailed(String),
+    /// The connection broke after the request was sent.
+    ConnectionCut(String),
+    /// The response had this status code and body.
     Status(u16, String),
 }
 
 impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Connect(why) => write!(f, "no connection: {why}"),
-            Self::Cut(why) => write!(f, "cut off: {why}"),
+            Self::ConnectFailed(reason) => write!(f, "no connection: {reason}"),
+            Self::ConnectionCut(reason) => write!(f, "cut off: {reason}"),
             Self::Status(status, body) => write!(f, "status {status}: {body}"),
         }
     }
@@ -39,22 +39,23 @@
 
 impl Error for CallError {}
 
-/// Sends one request and returns the answer's head with its body to read.
+/// Sends one request and returns the response with its body still to be read.
 pub async fn call(
     addr: SocketAddr,
     request: Request<Full<Bytes>>,
 ) -> Result<Response<Incoming>, CallError> {
     let conn = TcpStream::connect(addr).await;
-    let conn = conn.map_err(|e| CallError::Connect(e.to_string()))?;
+    let conn = conn.map_err(|e| CallError::ConnectFailed(e.to_string()))?;
     let _ = conn.set_nodelay(true);
     let handshake = http1::handshake(TokioIo::new(conn)).await;
-    let (mut sender, driver) = handshake.map_err(|e| CallError::Connect(e.to_string()))?;
+    let (mut sender, driver) = handshake.map_err(|e| CallError::ConnectFailed(e.to_string()))?;
     tokio::spawn(driver);
-    let answer = sender.send_request(request).await;
-    answer.map_err(|e| CallError::Cut(e.to_string()))
+    let response = sender.send_request(request).await;
+    response.map_err(|e| CallError::ConnectionCut(e.to_string()))
 }
 
-/// Sends JSON, or nothing where `value` is null, and reads a JSON answer; null for an empty one.
+/// Sends a JSON body, or none where `value` is null, and reads a JSON response; returns null for an
+/// empty or unparsable one.
 pub async fn call_json(
     addr: SocketAddr,
     method: Method,
@@ -71,12 +72,12 @@
         .header("host", addr.to_string())
         .header("content-type", "application/json")
         .body(Full::new(bytes));
-    let request = request.map_err(|e| CallError::Connect(e.to_string()))?;
-    let answer = call(addr, request).await?;
-    let status = answer.status();
-    let collected = answer.into_body().collect().await;
+    let request = request.map_err(|e| CallError::ConnectFailed(e.to_string()))?;
+    let response = call(addr, request).await?;
+    let status = response.status();
+    let collected = response.into_body().collect().await;
     let bytes = collected
-        .map_err(|e| CallError::Cut(e.to_string()))?
+        .map_err(|e| CallError::ConnectionCut(e.to_string()))?
         .to_bytes();
     if !status.is_success() {
         let body = String::from_utf8_lossy(&bytes).into_owned();
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Small fakes of what stands around banyanarch, and a load tool.
+//! The `standin` program: fakes of the systems around banyanarch, a load tool and a demo.
 
 use std::io;
 use std::process::ExitCode;
@@ -16,7 +16,7 @@
 fn main() -> ExitCode {
     let mut args = Arguments::from_env();
     let command = args.subcommand().ok().flatten();
-    let (usage, run): (&str, fn(Arguments) -> cmd::Done) = match command.as_deref() {
+    let (usage, run): (&str, fn(Arguments) -> cmd::CommandResult) = match command.as_deref() {
         Some("platform") => (cmd::platform::USAGE, cmd::platform::run),
         Some("engine") => (cmd::engine::USAGE, cmd::engine::run),
         Some("service") => (cmd::service::USAGE, cmd::service::run),
@@ -33,7 +33,7 @@
         return ExitCode::SUCCESS;
     }
     if args.contains("--with-parent") {
-        thread::spawn(end_with_parent);
+        thread::spawn(exit_with_parent);
     }
     run(args).unwrap_or_else(|e| {
         eprintln!("standin: {e}");
@@ -41,9 +41,9 @@
     })
 }
 
-/// Ends the process when its standard input ends, which a dead parent can't keep open. Without this
-/// a tool that was interrupted would leave its fleet running.
-fn end_with_parent() {
+/// Exits when standard input is closed, which happens when the parent process ends. Otherwise the
+/// fleet of an interrupted tool would keep running.
+fn exit_with_parent() {
     let _ = io::copy(&mut io::stdin(), &mut io::sink());
     std::process::exit(1);
 }
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that echoes its calls after a while, and remembers them.
+//! A fake plain service that echoes the body of each call after a latency and records its calls.
 
 use std::io;
 use std::net::SocketAddr;
@@ -24,23 +24,24 @@
 use crate::engine::RunEnd;
 use crate::engine::RunLog;
 use crate::engine::RunRecord;
-use crate::engine::wall_ms;
+use crate::engine::unix_time_ms;
 use crate::http;
 use crate::http::Body;
 use crate::http::Handler;
 use crate::http::Reply;
 use crate::http::Server;
 
-/// How a stand-in service is made.
+/// Configuration of a fake service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceOptions {
-    /// Where to listen.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// How long a call takes.
+    /// The latency of a call, in milliseconds.
     pub latency_ms: u64,
-    /// Calls that it can work on at once; more make all of them slower.
+    /// The number of concurrent calls up to which the latency does not grow.
     pub slots: u64,
-    /// Where starts and ends are written, so that they outlive a crash.
+    /// The file to which starts and ends of calls are appended, so that the record outlives a
+    /// crash.
     pub record_file: Option<PathBuf>,
 }
 
@@ -56,7 +57,7 @@
 }
 
 impl ServiceOptions {
-    /// Reads the options that the usage text names.
+    /// Reads the options that the usage text lists.
     pub fn from_args(args: &mut pico_args::Arguments) -> Result<Self, pico_args::Error> {
         let default = Self::default();
         Ok(Self {
@@ -72,20 +73,20 @@
     }
 }
 
-/// Faults of a service; the default is none.
+/// Faults of a fake service; the default has none.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// It stands still: calls are taken and not answered.
+    /// Accept calls but do not answer them.
     pub freeze: bool,
-    /// Each call takes so many times as long.
+    /// Factor by which the latency of each call is multiplied.
     pub slow_factor: f64,
-    /// Of each so many calls one fails with a status of 500.
+    /// Fail every n-th call with status 500; 0 for none.
     pub fail_one_in: u64,
-    /// Of each so many calls one runs and its answer is cut off.
+    /// Run every n-th call and cut the connection in place of its answer; 0 for none.
     pub cut_one_in: u64,
-    /// Each call is refused before it runs.
+    /// Refuse each call before it runs.
     pub refuse: bool,
 }
 
@@ -101,7 +102,7 @@
     }
 }
 
-/// A running service. Dropping it closes it.
+/// A running fake service. Dropping it closes the server and all its connections.
 #[derive(Debug)]
 pub struct Service {
     server: Server,
@@ -109,35 +110,35 @@
 }
 
 impl Service {
-    /// Starts it on the current runtime.
+    /// Starts the service on the current runtime.
     pub async fn start(options: ServiceOptions) -> io::Result<Self> {
         let listen = options.listen;
         let api = Arc::new(Api {
             log: Mutex::new(RunLog::new(options.record_file.as_deref())?),
             faults: watch::Sender::new(ServiceFaults::default()),
-            at_work: watch::Sender::new(0),
+            active_calls: watch::Sender::new(0),
             options,
         });
         let server = Server::start(listen, Arc::clone(&api) as _).await?;
         Ok(Self { server, api })
     }
 
-    /// Where it listens.
+    /// Returns the address that the service listens on.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Sets all faults at once.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: ServiceFaults) {
         self.api.faults.send_replace(faults);
     }
 
-    /// Every call that ever ran.
+    /// Returns the record of every call that ran.
     pub fn record(&self) -> Vec<RunRecord> {
         self.api.log().all()
     }
 
-    /// Returns when it was closed.
+    /// Waits until the server is closed.
     pub async fn closed(&self) {
         self.server.closed().await;
     }
@@ -148,7 +149,7 @@
     options: ServiceOptions,
     log: Mutex<RunLog>,
     faults: watch::Sender<ServiceFaults>,
-    at_work: watch::Sender<u64>,
+    active_calls: watch::Sender<u64>,
 }
 
 impl Api {
@@ -164,9 +165,10 @@
         if faults.refuse {
             return Ok(http::not_run("told to refuse"));
         }
-        // The work goes on when the caller goes away, as a real service's would.
-        let worker = tokio::spawn(Arc::clone(&self).work(run_of(&head, &body), faults.clone()));
-        let count = worker.await.map_err(io::Error::other)?;
+        // The call runs to its end when the caller disconnects, as it would in a real service.
+        let call_task =
+            tokio::spawn(Arc::clone(&self).run_call(new_run_record(&head, &body), faults.clone()));
+        let count = call_task.await.map_err(io::Error::other)?;
         if is_nth(count, faults.cut_one_in) {
             return Err(io::Error::other("cut off"));
         }
@@ -176,24 +178,27 @@
         Ok(http::text(StatusCode::OK, body))
     }
 
-    /// Works on a call and returns its number.
-    async fn work(self: Arc<Self>, run: RunRecord, faults: ServiceFaults) -> u64 {
+    /// Runs a call and returns its number, counted from 1.
+    async fn run_call(self: Arc<Self>, run: RunRecord, faults: ServiceFaults) -> u64 {
         let attempt = run.attempt.clone();
         let count = {
             let mut log = self.log();
             log.start(run);
             log.len()
         };
-        self.at_work.send_modify(|at_work| *at_work += 1);
+        self.active_calls
+            .send_modify(|active_calls| *active_calls += 1);
         let _ = self
             .faults
             .subscribe()
             .wait_for(|faults| !faults.freeze)
             .await;
-        let crowd = (*self.at_work.borrow() as f64 / self.options.slots.max(1) as f64).max(1.0);
+        let overload =
+            (*self.active_calls.borrow() as f64 / self.options.slots.max(1) as f64).max(1.0);
         let latency = Duration::from_millis(self.options.latency_ms);
-        tokio::time::sleep(latency.mul_f64(faults.slow_factor.max(0.0) * crowd)).await;
-        self.at_work.send_modify(|at_work| *at_work -= 1);
+        tokio::time::sleep(latency.mul_f64(faults.slow_factor.max(0.0) * overload)).await;
+        self.active_calls
+            .send_modify(|active_calls| *active_calls -= 1);
         let end = match is_nth(count, faults.fail_one_in) {
             true => RunEnd::Failed,
             false => RunEnd::Completed,
@@ -223,7 +228,7 @@
     }
 }
 
-fn run_of(head: &Parts, body: &[u8]) -> RunRecord {
+fn new_run_record(head: &Parts, body: &[u8]) -> RunRecord {
     let text = |name| http::header(&head.headers, name).map(str::to_owned);
     RunRecord {
         attempt: text("x-request-id").unwrap_or_else(|| AttemptId(rand::random()).to_string()),
@@ -231,7 +236,7 @@
         request_hash: ContentHash::of(body),
         key: text("idempotency-key"),
         path: head.uri.path().to_owned(),
-        taken_ms: wall_ms(),
+        taken_ms: unix_time_ms(),
         ended_ms: None,
         end: None,
         prefilled_tokens: 0,
