--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -24,8 +24,8 @@
 use crate::gateway::reservation::EngineReservation;
 use crate::gateway::reservation::ReservationGuard;
 use crate::http::one_shot;
-use crate::http::one_shot::OneShotBody;
 use crate::http::one_shot::OneShotError;
+use crate::http::one_shot::OneShotResponseBody;
 use crate::routing::CallKind;
 
 /// The timeout for connections to upstreams. The transit time inside a site is at most 3 ms, and an
@@ -50,7 +50,7 @@
 /// A response of an upstream whose body is still to be read.
 pub(crate) struct UpstreamResponse {
     pub(crate) head: response::Parts,
-    pub(crate) body: OneShotBody,
+    pub(crate) body: OneShotResponseBody,
     pub(crate) upstream: ListedUpstream,
     /// The forecast time from the send until the first event.
     pub(crate) forecast: Duration,
--- a/src/http/one_shot.rs
+++ b/src/http/one_shot.rs
@@ -77,7 +77,7 @@
     addr: SocketAddr,
     req: Request<Full<Bytes>>,
     connect_timeout: Duration,
-) -> Result<Response<OneShotBody>, OneShotError> {
+) -> Result<Response<OneShotResponseBody>, OneShotError> {
     let connected = timeout(connect_timeout, TcpStream::connect(addr)).await;
     let stream = connected
         .map_err(|_| OneShotError::ConnectTimeout)?
@@ -94,7 +94,7 @@
         sending.as_mut().poll(cx)
     });
     match sent.await {
-        Ok(res) => Ok(res.map(|incoming| OneShotBody { conn, incoming })),
+        Ok(res) => Ok(res.map(|incoming| OneShotResponseBody { conn, incoming })),
         Err(mut err) => match err.take_message() {
             Some(_) => Err(OneShotError::NotSent(err.into_error().to_string())),
             None => Err(OneShotError::ConnectionBroken(err.into_error().to_string())),
@@ -162,12 +162,12 @@
 /// The body of a response. A body that is dropped before its end closes the connection, which tells
 /// the other end that nobody waits for the rest.
 #[derive(Debug)]
-pub struct OneShotBody {
+pub struct OneShotResponseBody {
     conn: Option<Pin<Box<Conn>>>,
     incoming: Incoming,
 }
 
-impl Body for OneShotBody {
+impl Body for OneShotResponseBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
