--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -62,13 +62,13 @@
 /// The body of a response. At its end the connection returns to the pool. A body that is dropped
 /// before its end closes the connection.
 #[derive(Debug)]
-pub struct PooledBody {
+pub struct PooledResponseBody {
     incoming: Incoming,
     sender: Option<SendRequest<ChunksBody>>,
     idle: Arc<IdleConnections>,
 }
 
-impl PooledBody {
+impl PooledResponseBody {
     pub(crate) fn new(
         incoming: Incoming,
         sender: SendRequest<ChunksBody>,
@@ -82,7 +82,7 @@
     }
 }
 
-impl Body for PooledBody {
+impl Body for PooledResponseBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -21,7 +21,7 @@
 
 use crate::http::ChunksBody;
 use crate::http::HttpError;
-use crate::http::PooledBody;
+use crate::http::PooledResponseBody;
 
 /// Number of idle connections that are kept; further ones are closed after use. More than an
 /// upstream has requests in one batch.
@@ -58,7 +58,7 @@
 
 /// Result of sending a request on one connection.
 enum ConnectionSend {
-    Response(Box<Response<PooledBody>>),
+    Response(Box<Response<PooledResponseBody>>),
     /// The connection was closed before it accepted the request, which is returned unchanged.
     NotAccepted(Box<Request<ChunksBody>>),
 }
@@ -94,7 +94,7 @@
     pub async fn send(
         &self,
         mut req: Request<ChunksBody>,
-    ) -> Result<Response<PooledBody>, HttpError> {
+    ) -> Result<Response<PooledResponseBody>, HttpError> {
         req.headers_mut()
             .entry(HOST)
             .or_insert_with(|| self.host_header.clone());
@@ -157,7 +157,7 @@
         match sender.try_send_request(req).await {
             Ok(res) => {
                 let idle = Arc::clone(&self.idle);
-                let res = res.map(|incoming| PooledBody::new(incoming, sender, idle));
+                let res = res.map(|incoming| PooledResponseBody::new(incoming, sender, idle));
                 Ok(ConnectionSend::Response(Box::new(res)))
             }
             Err(mut err) => match err.take_message() {
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -8,7 +8,7 @@
 mod sse;
 
 pub use body::ChunksBody;
-pub use body::PooledBody;
+pub use body::PooledResponseBody;
 pub use client::HttpClient;
 pub use connection_headers::remove_connection_headers;
 pub use error::HttpError;
--- a/src/upstream/http/mod.rs
+++ b/src/upstream/http/mod.rs
@@ -20,7 +20,7 @@
 use crate::http::ChunksBody;
 use crate::http::HttpClient;
 use crate::http::HttpError;
-use crate::http::PooledBody;
+use crate::http::PooledResponseBody;
 use crate::units::AttemptId;
 use crate::units::ContentHash;
 use crate::units::HostId;
@@ -295,13 +295,13 @@
 
 /// Whether an upstream refused a request without running it, which only the header `X-Not-Run`
 /// says: a 503 alone can also come from an upstream that failed while it ran the request.
-fn is_refusal(res: &Response<PooledBody>) -> bool {
+fn is_refusal(res: &Response<PooledResponseBody>) -> bool {
     res.headers()
         .get("X-Not-Run")
         .is_some_and(|value| value.as_bytes() == b"true")
 }
 
-async fn refusal_error(res: Response<PooledBody>) -> UpstreamError {
+async fn refusal_error(res: Response<PooledResponseBody>) -> UpstreamError {
     let status = res.status().as_u16();
     let retry_after = res
         .headers()
@@ -317,7 +317,7 @@
     }
 }
 
-async fn error_text(res: Response<PooledBody>) -> String {
+async fn error_text(res: Response<PooledResponseBody>) -> String {
     use http_body_util::BodyExt;
     use http_body_util::Limited;
 
--- a/src/upstream/http/response_reader.rs
+++ b/src/upstream/http/response_reader.rs
@@ -9,7 +9,7 @@
 use hyper::Response;
 use hyper::header::CONTENT_TYPE;
 
-use crate::http::PooledBody;
+use crate::http::PooledResponseBody;
 use crate::http::SseParser;
 use crate::units::AttemptId;
 use crate::upstream::ResponseEvent;
@@ -18,7 +18,7 @@
 use crate::upstream::http::model_event::ModelEvent;
 
 /// Returns the events of a model's response, up to the end marker.
-pub(crate) fn model_response(body: PooledBody, attempt: AttemptId) -> ResponseStream {
+pub(crate) fn model_response(body: PooledResponseBody, attempt: AttemptId) -> ResponseStream {
     let reader = ModelReader {
         body,
         attempt,
@@ -36,7 +36,7 @@
 
 /// Returns the events of a plain service's response: the head, the bytes, and an end if the body is
 /// complete.
-pub(crate) fn service_response(res: Response<PooledBody>) -> ResponseStream {
+pub(crate) fn service_response(res: Response<PooledResponseBody>) -> ResponseStream {
     let content_type = res
         .headers()
         .get(CONTENT_TYPE)
@@ -65,7 +65,7 @@
     }
 }
 
-async fn next_bytes(body: &mut PooledBody) -> Option<Result<Bytes, UpstreamError>> {
+async fn next_bytes(body: &mut PooledResponseBody) -> Option<Result<Bytes, UpstreamError>> {
     loop {
         match body.frame().await? {
             Ok(frame) => {
@@ -79,7 +79,7 @@
 }
 
 struct ModelReader {
-    body: PooledBody,
+    body: PooledResponseBody,
     attempt: AttemptId,
     parser: SseParser,
     parsed: VecDeque<ResponseEvent>,
