--- a/standin/src/cmd/daemon.rs
+++ b/standin/src/cmd/daemon.rs
@@ -13,7 +13,7 @@
 pub const USAGE: &str = "\
 standin daemon --settings FILE
 
-Runs an entry host as banyanarchd does, so that the tools need no other program.
+Runs an entry host as banyanarchd does, so that the tools need no second program.
 ";
 
 struct Args {
--- a/standin/src/cmd/demo.rs
+++ b/standin/src/cmd/demo.rs
@@ -16,9 +16,9 @@
 standin demo [--seed N] [--lasts-s N] [--keep]
 
 Starts platform, engines, a plain service and three entry hosts as processes on loopback, sends
-requests of all lengths, kills an engine and an entry host in the middle, and compares what callers
-saw with what ran. Fails when a request was lost or doubled. Requests arrive for --lasts-s seconds
-(15), --keep leaves the logs in place.
+requests of all lengths, kills an engine and an entry host during the run, and compares what callers
+were told with what ran. Fails if a request was lost or ran twice. Requests arrive for --lasts-s
+seconds (default 15); --keep keeps the logs.
 ";
 
 /// Default duration of arrivals, in seconds.
--- a/standin/src/cmd/engine.rs
+++ b/standin/src/cmd/engine.rs
@@ -20,8 +20,8 @@
                [--load-ms N] [--model NAME] [--version V] [--checks-fencing] [--record FILE]
                [--machine NAME --domain D --target T --platform ADDR]
 
-A model engine. GET /record tells every attempt that ever ran, GET /orders the orders that it
-obeyed, PUT /faults sets faults:
+A fake model engine. GET /record lists every attempt that ran, GET /orders the orders that were
+applied, PUT /faults replaces the faults:
   die, freeze, slow_factor, cross_answers, delay_answers_ms, cut_one_in, short_one_in,
   fail_one_in, lose_memory_count, leak_one_in, report_factor, crash_marker
 ";
--- a/standin/src/cmd/load.rs
+++ b/standin/src/cmd/load.rs
@@ -18,12 +18,12 @@
 standin load --scenario NAME [--policy P] [--objective O] [--seed N] [--json FILE]
              [--report FILE.html] [--keep]
 
-Starts its own fleet of processes on loopback, plays one scenario and prints what callers got.
+Starts its own fleet of processes on loopback, runs one scenario and prints the results of callers.
 Scenarios: burst, two-customers, hot-key, slow-upstream, short-among-long, saturation, retry-storm,
   wrong-reports, seven-hosts, path-cost
 Policies: shipped (the default), round-robin, least-in-flight, alone
 Objectives: short_slowdown (the default), first_token
---json and --report write the figures to files, --keep leaves the logs in place.
+--json and --report write the figures to files, --keep keeps the logs.
 ";
 
 struct Args {
--- a/standin/src/cmd/platform.rs
+++ b/standin/src/cmd/platform.rs
@@ -15,7 +15,7 @@
 standin platform [--listen ADDR]
 
 Serves the platform's object API from memory.
-GET /stats counts calls, PUT /faults sets faults:
+GET /stats returns counts of calls, PUT /faults replaces the faults:
   {\"outage\":\"none|unavailable|closed\",\"delay_ms\":N,\"lose_answer_one_in\":N,
    \"machines_lag_ms\":N,\"reads_per_second\":N,\"writes_per_second\":N}
 ";
--- a/standin/src/cmd/service.rs
+++ b/standin/src/cmd/service.rs
@@ -16,8 +16,8 @@
 standin service [--listen ADDR] [--latency-ms N] [--slots N] [--record FILE]
                 [--machine NAME --domain D --target T --platform ADDR]
 
-A plain service: echoes each call's body after the latency, which grows when more calls than
-slots are at work. GET /record tells every call that ever ran, PUT /faults sets faults:
+A fake plain service: echoes the body of each call after the latency, which grows when more calls
+than slots are active. GET /record lists every call that ran, PUT /faults replaces the faults:
   freeze, slow_factor, fail_one_in, cut_one_in, refuse
 ";
 
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -10,7 +10,7 @@
 const USAGE: &str = "\
 standin COMMAND
 
-Commands: platform, engine, service, daemon, load, demo. `standin COMMAND --help` tells more.
+Commands: platform, engine, service, daemon, load, demo. `standin COMMAND --help` prints its options.
 ";
 
 fn main() -> ExitCode {
--- a/standin/tests/engine.rs
+++ b/standin/tests/engine.rs
@@ -36,7 +36,7 @@
 
 const MAX_TOKENS: u64 = 40;
 
-fn ask(number: u64, prompt_tokens: u64) -> CallerRequest {
+fn new_request(number: u64, prompt_tokens: u64) -> CallerRequest {
     CallerRequest {
         number,
         arrival: Duration::ZERO,
@@ -78,7 +78,7 @@
 }
 
 /// Reads an answer to its end and returns its text.
-async fn text_of(mut stream: ResponseStream) -> Result<String, UpstreamError> {
+async fn read_text(mut stream: ResponseStream) -> Result<String, UpstreamError> {
     let mut text = String::new();
     while let Some(event) = stream.next().await {
         if let ResponseEvent::Tokens { text: piece, .. } = event? {
@@ -88,10 +88,10 @@
     Ok(text)
 }
 
-async fn until(mut holds: impl FnMut() -> bool) {
-    let give_up = Instant::now() + Duration::from_secs(10);
-    while !holds() {
-        assert!(Instant::now() < give_up, "waited in vain");
+async fn wait_until(mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + Duration::from_secs(10);
+    while !condition() {
+        assert!(Instant::now() < deadline, "condition not met within 10 s");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -102,14 +102,14 @@
 #[tokio::test]
 async fn an_attempt_outlives_its_reader() {
     let engine = engine(EngineOptions::default()).await;
-    let body = ask(1, 500).body();
+    let body = new_request(1, 500).body();
     let mut first = client(&engine).start(dispatch(7, 0, &body)).await.unwrap();
     let Some(Ok(ResponseEvent::Tokens { text, count, .. })) = first.next().await else {
         panic!("no tokens");
     };
     drop(first);
     let rest = client(&engine).resume(AttemptId(7), count).await.unwrap();
-    let whole = text + &text_of(rest).await.unwrap();
+    let whole = text + &read_text(rest).await.unwrap();
     assert_eq!(whole, answer::full_text(ContentHash::of(&body), MAX_TOKENS));
     assert_eq!(engine.record()[0].end, Some(RunEnd::Completed));
 }
@@ -117,13 +117,13 @@
 /// A long prompt arrives first, then a short one of a better priority. The short prompt must be
 /// prefilled between two chunks of the long one, and end first.
 #[tokio::test]
-async fn a_better_rank_goes_first() {
+async fn a_better_priority_is_served_first() {
     let engine = engine(EngineOptions::default()).await;
     let upstream = client(&engine);
-    let (long, short) = (ask(1, 100_000).body(), ask(2, 500).body());
+    let (long, short) = (new_request(1, 100_000).body(), new_request(2, 500).body());
     let _long = upstream.start(dispatch(1, 1, &long)).await.unwrap();
     let _short = upstream.start(dispatch(2, 0, &short)).await.unwrap();
-    until(|| engine.record().iter().all(|run| run.end.is_some())).await;
+    wait_until(|| engine.record().iter().all(|run| run.end.is_some())).await;
     let ended: Vec<Option<u64>> = engine.record().iter().map(|run| run.ended_ms).collect();
     assert!(ended[1] < ended[0], "{ended:?}");
 }
@@ -132,7 +132,7 @@
 /// queue full and is refused as not run. When the first is cancelled, its memory goes to the
 /// second.
 #[tokio::test]
-async fn memory_is_limited_and_comes_back() {
+async fn freed_memory_goes_to_waiting_attempts() {
     let options = EngineOptions {
         memory_tokens: 10_000,
         queue_max: 1,
@@ -144,17 +144,19 @@
         ..EngineFaults::default()
     });
     let upstream = client(&engine);
-    let body = ask(1, 8_000).body();
+    let body = new_request(1, 8_000).body();
     let _first = upstream.start(dispatch(1, 0, &body)).await.unwrap();
-    until(|| engine.free_tokens() < 10_000).await;
+    wait_until(|| engine.free_tokens() < 10_000).await;
     let _second = upstream.start(dispatch(2, 0, &body)).await.unwrap();
     let third = upstream.start(dispatch(3, 0, &body)).await;
-    let too_large = upstream.start(dispatch(4, 0, &ask(1, 11_000).body())).await;
+    let too_large = upstream
+        .start(dispatch(4, 0, &new_request(1, 11_000).body()))
+        .await;
     assert!(third.is_err_and(|e| e.did_not_run()));
     assert!(too_large.is_err_and(|e| e.did_not_run()));
     upstream.cancel(AttemptId(1)).await.unwrap();
     engine.set_faults(EngineFaults::default());
-    until(|| engine.record()[1].end == Some(RunEnd::Completed)).await;
+    wait_until(|| engine.record()[1].end == Some(RunEnd::Completed)).await;
     assert_eq!(engine.free_tokens(), 10_000);
     assert_eq!(engine.record().len(), 2);
 }
@@ -169,8 +171,8 @@
         .await
         .unwrap();
     let refused = call_json(engine.addr(), Method::POST, "/v1/gang/other", &hold).await;
-    assert!(refused.is_err(), "held twice");
-    until(|| engine.free_tokens() == 200_000).await;
+    assert!(refused.is_err(), "reserved twice");
+    wait_until(|| engine.free_tokens() == 200_000).await;
 }
 
 /// A host whose lease has expired sends an order after its successor did. An engine that checks
@@ -181,7 +183,7 @@
     ignored = { false, "old" },
 )]
 #[test_macro(tokio::test)]
-async fn an_old_order(checks_fencing: bool, version: &str) {
+async fn orders_with_outdated_fencing_numbers(checks_fencing: bool, version: &str) {
     let options = EngineOptions {
         checks_fencing,
         ..EngineOptions::default()
@@ -211,16 +213,19 @@
     none = { EngineFaults::default(), "completed" },
 )]
 #[test_macro(tokio::test)]
-async fn faults_show(faults: EngineFaults, told: &str) {
+async fn faults_are_visible_to_callers(faults: EngineFaults, expected: &str) {
     let engine = engine(EngineOptions::default()).await;
     engine.set_faults(faults);
-    assert_eq!(told_by(engine.addr()).await, told);
+    assert_eq!(send_outcome(engine.addr()).await, expected);
     assert_eq!(engine.record().len(), 1);
 }
 
-async fn told_by(addr: SocketAddr) -> &'static str {
-    let ask = ask(1, 500);
-    match send(addr, &ask, ask.body(), Instant::now()).await.outcome {
+async fn send_outcome(addr: SocketAddr) -> &'static str {
+    let request = new_request(1, 500);
+    match send(addr, &request, request.body(), Instant::now())
+        .await
+        .outcome
+    {
         CallOutcome::Completed => "completed",
         CallOutcome::Wrong(_) => "wrong",
         CallOutcome::NotRun { .. } => "not run",
@@ -239,24 +244,24 @@
         ..EngineOptions::default()
     };
     let engine = engine(options).await;
-    let of_group = |number| CallerRequest {
+    let grouped_request = |number| CallerRequest {
         prefix_group: 3,
         prefix_tokens: 5_000,
-        ..ask(number, 6_000)
+        ..new_request(number, 6_000)
     };
     for number in [1, 2] {
-        let body = of_group(number).body();
+        let body = grouped_request(number).body();
         let stream = client(&engine)
             .start(dispatch(number.into(), 0, &body))
             .await;
-        text_of(stream.unwrap()).await.unwrap();
+        read_text(stream.unwrap()).await.unwrap();
     }
-    let read_in: Vec<u64> = engine
+    let prefilled: Vec<u64> = engine
         .record()
         .iter()
         .map(|run| run.prefilled_tokens)
         .collect();
-    assert_eq!(read_in, [6_000, 6_000 - 4_096]);
+    assert_eq!(prefilled, [6_000, 6_000 - 4_096]);
     let events = client(&engine).cache_events(0).await.unwrap();
     assert_eq!(events.len(), 2);
     let kv = client(&engine).export_kv(events[1].prefix).await.unwrap();
@@ -265,8 +270,8 @@
         .import_kv(events[1].prefix, kv)
         .await
         .unwrap();
-    let body = of_group(3).body();
+    let body = grouped_request(3).body();
     let stream = client(&other).start(dispatch(3, 0, &body)).await.unwrap();
-    text_of(stream).await.unwrap();
+    read_text(stream).await.unwrap();
     assert_eq!(other.record()[0].prefilled_tokens, 6_000 - 4_096);
 }
--- a/standin/tests/platform.rs
+++ b/standin/tests/platform.rs
@@ -57,7 +57,7 @@
 /// A write takes effect but its response is lost: the client gets no outcome and must read the
 /// object back.
 #[tokio::test]
-async fn a_lost_answer_has_taken_effect() {
+async fn a_write_with_a_lost_response_takes_effect() {
     let (fake, client) = platform().await;
     fake.set_faults(PlatformFaults {
         lose_answer_one_in: 1,
@@ -121,7 +121,7 @@
     rate = { PlatformFaults { writes_per_second: Some(0), ..PlatformFaults::default() } },
 )]
 #[test_macro(tokio::test)]
-async fn what_is_turned_away_is_not_written(faults: PlatformFaults) {
+async fn refused_writes_are_not_applied(faults: PlatformFaults) {
     let (fake, client) = platform().await;
     fake.set_faults(faults);
     let put = client
--- a/standin/tests/service.rs
+++ b/standin/tests/service.rs
@@ -13,7 +13,7 @@
 use standin::service::ServiceOptions;
 use yare::parameterized;
 
-fn grant() -> CallerRequest {
+fn grant_request() -> CallerRequest {
     CallerRequest {
         number: 1,
         arrival: Duration::ZERO,
@@ -38,14 +38,14 @@
     refused = { ServiceFaults { refuse: true, ..ServiceFaults::default() }, None, false },
 )]
 #[test_macro(tokio::test)]
-async fn what_ran_is_recorded(faults: ServiceFaults, end: Option<RunEnd>, completed: bool) {
+async fn calls_that_ran_are_recorded(faults: ServiceFaults, end: Option<RunEnd>, completed: bool) {
     let service = Service::start(ServiceOptions::default()).await.unwrap();
     service.set_faults(faults);
-    let ask = grant();
-    let sent = send(service.addr(), &ask, ask.body(), Instant::now()).await;
-    assert_eq!(sent.outcome == CallOutcome::Completed, completed);
+    let request = grant_request();
+    let result = send(service.addr(), &request, request.body(), Instant::now()).await;
+    assert_eq!(result.outcome == CallOutcome::Completed, completed);
     assert_eq!(
-        matches!(sent.outcome, CallOutcome::NotRun { .. }),
+        matches!(result.outcome, CallOutcome::NotRun { .. }),
         end.is_none()
     );
     let record = service.record();
