--- a/benches/control.rs
+++ b/benches/control.rs
@@ -136,7 +136,10 @@
     fn rounds_until(&mut self, condition: impl Fn(&Self) -> bool) -> f64 {
         let start = self.now;
         while !condition(self) {
-            assert!(self.now - start < CONVERGENCE_TIMEOUT, "does not converge");
+            assert!(
+                self.now - start < CONVERGENCE_TIMEOUT,
+                "no convergence before the timeout"
+            );
             self.step();
         }
         (self.now - start).as_secs_f64() / ROUND.as_secs_f64()
--- a/benches/daemons/mod.rs
+++ b/benches/daemons/mod.rs
@@ -156,7 +156,8 @@
     daemons
 }
 
-/// Polls the daemons until the status of each satisfies `holds`, and returns the seconds that took.
+/// Polls the daemons until the status of each satisfies `condition`, and returns the seconds that
+/// this took.
 async fn wait_until(daemons: &[Daemon], condition: impl Fn(&Value) -> bool) -> f64 {
     let start = Instant::now();
     loop {
@@ -167,7 +168,10 @@
         {
             return start.elapsed().as_secs_f64();
         }
-        assert!(start.elapsed() < CONVERGENCE_TIMEOUT, "does not converge");
+        assert!(
+            start.elapsed() < CONVERGENCE_TIMEOUT,
+            "no convergence before the timeout"
+        );
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/examples/engine_loads/main.rs
+++ b/examples/engine_loads/main.rs
@@ -1,8 +1,10 @@
 //! Simulates loads on engines with the published speed model and prints what callers got, as means
 //! over seeds: long and short prompts in alternating phases, on sites of several sizes.
 //!
-//! `cargo run --release --example engine_loads -- [--seeds N] [--site NAME] [--long X] [--engines
-//! N] [--slow known|unknown]`
+//! ```text
+//! cargo run --release --example engine_loads -- [--seeds N] [--site NAME] [--long X]
+//!     [--engines N] [--slow known|unknown]
+//! ```
 //!
 //! Sites are middle, small, large, shifted, domains and largest. `--long` simulates only this rate
 //! of long prompts, and `--engines` replaces the number of engines of the site. With `--slow`, one
--- a/examples/sweep/scenario.rs
+++ b/examples/sweep/scenario.rs
@@ -1,5 +1,5 @@
-//! Loads of the sweep. Twenty engines with a prefill speed of 8,000 tokens a second and 300,000
-//! tokens of memory each prefill about 120 prompts of 1,000 tokens a second.
+//! Loads of the sweep. Twenty engines, each with a prefill speed of 8,000 tokens a second and
+//! 300,000 tokens of memory, together serve about 120 prompts of 1,000 tokens a second.
 
 use std::time::Duration;
 
--- a/standin/src/demo/tally.rs
+++ b/standin/src/demo/tally.rs
@@ -73,7 +73,7 @@
         tally
     }
 
-    /// Returns whether no request was lost or ran twice against its caller's wish.
+    /// Returns whether no request was lost, and none ran twice that must not.
     pub fn is_clean(&self) -> bool {
         self.lost == 0 && self.doubled == 0
     }
--- a/standin/src/engine/api.rs
+++ b/standin/src/engine/api.rs
@@ -198,9 +198,10 @@
         let attempts = attempts.map(
             |a| json!({"attempt": a.spec.id, "host": a.spec.host, "held_tokens": a.held_tokens}),
         );
-        let reservations = batch.reservations.iter().map(
-            |(id, reservation)| json!({"attempt": id, "host": reservation.host, "held_tokens": reservation.tokens}),
-        );
+        let reservations = batch
+            .reservations
+            .iter()
+            .map(|(id, r)| json!({"attempt": id, "host": r.host, "held_tokens": r.tokens}));
         let listed: Vec<Value> = attempts.chain(reservations).collect();
         http::json(StatusCode::OK, &listed)
     }
@@ -274,8 +275,8 @@
         }
         self.wait_for_transfer(&chain).await;
         let mut batch = self.shared.batch();
-        let room = batch.free_tokens();
-        batch.cache.store(&chain, room);
+        let free_tokens = batch.free_tokens();
+        batch.cache.store(&chain, free_tokens);
         http::empty(StatusCode::OK)
     }
 
--- a/standin/src/engine/cache.rs
+++ b/standin/src/engine/cache.rs
@@ -42,7 +42,7 @@
         found.last().map_or(0, |segment| segment.end_tokens)
     }
 
-    /// Stores the segments of a prompt as far as `room_tokens` allows.
+    /// Stores the segments of a prompt as far as `capacity_tokens` allows.
     pub(crate) fn store(&mut self, prefixes: &[Segment], capacity_tokens: u64) {
         for segment in prefixes {
             if self.segments.contains_key(&segment.prefix) {
@@ -59,7 +59,7 @@
         self.shrink_to(capacity_tokens);
     }
 
-    /// Evicts segments until at most `room_tokens` are cached.
+    /// Evicts segments until at most `capacity_tokens` are cached.
     pub(crate) fn shrink_to(&mut self, capacity_tokens: u64) {
         while self.cached_tokens > capacity_tokens {
             let Some((_, segment)) = self.segments.shift_remove_index(0) else {
--- a/standin/src/fleet/plan.rs
+++ b/standin/src/fleet/plan.rs
@@ -33,7 +33,7 @@
     pub host_threads: usize,
     /// How long a draining host still accepts work, in milliseconds.
     pub drain_notice_ms: u64,
-    /// The dispatch policy of the hosts.
+    /// The dispatch policy that the homes run.
     pub policy: PolicyName,
     /// The customers with their shares.
     pub customers: Vec<(String, u32)>,
--- a/standin/src/load/arrivals.rs
+++ b/standin/src/load/arrivals.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// Generates all requests of a scenario, in order of arrival. `times` multiplies the load.
+/// Generates all requests of a scenario, in order of arrival. `load_factor` multiplies the load.
 pub(crate) fn generate_arrivals(
     scenario: &Scenario,
     load_factor: f64,
@@ -124,8 +124,8 @@
             Self::Burst {
                 from_s,
                 until_s,
-                times,
-            } if (*from_s..*until_s).contains(&at_s) => *times,
+                rate_factor,
+            } if (*from_s..*until_s).contains(&at_s) => *rate_factor,
             _ => 1.0,
         }
     }
--- a/standin/src/load/figures.rs
+++ b/standin/src/load/figures.rs
@@ -79,7 +79,7 @@
 }
 
 impl Figures {
-    /// Computes the figures from what callers got and what engines ran in `lasts_s` seconds of
+    /// Computes the figures from what callers got and what engines ran in `duration_s` seconds of
     /// arrivals.
     pub(crate) fn new(
         samples: &[Sample],
--- a/standin/src/load/mod.rs
+++ b/standin/src/load/mod.rs
@@ -41,7 +41,7 @@
 pub struct LoadOptions {
     /// The name of the scenario.
     pub scenario: String,
-    /// The dispatch policy of the hosts.
+    /// The dispatch policy that the homes run.
     pub policy: PolicyName,
     /// The objective of the manifest.
     pub objective: String,
--- a/standin/src/load/scenario.rs
+++ b/standin/src/load/scenario.rs
@@ -40,7 +40,7 @@
     pub(crate) baseline_load: Option<f64>,
 }
 
-/// ArrivalPattern of arrivals.
+/// Pattern of arrivals.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ArrivalPattern {
     /// Random arrivals at a constant rate.
@@ -49,13 +49,13 @@
     Burst {
         from_s: f64,
         until_s: f64,
-        times: f64,
+        rate_factor: f64,
     },
     /// All arrivals at common instants.
     Synchronized { period_s: f64 },
 }
 
-/// EngineSelection that get a fault.
+/// Selection of the engines that get a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EngineSelection {
     All,
@@ -141,7 +141,7 @@
         pattern: ArrivalPattern::Burst {
             from_s: 5.0,
             until_s: 7.0,
-            times: 10.0,
+            rate_factor: 10.0,
         },
         ..base("burst", "ten times the usual load for two seconds", &mix)
     }
