--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -23,25 +23,30 @@
     banyanarch check [--settings | --manifest] FILE...
 
 Options:
-    --settings    Take all files for settings.
-    --manifest    Take all files for manifests.
-                  Without either, a file with the key `listen` is taken for settings.
+    --settings    Treat all files as settings.
+    --manifest    Treat all files as manifests.
+                  Without either, a file with the key `listen` is treated as settings, any other
+                  as a manifest.
 
-Exit codes: 0 all good, 2 a problem or a bad command line.
+Exit codes: 0 no problem, 2 a problem or a bad command line.
 ";
 
+/// The kind of a file to check.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum FileKind {
     Settings,
     Manifest,
 }
 
-struct Args {
+/// The arguments of `banyanarch check`.
+struct CheckArgs {
+    /// The kind of all files; none if the kind of each file is detected from its contents.
     kind: Option<FileKind>,
     files: Vec<PathBuf>,
 }
 
-impl Args {
+impl CheckArgs {
+    /// Parses the arguments; an error if no file is given or both options are.
     fn parse(mut args: Arguments) -> Result<Self, CmdError> {
         let settings = args.contains("--settings");
         let manifest = args.contains("--manifest");
@@ -62,8 +67,10 @@
     }
 }
 
+/// Checks the files, each by itself and then against each other. Writes a line for each valid file
+/// to `out` and a line for each problem to standard error.
 pub(crate) fn run(args: Arguments, out: &mut dyn Write) -> Result<ExitStatus, CmdError> {
-    let args = Args::parse(args)?;
+    let args = CheckArgs::parse(args)?;
     let mut checked = CheckedFiles::default();
     let mut problems = Vec::new();
     for path in &args.files {
@@ -83,6 +90,7 @@
     })
 }
 
+/// Parses a file and adds it to `checked`. Returns a description of its contents.
 fn check_file(
     path: &Path,
     kind: Option<FileKind>,
@@ -112,6 +120,8 @@
     }
 }
 
+/// The kind of a file by its contents: settings if the key `listen` is at the top level, otherwise
+/// a manifest, also if the text is not valid YAML.
 fn detect_kind(text: &str) -> FileKind {
     match Node::parse(text) {
         Ok(root) if root.has_key("listen") => FileKind::Settings,
--- a/src/cmd/checked_files.rs
+++ b/src/cmd/checked_files.rs
@@ -1,4 +1,4 @@
-//! Conflicts between files that are each valid by themselves.
+//! Finds conflicts between settings and manifest files that are each valid by themselves.
 
 use std::fmt;
 
@@ -12,17 +12,20 @@
 #[derive(Default)]
 pub(crate) struct CheckedFiles {
     settings: Vec<SettingsFile>,
+    /// The manifests with the names of their files.
     manifests: Vec<(String, Manifest)>,
 }
 
+/// A valid settings file.
 struct SettingsFile {
     file: String,
-    /// The parsed file, for line numbers.
+    /// The parsed YAML, from which the lines of fields are found; none if it cannot be parsed.
     root: Option<Node>,
     settings: Settings,
 }
 
 impl SettingsFile {
+    /// An error that reports one conflict, at the line of `field` in this file.
     fn conflict(&self, field: &str, message: impl fmt::Display) -> FileErrors {
         let problem = Problem {
             line: self.root.as_ref().map_or(1, |root| root.line_of(field)),
@@ -37,6 +40,7 @@
 }
 
 impl CheckedFiles {
+    /// Adds a valid settings file with this name and text.
     pub(crate) fn add_settings(&mut self, file: String, text: &str, settings: Settings) {
         let root = Node::parse(text).ok();
         self.settings.push(SettingsFile {
@@ -46,10 +50,13 @@
         });
     }
 
+    /// Adds a valid manifest file with this name.
     pub(crate) fn add_manifest(&mut self, file: String, manifest: Manifest) {
         self.manifests.push((file, manifest));
     }
 
+    /// The conflicts between each two settings files, and between each settings file and each
+    /// manifest. A conflict of two settings files is reported for the one that was added later.
     pub(crate) fn conflicts(&self) -> Vec<FileErrors> {
         let mut conflicts = Vec::new();
         for (index, this) in self.settings.iter().enumerate() {
@@ -68,7 +75,7 @@
     }
 }
 
-/// The conflicts between the settings of two hosts of one fleet.
+/// The conflicts between the settings of two hosts of one fleet, as errors in `this`.
 fn settings_conflicts(this: &SettingsFile, other: &SettingsFile) -> Vec<FileErrors> {
     let mut conflicts = Vec::new();
     let (mine, theirs) = (&this.settings, &other.settings);
@@ -90,7 +97,7 @@
             .iter()
             .any(|key| key.id == id && key.secret == secret)
     };
-    // A host signs with its first key. A host that does not have this key refuses every frame.
+    // A host signs its frames with its first key. Hosts without this key refuse all of them.
     let signing_key = mine.peers.keys.first();
     if signing_key.is_some_and(|key| !is_accepted(&key.id, &key.secret)) {
         let message = format!(
@@ -102,7 +109,7 @@
     conflicts
 }
 
-/// The conflicts between the settings of a host and a manifest.
+/// The conflicts between the settings of a host and a manifest, as errors in the settings.
 fn manifest_conflicts(
     this: &SettingsFile,
     (file, manifest): &(String, Manifest),
--- a/src/cmd/command.rs
+++ b/src/cmd/command.rs
@@ -15,7 +15,7 @@
 use crate::cmd::status;
 use crate::cmd::version;
 
-/// A subcommand.
+/// A subcommand of the tool, without its arguments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Checks settings and manifest files.
@@ -35,6 +35,7 @@
 }
 
 impl Command {
+    /// The subcommands with their names on the command line.
     const ALL: [(&'static str, Self); 7] = [
         ("check", Self::Check),
         ("diff", Self::Diff),
@@ -59,7 +60,8 @@
         usage.trim()
     }
 
-    /// Runs the subcommand with the arguments that follow its name.
+    /// Runs the subcommand with the arguments that follow its name. Results are written to `out`,
+    /// messages about problems to standard error.
     pub fn run(self, args: Arguments, out: &mut dyn Write) -> Result<ExitStatus, CmdError> {
         match self {
             Self::Check => check::run(args, out),
--- a/src/cmd/diff.rs
+++ b/src/cmd/diff.rs
@@ -28,12 +28,16 @@
 Exit codes: 0 no difference, 1 different, 2 the file is invalid, 3 the platform was not reached.
 ";
 
-struct Args {
+/// The arguments of `banyanarch diff`.
+struct DiffArgs {
+    /// The manifest file.
     file: PathBuf,
+    /// The address of the object service of the platform.
     platform: SocketAddr,
 }
 
-impl Args {
+impl DiffArgs {
+    /// Parses the arguments; an error unless there is exactly one file and a platform address.
     fn parse(mut args: Arguments) -> Result<Self, CmdError> {
         Ok(Self {
             platform: args.value_from_str("--platform")?,
@@ -42,8 +46,9 @@
     }
 }
 
+/// Writes the differences between the published manifest and the given one to `out`, one per line.
 pub(crate) fn run(args: Arguments, out: &mut dyn Write) -> Result<ExitStatus, CmdError> {
-    let args = Args::parse(args)?;
+    let args = DiffArgs::parse(args)?;
     let new = read_manifest(&args.file)?.manifest;
     let platform = platform_client(args.platform);
     let Some((published, _)) = block_on(fetch_published(&platform))?? else {
--- a/src/cmd/error.rs
+++ b/src/cmd/error.rs
@@ -20,7 +20,7 @@
     Settings(SettingsErrors),
     /// A manifest is invalid.
     Manifest(ManifestErrors),
-    /// A file cannot be read, or files contradict each other.
+    /// A file cannot be read.
     Files(FileErrors),
     /// A call to the platform failed.
     Platform(PlatformError),
@@ -28,7 +28,7 @@
     Host(HttpError),
     /// A response of the platform or a host is invalid.
     InvalidResponse(String),
-    /// Standard output cannot be written to.
+    /// Standard output cannot be written to, or standard input cannot be read.
     Output(io::Error),
     /// The async runtime cannot be started, such as for lack of file descriptors.
     Runtime(io::Error),
@@ -60,7 +60,7 @@
             Self::Platform(error) => error.fmt(f),
             Self::Host(error) => write!(f, "host {error}"),
             Self::InvalidResponse(message) => write!(f, "invalid response: {message}"),
-            Self::Output(error) => write!(f, "standard output: {error}"),
+            Self::Output(error) => write!(f, "standard input or output: {error}"),
             Self::Runtime(error) => write!(f, "cannot start the async runtime: {error}"),
         }
     }
--- a/src/cmd/exit_status.rs
+++ b/src/cmd/exit_status.rs
@@ -6,8 +6,8 @@
     /// The command succeeded: the files are valid, the manifest was accepted, or there is no
     /// difference.
     Success,
-    /// The command ran with a negative result: refused, different, not found or an invalid
-    /// response.
+    /// The command ran with a negative result: refused, different, not found, an invalid response,
+    /// or an error of standard input or output or of the async runtime.
     Negative,
     /// The command line or a file is invalid.
     BadInput,
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -20,9 +20,9 @@
 
 pub(crate) const USAGE: &str = "
 Shows which decisions were made for a request, where it was sent and why. The header
-Banyanarch-Request-Id of the answer is the id of the request, and Banyanarch-Host the host that has
-most of its steps. Hosts keep the latest requests only, their logs have all.
-With --logs the id is the one that the caller gave.
+Banyanarch-Request-Id of the response is the id of the request, and Banyanarch-Host the host that
+has most of its steps. Hosts keep only the latest requests; their logs have all of them.
+With --logs, REQUEST_ID is the id that the caller gave.
 
 Usage:
     banyanarch explain REQUEST_ID --host ADDR [--host ADDR]... [--json]
@@ -31,31 +31,38 @@
     banyanarch explain --summary --logs FILE [--logs FILE]...
 
 Options:
-    --host ADDR    IP:PORT of the status port of a host; give several to merge what they know.
+    --host ADDR    IP:PORT of the status port of a host; the steps of several hosts are merged.
     --json         Print JSON.
-    --logs FILE    Logs of one or several hosts in any order; - is standard input. What stands on a
-                   line before its JSON is passed over.
-    --failed       A line for each request that did not end well, with its cause.
-    --summary      Where answers were lost: waits, forecasts and first events by the length of the prompt,
-                   and how requests ended, by time.
+    --logs FILE    Logs of one or several hosts in any order; - is standard input. Text before the
+                   JSON on a line is ignored.
+    --failed       Print a line for each request that was not served, with the cause.
+    --summary      Print statistics: waits, forecasts, first events and refusals by prompt length,
+                   and outcomes by time.
 
 Exit codes: 0 done, 1 no host or log has the request, 2 bad command line, 3 no host was reached.
 ";
 
-struct Args {
+/// What to ask hosts: the arguments of `banyanarch explain --host`.
+struct HostQuery {
     request: RequestId,
+    /// The status ports of the hosts.
     hosts: Vec<SocketAddr>,
+    /// Whether to print JSON instead of text.
     json: bool,
 }
 
-/// What to show from the logs.
+/// What to show from the decision logs.
 enum LogQuery {
+    /// The requests that were not served.
     Failed,
+    /// Statistics over all requests.
     Summary,
+    /// The timeline of the request with this id, which the caller gave.
     Request(String),
 }
 
-impl Args {
+impl HostQuery {
+    /// Parses the arguments; an error without a request id or a host.
     fn parse(mut args: Arguments) -> Result<Self, CmdError> {
         let json = args.contains("--json");
         let hosts: Vec<SocketAddr> = args.values_from_str("--host")?;
@@ -72,12 +79,14 @@
     }
 }
 
+/// Explains a request from the pages of hosts, or, with `--logs`, one or all requests from decision
+/// logs. Writes the result to `out`, and hosts that were not reached to standard error.
 pub(crate) fn run(mut args: Arguments, out: &mut dyn Write) -> Result<ExitStatus, CmdError> {
     let logs: Vec<PathBuf> = args.values_from_str("--logs")?;
     if !logs.is_empty() {
         return run_logs(args, &logs, out);
     }
-    let args = Args::parse(args)?;
+    let args = HostQuery::parse(args)?;
     let merged = block_on(query_hosts(args.request, &args.hosts))??;
     if merged.steps.is_empty() && merged.not_reached.len() == args.hosts.len() {
         eprintln!("no host was reached");
@@ -96,6 +105,7 @@
     })
 }
 
+/// Explains requests from the decision logs in files.
 fn run_logs(
     mut args: Arguments,
     paths: &[PathBuf],
@@ -136,6 +146,7 @@
     })
 }
 
+/// Reads a log from a file, or from standard input if the path is `-`.
 fn read_log(path: &Path) -> Result<String, CmdError> {
     if path.as_os_str() == "-" {
         return Ok(io::read_to_string(io::stdin())?);
@@ -143,6 +154,9 @@
     read_text(path)
 }
 
+/// Fetches the explanation of a request from each host in turn and merges the steps in order of
+/// time. A host that cannot be reached or answers with an error is reported on standard error and
+/// listed in `not_reached`.
 async fn query_hosts(
     request: RequestId,
     hosts: &[SocketAddr],
--- a/src/cmd/files.rs
+++ b/src/cmd/files.rs
@@ -10,18 +10,20 @@
 use crate::manifest::Manifest;
 use crate::yaml::FileErrors;
 
-/// A manifest file that has been read and validated.
+/// The text of a valid manifest file and the parsed manifest.
 pub(crate) struct ManifestFile {
     pub(crate) text: String,
     pub(crate) manifest: Manifest,
 }
 
+/// Reads a file as text; an error that names the file if it cannot be read.
 pub(crate) fn read_text(path: &Path) -> Result<String, CmdError> {
     let file = path.display().to_string();
     let text = fs::read_to_string(path).map_err(|error| FileErrors::unreadable(&file, &error))?;
     Ok(text)
 }
 
+/// Reads a manifest file and validates it.
 pub(crate) fn read_manifest(path: &Path) -> Result<ManifestFile, CmdError> {
     let text = read_text(path)?;
     let manifest = Manifest::parse(&text, &path.display().to_string())?;
--- a/src/cmd/help.rs
+++ b/src/cmd/help.rs
@@ -29,6 +29,8 @@
 3 platform or host not reached (nothing was changed), 4 unknown whether published.
 ";
 
+/// Writes the usage of the subcommand that the first argument names to `out`, or of the tool if no
+/// subcommand is named.
 pub(crate) fn run(mut args: Arguments, out: &mut dyn Write) -> Result<ExitStatus, CmdError> {
     let topic = args.opt_free_from_str::<String>()?;
     let command = match topic {
--- a/src/cmd/host_page.rs
+++ b/src/cmd/host_page.rs
@@ -13,7 +13,7 @@
 /// The maximum length of a page in bytes.
 const PAGE_BYTES_MAX: usize = 16 << 20;
 
-/// Fetches a page as JSON; none if the host has no such page.
+/// Fetches a page as JSON; none if the host answers 404. Any other status than 200 is an error.
 pub(crate) async fn fetch(
     addr: SocketAddr,
     path: &str,
--- a/src/cmd/log_summary.rs
+++ b/src/cmd/log_summary.rs
@@ -8,7 +8,8 @@
 use crate::cmd::merged_logs::LogLine;
 use crate::gateway::DecisionEvent;
 
-/// The upper bounds of the rows, in tokens, exclusive. One more row has the longer prompts.
+/// The exclusive upper bounds of the prompt lengths of the rows, in tokens. One more row has the
+/// longer prompts.
 const PROMPT_TOKENS_BOUNDS: [u64; 7] = [10_000, 25_000, 50_000, 100_000, 250_000, 500_000, 750_000];
 /// The length of the intervals in which outcomes are counted, in ms.
 const INTERVAL_MS: u64 = 2_000;
@@ -20,36 +21,47 @@
 /// The last send of a request.
 struct LastSend {
     prompt_tokens: u64,
+    /// The forecast time from the send to the first event, in ms.
     forecast_ms: u64,
-    /// The time from the arrival of the request to the send.
+    /// The time from the arrival of the request to the send, in ms.
     waited_ms: u64,
+    /// The number of engines that the prompt was sent to, including the helpers.
     engines: usize,
+    /// The number of engines with memory reserved for the prompt.
     reserves: usize,
     manifest_age_ms: u64,
 }
 
-/// Statistics over the requests whose prompts are in one range of lengths.
+/// Values of the requests whose prompts are in one range of lengths. Except for refusals, only
+/// requests that got a first event are included.
 #[derive(Default)]
 struct PromptLengthRow {
+    /// The times from the arrival of a request to its last send.
     waited_ms: Vec<i64>,
+    /// The forecast times from the last send to the first event.
     forecast_ms: Vec<i64>,
+    /// The times from the arrival of a request to its first event.
     first_event_ms: Vec<i64>,
-    /// How much later than forecast the first event came; negative if it came earlier.
+    /// How much later than forecast the first events came; negative for earlier ones.
     delay_ms: Vec<i64>,
-    /// The sum of the engines that each prompt was sent to.
+    /// The number of engines that a prompt was sent to, summed over the prompts.
     engines: usize,
-    /// The sum of the engines with memory reserved for each prompt.
+    /// The number of engines with memory reserved for a prompt, summed over the prompts.
     reserves: usize,
-    /// The waits of refused requests, by reason.
+    /// The times from the arrival of a request to its refusal, by the reason of the refusal.
     refused_after_ms: IndexMap<String, Vec<i64>>,
 }
 
-/// Statistics over the requests of several hosts.
+/// Statistics over the requests of several hosts. Displayed as three tables: first events and
+/// refusals by prompt length, and outcomes by time.
 pub(crate) struct LogSummary {
+    /// One row for each range of prompt lengths, the shortest first.
     rows: Vec<PromptLengthRow>,
+    /// The ages of the manifest at the last sends of requests that got a first event.
     manifest_ages_ms: Vec<i64>,
-    /// The number of requests by outcome, by the start of the interval in ms.
+    /// The number of requests by outcome, for each interval by its start in ms since `start_ms`.
     intervals: IndexMap<u64, IndexMap<String, usize>>,
+    /// The number of requests by outcome, over the whole time.
     outcomes: IndexMap<String, usize>,
     /// The time of the first line, in ms since the Unix epoch.
     start_ms: u64,
@@ -112,7 +124,7 @@
                 } if *prompt_tokens > 0 => {
                     let refused_after_ms = &mut summary.row_mut(*prompt_tokens).refused_after_ms;
                     let waited_ms = refused_after_ms.entry(reason.to_string()).or_default();
-                    waited_ms.push(signed(*elapsed_ms));
+                    waited_ms.push(to_signed_ms(*elapsed_ms));
                 }
                 _ => {}
             }
@@ -128,6 +140,7 @@
         &mut self.rows[index.unwrap_or(PROMPT_TOKENS_BOUNDS.len())]
     }
 
+    /// Counts the outcome of a request that ended at `wall_ms`.
     fn count_outcome(&mut self, wall_ms: u64, outcome: &str) {
         let elapsed_ms = wall_ms.saturating_sub(self.start_ms);
         let interval_ms = elapsed_ms / INTERVAL_MS * INTERVAL_MS;
@@ -136,23 +149,26 @@
         *self.outcomes.entry(outcome.to_owned()).or_default() += 1;
     }
 
+    /// Records a request that got a first event this long after its arrival, in ms.
     fn record_first_event(&mut self, send: &LastSend, first_event_ms: u64) {
-        self.manifest_ages_ms.push(signed(send.manifest_age_ms));
+        self.manifest_ages_ms
+            .push(to_signed_ms(send.manifest_age_ms));
         // Requests to plain services have no prompt.
         if send.prompt_tokens == 0 {
             return;
         }
         let row = self.row_mut(send.prompt_tokens);
-        let since_send_ms = signed(first_event_ms) - signed(send.waited_ms);
-        row.waited_ms.push(signed(send.waited_ms));
-        row.forecast_ms.push(signed(send.forecast_ms));
-        row.first_event_ms.push(signed(first_event_ms));
-        row.delay_ms.push(since_send_ms - signed(send.forecast_ms));
+        let since_send_ms = to_signed_ms(first_event_ms) - to_signed_ms(send.waited_ms);
+        row.waited_ms.push(to_signed_ms(send.waited_ms));
+        row.forecast_ms.push(to_signed_ms(send.forecast_ms));
+        row.first_event_ms.push(to_signed_ms(first_event_ms));
+        row.delay_ms
+            .push(since_send_ms - to_signed_ms(send.forecast_ms));
         row.engines += send.engines;
         row.reserves += send.reserves;
     }
 
-    /// The names of the most frequent outcomes, the most frequent first.
+    /// The names of the outcomes that get a column, the most frequent first.
     fn frequent_outcomes(&self) -> Vec<&String> {
         let mut outcomes: Vec<(&String, usize)> =
             self.outcomes.iter().map(|(k, v)| (k, *v)).collect();
@@ -164,6 +180,7 @@
             .collect()
     }
 
+    /// Writes the table of first events by prompt length, and the ages of the manifest.
     fn write_first_events(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "By prompt length; median and 90th percentile in ms:")?;
         writeln!(
@@ -202,6 +219,7 @@
         )
     }
 
+    /// Writes the table of refusals by prompt length and reason.
     fn write_refusals(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "\nRefused requests by prompt length:")?;
         writeln!(
@@ -225,6 +243,7 @@
         Ok(())
     }
 
+    /// Writes the table of outcomes by interval of time.
     fn write_outcomes(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let names = self.frequent_outcomes();
         write!(f, "\nOutcomes by interval of two seconds:\n{:>8}", "second")?;
@@ -253,21 +272,23 @@
     }
 }
 
-/// The name of the row at an index.
+/// The range of prompt lengths of the row at an index, as text.
 fn row_name(index: usize) -> String {
     let max = PROMPT_TOKENS_BOUNDS.get(index);
     max.map_or_else(|| "beyond".to_owned(), |max| format!("under {max}"))
 }
 
-fn signed(ms: u64) -> i64 {
+/// Converts a time to a signed number; `i64::MAX` if it is too long.
+fn to_signed_ms(ms: u64) -> i64 {
     i64::try_from(ms).unwrap_or(i64::MAX)
 }
 
-/// The median and the 90th percentile as text.
+/// The median and the 90th percentile as text, separated by a space; `0 0` if there are no values.
 fn median_and_p90(values: &[i64]) -> String {
     format!("{} {}", quantile(values, 0.5), quantile(values, 0.9))
 }
 
+/// The quantile at a fraction from 0 to 1, by the nearest rank; 0 if there are no values.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 fn quantile(values: &[i64], fraction: f64) -> i64 {
     let mut values = values.to_vec();
--- a/src/cmd/manifest_diff.rs
+++ b/src/cmd/manifest_diff.rs
@@ -19,6 +19,8 @@
     Ok(lines)
 }
 
+/// Appends the differences between two values at `path`. Lists whose items all have names are
+/// compared by name, other lists as a whole.
 fn diff_values(path: &str, old: &Value, new: &Value, lines: &mut Vec<String>) {
     match (old, new) {
         (Value::Object(old), Value::Object(new)) => diff_entries(path, old, new, lines),
@@ -34,6 +36,7 @@
     }
 }
 
+/// Appends the differences between the entries of two objects at `path`.
 fn diff_entries(
     path: &str,
     old: &Map<String, Value>,
@@ -55,13 +58,13 @@
     }
 }
 
-/// Converts a list of objects to a mapping by the field `name`; none if an item has no such field.
+/// Converts a list of objects to a map by the field `name`; none if an item has no such field.
 fn index_by_name(items: &[Value]) -> Option<Map<String, Value>> {
     let named = |item: &Value| Some((item.get("name")?.as_str()?.to_owned(), item.clone()));
     items.iter().map(named).collect()
 }
 
-/// The value as JSON, with strings unquoted.
+/// A string without quotes, any other value as JSON.
 fn unquoted(value: &Value) -> String {
     value
         .as_str()
--- a/src/cmd/merged_explanation.rs
+++ b/src/cmd/merged_explanation.rs
@@ -9,34 +9,44 @@
 use crate::cmd::CmdError;
 use crate::units::RequestId;
 
-/// The explanation page of a host. Only the fields that are shown are read, so that pages of hosts of
-/// the previous or next version can be read too.
+/// The explanation page of a host. Only the fields that are shown are read, so that pages of hosts
+/// of the previous or next version can be read too.
 #[derive(Deserialize)]
 struct ExplanationPage {
+    /// The name of the host; none if the page does not contain it.
     #[serde(default)]
     host: Option<String>,
     steps: Vec<PageStep>,
+    /// The number of steps that the host removed to keep within its limit per request.
     #[serde(default)]
     left_out: u64,
 }
 
+/// A step as the explanation page has it.
 #[derive(Deserialize)]
 struct PageStep {
+    /// The time by the clock of the host, in ms since the Unix epoch.
     wall_ms: u64,
+    /// What happened, such as `dispatched`.
     what: String,
+    /// The upstream or host that the step concerns; empty if there is none.
     #[serde(default)]
     place: String,
+    /// The reason; empty if there is none.
     #[serde(default)]
     why: String,
 }
 
-/// The steps of one request from all queried hosts.
+/// The steps of one request from all queried hosts. Displayed as text with the time of each step
+/// since the first one, which requires that the steps are sorted.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub(crate) struct MergedExplanation {
     request_id: RequestId,
     pub(crate) steps: Vec<MergedStep>,
+    /// The number of steps that the hosts removed to keep within their limits per request.
     left_out: u64,
+    /// The hosts whose steps are missing because they were not reached or answered with an error.
     pub(crate) not_reached: Vec<SocketAddr>,
 }
 
@@ -52,6 +62,7 @@
 }
 
 impl MergedExplanation {
+    /// An explanation without steps.
     pub(crate) fn new(request: RequestId) -> Self {
         Self {
             request_id: request,
@@ -61,7 +72,9 @@
         }
     }
 
-    /// Adds the steps of the page that was read from `addr`.
+    /// Adds the steps of the page that was read from `addr`, and its number of left-out steps.
+    /// `addr` stands for the host if the page does not name it. Call [`Self::sort`] after the last
+    /// page.
     pub(crate) fn add_page(
         &mut self,
         addr: SocketAddr,
@@ -81,8 +94,8 @@
         Ok(())
     }
 
-    /// Sorts the steps by the clocks of the hosts, which may differ slightly. The sort is stable, so
-    /// that steps of one host with equal times keep their order.
+    /// Sorts the steps by the clocks of the hosts, which may differ slightly. The sort is stable,
+    /// so that steps of one host with equal times keep their order.
     pub(crate) fn sort(&mut self) {
         self.steps.sort_by_key(|step| step.wall_ms);
     }
--- a/src/cmd/merged_logs.rs
+++ b/src/cmd/merged_logs.rs
@@ -13,21 +13,24 @@
 #[derive(Clone, Debug)]
 #[derive(Deserialize)]
 pub(crate) struct LogLine {
+    /// The time by the clock of the host, in ms since the Unix epoch.
     pub(crate) wall_ms: u64,
+    /// The name of the host that wrote the line.
     pub(crate) host: String,
     #[serde(flatten)]
     pub(crate) event: DecisionEvent,
 }
 
-/// The lines of the decision logs of all given hosts.
+/// The lines of the decision logs of several hosts.
 #[derive(Debug, Default)]
 pub(crate) struct MergedLogs {
     pub(crate) lines: Vec<LogLine>,
 }
 
 impl MergedLogs {
-    /// Adds the lines of a log. Lines that are not decision events, such as messages of the process
-    /// itself, are skipped.
+    /// Adds the lines of a log. Text before the JSON on a line is ignored, and lines that are not
+    /// decision events, such as messages of the process itself, are skipped. Call [`Self::sort`]
+    /// after the last log.
     pub(crate) fn add_log(&mut self, text: &str) {
         let jsons = text
             .lines()
@@ -42,17 +45,17 @@
         self.lines.sort_by_key(|line| line.wall_ms);
     }
 
-    /// The events of one request.
+    /// The events of one request. The lines must be sorted.
     pub(crate) fn timeline(&self, request: &str) -> RequestTimeline<'_> {
         RequestTimeline::new(request, &self.lines)
     }
 
-    /// Statistics over all requests.
+    /// Statistics over all requests. The lines must be sorted.
     pub(crate) fn summary(&self) -> LogSummary {
         LogSummary::from_lines(&self.lines)
     }
 
-    /// The requests that were not served.
+    /// The requests that were not served, in the order of the lines.
     pub(crate) fn failed_requests(&self) -> FailedRequests<'_> {
         FailedRequests(&self.lines)
     }
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -52,6 +52,8 @@
     }
 }
 
+/// Runs the subcommand that the first argument names. `--help` with any subcommand prints its usage
+/// instead.
 fn dispatch(args: Vec<OsString>, out: &mut dyn Write) -> Result<ExitStatus, CmdError> {
     let mut args = Arguments::from_vec(args);
     let name = args.subcommand()?;
--- a/src/cmd/outcome_descriptions.rs
+++ b/src/cmd/outcome_descriptions.rs
@@ -1,6 +1,7 @@
 //! Descriptions of the outcomes in the decision log.
 
-/// Describes an outcome: whether the request ran, and the cause.
+/// Describes an outcome other than `served`: whether the request ran, and the cause. A name that
+/// this version does not have, such as one of a later version, gets a text that says so.
 pub(crate) fn describe_outcome(outcome: &str) -> &'static str {
     match outcome {
         "no_manifest" => "not run: the host had not read a manifest yet",
@@ -15,7 +16,7 @@
         "queue_full" => "not run: the backlog of the engines would have made it late",
         "too_large" => "not run: its prompt needs more memory than all engines have",
         "no_upstream" => "not run: no upstream accepted it",
-        "retry_budget" => "not run by that upstream, and the retry budget was used up",
+        "retry_budget" => "not run by the last upstream, and the retry budget was used up",
         "poison" => "not run: it had crashed upstreams before",
         "time_up_not_run" => "not run: its deadline passed while it waited",
         "time_up" => "may have run: its deadline passed before the answer was complete",
--- a/src/cmd/publication.rs
+++ b/src/cmd/publication.rs
@@ -1,10 +1,10 @@
 //! Publishes a manifest by a conditional update and reports what came of it.
 //!
 //! If two operators publish at once, both writes expect the same object version, so only one takes
-//! effect. The other operator gets the generation that was published first. A write whose answer was
-//! lost may have taken effect, or may still do so. To find out, the publisher reads the publish id
-//! back and repeats the same write. Repeating a write with the same expected version is safe: at most
-//! one of the two writes can take effect, and their contents are equal.
+//! effect. The other operator gets the generation that was published first. A write whose answer
+//! was lost may have taken effect, or may still do so. To find out, the publisher reads the publish
+//! id back and repeats the same write. Repeating a write with the same expected version is safe: at
+//! most one of the two writes can take effect, and their contents are equal.
 
 use std::time::Duration;
 
@@ -28,18 +28,24 @@
 /// A conditional write of a manifest.
 struct ManifestWrite {
     manifest: PublishedManifest,
+    /// The state that the object must have for the write to take effect.
     expected: Precondition,
 }
 
 /// The next step after the published manifest was read.
 enum NextStep {
+    /// Writes the manifest.
     Write(ManifestWrite),
+    /// Returns this outcome without a write.
     Finish(PublishOutcome),
 }
 
-/// Publishes a validated manifest. `expect` is the generation that must be published now, if the
-/// operator named one. If the answer to the write is lost, each of `pauses` is followed by one more
-/// attempt to learn whether the write took effect.
+/// Publishes the text of a validated manifest. A text that is already published is accepted without
+/// a write. `publish_id` must be unique, since it identifies this write in the published manifest.
+/// `expect` is the generation that must be published now, 0 for none; without it, any may be. If
+/// the answer to the write is lost, each of `pauses` is followed by one more read, and by one more
+/// write if the object is unchanged. An error is returned only if a manifest cannot be encoded or
+/// decoded.
 pub async fn publish_manifest(
     platform: &dyn PlatformClient,
     text: &str,
@@ -57,11 +63,11 @@
         }
         Err(error) => return Err(error),
     };
-    let write = match plan(&published, text, publish_id, expect) {
+    let write = match plan_publish(&published, text, publish_id, expect) {
         NextStep::Write(write) => write,
         NextStep::Finish(outcome) => return Ok(outcome),
     };
-    match put(platform, &write).await? {
+    match put_manifest(platform, &write).await? {
         Ok(_) => Ok(PublishOutcome::Accepted(write.manifest.generation)),
         Err(PlatformError::Conflict | PlatformError::NotFound) => {
             Ok(conflict_outcome(platform, &write).await)
@@ -74,7 +80,10 @@
     }
 }
 
-fn plan(
+/// Decides whether a manifest is written. Without a write the outcome is already known: refused if
+/// another generation than `expect` or the manifest of another deployment is published, accepted if
+/// the same text is published.
+fn plan_publish(
     published: &Published,
     text: &str,
     publish_id: u128,
@@ -104,9 +113,9 @@
     })
 }
 
-/// The deployment of the published manifest if the new manifest has a different one. The hosts of
-/// the published deployment would refuse the new manifest, and new hosts would have no manifest that
-/// they accept.
+/// The deployment of the published manifest if the new manifest has a different one; none if both
+/// have the same one, or if the published manifest cannot be parsed. The hosts of the published
+/// deployment would refuse the new manifest, and new hosts would have no manifest that they accept.
 fn other_deployment(published: &str, new: &str) -> Option<String> {
     let deployment = |text| {
         Manifest::parse(text, "")
@@ -117,7 +126,9 @@
     (Some(&published) != deployment(new).as_ref()).then_some(published)
 }
 
-async fn put(
+/// Writes the manifest once. The inner result is the answer of the platform; the outer one is an
+/// error if the manifest cannot be encoded.
+async fn put_manifest(
     platform: &dyn PlatformClient,
     write: &ManifestWrite,
 ) -> Result<Result<ObjectVersion, PlatformError>, CmdError> {
@@ -140,7 +151,8 @@
 }
 
 /// Finds out whether a write whose answer was lost took effect, and repeats the write if the object
-/// is unchanged.
+/// is unchanged. The outcome is unknown if no attempt gives a result; `last_error` is the error of
+/// the first write.
 async fn resolve_unanswered(
     platform: &dyn PlatformClient,
     write: &ManifestWrite,
@@ -159,7 +171,7 @@
         if let Some(outcome) = unanswered_outcome(published, write) {
             return Ok(outcome);
         }
-        match put(platform, write).await? {
+        match put_manifest(platform, write).await? {
             Ok(_) => return Ok(PublishOutcome::Accepted(write.manifest.generation)),
             // The first write may have taken effect after the read, so the object is read again.
             Err(error) => last_error = error.to_string(),
@@ -168,8 +180,8 @@
     Ok(PublishOutcome::Unknown(last_error))
 }
 
-/// The outcome of a write whose answer was lost, by the manifest that is published now; none while
-/// the object is unchanged, since the write may still take effect.
+/// The outcome of a write whose answer was lost, by the manifest that is published now; none if the
+/// object is unchanged or absent, since the write may still take effect.
 fn unanswered_outcome(published: Published, write: &ManifestWrite) -> Option<PublishOutcome> {
     let (manifest, version) = published?;
     let is_unchanged = write.expected == Precondition::Version(version);
--- a/src/cmd/publish.rs
+++ b/src/cmd/publish.rs
@@ -32,8 +32,8 @@
 After 4, run the same command again: a manifest that is already published is not published twice.
 ";
 
-/// Pauses before the attempts to learn whether an unanswered write took effect, about ten seconds in
-/// all. A healthy platform answers within milliseconds.
+/// Pauses before the attempts to learn whether an unanswered write took effect, about ten seconds
+/// in all. A healthy platform answers within milliseconds.
 const RETRY_PAUSES: [Duration; 8] = [
     Duration::from_millis(100),
     Duration::from_millis(200),
@@ -45,13 +45,19 @@
     Duration::from_secs(3),
 ];
 
-struct Args {
+/// The arguments of `banyanarch publish`.
+struct PublishArgs {
+    /// The manifest file.
     file: PathBuf,
+    /// The address of the object service of the platform.
     platform: SocketAddr,
+    /// The generation that must be published now; 0 if no manifest may be published yet; none if
+    /// any generation may be.
     expect: Option<Generation>,
 }
 
-impl Args {
+impl PublishArgs {
+    /// Parses the arguments; an error unless there is exactly one file and a platform address.
     fn parse(mut args: Arguments) -> Result<Self, CmdError> {
         Ok(Self {
             platform: args.value_from_str("--platform")?,
@@ -61,8 +67,9 @@
     }
 }
 
+/// Validates the manifest and publishes it under a random publish id. Writes the outcome to `out`.
 pub(crate) fn run(args: Arguments, out: &mut dyn Write) -> Result<ExitStatus, CmdError> {
-    let args = Args::parse(args)?;
+    let args = PublishArgs::parse(args)?;
     let file = read_manifest(&args.file)?;
     let platform = platform_client(args.platform);
     let publish_id = rand::random();
--- a/src/cmd/publish_outcome.rs
+++ b/src/cmd/publish_outcome.rs
@@ -8,7 +8,7 @@
 /// The result of publishing a manifest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PublishOutcome {
-    /// The manifest was published with this generation.
+    /// The manifest is published with this generation, by this run or an earlier one.
     Accepted(Generation),
     /// The manifest was not published and will not be, for this reason.
     Refused(String),
--- a/src/cmd/remote.rs
+++ b/src/cmd/remote.rs
@@ -15,11 +15,12 @@
 use crate::objects::PlatformError;
 use crate::units::ObjectVersion;
 
-/// The timeout of a call. Allows for a slow platform, and is short enough for an operator who
-/// waits.
+/// The timeout of a call. It is long enough for a slow platform and short enough for an operator
+/// who waits for the result.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs the calls of a subcommand to completion on this thread.
+/// Runs a future to completion on this thread, in a new async runtime; an error if the runtime
+/// cannot be started.
 pub(crate) fn block_on<T>(work: impl Future<Output = T>) -> Result<T, CmdError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -27,6 +28,8 @@
     Ok(runtime.map_err(CmdError::Runtime)?.block_on(work))
 }
 
+/// A client for the object service of the platform at `addr`, whose calls time out after
+/// [`CALL_TIMEOUT`].
 pub(crate) fn platform_client(addr: SocketAddr) -> HttpPlatformClient {
     HttpPlatformClient::new(HttpClient::new(addr), CALL_TIMEOUT)
 }
--- a/src/cmd/report_text.rs
+++ b/src/cmd/report_text.rs
@@ -8,39 +8,43 @@
 use serde_json::Map;
 use serde_json::Value;
 
-/// The indentation of a nested section or table, in columns.
+/// The additional indentation of a nested section or table, in columns.
 const INDENT: usize = 2;
 
 /// Keys that identify an object. They are shown before its other keys.
 const IDENTIFYING_KEYS: [&str; 5] = ["host", "domain", "pool", "target", "id"];
 
-/// Formats a report as lines of `key: value`, with a list of objects as a table.
+/// Formats a report as lines of `key: value`. Objects become indented sections, and lists of
+/// objects become tables.
 pub(crate) fn format_report(report: &Value) -> String {
     let mut out = String::new();
     match report {
         Value::Object(entries) => push_entries(entries, 0, &mut out),
-        other => push_line(&mut out, 0, &inline(other)),
+        other => push_line(&mut out, 0, &format_inline(other)),
     }
     out
 }
 
-fn push_entries(entries: &Map<String, Value>, depth: usize, out: &mut String) {
+/// Appends the entries of an object to `out`, indented by `indent` columns.
+fn push_entries(entries: &Map<String, Value>, indent: usize, out: &mut String) {
     for (key, value) in identifying_keys_first(entries) {
         match value {
             Value::Object(nested) if is_section(value) => {
-                push_line(out, depth, &format!("{key}:"));
-                push_entries(nested, depth + INDENT, out);
+                push_line(out, indent, &format!("{key}:"));
+                push_entries(nested, indent + INDENT, out);
             }
             Value::Array(items) if items.iter().any(Value::is_object) => {
-                push_line(out, depth, &format!("{key}:"));
-                push_table(items, depth + INDENT, out);
+                push_line(out, indent, &format!("{key}:"));
+                push_table(items, indent + INDENT, out);
             }
-            other => push_line(out, depth, &format!("{key}: {}", inline(other))),
+            other => push_line(out, indent, &format!("{key}: {}", format_inline(other))),
         }
     }
 }
 
-fn push_table(items: &[Value], depth: usize, out: &mut String) {
+/// Appends a table with a row for each item to `out`, indented by `indent` columns. A cell without
+/// a value is shown as a dash.
+fn push_table(items: &[Value], indent: usize, out: &mut String) {
     let rows: Vec<IndexMap<String, String>> = items.iter().map(table_row).collect();
     let columns: IndexSet<&String> = rows.iter().flat_map(IndexMap::keys).collect();
     let cell = |row: &IndexMap<String, String>, column: &String| -> String {
@@ -60,13 +64,13 @@
     };
     push_line(
         out,
-        depth,
+        indent,
         &format_line(columns.iter().map(ToString::to_string).collect()),
     );
     for row in &rows {
         push_line(
             out,
-            depth,
+            indent,
             &format_line(columns.iter().map(|column| cell(row, column)).collect()),
         );
     }
@@ -78,12 +82,13 @@
     match item {
         Value::Object(entries) => flatten("", entries, &mut cells),
         other => {
-            cells.insert("value".to_owned(), inline(other));
+            cells.insert("value".to_owned(), format_inline(other));
         }
     }
     cells
 }
 
+/// Adds the entries of an object to the cells of a row. Columns are named by the path to the value.
 fn flatten(path: &str, entries: &Map<String, Value>, cells: &mut IndexMap<String, String>) {
     for (key, value) in identifying_keys_first(entries) {
         let column = if path.is_empty() {
@@ -94,14 +99,15 @@
         match value {
             Value::Object(nested) if is_section(value) => flatten(&column, nested, cells),
             other => {
-                cells.insert(column, inline(other));
+                cells.insert(column, format_inline(other));
             }
         }
     }
 }
 
-/// A value on one line.
-fn inline(value: &Value) -> String {
+/// Formats a value on one line: a null or empty value as a dash, a list of objects as the number of
+/// its items, any other list separated by commas, and a duration in seconds.
+fn format_inline(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
         Value::String(text) => text.clone(),
@@ -109,13 +115,17 @@
         Value::Array(items) if items.iter().any(Value::is_object) => {
             format!("({} entries)", items.len())
         }
-        Value::Array(items) => items.iter().map(inline).collect::<Vec<_>>().join(", "),
+        Value::Array(items) => items
+            .iter()
+            .map(format_inline)
+            .collect::<Vec<_>>()
+            .join(", "),
         Value::Object(entries) if entries.is_empty() => "-".to_owned(),
         other => format_duration(other).unwrap_or_else(|| other.to_string()),
     }
 }
 
-/// The entries with identifying keys first.
+/// The entries of an object, those with identifying keys first.
 fn identifying_keys_first(entries: &Map<String, Value>) -> Vec<(&String, &Value)> {
     let mut sorted: Vec<(&String, &Value)> = entries.iter().collect();
     let rank = |key: &str| IDENTIFYING_KEYS.iter().position(|name| *name == key);
@@ -123,13 +133,15 @@
     sorted
 }
 
-/// Whether a value is shown as a section of its own instead of on one line.
+/// Whether the entries of a value are shown separately: the value is an object that is neither
+/// empty nor a duration.
 fn is_section(value: &Value) -> bool {
     let is_empty = value.as_object().is_none_or(Map::is_empty);
     !is_empty && format_duration(value).is_none()
 }
 
-/// A duration in the format of serde, as seconds; none if the value is no duration.
+/// Formats a duration, which serde writes as an object of `secs` and `nanos`, in seconds; none if
+/// the value is not a duration.
 fn format_duration(value: &Value) -> Option<String> {
     let entries = value.as_object().filter(|entries| entries.len() == 2)?;
     let secs = entries.get("secs")?.as_u64()?;
@@ -143,7 +155,8 @@
     (nanos < 1_000_000_000).then(text)
 }
 
-fn push_line(out: &mut String, depth: usize, line: &str) {
+/// Appends a line to `out`, indented by `indent` columns and without trailing spaces.
+fn push_line(out: &mut String, indent: usize, line: &str) {
     // Writing to a string cannot fail.
-    let _ = writeln!(out, "{:depth$}{}", "", line.trim_end());
+    let _ = writeln!(out, "{:indent$}{}", "", line.trim_end());
 }
--- a/src/cmd/request_timeline.rs
+++ b/src/cmd/request_timeline.rs
@@ -7,16 +7,18 @@
 use crate::gateway::DecisionEvent;
 use crate::gateway::EngineCountsRecord;
 
-/// The events of one request in order of time.
+/// The events of one request in order of time, after the state of the host at the first of them.
+/// Displayed as text, with times in ms before or after the first event.
 pub(crate) struct RequestTimeline<'a> {
     request: String,
     lines: Vec<&'a LogLine>,
-    /// The state of the host at the first event of the request: the manifest in force and the
-    /// unreachable dependencies.
+    /// The lines that describe the state of the host at the first event: the manifest in force and
+    /// the losses of the dependencies that were unreachable.
     host_state: Vec<&'a LogLine>,
 }
 
 impl<'a> RequestTimeline<'a> {
+    /// Collects the events of a request from all lines, which must be sorted by time.
     pub(crate) fn new(request: &str, all: &'a [LogLine]) -> Self {
         let is_about = |line: &&LogLine| line.event.request() == Some(request);
         let lines: Vec<&LogLine> = all.iter().filter(is_about).collect();
@@ -31,12 +33,15 @@
         }
     }
 
+    /// Whether the logs have an event of the request.
     pub(crate) fn is_found(&self) -> bool {
         !self.lines.is_empty()
     }
 }
 
-/// The manifest in force on a host at a time, and the dependencies that it could not reach then.
+/// The lines of the manifest in force on a host at a time, and of the losses of the dependencies
+/// that the host could not reach then. A start of the host resets both. `all` must be sorted by
+/// time.
 fn host_state_at<'a>(host: &str, wall_ms: u64, all: &'a [LogLine]) -> Vec<&'a LogLine> {
     let mut manifest = None;
     let mut lost: Vec<&LogLine> = Vec::new();
@@ -60,7 +65,7 @@
     manifest.into_iter().chain(lost).collect()
 }
 
-/// Whether a line is the loss of the dependency of this name.
+/// Whether a line reports the loss of the dependency with this name.
 fn is_loss_of(line: &LogLine, name: &str) -> bool {
     matches!(&line.event, DecisionEvent::DependencyLost { dependency, .. } if dependency == name)
 }
@@ -83,19 +88,20 @@
     }
 }
 
-/// Writes the state of a set of engines, as the host knew it, on a line of its own.
-fn write_engine_survey(
+/// Writes the counts of a set of engines, as the host knew them, on a new line; nothing if there
+/// are none.
+fn write_engine_counts(
     f: &mut fmt::Formatter<'_>,
     name: &str,
-    survey: Option<&EngineCountsRecord>,
+    counts: Option<&EngineCountsRecord>,
 ) -> fmt::Result {
-    match survey {
-        Some(survey) => write!(f, "\n                     {name}: {survey}"),
+    match counts {
+        Some(counts) => write!(f, "\n                     {name}: {counts}"),
         None => Ok(()),
     }
 }
 
-/// Displays an event as text.
+/// Displays an event as text, which has several lines for some events.
 struct EventText<'a>(&'a DecisionEvent);
 
 impl fmt::Display for EventText<'_> {
@@ -110,8 +116,8 @@
                 "manifest {generation} in force: {routes} routes, {keys} keys"
             ),
             DecisionEvent::DependencyLost { dependency, error } => {
-                // Losses are shown only as part of the state of the host at the first event, and only
-                // those that had not ended by then.
+                // Losses are shown only as part of the state of the host at the first event, and
+                // only those that had not ended by then.
                 write!(
                     f,
                     "{dependency} unreachable, not reachable again by the first event of the \
@@ -166,8 +172,8 @@
                      {upstreams} upstreams listed, load of {hosts_heard} other hosts known, retry \
                      after {retry_after_ms} ms; manifest confirmed {manifest_age_ms} ms ago"
                 )?;
-                write_engine_survey(f, "near", near.as_deref())?;
-                write_engine_survey(f, "all", all.as_deref())
+                write_engine_counts(f, "near", near.as_deref())?;
+                write_engine_counts(f, "all", all.as_deref())
             }
             DecisionEvent::Waiting {
                 prompt_tokens,
@@ -185,8 +191,8 @@
                      on time and {time_left_ms} ms until its deadline, after {choices} placement \
                      decisions; {prompt_tokens} prompt tokens"
                 )?;
-                write_engine_survey(f, "near", Some(near))?;
-                write_engine_survey(f, "all", Some(all))
+                write_engine_counts(f, "near", Some(near))?;
+                write_engine_counts(f, "all", Some(all))
             }
             DecisionEvent::Ended {
                 outcome,
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -35,25 +35,31 @@
 Exit codes: 0 done, 1 invalid response, 2 bad command line, 3 not reached.
 ";
 
-enum Source {
+/// Where the status is read from.
+enum ReportSource {
+    /// The status port of a host at this address.
     Host(SocketAddr),
+    /// The object service of the platform at this address.
     Platform(SocketAddr),
 }
 
-struct Args {
-    source: Source,
+/// The arguments of `banyanarch status`.
+struct StatusArgs {
+    source: ReportSource,
+    /// Whether to print JSON instead of text.
     json: bool,
 }
 
-impl Args {
+impl StatusArgs {
+    /// Parses the arguments; an error unless exactly one of `--host` and `--platform` is given.
     fn parse(mut args: Arguments) -> Result<Self, CmdError> {
         let json = args.contains("--json");
         let host = args.opt_value_from_str("--host")?;
         let platform = args.opt_value_from_str("--platform")?;
         expect_no_more_args(args)?;
         let source = match (host, platform) {
-            (Some(addr), None) => Source::Host(addr),
-            (None, Some(addr)) => Source::Platform(addr),
+            (Some(addr), None) => ReportSource::Host(addr),
+            (None, Some(addr)) => ReportSource::Platform(addr),
             _ => {
                 return Err(CmdError::Usage(
                     "give one of --host and --platform".to_owned(),
@@ -64,11 +70,14 @@
     }
 }
 
+/// Reads the status from a host or from the platform and writes it to `out`.
 pub(crate) fn run(args: Arguments, out: &mut dyn Write) -> Result<ExitStatus, CmdError> {
-    let args = Args::parse(args)?;
+    let args = StatusArgs::parse(args)?;
     let report = match args.source {
-        Source::Host(addr) => block_on(read_host_report(addr))??,
-        Source::Platform(addr) => block_on(read_platform_reports(&remote::platform_client(addr)))??,
+        ReportSource::Host(addr) => block_on(read_host_report(addr))??,
+        ReportSource::Platform(addr) => {
+            block_on(read_platform_reports(&remote::platform_client(addr)))??
+        }
     };
     if args.json {
         writeln!(out, "{report:#}")?;
@@ -78,11 +87,14 @@
     Ok(ExitStatus::Success)
 }
 
+/// Reads the status page of a host.
 async fn read_host_report(addr: SocketAddr) -> Result<Value, CmdError> {
     let page = host_page::fetch(addr, "/status").await?;
     page.ok_or_else(|| CmdError::InvalidResponse(format!("{addr} has no status page")))
 }
 
+/// Reads the published generation, null if none is published, and the reports that the hosts have
+/// written to the platform.
 async fn read_platform_reports(platform: &dyn PlatformClient) -> Result<Value, CmdError> {
     let generation = match fetch_published(platform).await? {
         Some((published, _)) => Value::from(published.generation.0),
@@ -93,7 +105,8 @@
     Ok(json!({ "published_generation": generation, "reports": hosts }))
 }
 
-/// The report of a host with the name of the host as its first entry.
+/// Converts a status object to the report of its host, with the name of the host as first entry.
+/// A report that is not an object becomes the entry `report`.
 fn with_host_name(object: Object) -> Value {
     let mut entries = serde_json::Map::new();
     entries.insert("host".to_owned(), Value::from(object.key.name));
--- a/src/cmd/version.rs
+++ b/src/cmd/version.rs
@@ -15,6 +15,7 @@
     banyanarch version
 ";
 
+/// Writes the name and the version of the tool to `out`.
 pub(crate) fn run(args: Arguments, out: &mut dyn Write) -> Result<ExitStatus, CmdError> {
     expect_no_more_args(args)?;
     writeln!(out, "banyanarch {}", env!("CARGO_PKG_VERSION"))?;
--- a/tests/cmd_explain.rs
+++ b/tests/cmd_explain.rs
@@ -56,10 +56,11 @@
     host.log.text()
 }
 
+/// Writes the log of the three failures to `host-1.log`, as a process manager stores it.
 fn write_failure_log(dir: &WorkDir) {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let log = runtime.block_on(log_three_failures());
-    // The format of a process manager: a prefix on each line, and messages of the process itself.
+    // A process manager adds a prefix to each line and includes messages of the process itself.
     let lines = log.lines().map(|line| format!("host-1: {line}\n"));
     let text: String = lines.collect();
     dir.write_file("host-1.log", &format!("host-1: starting\n{text}"));
