--- a/src/daemon/loops.rs
+++ b/src/daemon/loops.rs
@@ -18,8 +18,11 @@
 
 /// The membership expects a tick every 100 ms and treats a longer gap as a pause of the process.
 const MEMBERSHIP_TICK: Duration = Duration::from_millis(100);
+/// How often this host announces its live grants to the homes, so that a new home learns of them.
 const ANNOUNCE_PAUSE: Duration = Duration::from_secs(1);
+/// The pause between two watches of the list of machines, also after a failure.
 const MACHINES_PAUSE: Duration = Duration::from_secs(1);
+/// How long one watch waits for a change of the list of machines.
 const MACHINES_WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 const ORDERS_PAUSE: Duration = Duration::from_secs(1);
 const REFRESH_PAUSE: Duration = Duration::from_millis(100);
--- a/src/entry/lifecycle.rs
+++ b/src/entry/lifecycle.rs
@@ -13,7 +13,7 @@
 /// lost. A connection that breaks more often than this within one response is unlikely to recover.
 const RESUMES_MAX: u8 = 3;
 
-/// The rules for running a request, fixed once it has been read.
+/// The rules for running a request, fixed once the request has been read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LifecycleRules {
     /// The request may run more than once.
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -35,8 +35,8 @@
 use crate::manifest::ManifestInForce;
 use crate::units::RequestId;
 
-/// The time limit for reading the head of a request. It keeps idle or slow clients from holding
-/// connections.
+/// The time limit for reading the head of a request. This limit keeps idle or slow clients from
+/// holding connections.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The largest head in bytes, more than any client library sends. Larger heads get status 431.
