--- a/tests/path.rs
+++ b/tests/path.rs
@@ -103,9 +103,9 @@
     assert!(text.contains(reason), "{text}");
 }
 
-/// Guards against a parser error that affects more than its own connection. A port scanner, a broken
-/// client or a misconfigured load balancer sends bytes that are not a valid request; other callers
-/// must still be served.
+/// Guards against a parser error that affects more than its own connection. A port scanner, a
+/// broken client or a misconfigured load balancer sends bytes that are not a valid request; other
+/// callers must still be served.
 #[parameterized(
     garbage = { &b"\x00\x01\x02\x03\xff\xfe garbage\r\n\r\n"[..] },
     partial_head = { &b"POST /v1/completions HTTP/1.1\r\nHost: x\r\n"[..] },
