--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -41,7 +41,7 @@
         /// Why the model stopped, as the upstream reports it.
         finish_reason: String,
     },
-    /// The event holds nothing that was not forwarded before.
+    /// The event holds nothing new: its tokens were forwarded before, or it has none.
     Duplicate,
     /// The event is not the next one of this attempt's response.
     Invalid(AnswerFault),
@@ -142,6 +142,7 @@
         AttemptOutput::Complete { finish_reason }
     }
 
+    /// Records when tokens arrived. Returns the time since the previous ones; none for the first.
     fn record_token(&mut self, now: Instant) -> Option<Duration> {
         let gap = self
             .last_token
--- a/src/entry/body_reader.rs
+++ b/src/entry/body_reader.rs
@@ -91,6 +91,7 @@
         })
     }
 
+    /// Reserves memory without waiting, and fails if the budget is used up.
     fn reserve(&self, len: usize) -> Result<OwnedSemaphorePermit, FailureReason> {
         let permits = u32::try_from(len.div_ceil(PERMIT_BYTES));
         let permits = permits.map_err(|_| FailureReason::BodyTooLarge)?;
--- a/src/entry/driver/claiming.rs
+++ b/src/entry/driver/claiming.rs
@@ -12,6 +12,7 @@
 use crate::observe::StepKind;
 
 impl Driver<'_> {
+    /// Records a claim on the request's idempotency key for the current attempt.
     pub(super) async fn claim(&mut self) -> LifecycleEvent {
         let Some((key, claim)) = self.new_claim() else {
             return LifecycleEvent::ClaimFailed(FailureReason::Refused(RefuseReason::NoClaim));
@@ -43,6 +44,8 @@
         }
     }
 
+    /// Gives the grant back, so that the response of the attempt that holds the claim is read
+    /// instead.
     fn on_claim_held(&mut self, existing: Claim) -> LifecycleEvent {
         let why = format!(
             "held by attempt {} of host {}: {:?}",
--- a/src/entry/driver/dispatching.rs
+++ b/src/entry/driver/dispatching.rs
@@ -42,6 +42,7 @@
 const DISPATCH_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Driver<'_> {
+    /// Sends the request to the upstreams of its grant and forwards the response.
     pub(super) async fn dispatch(
         &mut self,
         lifecycle: &mut StateMachine<RequestLifecycle>,
@@ -113,7 +114,7 @@
             attempt: grant.attempt(),
             host: self.context.host.clone(),
             method: self.job.method.to_string(),
-            path: self.job.path.clone(),
+            path: self.job.path_and_query.clone(),
             content_type: self.job.content_type.clone(),
             body: RequestBody {
                 chunks: vec![self.job.body.clone()],
@@ -161,6 +162,8 @@
         Ok(())
     }
 
+    /// Reads the interrupted response of the current attempt from the first token that the caller
+    /// does not have.
     pub(super) async fn resume(
         &mut self,
         lifecycle: &mut StateMachine<RequestLifecycle>,
@@ -244,6 +247,8 @@
     }
 }
 
+/// Classifies an error while another attempt's response is read. That attempt has run or is running,
+/// so a failure to connect counts as an interruption.
 fn classify_follow_failure(err: &UpstreamError) -> AttemptFailure {
     match classify_failure(err) {
         AttemptFailure::DidNotRun | AttemptFailure::Interrupted => AttemptFailure::Interrupted,
--- a/src/entry/driver/forwarding.rs
+++ b/src/entry/driver/forwarding.rs
@@ -23,7 +23,7 @@
 use crate::upstream::UpstreamError;
 
 impl Driver<'_> {
-    /// Forwards a response until it ends, fails, or the caller disconnects.
+    /// Forwards a response until it ends or fails, the time limit passes, or the caller disconnects.
     pub(super) async fn forward_response(
         &mut self,
         mut response: ResponseStream,
@@ -75,6 +75,8 @@
         }
     }
 
+    /// Sends one piece of a response to the caller. For a detached request, that the caller is gone
+    /// is no error.
     async fn forward(&mut self, output: AttemptOutput) -> ForwardResult {
         let sent = match output {
             AttemptOutput::Text { text, gap } => {
@@ -108,6 +110,8 @@
         }
     }
 
+    /// Records the time since the previous tokens, or, if there were none, the time from the receipt
+    /// of the request to its first token.
     pub(super) fn record_token_times(&self, gap: Option<Duration>) {
         let work = &self.job.work;
         let metrics = &self.context.metrics;
@@ -131,6 +135,7 @@
     }
 }
 
+/// What to do after a piece of a response was forwarded.
 enum ForwardResult {
     Continue,
     Complete,
--- a/src/entry/driver/mod.rs
+++ b/src/entry/driver/mod.rs
@@ -53,7 +53,8 @@
 /// An attempt that fails this close to the deadline is considered to have failed because of it.
 const NEAR_DEADLINE: Duration = Duration::from_millis(100);
 
-/// Drives one request through its lifecycle.
+/// Drives one request through its lifecycle: performs each action of the state machine and feeds
+/// the resulting event back.
 pub(crate) struct Driver<'a> {
     context: &'a Arc<EntryContext>,
     job: Job,
@@ -85,7 +86,8 @@
         }
     }
 
-    /// Runs the request to its end and returns the outcome; none if the caller disconnected.
+    /// Runs the request to its end, sends its reply and returns the outcome. Returns none if the
+    /// caller disconnected or stalled; the current attempt is cancelled then.
     pub(crate) async fn run(&mut self) -> Option<RequestOutcome> {
         let mut lifecycle = RequestLifecycle::new(self.job.rules).state_machine();
         let mut event = self.admit();
@@ -123,6 +125,7 @@
         }
     }
 
+    /// Records a step for the explanation of the request. `place` names the upstream or host.
     fn record_step(&self, kind: StepKind, place: &str, why: impl Into<Cow<'static, str>>) {
         self.context
             .explanations
@@ -136,6 +139,7 @@
         leader.and_then(|id| self.context.upstreams.upstream(id))
     }
 
+    /// The name of the upstream that sends the current attempt's response; empty if there is none.
     fn leader(&self) -> &str {
         self.attempt
             .as_ref()
@@ -143,7 +147,8 @@
             .map_or("", UpstreamId::as_str)
     }
 
-    /// Rejects a request that crashed upstreams before, so that it uses no resources.
+    /// The admission check. It rejects a request that crashed upstreams before, so that the request
+    /// uses no resources.
     fn admit(&mut self) -> LifecycleEvent {
         let work = &self.job.work;
         let why = format!(
@@ -166,6 +171,7 @@
         LifecycleEvent::Admitted
     }
 
+    /// The fingerprints by which the list of poisonous requests knows this request.
     fn fingerprints(&self) -> Vec<RequestFingerprint> {
         let mut fingerprints = vec![RequestFingerprint::of_content(self.job.content)];
         if let Some(key) = &self.job.key {
@@ -174,6 +180,7 @@
         fingerprints
     }
 
+    /// Requests a grant, and creates the attempt that uses it.
     async fn request_grant(&mut self) -> LifecycleEvent {
         let context = Arc::clone(self.context);
         let pending = context
@@ -217,6 +224,7 @@
             .record_queue_wait(&work.customer, work.class(), grant.waited);
     }
 
+    /// Records the failure of an attempt, and releases the attempt unless it can be resumed.
     pub(super) async fn on_attempt_failure(&mut self, err: UpstreamError) -> LifecycleEvent {
         let failure = classify_failure(&err);
         info!(
@@ -271,6 +279,8 @@
         }
     }
 
+    /// Records that the upstream crashed while it ran this request, and broadcasts the resulting
+    /// poison reports.
     pub(super) fn report_crash(&mut self) {
         let Some(attempt) = &self.attempt else {
             return;
@@ -285,6 +295,8 @@
         }
     }
 
+    /// Decides whether a failed request is tried again. If so, this discards the buffered reply,
+    /// counts the retry, gives the work a new request id and waits for the pause before the retry.
     pub(super) async fn decide_retry(&mut self) -> LifecycleEvent {
         let now = self.context.clock.now();
         // This request's own retries may be crashing one upstream after another.
@@ -313,7 +325,7 @@
         {
             RetryDecision::Retry { after } => {
                 self.context.metrics.count_retry(self.retry_reason());
-                self.reply.restart();
+                self.reply.discard_buffered_text();
                 // A home answers a repeated request with the grant that it already issued. If the
                 // message that ended the failed attempt was lost, the home would return the same
                 // grant, and a second attempt would run under the same id. So the grant for each
@@ -332,6 +344,7 @@
         }
     }
 
+    /// The label for the retry in the metrics.
     pub(super) fn retry_reason(&self) -> &'static str {
         match &self.last_error {
             Some(UpstreamError::NotSent(_)) => "not_sent",
@@ -341,8 +354,9 @@
         }
     }
 
-    /// Ends the current attempt, if there is one. If the attempt failed, later attempts avoid its
-    /// leader.
+    /// Ends the current attempt, if there is one, and releases what it holds. If the attempt failed,
+    /// later attempts avoid its leader. An attempt of another request, whose response is only read
+    /// here, is not released.
     pub(super) fn end_attempt(&mut self, ended: AttemptOutcome) {
         let Some(attempt) = self.attempt.take() else {
             return;
@@ -364,6 +378,8 @@
         }
     }
 
+    /// Ends the request: releases the attempt, records the end of the claim, and sends the failure if
+    /// there is one.
     pub(super) async fn finish(&mut self, outcome: RequestOutcome) {
         self.record_step(
             StepKind::Ended,
@@ -405,10 +421,12 @@
     }
 }
 
+/// Waits until the caller has disconnected. For a detached request, which runs on without its
+/// caller, this waits forever.
 async fn caller_gone(reply: &mut Reply, is_detached: bool) {
     if is_detached {
         std::future::pending::<()>().await;
     } else {
-        reply.wait_until_gone().await;
+        reply.wait_until_disconnected().await;
     }
 }
--- a/src/entry/granter.rs
+++ b/src/entry/granter.rs
@@ -70,6 +70,7 @@
     /// Requests a grant and waits for the decision. Dropping the future withdraws the request.
     fn request_grant(&self, target: TargetId, work: Work) -> BoxFuture<'_, GrantAnswer>;
 
-    /// Gives a grant back, with the summary of its attempt.
+    /// Gives a grant back to its home, with the summary of its attempt. This method does not wait
+    /// for the home.
     fn finish(&self, grant: &HeldGrant, summary: AttemptSummary);
 }
--- a/src/entry/in_flight.rs
+++ b/src/entry/in_flight.rs
@@ -8,11 +8,12 @@
 /// A counter of requests that have not ended. Its clones share one count.
 #[derive(Clone, Debug, Default)]
 pub struct InFlightCounter {
-    inner: Arc<Inner>,
+    state: Arc<InFlightState>,
 }
 
+/// The state that all clones of a counter and all of its guards share.
 #[derive(Debug, Default)]
-struct Inner {
+struct InFlightState {
     count: AtomicUsize,
     is_closed: AtomicBool,
 }
@@ -20,7 +21,7 @@
 /// Counts one request for as long as the guard is held.
 #[derive(Debug)]
 pub struct InFlightGuard {
-    inner: Arc<Inner>,
+    state: Arc<InFlightState>,
 }
 
 impl InFlightCounter {
@@ -29,31 +30,31 @@
         // Counts before checking, so that a drain that closes in between still waits for this
         // request.
         let guard = self.track();
-        (!self.inner.is_closed.load(Ordering::SeqCst)).then_some(guard)
+        (!self.state.is_closed.load(Ordering::SeqCst)).then_some(guard)
     }
 
     /// Counts work that outlives its request, such as a cancellation. This also works after
     /// [`Self::close`].
     pub fn track(&self) -> InFlightGuard {
-        self.inner.count.fetch_add(1, Ordering::SeqCst);
+        self.state.count.fetch_add(1, Ordering::SeqCst);
         InFlightGuard {
-            inner: Arc::clone(&self.inner),
+            state: Arc::clone(&self.state),
         }
     }
 
     /// Rejects new requests from now on.
     pub fn close(&self) {
-        self.inner.is_closed.store(true, Ordering::SeqCst);
+        self.state.is_closed.store(true, Ordering::SeqCst);
     }
 
     /// The number of guards that are held.
     pub fn count(&self) -> usize {
-        self.inner.count.load(Ordering::SeqCst)
+        self.state.count.load(Ordering::SeqCst)
     }
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.inner.count.fetch_sub(1, Ordering::SeqCst);
+        self.state.count.fetch_sub(1, Ordering::SeqCst);
     }
 }
--- a/src/entry/job.rs
+++ b/src/entry/job.rs
@@ -57,7 +57,7 @@
     /// The HTTP method.
     pub method: Method,
     /// The path with the query.
-    pub path: String,
+    pub path_and_query: String,
     /// The content type of the body.
     pub content_type: Option<String>,
     /// The body.
@@ -230,12 +230,14 @@
             key: self.headers.key,
             content,
             method: self.method,
-            path: self.path_and_query,
+            path_and_query: self.path_and_query,
             content_type: self.content_type,
             body,
         })
     }
 
+    /// The rank of the request's priority. Rank 0 is the most urgent, and a request may not ask for
+    /// a more urgent rank than that of its customer.
     fn priority(
         &self,
         manifest: &Manifest,
@@ -262,6 +264,8 @@
         Ok(requested)
     }
 
+    /// The plan for a request to a plain service. Such a request has no token counts, and only the
+    /// service's entry in the manifest and the method decide whether it may be repeated.
     fn service_plan(&self, service: &ServiceSpec) -> TargetPlan {
         let repeatable = match service.repeatable {
             RepeatRule::Always => true,
@@ -280,6 +284,7 @@
         }
     }
 
+    /// Hashes what makes two requests the same: customer, method, path with query, and body.
     fn content_hash(&self, customer: &CustomerId, body: &[u8]) -> ContentHash {
         let mut hasher = xxhash_rust::xxh3::Xxh3::new();
         for part in [
@@ -295,6 +300,7 @@
     }
 }
 
+/// What the target of a request determines: the rules, the reply format and the expected load.
 struct TargetPlan {
     target: TargetId,
     repeatable: bool,
@@ -306,6 +312,8 @@
     prefixes: Vec<(ContentHash, Tokens)>,
 }
 
+/// The plan for a model call. The call is rejected if the model is unknown, or if prompt and output
+/// exceed the model's context.
 fn model_plan(kind: CallKind, manifest: &Manifest, body: &[u8]) -> Result<TargetPlan, Rejection> {
     let call = ModelCall::read(kind, body).map_err(|why| (FailureReason::BadRequest, why))?;
     let unknown = || {
--- a/src/entry/lifecycle.rs
+++ b/src/entry/lifecycle.rs
@@ -152,6 +152,7 @@
     }
 }
 
+/// The step after a failed attempt.
 enum NextStep {
     Resume,
     DecideRetry,
--- a/src/entry/model_call.rs
+++ b/src/entry/model_call.rs
@@ -136,6 +136,8 @@
     pieces
 }
 
+/// Hashes the prompt's prefixes of the lengths [`PREFIX_LENS_BYTES`]. Each prefix is paired with its
+/// estimated length in tokens.
 fn hash_prefixes(pieces: &[Cow<'_, str>]) -> Vec<(ContentHash, Tokens)> {
     let mut hasher = Xxh3::new();
     let mut hashed_len = 0;
--- a/src/entry/release.rs
+++ b/src/entry/release.rs
@@ -28,6 +28,10 @@
 /// Releases everything that an attempt holds. The grant is given back only after the engine has
 /// confirmed that the attempt's memory is free, or after the tries to cancel have run out: a grant
 /// that ended earlier would let the home assign memory that the engine does not have.
+///
+/// Only a model's attempt that failed or was cancelled may still hold memory at its leader, and only
+/// a gang has reservations at other members. If there is neither, the grant is given back at once;
+/// else a background task, which counts as work in flight, releases the memory first.
 pub(crate) fn release_attempt(
     context: &Arc<EntryContext>,
     attempt: &Attempt,
@@ -38,8 +42,9 @@
     let grant = attempt.grant.clone();
     let summary = attempt.summary(ended, context.clock.now());
     let is_gang = grant.upstreams.len() > 1;
-    let may_hold = is_model && matches!(ended, AttemptOutcome::Cancelled | AttemptOutcome::Failed);
-    if !may_hold && !is_gang {
+    let may_hold_memory =
+        is_model && matches!(ended, AttemptOutcome::Cancelled | AttemptOutcome::Failed);
+    if !may_hold_memory && !is_gang {
         context.granter.finish(&grant, summary);
         return;
     }
@@ -48,7 +53,7 @@
     tokio::spawn(async move {
         let give_up_at = deadline + CANCEL_GRACE;
         for (position, id) in grant.upstreams.iter().enumerate() {
-            if position > 0 || may_hold {
+            if position > 0 || may_hold_memory {
                 release_at_upstream(&context, &grant, id, position > 0, give_up_at).await;
             }
         }
@@ -57,16 +62,18 @@
     });
 }
 
+/// Cancels an attempt at its leader, or releases the attempt's reservation at another gang member.
+/// Tries again until it succeeds, until the upstream is unknown, or until `give_up_at`.
 async fn release_at_upstream(
     context: &EntryContext,
     grant: &HeldGrant,
     id: &UpstreamId,
-    is_member: bool,
+    is_reservation: bool,
     give_up_at: Instant,
 ) {
     let mut pause = CANCEL_PAUSE_MIN;
     while let Some(upstream) = context.upstreams.upstream(id) {
-        let released = if is_member {
+        let released = if is_reservation {
             upstream.release_gang(grant.attempt()).await
         } else {
             upstream.cancel(grant.attempt()).await
--- a/src/entry/reply.rs
+++ b/src/entry/reply.rs
@@ -31,7 +31,8 @@
 /// pauses for seconds, not for this long.
 const CALLER_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The error for a caller that has disconnected or stalled.
+/// The error for a caller that has disconnected, or that read nothing for
+/// [`CALLER_STALL_TIMEOUT`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerGone;
 
@@ -66,7 +67,10 @@
     pub completion_tokens: u64,
 }
 
-/// The body of a reply.
+/// The body of a reply, which hyper reads frame by frame.
+///
+/// A body in chunks ends as a complete one when its sender is dropped. Only [`BodyChunk::Abort`]
+/// makes it end with [`TruncatedBody`].
 #[derive(Debug)]
 pub enum ReplyBody {
     /// The whole body in one buffer; none once it has been sent.
@@ -75,8 +79,8 @@
     Chunks(mpsc::Receiver<BodyChunk>),
 }
 
-/// A chunk of a body, or the order to break the connection, so that no caller mistakes a part of a
-/// reply for the whole.
+/// A chunk of a body, or the marker that makes the server break the connection, so that the caller
+/// does not mistake a part of a reply for the whole.
 #[derive(Debug)]
 pub enum BodyChunk {
     /// Bytes of the body.
@@ -85,7 +89,8 @@
     Abort,
 }
 
-/// The body error that makes the server break a connection.
+/// The body error for an incomplete reply. The server breaks the connection when it receives this
+/// error.
 #[derive(Debug)]
 pub struct TruncatedBody;
 
@@ -155,14 +160,15 @@
         }
     }
 
-    /// Sets the format and the model name once the request has been read.
+    /// Sets the format and the model name of the reply, which are known only once the request has
+    /// been read. A failure before that is reported in one JSON object.
     pub fn set_format(&mut self, format: ReplyFormat, model: &str) {
         self.format = format;
         model.clone_into(&mut self.model);
     }
 
     /// Discards the buffered text of a failed attempt before a retry.
-    pub fn restart(&mut self) {
+    pub fn discard_buffered_text(&mut self) {
         self.full_text.clear();
     }
 
@@ -171,8 +177,8 @@
         self.chunks.is_some()
     }
 
-    /// Waits until the caller has disconnected.
-    pub async fn wait_until_gone(&mut self) {
+    /// Waits until the caller has disconnected. Returns at once if the reply has ended.
+    pub async fn wait_until_disconnected(&mut self) {
         if let Some(chunks) = &self.chunks {
             chunks.closed().await;
         } else if let Some(head) = &mut self.head {
@@ -180,7 +186,10 @@
         }
     }
 
-    /// Sends text of a model's response, or buffers it for a reply that is not streamed.
+    /// Sends text of a model's response as a stream event, after the head if none was sent yet. For
+    /// a reply that is not streamed, appends the text to a buffer and sends nothing.
+    ///
+    /// Waits while the queue to the caller is full, and returns [`CallerGone`] if the caller stalls.
     pub async fn send_tokens(&mut self, text: &str) -> Result<(), CallerGone> {
         match self.format {
             ReplyFormat::Json(_) | ReplyFormat::PassThrough => {
@@ -195,7 +204,8 @@
         }
     }
 
-    /// Sends the head of a plain service's response.
+    /// Sends the head of a plain service's response, and opens the body for
+    /// [`Self::send_data`].
     pub fn send_service_head(
         &mut self,
         status: u16,
@@ -203,7 +213,7 @@
     ) -> Result<(), CallerGone> {
         let head = self.head_builder().status(status);
         let content_type = content_type.unwrap_or("application/octet-stream");
-        self.open(head.header(CONTENT_TYPE, content_type))
+        self.open_chunked(head.header(CONTENT_TYPE, content_type))
     }
 
     /// Sends bytes of a plain service's response.
@@ -211,7 +221,8 @@
         self.send(bytes).await
     }
 
-    /// Ends the reply after a complete response.
+    /// Ends the reply after a complete response. A reply in one JSON object is sent only now; a
+    /// stream gets its last event with the finish reason and the token counts.
     pub async fn complete(&mut self, finish_reason: &str, usage: Usage) -> Result<(), CallerGone> {
         match self.format {
             ReplyFormat::PassThrough => {
@@ -266,28 +277,32 @@
             .header("Banyanarch-Host", self.host.as_str())
     }
 
+    /// Sends the head of a stream of events, unless it was sent before.
     fn open_stream(&mut self) -> Result<(), CallerGone> {
         if self.chunks.is_some() {
             return Ok(());
         }
         let head = self.head_builder().status(200);
         let head = head.header("Cache-Control", "no-store");
-        self.open(head.header(CONTENT_TYPE, "text/event-stream"))
+        self.open_chunked(head.header(CONTENT_TYPE, "text/event-stream"))
     }
 
-    fn open(&mut self, head: Builder) -> Result<(), CallerGone> {
+    /// Sends the head of a reply whose body follows in chunks.
+    fn open_chunked(&mut self, head: Builder) -> Result<(), CallerGone> {
         let (tx, rx) = mpsc::channel(QUEUED_CHUNKS_MAX);
         self.send_head(head, ReplyBody::Chunks(rx))?;
         self.chunks = Some(tx);
         Ok(())
     }
 
+    /// Sends the whole reply at once: the head, and a JSON object as its body.
     fn send_full(&mut self, head: Builder, body: &serde_json::Value) -> Result<(), CallerGone> {
         let mut text = body.to_string();
         text.push('\n');
         self.send_head(head, ReplyBody::Full(Some(Bytes::from(text))))
     }
 
+    /// Sends the head, which can be sent only once: a second call returns [`CallerGone`].
     fn send_head(&mut self, head: Builder, body: ReplyBody) -> Result<(), CallerGone> {
         let sender = self.head.take().ok_or(CallerGone)?;
         let res = head.body(body).map_err(|_| CallerGone)?;
@@ -304,6 +319,8 @@
         sent.map_err(|_| CallerGone)?.map_err(|_| CallerGone)
     }
 
+    /// Builds one server-sent event with a piece of text. `end` holds the finish reason and the
+    /// token counts, and is given only for the last event of a complete response.
     fn stream_event(&self, kind: CallKind, text: &str, end: Option<(&str, Usage)>) -> Bytes {
         let finish_reason = end.map(|(reason, _)| reason);
         let choice = match kind {
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -80,7 +80,7 @@
             continue;
         }
         let context = Arc::clone(&context);
-        let service = service_fn(move |req| answer(Arc::clone(&context), req));
+        let service = service_fn(move |req| serve_request(Arc::clone(&context), req));
         let conn = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(HEAD_TIMEOUT)
@@ -96,7 +96,8 @@
     graceful.shutdown().await;
 }
 
-async fn answer(
+/// Starts the task of a request, and returns the head of its reply once there is one.
+async fn serve_request(
     context: Arc<EntryContext>,
     req: Request<Incoming>,
 ) -> Result<Response<ReplyBody>, hyper::Error> {
@@ -108,11 +109,11 @@
         let mut reply = Reply::new(request, context.host.clone(), head_tx);
         handle(&context, request, req, &mut reply).await;
     });
-    Ok(head_rx.await.unwrap_or_else(|_| broken_reply()))
+    Ok(head_rx.await.unwrap_or_else(|_| internal_error_reply()))
 }
 
-/// The reply if the request's task panicked. Whether an attempt ran is unknown then.
-fn broken_reply() -> Response<ReplyBody> {
+/// The reply to a request whose task panicked. Whether an attempt ran is unknown then.
+fn internal_error_reply() -> Response<ReplyBody> {
     let body =
         r#"{"error":{"message":"internal error","type":"internal","outcome":"may-have-run"}}"#;
     let mut res = Response::new(ReplyBody::Full(Some(body.into())));
@@ -129,6 +130,7 @@
     res
 }
 
+/// Runs a request to its end, sends its reply and counts its outcome.
 async fn handle(
     context: &Arc<EntryContext>,
     request: RequestId,
@@ -163,12 +165,13 @@
     }
 }
 
+/// Replies to a request that failed before it became a job.
 async fn reject(reply: &mut Reply, (reason, message): Rejection) {
-    let comes_back = matches!(
+    let is_temporary = matches!(
         reason,
         FailureReason::Draining | FailureReason::NotReady | FailureReason::BodyMemory
     );
-    let retry_after = comes_back.then_some(RETRY_AFTER_HOST);
+    let retry_after = is_temporary.then_some(RETRY_AFTER_HOST);
     let failure = FailureReply {
         outcome: RequestOutcome::NotRun(reason),
         message,
@@ -179,6 +182,8 @@
     }
 }
 
+/// Reads and checks the head and the body of a request. The reservation of the body in the memory
+/// budget lasts as long as the returned [`BufferedBody`](crate::entry::BufferedBody).
 async fn read_job(
     context: &Arc<EntryContext>,
     request: RequestId,
@@ -221,7 +226,7 @@
     };
     let buffered = buffered
         .map_err(timed_out)?
-        .map_err(|reason| (reason, body_message(reason).to_owned()))?;
+        .map_err(|reason| (reason, body_error_message(reason).to_owned()))?;
     let job = parse_job(job_head, route, in_force, buffered.bytes.clone()).await?;
     Ok((job, buffered))
 }
@@ -242,7 +247,8 @@
     ))
 }
 
-fn body_message(reason: FailureReason) -> &'static str {
+/// The message for a body that could not be read.
+fn body_error_message(reason: FailureReason) -> &'static str {
     match reason {
         FailureReason::BodyTooLarge => "the body is larger than the manifest's body_size_max",
         FailureReason::BodyMemory => "this host has no memory left for the body",
@@ -250,6 +256,8 @@
     }
 }
 
+/// Parses a body into a job, on a blocking thread if the body is larger than
+/// [`PARSE_INLINE_MAX`].
 async fn parse_job(
     head: JobHead,
     route: RequestRoute,
