--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -73,20 +73,21 @@
     pub(crate) cluster_view: Arc<ClusterView>,
     pub(crate) entry: Arc<EntryContext>,
     pub(crate) homes: Arc<HomeRunner>,
-    pub(crate) home_table: Arc<ClusterHomeDirectory>,
+    pub(crate) home_directory: Arc<ClusterHomeDirectory>,
     pub(crate) granter: Arc<HomeGranter>,
     pub(crate) membership: Arc<MembershipRunner>,
     pub(crate) manifests: Arc<ManifestRunner>,
-    pub(crate) orders: Arc<ReconcilerRunner>,
+    pub(crate) reconciler: Arc<ReconcilerRunner>,
     pub(crate) events: Arc<EventLog>,
     pub(crate) platform: Arc<dyn PlatformClient>,
     pub(crate) addrs: Arc<SeededAddrs>,
     pub(crate) traffic: Arc<Traffic>,
-    pub(crate) news: Arc<MembershipHandler>,
+    pub(crate) membership_handler: Arc<MembershipHandler>,
     pub(crate) drain: Arc<Drain>,
     pub(crate) stop_callers: watch::Sender<bool>,
 }
 
+/// The bound sockets of a host, one for each port.
 struct Listeners {
     callers: TcpListener,
     peers: TcpListener,
@@ -94,7 +95,7 @@
 }
 
 impl Host {
-    /// Binds all ports and starts all components.
+    /// Binds all ports, builds all components and starts their background tasks.
     pub(crate) async fn start(settings: Settings) -> Result<Arc<Self>, DaemonError> {
         let listeners = Listeners::bind(&settings).await?;
         let peer_addr = listeners.peers.local_addr()?;
@@ -141,36 +142,36 @@
                 clock.now(),
             ),
         ));
-        let home_table = Arc::new(ClusterHomeDirectory::new(
+        let home_directory = Arc::new(ClusterHomeDirectory::new(
             Arc::clone(&cluster_view),
             Arc::clone(&membership),
             settings.host.clone(),
             settings.failure_domain.clone(),
         ));
-        let map = Arc::clone(&home_table) as Arc<dyn HomeDirectory>;
+        let shared_directory = Arc::clone(&home_directory) as Arc<dyn HomeDirectory>;
         let upstreams = Arc::new(UpstreamRegistry::new(Arc::clone(&cluster_view)));
         let waiters = Arc::new(GrantWaiters::default());
-        let live = Arc::new(LiveGrants::default());
+        let live_grants = Arc::new(LiveGrants::default());
         let homes = Arc::new(HomeRunner::new(HomeRunnerParts {
             clock: Arc::clone(&clock),
             host: settings.host.clone(),
             cluster_view: Arc::clone(&cluster_view),
             events: Arc::clone(&events),
             peers: Arc::clone(&peers) as _,
-            home_directory: Arc::clone(&map),
+            home_directory: Arc::clone(&shared_directory),
             upstreams: Arc::clone(&upstreams) as _,
             waiters: Arc::clone(&waiters),
-            live_grants: Arc::clone(&live),
+            live_grants: Arc::clone(&live_grants),
             policy: settings.policy,
         }));
         let granter = Arc::new(HomeGranter::new(HomeGranterParts {
             clock: Arc::clone(&clock),
             host: settings.host.clone(),
             peers: Arc::clone(&peers) as _,
-            home_directory: Arc::clone(&map),
+            home_directory: Arc::clone(&shared_directory),
             homes: Arc::clone(&homes),
             waiters: Arc::clone(&waiters),
-            live_grants: live,
+            live_grants,
             policy: settings.policy,
         }));
         let direct: Arc<dyn PlatformClient> = Arc::new(HttpPlatformClient::new(
@@ -227,17 +228,17 @@
                 clock.now(),
             ),
         ));
-        let orders = Arc::new(ReconcilerRunner::new(ReconcilerRunnerParts {
+        let reconciler = Arc::new(ReconcilerRunner::new(ReconcilerRunnerParts {
             clock: Arc::clone(&clock),
             cluster_view: Arc::clone(&cluster_view),
             events: Arc::clone(&events),
-            home_directory: Arc::clone(&map),
+            home_directory: Arc::clone(&shared_directory),
             platform: Arc::clone(&relayed),
             upstreams: Arc::clone(&upstreams) as _,
             host: settings.host.clone(),
             incarnation,
         }));
-        let news = Arc::new(MembershipHandler {
+        let membership_handler = Arc::new(MembershipHandler {
             entry: Arc::clone(&entry),
             homes: Arc::clone(&homes),
             peers: Arc::clone(&peers),
@@ -250,7 +251,7 @@
             waiters,
             membership: Arc::clone(&membership),
             manifests: Arc::clone(&manifests),
-            membership_events: Arc::clone(&news) as _,
+            membership_events: Arc::clone(&membership_handler) as _,
             platform: Arc::clone(&direct),
         });
         let peer_server = Arc::new(PeerServer::new(
@@ -268,16 +269,16 @@
             cluster_view,
             entry,
             homes,
-            home_table,
+            home_directory,
             granter,
             membership,
             manifests,
-            orders,
+            reconciler,
             events,
             platform: relayed,
             addrs,
             traffic,
-            news,
+            membership_handler,
             drain,
             stop_callers,
         });
@@ -287,7 +288,11 @@
         ));
         tokio::spawn(peer_server.serve(listeners.peers, CancellationToken::new()));
         tokio::spawn(manifest_loop::run(Arc::clone(&host)));
-        tokio::spawn(poll::run(Arc::clone(&host.homes), map, upstreams));
+        tokio::spawn(poll::run(
+            Arc::clone(&host.homes),
+            shared_directory,
+            upstreams,
+        ));
         loops::start(&host);
         tokio::spawn(serve_callers(
             Arc::clone(&host.entry),
@@ -318,6 +323,8 @@
     })
 }
 
+/// The first incarnation of this host: the wall time in seconds since 1970, so that a restarted host
+/// has a higher incarnation than before.
 fn first_incarnation(clock: &dyn Clock) -> Incarnation {
     let since_epoch = clock.wall().duration_since(UNIX_EPOCH);
     Incarnation(since_epoch.map_or(1, |elapsed| elapsed.as_secs()))
--- a/src/daemon/loops.rs
+++ b/src/daemon/loops.rs
@@ -16,37 +16,43 @@
 use crate::objects::PlatformError;
 use crate::units::ObjectVersion;
 
-/// The membership expects a tick every 100 ms and treats a longer gap as a pause of the process.
+/// The interval between two ticks of the membership and of the manifest controller. The membership
+/// expects a tick every 100 ms and treats a longer gap as a pause of the process.
 const MEMBERSHIP_TICK: Duration = Duration::from_millis(100);
-/// How often this host announces its live grants to the homes, so that a new home learns of them.
-const ANNOUNCE_PAUSE: Duration = Duration::from_secs(1);
+/// The interval at which this host announces its live grants to the homes, so that a new home learns
+/// of them.
+const ANNOUNCE_TICK: Duration = Duration::from_secs(1);
 /// The pause between two watches of the list of machines, also after a failure.
 const MACHINES_PAUSE: Duration = Duration::from_secs(1);
 /// How long one watch waits for a change of the list of machines.
 const MACHINES_WATCH_TIMEOUT: Duration = Duration::from_secs(10);
-const ORDERS_PAUSE: Duration = Duration::from_secs(1);
-const REFRESH_PAUSE: Duration = Duration::from_millis(100);
+/// The interval between two steps of the reconciler.
+const RECONCILER_TICK: Duration = Duration::from_secs(1);
+/// The interval between two updates of the home directory and of the homes on this host.
+const REFRESH_TICK: Duration = Duration::from_millis(100);
 
 /// Starts the background loops of a host.
 pub(crate) fn start(host: &Arc<Host>) {
     spawn_periodic(host, MEMBERSHIP_TICK, |host| {
-        host.news.on_events(host.membership.tick());
+        host.membership_handler.on_events(host.membership.tick());
     });
     spawn_periodic(host, MEMBERSHIP_TICK, |host| host.manifests.tick());
-    spawn_periodic(host, ANNOUNCE_PAUSE, |host| host.granter.announce_grants());
-    spawn_periodic(host, REFRESH_PAUSE, |host| {
-        host.home_table.refresh();
+    spawn_periodic(host, ANNOUNCE_TICK, |host| host.granter.announce_grants());
+    spawn_periodic(host, REFRESH_TICK, |host| {
+        host.home_directory.refresh();
         host.homes.refresh();
     });
-    spawn_periodic(host, ORDERS_PAUSE, |host| host.orders.tick());
+    spawn_periodic(host, RECONCILER_TICK, |host| host.reconciler.tick());
     tokio::spawn(status_loop::run(Arc::clone(host)));
     tokio::spawn(watch_machines(Arc::clone(host)));
 }
 
-fn spawn_periodic(host: &Arc<Host>, pause: Duration, step: impl Fn(&Host) + Send + 'static) {
+/// Starts a task that calls `step` at an interval of `period`. A late call delays the later ones; no
+/// calls are made up for.
+fn spawn_periodic(host: &Arc<Host>, period: Duration, step: impl Fn(&Host) + Send + 'static) {
     let host = Arc::clone(host);
     tokio::spawn(async move {
-        let mut ticks = interval(pause);
+        let mut ticks = interval(period);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
@@ -84,6 +90,7 @@
     }
 }
 
+/// Reads the list of machines, applies it, and returns the version of the list.
 async fn read_machines(host: &Host) -> Result<ObjectVersion, PlatformError> {
     let list = host.platform.list(ObjectKind::Machines).await?;
     let listed = machine_list::apply(&host.cluster_view, &list);
--- a/src/daemon/machine_list.rs
+++ b/src/daemon/machine_list.rs
@@ -17,6 +17,7 @@
 use crate::units::TargetId;
 use crate::units::UpstreamId;
 
+/// A machine as the platform lists it.
 #[derive(Deserialize)]
 struct MachineSpec {
     role: MachineRole,
@@ -80,6 +81,7 @@
     listed
 }
 
+/// Stores a listed upstream in the cluster view, unless the view has a later version of it.
 fn apply_upstream(cluster_view: &ClusterView, view: UpstreamView) {
     let known = cluster_view.upstreams.get(&view.id);
     let is_newer = |known: &UpstreamView| known.version <= view.version && *known != view;
@@ -88,11 +90,13 @@
     }
 }
 
+/// A listed machine whose fields have been checked.
 enum Machine {
     Upstream(UpstreamView),
     Entry(PeerSeed),
 }
 
+/// Parses a listed machine; none if its fields are invalid.
 fn parse_machine(object: &Object) -> Option<Machine> {
     let name = &object.key.name;
     let spec = match MachineSpec::deserialize(&object.value) {
--- a/src/daemon/manifest_loop.rs
+++ b/src/daemon/manifest_loop.rs
@@ -62,6 +62,8 @@
     }
 }
 
+/// Waits for published manifests that are newer than a version, and returns the version up to which
+/// they have been read.
 async fn watch(host: &Host, after: ObjectVersion) -> Result<Option<ObjectVersion>, PlatformError> {
     let changes = host
         .platform
@@ -74,8 +76,11 @@
     Ok(Some(changes.version))
 }
 
-/// Waits until the controller asks for a read or this host becomes a watcher. A host that does not
-/// watch receives new generations from peers.
+/// Waits until the controller asks for a read or this host becomes a watcher, but at most for
+/// [`POLL_PAUSE`]. A host that does not watch receives new generations from peers.
+///
+/// Returns none if the manifests must be listed now. Any version means that no read is needed yet;
+/// its value has no meaning.
 async fn wait_until_requested(host: &Host) -> Result<Option<ObjectVersion>, PlatformError> {
     let is_requested = timeout(POLL_PAUSE, host.manifests.wait_for_read_request())
         .await
@@ -88,6 +93,7 @@
     })
 }
 
+/// Reads all published manifests, and returns the version of the list.
 async fn list(host: &Host) -> Result<Option<ObjectVersion>, PlatformError> {
     // Clears a pending request of the controller, which this read answers.
     let _ = host.manifests.wait_for_read_request().now_or_never();
@@ -99,12 +105,14 @@
     Ok(Some(list.version))
 }
 
+/// Whether this host is one of the watchers of its failure domain.
 fn is_watcher(host: &Host) -> bool {
     let domain = &host.settings.failure_domain;
     let members = host.membership.members(domain);
     watchers(domain, &members).contains(&host.settings.host)
 }
 
+/// Passes manifests to the manifest controller. A manifest that cannot be decoded is skipped.
 fn submit_manifests(host: &Host, list: &ObjectList) {
     for object in &list.items {
         match PublishedManifest::deserialize(&object.value) {
--- a/src/daemon/membership_handler.rs
+++ b/src/daemon/membership_handler.rs
@@ -14,8 +14,8 @@
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
-/// Passes changes of the membership and poison reports of other hosts to the components of this
-/// host.
+/// Passes membership events to the components of this host: hosts that joined or died, a pause of
+/// this host, and other hosts' reports of requests that crash upstreams.
 pub(crate) struct MembershipHandler {
     pub(crate) entry: Arc<EntryContext>,
     pub(crate) homes: Arc<HomeRunner>,
@@ -24,6 +24,7 @@
 }
 
 impl MembershipHandler {
+    /// Whether a host is in this host's failure domain; false for a host that is not known.
     fn is_in_same_domain(&self, host: &HostId) -> bool {
         let view = self.entry.cluster_view.hosts.get(host);
         view.is_some_and(|view| view.domain == self.domain)
@@ -31,9 +32,9 @@
 }
 
 impl MembershipEventHandler for MembershipHandler {
-    fn on_events(&self, news: Vec<MembershipEvent>) {
-        for item in news {
-            match item {
+    fn on_events(&self, events: Vec<MembershipEvent>) {
+        for event in events {
+            match event {
                 MembershipEvent::HostAlive(host) if self.is_in_same_domain(&host) => {
                     self.homes.send_to_all_homes(&HomeEvent::HostAlive(host));
                 }
--- a/src/daemon/pages.rs
+++ b/src/daemon/pages.rs
@@ -83,11 +83,11 @@
                 return Page::text(StatusCode::INTERNAL_SERVER_ERROR, format!("{err}\n"));
             }
         };
-        let pools = host.home_table.pool_homes().into_iter();
+        let pools = host.home_directory.pool_homes().into_iter();
         let pools: Vec<_> = pools
             .map(|(pool, home)| json!({"pool": pool, "home": home}))
             .collect();
-        let orders = host.orders.progress().into_iter();
+        let orders = host.reconciler.progress().into_iter();
         let orders: Vec<_> = orders
             .map(|(pool, (done, all))| json!({"pool": pool, "loaded": done, "engines": all}))
             .collect();
--- a/src/daemon/poll.rs
+++ b/src/daemon/poll.rs
@@ -20,7 +20,7 @@
 /// Polls the upstreams of the homes on this host for as long as the process runs.
 pub(crate) async fn run(
     homes: Arc<HomeRunner>,
-    map: Arc<dyn HomeDirectory>,
+    home_directory: Arc<dyn HomeDirectory>,
     upstreams: Arc<dyn UpstreamDirectory>,
 ) {
     let mut last_seqs: IndexMap<UpstreamId, u64> = IndexMap::new();
@@ -30,7 +30,7 @@
         let ids = homes
             .pool_loads()
             .into_iter()
-            .flat_map(|(pool, _)| map.upstreams_of(&pool));
+            .flat_map(|(pool, _)| home_directory.upstreams_of(&pool));
         for id in ids {
             let after_seq = last_seqs.get(&id).copied().unwrap_or(0);
             polls.spawn(poll_one(
@@ -48,6 +48,7 @@
     }
 }
 
+/// Polls one upstream. Returns its id and the sequence number of the last cache event that was read.
 async fn poll_one(
     homes: Arc<HomeRunner>,
     upstreams: Arc<dyn UpstreamDirectory>,
--- a/src/daemon/status_loop.rs
+++ b/src/daemon/status_loop.rs
@@ -44,7 +44,7 @@
     loop {
         sleep(REPORT_INTERVAL).await;
         let report = report(&host).for_platform();
-        match reporter.tick(hash_without_ages(&report), host.clock.now()) {
+        match reporter.tick(hash_stable_fields(&report), host.clock.now()) {
             Some(ReporterAction::Read) => {
                 let read = host.platform.get(key.clone()).await;
                 reporter.on_read(&read, host.clock.now());
@@ -74,13 +74,13 @@
 
 /// Hashes the report without ages and load figures, which change constantly and do not warrant a
 /// write.
-fn hash_without_ages(report: &StatusReport) -> u64 {
-    let mut ageless = report.clone();
-    ageless.generation_confirmed_ago_s = None;
-    for event in &mut ageless.lately {
+fn hash_stable_fields(report: &StatusReport) -> u64 {
+    let mut stable = report.clone();
+    stable.generation_confirmed_ago_s = None;
+    for event in &mut stable.lately {
         event.ago_s = 0;
     }
-    for home in &mut ageless.homes {
+    for home in &mut stable.homes {
         (
             home.waiting,
             home.running,
@@ -88,5 +88,5 @@
             home.free_tokens,
         ) = (0, 0, 0, 0);
     }
-    xxh3_64(format!("{ageless:?}").as_bytes())
+    xxh3_64(format!("{stable:?}").as_bytes())
 }
--- a/src/daemon/status_server.rs
+++ b/src/daemon/status_server.rs
@@ -59,7 +59,9 @@
     fn page(&self, path: &str) -> Option<Page>;
 }
 
+/// The time limit for reading the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// The pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Serves the pages for as long as the process runs.
