--- a/src/entry/driver/claiming.rs
+++ b/src/entry/driver/claiming.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Gives the grant back, so that the response of the attempt that holds the claim is read
+    /// Gives the grant back unused, since the response of the attempt that holds the claim is read
     /// instead.
     fn on_claim_held(&mut self, existing: Claim) -> LifecycleEvent {
         let why = format!(
--- a/src/entry/driver/mod.rs
+++ b/src/entry/driver/mod.rs
@@ -171,7 +171,7 @@
         LifecycleEvent::Admitted
     }
 
-    /// The fingerprints by which the list of poisonous requests knows this request.
+    /// The fingerprints that identify this request in the list of requests that crash upstreams.
     fn fingerprints(&self) -> Vec<RequestFingerprint> {
         let mut fingerprints = vec![RequestFingerprint::of_content(self.job.content)];
         if let Some(key) = &self.job.key {
--- a/src/entry/job.rs
+++ b/src/entry/job.rs
@@ -264,8 +264,9 @@
         Ok(requested)
     }
 
-    /// The plan for a request to a plain service. Such a request has no token counts, and only the
-    /// service's entry in the manifest and the method decide whether it may be repeated.
+    /// The plan for a request to a plain service. Such a request has no token counts. The
+    /// service's entry in the manifest, or else the method, tells whether the request may run more
+    /// than once, unless a header of the caller does.
     fn service_plan(&self, service: &ServiceSpec) -> TargetPlan {
         let repeatable = match service.repeatable {
             RepeatRule::Always => true,
--- a/src/entry/lifecycle.rs
+++ b/src/entry/lifecycle.rs
@@ -159,25 +159,33 @@
     Fail,
 }
 
+// In each state's handler, `context` is where the handler stores the next action; the macro
+// prescribes this name.
 #[state_machine(
-    initial = "State::reading()",
+    initial = "State::admitting()",
     state(derive(Debug)),
     superstate(derive(Debug))
 )]
 impl RequestLifecycle {
-    #[state(superstate = "open")]
-    fn reading(context: &mut LifecycleAction, event: &LifecycleEvent) -> Outcome<State> {
+    /// The admission check decides whether the request may ask for a grant.
+    #[state(superstate = "active")]
+    fn admitting(context: &mut LifecycleAction, event: &LifecycleEvent) -> Outcome<State> {
         match event {
             LifecycleEvent::Admitted => {
                 *context = LifecycleAction::RequestGrant;
-                Transition(State::waiting())
+                Transition(State::awaiting_grant())
             }
             _ => Super,
         }
     }
 
-    #[state(superstate = "open")]
-    fn waiting(&mut self, context: &mut LifecycleAction, event: &LifecycleEvent) -> Outcome<State> {
+    /// A home has been asked for a grant.
+    #[state(superstate = "active")]
+    fn awaiting_grant(
+        &mut self,
+        context: &mut LifecycleAction,
+        event: &LifecycleEvent,
+    ) -> Outcome<State> {
         match event {
             LifecycleEvent::Granted if self.rules.needs_claim => {
                 *context = LifecycleAction::Claim;
@@ -189,13 +197,14 @@
             }
             LifecycleEvent::Refused(reason) => {
                 *context = self.finish_failed(FailureReason::Refused(*reason));
-                Transition(State::closed())
+                Transition(State::ended())
             }
             _ => Super,
         }
     }
 
-    #[state(superstate = "open")]
+    /// The claim on the request's idempotency key is being recorded.
+    #[state(superstate = "active")]
     fn claiming(
         &mut self,
         context: &mut LifecycleAction,
@@ -211,27 +220,28 @@
                 // wrong from here on.
                 self.run_tracker.on_response_start();
                 *context = LifecycleAction::FollowClaim;
-                Transition(State::following())
+                Transition(State::following_claim())
             }
             LifecycleEvent::ClaimFailed(FailureReason::KeyMayHaveRun) => {
                 self.run_tracker.on_response_start();
                 *context = self.finish_failed(FailureReason::KeyMayHaveRun);
-                Transition(State::closed())
+                Transition(State::ended())
             }
             LifecycleEvent::ClaimFailed(reason) => {
                 *context = self.finish_failed(*reason);
-                Transition(State::closed())
+                Transition(State::ended())
             }
             _ => Super,
         }
     }
 
-    #[state(superstate = "open")]
+    /// An attempt runs, or its interrupted response is being resumed.
+    #[state(superstate = "active")]
     fn running(&mut self, context: &mut LifecycleAction, event: &LifecycleEvent) -> Outcome<State> {
         match event {
             LifecycleEvent::ResponseCompleted => {
                 *context = LifecycleAction::Finish(RequestOutcome::Completed);
-                Transition(State::closed())
+                Transition(State::ended())
             }
             LifecycleEvent::AttemptFailed(failure) => match self.after_attempt_failure(*failure) {
                 NextStep::Resume => {
@@ -240,19 +250,20 @@
                 }
                 NextStep::DecideRetry => {
                     *context = LifecycleAction::DecideRetry;
-                    Transition(State::retrying())
+                    Transition(State::deciding_retry())
                 }
                 NextStep::Fail => {
                     *context = self.finish_failed(self.failure_reason());
-                    Transition(State::closed())
+                    Transition(State::ended())
                 }
             },
             _ => Super,
         }
     }
 
-    #[state(superstate = "open")]
-    fn retrying(
+    /// An attempt failed, and the retry budget decides whether there is another.
+    #[state(superstate = "active")]
+    fn deciding_retry(
         &mut self,
         context: &mut LifecycleAction,
         event: &LifecycleEvent,
@@ -260,18 +271,19 @@
         match event {
             LifecycleEvent::RetryAllowed => {
                 *context = LifecycleAction::RequestGrant;
-                Transition(State::waiting())
+                Transition(State::awaiting_grant())
             }
             LifecycleEvent::RetryDenied => {
                 *context = self.finish_failed(self.failure_reason());
-                Transition(State::closed())
+                Transition(State::ended())
             }
             _ => Super,
         }
     }
 
-    #[state(superstate = "open")]
-    fn following(
+    /// The response of the attempt that holds the claim is being read.
+    #[state(superstate = "active")]
+    fn following_claim(
         &mut self,
         context: &mut LifecycleAction,
         event: &LifecycleEvent,
@@ -279,7 +291,7 @@
         match event {
             LifecycleEvent::ResponseCompleted => {
                 *context = LifecycleAction::Finish(RequestOutcome::Completed);
-                Transition(State::closed())
+                Transition(State::ended())
             }
             LifecycleEvent::AttemptFailed(AttemptFailure::Interrupted)
                 if self.resumes < RESUMES_MAX =>
@@ -290,20 +302,22 @@
             }
             LifecycleEvent::AttemptFailed(_) => {
                 *context = self.finish_failed(FailureReason::KeyMayHaveRun);
-                Transition(State::closed())
+                Transition(State::ended())
             }
             _ => Super,
         }
     }
 
+    /// The request has ended. Later events change nothing.
     #[state]
-    fn closed(event: &LifecycleEvent) -> Outcome<State> {
+    fn ended(event: &LifecycleEvent) -> Outcome<State> {
         let _ = event;
         Handled
     }
 
+    /// The events that are handled the same way in every state before the end.
     #[superstate]
-    fn open(&mut self, context: &mut LifecycleAction, event: &LifecycleEvent) -> Outcome<State> {
+    fn active(&mut self, context: &mut LifecycleAction, event: &LifecycleEvent) -> Outcome<State> {
         match event {
             LifecycleEvent::ReplyStarted => {
                 self.reply_started = true;
@@ -311,15 +325,15 @@
             }
             LifecycleEvent::Rejected(reason) => {
                 *context = self.finish_failed(*reason);
-                Transition(State::closed())
+                Transition(State::ended())
             }
             LifecycleEvent::DeadlineExceeded => {
                 *context = self.finish_failed(FailureReason::DeadlineExceeded);
-                Transition(State::closed())
+                Transition(State::ended())
             }
             LifecycleEvent::CallerGone => {
                 *context = LifecycleAction::Abandon;
-                Transition(State::closed())
+                Transition(State::ended())
             }
             _ => Handled,
         }
--- a/src/entry/reply.rs
+++ b/src/entry/reply.rs
@@ -31,8 +31,8 @@
 /// pauses for seconds, not for this long.
 const CALLER_STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The error for a caller that has disconnected, or that read nothing for
-/// [`CALLER_STALL_TIMEOUT`].
+/// The error for a caller that has disconnected, or that read nothing for so long that it counts as
+/// gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerGone;
 
