--- a/src/daemon/drain.rs
+++ b/src/daemon/drain.rs
@@ -62,8 +62,8 @@
         self.step(host, DrainEvent::Signal).unwrap_or(1)
     }
 
-    /// Passes an event to the drain controller, performs its actions, and returns the exit code once
-    /// the host must exit.
+    /// Passes an event to the drain controller, performs its actions, and returns the exit code
+    /// once the host must exit.
     fn step(&self, host: &Host, event: DrainEvent) -> Option<i32> {
         let actions = self.lock().handle(event, host.clock.now());
         let mut code = None;
--- a/src/daemon/host.rs
+++ b/src/daemon/host.rs
@@ -323,8 +323,8 @@
     })
 }
 
-/// The first incarnation of this host: the wall time in seconds since 1970, so that a restarted host
-/// has a higher incarnation than before.
+/// The first incarnation of this host: the wall time in seconds since 1970, so that a restarted
+/// host has a higher incarnation than before.
 fn first_incarnation(clock: &dyn Clock) -> Incarnation {
     let since_epoch = clock.wall().duration_since(UNIX_EPOCH);
     Incarnation(since_epoch.map_or(1, |elapsed| elapsed.as_secs()))
--- a/src/daemon/loops.rs
+++ b/src/daemon/loops.rs
@@ -19,8 +19,8 @@
 /// The interval between two ticks of the membership and of the manifest controller. The membership
 /// expects a tick every 100 ms and treats a longer gap as a pause of the process.
 const MEMBERSHIP_TICK: Duration = Duration::from_millis(100);
-/// The interval at which this host announces its live grants to the homes, so that a new home learns
-/// of them.
+/// The interval at which this host announces its live grants to the homes, so that a new home
+/// learns of them.
 const ANNOUNCE_TICK: Duration = Duration::from_secs(1);
 /// The pause between two watches of the list of machines, also after a failure.
 const MACHINES_PAUSE: Duration = Duration::from_secs(1);
@@ -47,8 +47,8 @@
     tokio::spawn(watch_machines(Arc::clone(host)));
 }
 
-/// Starts a task that calls `step` at an interval of `period`. A late call delays the later ones; no
-/// calls are made up for.
+/// Starts a task that calls `step` at an interval of `period`. A late call delays the later ones;
+/// missed calls are not made up for.
 fn spawn_periodic(host: &Arc<Host>, period: Duration, step: impl Fn(&Host) + Send + 'static) {
     let host = Arc::clone(host);
     tokio::spawn(async move {
--- a/src/daemon/poll.rs
+++ b/src/daemon/poll.rs
@@ -48,7 +48,8 @@
     }
 }
 
-/// Polls one upstream. Returns its id and the sequence number of the last cache event that was read.
+/// Polls one upstream. Returns its id and the sequence number of the last cache event that was
+/// read.
 async fn poll_one(
     homes: Arc<HomeRunner>,
     upstreams: Arc<dyn UpstreamDirectory>,
--- a/src/entry/claim_registry.rs
+++ b/src/entry/claim_registry.rs
@@ -22,8 +22,8 @@
     /// Records how the claim's attempt ended, so that the claim can be garbage-collected later.
     fn finish(&self, key: ClaimKey, attempt: AttemptId, state: ClaimState);
 
-    /// The number of claims of this host whose end has not been stored on the platform yet. A drain
-    /// waits until none remains.
+    /// The number of claims of this host whose end has not been stored on the platform yet. A
+    /// draining host waits for these claims.
     fn pending(&self) -> usize;
 }
 
--- a/src/entry/driver/dispatching.rs
+++ b/src/entry/driver/dispatching.rs
@@ -247,8 +247,8 @@
     }
 }
 
-/// Classifies an error while another attempt's response is read. That attempt has run or is running,
-/// so a failure to connect counts as an interruption.
+/// Classifies an error while another attempt's response is read. That attempt has run or is
+/// running, so a failure to connect counts as an interruption.
 fn classify_follow_failure(err: &UpstreamError) -> AttemptFailure {
     match classify_failure(err) {
         AttemptFailure::DidNotRun | AttemptFailure::Interrupted => AttemptFailure::Interrupted,
--- a/src/entry/driver/forwarding.rs
+++ b/src/entry/driver/forwarding.rs
@@ -23,7 +23,8 @@
 use crate::upstream::UpstreamError;
 
 impl Driver<'_> {
-    /// Forwards a response until it ends or fails, the time limit passes, or the caller disconnects.
+    /// Forwards a response until it ends or fails, the time limit passes, or the caller
+    /// disconnects.
     pub(super) async fn forward_response(
         &mut self,
         mut response: ResponseStream,
@@ -110,8 +111,8 @@
         }
     }
 
-    /// Records the time since the previous tokens, or, if there were none, the time from the receipt
-    /// of the request to its first token.
+    /// Records the time since the previous tokens, or, if there were none, the time from the
+    /// receipt of the request to its first token.
     pub(super) fn record_token_times(&self, gap: Option<Duration>) {
         let work = &self.job.work;
         let metrics = &self.context.metrics;
--- a/src/entry/driver/hang_detection.rs
+++ b/src/entry/driver/hang_detection.rs
@@ -8,7 +8,7 @@
 use crate::upstream::UpstreamError;
 
 /// How long an engine may send nothing before it is probed. The prefill of a long prompt takes
-/// longer than this, so silence alone proves nothing, and a probe costs the engine little.
+/// longer than this, so an engine that sends nothing may still be working; a probe costs it little.
 const PROBE_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Waits until an engine that sends nothing also fails to answer a load query. For a plain service,
--- a/src/entry/driver/mod.rs
+++ b/src/entry/driver/mod.rs
@@ -354,9 +354,9 @@
         }
     }
 
-    /// Ends the current attempt, if there is one, and releases what it holds. If the attempt failed,
-    /// later attempts avoid its leader. An attempt of another request, whose response is only read
-    /// here, is not released.
+    /// Ends the current attempt, if there is one, and releases what it holds. If the attempt
+    /// failed, later attempts avoid its leader. An attempt of another request, whose response is
+    /// only read here, is not released.
     pub(super) fn end_attempt(&mut self, ended: AttemptOutcome) {
         let Some(attempt) = self.attempt.take() else {
             return;
@@ -378,8 +378,8 @@
         }
     }
 
-    /// Ends the request: releases the attempt, records the end of the claim, and sends the failure if
-    /// there is one.
+    /// Ends the request: releases the attempt, records the end of the claim, and sends the failure
+    /// if there is one.
     pub(super) async fn finish(&mut self, outcome: RequestOutcome) {
         self.record_step(
             StepKind::Ended,
--- a/src/entry/job.rs
+++ b/src/entry/job.rs
@@ -29,8 +29,9 @@
 use crate::units::TargetId;
 use crate::units::Tokens;
 
-/// The largest part of a time limit that is kept for telling the caller about a failure, so that a
-/// failure still arrives within the limit. The part is a twentieth of the limit, at most this.
+/// The upper bound of the margin that is reserved at the end of a time limit, so that a failure
+/// still reaches the caller within the limit. The margin is a twentieth of the limit, up to this
+/// bound.
 const REPLY_MARGIN_MAX: Duration = Duration::from_millis(100);
 
 /// A request that has been read and checked.
@@ -166,7 +167,8 @@
         find(name).or_else(|| find("default")).ok_or_else(unknown)
     }
 
-    /// When the caller must have the reply or the failure, less the time to deliver a failure.
+    /// The deadline of the request: the time limit of the caller or of the manifest, less a margin
+    /// in which a failure can still reach the caller.
     pub fn deadline(&self, manifest: &Manifest) -> Instant {
         let limits = &manifest.limits;
         let max_limit = Duration::from_millis(limits.deadline_max_ms);
--- a/src/entry/model_call.rs
+++ b/src/entry/model_call.rs
@@ -9,8 +9,9 @@
 use crate::units::TargetId;
 use crate::units::Tokens;
 
-/// The lengths at which prompt prefixes are hashed, as far as a prompt is long enough. Four lengths
-/// suffice to distinguish a shared instruction, a shared case file and a shared archive.
+/// The lengths of the prompt prefixes that are hashed. A prompt has no prefix of a length that
+/// exceeds its own. Four lengths suffice to distinguish a shared instruction, a shared case file
+/// and a shared archive.
 const PREFIX_LENS_BYTES: [usize; 4] = [4_096, 16_384, 65_536, 262_144];
 
 /// The average size of a token in the languages of the models in use. The resulting counts are
@@ -136,8 +137,8 @@
     pieces
 }
 
-/// Hashes the prompt's prefixes of the lengths [`PREFIX_LENS_BYTES`]. Each prefix is paired with its
-/// estimated length in tokens.
+/// Hashes the prompt's prefixes of the lengths [`PREFIX_LENS_BYTES`]. Each prefix is paired with
+/// its estimated length in tokens.
 fn hash_prefixes(pieces: &[Cow<'_, str>]) -> Vec<(ContentHash, Tokens)> {
     let mut hasher = Xxh3::new();
     let mut hashed_len = 0;
--- a/src/entry/release.rs
+++ b/src/entry/release.rs
@@ -20,18 +20,18 @@
 /// The longest pause between two tries to cancel an attempt.
 const CANCEL_PAUSE_MAX: Duration = Duration::from_secs(5);
 
-/// How long after the deadline of an attempt the tries to cancel it go on. Engines end an attempt
-/// at its own time limit. This much later, an attempt that could not be cancelled holds no memory
-/// any more, or its home finds it in the engine's list of attempts.
+/// The time after an attempt's deadline during which its cancellation is still retried. Engines end
+/// an attempt at its own time limit. This much later, an attempt that could not be cancelled holds
+/// no memory any more, or its home finds it in the engine's list of attempts.
 const CANCEL_GRACE: Duration = Duration::from_secs(10);
 
 /// Releases everything that an attempt holds. The grant is given back only after the engine has
 /// confirmed that the attempt's memory is free, or after the tries to cancel have run out: a grant
 /// that ended earlier would let the home assign memory that the engine does not have.
 ///
-/// Only a model's attempt that failed or was cancelled may still hold memory at its leader, and only
-/// a gang has reservations at other members. If there is neither, the grant is given back at once;
-/// else a background task, which counts as work in flight, releases the memory first.
+/// Only a model's attempt that failed or was cancelled may still hold memory at its leader, and
+/// only a gang has reservations at other members. If there is neither, the grant is given back at
+/// once; else a background task, which counts as work in flight, releases the memory first.
 pub(crate) fn release_attempt(
     context: &Arc<EntryContext>,
     attempt: &Attempt,
--- a/src/entry/reply.rs
+++ b/src/entry/reply.rs
@@ -189,7 +189,8 @@
     /// Sends text of a model's response as a stream event, after the head if none was sent yet. For
     /// a reply that is not streamed, appends the text to a buffer and sends nothing.
     ///
-    /// Waits while the queue to the caller is full, and returns [`CallerGone`] if the caller stalls.
+    /// Waits while the queue to the caller is full, and returns [`CallerGone`] if the caller
+    /// stalls.
     pub async fn send_tokens(&mut self, text: &str) -> Result<(), CallerGone> {
         match self.format {
             ReplyFormat::Json(_) | ReplyFormat::PassThrough => {
