--- a/src/entry/reply.rs
+++ b/src/entry/reply.rs
@@ -70,7 +70,7 @@
 /// The body of a reply, which hyper reads frame by frame.
 ///
 /// A body in chunks ends as a complete one when its sender is dropped. Only [`BodyChunk::Abort`]
-/// makes it end with [`TruncatedBody`].
+/// makes it end with an error.
 #[derive(Debug)]
 pub enum ReplyBody {
     /// The whole body in one buffer; none once it has been sent.
