--- a/src/decide/engine_upstream.rs
+++ b/src/decide/engine_upstream.rs
@@ -58,7 +58,8 @@
         self.info.is_live()
     }
 
-    /// Which work the engine may get now.
+    /// Which work the engine may get now: none while it is leaving, ejected or has a probe pending;
+    /// one short request as a probe once the ejection has run out; otherwise any work.
     pub fn access(&self, now: Instant) -> Access {
         self.ejection.access_of(&self.info, now)
     }
--- a/src/decide/instance_choice.rs
+++ b/src/decide/instance_choice.rs
@@ -27,8 +27,10 @@
     pub is_failing: bool,
 }
 
-/// The instance to send the call to, or `None` if `instances` is empty. The random number `draw`
-/// breaks ties, so that hosts do not all choose the first instance.
+/// The instance to send the call to, or `None` if `instances` is empty: the one with the fewest
+/// calls in flight from all hosts, where instances in other domains and failing instances count as
+/// having extra calls. The random number `draw` breaks ties, so that hosts do not all choose the
+/// first instance.
 pub fn choose_instance(instances: &[InstanceView], draw: u32) -> Option<&UpstreamId> {
     let busyness = |instance: &InstanceView| {
         let domain_penalty = if instance.is_local {
--- a/src/decide/intake.rs
+++ b/src/decide/intake.rs
@@ -22,7 +22,8 @@
 use crate::units::RequestId;
 use crate::units::UpstreamId;
 
-/// The rate limits of accounts and the decisions that have not been returned yet.
+/// The rate limits of accounts and the decisions that have not been returned yet, with the policy's
+/// configuration and the random source of grant ids and of the jitter of retry times.
 #[derive(Debug)]
 pub(crate) struct Intake {
     /// The policy's configuration.
--- a/src/decide/lane_split.rs
+++ b/src/decide/lane_split.rs
@@ -21,7 +21,9 @@
 /// The number is lowered only when it exceeds the required number by more than this.
 const LOWER_MARGIN: f64 = 0.75;
 
-/// The state of the pool that the split is computed from.
+/// The state of the pool that the split is computed from: the number of upstreams that may get
+/// work, their mean prefill speed in tokens a second, and how long the head of the long lane has
+/// waited.
 #[derive(Clone, Copy, Debug)]
 pub struct SplitInput {
     /// The number of upstreams that may get work.
--- a/src/decide/ledger.rs
+++ b/src/decide/ledger.rs
@@ -354,7 +354,8 @@
     }
 }
 
-/// Converts a fractional number of tokens, which is not negative, to whole tokens, rounded down.
+/// Converts a fractional number of tokens to whole tokens, rounded down. Negative numbers and NaN
+/// give 0.
 #[allow(
     clippy::cast_possible_truncation,
     reason = "the cast from a float saturates"
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -250,6 +250,8 @@
 }
 
 impl Candidate {
+    /// The dispatch to this candidate, with its index, the forecast time to the first token, the
+    /// prefill in tokens, and the reason as text.
     fn placement(&self) -> Placement {
         let why = if self.is_cached {
             "cached prefix"
--- a/src/decide/policy.rs
+++ b/src/decide/policy.rs
@@ -85,7 +85,8 @@
     }
 }
 
-/// Whether an upstream may get new work.
+/// Whether an upstream may get new work or is leaving. Failures and ejection are not part of this
+/// state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamHealth {
     /// The upstream may get new work.
