--- a/src/control/claims/relay.rs
+++ b/src/control/claims/relay.rs
@@ -151,6 +151,6 @@
     let why = error.to_string();
     match error {
         PeerError::UnknownHost | PeerError::Unreachable(_) => PlatformError::Unavailable(why),
-        PeerError::NoReply | PeerError::BadFrame(_) => PlatformError::OutcomeUnknown(why),
+        PeerError::NoReply | PeerError::MessageTooLarge(_) => PlatformError::OutcomeUnknown(why),
     }
 }
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -266,7 +266,7 @@
             }
             // Nothing was written, so that only this message fails and the connection stays usable.
             Err(FrameError::TooLarge(size)) => {
-                let error = PeerError::BadFrame(FrameError::TooLarge(size).to_string());
+                let error = PeerError::MessageTooLarge(FrameError::TooLarge(size).to_string());
                 if let Some(reply) = reply {
                     let _ = reply.send(Err(error));
                 }
--- a/tests/peer.rs
+++ b/tests/peer.rs
@@ -363,7 +363,7 @@
     let pool = client_pool(server.addr, &["a"]);
     let name = "x".repeat(FRAME_SIZE_MAX);
     let error = request_echo(&pool, "server", &name).await.unwrap_err();
-    assert!(matches!(error, PeerError::BadFrame(_)), "{error}");
+    assert!(matches!(error, PeerError::MessageTooLarge(_)), "{error}");
     request_echo(&pool, "server", "x").await.unwrap();
 }
 
