--- a/src/peer/error.rs
+++ b/src/peer/error.rs
@@ -13,7 +13,7 @@
     /// The connection broke or no reply came in time; the message may have arrived.
     NoReply,
     /// The message does not fit into a frame.
-    BadFrame(String),
+    MessageTooLarge(String),
 }
 
 impl fmt::Display for PeerError {
@@ -22,7 +22,7 @@
             Self::UnknownHost => f.write_str("peer: no address is known for the host"),
             Self::Unreachable(why) => write!(f, "peer unreachable: {why}"),
             Self::NoReply => f.write_str("no reply from the peer"),
-            Self::BadFrame(why) => write!(f, "peer: bad frame: {why}"),
+            Self::MessageTooLarge(why) => write!(f, "peer: bad frame: {why}"),
         }
     }
 }
