--- a/src/fleet/cluster_home_directory.rs
+++ b/src/fleet/cluster_home_directory.rs
@@ -20,14 +20,15 @@
 use crate::units::TargetId;
 use crate::units::UpstreamId;
 
-/// The input of the tables. They are computed again only when it has changed.
+/// The data from which the tables are computed. The tables are computed again only when the data
+/// has changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Inputs {
     upstreams: IndexMap<(FailureDomainId, TargetId), Vec<UpstreamId>>,
     members: IndexMap<FailureDomainId, Vec<Member>>,
 }
 
-/// The tables of pools and homes, together with their input.
+/// The tables of pools and homes, together with the data from which they were computed.
 #[derive(Debug, Default)]
 struct Tables {
     inputs: Inputs,
@@ -36,7 +37,7 @@
     homes: IndexMap<FailureDomainId, HomeTable>,
 }
 
-/// A [`HomeDirectory`] that follows the cluster view and the membership.
+/// A [`HomeDirectory`] that computes pools and homes from the cluster view and the membership.
 pub struct ClusterHomeDirectory {
     cluster_view: Arc<ClusterView>,
     membership: Arc<MembershipRunner>,
@@ -47,7 +48,8 @@
 }
 
 impl ClusterHomeDirectory {
-    /// A directory with empty tables for `host`, which belongs to `domain`.
+    /// A directory for `host`, which belongs to `domain`. The tables are empty until the first
+    /// [`Self::refresh`].
     pub fn new(
         cluster_view: Arc<ClusterView>,
         membership: Arc<MembershipRunner>,
@@ -157,6 +159,7 @@
 }
 
 impl Tables {
+    /// The hosts that can be home of a pool, the home first; empty for an unknown pool.
     fn candidates(&self, pool: &PoolId) -> &[HostId] {
         let homes = pool.domain().and_then(|domain| self.homes.get(&domain));
         homes.map_or(&[], |homes| homes.candidates(pool))
@@ -194,6 +197,7 @@
     }
 }
 
+/// Rotates the pools to the left by `rotation` modulo their number.
 fn rotate(pools: &mut [PoolId], rotation: u64) {
     if let Some(by) = usize::try_from(rotation)
         .unwrap_or(0)
--- a/src/fleet/grant_waiters.rs
+++ b/src/fleet/grant_waiters.rs
@@ -21,7 +21,7 @@
         rx
     }
 
-    /// Removes a request that no longer waits.
+    /// Removes a request that no longer waits. Later decisions on the request are not delivered.
     pub fn unregister(&self, request: RequestId) {
         self.senders.remove(&request);
     }
--- a/src/fleet/home_directory.rs
+++ b/src/fleet/home_directory.rs
@@ -12,7 +12,8 @@
     /// the prefix of a prompt ask the same pool first.
     fn pools_for_target(&self, target: &TargetId, rotation: u64) -> Vec<PoolId>;
 
-    /// The hosts that can be asked for grants of a pool, its home first.
+    /// The hosts that can be asked for grants of a pool, its home first. Empty if the pool is
+    /// unknown or no host can be its home.
     fn candidates(&self, pool: &PoolId) -> Vec<HostId>;
 
     /// The pools that have their home on this host.
--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -99,7 +99,7 @@
 }
 
 impl HomeGranter {
-    /// A granter that keeps its grants in the given live grants.
+    /// A granter with the given dependencies. It keeps its grants in `parts.live_grants`.
     pub fn new(parts: HomeGranterParts) -> Self {
         Self {
             clock: parts.clock,
@@ -113,9 +113,9 @@
         }
     }
 
-    /// Announces the live grants to the homes of their pools. A new home learns from the
-    /// announcement which grants an earlier home has issued; a home that knows the grants keeps
-    /// them.
+    /// Announces all live grants of this host, those of each pool to the first candidate of the
+    /// pool only. A new home learns from the announcement which grants an earlier home has issued;
+    /// a home that knows the grants keeps them. No reply is awaited.
     pub fn announce_grants(&self) {
         for (pool, grants) in self.live_grants.by_pool() {
             if let Some(home) = self.candidates(&pool).into_iter().next() {
@@ -135,6 +135,7 @@
         self.live_grants.count()
     }
 
+    /// Sends the live grants of one pool to a host. A home on this host is called directly.
     fn send_announcement(&self, pool: &PoolId, grants: Vec<LiveGrant>, to: &HostId) {
         if *to == self.host {
             self.homes.handle(
@@ -150,9 +151,9 @@
         }
     }
 
-    /// The hosts to ask for a grant in turn: the first candidates of the pool, then this host. A
-    /// host that reaches no home decides by itself, within the small share of the capacity that a
-    /// home without a ledger grants.
+    /// The hosts to ask for a grant in turn: the first two candidates of the pool, then this host.
+    /// A host that reaches no home decides by itself, within the small share of the capacity that a
+    /// home without a ledger grants. With a baseline policy this host is the only candidate.
     fn candidates(&self, pool: &PoolId) -> Vec<HostId> {
         if self.policy != PolicyName::Shipped {
             return vec![self.host.clone()];
@@ -191,7 +192,9 @@
         refused
     }
 
-    /// Asks the home of one pool until the request is granted or refused.
+    /// Asks the candidates of one pool in rounds until the request is granted or refused. A
+    /// candidate that does not reply is reported to the membership. If the future is dropped, the
+    /// request is withdrawn.
     async fn request_grant_in_pool(&self, pool: &PoolId, work: &Work) -> GrantAnswer {
         let mut pushes = self.waiters.register(work.request);
         let mut withdrawal = Withdrawal {
@@ -269,8 +272,8 @@
         }
     }
 
-    /// Asks a candidate, and asks again if this host was paused for so long that the grant is
-    /// stale.
+    /// Asks a candidate, and asks again while the reply is a stale grant, as after a pause of this
+    /// host.
     async fn ask(&self, candidate: &HostId, pool: &PoolId, work: &Work) -> CandidateReply {
         loop {
             let asked_at = self.clock.now();
@@ -340,6 +343,7 @@
         }))
     }
 
+    /// Reports to a home that a grant has ended. A home on this host is called directly.
     fn send_finish(&self, to: &HostId, pool: &PoolId, grant: GrantId, done: AttemptSummary) {
         if *to == self.host {
             let from = self.host.clone();
@@ -351,6 +355,7 @@
         }
     }
 
+    /// Withdraws a request from a home. A home on this host is called directly.
     fn send_withdraw(&self, to: &HostId, pool: &PoolId, request: RequestId) {
         if *to == self.host {
             let from = self.host.clone();
@@ -376,10 +381,12 @@
     }
 }
 
-/// Withdraws a request, when dropped, from the home where the request is still queued.
+/// A guard of a request that asks for a grant. When dropped, it removes the request from the
+/// waiters, and withdraws it from `home` if there is one.
 struct Withdrawal<'a> {
     granter: &'a HomeGranter,
     pool: &'a PoolId,
+    /// The home where the request may be queued; none before a home replied and after the decision.
     home: Option<HostId>,
     work: &'a Work,
 }
--- a/src/fleet/home_runner/actions.rs
+++ b/src/fleet/home_runner/actions.rs
@@ -71,8 +71,8 @@
     }
 
     /// Reads the attempts that run on an upstream, and passes them to the home. A service cannot
-    /// list its attempts and reserves no memory for them: its list is taken as empty, so that the
-    /// home does not wait for a reply.
+    /// list its attempts and reserves no memory for them: the home gets an empty list at once, so
+    /// that it does not wait. If the upstream does not respond, the home gets nothing.
     pub(super) fn list_attempts(
         self: &Arc<Self>,
         pool: &PoolId,
@@ -80,13 +80,13 @@
         upstream: UpstreamId,
         seq: u64,
     ) {
-        let listed = |running| HomeEvent::EngineListed {
+        let listed_event = |running| HomeEvent::EngineListed {
             upstream: upstream.clone(),
             seq,
             running,
         };
         if home.is_service {
-            self.send_event(pool, home, listed(Vec::new()));
+            self.send_event(pool, home, listed_event(Vec::new()));
             return;
         }
         let Some(client) = self.upstreams.upstream(&upstream) else {
--- a/src/fleet/home_runner/mod.rs
+++ b/src/fleet/home_runner/mod.rs
@@ -48,11 +48,11 @@
 /// hosts ask while the membership has not yet noticed that the home is dead.
 const SERVING_CANDIDATES_MAX: usize = 2;
 
-/// A home that is not the first candidate hands over when it got no request for this long, which is
-/// four times the interval at which a waiting request asks again. A home that stays open beside the
-/// first candidate learns of attempts from engines only, and not of their ends. If it became the
-/// home later, its ledger would hold attempts that ended long ago, and its engines would look
-/// frozen.
+/// How long a home that is not the first candidate may get no request before it hands over: four
+/// times the interval at which a waiting request asks again. If such a home stayed open beside the
+/// first candidate, it would learn from engines that attempts run, but not that they end. If it
+/// became the home later, its ledger would hold attempts that ended long ago, and its engines would
+/// look frozen.
 const IDLE_MAX: Duration = Duration::from_secs(2);
 
 /// The longest time between two ticks of a home. A home that waits for nothing still has to check
@@ -133,7 +133,8 @@
     }
 
     /// Passes an event from a host to the home of a pool, and returns the reply to a request.
-    /// Creates the home for a request or an announcement if this host may serve the pool.
+    /// Creates the home for a request or an announcement if this host may serve the pool. Without a
+    /// home, the reply to a request is [`GrantStatus::NotHome`], and other events are ignored.
     pub fn handle(self: &Arc<Self>, pool: &PoolId, event: HomeEvent) -> Option<HomeAnswer> {
         let home = match &event {
             HomeEvent::Request { from, .. } => self.find_or_create(pool, from),
@@ -222,7 +223,7 @@
         }
     }
 
-    /// Hands over one home and stops it.
+    /// Hands over one home, removes it and stops its ticks.
     fn close(self: &Arc<Self>, pool: &PoolId, home: &Arc<Home>) {
         info!("homes: handing over pool {pool}");
         self.events.record(
--- a/src/fleet/home_runner/pool_inputs.rs
+++ b/src/fleet/home_runner/pool_inputs.rs
@@ -22,7 +22,8 @@
         PolicyConfig::for_pool(&in_force.manifest, target, pool_fraction)
     }
 
-    /// The upstreams of a pool that the cluster view holds, sorted by id.
+    /// The upstreams of a pool that the cluster view holds, sorted by id; none without a manifest
+    /// that lists the target.
     pub(super) fn pool_upstreams(
         &self,
         pool: &PoolId,
--- a/src/fleet/manifest_runner.rs
+++ b/src/fleet/manifest_runner.rs
@@ -101,24 +101,25 @@
         self.lock().status(self.clock.now())
     }
 
-    /// Waits until the controller requests a read of the manifest from the platform.
+    /// Waits until the controller requests a read of the manifest from the platform. The caller
+    /// passes the result to [`Self::on_platform_read`].
     pub async fn wait_for_read_request(&self) {
         self.read_requested.notified().await;
     }
 
     /// Passes the hosts and their generations to the controller if any host has changed since the
-    /// last call.
+    /// last call. Returns the actions of the controller, which the caller must perform.
     fn update_hosts(&self, now: Instant) -> Vec<ManifestAction> {
         let changes = self.cluster_view.hosts.change_count();
         if self.host_change_count.swap(changes, Ordering::Relaxed) == changes {
             return Vec::new();
         }
-        let (neighbours, remote) = self.live_peers();
+        let (same_domain, remote) = self.live_peers();
         let generations = self.peer_generations();
         let mut manifests = self.lock();
-        manifests.set_hosts(neighbours, remote);
-        let take_in = |(host, generation)| manifests.on_peer_generation(&host, generation, now);
-        generations.into_iter().flat_map(take_in).collect()
+        manifests.set_hosts(same_domain, remote);
+        let report = |(host, generation)| manifests.on_peer_generation(&host, generation, now);
+        generations.into_iter().flat_map(report).collect()
     }
 
     /// The other hosts that are not dead: those of this failure domain, and those of others.
@@ -130,9 +131,10 @@
             .into_iter()
             .map(|(_, view)| view);
         let others = views.filter(|view| view.id != self.host && view.state != HostState::Dead);
-        let (near, far): (Vec<_>, Vec<_>) = others.partition(|view| view.domain == self.domain);
+        let (same_domain, remote): (Vec<_>, Vec<_>) =
+            others.partition(|view| view.domain == self.domain);
         let ids = |views: Vec<crate::cluster_view::HostView>| views.into_iter().map(|view| view.id);
-        (ids(near).collect(), ids(far).collect())
+        (ids(same_domain).collect(), ids(remote).collect())
     }
 
     /// The other hosts, each with the generation that the host was last heard to have in force.
--- a/src/fleet/membership_runner.rs
+++ b/src/fleet/membership_runner.rs
@@ -76,7 +76,7 @@
     }
 
     /// Passes the generation in force and the current time to the membership, and performs its
-    /// actions.
+    /// actions. Returns the events that other parts of the host must handle.
     pub fn tick(&self) -> Vec<MembershipEvent> {
         let now = self.clock.now();
         let actions = {
@@ -90,13 +90,14 @@
         self.perform(actions)
     }
 
-    /// Passes a message of another host to the membership, and performs its actions.
+    /// Passes a message of another host to the membership, and performs its actions. Returns the
+    /// events that other parts of the host must handle.
     pub fn handle(&self, from: &HostId, gossip: Gossip) -> Vec<MembershipEvent> {
         let actions = self.lock().handle(from, gossip, self.clock.now());
         self.perform(actions)
     }
 
-    /// Adds hosts from the list of machines of the platform, which lags behind.
+    /// Adds hosts from the platform's list of machines. The list lags behind the real machines.
     pub fn add_seeds(&self, seeds: &[PeerSeed]) {
         self.lock().add_seeds(seeds);
     }
@@ -113,7 +114,8 @@
         self.perform(actions);
     }
 
-    /// Announces to the other hosts that an upstream is leaving, as of a version of its object.
+    /// Announces to the other hosts that an upstream is leaving. `version` is the version of the
+    /// platform's object that lists the upstream as leaving.
     pub fn announce_leaving_upstream(&self, upstream: &UpstreamId, version: ObjectVersion) {
         self.lock().announce_leaving_upstream(upstream, version);
     }
@@ -134,6 +136,7 @@
         self.lock().silent_domains(self.clock.now())
     }
 
+    /// Stores the generation in force in this host's own entry of the cluster view, if it differs.
     fn record_own_generation(&self, generation: Generation) {
         let known = self
             .cluster_view
@@ -214,6 +217,7 @@
         }
     }
 
+    /// Marks an upstream as leaving in the cluster view, unless the view has a later version.
     fn mark_upstream_leaving(&self, upstream: &UpstreamId, version: ObjectVersion) {
         self.cluster_view.upstreams.update(upstream, |view| {
             if view.version <= version && view.health != UpstreamHealth::Leaving {
--- a/src/fleet/peer_message_router.rs
+++ b/src/fleet/peer_message_router.rs
@@ -1,4 +1,4 @@
-//! Routes the messages of other hosts to the parts of this host.
+//! Routes the messages of other hosts to the components of this host.
 
 use std::sync::Arc;
 
@@ -27,13 +27,13 @@
 use crate::units::HostId;
 use crate::units::PoolId;
 
-/// A handler of changes of the membership.
+/// A handler of the events that a [`MembershipRunner`] returns.
 pub trait MembershipEventHandler: Send + Sync {
-    /// Handles changes, in the order in which they happened.
+    /// Handles events, in the order in which they happened.
     fn on_events(&self, events: Vec<MembershipEvent>);
 }
 
-/// Routes the messages of other hosts to the parts of this host.
+/// Routes the messages of other hosts to the components of this host that handle them.
 pub struct PeerMessageRouter {
     /// The clock of this host.
     pub clock: Arc<dyn Clock>,
@@ -47,14 +47,15 @@
     pub membership: Arc<MembershipRunner>,
     /// The runner of the manifest controller.
     pub manifests: Arc<ManifestRunner>,
-    /// The handler of changes of the membership.
+    /// The handler of membership events.
     pub membership_events: Arc<dyn MembershipEventHandler>,
     /// The platform without a relay, so that a relayed call is not relayed again.
     pub platform: Arc<dyn PlatformClient>,
 }
 
 impl PeerMessageRouter {
-    /// Passes a request for a grant to the home on this host, and returns the reply.
+    /// Passes a request for a grant to the home on this host, and returns the reply; none if the
+    /// request is invalid.
     fn handle_request(&self, from: HostId, request: &GrantRequest) -> Option<Message> {
         match wire::decode_request(request, self.clock.now()) {
             Ok((pool, work)) => {
@@ -71,8 +72,8 @@
     }
 
     /// Passes a pushed decision to the request that waits for it. If no request waits, the decision
-    /// is a duplicate, or the request was withdrawn and the home was told so. The grant is not
-    /// given back here, since a duplicate may name a grant that is in use.
+    /// is a duplicate, or the request was withdrawn and the home was informed. The grant is not
+    /// released here, since a duplicate may name a grant that is in use.
     fn handle_decision(&self, from: &HostId, reply: &GrantReply) {
         match wire::decode_answer(reply) {
             Ok((pool, answer)) => {
--- a/src/fleet/reconciler_runner.rs
+++ b/src/fleet/reconciler_runner.rs
@@ -71,7 +71,9 @@
         }
     }
 
-    /// Updates the reconcilers from the manifest and the directory, and performs their actions.
+    /// Updates the reconcilers from the manifest and the directory, and performs their actions in
+    /// tasks of their own. Removes the reconcilers of pools whose home is no longer this host. Does
+    /// nothing while there is no manifest.
     pub fn tick(self: &Arc<Self>) {
         let Some(in_force) = self.parts.cluster_view.manifest() else {
             return;
@@ -129,6 +131,7 @@
         }
     }
 
+    /// Performs an action in a task of its own.
     fn perform(self: &Arc<Self>, pool: &PoolId, action: ReconcilerAction) {
         let runner = Arc::clone(self);
         let pool = pool.clone();
@@ -147,7 +150,8 @@
         });
     }
 
-    /// Reads or writes the lease of a pool, and passes the result to its reconciler.
+    /// Reads or writes the lease of a pool, and passes the result to its reconciler, which acts on
+    /// it at its next tick. The result is dropped if the pool has no reconciler any more.
     async fn perform_lease_action(&self, pool: &PoolId, action: LeaseAction) {
         // Pool ids contain slashes, which separate the segments of a URL path.
         let key = ObjectKey::new(ObjectKind::Leases, pool.as_str().replace('/', "."));
@@ -168,7 +172,8 @@
         }
     }
 
-    /// Reads the state of an engine, and passes the state to the reconciler.
+    /// Reads the state of an engine, and passes the state to the reconciler. A failed read is only
+    /// logged.
     async fn read_engine(&self, pool: &PoolId, id: UpstreamId) {
         let asked_at = self.parts.clock.now();
         let Some(upstream) = self.parts.upstreams.upstream(&id) else {
@@ -209,6 +214,7 @@
         }
     }
 
+    /// Calls `update` with the reconciler of a pool, if there is one.
     fn with_reconciler(&self, pool: &PoolId, update: impl FnOnce(&mut EngineReconciler)) {
         if let Some((_, reconciler)) = self.lock().get_mut(pool) {
             update(reconciler);
--- a/src/fleet/relay_platform_client.rs
+++ b/src/fleet/relay_platform_client.rs
@@ -29,7 +29,7 @@
 use crate::units::ObjectVersion;
 
 /// How many peers are asked in turn. Peers of other failure domains come first, since a network
-/// partition between this host and the platform mostly affects its neighbours as well.
+/// partition between this host and the platform mostly affects the whole failure domain.
 const RELAYS_MAX: usize = 2;
 
 /// How long a peer may take to relay a call. The peer's own call to the platform has a shorter
@@ -38,6 +38,9 @@
 
 /// A client of the platform that calls it directly or through a peer.
 ///
+/// A read or a write that fails with [`PlatformError::Unavailable`] is tried on the next path; a
+/// read also if its outcome is unknown. Lists and watches are direct only.
+///
 /// In a network that drops packets every direct write times out, and a write that timed out may
 /// have taken effect, so that the object has to be read before the write is tried again. Therefore
 /// peers are asked first after a single failure of a direct call, until a direct call succeeds
@@ -84,7 +87,8 @@
         }
     }
 
-    /// The paths to try, in order.
+    /// The paths to try, in order. The direct path comes first, or last if the platform was
+    /// unavailable to the previous direct call.
     fn paths(&self) -> Vec<CallPath> {
         let mut paths: Vec<CallPath> = self.relays().into_iter().map(CallPath::Peer).collect();
         let is_down = self.is_direct_down.load(Ordering::Relaxed);
@@ -132,8 +136,8 @@
         }
     }
 
-    /// The peers to relay through: live hosts in random order, those of other failure domains
-    /// first.
+    /// The peers to relay through: at most [`RELAYS_MAX`] live hosts in random order, those of
+    /// other failure domains first.
     fn relays(&self) -> Vec<HostId> {
         let views = self
             .cluster_view
@@ -169,6 +173,7 @@
     }
 }
 
+/// The error of a call for which there is no path.
 fn no_path() -> PlatformError {
     PlatformError::Unavailable("no path to the platform".to_owned())
 }
--- a/src/objects/http/mod.rs
+++ b/src/objects/http/mod.rs
@@ -49,12 +49,13 @@
 }
 
 impl HttpPlatformClient {
-    /// A client that allows each call `timeout`. A watch may take its own wait instead.
+    /// A client whose calls time out after `timeout`. A watch times out after its own wait instead.
     pub fn new(client: HttpClient, timeout: Duration) -> Self {
         Self { client, timeout }
     }
 
-    /// Gets the body of a path, with `limit` as the timeout.
+    /// Sends a GET request for a path, and returns the body of the response. The request times out
+    /// after `limit`.
     async fn read(&self, path: &str, limit: Duration) -> Result<Bytes, PlatformError> {
         let req = Request::get(path).body(ChunksBody::default());
         let req = req.map_err(|err| PlatformError::Refused(err.to_string()))?;
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Reads the response of a watch up to the first chunk that ends with a line. The service would
-    /// keep the response open to send later changes too; the next watch returns those.
+    /// Reads the response of a watch up to the first chunk that completes a line. The service would
+    /// keep the response open to send later changes too; the next watch returns those changes.
     async fn read_first_lines(&self, path: &str) -> Result<Vec<u8>, PlatformError> {
         let req = Request::get(path).body(ChunksBody::default());
         let req = req.map_err(|err| PlatformError::Refused(err.to_string()))?;
--- a/src/objects/http/wire.rs
+++ b/src/objects/http/wire.rs
@@ -50,6 +50,8 @@
 }
 
 impl WireObject {
+    /// The JSON form of an object to write. `version` is the version that the write requires; none
+    /// for an object to create.
     pub(crate) fn new(
         key: &ObjectKey,
         spec: serde_json::Value,
@@ -67,10 +69,13 @@
         }
     }
 
+    /// The version of the object; an error if it is missing or malformed.
     pub(crate) fn version(&self) -> Result<ObjectVersion, String> {
         self.metadata.version()
     }
 
+    /// Converts the JSON form into an object of the given kind. Fails if the version is missing or
+    /// malformed.
     pub(crate) fn into_object(self, kind: ObjectKind) -> Result<Object, String> {
         let version = self.version()?;
         let key = ObjectKey::new(kind, self.metadata.name);
@@ -91,6 +96,8 @@
 }
 
 impl WireList {
+    /// Converts the JSON form into a list of objects of the given kind. Fails if the version of the
+    /// list or of an object is missing or malformed.
     pub(crate) fn into_list(self, kind: ObjectKind) -> Result<ObjectList, String> {
         let version = self.metadata.version()?;
         let items: Result<Vec<Object>, String> = self
--- a/src/objects/mod.rs
+++ b/src/objects/mod.rs
@@ -29,7 +29,9 @@
     /// Reads one object.
     fn get(&self, key: ObjectKey) -> BoxFuture<'_, Result<Object, PlatformError>>;
 
-    /// Writes one object if the precondition holds, and returns the new version of the object.
+    /// Writes one object if the precondition holds, and returns the new version of the object. If
+    /// the precondition does not hold, the error is [`PlatformError::Conflict`], or
+    /// [`PlatformError::NotFound`] if the object to replace does not exist.
     fn put(
         &self,
         key: ObjectKey,
@@ -41,7 +43,7 @@
     fn list(&self, kind: ObjectKind) -> BoxFuture<'_, Result<ObjectList, PlatformError>>;
 
     /// Waits, for at most `wait`, until objects of a kind change after version `after`. Returns the
-    /// changed objects; the list is empty if none has changed.
+    /// changed objects without deleted ones; the list is empty if none has changed.
     fn watch(
         &self,
         kind: ObjectKind,
--- a/src/objects/object.rs
+++ b/src/objects/object.rs
@@ -11,7 +11,7 @@
     Manifests,
     /// The shards of the claims that are made for requests which are not repeatable.
     Claims,
-    /// The leases that permit a host to order the engines of a pool.
+    /// The leases that permit a host to send orders to the engines of a pool.
     Leases,
     /// The status reports of hosts.
     Statuses,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The kind with the given plural name.
+    /// The kind with the given plural name; none if there is no such kind.
     pub fn from_plural(plural: &str) -> Option<Self> {
         let kinds = [
             Self::Manifests,
@@ -80,12 +80,13 @@
     pub value: serde_json::Value,
 }
 
-/// A list of objects of one kind.
+/// Objects of one kind: all of them, or those that a watch returned.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ObjectList {
     /// The objects.
     pub items: Vec<Object>,
-    /// The version after which a watch continues the list.
+    /// The version up to which the list includes all changes. A watch after this version returns
+    /// the later changes.
     pub version: ObjectVersion,
 }
 
--- a/src/peer/addrs.rs
+++ b/src/peer/addrs.rs
@@ -22,7 +22,7 @@
 }
 
 impl SeededAddrs {
-    /// A directory of the addresses in the cluster view, without seeds.
+    /// A directory without seeds, which finds only the hosts in the cluster view.
     pub fn new(cluster_view: Arc<ClusterView>) -> Self {
         Self {
             cluster_view,
--- a/src/peer/codec.rs
+++ b/src/peer/codec.rs
@@ -20,6 +20,7 @@
 /// The bytes that a frame adds to its envelope: the length and the tag.
 pub const FRAME_OVERHEAD: usize = LENGTH_LEN + TAG_LEN;
 
+/// The size of the length field of a frame, in bytes.
 const LENGTH_LEN: usize = 4;
 
 /// Encodes and decodes the envelopes of a connection whose ends have authenticated each other.
@@ -92,13 +93,14 @@
     }
 }
 
-/// The bytes that a message without a call id takes on a connection, without the headers of TCP and
-/// IP.
+/// The number of bytes that a message without a call id takes on a connection, not counting the
+/// headers of TCP and IP.
 pub fn wire_len(message: &Message) -> usize {
     FRAME_OVERHEAD + message.encoded_len()
 }
 
-/// A codec of length-delimited frames of at most `size_max` bytes.
+/// A codec of length-delimited frames of at most `size_max` bytes, without the length field. A
+/// longer frame is an error.
 pub(crate) fn framing(size_max: usize) -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .length_field_length(LENGTH_LEN)
--- a/src/peer/error.rs
+++ b/src/peer/error.rs
@@ -12,7 +12,7 @@
     Unreachable(String),
     /// The connection broke or no reply came in time; the message may have arrived.
     NoReply,
-    /// The message does not fit into a frame.
+    /// The message does not fit into a frame; it was not sent.
     MessageTooLarge(String),
 }
 
@@ -22,7 +22,7 @@
             Self::UnknownHost => f.write_str("peer: no address is known for the host"),
             Self::Unreachable(why) => write!(f, "peer unreachable: {why}"),
             Self::NoReply => f.write_str("no reply from the peer"),
-            Self::MessageTooLarge(why) => write!(f, "peer: bad frame: {why}"),
+            Self::MessageTooLarge(why) => write!(f, "peer: message not sent: {why}"),
         }
     }
 }
--- a/src/peer/frame_authenticator.rs
+++ b/src/peer/frame_authenticator.rs
@@ -26,18 +26,20 @@
         })
     }
 
-    /// Returns the tag of the next frame.
+    /// Returns the tag of the next frame, and advances the sequence number.
     pub(crate) fn sign(&mut self, payload: &[u8]) -> [u8; TAG_LEN] {
         let mut tag = [0; TAG_LEN];
         tag.copy_from_slice(&self.next_mac(payload).finalize().into_bytes()[..TAG_LEN]);
         tag
     }
 
-    /// Whether `tag` is the tag of the next frame. The comparison takes constant time.
+    /// Whether `tag` is the tag of the next frame. Advances the sequence number in either case. The
+    /// comparison takes constant time.
     pub(crate) fn verify(&mut self, payload: &[u8], tag: &[u8]) -> bool {
         self.next_mac(payload).verify_truncated_left(tag).is_ok()
     }
 
+    /// Returns the HMAC of the next frame, and advances the sequence number.
     fn next_mac(&mut self, payload: &[u8]) -> HmacSha256 {
         let mut mac = self.keyed_mac.clone();
         mac.update(&self.next_seq.to_be_bytes());
--- a/src/peer/frame_error.rs
+++ b/src/peer/frame_error.rs
@@ -1,11 +1,11 @@
-//! The errors that end a connection between two hosts.
+//! The errors of frames on a connection between two hosts.
 
 use std::error::Error;
 use std::fmt;
 use std::io;
 
-/// Why a connection between two hosts can't be used any longer. [`FrameError::TooLarge`] alone
-/// leaves the connection usable.
+/// An error of reading or writing a frame. After any error but [`FrameError::TooLarge`] the
+/// connection can't be used any longer.
 #[derive(Debug)]
 pub enum FrameError {
     /// The connection broke, or a frame is longer than the limit.
--- a/src/peer/handshake.rs
+++ b/src/peer/handshake.rs
@@ -30,6 +30,7 @@
 /// The largest frame of a handshake, in bytes. It bounds what an unauthenticated client can make
 /// this host read.
 const HANDSHAKE_FRAME_SIZE_MAX: usize = 1 << 10;
+/// The length of a nonce, in bytes.
 const NONCE_LEN: usize = 32;
 /// The version of the protocol. Both ends must have the same one.
 const PROTOCOL_VERSION: u32 = 1;
@@ -112,8 +113,8 @@
     proof: Vec<u8>,
 }
 
-/// What both ends have sent, with the key that they share. Proofs and session keys are derived from
-/// the transcript, each under a purpose of its own.
+/// The contents of a handshake without the proofs, and the key that both ends share.
+/// Each proof and each session key is an HMAC over the transcript and a purpose of its own.
 struct Transcript<'a> {
     key: &'a PeerKey,
     hello: &'a Hello,
@@ -139,6 +140,7 @@
         Ok(mac)
     }
 
+    /// The HMAC of the transcript for a purpose, as bytes.
     fn proof(&self, purpose: &str) -> Result<Vec<u8>, InvalidLength> {
         Ok(self.mac(purpose)?.finalize().into_bytes().to_vec())
     }
--- a/src/peer/keyring.rs
+++ b/src/peer/keyring.rs
@@ -28,7 +28,7 @@
         self.keys.first()
     }
 
-    /// The key with the given id, if it is accepted.
+    /// The key with the given id; none if the keyring has no such key.
     pub(crate) fn find(&self, id: &str) -> Option<&PeerKey> {
         self.keys.iter().find(|key| key.id == id)
     }
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -23,8 +23,8 @@
 use crate::peer::pool::PoolShared;
 use crate::units::HostId;
 
-/// The timeout of a connect with its handshake. It is long for a few round trips inside a site, and
-/// short compared with the timeouts of callers.
+/// The timeout for opening a connection, including the handshake. It is ample for a few round trips
+/// inside a site, and short compared with the timeouts of callers.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long a write may take, if the peer does not read, before the connection is closed.
@@ -40,8 +40,10 @@
 /// messages keep no connections.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(300);
 
-/// The bounds of the pause after a failed attempt to connect, before jitter.
+/// The pause after the first failed attempt to connect, before jitter. It doubles with each further
+/// failure.
 const BACKOFF_MIN: Duration = Duration::from_millis(50);
+/// The longest pause after a failed attempt to connect, before jitter.
 const BACKOFF_MAX: Duration = Duration::from_secs(2);
 
 /// The number of pending requests at which those whose callers have given up are removed.
@@ -57,7 +59,7 @@
 }
 
 impl OutgoingMessage {
-    /// Tells the caller, if it waits for a reply, that the message failed.
+    /// Returns an error to the caller, if the caller expects a reply.
     fn fail(self, error: PeerError) {
         if let Some(reply) = self.reply {
             // The caller may have given up already.
@@ -81,6 +83,7 @@
     Idle,
     /// The pool has dropped the link.
     LinkDropped,
+    /// A read or a write failed or timed out, or the peer stalled.
     Broken(FrameError),
 }
 
@@ -88,8 +91,8 @@
 struct PendingRequests {
     replies: IndexMap<u64, ReplySender>,
     next_call_id: u64,
-    /// When the last reply came, or when the first of the pending requests was sent; none if no
-    /// request is pending.
+    /// The time since which the peer has sent nothing: when the last reply came, or when the first
+    /// of the pending requests was sent; none if no request is pending.
     silent_since: Option<Instant>,
 }
 
@@ -175,7 +178,7 @@
         }
     }
 
-    /// Sends messages and passes on replies until the connection is closed.
+    /// Sends messages and passes replies to their callers until the connection is closed.
     async fn serve_connection(
         &mut self,
         mut stream: PeerStream,
@@ -231,8 +234,8 @@
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
     }
 
-    /// Writes one message into the buffer of the stream, unless its caller has given up or the
-    /// limit of control traffic is reached.
+    /// Writes one message into the buffer of the stream. A message is dropped if its caller has
+    /// given up, and fails if the limit of control traffic is reached or the message is too large.
     async fn write_one(
         &self,
         stream: &mut PeerStream,
@@ -241,7 +244,7 @@
     ) -> Result<(), FrameError> {
         let OutgoingMessage { message, reply } = outgoing;
         let call_id = match &reply {
-            // The caller gave up while the message was queued, and must not have it handled late.
+            // The caller gave up while the message was queued. The peer must not handle it late.
             Some(reply) if reply.is_closed() => return Ok(()),
             Some(_) => pending.next_call_id(),
             None => 0,
@@ -289,12 +292,15 @@
         }
     }
 
+    /// A new call id, unique on this connection and never 0.
     fn next_call_id(&mut self) -> u64 {
         self.next_call_id += 1;
         self.next_call_id
     }
 
-    /// Adds a request, if a reply is expected.
+    /// Adds a request, if a reply is expected, and starts the stall timeout if no other request is
+    /// pending. Once [`PENDING_SWEEP_LEN`] requests are pending, those whose callers have given up
+    /// are removed first.
     fn insert(&mut self, call_id: u64, reply: Option<ReplySender>) {
         let Some(reply) = reply else {
             return;
@@ -306,7 +312,9 @@
         self.silent_since.get_or_insert_with(Instant::now);
     }
 
-    /// Passes a reply to its caller. A reply to a request that is no longer pending is ignored.
+    /// Passes a reply to its caller, and restarts or ends the stall timeout. A reply to a request
+    /// that is no longer pending is ignored. Fails if the connection has ended, the
+    /// frame is invalid or the envelope is not a reply.
     fn on_read(&mut self, read: Option<Result<Envelope, FrameError>>) -> Result<(), FrameError> {
         let envelope = read.ok_or(FrameError::Unexpected("end of the connection"))??;
         if !envelope.is_reply {
@@ -321,6 +329,7 @@
         Ok(())
     }
 
+    /// Whether no request is pending.
     fn is_idle(&self) -> bool {
         self.silent_since.is_none()
     }
--- a/src/peer/message/gossip.rs
+++ b/src/peer/message/gossip.rs
@@ -2,8 +2,9 @@
 
 use crate::peer::message::PoisonNotice;
 
-/// A message of the membership: one step of the protocol, with recent changes of hosts and
-/// upstreams piggybacked.
+/// A message of the membership: the incarnation and the manifest generation of the sender, and one
+/// step of the protocol. Recent changes of hosts, leaving upstreams and poison notices are
+/// piggybacked.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Gossip {
@@ -46,7 +47,8 @@
     /// Carries the hosts that the receiver asked for, in [`Gossip::hosts`].
     #[prost(message, tag = "14")]
     Members(()),
-    /// Carries a hash of the hosts of the sender's failure domain to a host of another one.
+    /// Carries a hash of the hosts of the sender's failure domain to a host of another failure
+    /// domain.
     #[prost(message, tag = "15")]
     Digest(DomainDigest),
     /// Asks the receiver for the hosts of each failure domain that the two hosts see differently.
@@ -54,14 +56,15 @@
     Pull(Pull),
 }
 
-/// A probe of a host.
+/// A check whether the receiver is alive and knows the same hosts as the sender.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Probe {
     /// The sequence number, which the reply repeats.
     #[prost(uint64, tag = "1")]
     pub seq: u64,
-    /// A hash of all hosts that the sender knows, by which the receiver detects a difference.
+    /// A hash of all hosts that the sender knows. If the hash of the receiver differs, the two
+    /// hosts know different hosts or states.
     #[prost(fixed64, tag = "2")]
     pub view_hash: u64,
 }
@@ -94,7 +97,7 @@
     /// The id of the failure domain.
     #[prost(string, tag = "1")]
     pub domain: String,
-    /// The hash of the hosts that the sender knows there.
+    /// The hash of the hosts that the sender knows in the failure domain.
     #[prost(fixed64, tag = "2")]
     pub hash: u64,
     /// Whether the receiver is to reply with the digest of its own failure domain.
@@ -153,8 +156,8 @@
     /// The id of the upstream.
     #[prost(string, tag = "1")]
     pub upstream: String,
-    /// The version of the platform's object that lists the upstream as leaving. A later version can
-    /// revoke it.
+    /// The version of the platform's object that lists the upstream as leaving. A later version of
+    /// the object may no longer list it.
     #[prost(uint64, tag = "2")]
     pub version: u64,
 }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -42,7 +42,8 @@
 
 /// A transport of messages to other hosts.
 pub trait PeerTransport: Send + Sync {
-    /// Sends a message without waiting for a reply. The message may be lost.
+    /// Queues a message without waiting for a reply. The message may be lost, and is dropped if the
+    /// queue of the host is full.
     fn send(&self, to: &HostId, message: Message);
 
     /// Sends a message and waits for its reply, at most for `timeout`.
--- a/src/peer/pool.rs
+++ b/src/peer/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of connections to other hosts, one connection for each host.
+//! The pool of connections to other hosts, with at most one connection to each host.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -40,7 +40,7 @@
     links: Mutex<Links>,
 }
 
-/// What the links of a pool share.
+/// The data that the links of a pool share.
 pub(crate) struct PoolShared {
     pub(crate) host: HostId,
     pub(crate) keys: Keyring,
@@ -54,7 +54,8 @@
     rng: StdRng,
 }
 
-/// The pool's end of a link. Dropping the handle stops the task of the link.
+/// The pool's handle of the task of a link. Dropping the handle stops the task and closes its
+/// connection.
 struct LinkHandle {
     queue: mpsc::Sender<OutgoingMessage>,
     stop: CancellationToken,
@@ -88,14 +89,16 @@
         }
     }
 
-    /// Closes the connection to a host that is assumed to be dead. After a network partition, TCP
-    /// would retransmit on the old connection at ever longer intervals; a new connection works at
-    /// once.
+    /// Closes the connection to a host that is assumed to be dead, and drops the messages that are
+    /// queued for the host; pending requests fail. The next message opens a new connection. After a
+    /// network partition the new connection works at once, whereas TCP would retransmit on the old
+    /// one at ever longer intervals.
     pub fn disconnect(&self, host: &HostId) {
         self.links().by_host.swap_remove(host);
     }
 
-    /// The number of hosts to which there is a connection or an attempt to connect.
+    /// The number of hosts that have a link. A link without an open connection counts as well,
+    /// until [`Self::disconnect`] removes it.
     pub fn link_count(&self) -> usize {
         self.links().by_host.len()
     }
@@ -104,7 +107,8 @@
         self.links.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The queue of the link to a host. The link is created if there is none or if it has ended.
+    /// The queue of the link to a host. If there is no link or its task has ended, a new link is
+    /// created and its task spawned.
     fn queue(&self, host: &HostId) -> mpsc::Sender<OutgoingMessage> {
         let mut links = self.links();
         let existing = links.by_host.get(host).map(|link| &link.queue);
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -30,15 +30,15 @@
 use crate::peer::message::Envelope;
 use crate::units::HostId;
 
-/// The number of messages of one connection that are handled at once. The connection is not read
-/// beyond this number, which the sender notices when its own queue is full.
+/// The largest number of messages of one connection that are handled at once. At this number the
+/// connection is not read, so that the queue of a sender that sends faster fills up.
 const IN_FLIGHT_MAX: usize = 512;
 
-/// The number of open connections: two for each of 400 hosts, with spare ones for connections that
-/// are being replaced.
+/// The largest number of open connections: two for each of 400 hosts, with spare ones for
+/// connections that are being replaced.
 const CONNECTIONS_MAX: usize = 2_048;
 
-/// The number of connections that have not been authenticated yet. Without this limit
+/// The largest number of connections that have not been authenticated yet. Without this limit
 /// unauthenticated clients could use up all connections.
 const HANDSHAKES_MAX: usize = 128;
 
@@ -111,7 +111,7 @@
         tasks.shutdown().await;
     }
 
-    /// Serves a connection in a task of its own, or refuses it if there are too many.
+    /// Serves a connection in a task of its own, or closes it if there are too many.
     fn spawn_connection(
         self: &Arc<Self>,
         tasks: &mut JoinSet<()>,
@@ -134,8 +134,8 @@
         });
     }
 
-    /// Authenticates a connection, and serves it until it ends. The permit of the handshake is
-    /// released once the peer is authenticated.
+    /// Authenticates a connection, and serves it until it ends. Releases `permit`, the permit of
+    /// the handshake, once the peer is authenticated.
     async fn serve_connection(
         &self,
         stream: TcpStream,
@@ -181,7 +181,8 @@
         }
     }
 
-    /// Handles the messages of a connection until the peer closes it.
+    /// Handles the messages of a connection and sends the replies, until the peer closes the
+    /// connection.
     async fn handle_messages(
         &self,
         peer: &HostId,
--- a/src/peer/token_bucket.rs
+++ b/src/peer/token_bucket.rs
@@ -2,7 +2,8 @@
 
 use std::time::Instant;
 
-/// A token bucket without I/O or a clock of its own. A token usually stands for a byte.
+/// A token bucket, which limits a rate but permits bursts. Callers pass the current time. A token
+/// usually stands for a byte.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     rate: f64,
@@ -22,7 +23,7 @@
         }
     }
 
-    /// The tokens that can be taken now.
+    /// The number of tokens that can be taken now.
     pub fn available(&mut self, now: Instant) -> f64 {
         let elapsed = now.saturating_duration_since(self.filled_at);
         self.level = (self.level + self.rate * elapsed.as_secs_f64()).min(self.burst);
--- a/src/peer/traffic.rs
+++ b/src/peer/traffic.rs
@@ -99,8 +99,8 @@
         self.refused_connections.load(Ordering::Relaxed)
     }
 
-    /// Counts a message that is about to be sent. Returns whether it may be sent: `false` if it is
-    /// control traffic above the limit.
+    /// Counts a message that is about to be sent. Returns whether the message may be sent. Control
+    /// traffic above the limit may not, and is counted as dropped.
     pub(crate) fn admit(&self, envelope: &Envelope) -> bool {
         let bytes = (envelope.encoded_len() + FRAME_OVERHEAD) as u64;
         let class = envelope.message.as_ref().map(TrafficClass::of);
@@ -117,10 +117,12 @@
         true
     }
 
+    /// Counts a dropped message.
     pub(crate) fn count_dropped(&self) {
         self.dropped_messages.fetch_add(1, Ordering::Relaxed);
     }
 
+    /// Counts a refused connection.
     pub(crate) fn count_refused(&self) {
         self.refused_connections.fetch_add(1, Ordering::Relaxed);
     }
--- a/tests/peer.rs
+++ b/tests/peer.rs
@@ -41,6 +41,7 @@
 use tokio_util::sync::CancellationToken;
 use yare::parameterized;
 
+/// The timeout of requests and other waits that are expected to succeed.
 const WAIT_MAX: Duration = Duration::from_secs(10);
 
 /// Replies to a call with the name in the call. The call `wait` is held until `release` is
@@ -67,8 +68,8 @@
     }
 }
 
-/// The same address for all hosts, except for the named host, which has the last address. The host
-/// `nowhere` has no address.
+/// A directory that gives all hosts the first address, except for the named host, which has the
+/// second address, and for the host `nowhere`, which has none.
 struct FixedAddrs(SocketAddr, &'static str, SocketAddr);
 
 impl PeerAddrs for FixedAddrs {
@@ -147,8 +148,8 @@
 }
 
 /// Waits until a server has counted `count` refused connections, and checks that it counted no
-/// more. The server counts a refusal after it has told the client, so that the client may notice
-/// it earlier.
+/// more. The server counts a refusal after its reply to the client, so that the client may notice
+/// the refusal earlier.
 async fn expect_refused_connections(traffic: &Traffic, count: u64) {
     let counting = async {
         while traffic.refused_connections() < count {
