--- a/src/fleet/cluster_home_directory.rs
+++ b/src/fleet/cluster_home_directory.rs
@@ -44,6 +44,7 @@
     host: HostId,
     domain: FailureDomainId,
     tables: RwLock<Arc<Tables>>,
+    /// The change counts of the hosts and of the upstreams at the last refresh.
     last_change_counts: Mutex<(u64, u64)>,
 }
 
@@ -79,9 +80,9 @@
         *self.tables.write().unwrap_or_else(PoisonError::into_inner) = tables;
     }
 
-    /// Whether the cluster view has changed since the last call. Comparing change counts is cheap;
-    /// comparing all hosts and upstreams ten times a second would take a share of a core that grows
-    /// with the number of hosts.
+    /// Whether hosts or upstreams of the cluster view have changed since the last call. Comparing
+    /// change counts is cheap; comparing all hosts and upstreams ten times a second would take a
+    /// share of a core that grows with the number of hosts.
     fn has_changed(&self) -> bool {
         let changes = (
             self.cluster_view.hosts.change_count(),
@@ -134,7 +135,7 @@
         let mut tables = Tables::default();
         let mut by_domain: IndexMap<FailureDomainId, Vec<PoolId>> = IndexMap::new();
         for ((domain, target), upstreams) in &inputs.upstreams {
-            for (pool, members) in partition_upstreams(domain, target, upstreams) {
+            for (pool, pool_upstreams) in partition_upstreams(domain, target, upstreams) {
                 by_domain
                     .entry(domain.clone())
                     .or_default()
@@ -144,7 +145,7 @@
                     .entry(target.clone())
                     .or_default()
                     .push(pool.clone());
-                tables.pools.insert(pool, members);
+                tables.pools.insert(pool, pool_upstreams);
             }
         }
         for pools in tables.by_target.values_mut() {
--- a/src/fleet/home_granter.rs
+++ b/src/fleet/home_granter.rs
@@ -325,7 +325,7 @@
         }
     }
 
-    /// Adds an issued grant to the live grants of this host.
+    /// Adds an issued grant to the live grants of this host, and returns the answer for the caller.
     fn hold_grant(&self, pool: &PoolId, granted: IssuedGrant, work: &Work) -> GrantAnswer {
         let live = LiveGrant {
             id: granted.grant,
--- a/src/fleet/home_runner/actions.rs
+++ b/src/fleet/home_runner/actions.rs
@@ -21,7 +21,7 @@
 
 impl HomeRunner {
     /// Passes an event to the controller of a home, performs the actions of the controller, and
-    /// returns the reply if the event has one.
+    /// returns the reply if the event has one. Calls to upstreams are made in tasks of their own.
     pub(super) fn send_event(
         self: &Arc<Self>,
         pool: &PoolId,
@@ -49,9 +49,9 @@
                             return;
                         };
                         debug!("homes: cancelling attempt {attempt} at {upstream}");
-                        let is_free = client.cancel(attempt).await.is_ok()
+                        let is_released = client.cancel(attempt).await.is_ok()
                             && client.release_gang(attempt).await.is_ok();
-                        if is_free {
+                        if is_released {
                             runner.send_event(&pool, &home, event);
                         }
                     });
--- a/src/fleet/home_runner/mod.rs
+++ b/src/fleet/home_runner/mod.rs
@@ -255,8 +255,8 @@
         }
     }
 
-    /// Creates the home of a pool, unless there is one; none while the manifest or the cluster view
-    /// lacks the target.
+    /// Creates the home of a pool and starts its ticks. Returns the existing home if there is one,
+    /// and none while the manifest or the cluster view lacks the target.
     fn create(self: &Arc<Self>, pool: &PoolId) -> Option<Arc<Home>> {
         let target = pool.target()?;
         let in_force = self.cluster_view.manifest()?;
@@ -281,7 +281,7 @@
             self.events.record(
                 "homes",
                 &format!("took over {pool}"),
-                "a serving candidate of the pool",
+                "this host is a candidate of the pool or requested a grant itself",
             );
             self.send_host_states(pool, &home);
             self.send_event(pool, &home, HomeEvent::Upstreams(upstreams));
--- a/src/fleet/live_grants.rs
+++ b/src/fleet/live_grants.rs
@@ -29,7 +29,7 @@
         self.grants.len()
     }
 
-    /// The live grants of one pool.
+    /// The live grants of one pool; empty if there are none.
     pub fn for_pool(&self, pool: &PoolId) -> Vec<LiveGrant> {
         self.by_pool().swap_remove(pool).unwrap_or_default()
     }
--- a/src/fleet/manifest_runner.rs
+++ b/src/fleet/manifest_runner.rs
@@ -34,8 +34,9 @@
     metrics: Arc<Metrics>,
     host: HostId,
     domain: FailureDomainId,
-    manifests: Mutex<ManifestController>,
+    controller: Mutex<ManifestController>,
     read_requested: Notify,
+    /// The change count of the cluster view's hosts at the last update of the controller.
     host_change_count: AtomicU64,
 }
 
@@ -59,7 +60,7 @@
 
 impl ManifestRunner {
     /// A runner of the given controller.
-    pub fn new(parts: ManifestRunnerParts, manifests: ManifestController) -> Self {
+    pub fn new(parts: ManifestRunnerParts, controller: ManifestController) -> Self {
         Self {
             clock: parts.clock,
             cluster_view: parts.cluster_view,
@@ -68,7 +69,7 @@
             metrics: parts.metrics,
             host: parts.host,
             domain: parts.domain,
-            manifests: Mutex::new(manifests),
+            controller: Mutex::new(controller),
             read_requested: Notify::new(),
             host_change_count: AtomicU64::new(u64::MAX),
         }
@@ -116,9 +117,9 @@
         }
         let (same_domain, remote) = self.live_peers();
         let generations = self.peer_generations();
-        let mut manifests = self.lock();
-        manifests.set_hosts(same_domain, remote);
-        let report = |(host, generation)| manifests.on_peer_generation(&host, generation, now);
+        let mut controller = self.lock();
+        controller.set_hosts(same_domain, remote);
+        let report = |(host, generation)| controller.on_peer_generation(&host, generation, now);
         generations.into_iter().flat_map(report).collect()
     }
 
@@ -147,11 +148,12 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, ManifestController> {
-        self.manifests
+        self.controller
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Performs actions of the controller.
     fn perform(&self, actions: Vec<ManifestAction>) {
         for action in actions {
             match action {
--- a/src/fleet/membership_runner.rs
+++ b/src/fleet/membership_runner.rs
@@ -156,6 +156,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Performs actions, and returns the events that other parts of the host must handle.
     fn perform(&self, actions: Vec<MembershipAction>) -> Vec<MembershipEvent> {
         actions
             .into_iter()
@@ -163,6 +164,7 @@
             .collect()
     }
 
+    /// Performs one action, and returns the event that other parts of the host must handle, if any.
     fn perform_action(&self, action: MembershipAction) -> Option<MembershipEvent> {
         match action {
             MembershipAction::Send { to, message } => {
--- a/src/fleet/reconciler_runner.rs
+++ b/src/fleet/reconciler_runner.rs
@@ -39,7 +39,8 @@
 /// order, and engines go on serving as they are.
 pub struct ReconcilerRunner {
     parts: ReconcilerRunnerParts,
-    pools: Mutex<IndexMap<PoolId, (ReconcilerConf, EngineReconciler)>>,
+    /// The reconciler of each pool, with the configuration that it was created with.
+    reconcilers: Mutex<IndexMap<PoolId, (ReconcilerConf, EngineReconciler)>>,
 }
 
 /// The dependencies of a [`ReconcilerRunner`].
@@ -67,7 +68,7 @@
     pub fn new(parts: ReconcilerRunnerParts) -> Self {
         Self {
             parts,
-            pools: Mutex::default(),
+            reconcilers: Mutex::default(),
         }
     }
 
@@ -82,15 +83,15 @@
         let now = self.parts.clock.now();
         let mut due = Vec::new();
         {
-            let mut pools = self.lock();
-            pools.retain(|pool, _| pool_ids.contains(pool));
+            let mut reconcilers = self.lock();
+            reconcilers.retain(|pool, _| pool_ids.contains(pool));
             for pool in pool_ids {
                 let Some(model) = model_of(&in_force.manifest, &pool) else {
                     continue;
                 };
                 let conf = self.conf(&in_force.manifest, model);
                 let new_entry = || (conf.clone(), EngineReconciler::new(conf.clone(), now));
-                let entry = pools.entry(pool.clone()).or_insert_with(new_entry);
+                let entry = reconcilers.entry(pool.clone()).or_insert_with(new_entry);
                 // A manifest that changes the fencing or the weights of the model replaces the
                 // reconciler. The only cost is that the new one waits for its own lease to expire.
                 if entry.0 != conf {
@@ -111,8 +112,8 @@
 
     /// For each pool, the number of engines that are in the desired state, and the number of all.
     pub fn progress(&self) -> Vec<(PoolId, (usize, usize))> {
-        let pools = self.lock();
-        pools
+        let reconcilers = self.lock();
+        reconcilers
             .iter()
             .map(|(pool, (_, reconciler))| (pool.clone(), reconciler.progress()))
             .collect()
@@ -222,7 +223,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, IndexMap<PoolId, (ReconcilerConf, EngineReconciler)>> {
-        self.pools.lock().unwrap_or_else(PoisonError::into_inner)
+        self.reconcilers
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/src/peer/handshake.rs
+++ b/src/peer/handshake.rs
@@ -47,7 +47,8 @@
     Frame(FrameError),
     /// The server refused the handshake, for the given reason.
     Refused(String),
-    /// The other end has another name than expected, or did not prove that it holds the key.
+    /// The other end has another name than expected, did not prove that it holds the key, or named
+    /// a key or a protocol version that this host does not accept.
     NotAuthenticated(String),
     /// The settings hold no key.
     NoKey,
@@ -258,6 +259,7 @@
     nonce
 }
 
+/// Sends a message of the handshake.
 async fn write_message(
     stream: &mut HandshakeStream,
     message: &impl Message,
@@ -265,6 +267,7 @@
     Ok(stream.send(Bytes::from(message.encode_to_vec())).await?)
 }
 
+/// Receives a message of the handshake. Fails if the connection ends or the frame can't be decoded.
 async fn read_message<M: Message + Default>(
     stream: &mut HandshakeStream,
 ) -> Result<M, HandshakeError> {
