--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -113,8 +113,8 @@
     }
 
     /// Connects whenever there is a message to send, and serves the connection, until the pool
-    /// drops the link. After a failed attempt to connect the message fails, and the link waits before
-    /// the next attempt.
+    /// drops the link. After a failed attempt to connect the message fails, and the link waits
+    /// before the next attempt.
     pub(crate) async fn run(mut self) {
         while let Some(first) = self.outgoing.recv().await {
             match self.connect().await {
--- a/src/peer/traffic.rs
+++ b/src/peer/traffic.rs
@@ -62,8 +62,8 @@
 }
 
 impl Traffic {
-    /// Counters at zero, with a limit of `control_bytes_per_second` for the rate of control traffic,
-    /// averaged over five minutes.
+    /// Counters at zero, with a limit of `control_bytes_per_second` for the rate of control
+    /// traffic, averaged over five minutes.
     pub fn new(clock: std::sync::Arc<dyn Clock>, control_bytes_per_second: u64) -> Self {
         let rate = control_bytes_per_second as f64;
         let burst = rate * CONTROL_WINDOW.as_secs_f64();
