--- a/src/objects/http/mod.rs
+++ b/src/objects/http/mod.rs
@@ -32,7 +32,7 @@
 use crate::units::ObjectVersion;
 
 /// The path of the API, before the plural of a kind.
-const API_PATH: &str = "/apis/banyanarch.dev/v1";
+const BASE: &str = "/apis/banyanarch.dev/v1";
 
 /// The largest response body, in bytes. The service stores values of up to a megabyte, and a list
 /// holds many of them.
@@ -108,10 +108,10 @@
     ) -> Result<ObjectVersion, PlatformError> {
         let kind = key.kind.plural();
         let (method, path, version) = match expected {
-            Precondition::Absent => (Method::POST, format!("{API_PATH}/{kind}"), None),
+            Precondition::Absent => (Method::POST, format!("{BASE}/{kind}"), None),
             Precondition::Version(version) => (
                 Method::PUT,
-                format!("{API_PATH}/{kind}/{}", key.name),
+                format!("{BASE}/{kind}/{}", key.name),
                 Some(version),
             ),
         };
@@ -145,7 +145,7 @@
 impl PlatformClient for HttpPlatformClient {
     fn get(&self, key: ObjectKey) -> BoxFuture<'_, Result<Object, PlatformError>> {
         async move {
-            let path = format!("{API_PATH}/{}/{}", key.kind.plural(), key.name);
+            let path = format!("{BASE}/{}/{}", key.kind.plural(), key.name);
             let body = self.read(&path, self.timeout).await?;
             let object: WireObject = parse(&body).map_err(PlatformError::Unavailable)?;
             object
@@ -166,7 +166,7 @@
 
     fn list(&self, kind: ObjectKind) -> BoxFuture<'_, Result<ObjectList, PlatformError>> {
         async move {
-            let path = format!("{API_PATH}/{}", kind.plural());
+            let path = format!("{BASE}/{}", kind.plural());
             let body = self.read(&path, self.timeout).await?;
             let list: WireList = parse(&body).map_err(PlatformError::Unavailable)?;
             list.into_list(kind).map_err(PlatformError::Unavailable)
@@ -183,7 +183,7 @@
         async move {
             let wait_s = wait.as_secs().max(1);
             let path = format!(
-                "{API_PATH}/{}?watch=true&resourceVersion={after}&timeoutSeconds={wait_s}",
+                "{BASE}/{}?watch=true&resourceVersion={after}&timeoutSeconds={wait_s}",
                 kind.plural()
             );
             let limit = Duration::from_secs(wait_s) + WATCH_GRACE;
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -314,8 +314,8 @@
     }
 
     /// Passes a reply to its caller, and restarts or ends the stall timeout. A reply to a request
-    /// that is no longer pending is ignored. Fails if the connection has ended, the
-    /// frame is invalid or the envelope is not a reply.
+    /// that is no longer pending is ignored. Fails if the connection has ended, the frame
+    /// is invalid or the envelope is not a reply.
     fn on_read(&mut self, read: Option<Result<Envelope, FrameError>>) -> Result<(), FrameError> {
         let envelope = read.ok_or(FrameError::Unexpected("end of the connection"))??;
         if !envelope.is_reply {
