--- a/src/fleet/home_runner/mod.rs
+++ b/src/fleet/home_runner/mod.rs
@@ -281,7 +281,7 @@
             self.events.record(
                 "homes",
                 &format!("took over {pool}"),
-                "this host is a candidate of the pool or requested a grant itself",
+                "this host may serve the pool",
             );
             self.send_host_states(pool, &home);
             self.send_event(pool, &home, HomeEvent::Upstreams(upstreams));
