--- a/src/gateway/listeners.rs
+++ b/src/gateway/listeners.rs
@@ -10,7 +10,7 @@
 
 /// All sockets on which a host listens.
 #[derive(Debug)]
-pub struct Listeners {
+pub struct GatewayListeners {
     /// Requests of callers.
     pub callers: TcpListener,
     /// Readiness checks of the load balancer.
@@ -24,7 +24,7 @@
     pub catalog_sharing: TcpListener,
 }
 
-impl Listeners {
+impl GatewayListeners {
     /// Binds all sockets to the configured addresses.
     pub async fn bind(conf: &GatewayConf) -> Result<Self, GatewayError> {
         let catalog_sharing = listen("requests of other hosts", conf.exchange_addr).await?;
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -79,7 +79,7 @@
 pub use header_codec::InvalidHeader;
 pub use header_codec::RequestHead;
 pub use header_codec::ResponseHead;
-pub use listeners::Listeners;
+pub use listeners::GatewayListeners;
 pub use metrics::GatewayMetrics;
 pub use platform_view::PlatformView;
 pub use platform_view::UpstreamsByService;
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -16,7 +16,7 @@
 use crate::gateway::DecisionEvent;
 use crate::gateway::Gateway;
 use crate::gateway::GatewayError;
-use crate::gateway::Listeners;
+use crate::gateway::GatewayListeners;
 use crate::gateway::ShutdownPhase;
 use crate::gateway::catalog_sharing::serve_reads;
 use crate::gateway::engine_reports::poll_engine_reports;
@@ -41,7 +41,7 @@
 ) -> Result<(), GatewayError> {
     let terminate = signal(SignalKind::terminate()).map_err(GatewayError::Signal)?;
     let hangup = signal(SignalKind::hangup()).map_err(GatewayError::Signal)?;
-    let listeners = Listeners::bind(&gateway.conf).await?;
+    let listeners = GatewayListeners::bind(&gateway.conf).await?;
     tokio::spawn(handle_signals(
         Arc::clone(&gateway),
         terminate,
@@ -58,7 +58,7 @@
 pub async fn serve(
     gateway: Arc<Gateway>,
     catalog: Arc<dyn Catalog>,
-    listeners: Listeners,
+    listeners: GatewayListeners,
 ) -> Result<(), GatewayError> {
     let exchange_handler: Arc<dyn ExchangeHandler> = Arc::<Gateway>::clone(&gateway);
     let exchange_addr = listeners.exchange.local_addr();
--- a/tests/gateway_world/mod.rs
+++ b/tests/gateway_world/mod.rs
@@ -19,8 +19,8 @@
 use banyanarch::gateway::DecisionLog;
 use banyanarch::gateway::Gateway;
 use banyanarch::gateway::GatewayConf;
+use banyanarch::gateway::GatewayListeners;
 use banyanarch::gateway::GatewayMetrics;
-use banyanarch::gateway::Listeners;
 use banyanarch::gateway::serve;
 use banyanarch::http::one_shot;
 use banyanarch::routing::CallKind;
@@ -128,7 +128,7 @@
             decision_log,
             GatewayMetrics::new().unwrap(),
         ));
-        let listeners = Listeners::bind(&gateway.conf).await.unwrap();
+        let listeners = GatewayListeners::bind(&gateway.conf).await.unwrap();
         let callers = listeners.callers.local_addr().unwrap();
         let ready = listeners.ready.local_addr().unwrap();
         let catalog = Arc::<FakeCatalog>::clone(catalog);
