--- a/src/gateway/catalog_sharing/message.rs
+++ b/src/gateway/catalog_sharing/message.rs
@@ -46,7 +46,8 @@
     pub(crate) accepts_deltas: bool,
 }
 
-/// The response to a [`ReadRequest`].
+/// The response to a [`ReadRequest`]. It may contain only the upstreams that changed since the
+/// known version, with the names of the removed ones, or only announce the frames that follow.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub(crate) struct ReadResponse {
--- a/src/gateway/catalog_sharing/upstream_list.rs
+++ b/src/gateway/catalog_sharing/upstream_list.rs
@@ -135,7 +135,9 @@
         true
     }
 
-    /// Removes an upstream. Returns whether it was on the list.
+    /// Removes an upstream and records the removal under `update_number`, which is not compared
+    /// with the number of the entry. Does not change the version, which the caller updates. Returns
+    /// whether the upstream was on the list.
     fn remove(&mut self, name: UpstreamName, update_number: u64) -> bool {
         let Some(before) = self.entries.swap_remove(&name) else {
             return false;
--- a/src/gateway/exchange_handler.rs
+++ b/src/gateway/exchange_handler.rs
@@ -54,6 +54,8 @@
         self.conf.domain.clone()
     }
 
+    /// Builds the complete update of this host. Each call takes the next sequence number and drains
+    /// nothing, so the next update reports the same state again while it is valid.
     fn local_update(&self) -> HostUpdate {
         let now = self.clock.now();
         let ledger = self.ledger();
--- a/src/gateway/sync.rs
+++ b/src/gateway/sync.rs
@@ -256,7 +256,9 @@
     }
 }
 
-/// The time until the next read of the hosts.
+/// The time until the next read of the hosts: shortest until this host is listed, longer while no
+/// peer has been heard, and longest otherwise. After failed reads it is at least the retry interval
+/// of the dependency.
 fn hosts_interval(gateway: &Gateway, is_registered: bool, dependency: &Dependency) -> Duration {
     let now = gateway.clock.now();
     if !is_registered {
