--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -59,8 +59,8 @@
     }
 }
 
-/// The body of a response. At its end the connection returns to the pool. A body that is dropped
-/// before its end closes the connection.
+/// The body of a response on a pooled connection. Reading it to its end returns the connection to
+/// the pool; dropping it before its end closes the connection.
 #[derive(Debug)]
 pub struct PooledResponseBody {
     incoming: Incoming,
@@ -100,7 +100,8 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        // False until the end has been polled, since only that returns the connection to the pool.
+        // False until the end has been polled: only polling the end returns the connection to the
+        // pool, and a reader may stop polling as soon as this is true.
         self.sender.is_none()
     }
 
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -23,12 +23,12 @@
 use crate::http::HttpError;
 use crate::http::PooledResponseBody;
 
-/// Number of idle connections that are kept; further ones are closed after use. More than an
-/// upstream has requests in one batch.
-const IDLE_MAX: usize = 128;
+/// Maximum number of idle connections that are kept; further ones are closed after use. The limit
+/// is larger than the number of requests that an upstream runs in one batch.
+const IDLE_CONNECTIONS_MAX: usize = 128;
 
-/// Inside a site a connection takes a few milliseconds. A host that cannot be reached does not
-/// respond at all, and delays a request by this much.
+/// Timeout of connecting. Inside a site a connection takes a few milliseconds. A host that cannot
+/// be reached does not respond at all, and delays a request by this timeout.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(750);
 
 /// Idle connections to one address.
@@ -38,13 +38,16 @@
 }
 
 impl IdleConnections {
+    /// Adds a connection. A connection that is closed, or exceeds the limit, is dropped.
     pub(crate) fn put(&self, sender: SendRequest<ChunksBody>) {
         let mut senders = self.senders.lock().unwrap_or_else(PoisonError::into_inner);
-        if !sender.is_closed() && senders.len() < IDLE_MAX {
+        if !sender.is_closed() && senders.len() < IDLE_CONNECTIONS_MAX {
             senders.push(sender);
         }
     }
 
+    /// Removes and returns the connection that was added last, and drops closed ones; `None` if
+    /// there is no open connection.
     fn take(&self) -> Option<SendRequest<ChunksBody>> {
         let mut senders = self.senders.lock().unwrap_or_else(PoisonError::into_inner);
         while let Some(sender) = senders.pop() {
@@ -63,9 +66,9 @@
     NotAccepted(Box<Request<ChunksBody>>),
 }
 
-/// A client of one address. The client never sends a request twice: if it repeated a request on
-/// another connection, an upstream could run the request twice without the ledger and the claims
-/// knowing. Only a request that no connection has accepted is sent on a second one.
+/// A client of one address. The client never repeats a request that may have been sent: the
+/// upstream could run it twice, and the ledger and the claims would account for one run only. Only
+/// a request that a connection did not accept is sent on another one.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     addr: SocketAddr,
@@ -74,7 +77,7 @@
 }
 
 impl HttpClient {
-    /// Creates a client of `addr`. It connects when the first request is sent.
+    /// Creates a client of `addr`. The client connects when the first request is sent.
     pub fn new(addr: SocketAddr) -> Self {
         let host_header = HeaderValue::try_from(addr.to_string());
         let host_header = host_header.unwrap_or_else(|_| HeaderValue::from_static("upstream"));
@@ -90,7 +93,9 @@
         self.addr
     }
 
-    /// Sends a request and returns the head of the response with the body still to be read.
+    /// Sends a request and returns the head of the response, with the body still to be read. Takes
+    /// an idle connection, or opens a new one if no idle connection accepts the request. Only
+    /// connecting has a timeout; the wait for the head has none.
     pub async fn send(
         &self,
         mut req: Request<ChunksBody>,
@@ -108,13 +113,13 @@
         match self.send_on(sender, req).await? {
             ConnectionSend::Response(res) => Ok(*res),
             ConnectionSend::NotAccepted(_) => Err(HttpError::NotSent(
-                "the connection was closed at once".to_owned(),
+                "a new connection was closed before it accepted the request".to_owned(),
             )),
         }
     }
 
     /// Sends a request and reads the complete response, with a body of at most `len_max` bytes,
-    /// within `time_limit`.
+    /// within `time_limit`. The error of a call that takes longer is [`HttpError::Interrupted`].
     pub async fn call(
         &self,
         req: Request<ChunksBody>,
@@ -132,6 +137,7 @@
         timeout(time_limit, exchange).await.map_err(timed_out)?
     }
 
+    /// Opens a connection, which is driven by a task of its own and is not in the pool yet.
     async fn connect(&self) -> Result<SendRequest<ChunksBody>, HttpError> {
         let not_sent = |why: String| HttpError::NotSent(format!("{}: {why}", self.addr));
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.addr)).await;
@@ -146,6 +152,7 @@
         Ok(sender)
     }
 
+    /// Sends a request on one connection and waits for the head of the response.
     async fn send_on(
         &self,
         mut sender: SendRequest<ChunksBody>,
--- a/src/http/connection_headers.rs
+++ b/src/http/connection_headers.rs
@@ -8,7 +8,7 @@
 use hyper::header::TRANSFER_ENCODING;
 use hyper::header::UPGRADE;
 
-/// Removes the hop-by-hop headers, including those that the message names in `Connection`.
+/// Removes the hop-by-hop headers of a message, including those that its `Connection` header names.
 pub fn remove_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/src/http/one_shot.rs
+++ b/src/http/one_shot.rs
@@ -1,8 +1,8 @@
 //! An HTTP client that uses a new connection for each request.
 //!
 //! A connection that is reused may be closed by the other end at the moment of the request, may
-//! carry a second response to an earlier request, or may have stopped working without a sign. In
-//! all three cases it is unknown whether the request ran. A new connection costs one round trip,
+//! carry a second response to an earlier request, or may have failed without being closed. In all
+//! three cases it is unknown whether the request ran. A new connection costs one round trip,
 //! about a millisecond, and has none of these problems.
 
 use std::fmt;
@@ -72,7 +72,8 @@
 
 impl std::error::Error for OneShotError {}
 
-/// Sends a request and returns the head of the response with the body still to be read.
+/// Sends a request on a new connection and returns the head of the response, with the body still to
+/// be read. `connect_timeout` limits connecting alone; the wait for the head has no timeout.
 pub async fn send(
     addr: SocketAddr,
     req: Request<Full<Bytes>>,
@@ -82,7 +83,7 @@
     let stream = connected
         .map_err(|_| OneShotError::ConnectTimeout)?
         .map_err(OneShotError::ConnectFailed)?;
-    enable_keepalive(&stream).map_err(OneShotError::ConnectFailed)?;
+    set_socket_options(&stream).map_err(OneShotError::ConnectFailed)?;
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (mut sender, conn) = handshake.map_err(|err| OneShotError::NotSent(err.to_string()))?;
     let mut conn = Some(Box::pin(conn));
@@ -102,8 +103,8 @@
     }
 }
 
-/// Sends a request and reads the complete response, with a body of at most `len_max` bytes, within
-/// `time_limit`.
+/// Sends a request on a new connection and reads the complete response, with a body of at most
+/// `len_max` bytes, within `time_limit`.
 pub async fn call(
     addr: SocketAddr,
     req: Request<Full<Bytes>>,
@@ -116,9 +117,9 @@
         .map_err(|_| OneShotError::Timeout)?
 }
 
-/// Sends a request and reads the complete response, with a body of at most `len_max` bytes. The
-/// head has to arrive within `idle_timeout`, and each further frame within `idle_timeout` of the
-/// previous one.
+/// Sends a request on a new connection and reads the complete response, with a body of at most
+/// `len_max` bytes. The head has to arrive within `idle_timeout`, and each further frame within
+/// `idle_timeout` of the previous one.
 pub async fn call_with_idle_timeout(
     addr: SocketAddr,
     req: Request<Full<Bytes>>,
@@ -139,17 +140,20 @@
     }
 }
 
+/// Drives a connection, and drops it once it has ended.
 fn poll_connection(conn: &mut Option<Pin<Box<Conn>>>, cx: &mut Context<'_>) {
     let is_done = conn
         .as_mut()
         .is_some_and(|conn| conn.as_mut().poll(cx).is_ready());
     if is_done {
-        // The error reaches the reader of the response or of its body.
+        // An error of the connection is also returned by the future of the response or by its body.
         *conn = None;
     }
 }
 
-fn enable_keepalive(stream: &TcpStream) -> io::Result<()> {
+/// Disables Nagle's algorithm, and lets the kernel close a connection whose peer no longer
+/// acknowledges data.
+fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     setsockopt(stream, sockopt::TcpUserTimeout, &UNACKNOWLEDGED_MAX_MS)?;
     setsockopt(stream, sockopt::KeepAlive, &true)?;
@@ -159,8 +163,9 @@
     Ok(())
 }
 
-/// The body of a response. A body that is dropped before its end closes the connection, which tells
-/// the other end that nobody waits for the rest.
+/// The body of a response, together with the connection, which is driven while the body is polled.
+/// Dropping the body before its end closes the connection, which tells the other end that the rest
+/// is no longer needed.
 #[derive(Debug)]
 pub struct OneShotResponseBody {
     conn: Option<Pin<Box<Conn>>>,
@@ -180,6 +185,7 @@
         Pin::new(&mut this.incoming).poll_frame(cx)
     }
 
+    /// Whether the response is known to have no further frames.
     fn is_end_stream(&self) -> bool {
         self.incoming.is_end_stream()
     }
--- a/src/http/sse.rs
+++ b/src/http/sse.rs
@@ -2,7 +2,7 @@
 
 use bytes::BytesMut;
 
-/// Length limit of an event, in bytes. A longer event is not part of the response of a model.
+/// Length limit of an event, in bytes. No event in the response of a model is that long.
 const EVENT_LEN_MAX: usize = 1 << 20;
 
 /// A server-sent event.
@@ -14,16 +14,19 @@
     pub data: String,
 }
 
-/// Splits a stream of bytes into events.
+/// Parses a stream of bytes into events. Fields other than `id` and `data` are ignored.
 #[derive(Debug, Default)]
 pub struct SseParser {
+    /// Received bytes that are not parsed yet.
     pending: BytesMut,
+    /// The id of the event that is being parsed.
     id: String,
+    /// The data of the event that is being parsed.
     data: String,
 }
 
 impl SseParser {
-    /// Adds received bytes.
+    /// Adds received bytes. Fails if the event that is being parsed exceeds the length limit.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), String> {
         self.pending.extend_from_slice(bytes);
         if self.pending.len() + self.data.len() > EVENT_LEN_MAX + bytes.len() {
@@ -32,7 +35,8 @@
         Ok(())
     }
 
-    /// Returns the next complete event, if there is one.
+    /// Removes and returns the next complete event that has data; `None` if more bytes are needed.
+    /// Fails if a line is not valid UTF-8.
     pub fn next_event(&mut self) -> Result<Option<SseEvent>, String> {
         while let Some(end) = self.pending.iter().position(|byte| *byte == b'\n') {
             let line = self.pending.split_to(end + 1);
--- a/src/upstream/error.rs
+++ b/src/upstream/error.rs
@@ -24,7 +24,8 @@
     InvalidResponse(String),
     /// The upstream ran the request and reported a failure.
     Failed(String),
-    /// The upstream does not know the attempt.
+    /// The upstream does not know the attempt, or whatever else the call names: it responded with
+    /// status 404 to a call other than the start of an attempt.
     UnknownAttempt,
 }
 
--- a/src/upstream/http/mod.rs
+++ b/src/upstream/http/mod.rs
@@ -36,8 +36,8 @@
 use crate::upstream::UpstreamClient;
 use crate::upstream::UpstreamError;
 
-/// Timeout of control calls, and of the head of a resumed response. A frozen engine delays a
-/// controller by this much.
+/// Timeout of control calls, of the head of a resumed response, and of the body of an error
+/// response. A frozen engine delays a controller by this timeout.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Length limit of the response to a control call, in bytes. An exported key-value cache is the
@@ -54,7 +54,7 @@
 }
 
 impl HttpUpstreamClient {
-    /// Creates a client of the upstream at the address of `client`.
+    /// Creates a client of the upstream at the address of `client`, which sends all requests.
     pub fn new(client: HttpClient) -> Self {
         Self { client }
     }
@@ -92,6 +92,9 @@
         }
     }
 
+    /// Sends a request other than an attempt and returns the complete body of the response. Fails
+    /// with `UnknownAttempt` for status 404, with `Refused` for another 4xx, and with `Failed` for
+    /// any other status that is not a success.
     async fn control_call(
         &self,
         method: Method,
@@ -123,6 +126,7 @@
         }
     }
 
+    /// Reads and parses the JSON document at `path`.
     async fn get_json<T: DeserializeOwned>(&self, path: &str) -> Result<T, UpstreamError> {
         let body = self.control_call(Method::GET, path, None).await?;
         let parsed = serde_json::from_slice(&body);
@@ -254,6 +258,7 @@
     }
 }
 
+/// The body of a request for a reservation of gang memory.
 #[derive(serde::Serialize)]
 struct GangHold {
     tokens: Tokens,
@@ -261,6 +266,7 @@
     host: HostId,
 }
 
+/// Builds the HTTP request of an attempt.
 fn dispatch_request(dispatch: Dispatch) -> Result<Request<ChunksBody>, UpstreamError> {
     let remaining_ms = dispatch.remaining.as_millis().to_string();
     let mut req = Request::builder()
@@ -301,6 +307,8 @@
         .is_some_and(|value| value.as_bytes() == b"true")
 }
 
+/// Reads the body of a refusal and returns [`UpstreamError::Refused`], with the text of the body
+/// and the `Retry-After` header, in seconds.
 async fn refusal_error(res: Response<PooledResponseBody>) -> UpstreamError {
     let status = res.status().as_u16();
     let retry_after = res
@@ -317,6 +325,8 @@
     }
 }
 
+/// Returns the status and the first 200 characters of the body of a response; the status alone if
+/// the body is too long or does not arrive in time.
 async fn error_text(res: Response<PooledResponseBody>) -> String {
     use http_body_util::BodyExt;
     use http_body_util::Limited;
--- a/src/upstream/http/model_event.rs
+++ b/src/upstream/http/model_event.rs
@@ -6,7 +6,8 @@
 use crate::upstream::ResponseEvent;
 use crate::upstream::UpstreamError;
 
-/// The parsed data of one event.
+/// What one server-sent event of a model's response contains. An error that the engine reports is
+/// not a value of this type; parsing its event fails.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ModelEvent {
     /// Generated tokens.
@@ -23,6 +24,7 @@
     Done,
 }
 
+/// The JSON body of an event.
 #[derive(Deserialize)]
 struct EventBody {
     #[serde(default)]
@@ -53,7 +55,8 @@
 }
 
 impl ModelEvent {
-    /// Parses the data of one event.
+    /// Parses the data of one server-sent event. Fails with [`UpstreamError::Failed`] if the engine
+    /// reports an error.
     pub(crate) fn parse(data: &str) -> Result<Self, UpstreamError> {
         if data == "[DONE]" {
             return Ok(Self::Done);
--- a/src/upstream/http/response_reader.rs
+++ b/src/upstream/http/response_reader.rs
@@ -17,7 +17,8 @@
 use crate::upstream::UpstreamError;
 use crate::upstream::http::model_event::ModelEvent;
 
-/// Returns the events of a model's response, up to the end marker.
+/// Returns the events of a model's response, up to the end marker. A body that ends without the end
+/// marker gives an error.
 pub(crate) fn model_response(body: PooledResponseBody, attempt: AttemptId) -> ResponseStream {
     let reader = ModelReader {
         body,
@@ -34,8 +35,8 @@
     .boxed()
 }
 
-/// Returns the events of a plain service's response: the head, the bytes, and an end if the body is
-/// complete.
+/// Returns the events of a plain service's response: the head, the bytes, and then the end if the
+/// body is complete, or an error if the connection broke.
 pub(crate) fn service_response(res: Response<PooledResponseBody>) -> ResponseStream {
     let content_type = res
         .headers()
@@ -65,6 +66,7 @@
     }
 }
 
+/// Returns the next bytes of a body; `None` at its end. Trailers are skipped.
 async fn next_bytes(body: &mut PooledResponseBody) -> Option<Result<Bytes, UpstreamError>> {
     loop {
         match body.frame().await? {
@@ -78,16 +80,21 @@
     }
 }
 
+/// Reads the events of a model's response.
 struct ModelReader {
     body: PooledResponseBody,
     attempt: AttemptId,
     parser: SseParser,
+    /// Events that are not returned yet.
     parsed: VecDeque<ResponseEvent>,
+    /// The end event, kept until the end marker arrives.
     end: Option<ResponseEvent>,
+    /// Whether the end marker or an error has been read.
     is_ended: bool,
 }
 
 impl ModelReader {
+    /// Returns the next event; `None` after the end or after an error.
     async fn next(&mut self) -> Option<Result<ResponseEvent, UpstreamError>> {
         loop {
             if let Some(event) = self.parsed.pop_front() {
@@ -103,6 +110,7 @@
         }
     }
 
+    /// Parses all complete events that have been received. If there are none, receives more bytes.
     async fn read_events(&mut self) -> Result<(), UpstreamError> {
         while let Some(event) = self
             .parser
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -39,14 +39,16 @@
     /// request once and never repeats it on another connection.
     fn start(&self, dispatch: Dispatch) -> BoxFuture<'_, Result<ResponseStream, UpstreamError>>;
 
-    /// Reads the response of a running or recently finished attempt from a token offset on.
+    /// Reads the response of a running or recently finished attempt again, without its first
+    /// `offset_tokens` tokens.
     fn resume(
         &self,
         attempt: AttemptId,
         offset_tokens: u64,
     ) -> BoxFuture<'_, Result<ResponseStream, UpstreamError>>;
 
-    /// Cancels an attempt. `Ok` means that the engine has freed the memory of the attempt.
+    /// Cancels an attempt. `Ok` means that the engine has freed the memory of the attempt, or does
+    /// not know the attempt.
     fn cancel(&self, attempt: AttemptId) -> BoxFuture<'_, Result<(), UpstreamError>>;
 
     /// Returns the attempts that currently hold memory.
@@ -55,18 +57,21 @@
     /// Returns the load report of the engine, which lags behind the actual load.
     fn load(&self) -> BoxFuture<'_, Result<LoadReport, UpstreamError>>;
 
-    /// Returns the cache events after a sequence number. They arrive late and with gaps.
+    /// Returns the changes of the prefix cache after a sequence number. Changes are reported late,
+    /// and some are missing.
     fn cache_events(&self, after_seq: u64)
     -> BoxFuture<'_, Result<Vec<CacheEvent>, UpstreamError>>;
 
-    /// Sends an order. Orders are idempotent, since an order states the desired state.
+    /// Sends an order to a model engine. Sending an order again has no further effect, since an
+    /// order states the desired state.
     fn order(&self, order: Order) -> BoxFuture<'_, Result<(), UpstreamError>>;
 
-    /// Returns what the engine has loaded.
+    /// Returns what the engine has loaded, and whether it is still loading.
     fn state(&self) -> BoxFuture<'_, Result<EngineState, UpstreamError>>;
 
-    /// Reserves memory of a gang member for an attempt that another engine leads. The reservation
-    /// expires after `hold`, so that a gang whose host crashed frees its memory.
+    /// Reserves memory of a gang member for an attempt that another engine leads. An engine without
+    /// enough free memory refuses. The reservation expires after `hold`, so that a gang whose host
+    /// crashed frees its memory.
     fn hold_gang(
         &self,
         attempt: AttemptId,
@@ -75,13 +80,16 @@
         hold: Duration,
     ) -> BoxFuture<'_, Result<(), UpstreamError>>;
 
-    /// Releases the memory that is reserved at a gang member.
+    /// Releases the memory that is reserved for an attempt at a gang member. `Ok` also means that
+    /// the engine has no such reservation.
     fn release_gang(&self, attempt: AttemptId) -> BoxFuture<'_, Result<(), UpstreamError>>;
 
-    /// Exports the key-value cache of a prompt prefix, for another engine to import.
+    /// Returns the encoded key-value cache of a prompt prefix, for another engine to import. Fails
+    /// with [`UpstreamError::UnknownAttempt`] if the engine has not cached the prefix.
     fn export_kv(&self, prefix: ContentHash) -> BoxFuture<'_, Result<Bytes, UpstreamError>>;
 
-    /// Imports a key-value cache that another engine exported.
+    /// Sends an engine the encoded key-value cache of a prompt prefix, as another engine exported
+    /// it.
     fn import_kv(&self, prefix: ContentHash, kv: Bytes)
     -> BoxFuture<'_, Result<(), UpstreamError>>;
 }
--- a/src/upstream/order.rs
+++ b/src/upstream/order.rs
@@ -6,7 +6,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Order {
-    /// The fencing number. Engines that check it compare it with the highest number seen so far.
+    /// The fencing number. An engine that checks it refuses an order whose number is lower than the
+    /// highest that the engine has seen.
     pub fencing: FencingNumber,
     /// The desired state.
     pub state: EngineState,
