--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -41,7 +41,7 @@
 /// Length limit of a response, in bytes.
 const BODY_LEN_MAX: usize = 16 << 20;
 
-/// The manifest of every test. Publications of it differ only in their generation.
+/// The manifest of every test. Each publication has this text and a generation of its own.
 pub(crate) const MANIFEST: &str = "
 deployment: test
 models:
@@ -147,7 +147,8 @@
         index
     }
 
-    /// Adds a host whose settings list the other hosts, so that it works without the platform.
+    /// Adds a host whose settings list the earlier hosts as seeds, so that it works without the
+    /// platform.
     /// Returns its index.
     pub(crate) async fn add_seeded_host(&mut self, domain: &str, platform: SocketAddr) -> usize {
         let index = self.hosts.len();
