--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -69,6 +69,8 @@
 }
 
 impl PooledResponseBody {
+    /// Creates the body of a response that arrives on the connection of `sender`, which is added to
+    /// `idle` at the end of the body.
     pub(crate) fn new(
         incoming: Incoming,
         sender: SendRequest<ChunksBody>,
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -119,7 +119,8 @@
     }
 
     /// Sends a request and reads the complete response, with a body of at most `len_max` bytes,
-    /// within `time_limit`. The error of a call that takes longer is [`HttpError::Interrupted`].
+    /// within `time_limit`. A call that takes longer, or whose body is longer, fails with
+    /// [`HttpError::Interrupted`].
     pub async fn call(
         &self,
         req: Request<ChunksBody>,
@@ -152,7 +153,8 @@
         Ok(sender)
     }
 
-    /// Sends a request on one connection and waits for the head of the response.
+    /// Sends a request on one connection and waits for the head of the response. A request that the
+    /// connection did not accept is returned unchanged.
     async fn send_on(
         &self,
         mut sender: SendRequest<ChunksBody>,
--- a/src/http/sse.rs
+++ b/src/http/sse.rs
@@ -54,6 +54,7 @@
         Ok(None)
     }
 
+    /// Adds the field of one line to the event that is being parsed.
     fn process_field(&mut self, line: &str) {
         let (name, value) = line.split_once(':').unwrap_or((line, ""));
         let value = value.strip_prefix(' ').unwrap_or(value);
--- a/src/upstream/http/mod.rs
+++ b/src/upstream/http/mod.rs
@@ -59,6 +59,8 @@
         Self { client }
     }
 
+    /// Sends an attempt. Unless it is a refusal, the response of a plain service is passed on with
+    /// any status; the response of a model must have status 200.
     async fn start_attempt(&self, dispatch: Dispatch) -> Result<ResponseStream, UpstreamError> {
         let is_model = dispatch.is_model;
         let attempt = dispatch.attempt;
@@ -75,6 +77,8 @@
         Ok(response_reader::model_response(res.into_body(), attempt))
     }
 
+    /// Requests the response of an attempt from a token offset on. Only the wait for the head has a
+    /// timeout.
     async fn resume_attempt(
         &self,
         attempt: AttemptId,
@@ -289,11 +293,13 @@
     build_request(req, ChunksBody::new(dispatch.body.chunks))
 }
 
+/// Adds the body to a request. An invalid request, such as one with an invalid path, is `NotSent`.
 fn build_request(req: Builder, body: ChunksBody) -> Result<Request<ChunksBody>, UpstreamError> {
     req.body(body)
         .map_err(|err| UpstreamError::NotSent(err.to_string()))
 }
 
+/// Encodes a request body as JSON.
 fn to_json<T: serde::Serialize>(value: &T) -> Result<Bytes, UpstreamError> {
     let text = serde_json::to_vec(value).map_err(|err| UpstreamError::NotSent(err.to_string()))?;
     Ok(Bytes::from(text))
--- a/src/upstream/http/model_event.rs
+++ b/src/upstream/http/model_event.rs
@@ -39,6 +39,7 @@
     error: Option<serde_json::Value>,
 }
 
+/// The generated text of an event, and why the model stopped if it did.
 #[derive(Deserialize)]
 struct ChoiceBody {
     #[serde(default)]
@@ -46,6 +47,7 @@
     finish_reason: Option<String>,
 }
 
+/// The token counts of a request as counted by the engine.
 #[derive(Deserialize)]
 struct UsageBody {
     #[serde(default)]
--- a/src/upstream/http/response_reader.rs
+++ b/src/upstream/http/response_reader.rs
@@ -57,6 +57,7 @@
     stream::iter([Ok(head)]).chain(rest).boxed()
 }
 
+/// Returns the end event of a plain service's response, which has no attempt and no token counts.
 fn service_end() -> ResponseEvent {
     ResponseEvent::End {
         attempt: None,
@@ -134,6 +135,7 @@
         }
     }
 
+    /// Parses the data of one event and adds its response events to those to be returned.
     fn process_event(&mut self, data: &str) -> Result<(), UpstreamError> {
         match ModelEvent::parse(data)? {
             ModelEvent::Tokens(tokens) => self.parsed.push_back(tokens),
