--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -41,7 +41,7 @@
 /// Length limit of a response, in bytes.
 const BODY_LEN_MAX: usize = 16 << 20;
 
-/// The manifest of every test. Each publication has this text and a generation of its own.
+/// The manifest that every test site starts with.
 pub(crate) const MANIFEST: &str = "
 deployment: test
 models:
@@ -167,7 +167,7 @@
             .unwrap();
     }
 
-    /// Publishes a manifest, whatever generation the platform has.
+    /// Publishes a manifest as `generation`, even if the platform has a later one.
     pub(crate) async fn publish(&self, generation: u64, text: &str) {
         let spec = serde_json::json!({
             "generation": generation,
