--- a/src/decide/load_ledger.rs
+++ b/src/decide/load_ledger.rs
@@ -195,7 +195,8 @@
         self.next_expiry = oldest.map(|received_at| received_at + PEER_EXPIRY);
     }
 
-    /// Removes upstreams that are no longer listed and have no load left, and refusals that have
+    /// Removes upstreams that are no longer listed and have no load left, the prefill totals of
+    /// peers at upstreams that are no longer listed, drained prefill queues, and refusals that have
     /// expired.
     pub fn retain_listed(&mut self, is_listed: impl Fn(&UpstreamId) -> bool, now: Instant) {
         self.prefill_queue.remove_drained(now);
@@ -226,7 +227,8 @@
         load
     }
 
-    /// The load of all peers at one upstream, without the prefill backlog.
+    /// The load of all peers at one upstream, without the prefill backlog and the refused memory.
+    /// Peers whose reports have expired at `now` do not count.
     fn peer_load(&self, upstream: &UpstreamId, now: Instant) -> UpstreamLoad {
         if self.next_expiry.is_none_or(|at| now < at) {
             let sum = self.peer_sums.get(upstream);
--- a/src/decide/load_source.rs
+++ b/src/decide/load_source.rs
@@ -5,7 +5,8 @@
 /// The sender of a report about load at upstreams.
 ///
 /// A host that collects the reports of its failure domain sends in two roles: as a host inside its
-/// domain, and as the collector for all hosts of its domain in other domains.
+/// domain, and as the collector for all hosts of its domain in other domains. Both roles are
+/// identified by the id of the sending host, not by the domain.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LoadSource {
     /// A host that reports its own load.
--- a/src/decide/shipped/engines.rs
+++ b/src/decide/shipped/engines.rs
@@ -72,7 +72,8 @@
     wake: Option<Instant>,
 }
 
-/// The result of an attempt to place a request.
+/// The result of an attempt to place a request, which says whether the request is still queued: a
+/// granted or refused request has left its queue, a blocked one stays.
 enum PlaceOutcome {
     /// The request was granted and is no longer queued.
     Granted,
--- a/src/decide/shipped/services.rs
+++ b/src/decide/shipped/services.rs
@@ -230,7 +230,8 @@
     }
 
     /// Ejects or reinstates an instance after an attempt there has ended. No instance is ejected if
-    /// more than [`EJECTED_FRACTION_MAX`] of the instances would be.
+    /// more than [`EJECTED_FRACTION_MAX`] of the instances would be. A reinstated instance starts
+    /// its warm-up anew.
     fn update_ejection(&mut self, id: &UpstreamId, outcome: AttemptOutcome, now: Instant) {
         let live = self.upstreams.values().filter(|u| u.is_live()).count();
         let is_other_ejected = |u: &&ServiceUpstream| u.ejection.is_ejected() && u.info.id != *id;
@@ -273,6 +274,8 @@
         self.intake.conf = conf.clone();
     }
 
+    /// Queues a call that is admitted. A call that is not admitted is refused; the next `poll`
+    /// returns the refusal.
     fn offer(&mut self, work: Work, now: Instant) {
         let waiting = self.queued_request(work, now);
         match self.admit(&waiting, now) {
@@ -302,6 +305,8 @@
         self.wake
     }
 
+    /// Records the end of an attempt. Ejects or reinstates its instance if necessary, and removes
+    /// leaving instances that have no calls left. Dispatches nothing; the next `poll` does.
     fn finish(&mut self, grant: GrantId, done: AttemptSummary, now: Instant) {
         let Some(record) = self.grants.swap_remove(&grant) else {
             return;
