--- a/src/manifest/conflicts.rs
+++ b/src/manifest/conflicts.rs
@@ -15,8 +15,8 @@
 /// unreachable.
 const MODEL_PATH_SEGMENT: &str = "v1";
 
-/// Reports a service with the reserved name of the model path, and names that two models or services
-/// share. Both are targets that callers request by name, so their names must differ.
+/// Reports a service with the reserved name of the model path, and names that two models or
+/// services share. Both are targets that callers request by name, so their names must differ.
 pub(crate) fn check_targets(
     fields: &mut Fields<'_>,
     models: &[Item<ModelSpec>],
--- a/src/manifest/lookup.rs
+++ b/src/manifest/lookup.rs
@@ -36,7 +36,8 @@
             .unwrap_or(&NO_ALLOWANCE)
     }
 
-    /// Returns the model, adapter or service that a target name refers to.
+    /// Returns the model, adapter or service that a target name refers to, or `None` if the
+    /// manifest has no such target.
     pub fn target(&self, name: &TargetId) -> Option<Target<'_>> {
         let model = |name: &str| self.models.iter().find(|model| model.name.as_str() == name);
         if let Some(service) = self.services.iter().find(|service| service.name == *name) {
@@ -51,7 +52,8 @@
         Some(Target::Adapter { model, adapter })
     }
 
-    /// Returns the rank of the priority with this name.
+    /// Returns the rank of the priority with this name, or `None` if the manifest has no such
+    /// priority.
     pub fn rank(&self, priority: &str) -> Option<Priority> {
         let spec = self.priorities.iter().find(|spec| spec.name == priority);
         spec.map(|spec| spec.rank)
--- a/src/manifest/parse.rs
+++ b/src/manifest/parse.rs
@@ -24,16 +24,16 @@
 use crate::yaml::Problems;
 use crate::yaml::Section;
 
-/// The platform stores values of up to 1 MB. 1,024 bytes are reserved for the object around the
-/// text.
+/// The maximum length of a manifest's text as a JSON string. The platform stores values of up to
+/// 1 MB; 1,024 bytes are reserved for the object around the text.
 const JSON_BYTES_MAX: usize = 1_000_000 - 1_024;
-const ABOVE_ZERO: &str = "must be above 0";
-const NOT_EMPTY: &str = "is empty";
+const MUST_BE_ABOVE_ZERO: &str = "must be above 0";
+const IS_EMPTY: &str = "is empty";
 
 impl Manifest {
     /// Parses and validates a manifest. `file` is the file name that problems are reported with.
     pub fn parse(text: &str, file: &str) -> Result<Self, ManifestErrors> {
-        let manifest = yaml::read(text, file)?;
+        let manifest = yaml::parse(text, file)?;
         let size_problem = find_size_problem(text);
         match size_problem {
             Some(problem) => {
@@ -61,7 +61,7 @@
             "deployment",
             deployment.as_ref(),
             |text: &String| is_not_empty(text),
-            NOT_EMPTY,
+            IS_EMPTY,
         );
         conflicts::check_targets(fields, &models, &services);
         conflicts::check_customers(fields, &customers, &priorities);
@@ -101,39 +101,39 @@
             "version",
             version.as_ref(),
             |text: &String| is_not_empty(text),
-            NOT_EMPTY,
+            IS_EMPTY,
         );
         fields.check(
             "role",
             role.as_ref(),
             |text: &String| is_not_empty(text),
-            NOT_EMPTY,
+            IS_EMPTY,
         );
         let is_positive = |tokens: &Tokens| tokens.0 > 0;
         fields.check(
             "engine_memory_tokens",
             engine_memory_tokens.as_ref(),
             is_positive,
-            ABOVE_ZERO,
+            MUST_BE_ABOVE_ZERO,
         );
         fields.check(
             "context_tokens_max",
             context_tokens_max.as_ref(),
             is_positive,
-            ABOVE_ZERO,
+            MUST_BE_ABOVE_ZERO,
         );
         fields.check(
             "engine_slots",
             engine_slots.as_ref(),
             |slots| *slots > 0,
-            ABOVE_ZERO,
+            MUST_BE_ABOVE_ZERO,
         );
         let is_positive_speed = |speed: &TokensPerSecond| speed.0 > 0.0;
         fields.check(
             "prefill_speed",
             prefill_speed.as_ref(),
             is_positive_speed,
-            ABOVE_ZERO,
+            MUST_BE_ABOVE_ZERO,
         );
         let is_percent = |percent: &u8| *percent <= 100;
         fields.check(
@@ -169,7 +169,7 @@
             "concurrency_max",
             concurrency_max.as_ref(),
             |max| *max > 0,
-            ABOVE_ZERO,
+            MUST_BE_ABOVE_ZERO,
         );
         Some(Self {
             name: name?,
@@ -187,7 +187,12 @@
         let rate = fields.required::<RequestsPerSecond>("rate");
         let burst_requests = fields.required("burst_requests");
         let priority = fields.required("priority");
-        fields.check("share", share.as_ref(), |share| *share > 0, ABOVE_ZERO);
+        fields.check(
+            "share",
+            share.as_ref(),
+            |share| *share > 0,
+            MUST_BE_ABOVE_ZERO,
+        );
         if rate.is_some_and(|rate| rate.0 > 0.0) {
             let what = "must be above 0, or the rate admits no request";
             fields.check(
@@ -215,7 +220,7 @@
             "name",
             name.as_ref(),
             |text: &String| is_not_empty(text),
-            NOT_EMPTY,
+            IS_EMPTY,
         );
         Some(Self {
             name: name?,
@@ -239,13 +244,13 @@
             "deadline_default_ms",
             deadline_default_ms.as_ref(),
             is_positive_ms,
-            ABOVE_ZERO,
+            MUST_BE_ABOVE_ZERO,
         );
         fields.check(
             "deadline_max_ms",
             deadline_max_ms.as_ref(),
             is_positive_ms,
-            ABOVE_ZERO,
+            MUST_BE_ABOVE_ZERO,
         );
         let is_within = |ms: &u64| deadline_max_ms.is_none_or(|max| *ms <= max);
         let what = "is above deadline_max_ms";
@@ -260,14 +265,14 @@
             "output_tokens_default",
             output_tokens_default.as_ref(),
             is_positive_tokens,
-            ABOVE_ZERO,
+            MUST_BE_ABOVE_ZERO,
         );
         let is_positive_size = |size: &ByteSize| size.0 > 0;
         fields.check(
             "body_size_max",
             body_size_max.as_ref(),
             is_positive_size,
-            ABOVE_ZERO,
+            MUST_BE_ABOVE_ZERO,
         );
         Some(Self {
             deadline_default_ms: deadline_default_ms?,
@@ -287,7 +292,7 @@
             "load_size_per_second",
             load_size_per_second.as_ref(),
             is_positive_size,
-            ABOVE_ZERO,
+            MUST_BE_ABOVE_ZERO,
         );
         Some(Self {
             load_size_per_second: load_size_per_second?,
@@ -328,8 +333,8 @@
     items.into_iter().map(|item| item.value).collect()
 }
 
-/// Returns a problem if the platform can't store the manifest. Checked here, the operator gets the
-/// reason; the platform would only refuse the write.
+/// Returns a problem if the manifest is too long for the platform to store. This check tells the
+/// operator the reason; the platform would only refuse the write.
 fn find_size_problem(text: &str) -> Option<Problem> {
     let json_len = serde_json::to_string(text).map_or(usize::MAX, |json| json.len());
     (json_len > JSON_BYTES_MAX).then(|| Problem {
--- a/src/manifest/spec.rs
+++ b/src/manifest/spec.rs
@@ -24,7 +24,7 @@
     /// The models that the fleet serves.
     #[serde(default)]
     pub models: Vec<ModelSpec>,
-    /// The plain services that the fleet serves.
+    /// The plain services that the fleet serves, which are HTTP services without a model.
     #[serde(default)]
     pub services: Vec<ServiceSpec>,
     /// The customers. The one named `default` applies to all customers that are not listed.
@@ -63,7 +63,7 @@
     /// The adapters of the model. Callers request one as `MODEL:ADAPTER`.
     #[serde(default)]
     pub adapters: Vec<String>,
-    /// The role that the engines of the model should take.
+    /// The role that the engines of the model should take, such as `mixed`.
     #[serde(default = "default_role")]
     pub role: String,
     /// The capacity of one engine's key-value cache, in tokens.
@@ -97,7 +97,7 @@
     Ignored,
 }
 
-/// A plain service and how its calls are sent.
+/// A plain service, which is an HTTP service without a model, and how its calls are sent.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
--- a/src/manifest/target.rs
+++ b/src/manifest/target.rs
@@ -15,6 +15,6 @@
         /// The name of the adapter.
         adapter: &'a str,
     },
-    /// A plain service.
+    /// A plain service, which is an HTTP service without a model.
     Service(&'a ServiceSpec),
 }
--- a/src/observe/error.rs
+++ b/src/observe/error.rs
@@ -8,7 +8,7 @@
 pub enum ObserveError {
     /// The log level is unknown.
     LogLevel(String),
-    /// The logger can't be installed, for example since the process has one already.
+    /// The logger can't be installed, for example because the process has one already.
     Logger(String),
     /// The metrics exporter can't be built, or the metrics can't be rendered.
     Metrics(String),
--- a/src/observe/explanations.rs
+++ b/src/observe/explanations.rs
@@ -18,7 +18,7 @@
 use crate::units::RequestId;
 use crate::units::whole_millis;
 
-/// With 16 shards, a dozen threads rarely contend for the same lock.
+/// The number of shards. With 16 of them, a dozen threads rarely contend for the same lock.
 const SHARD_COUNT: usize = 16;
 
 /// The limits on the explanations of a host, summed over all shards.
@@ -57,12 +57,14 @@
     shards: Vec<Mutex<Shard>>,
 }
 
+/// The explanations of the requests whose ids map to one shard, with the oldest request first.
 #[derive(Default)]
 struct Shard {
     entries: IndexMap<RequestId, Entry>,
     bytes: usize,
 }
 
+/// The recorded steps of one request and their estimated memory in bytes.
 struct Entry {
     started: Instant,
     steps: Vec<Step>,
@@ -71,7 +73,7 @@
 }
 
 impl Explanations {
-    /// Creates an empty store.
+    /// Creates an empty store. `clock` gives the times of the recorded steps.
     pub fn new(clock: Arc<dyn Clock>, limits: ExplanationLimits) -> Self {
         let shards = (0..SHARD_COUNT).map(|_| Mutex::default()).collect();
         Self {
@@ -82,7 +84,8 @@
     }
 
     /// Records a step of a request. `place` is the upstream or host that the step concerns, or
-    /// empty.
+    /// empty. Texts that are too long are truncated. If the store is full, the oldest requests are
+    /// evicted.
     pub fn record(
         &self,
         request: RequestId,
@@ -127,7 +130,7 @@
         })
     }
 
-    /// Returns the number of requests in the store and their memory in bytes.
+    /// Returns the number of requests in the store and their estimated memory in bytes.
     pub fn size(&self) -> (usize, usize) {
         let sizes = self.shards.iter().map(|shard| {
             let shard = lock(shard);
@@ -136,6 +139,7 @@
         sizes.fold((0, 0), |sum, size| (sum.0 + size.0, sum.1 + size.1))
     }
 
+    /// Locks the shard that a request belongs to.
     fn shard(&self, request: RequestId) -> MutexGuard<'_, Shard> {
         let index = usize::try_from(request.0 % SHARD_COUNT as u128).unwrap_or(0);
         lock(&self.shards[index])
@@ -184,7 +188,7 @@
     }
 }
 
-/// Estimates the memory of a step. Static texts take none.
+/// Estimates the memory of a step in bytes. Static texts take none.
 fn step_bytes(step: &Step) -> usize {
     let why = match &step.why {
         Cow::Borrowed(_) => 0,
--- a/src/observe/host_counts.rs
+++ b/src/observe/host_counts.rs
@@ -1,11 +1,11 @@
-//! The counts that the parts of a host keep on their own.
+//! The counts that the components of a host keep themselves.
 
 use std::time::Duration;
 
 use crate::decide::PoolLoad;
 use crate::units::PoolId;
 
-/// The counts of a host's parts, collected each time metrics are rendered.
+/// The counts of a host's components, collected each time metrics are rendered.
 #[derive(Clone, Debug, Default)]
 pub struct HostCounts {
     /// The bytes sent to other hosts for membership and manifests since the start.
@@ -16,7 +16,8 @@
     pub peer_dropped_messages: u64,
     /// The connections from other hosts that were refused since the start.
     pub peer_refused_connections: u64,
-    /// The time since the manifest in force was last confirmed to be the newest.
+    /// The time since the manifest in force was last confirmed to be the newest. `None` if it has
+    /// not been confirmed.
     pub manifest_confirmed_ago: Option<Duration>,
     /// The pools that this host is the home of. A pool that was handed over is left out: a gauge
     /// that kept its last value would report the pool's memory as held forever.
--- a/src/observe/latest_counts.rs
+++ b/src/observe/latest_counts.rs
@@ -13,8 +13,9 @@
 use crate::units::Generation;
 use crate::units::TargetId;
 
-/// The latest counts of the cluster view and of the host's parts. Each set is replaced as a whole:
-/// a gauge that kept the count of a removed target would report upstreams that no longer exist.
+/// The latest counts of the cluster view and of the host's components. Each set is replaced as a
+/// whole: a gauge that kept the count of a removed target would report upstreams that no longer
+/// exist.
 #[derive(Debug, Default)]
 pub(crate) struct LatestCounts {
     cluster: Mutex<ClusterCounts>,
@@ -51,11 +52,13 @@
         *self.host.lock().unwrap_or_else(PoisonError::into_inner) = counts;
     }
 
+    /// Returns a copy of the host counts.
     pub(crate) fn host(&self) -> HostCounts {
         let counts = self.host.lock().unwrap_or_else(PoisonError::into_inner);
         counts.clone()
     }
 
+    /// Returns a copy of the cluster counts.
     pub(crate) fn cluster(&self) -> ClusterCounts {
         self.lock_cluster().clone()
     }
--- a/src/observe/logs.rs
+++ b/src/observe/logs.rs
@@ -1,7 +1,7 @@
 //! Logs on standard error, as text or JSON.
 //!
-//! Each part of the program starts its messages with a fixed prefix (`homes: …`). A message about
-//! one request carries the request id under the key `request`:
+//! Each message starts with the name of the part of the program that logs it, such as `homes:`. A
+//! message about one request carries the request id under the key `request`:
 //! `log::info!(request:% = id; "entry: …")`.
 
 use log::LevelFilter;
@@ -14,7 +14,8 @@
 use crate::settings::LogFormat;
 use crate::settings::LogSettings;
 
-/// Installs the logger of the process. Fails if it is called twice.
+/// Installs the logger of the process. Fails if the process has a logger already or the level is
+/// unknown.
 pub fn init(settings: &LogSettings) -> Result<(), ObserveError> {
     let level: LevelFilter = settings.level.parse()?;
     let append = match settings.format {
--- a/src/observe/metrics.rs
+++ b/src/observe/metrics.rs
@@ -77,7 +77,7 @@
         let exporter = prometheus_exporter(&registry)?;
         let provider = SdkMeterProvider::builder()
             .with_reader(exporter)
-            .with_view(limit_series)
+            .with_view(with_series_limit)
             .build();
         let meter = provider.meter("banyanarch");
         let latest_counts = Arc::new(LatestCounts::default());
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Replaces the counts of the host's parts. Call this before each rendering.
+    /// Replaces the counts of the host's components. Call this before each rendering.
     pub fn update_host_counts(&self, counts: HostCounts) {
         self.latest_counts.update_host(counts);
     }
@@ -131,20 +131,26 @@
 
     /// Records the time from the first byte of a request to the first token of its answer.
     pub fn record_first_token(&self, customer: &CustomerId, class: LengthClass, elapsed: Duration) {
-        self.first_token
-            .record(elapsed.as_secs_f64(), &self.labels(customer, class));
+        self.first_token.record(
+            elapsed.as_secs_f64(),
+            &self.customer_and_class_labels(customer, class),
+        );
     }
 
     /// Records the time between two tokens of an answer.
     pub fn record_token_gap(&self, customer: &CustomerId, class: LengthClass, gap: Duration) {
-        self.token_gap
-            .record(gap.as_secs_f64(), &self.labels(customer, class));
+        self.token_gap.record(
+            gap.as_secs_f64(),
+            &self.customer_and_class_labels(customer, class),
+        );
     }
 
     /// Records how long a request waited at its home until it was granted.
     pub fn record_queue_wait(&self, customer: &CustomerId, class: LengthClass, wait: Duration) {
-        self.queue_wait
-            .record(wait.as_secs_f64(), &self.labels(customer, class));
+        self.queue_wait.record(
+            wait.as_secs_f64(),
+            &self.customer_and_class_labels(customer, class),
+        );
     }
 
     /// Counts the end of a request, and for a failed request the one-word reason. Failures are
@@ -157,7 +163,7 @@
         outcome: Outcome,
         reason: &'static str,
     ) {
-        let [customer, class] = self.labels(customer, class);
+        let [customer, class] = self.customer_and_class_labels(customer, class);
         let outcome_label = KeyValue::new("outcome", outcome.name());
         self.requests
             .add(1, &[customer, class.clone(), outcome_label.clone()]);
@@ -178,12 +184,20 @@
             .add(change, &[KeyValue::new("class", class.name())]);
     }
 
-    /// Renders all metrics in the Prometheus text format.
+    /// Renders all metrics in the Prometheus text format. The counts of the cluster view and of the
+    /// host's components are those of the latest calls of [`Self::update_cluster_counts`] and
+    /// [`Self::update_host_counts`].
     pub fn render(&self) -> Result<String, ObserveError> {
         Ok(TextEncoder::new().encode_to_string(&self.registry.gather())?)
     }
 
-    fn labels(&self, customer: &CustomerId, class: LengthClass) -> [KeyValue; 2] {
+    /// Returns the labels for a customer and a length class. A customer that the manifest does not
+    /// list gets the label `default`.
+    fn customer_and_class_labels(
+        &self,
+        customer: &CustomerId,
+        class: LengthClass,
+    ) -> [KeyValue; 2] {
         let customers = self
             .customers
             .read()
@@ -197,9 +211,9 @@
     }
 }
 
-/// Raises the maximum number of series per metric to [`SERIES_MAX`]. With the library's default of
-/// 2,000, most of 670 customers would share the overflow series.
-fn limit_series(_: &Instrument) -> Option<Stream> {
+/// Returns a view that raises the maximum number of series per metric to [`SERIES_MAX`]. With the
+/// library's default of 2,000, most of 670 customers would share the overflow series.
+fn with_series_limit(_: &Instrument) -> Option<Stream> {
     Stream::builder()
         .with_cardinality_limit(SERIES_MAX)
         .build()
--- a/src/observe/step.rs
+++ b/src/observe/step.rs
@@ -12,7 +12,7 @@
 pub struct Step {
     /// The wall clock time of this host, in milliseconds since the Unix epoch.
     pub wall_ms: u64,
-    /// The time since the first step of the request, in milliseconds.
+    /// The time since the first recorded step of the request, in milliseconds.
     pub elapsed_ms: u64,
     /// The kind of the step.
     pub what: StepKind,
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -25,18 +25,20 @@
 use crate::yaml::Item;
 use crate::yaml::Section;
 
-/// In characters. Shorter secrets can be found by brute force.
+/// The minimum length of a secret in characters. Shorter secrets can be found by brute force.
 const SECRET_CHARS_MIN: usize = 16;
-/// One membership message must fit into the budget of one second.
+/// The minimum of `control_bytes_per_second`: one membership message must fit into the budget of
+/// one second.
 const CONTROL_BYTES_PER_SECOND_MIN: u64 = 1_024;
-/// The memory must hold at least one body of the smallest useful size limit.
+/// The minimum of `body_memory_size`: the memory must hold at least one body of the smallest useful
+/// size limit.
 const BODY_MEMORY_SIZE_MIN: ByteSize = ByteSize(1 << 20);
 const LOG_LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
 
 impl Settings {
     /// Parses and validates settings. `file` is the file name that problems are reported with.
     pub fn parse(text: &str, file: &str) -> Result<Self, SettingsErrors> {
-        Ok(yaml::read(text, file)?)
+        Ok(yaml::parse(text, file)?)
     }
 
     /// Reads, parses and validates a settings file.
@@ -218,8 +220,10 @@
     }
 }
 
+/// The problem of an address for which [`is_destination`] is false.
 const NOT_A_DESTINATION: &str = "must be an address and port to connect to";
 
+/// Whether a host can connect to the address: its IP address is specified and its port is not 0.
 fn is_destination(address: &SocketAddr) -> bool {
     address.port() != 0 && !address.ip().is_unspecified()
 }
--- a/src/settings/settings_check.rs
+++ b/src/settings/settings_check.rs
@@ -7,7 +7,7 @@
 /// The exit code of a process with invalid settings or a wrong command line.
 pub const EXIT_BAD_SETTINGS: u8 = 2;
 
-/// The result of the check of a settings file, ready to be printed.
+/// The result of the check of a settings file: the text to print and the exit code.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsCheck {
     /// One line if the settings are valid, otherwise one line per problem.
@@ -16,7 +16,7 @@
     pub exit_code: u8,
 }
 
-/// Checks a settings file without binding or connecting to any address.
+/// Reads and validates a settings file without binding or connecting to any address.
 pub fn check_settings_file(path: &Path) -> SettingsCheck {
     match Settings::read(path) {
         Ok(settings) => SettingsCheck {
--- a/src/settings/spec.rs
+++ b/src/settings/spec.rs
@@ -38,7 +38,7 @@
     /// The number of worker threads; 0 starts one per core.
     #[serde(default)]
     pub threads: usize,
-    /// The memory for the bodies of requests that have not ended.
+    /// The maximum memory for the bodies of all requests that have not ended.
     #[serde(default = "default_body_memory_size")]
     pub body_memory_size: ByteSize,
 }
@@ -110,6 +110,7 @@
 }
 
 impl std::fmt::Debug for PeerKey {
+    /// Shows only the id, so that debug output does not contain the secret.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "PeerKey({})", self.id)
     }
@@ -127,6 +128,7 @@
 }
 
 impl Default for DrainSettings {
+    /// New requests are accepted for 5 seconds after the readiness check starts to fail.
     fn default() -> Self {
         Self { notice_ms: 5_000 }
     }
@@ -165,7 +167,7 @@
     Json,
 }
 
-/// The load balancing policy that a home runs.
+/// The name of the load balancing policy that a home runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
--- a/src/yaml/fields.rs
+++ b/src/yaml/fields.rs
@@ -16,7 +16,9 @@
 pub trait Section: Sized {
     /// Reads the fields of the section. An implementation must request every field, even after an
     /// earlier one was invalid: this finds all problems and tells unknown keys from known ones.
-    /// Returns `None` if a needed field is missing or invalid.
+    /// Returns `None` if a required field other than a list is missing or a value other than an
+    /// element of a list can't be parsed. A parsed value that fails a check is only reported: the
+    /// section is returned, but [`crate::yaml::parse`] fails if there is any report.
     fn read(fields: &mut Fields<'_>) -> Option<Self>;
 }
 
@@ -29,7 +31,8 @@
     pub value: T,
 }
 
-/// The fields of the section that is being read.
+/// The fields of the section that is being read. The methods that read a field also note the field
+/// as known; keys that no method asked for are reported as unknown.
 #[derive(Debug)]
 pub struct Fields<'a> {
     section: &'a Node,
@@ -41,7 +44,8 @@
 
 impl<'a> Fields<'a> {
     /// Reads a section and reports its unknown and duplicate keys. A key is unknown if the type did
-    /// not request a field of this name.
+    /// not request a field of this name. Returns `None` if the section is not a mapping or
+    /// [`Section::read`] returns `None`.
     pub fn read_section<T: Section>(
         section: &'a Node,
         path: &'a str,
@@ -67,28 +71,32 @@
         value
     }
 
-    /// Reads a required field.
+    /// Reads a required field. If the field is missing or invalid, this reports it and returns
+    /// `None`.
     pub fn required<T: DeserializeOwned>(&mut self, name: &'static str) -> Option<T> {
         let node = self.required_node(name)?;
-        self.scalar(name, node)
+        self.parse_scalar(name, node)
     }
 
-    /// Reads a field that falls back to `default` if it is absent.
+    /// Reads a field that falls back to `default` if it is absent. If the value is invalid, this
+    /// reports the field and returns `None`.
     pub fn optional<T: DeserializeOwned>(&mut self, name: &'static str, default: T) -> Option<T> {
         match self.request(name) {
-            Some(node) => self.scalar(name, node),
+            Some(node) => self.parse_scalar(name, node),
             None => Some(default),
         }
     }
 
-    /// Reads a required section.
+    /// Reads a required section. If the section is missing or invalid, this reports it and returns
+    /// `None`.
     pub fn section<T: Section>(&mut self, name: &'static str) -> Option<T> {
         let node = self.required_node(name)?;
         let path = self.path_of(name);
         Fields::read_section(node, &path, self.problems)
     }
 
-    /// Reads a section that falls back to its default if it is absent.
+    /// Reads a section that falls back to its default if it is absent. If the section is invalid,
+    /// this reports it and returns `None`.
     pub fn optional_section<T: Section + Default>(&mut self, name: &'static str) -> Option<T> {
         if self.request(name).is_some() {
             self.section(name)
@@ -97,7 +105,8 @@
         }
     }
 
-    /// Reads a required list with at least one element. Invalid elements are reported and left out.
+    /// Reads a required list and reports it if it is missing or empty. Invalid elements are
+    /// reported and left out.
     pub fn list<T: Section>(&mut self, name: &'static str) -> Vec<Item<T>> {
         match self.required_node(name).map(|node| &node.value) {
             Some(Value::Sequence(items)) if items.is_empty() => self.report(name, "is empty"),
@@ -109,7 +118,7 @@
     /// Reads a list that may be absent. Invalid elements are reported and left out.
     pub fn optional_list<T: Section>(&mut self, name: &'static str) -> Vec<Item<T>> {
         let mut values = Vec::new();
-        for (index, node) in self.sequence(name).iter().enumerate() {
+        for (index, node) in self.list_elements(name).iter().enumerate() {
             let path = format!("{}[{index}]", self.path_of(name));
             if let Some(value) = Fields::read_section(node, &path, self.problems) {
                 let path = format!("{name}[{index}]");
@@ -122,13 +131,15 @@
     /// Reads a list of scalars that may be absent. Invalid elements are reported and left out.
     pub fn optional_values<T: DeserializeOwned>(&mut self, name: &'static str) -> Vec<T> {
         let mut values = Vec::new();
-        for (index, node) in self.sequence(name).iter().enumerate() {
-            values.extend(self.scalar(&format!("{name}[{index}]"), node));
+        for (index, node) in self.list_elements(name).iter().enumerate() {
+            values.extend(self.parse_scalar(&format!("{name}[{index}]"), node));
         }
         values
     }
 
-    /// Reports a problem with the field at `path` in this section.
+    /// Reports a problem with the field at `path` in this section, which makes the whole file
+    /// invalid. The problem has the line of the field, or that of the nearest enclosing value if
+    /// the field is absent.
     pub fn report(&mut self, path: &str, what: impl Into<String>) {
         self.problems.push(Problem {
             line: self.section.line_of(path),
@@ -137,8 +148,8 @@
         });
     }
 
-    /// Reports a field unless its value passes `is_valid`. A value of `None` has been reported
-    /// before, when the field was read.
+    /// Reports the problem `what` for the field at `path` unless its value passes `is_valid`. A
+    /// value of `None` is skipped, since it was reported when the field was read.
     pub fn check<T>(
         &mut self,
         path: &str,
@@ -159,6 +170,7 @@
         find_value(self.entries, name)
     }
 
+    /// Returns the value of a required field, or reports the field as missing and returns `None`.
     fn required_node(&mut self, name: &'static str) -> Option<&'a Node> {
         let node = self.request(name);
         if node.is_none() {
@@ -167,7 +179,9 @@
         node
     }
 
-    fn scalar<T: DeserializeOwned>(&mut self, path: &str, node: &Node) -> Option<T> {
+    /// Parses the scalar `node`, which is the value of the field at `path`. If it is no scalar or
+    /// can't be parsed, this reports the field and returns `None`.
+    fn parse_scalar<T: DeserializeOwned>(&mut self, path: &str, node: &Node) -> Option<T> {
         let text = match &node.value {
             Value::Scalar(text) => text,
             Value::Null => {
@@ -179,7 +193,7 @@
                 return None;
             }
         };
-        match scalar::read(text) {
+        match scalar::parse(text) {
             Ok(value) => Some(value),
             Err(error) => {
                 self.report(path, invalid_value_message(path, text, &error.to_string()));
@@ -188,7 +202,9 @@
         }
     }
 
-    fn sequence(&mut self, name: &'static str) -> &'a [Node] {
+    /// Returns the elements of a list, which are none if the field is absent. If the value is not a
+    /// list, this reports the field and returns no elements.
+    fn list_elements(&mut self, name: &'static str) -> &'a [Node] {
         match self.request(name).map(|node| &node.value) {
             Some(Value::Sequence(items)) => items,
             Some(_) => {
@@ -209,7 +225,7 @@
             if !self.requested.contains(&name.as_str()) {
                 let what = format!(
                     "is not a known field; known fields are {}",
-                    self.known_field_names()
+                    self.shown_field_names()
                 );
                 self.report_key(key.line, name, what);
             }
@@ -224,16 +240,20 @@
         }
     }
 
+    /// Reports a problem with the key `name` in the given line. An empty name stands for the
+    /// section.
     fn report_key(&mut self, line: u64, name: &str, what: String) {
         let field = self.path_of(name);
         self.problems.push(Problem { line, field, what });
     }
 
-    fn known_field_names(&self) -> String {
+    /// Returns the names of the known fields, at most [`SHOWN_FIELD_NAMES_MAX`] of them.
+    fn shown_field_names(&self) -> String {
         let shown = self.requested.len().min(SHOWN_FIELD_NAMES_MAX);
         self.requested[..shown].join(", ")
     }
 
+    /// Returns the path in the file of the field `name`. An empty name stands for the section.
     fn path_of(&self, name: &str) -> String {
         match (self.path, name) {
             ("", "") => display_path(""),
@@ -244,6 +264,7 @@
     }
 }
 
+/// Returns the path that is shown for a section: `(file)` for the whole file, whose path is empty.
 fn display_path(path: &str) -> String {
     if path.is_empty() { "(file)" } else { path }.to_owned()
 }
--- a/src/yaml/mod.rs
+++ b/src/yaml/mod.rs
@@ -19,9 +19,9 @@
 pub use problem::Problem;
 pub use problem::Problems;
 
-/// Reads the text of a whole file as one section. `file` is the file name that problems are
-/// reported with.
-pub fn read<T: Section>(text: &str, file: &str) -> Result<T, FileErrors> {
+/// Parses the text of a whole file as one section. `file` is the file name that problems are
+/// reported with. Returns an error if any problem was reported, even if the section could be read.
+pub fn parse<T: Section>(text: &str, file: &str) -> Result<T, FileErrors> {
     let mut problems = Problems::default();
     let value = match Node::parse(text) {
         Ok(root) => Fields::read_section(&root, "", &mut problems),
--- a/src/yaml/node.rs
+++ b/src/yaml/node.rs
@@ -7,9 +7,11 @@
 use crate::yaml::Problem;
 use crate::yaml::raw_value::RawValue;
 
-/// Settings and manifests are less deeply nested; deeper documents could overflow the stack.
+/// The maximum nesting depth of a document. Settings and manifests are less deeply nested; deeper
+/// documents could overflow the stack.
 const DEPTH_MAX: usize = 32;
-/// Bounds the memory of a document whose aliases expand to many copies of a node.
+/// The maximum number of nodes of a document. It bounds the memory of a document whose aliases
+/// expand to many copies of a node.
 const NODES_MAX: usize = 100_000;
 
 /// A value with the line that it begins on.
@@ -70,6 +72,8 @@
         node.line
     }
 
+    /// Returns the value that a mapping has for the key `segment`, or the element that a sequence
+    /// has at the index `segment`.
     fn child(&self, segment: &str) -> Option<&Self> {
         match &self.value {
             Value::Mapping(entries) => find_value(entries, segment),
@@ -78,6 +82,9 @@
         }
     }
 
+    /// Converts the parser's value to a node. `text` is the whole document, from which the original
+    /// text of converted scalars is taken. The line of an alias is that of its use, not that of the
+    /// anchor.
     fn from_raw(raw: Spanned<RawValue>, text: &str) -> Self {
         let nested = |raw| Self::from_raw(raw, text);
         let line = raw.referenced.line();
@@ -105,7 +112,8 @@
     entry.map(|(_, value)| value)
 }
 
-/// Returns the part of `text` that `span` covers.
+/// Returns the part of `text` that `span` covers, without surrounding whitespace. Returns `None` if
+/// the parser does not know the byte range of the span.
 fn source_text(text: &str, span: serde_saphyr::Span) -> Option<&str> {
     let start = usize::try_from(span.byte_offset()?).ok()?;
     let len = usize::try_from(span.byte_len()?).ok()?;
--- a/src/yaml/problem.rs
+++ b/src/yaml/problem.rs
@@ -14,7 +14,8 @@
     pub what: String,
 }
 
-/// The problems of a file, in the order in which they were found.
+/// The problems of a file, in the order in which they were found. [`Self::into_sorted`] orders them
+/// by line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Problems(Vec<Problem>);
 
--- a/src/yaml/raw_value.rs
+++ b/src/yaml/raw_value.rs
@@ -13,9 +13,9 @@
 /// the original text is taken from the file afterwards.
 pub(crate) enum RawValue {
     Null,
-    /// A string, as the parser returns it.
+    /// A scalar that the parser returned as a string.
     Text(String),
-    /// A scalar that the parser converted, formatted as text again.
+    /// A scalar that the parser converted to a boolean or a number, formatted as text again.
     Inferred(String),
     Sequence(Vec<Spanned<RawValue>>),
     Mapping(Vec<(Spanned<RawValue>, Spanned<RawValue>)>),
@@ -27,6 +27,7 @@
     }
 }
 
+/// Builds a [`RawValue`]. Booleans and numbers become [`RawValue::Inferred`] texts.
 struct RawVisitor;
 
 impl<'de> Visitor<'de> for RawVisitor {
--- a/src/yaml/scalar.rs
+++ b/src/yaml/scalar.rs
@@ -8,13 +8,16 @@
 use serde::forward_to_deserialize_any;
 
 /// Parses the text of a scalar as `T`: a number, a boolean, a string, an enum variant or a newtype.
-pub(crate) fn read<T: DeserializeOwned>(text: &str) -> Result<T, Error> {
+pub(crate) fn parse<T: DeserializeOwned>(text: &str) -> Result<T, Error> {
     T::deserialize(Scalar(text))
 }
 
+/// The text of a scalar as a serde deserializer.
 struct Scalar<'a>(&'a str);
 
 impl Scalar<'_> {
+    /// Parses a whole number. Its range is that of `u64`; the visitor of a smaller integer type
+    /// rejects a number that the type can't hold.
     fn whole_number(&self) -> Result<u64, Error> {
         let number = self.0.parse();
         number.map_err(|_| Error::custom("expected a whole number, 0 or more, without a unit"))
--- a/tests/observe_memory.rs
+++ b/tests/observe_memory.rs
@@ -12,7 +12,7 @@
 
 const DESAI: &str = include_str!("../examples/desai/manifest.yaml");
 const CUSTOMER_COUNT: usize = 670;
-/// The part of the 256 MB that a host may use for control.
+/// A host has 256 MB of memory; this part of it is the budget for control.
 const MEMORY_BUDGET_BYTES: u64 = 64 << 20;
 
 fn resident_bytes() -> u64 {
