--- a/tests/manifest.rs
+++ b/tests/manifest.rs
@@ -53,9 +53,9 @@
     let manifest = Manifest::parse(manifest, "manifest.yaml").unwrap();
     assert_eq!(manifest.deployment, deployment);
     assert_eq!(manifest.customers.len(), 10);
-    let derived: Manifest =
+    let deserialized: Manifest =
         serde_saphyr::from_str(&serde_saphyr::to_string(&manifest).unwrap()).unwrap();
-    assert_eq!(derived, manifest);
+    assert_eq!(deserialized, manifest);
     for domain in domains {
         let file = format!("examples/{deployment}/{deployment}-{domain}-1.yaml");
         let settings = Settings::read(file.as_ref()).unwrap();
@@ -280,8 +280,8 @@
     #[test]
     fn a_manifest_written_and_read_again_is_equal(manifest in manifests()) {
         let text = serde_saphyr::to_string(&manifest).unwrap();
-        let again = Manifest::parse(&text, "m.yaml");
-        prop_assert_eq!(again.as_ref(), Ok(&manifest), "{}", text);
+        let reparsed = Manifest::parse(&text, "m.yaml");
+        prop_assert_eq!(reparsed.as_ref(), Ok(&manifest), "{}", text);
     }
 
     #[test]
