--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -24,7 +24,8 @@
 /// The part of the patience of a caller that is reserved for transit times and forecast errors.
 const TRANSIT_MARGIN: Duration = Duration::from_millis(500);
 
-/// An admitted request, which may be sent to upstreams.
+/// An admitted request, which may be sent to upstreams: the request as sent by the caller (method,
+/// URI, headers, complete body and parsed head), with its route, service, customer and deadline.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The parsed request head.
@@ -70,7 +71,8 @@
     }
 
     /// How long the caller will still wait for the first event, less the transit time of the
-    /// response.
+    /// response; zero once that has passed. Counted from the arrival of the request by a timeout
+    /// that is derived from the objectives of the route, not by the caller's deadline.
     pub fn patience_left(&self, now: Instant) -> Duration {
         let patience = stream_caller_timeout(self.route.objective, self.route.pause_objective);
         (self.arrived_at + patience).saturating_duration_since(now + TRANSIT_MARGIN)
--- a/src/gateway/conf.rs
+++ b/src/gateway/conf.rs
@@ -8,7 +8,9 @@
 use crate::units::HostId;
 use crate::units::Millicores;
 
-/// The validated configuration of one host.
+/// The validated configuration of one host: its names, addresses and processors, how long revoked
+/// keys may still be accepted, the bound on retries of all hosts together, and the grace period of
+/// a stop.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewayConf {
     /// The name of this host.
--- a/src/gateway/handler.rs
+++ b/src/gateway/handler.rs
@@ -103,6 +103,10 @@
 
 /// Finds the route, the service and the customer of a request. The body of the returned call is
 /// still empty.
+///
+/// While the manifest of this host may be outdated, an unknown route or key is refused as stale
+/// knowledge instead of rejected. Where a key is needed, every call is refused as stale knowledge
+/// while this host holds no key lease.
 fn route_call(
     gateway: &Gateway,
     routes: &RouteTable,
--- a/src/gateway/header_codec.rs
+++ b/src/gateway/header_codec.rs
@@ -12,7 +12,8 @@
 use crate::units::Tokens;
 use crate::units::UpstreamName;
 
-/// What a caller's request head contains besides method, path and host.
+/// What a caller's request head contains besides method, path and host: the attempt id, the time
+/// limit, the key, the lengths of prompt and output in tokens, and the last event received.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestHead {
     /// The caller's id of this attempt; empty if none was given.
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -36,7 +36,8 @@
 /// the limit may have been lifted by then.
 const LIMIT_RETRY_AFTER_MAX: Duration = Duration::from_secs(4);
 
-/// The upstreams of one send.
+/// The upstreams of one send, with the memory reservations to make before it, the loads to count
+/// for it, its forecast, and the record of the limit that the upstream advertises.
 pub(crate) struct SendPlan {
     /// The upstream that responds. For a prompt on several engines this is the leader.
     pub(crate) upstream: ListedUpstream,
--- a/src/gateway/request_tracker.rs
+++ b/src/gateway/request_tracker.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Records a pause between two events of the response.
+    /// Keeps the longest pause between two events of the response. Updates no metrics.
     pub(crate) fn on_pause(&mut self, pause: Duration) {
         self.longest_pause = self.longest_pause.max(pause);
     }
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -87,6 +87,7 @@
     type Error = Infallible;
     type Future = BoxFuture<'static, Result<Response<ResponseBody>, Infallible>>;
 
+    /// Handles every request as a call. Never fails, since refusals are responses.
     fn call(&self, req: Request<Incoming>) -> Self::Future {
         handle(Arc::clone(&self.0), req).map(Ok).boxed()
     }
