--- a/src/control/drain/controller.rs
+++ b/src/control/drain/controller.rs
@@ -48,7 +48,7 @@
 pub enum DrainEvent {
     /// The process received SIGTERM or SIGINT.
     Signal,
-    /// How much work remains.
+    /// The amount of work that remains.
     Remaining {
         /// Requests that have not ended, including queued ones.
         in_flight: usize,
@@ -120,7 +120,7 @@
         matches!(self.phase, DrainPhase::Serving | DrainPhase::Notice)
     }
 
-    /// When the next [`DrainEvent::Tick`] is due.
+    /// When the next [`DrainEvent::Tick`] is due; `None` if the current phase has no time limit.
     pub fn next_wake(&self) -> Option<Instant> {
         match self.phase {
             DrainPhase::Notice => Some(self.phase_started_at + self.conf.notice),
@@ -144,6 +144,8 @@
         actions
     }
 
+    /// Starts the shutdown at the first signal. A second signal exits at once and interrupts the
+    /// requests in flight.
     fn on_signal(&mut self, now: Instant, actions: &mut Vec<DrainAction>) {
         match self.phase {
             DrainPhase::Serving => {
@@ -151,27 +153,32 @@
                     "drain: started, readiness fails, {} requests in flight",
                     self.in_flight
                 );
-                self.enter(DrainPhase::Notice, now);
+                self.enter_phase(DrainPhase::Notice, now);
                 actions.push(DrainAction::AnnounceLeaving);
             }
             DrainPhase::Exiting => (),
             DrainPhase::Notice | DrainPhase::Draining | DrainPhase::ReleasingClaims => {
-                log::warn!("drain: second signal, {} requests cut off", self.in_flight);
-                self.enter(DrainPhase::Exiting, now);
+                log::warn!(
+                    "drain: second signal, {} requests interrupted",
+                    self.in_flight
+                );
+                self.enter_phase(DrainPhase::Exiting, now);
                 actions.push(DrainAction::Exit(EXIT_CODE_FORCED));
             }
         }
     }
 
+    /// Enters the next phases whose conditions are met, and requests the actions that belong to
+    /// them.
     fn advance(&mut self, now: Instant, actions: &mut Vec<DrainAction>) {
         let waited = |limit: Duration| now.duration_since(self.phase_started_at) >= limit;
         if self.phase == DrainPhase::Notice && waited(self.conf.notice) {
-            self.enter(DrainPhase::Draining, now);
+            self.enter_phase(DrainPhase::Draining, now);
             actions.push(DrainAction::HandOverHomes);
             actions.push(DrainAction::StopAccepting);
         }
         if self.phase == DrainPhase::Draining && self.in_flight == 0 {
-            self.enter(DrainPhase::ReleasingClaims, now);
+            self.enter_phase(DrainPhase::ReleasingClaims, now);
         }
         let waited = now.duration_since(self.phase_started_at) >= self.conf.claims_timeout;
         if self.phase == DrainPhase::ReleasingClaims && (self.claims == 0 || waited) {
@@ -179,12 +186,13 @@
                 "drain: finished, {} claims not recorded by the platform",
                 self.claims
             );
-            self.enter(DrainPhase::Exiting, now);
+            self.enter_phase(DrainPhase::Exiting, now);
             actions.push(DrainAction::Exit(0));
         }
     }
 
-    fn enter(&mut self, phase: DrainPhase, now: Instant) {
+    /// Changes the phase and restarts the timer of the phase. Requests no action.
+    fn enter_phase(&mut self, phase: DrainPhase, now: Instant) {
         self.phase = phase;
         self.phase_started_at = now;
     }
--- a/src/control/manifests/action.rs
+++ b/src/control/manifests/action.rs
@@ -14,8 +14,8 @@
         /// The message.
         message: Message,
     },
-    /// Read the manifest from the platform after a short random delay, and pass the result to the
-    /// controller.
+    /// Read the manifest from the platform after a short random delay, and pass the result to
+    /// [`on_platform_read`](super::ManifestController::on_platform_read).
     ReadPlatform,
     /// Put a manifest in force on this host.
     PutInForce(ManifestInForce),
--- a/src/control/manifests/controller.rs
+++ b/src/control/manifests/controller.rs
@@ -12,9 +12,9 @@
 use crate::control::manifests::ManifestStatus;
 use crate::control::manifests::fetch::Fetch;
 use crate::control::manifests::fetch::FetchStep;
+use crate::control::manifests::parts::group_into_pages;
 use crate::control::manifests::parts::hashes_from_bytes;
 use crate::control::manifests::parts::hashes_to_bytes;
-use crate::control::manifests::parts::pages;
 use crate::control::manifests::parts::split_into_parts;
 use crate::manifest::Manifest;
 use crate::manifest::ManifestInForce;
@@ -34,8 +34,9 @@
 /// Parses and validates the text of a manifest; an error is the reason for refusing it.
 pub type ManifestValidator = Box<dyn Fn(&str) -> Result<Manifest, String> + Send + Sync>;
 
-/// Hosts that each host notifies at once when it accepts a new generation. Three reach a failure
-/// domain of 67 hosts in four hops, with enough redundant notices that few hosts are missed.
+/// Number of hosts that each host notifies at once when it accepts a new generation. Three reach a
+/// failure domain of 67 hosts in four hops, with enough redundant notices that few hosts are
+/// missed.
 const NOTICE_FANOUT: usize = 3;
 
 /// Time between queries to one random host. They repair lost notices and refresh the age of the
@@ -64,7 +65,7 @@
 pub enum ManifestRead {
     /// This manifest is the published one.
     Published(PublishedManifest),
-    /// Nothing was published since this host last read the platform.
+    /// No manifest was published since this host last read the platform.
     Unchanged,
     /// No manifest has ever been published.
     Absent,
@@ -107,7 +108,8 @@
             .map(by_hash);
         let parts: Vec<(ContentHash, String)> = parts.collect();
         let order: Vec<ContentHash> = parts.iter().map(|(hash, _)| *hash).collect();
-        let pages: Vec<(ContentHash, String)> = pages(&order).into_iter().map(by_hash).collect();
+        let pages: Vec<(ContentHash, String)> =
+            group_into_pages(&order).into_iter().map(by_hash).collect();
         Self {
             generation,
             hash: ContentHash::of(text.as_bytes()),
@@ -143,6 +145,7 @@
     }
 
     /// Sets the other live hosts: `local_peers` in this failure domain, `remote_peers` in others.
+    /// Forgets the generations that removed local peers reported.
     pub fn set_hosts(&mut self, local_peers: Vec<HostId>, remote_peers: Vec<HostId>) {
         self.peer_generations
             .retain(|host, _| local_peers.contains(host));
@@ -150,7 +153,8 @@
         self.remote_peers = remote_peers;
     }
 
-    /// Handles the result of a read or watch of the platform.
+    /// Handles the result of a read or watch of the platform. Any result counts as a confirmation
+    /// by the platform at `now`.
     pub fn on_platform_read(&mut self, read: ManifestRead, now: Instant) -> Vec<ManifestAction> {
         let mut actions = Vec::new();
         self.confirmed_at = Some(now);
@@ -169,7 +173,8 @@
         actions
     }
 
-    /// Handles that a host has a generation in force, as the membership learned.
+    /// Handles the generation that a host has in force, as learned through the membership. If the
+    /// generation is newer and was not refused, it is fetched from that host.
     pub fn on_peer_generation(
         &mut self,
         host: &HostId,
@@ -178,7 +183,7 @@
     ) -> Vec<ManifestAction> {
         let mut actions = Vec::new();
         if self.is_newer(generation) {
-            self.fetch_from(host, generation);
+            self.add_fetch_source(host, generation);
             self.step_fetch(now, &mut actions);
         }
         actions
@@ -194,7 +199,7 @@
                 let notice = Message::ManifestNotice(self.notice_message(now));
                 self.send(from, notice, now, &mut actions);
                 if self.is_newer(generation) {
-                    self.fetch_from(from, generation);
+                    self.add_fetch_source(from, generation);
                 }
             }
             Message::IndexRequest(request) => {
@@ -239,7 +244,7 @@
         }
     }
 
-    /// The generation in force.
+    /// The generation in force; `None` if this host has no manifest.
     pub fn generation(&self) -> Option<Generation> {
         self.in_force.as_ref().map(|stored| stored.generation)
     }
@@ -276,6 +281,9 @@
         is_behind.then_some("a newer manifest is being fetched")
     }
 
+    /// Validates a newer manifest and puts it in force, which ends a running fetch and notifies
+    /// some local peers. A manifest that is invalid is recorded as refused; one that is not newer
+    /// is ignored.
     fn accept(&mut self, generation: Generation, text: &str, actions: &mut Vec<ManifestAction>) {
         if !self.is_newer(generation) {
             return;
@@ -299,7 +307,7 @@
             hash,
             manifest,
         }));
-        // Announces a new generation at once instead of at the next query.
+        // These notices announce the generation before the next queries do.
         let receivers: Vec<HostId> = self
             .local_peers
             .choose_multiple(&mut self.rng, NOTICE_FANOUT)
@@ -321,6 +329,8 @@
             && refused != Some(generation)
     }
 
+    /// Records the generation of a local peer, takes over a later confirmation of the generation in
+    /// force, and starts a fetch of a newer generation.
     fn on_notice(&mut self, from: &HostId, notice: &ManifestNotice, now: Instant) {
         let generation = Generation(notice.generation);
         if self.local_peers.contains(from) {
@@ -332,11 +342,15 @@
             self.confirmed_at = confirmed_at;
         }
         if self.is_newer(generation) {
-            self.fetch_from(from, generation);
+            self.add_fetch_source(from, generation);
         }
     }
 
-    fn fetch_from(&mut self, host: &HostId, generation: Generation) {
+    /// Makes `host` a source for the fetch of a generation, without sending a request yet.
+    ///
+    /// A running fetch of the same generation gets one more holder, and a fetch of a later one is
+    /// left alone. A fetch of an earlier one is replaced; the parts that it received are kept.
+    fn add_fetch_source(&mut self, host: &HostId, generation: Generation) {
         if let Some(fetch) = &mut self.fetch
             && fetch.generation >= generation
         {
@@ -353,6 +367,7 @@
         self.fetch = Some(fetch);
     }
 
+    /// Performs the next step of the running fetch, if there is one.
     fn step_fetch(&mut self, now: Instant, actions: &mut Vec<ManifestAction>) {
         let Some(fetch) = &mut self.fetch else {
             return;
@@ -369,6 +384,7 @@
         }
     }
 
+    /// Queries some hosts for their generation, and schedules the next queries.
     fn send_queries(&mut self, now: Instant, actions: &mut Vec<ManifestAction>) {
         let is_not_ready = self.why_not_ready().is_some();
         let interval = match is_not_ready {
@@ -398,11 +414,15 @@
         }
     }
 
+    /// Time since the platform last confirmed, directly or through other hosts, that there is no
+    /// newer generation; `None` if it never did.
     fn confirmed_ago(&self, now: Instant) -> Option<Duration> {
         self.confirmed_at
             .map(|at| now.saturating_duration_since(at))
     }
 
+    /// A notice of the generation in force, or of generation 0 without one, and of the time since
+    /// its last confirmation.
     fn notice_message(&self, now: Instant) -> ManifestNotice {
         let ago = self.confirmed_ago(now);
         ManifestNotice {
@@ -411,6 +431,7 @@
         }
     }
 
+    /// The index of the manifest in force; `None` if its generation is below `generation_min`.
     fn index_message(&self, generation_min: Generation) -> Option<ManifestIndex> {
         let stored = self
             .in_force
@@ -431,8 +452,8 @@
         }
     }
 
-    /// Sends the requested parts. If some are no longer there, the requester is also told which
-    /// generation this host has.
+    /// Sends the requested parts that belong to the manifest in force. If some do not, the
+    /// requester also gets a notice of the generation that this host has in force.
     fn on_parts_request(
         &mut self,
         from: &HostId,
--- a/src/control/manifests/fetch.rs
+++ b/src/control/manifests/fetch.rs
@@ -28,7 +28,7 @@
 /// How long to wait for the platform before a large manifest is fetched from other hosts after all.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A manifest that is being fetched.
+/// The fetch of one manifest: its sources, and the parts received so far.
 #[derive(Debug)]
 pub(crate) struct Fetch {
     /// The lowest generation that completes the fetch.
@@ -80,6 +80,7 @@
         }
     }
 
+    /// Adds a host that has the generation. It is asked after the hosts added earlier.
     pub(crate) fn add_holder(&mut self, host: HostId) {
         self.holders.insert(host);
     }
@@ -122,7 +123,8 @@
         self.pending_request = None;
     }
 
-    /// Returns the next step.
+    /// Returns the next step, and records it: the request that is returned counts as sent, and a
+    /// host that did not answer the previous one moves to the end of the order.
     pub(crate) fn step(&mut self, now: Instant) -> FetchStep {
         let missing = self.missing();
         if let Some(index) = &self.index
@@ -143,7 +145,7 @@
             if now.saturating_duration_since(*requested_at) < ANSWER_TIMEOUT {
                 return FetchStep::Wait;
             }
-            // A host that did not answer goes to the end of the queue.
+            // The host did not answer in time, so it moves to the end of the order.
             let host = host.clone();
             self.holders.shift_remove(&host);
             self.holders.insert(host);
@@ -180,6 +182,7 @@
         missing
     }
 
+    /// Joins the parts to the text, and checks the hash of the text.
     fn assemble(&self, index: &Index) -> FetchStep {
         let pages = index.pages.iter().filter_map(|hash| self.parts.get(hash));
         let parts = pages.flat_map(|page| page_hashes(page));
--- a/src/control/manifests/mod.rs
+++ b/src/control/manifests/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! A few hosts of each failure domain watch the platform. The other hosts learn of a new generation
 //! from the watchers and from each other, and fetch the parts that they lack. A host accepts a
-//! generation only if it is above the one in force, and is ready only when it has the newest
-//! generation that it can learn of.
+//! generation only if it is above the one in force. It is ready only with the generation that the
+//! platform names, or with the newest one among most hosts of its failure domain.
 
 mod action;
 mod controller;
--- a/src/control/manifests/parts.rs
+++ b/src/control/manifests/parts.rs
@@ -56,6 +56,7 @@
     parts
 }
 
+/// Whether a part ends after the last line of the window.
 fn is_boundary(window: &[&str]) -> bool {
     let mut hasher = Xxh3::new();
     for line in window {
@@ -64,7 +65,7 @@
     hasher.digest().is_multiple_of(LINES_PER_PART)
 }
 
-/// Splits a line that is longer than a part.
+/// Splits a line into pieces that are at most as long as a part.
 fn split_long_line(line: &str) -> impl Iterator<Item = &str> {
     let mut rest = line;
     std::iter::from_fn(move || {
@@ -74,10 +75,10 @@
     })
 }
 
-/// Groups the hashes of parts into pages with boundaries that depend on the content, as for the
-/// text: a change of one part changes one page, so the list of the parts of a megabyte need not be
-/// sent whole either.
-pub(crate) fn pages(parts: &[ContentHash]) -> Vec<String> {
+/// Groups the hashes of parts into pages. The page boundaries depend on the content, like those of
+/// the parts: a change of one part changes one page, so that a host fetches only the changed pages
+/// of the list of parts, which is long for a manifest of a megabyte.
+pub(crate) fn group_into_pages(parts: &[ContentHash]) -> Vec<String> {
     let mut pages = Vec::new();
     let mut page = String::new();
     for hash in parts {
@@ -93,13 +94,14 @@
     pages
 }
 
-/// The hashes on a page. Malformed ones are left out, and the hash of the whole text then does not
-/// match.
+/// The hashes on a page. Malformed ones are left out; the text that is assembled then does not have
+/// the expected hash and is rejected.
 pub(crate) fn page_hashes(page: &str) -> impl Iterator<Item = ContentHash> {
     let chunks = page.as_bytes().chunks(PAGE_HASH_LEN);
     chunks.filter_map(|hash| std::str::from_utf8(hash).ok()?.parse().ok())
 }
 
+/// The last character boundary of a text that is not after byte `at`.
 fn char_boundary(text: &str, at: usize) -> usize {
     let mut at = at.min(text.len());
     while !text.is_char_boundary(at) {
--- a/src/control/manifests/watchers.rs
+++ b/src/control/manifests/watchers.rs
@@ -5,9 +5,9 @@
 use crate::units::FailureDomainId;
 use crate::units::HostId;
 
-/// Hosts of a failure domain that watch the manifest. Each watch is a load on the platform, so not
-/// all hosts may watch. With three watchers, two can fail at the same time without delaying a new
-/// generation.
+/// Number of hosts of a failure domain that watch the manifest. Each watch is a load on the
+/// platform, so not all hosts may watch. With three watchers, two can fail at the same time without
+/// delaying a new generation.
 const WATCHER_COUNT: usize = 3;
 
 /// The hosts of a failure domain that watch the manifest at the platform. All hosts with the same
--- a/src/control/membership/broadcast_queue.rs
+++ b/src/control/membership/broadcast_queue.rs
@@ -8,8 +8,8 @@
 use crate::peer::message::LeavingUpstream;
 use crate::peer::message::PoisonNotice;
 
-/// Broadcasts in the queue. The oldest are dropped first; a dropped change is found by comparing
-/// hashes, or comes again from the platform.
+/// Maximum number of broadcasts in the queue. The oldest are dropped first. Hosts that miss a
+/// change find it by comparing hashes, or learn of it from the platform.
 const QUEUE_MAX: usize = 1_024;
 
 /// The subject of a broadcast. A later broadcast with the same key replaces the earlier one.
@@ -41,14 +41,16 @@
     }
 }
 
-/// The broadcasts that are still sent, the newest last, each with the number of its transmissions.
+/// The broadcasts that are still being sent, the newest last, each with the number of its
+/// transmissions.
 #[derive(Debug, Default)]
 pub(crate) struct BroadcastQueue {
     entries: IndexMap<BroadcastKey, (Broadcast, usize)>,
 }
 
 impl BroadcastQueue {
-    /// Adds a broadcast.
+    /// Adds a broadcast. Replaces an earlier one with the same key, and drops the oldest one if the
+    /// queue is full.
     pub(crate) fn push(&mut self, broadcast: Broadcast) {
         let key = broadcast.key();
         self.entries.shift_remove(&key);
--- a/src/control/membership/host_table.rs
+++ b/src/control/membership/host_table.rs
@@ -15,9 +15,9 @@
 use crate::units::HostId;
 use crate::units::Incarnation;
 
-/// What an update of a host changed.
+/// What an update changed about a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Applied {
+pub(crate) enum UpdateOutcome {
     /// Nothing: the update is older than the known view.
     Stale,
     /// Only the manifest generation that the host has in force.
@@ -35,19 +35,21 @@
     hashes: IndexMap<FailureDomainId, u64>,
 }
 
+/// A known host.
 #[derive(Debug)]
 struct Entry {
     view: HostView,
+    /// The time since which the view has been valid.
     changed_at: Instant,
 }
 
 impl HostTable {
     /// Applies a view of a host that has been valid since `since`. The higher incarnation wins;
     /// within one incarnation, the later state.
-    pub(crate) fn apply(&mut self, view: HostView, since: Instant) -> Applied {
+    pub(crate) fn apply(&mut self, view: HostView, since: Instant) -> UpdateOutcome {
         let Some(old) = self.hosts.get(&view.id).map(|entry| &entry.view) else {
             self.set(view, since);
-            return Applied::New;
+            return UpdateOutcome::New;
         };
         if precedence(&view) <= precedence(old) {
             return self.apply_generation(&view.id, view.incarnation, view.generation);
@@ -57,28 +59,29 @@
             false => view.generation,
         };
         self.set(HostView { generation, ..view }, since);
-        Applied::Changed
+        UpdateOutcome::Changed
     }
 
-    /// Applies the manifest generation that a process of a host reported.
+    /// Applies the manifest generation that a process of a host reported, if it is later than the
+    /// known one. Changes nothing for an unknown host or an earlier process.
     pub(crate) fn apply_generation(
         &mut self,
         host: &HostId,
         incarnation: Incarnation,
         generation: Generation,
-    ) -> Applied {
+    ) -> UpdateOutcome {
         let Some(entry) = self.hosts.get_mut(host) else {
-            return Applied::Stale;
+            return UpdateOutcome::Stale;
         };
         let is_later = entry.view.incarnation <= incarnation && entry.view.generation < generation;
         if !is_later {
-            return Applied::Stale;
+            return UpdateOutcome::Stale;
         }
         entry.view.generation = generation;
-        Applied::Generation
+        UpdateOutcome::Generation
     }
 
-    /// Stores a view of a host that has been valid since `since`.
+    /// Stores a view of a host that has been valid since `since`, in place of any earlier view.
     pub(crate) fn set(&mut self, view: HostView, since: Instant) {
         if let Some(old) = self.hosts.get(&view.id) {
             *self.hashes.entry(old.view.domain.clone()).or_default() ^= hash(&old.view);
@@ -108,7 +111,8 @@
             .filter(move |view| view.domain == *domain && view.state != HostState::Dead)
     }
 
-    /// The record of a host for messages, with the time since its death.
+    /// The record of a host for messages, with the time since its death; `None` if the host is not
+    /// known.
     pub(crate) fn record(&self, host: &HostId, now: Instant) -> Option<HostRecord> {
         let entry = self.hosts.get(host)?;
         let dead_for = match entry.view.state {
@@ -135,7 +139,8 @@
         old
     }
 
-    /// A hash of the hosts of a failure domain; equal views give equal hashes.
+    /// A hash of the hosts of a failure domain, 0 for an unknown domain. Equal views give equal
+    /// hashes.
     pub(crate) fn domain_hash(&self, domain: &FailureDomainId) -> u64 {
         self.hashes.get(domain).copied().unwrap_or(0)
     }
@@ -145,17 +150,19 @@
         self.hashes.values().fold(0, |all, hash| all ^ hash)
     }
 
+    /// The failure domains of all hosts that were ever known.
     pub(crate) fn domains(&self) -> impl Iterator<Item = &FailureDomainId> {
         self.hashes.keys()
     }
 }
 
+/// The view with the higher value overrides other views of the same host.
 fn precedence(view: &HostView) -> (Incarnation, HostState) {
     (view.incarnation, view.state)
 }
 
-/// The hash of one host. Suspicions come and go, dead hosts are forgotten at different times, and
-/// generations change too often, so none of them affects the hash.
+/// The hash of one host. Suspicions are often short, dead hosts are forgotten at different times,
+/// and generations change too often, so none of them affects the hash.
 fn hash(view: &HostView) -> u64 {
     let state = match view.state {
         HostState::Dead => return 0,
--- a/src/control/membership/machine/digests.rs
+++ b/src/control/membership/machine/digests.rs
@@ -15,6 +15,8 @@
 use crate::units::HostId;
 
 impl Membership {
+    /// Sends a digest of this failure domain to a host of the next other domain, and asks for its
+    /// digest in return.
     pub(super) fn send_digest(&mut self, now: Instant) {
         let mut domains: Vec<FailureDomainId> = self.host_table.domains().cloned().collect();
         let seeds = self.seeds.values();
@@ -53,6 +55,7 @@
         all.choose(&mut self.rng).cloned()
     }
 
+    /// The digest of a failure domain in the view of this host, without a request for a reply.
     pub(super) fn digest_of(&self, domain: &FailureDomainId) -> DomainDigest {
         DomainDigest {
             domain: domain.to_string(),
@@ -61,6 +64,7 @@
         }
     }
 
+    /// Whether this host exchanges digests with other failure domains.
     pub(super) fn is_digest_host(&self) -> bool {
         digest_hosts(&self.host_table, &self.local_host.domain).contains(&self.local_host.id)
     }
--- a/src/control/membership/machine/inbound.rs
+++ b/src/control/membership/machine/inbound.rs
@@ -11,7 +11,7 @@
 use crate::control::membership::MembershipAction;
 use crate::control::membership::broadcast_queue::Broadcast;
 use crate::control::membership::conf;
-use crate::control::membership::host_table::Applied;
+use crate::control::membership::host_table::UpdateOutcome;
 use crate::control::membership::machine::ViewMismatch;
 use crate::control::membership::record::from_record;
 use crate::peer::message::DomainDigest;
@@ -30,6 +30,7 @@
 use crate::units::ObjectVersion;
 
 impl Membership {
+    /// Handles the body of a message; the attached broadcasts are handled apart from it.
     pub(super) fn on_body(&mut self, from: &HostId, body: GossipBody, now: Instant) {
         match body {
             GossipBody::Probe(probe) => {
@@ -54,12 +55,15 @@
         }
     }
 
+    /// Handles the answer to a probe: ends the probe, passes the answer on if another host
+    /// requested the probe, and drops a suspicion of the sender unless the sender is in the suspect
+    /// state.
     fn on_ack(&mut self, from: &HostId, ack: &ProbeAck, now: Instant) {
         if let Some((requester, seq)) = self.probes.on_ack(ack.seq) {
             self.send(&requester, GossipBody::Ack(ProbeAck { seq }), now);
         }
-        // An answer to a probe ends only a suspicion that has not become the state of the host; a
-        // host in the suspect state must refute towards all hosts.
+        // An answer does not end a suspicion that was broadcast: the suspect must refute it towards
+        // all hosts.
         let state = self.host_table.get(from).map(|view| view.state);
         if state != Some(HostState::Suspect) {
             self.suspicions.swap_remove(from);
@@ -75,9 +79,9 @@
             self.has_agreed = true;
             return;
         }
-        let is_lasting = self.mismatch_duration(now) >= conf::MISMATCH_MIN;
+        let is_lasting = self.track_mismatch(now) >= conf::MISMATCH_MIN;
         // A new host knows few others and need not wait.
-        if (is_lasting || self.is_new_host(now)) && self.may_pull(now) {
+        if (is_lasting || self.is_new_host(now)) && self.try_begin_pull(now) {
             let known = self.host_table.domains();
             let known = known.map(|domain| self.digest_of(domain)).collect();
             let only_known = false;
@@ -85,11 +89,12 @@
         }
     }
 
-    /// How long the own view has stayed the same while other hosts reported different ones.
-    fn mismatch_duration(&mut self, now: Instant) -> Duration {
+    /// Records that another host reported a different view now, and returns how long other hosts
+    /// have done so while the own view stayed the same.
+    fn track_mismatch(&mut self, now: Instant) -> Duration {
         let view_hash = self.host_table.view_hash();
         let continues = |mismatch: &ViewMismatch| {
-            let since_last = now.saturating_duration_since(mismatch.last);
+            let since_last = now.saturating_duration_since(mismatch.last_reported_at);
             mismatch.view_hash == view_hash && since_last < conf::MISMATCH_GAP_MAX
         };
         let since = match self.view_mismatch.filter(continues) {
@@ -98,12 +103,14 @@
         };
         self.view_mismatch = Some(ViewMismatch {
             since,
-            last: now,
+            last_reported_at: now,
             view_hash,
         });
         now.saturating_duration_since(since)
     }
 
+    /// Handles a digest of another failure domain: replies if asked to, and pulls a list if this
+    /// host has another view of that domain.
     fn on_digest(&mut self, from: &HostId, digest: &DomainDigest, now: Instant) {
         let Ok(domain) = digest.domain.parse::<FailureDomainId>() else {
             return;
@@ -113,20 +120,22 @@
             let answer = self.digest_of(&self.local_host.domain);
             self.send(from, GossipBody::Digest(answer), now);
         }
-        if digest.hash != self.host_table.domain_hash(&domain) && self.may_pull(now) {
+        if digest.hash != self.host_table.domain_hash(&domain) && self.try_begin_pull(now) {
             let known = vec![self.digest_of(&domain)];
             let only_known = true;
             self.send(from, GossipBody::Pull(Pull { known, only_known }), now);
         }
     }
 
-    /// Whether this host is new. Among hosts that are all new, two that agree may both know only a
-    /// few hosts.
+    /// Whether this host started a short time ago. Agreement with another host does not end this
+    /// period: of hosts that are all new, two that agree may both know only a few hosts.
     fn is_new_host(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.started_at) < conf::NEW_HOST_PERIOD
     }
 
-    fn may_pull(&mut self, now: Instant) -> bool {
+    /// Returns whether a pull is allowed now. If it is, the pull counts as made, and the next one
+    /// is allowed only after an interval.
+    fn try_begin_pull(&mut self, now: Instant) -> bool {
         let interval = match self.is_new_host(now) {
             true => conf::PULL_INTERVAL_NEW_HOST,
             false => conf::PULL_INTERVAL,
@@ -163,6 +172,8 @@
         self.outbox.send_list(from, &records, now);
     }
 
+    /// Sends the hosts of the failure domains whose hashes differ from those in the pull, and of
+    /// the domains that the pull does not name unless it asks for the named ones only.
     fn send_pull_list(&mut self, from: &HostId, pull: &Pull, now: Instant) {
         let is_wanted = |domain: &FailureDomainId| {
             let known = &pull.known;
@@ -177,18 +188,21 @@
             .filter(|view| is_wanted(&view.domain))
             .filter_map(|view| self.host_table.record(&view.id, now))
             .collect();
-        // The budget may truncate the list; in random order, another pull brings other hosts.
+        // The budget may truncate the list. Since the order is random, the next pull brings other
+        // hosts.
         records.shuffle(&mut self.rng);
         self.outbox.send_list(from, &records, now);
     }
 
+    /// Handles what every message says about its sender: its manifest generation, and that its
+    /// failure domain can be reached.
     pub(super) fn on_sender(&mut self, from: &HostId, gossip: &Gossip, now: Instant) {
         let incarnation = Incarnation(gossip.incarnation);
         let generation = Generation(gossip.generation);
         let applied = self
             .host_table
             .apply_generation(from, incarnation, generation);
-        if applied == Applied::Generation {
+        if applied == UpdateOutcome::Generation {
             self.report_change(from);
         }
         let domain = self.host_table.get(from).map(|view| view.domain.clone());
@@ -197,6 +211,8 @@
         }
     }
 
+    /// Applies a received record of a host. A record of this host is refuted if it is wrong. A
+    /// change of a known host is broadcast again, and a new host only if `rebroadcasts` is set.
     pub(super) fn on_host_record(&mut self, record: &HostRecord, rebroadcasts: bool, now: Instant) {
         let Some(view) = from_record(record) else {
             return;
@@ -211,16 +227,16 @@
             return;
         }
         let applied = self.host_table.apply(view.clone(), since);
-        if applied == Applied::Stale {
+        if applied == UpdateOutcome::Stale {
             self.confirm_suspicion(&view);
             return;
         }
         self.report_change(&view.id);
-        if applied == Applied::Generation {
+        if applied == UpdateOutcome::Generation {
             return;
         }
         self.on_suspicion(&view, now);
-        if applied == Applied::Changed || rebroadcasts {
+        if applied == UpdateOutcome::Changed || rebroadcasts {
             self.outbox.broadcast(Broadcast::Host(record.clone()));
         }
     }
@@ -232,10 +248,11 @@
             self.suspicions.swap_remove(&view.id);
             return;
         }
-        self.suspicion(&view.id, now).confirm_by_others();
+        self.suspicion_or_new(&view.id, now).confirm_by_others();
         self.probe(&view.id, now);
     }
 
+    /// Records that another host also suspects a host, if both mean the same incarnation.
     fn confirm_suspicion(&mut self, view: &HostView) {
         if view.state == HostState::Suspect
             && self.host_table.get(&view.id).map(|known| known.incarnation)
@@ -262,6 +279,7 @@
         self.broadcast_self(now);
     }
 
+    /// Reports and rebroadcasts a notice of a leaving upstream unless it is known.
     pub(super) fn on_leaving_upstream(&mut self, leaving: LeavingUpstream) {
         let Ok(upstream) = leaving.upstream.parse() else {
             return;
@@ -275,8 +293,10 @@
         }
     }
 
+    /// Reports and rebroadcasts a notice of a request that crashed upstreams, if it contains a new
+    /// attempt.
     pub(super) fn on_poison(&mut self, notice: PoisonNotice) {
-        if let Some(notice) = self.seen_notices.merge(notice) {
+        if let Some(notice) = self.seen_notices.merge_poison(notice) {
             self.outbox.push(MembershipAction::Poison {
                 notice: notice.clone(),
             });
--- a/src/control/membership/machine/mod.rs
+++ b/src/control/membership/machine/mod.rs
@@ -20,8 +20,8 @@
 use crate::control::membership::broadcast_queue::Broadcast;
 use crate::control::membership::conf;
 use crate::control::membership::conf::LOCAL_JOIN_ATTEMPTS;
-use crate::control::membership::host_table::Applied;
 use crate::control::membership::host_table::HostTable;
+use crate::control::membership::host_table::UpdateOutcome;
 use crate::control::membership::outbox::Outbox;
 use crate::control::membership::probes::ProbeStep;
 use crate::control::membership::probes::Probes;
@@ -75,8 +75,9 @@
 #[derive(Clone, Copy, Debug)]
 struct ViewMismatch {
     since: Instant,
-    last: Instant,
-    /// The hash of the own view, which stays the same while the difference lasts.
+    /// When another host last reported a different view.
+    last_reported_at: Instant,
+    /// The hash of the own view. A change of it starts a new difference.
     view_hash: u64,
 }
 
@@ -91,7 +92,7 @@
             state: HostState::Alive,
             generation: Generation::default(),
         };
-        // A random offset keeps hosts that start together from probing in step.
+        // Without a random offset, hosts that start together would probe at the same times.
         let offset = conf::PROBE_INTERVAL.mul_f64(rng.random());
         let digest_round = rng.random_range(0..60);
         let mut membership = Self {
@@ -131,24 +132,26 @@
         }
     }
 
-    /// Performs the work that is due.
+    /// Performs the work that is due, and returns all actions since the last call of a method that
+    /// returns actions.
     pub fn tick(&mut self, now: Instant) -> Vec<MembershipAction> {
         self.detect_pause(now);
         self.expire_suspicions(now);
-        for step in self.probes.due(now) {
+        for step in self.probes.take_due_steps(now) {
             self.on_probe_step(step, now);
         }
-        if is_due(&mut self.next_probe, conf::PROBE_INTERVAL, now) {
+        if reset_if_due(&mut self.next_probe, conf::PROBE_INTERVAL, now) {
             self.probe_next(now);
             self.remove_expired_dead(now);
         }
-        if !self.has_joined && is_due(&mut self.next_join, conf::JOIN_INTERVAL, now) {
+        if !self.has_joined && reset_if_due(&mut self.next_join, conf::JOIN_INTERVAL, now) {
             self.join_seeds(now);
         }
-        if is_due(&mut self.next_reconnect, conf::RECONNECT_INTERVAL, now) {
+        if reset_if_due(&mut self.next_reconnect, conf::RECONNECT_INTERVAL, now) {
             self.reconnect_one(now);
         }
-        if is_due(&mut self.next_digest, conf::DIGEST_INTERVAL, now) && self.is_digest_host() {
+        if reset_if_due(&mut self.next_digest, conf::DIGEST_INTERVAL, now) && self.is_digest_host()
+        {
             self.send_digest(now);
         }
         self.outbox.take_actions()
@@ -159,7 +162,7 @@
         self.detect_pause(now);
         self.on_sender(from, &gossip, now);
         let is_list = matches!(gossip.body, Some(GossipBody::Members(())));
-        // A new host receives a list of all others, which is news to no other host.
+        // A new host receives a list of all others, which the other hosts already know.
         let rebroadcasts = !is_list || self.has_agreed;
         for record in &gossip.hosts {
             self.on_host_record(record, rebroadcasts, now);
@@ -194,7 +197,8 @@
         self.outbox.take_actions()
     }
 
-    /// Announces that this host is draining and becomes the home of no further pool.
+    /// Announces that this host is draining, so that it becomes the home of no further pool. It
+    /// stays in the leaving state from then on.
     pub fn leave(&mut self, now: Instant) -> Vec<MembershipAction> {
         self.local_host.state = HostState::Leaving;
         self.local_host.incarnation = self.local_host.incarnation.next();
@@ -213,7 +217,8 @@
             .set_sender(self.local_host.incarnation, generation);
     }
 
-    /// Broadcasts that an upstream is leaving, as of a version of its object in the platform.
+    /// Broadcasts that an upstream is leaving, as of a version of its object in the platform. Does
+    /// nothing if a notice with this version or a later one is known.
     pub fn announce_leaving_upstream(&mut self, upstream: &UpstreamId, version: ObjectVersion) {
         let leaving = LeavingUpstream {
             upstream: upstream.to_string(),
@@ -224,9 +229,10 @@
         }
     }
 
-    /// Broadcasts that a request crashed upstreams.
+    /// Broadcasts that a request crashed upstreams, together with the attempts known from earlier
+    /// notices. Does nothing if the notice contains no new attempt.
     pub fn announce_poison(&mut self, notice: PoisonNotice) {
-        if let Some(merged) = self.seen_notices.merge(notice) {
+        if let Some(merged) = self.seen_notices.merge_poison(notice) {
             self.outbox.broadcast(Broadcast::Poison(merged));
         }
     }
@@ -270,7 +276,9 @@
             .collect()
     }
 
-    /// Detects a pause of this process.
+    /// Detects a pause of this process. After a pause, it reports the pause, drops all probes,
+    /// gives suspects their whole time to refute again, and announces this host with a higher
+    /// incarnation.
     ///
     /// The failure this guards against: the process was stopped for a while, by SIGSTOP or a frozen
     /// machine, without noticing. A pause shows as a gap between calls. The homes that the process
@@ -295,6 +303,7 @@
         }
     }
 
+    /// Declares the suspects dead whose time to refute has expired.
     fn expire_suspicions(&mut self, now: Instant) {
         if self.suspicions.is_empty() {
             return;
@@ -314,6 +323,8 @@
         }
     }
 
+    /// Asks other hosts to probe a target that did not answer, or suspects it if none got an
+    /// answer.
     fn on_probe_step(&mut self, step: ProbeStep, now: Instant) {
         match step {
             ProbeStep::RequestIndirect { seq, target } => {
@@ -332,12 +343,14 @@
                 if self.host_table.get(&target).is_none_or(is_dead) {
                     return;
                 }
-                self.suspicion(&target, now).confirm_by_self();
+                self.suspicion_or_new(&target, now).confirm_by_self();
                 self.set_state(&target, HostState::Suspect, now);
             }
         }
     }
 
+    /// Probes the next host of this failure domain. Each host is probed once before any is probed
+    /// again, in a random order.
     fn probe_next(&mut self, now: Instant) {
         loop {
             if self.probe_order.is_empty() {
@@ -354,6 +367,7 @@
         }
     }
 
+    /// Probes a host unless a probe of it is already waiting for an answer.
     fn probe(&mut self, host: &HostId, now: Instant) {
         if self.probes.is_probing(host) {
             return;
@@ -363,6 +377,7 @@
         self.send(host, GossipBody::Probe(Probe { seq, view_hash }), now);
     }
 
+    /// Asks some seeds for the hosts that they know.
     fn join_seeds(&mut self, now: Instant) {
         let (local, remote): (Vec<&PeerSeed>, Vec<&PeerSeed>) = self
             .seeds
@@ -406,6 +421,7 @@
         }
     }
 
+    /// Forgets the hosts that have been dead for long enough.
     fn remove_expired_dead(&mut self, now: Instant) {
         let Some(before) = now.checked_sub(conf::DEAD_RETENTION) else {
             return;
@@ -415,6 +431,7 @@
         }
     }
 
+    /// Stores and broadcasts the view of this host after it changed.
     fn broadcast_self(&mut self, now: Instant) {
         self.host_table.set(self.local_host.clone(), now);
         self.outbox
@@ -425,12 +442,13 @@
         self.report_change(&id);
     }
 
-    /// Sets the state of a host within its incarnation; returns whether the state changed.
+    /// Sets the state of a host within its incarnation, and broadcasts the change. Returns whether
+    /// the state changed; a state cannot return to an earlier one within an incarnation.
     fn set_state(&mut self, host: &HostId, state: HostState, now: Instant) -> bool {
         let Some(view) = self.host_table.get(host).cloned() else {
             return false;
         };
-        if self.host_table.apply(HostView { state, ..view }, now) != Applied::Changed {
+        if self.host_table.apply(HostView { state, ..view }, now) != UpdateOutcome::Changed {
             return false;
         }
         self.report_change(host);
@@ -440,6 +458,8 @@
         true
     }
 
+    /// Reports the current view of a host to the caller, and adapts the number of transmissions of
+    /// a broadcast to the number of hosts.
     fn report_change(&mut self, host: &HostId) {
         self.outbox.set_host_count(self.local_host_count());
         if let Some(view) = self.host_table.get(host).cloned() {
@@ -447,8 +467,9 @@
         }
     }
 
-    /// Sends a message. A receiver that is suspected or dead in the view of this host is told so,
-    /// and can refute at once.
+    /// Sends a message, or drops it if the byte budget is used up. A receiver that is suspected or
+    /// dead in the view of this host gets this view with the message, so that it can refute at
+    /// once.
     fn send(&mut self, to: &HostId, body: GossipBody, now: Instant) {
         let is_suspected =
             |view: &&HostView| matches!(view.state, HostState::Suspect | HostState::Dead);
@@ -456,12 +477,15 @@
         self.outbox.send(to, body, about_receiver, now);
     }
 
-    fn suspicion(&mut self, host: &HostId, now: Instant) -> &mut Suspicion {
+    /// The suspicion of a host. Without one, a new suspicion is started, and the time to refute
+    /// runs from `now` on.
+    fn suspicion_or_new(&mut self, host: &HostId, now: Instant) -> &mut Suspicion {
         self.suspicions
             .entry(host.clone())
             .or_insert_with(|| Suspicion::new(now))
     }
 
+    /// The number of hosts of this failure domain that are not dead, including this one.
     fn local_host_count(&self) -> usize {
         self.host_table.live_hosts(&self.local_host.domain).count()
     }
@@ -480,8 +504,9 @@
     }
 }
 
-/// Whether a timer is due, and sets its next time. Missed intervals are not caught up.
-fn is_due(next: &mut Instant, interval: Duration, now: Instant) -> bool {
+/// Returns whether a timer is due. If it is, sets its next time. After a delay, at
+/// most one missed interval is caught up.
+fn reset_if_due(next: &mut Instant, interval: Duration, now: Instant) -> bool {
     if now < *next {
         return false;
     }
--- a/src/control/membership/outbox.rs
+++ b/src/control/membership/outbox.rs
@@ -18,7 +18,9 @@
 use crate::units::HostId;
 use crate::units::Incarnation;
 
-/// Actions that wait to be returned to the caller, and the byte budget for messages.
+/// The outgoing side of the membership: the actions that wait to be returned to the caller, the
+/// queued broadcasts, and the byte budget for messages. Stamps each message with the incarnation
+/// and the manifest generation of this host.
 #[derive(Debug)]
 pub(crate) struct Outbox {
     actions: Vec<MembershipAction>,
@@ -30,6 +32,7 @@
 }
 
 impl Outbox {
+    /// An empty outbox whose byte budget refills at `bytes_per_second`.
     pub(crate) fn new(bytes_per_second: u64, now: Instant) -> Self {
         Self {
             actions: Vec::new(),
@@ -54,6 +57,7 @@
         self.transmissions_max = 2 * usize::try_from(doublings).unwrap_or(1).max(1);
     }
 
+    /// Queues an action other than sending a message.
     pub(crate) fn push(&mut self, action: MembershipAction) {
         self.actions.push(action);
     }
@@ -63,8 +67,9 @@
         self.broadcasts.push(broadcast);
     }
 
-    /// Sends one message with broadcasts attached. `about_receiver` is a record that the receiver
-    /// must learn about itself.
+    /// Sends one message, with broadcasts attached unless little of the budget is left. The message
+    /// is dropped if it exceeds the budget. `about_receiver` is a record that the receiver must
+    /// learn about itself.
     pub(crate) fn send(
         &mut self,
         to: &HostId,
@@ -92,11 +97,12 @@
         }
     }
 
-    /// Returns the actions since the last call.
+    /// Removes and returns the actions queued since the last call.
     pub(crate) fn take_actions(&mut self) -> Vec<MembershipAction> {
         std::mem::take(&mut self.actions)
     }
 
+    /// A message with the incarnation and generation of this host and no broadcasts.
     fn gossip(&self, body: GossipBody) -> Gossip {
         Gossip {
             incarnation: self.incarnation.0,
@@ -106,8 +112,8 @@
         }
     }
 
-    /// Sends a message, or drops it if it exceeds the budget: every message of the protocol is
-    /// repeated in some form.
+    /// Sends a message, or drops it if it exceeds the budget. Every message of the protocol is
+    /// repeated in some form, so dropping one only causes a delay.
     fn send_within_budget(&mut self, to: &HostId, gossip: Gossip, now: Instant) {
         let message = Message::Gossip(gossip);
         if self.budget.take(wire_len(&message) as f64, now) {
--- a/src/control/membership/probes.rs
+++ b/src/control/membership/probes.rs
@@ -11,7 +11,7 @@
 /// The next step of an unanswered probe.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ProbeStep {
-    /// Ask other hosts to probe this host.
+    /// Ask other hosts to probe the target on behalf of this host.
     RequestIndirect { seq: u64, target: HostId },
     /// Neither this host nor the others received an answer from the target.
     Failed { target: HostId },
@@ -25,6 +25,7 @@
     last_seq: u64,
 }
 
+/// A probe that this host sent on its own behalf.
 #[derive(Debug)]
 struct OwnProbe {
     target: HostId,
@@ -32,6 +33,8 @@
     has_requested_indirect: bool,
 }
 
+/// A probe that this host sent for another host, `requester`, whose own probe with the sequence
+/// number `requester_seq` was not answered. An answer is passed on to the requester.
 #[derive(Debug)]
 struct DelegatedProbe {
     requester: HostId,
@@ -69,8 +72,8 @@
         seq
     }
 
-    /// Handles an answer. If another host requested the probe, returns that host and its own
-    /// sequence number.
+    /// Handles an answer and ends its probe. If another host requested the probe, returns that host
+    /// and its own sequence number.
     pub(crate) fn on_ack(&mut self, seq: u64) -> Option<(HostId, u64)> {
         self.own.swap_remove(&seq);
         let probe = self.delegated.swap_remove(&seq)?;
@@ -82,8 +85,8 @@
         self.own.values().any(|probe| probe.target == *host)
     }
 
-    /// Returns the steps that are due, and drops the probes that have timed out.
-    pub(crate) fn due(&mut self, now: Instant) -> Vec<ProbeStep> {
+    /// Returns the steps that are due, each once, and drops the probes that have timed out.
+    pub(crate) fn take_due_steps(&mut self, now: Instant) -> Vec<ProbeStep> {
         let mut steps = Vec::new();
         self.delegated
             .retain(|_, probe| now.saturating_duration_since(probe.sent_at) < PROBE_INTERVAL);
@@ -103,7 +106,8 @@
         steps
     }
 
-    /// Drops all probes, whose answers were missed while this process was paused.
+    /// Drops all probes without reporting them as failed. To be called after a pause of this
+    /// process, which may have missed the answers.
     pub(crate) fn clear(&mut self) {
         self.own.clear();
         self.delegated.clear();
--- a/src/control/membership/seen_notices.rs
+++ b/src/control/membership/seen_notices.rs
@@ -6,8 +6,8 @@
 use crate::peer::message::LeavingUpstream;
 use crate::peer::message::PoisonNotice;
 
-/// Notices of each kind that are remembered. The oldest are forgotten first; receiving one again
-/// only repeats an action.
+/// Maximum number of remembered notices of each kind. The oldest are forgotten first. A forgotten
+/// notice that arrives again only causes its action to be repeated.
 const NOTICES_MAX: usize = 1_024;
 
 /// The notices received so far, so that each is handled and broadcast once.
@@ -18,7 +18,8 @@
 }
 
 impl SeenNotices {
-    /// Records a notice of a leaving upstream; returns whether it is newer than earlier ones.
+    /// Records a notice of a leaving upstream if it is newer than the known ones of that upstream;
+    /// returns whether it is.
     pub(crate) fn record_leaving(&mut self, leaving: &LeavingUpstream) -> bool {
         let is_old = self
             .leaving
@@ -36,7 +37,7 @@
 
     /// Merges a notice with earlier ones of the same content. Returns the merged notice if it
     /// contains a new attempt.
-    pub(crate) fn merge(&mut self, notice: PoisonNotice) -> Option<PoisonNotice> {
+    pub(crate) fn merge_poison(&mut self, notice: PoisonNotice) -> Option<PoisonNotice> {
         let attempts = self.poison.entry(notice.content.clone()).or_default();
         let known = attempts.len();
         attempts.extend(notice.attempts);
--- a/src/control/membership/suspicion.rs
+++ b/src/control/membership/suspicion.rs
@@ -1,4 +1,4 @@
-//! The time that a suspected host has to refute.
+//! Suspicions of hosts, and the time that a suspected host has to refute.
 
 use std::time::Instant;
 
@@ -14,6 +14,7 @@
 }
 
 impl Suspicion {
+    /// A suspicion that no host has confirmed yet.
     pub(crate) fn new(now: Instant) -> Self {
         Self {
             since: now,
--- a/src/control/orders/lease.rs
+++ b/src/control/orders/lease.rs
@@ -67,7 +67,8 @@
     next_try: Instant,
 }
 
-/// The version of the object that was last read or written.
+/// The version of the lease object that was last read or written. A version of `None` means that
+/// the object does not exist.
 #[derive(Clone, Debug)]
 struct ObservedVersion {
     version: Option<ObjectVersion>,
@@ -77,6 +78,7 @@
     since: Instant,
 }
 
+/// The lease while this process holds it.
 #[derive(Clone, Copy, Debug)]
 struct HeldLease {
     fencing: FencingNumber,
@@ -86,6 +88,7 @@
     acquired_at: Instant,
 }
 
+/// A write of the lease whose outcome is not known yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingWrite {
     renewals: u64,
@@ -120,15 +123,15 @@
         }
         if let Some(held) = self.held {
             let is_due = now >= held.written_at + RENEW_INTERVAL;
-            return is_due.then(|| self.write(now));
+            return is_due.then(|| self.begin_write(now));
         }
         match &self.observed {
-            Some(observed) if observed.version.is_none() => Some(self.write(now)),
+            Some(observed) if observed.version.is_none() => Some(self.begin_write(now)),
             // The version has not changed for the whole duration by the clock of this host. The
             // holder started counting earlier, so it has stopped using the lease.
             Some(observed) if now >= observed.since + observed.duration + CLOCK_MARGIN => {
                 self.next_try = now + RETRY_INTERVAL;
-                Some(self.write(now))
+                Some(self.begin_write(now))
             }
             _ => {
                 self.next_try = now + RETRY_INTERVAL;
@@ -138,24 +141,26 @@
         }
     }
 
-    /// Handles the result of a read.
+    /// Handles the result of a read, which may show that a write whose answer was lost has
+    /// succeeded. Any further action comes from a later [`Lease::tick`].
     pub fn on_read(&mut self, result: Result<Object, PlatformError>, now: Instant) {
         self.is_reading = false;
         match result {
             Ok(object) => self.on_object(&object, now),
-            Err(PlatformError::NotFound) => self.observe(None, Duration::ZERO, now),
+            Err(PlatformError::NotFound) => self.record_version(None, Duration::ZERO, now),
             Err(error) => log::debug!("orders: cannot read a lease: {error}"),
         }
     }
 
-    /// Handles the result of a write. A write whose answer was lost is resolved by the next read.
+    /// Handles the result of a write. A success acquires or renews the lease from the time of the
+    /// write on. A write whose answer was lost is resolved by the next read.
     pub fn on_written(&mut self, result: Result<ObjectVersion, PlatformError>, now: Instant) {
         let Some(pending) = self.pending_write.take() else {
             return;
         };
         match result {
             Ok(version) => {
-                self.observe(Some(version), LEASE_DURATION, now);
+                self.record_version(Some(version), LEASE_DURATION, now);
                 self.acquire_or_renew(version, pending.sent_at);
             }
             Err(PlatformError::OutcomeUnknown(why)) => {
@@ -185,7 +190,7 @@
         (now < held.written_at + LEASE_DURATION - CLOCK_MARGIN).then_some(held.fencing)
     }
 
-    /// The time until which orders may be sent under the lease.
+    /// The time until which orders may be sent under the lease; `None` if the lease is not held.
     pub fn valid_until(&self) -> Option<Instant> {
         self.held
             .map(|held| held.written_at + LEASE_DURATION - CLOCK_MARGIN)
@@ -197,13 +202,15 @@
     /// The failure this guards against: the previous holder was paused right before it sent an
     /// order. It checks its lease before it sends, but an order that it had already handed to the
     /// network may arrive later. After the duration of its lease plus the longest time in flight,
-    /// counted from the takeover, no such order is left.
+    /// counted from the takeover, no such order is left. `None` means that the lease is not held.
     pub fn exclusive_from(&self, flight: Duration) -> Option<Instant> {
         self.held
             .map(|held| held.acquired_at + LEASE_DURATION + flight)
     }
 
-    fn write(&mut self, now: Instant) -> LeaseAction {
+    /// Returns the write that acquires or renews the lease, and records it as pending. The write
+    /// succeeds only if the object still has the observed version.
+    fn begin_write(&mut self, now: Instant) -> LeaseAction {
         self.renewals += 1;
         self.pending_write = Some(PendingWrite {
             renewals: self.renewals,
@@ -221,14 +228,16 @@
         }
     }
 
+    /// Records the version that was read, and acquires or renews the lease if a pending write by
+    /// this process produced that version.
     fn on_object(&mut self, object: &Object, now: Instant) {
         let Ok(spec) = serde_json::from_value::<LeaseSpec>(object.value.clone()) else {
             log::warn!("orders: object {} is not a valid lease", object.key);
-            self.observe(Some(object.version), LEASE_DURATION, now);
+            self.record_version(Some(object.version), LEASE_DURATION, now);
             return;
         };
         let duration = Duration::from_millis(spec.duration_ms);
-        self.observe(Some(object.version), duration, now);
+        self.record_version(Some(object.version), duration, now);
         let Some(pending) = self.pending_write.take() else {
             return;
         };
@@ -238,7 +247,9 @@
         }
     }
 
-    fn observe(&mut self, version: Option<ObjectVersion>, duration: Duration, now: Instant) {
+    /// Records a version of the object. The waiting time before a takeover starts over only if the
+    /// version has changed. A missing object ends the pending write, which counts as failed.
+    fn record_version(&mut self, version: Option<ObjectVersion>, duration: Duration, now: Instant) {
         let is_unchanged = self
             .observed
             .as_ref()
@@ -255,16 +266,19 @@
         }
     }
 
+    /// Records that this process holds the lease as of a write. A renewal changes the fencing
+    /// number and the expiry and keeps the time of acquisition; a write after the expiry acquires
+    /// the lease anew.
     fn acquire_or_renew(&mut self, version: ObjectVersion, written_at: Instant) {
-        // A lease that had expired before this write is a newly acquired one, also for the same
-        // process.
-        let before = self
+        // Another host may have held the lease after it had expired here, so a write after the
+        // expiry starts a new tenure.
+        let unexpired = self
             .held
             .filter(|held| written_at < held.written_at + LEASE_DURATION - CLOCK_MARGIN);
         self.held = Some(HeldLease {
             fencing: FencingNumber(version.0),
             written_at,
-            acquired_at: before.map_or(written_at, |held| held.acquired_at),
+            acquired_at: unexpired.map_or(written_at, |held| held.acquired_at),
         });
     }
 }
--- a/src/control/orders/mod.rs
+++ b/src/control/orders/mod.rs
@@ -1,7 +1,7 @@
 //! Orders to engines under a lease.
 //!
-//! The reconciliation is level-triggered: the state that the manifest asks for is compared again
-//! and again with the state that the engines report, and nothing depends on the arrival of an order
+//! The reconciliation is level-triggered: the state that the manifest asks for is periodically
+//! compared with the state that the engines report, and nothing depends on the arrival of an order
 //! or its answer. Orders are sent only under the lease of the pool in the platform, whose object
 //! version is the fencing number. Without a lease no order is sent, and serving continues.
 
--- a/src/control/orders/plan.rs
+++ b/src/control/orders/plan.rs
@@ -25,13 +25,17 @@
 }
 
 impl ObservedEngine {
+    /// Whether the engine has loaded the desired model in any version, and no order to it is
+    /// pending.
     fn is_loaded(&self, desired: &DesiredEngines) -> bool {
         let reported = self.reported.as_ref();
         !self.has_pending_order
             && reported.is_some_and(|state| !state.loading && state.model == desired.state.model)
     }
 
-    fn is_settled(&self) -> bool {
+    /// Whether an order may be sent to the engine: its last report shows that it is not loading,
+    /// and no order is pending. The engine need not be in the desired state.
+    fn can_be_ordered(&self) -> bool {
         !self.has_pending_order && self.reported.as_ref().is_some_and(|state| !state.loading)
     }
 
@@ -56,7 +60,7 @@
     let mut to_order = Vec::new();
     let to_change = engines
         .iter()
-        .filter(|engine| engine.is_settled() && !engine.has_desired_state(desired));
+        .filter(|engine| engine.can_be_ordered() && !engine.has_desired_state(desired));
     let (serving, not_serving): (Vec<&ObservedEngine>, Vec<&ObservedEngine>) =
         to_change.partition(|engine| engine.is_loaded(desired));
     to_order.extend(not_serving.into_iter().map(|engine| engine.id.clone()));
--- a/src/control/orders/reconciler.rs
+++ b/src/control/orders/reconciler.rs
@@ -98,10 +98,11 @@
 }
 
 impl EngineReconciler {
-    /// A reconciler without engines.
+    /// A reconciler without engines and without the lease. Its load budget starts empty, so the
+    /// first order has to wait until the rate of the weight store allows one load.
     pub fn new(conf: ReconcilerConf, now: Instant) -> Self {
         let lease = Lease::new(conf.host.clone(), conf.incarnation, now);
-        // The budget starts empty, since a previous holder may just have used up the rate.
+        // The previous holder of the lease may just have used up the rate of the weight store.
         let load_budget = empty_load_budget(&conf, now);
         Self {
             conf,
@@ -117,7 +118,8 @@
         self.desired = Some(desired);
     }
 
-    /// Sets the engines of the pool.
+    /// Sets the engines of the pool. Forgets the state and the pending orders of engines that are
+    /// no longer listed.
     pub fn set_engines(&mut self, ids: &[UpstreamId]) {
         self.engines.retain(|id, _| ids.contains(id));
         for id in ids {
@@ -125,8 +127,10 @@
         }
     }
 
-    /// Handles the state that an engine reported to a call that began at `requested_at`. Calls that
-    /// failed are not passed on, since they say nothing about the state of the engine.
+    /// Handles the state that an engine reported to a call that began at `requested_at`. The state
+    /// is always stored; a pending order ends only if the state shows the outcome of the order.
+    /// Engines that are not in the pool are ignored. The caller does not report failed calls, since
+    /// they say nothing about the state of the engine.
     pub fn on_engine_state(&mut self, id: &UpstreamId, state: EngineState, requested_at: Instant) {
         let Some(engine) = self.engines.get_mut(id) else {
             return;
@@ -146,12 +150,14 @@
         engine.reported = Some(state);
     }
 
-    /// Handles the result of a read of the lease.
+    /// Handles the result of a read of the lease. The resulting action comes from the next
+    /// [`EngineReconciler::tick`].
     pub fn on_lease_read(&mut self, result: Result<Object, PlatformError>, now: Instant) {
         self.lease.on_read(result, now);
     }
 
-    /// Handles the result of a write of the lease.
+    /// Handles the result of a write of the lease. Orders become possible with the next
+    /// [`EngineReconciler::tick`].
     pub fn on_lease_written(&mut self, result: Result<ObjectVersion, PlatformError>, now: Instant) {
         self.lease.on_written(result, now);
     }
@@ -159,7 +165,7 @@
     /// Returns the actions that are due. To be called about once per second.
     pub fn tick(&mut self, now: Instant) -> Vec<ReconcilerAction> {
         let mut actions = Vec::new();
-        self.read_engines(now, &mut actions);
+        self.request_due_reads(now, &mut actions);
         let engines_due = self.engines_due();
         let resolve_read = self.lease.resolve_pending_write(now);
         // The lease is held only while there is something to change: 75 pools that renew it all the
@@ -176,7 +182,8 @@
         actions
     }
 
-    /// Number of engines in the desired state, and number of all engines.
+    /// The number of engines in the desired state, and the number of all engines. Without a desired
+    /// state, the first number is 0.
     pub fn progress(&self) -> (usize, usize) {
         let Some(desired) = &self.desired else {
             return (0, self.engines.len());
@@ -188,6 +195,7 @@
         (done.count(), observed.len())
     }
 
+    /// The engines to send an order to now, in order of precedence.
     fn engines_due(&self) -> Vec<UpstreamId> {
         let desired = self.desired.as_ref();
         desired.map_or_else(Vec::new, |desired| {
@@ -195,6 +203,7 @@
         })
     }
 
+    /// Whether an order is pending or an engine is loading.
     fn has_pending_changes(&self) -> bool {
         self.engines.values().any(|engine| {
             let is_loading = engine.reported.as_ref().is_some_and(|state| state.loading);
@@ -202,6 +211,8 @@
         })
     }
 
+    /// Returns an order to an engine and records it as pending. `None` if the lease or the load
+    /// budget does not allow an order now.
     fn order_engine(&mut self, id: &UpstreamId, now: Instant) -> Option<ReconcilerAction> {
         let (fencing, not_after) = self.order_permission(now)?;
         let state = self.desired.as_ref()?.state.clone();
@@ -225,6 +236,8 @@
         })
     }
 
+    /// The fencing number for an order that is sent now, and the time until which the order may be
+    /// sent; `None` if no order may be sent.
     fn order_permission(&self, now: Instant) -> Option<(FencingNumber, Instant)> {
         let fencing = self.lease.fencing(now)?;
         let is_exclusive = match self.conf.fencing {
@@ -234,7 +247,9 @@
         is_exclusive.then_some((fencing, self.lease.valid_until()?))
     }
 
-    fn read_engines(&mut self, now: Instant, actions: &mut Vec<ReconcilerAction>) {
+    /// Requests reads of the state of the engines whose read interval has passed. Engines that are
+    /// not in the desired state are read more often.
+    fn request_due_reads(&mut self, now: Instant, actions: &mut Vec<ReconcilerAction>) {
         let desired = self.desired.as_ref();
         for (id, engine) in &mut self.engines {
             let has_desired_state =
@@ -267,6 +282,7 @@
     }
 }
 
+/// An empty budget of the bytes of weights that the engines may load.
 fn empty_load_budget(conf: &ReconcilerConf, now: Instant) -> TokenBucket {
     let rate = conf.load_size_per_second.0 as f64;
     // The burst has to allow the weights of one engine, or no load could ever start.
--- a/src/control/outcome/answer_check.rs
+++ b/src/control/outcome/answer_check.rs
@@ -7,16 +7,17 @@
 /// What to do with a piece of an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AnswerStep {
-    /// Pass the piece on: it is the next one.
+    /// Pass the piece on to the caller: it is the next one.
     Forward(ResponseEvent),
     /// Drop the piece: the caller already has all of it.
     Skip,
-    /// Pass the end mark on: the answer is complete.
+    /// Pass the end mark on to the caller: the answer is complete.
     End(ResponseEvent),
-    /// Do not pass the piece on: it shows a fault.
+    /// Do not pass the piece on to the caller: it shows a fault.
     Fault(AnswerFault),
 }
 
+/// The kind of event that is valid next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ExpectedEvent {
     /// The status of the answer of a plain service.
@@ -76,7 +77,7 @@
         self.expected == ExpectedEvent::Nothing
     }
 
-    /// Checks the next piece.
+    /// Checks the next piece. The offset advances only if the piece is forwarded.
     pub fn on_event(&mut self, event: ResponseEvent) -> AnswerStep {
         if self.is_complete() {
             return AnswerStep::Fault(AnswerFault::AfterEnd);
@@ -123,6 +124,7 @@
         }
     }
 
+    /// Checks a piece of `count` tokens from `offset` on.
     fn on_tokens(&mut self, offset: u64, count: u64, event: ResponseEvent) -> AnswerStep {
         let expected_offset = self.offset_tokens;
         let end = offset.saturating_add(count);
--- a/src/control/outcome/mod.rs
+++ b/src/control/outcome/mod.rs
@@ -1,4 +1,4 @@
-//! What callers are told: the outcome of a request, and only pieces of its own answer.
+//! The outcome of a request as reported to its caller, and the verification of its answer.
 //!
 //! [`RunTracker`] tracks whether a request may have run, over all its attempts. [`AnswerCheck`]
 //! passes only the next piece of the right answer.
--- a/src/control/outcome/run_tracker.rs
+++ b/src/control/outcome/run_tracker.rs
@@ -15,11 +15,11 @@
 
 /// Tracks whether one request may have run, over all its attempts.
 ///
-/// The failure this guards against: a caller is told "not run", sends its licence grant again, and
-/// two are issued. A request therefore counts as possibly run from right before its first byte is
-/// sent until an error of the upstream proves that it did not run, and uncertainty about an earlier
-/// attempt is never resolved by a later one. A task that is dropped in between leaves the outcome
-/// "may have run".
+/// The failure this guards against: a caller is told "not run" although its request ran, sends it
+/// again, and the request takes effect twice, such as a licence grant that is issued twice. A
+/// request therefore counts as possibly run from right before its first byte is sent until an error
+/// of the upstream proves that it did not run, and uncertainty about an earlier attempt is never
+/// resolved by a later one. A task that is dropped in between leaves the outcome "may have run".
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunTracker {
     is_repeatable: bool,
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Records that an attempt is sent. To be called right before the attempt is given to an
-    /// upstream.
+    /// Records that an attempt is sent: until it fails or completes, the outcome is "may have run".
+    /// To be called right before the attempt is given to an upstream.
     pub fn on_send(&mut self) {
         self.is_in_flight = true;
     }
@@ -63,7 +63,8 @@
         self.on_attempt_ended(error.did_not_run())
     }
 
-    /// Records that an attempt ended without its whole answer.
+    /// Records that an attempt ended without its whole answer; `did_not_run` if it certainly did
+    /// not run.
     pub fn on_attempt_ended(&mut self, did_not_run: bool) -> AfterFailure {
         if !did_not_run {
             self.may_have_run = true;
--- a/src/control/status/event_log.rs
+++ b/src/control/status/event_log.rs
@@ -9,7 +9,8 @@
 
 use crate::clock::Clock;
 
-/// Events that are kept: some hours of an ordinary day, some minutes of a bad one.
+/// Maximum number of events that are kept. They cover some hours of normal operation, or some
+/// minutes during an incident.
 const EVENTS_MAX: usize = 256;
 
 /// Maximum length of each text of an event, in characters.
@@ -22,6 +23,7 @@
     entries: Mutex<VecDeque<Event>>,
 }
 
+/// An action of this host, and how many times in a row it happened.
 #[derive(Clone, Debug)]
 struct Event {
     last_at: Instant,
@@ -99,11 +101,13 @@
 }
 
 impl Event {
+    /// Whether both events differ at most in their time and count.
     fn is_same(&self, other: &Self) -> bool {
         self.part == other.part && self.what == other.what && self.why == other.why
     }
 }
 
+/// The first [`TEXT_LEN_MAX`] characters of a text.
 fn truncate(text: &str) -> String {
     text.chars().take(TEXT_LEN_MAX).collect()
 }
--- a/src/control/status/report.rs
+++ b/src/control/status/report.rs
@@ -126,7 +126,7 @@
     pub leaving: usize,
 }
 
-/// The state of one host.
+/// One host in the list of a report: its failure domain, its state, and its manifest generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 pub struct HostReport {
@@ -134,14 +134,15 @@
     pub host: HostId,
     /// Its failure domain.
     pub domain: FailureDomainId,
-    /// The state of the host.
+    /// The state of the host: `alive`, `suspect`, `leaving` or `dead`.
     pub state: &'static str,
     /// The manifest generation that the host was last known to have in force.
     pub generation: Generation,
 }
 
 impl StatusReport {
-    /// Builds the report of the current state.
+    /// Builds the report of the current state. The lists of hosts, homes, targets and events are
+    /// truncated.
     pub fn new(inputs: StatusInputs<'_>) -> Self {
         let mut views: Vec<HostView> = inputs
             .cluster_view
@@ -198,8 +199,8 @@
                 continue;
             }
         }
-        let least = report.generation_min.unwrap_or(view.generation);
-        report.generation_min = Some(least.min(view.generation));
+        let lowest = report.generation_min.unwrap_or(view.generation);
+        report.generation_min = Some(lowest.min(view.generation));
     }
     domains.into_values().collect()
 }
--- a/src/control/status/reporter.rs
+++ b/src/control/status/reporter.rs
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Returns the action that is due. `hash` is the hash of the report without its ages.
+    /// Returns the action that is due. `hash` is the hash of the report without its ages. No
+    /// further action is due until the result of this one is handled.
     pub fn tick(&mut self, hash: u64, now: Instant) -> Option<ReporterAction> {
         self.hash = hash;
         let has_changed = self.written_hash != Some(hash);
@@ -109,6 +110,7 @@
         }
     }
 
+    /// An interval extended at random by up to half of its length.
     fn jittered(&mut self, interval: Duration) -> Duration {
         interval.mul_f64(self.rng.random_range(1.0..1.5))
     }
--- a/tests/manifests.rs
+++ b/tests/manifests.rs
@@ -306,9 +306,9 @@
     let mut domain = DomainSimulation::new(4);
     domain.run(Duration::from_secs(10));
     let new_host = host("h2");
-    let knowledge = domain.hosts[&new_host].status(domain.now);
-    assert!(!knowledge.is_ready);
-    let why = knowledge.why_not_ready.unwrap();
+    let status = domain.hosts[&new_host].status(domain.now);
+    assert!(!status.is_ready);
+    let why = status.why_not_ready.unwrap();
     assert!(why.contains("neither the platform nor a host"), "{why}");
     domain.deliver_read(&host("h0"), ManifestRead::Published(published(7, "seven")));
     domain.run(Duration::from_secs(2));
@@ -324,9 +324,9 @@
     domain.deliver_read(&host("h0"), ManifestRead::Published(published(2, "wrong")));
     domain.run(Duration::from_secs(2));
     assert!(domain.all_have(1));
-    let knowledge = domain.hosts[&host("h0")].status(domain.now);
-    assert!(knowledge.is_ready);
-    assert_eq!(knowledge.refused.unwrap().generation, Generation(2));
+    let status = domain.hosts[&host("h0")].status(domain.now);
+    assert!(status.is_ready);
+    assert_eq!(status.refused.unwrap().generation, Generation(2));
     domain.deliver_read(
         &host("h0"),
         ManifestRead::Published(published(3, "right again")),
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -136,16 +136,16 @@
     unknown = { UpstreamError::UnknownAttempt, Outcome::MayHaveRun },
 )]
 fn not_run_is_reported_only_when_certain(error: UpstreamError, outcome: Outcome) {
-    let mut record = RunTracker::new(false);
-    assert_eq!(record.outcome(), Outcome::NotRun);
-    record.on_send();
+    let mut tracker = RunTracker::new(false);
+    assert_eq!(tracker.outcome(), Outcome::NotRun);
+    tracker.on_send();
     assert_eq!(
-        record.outcome(),
+        tracker.outcome(),
         Outcome::MayHaveRun,
         "the task may be dropped here"
     );
-    let after = record.on_failure(&error);
-    assert_eq!(record.outcome(), outcome);
+    let after = tracker.on_failure(&error);
+    assert_eq!(tracker.outcome(), outcome);
     assert_eq!(
         after == AfterFailure::RetryAllowed,
         outcome == Outcome::NotRun
@@ -158,14 +158,14 @@
 /// certain, but says nothing about the first attempt.
 #[test]
 fn later_refusal_does_not_resolve_an_earlier_uncertainty() {
-    let mut record = RunTracker::new(true);
-    record.on_send();
-    record.on_failure(&UpstreamError::Interrupted(String::new()));
-    record.on_failure(&refused());
-    assert_eq!(record.outcome(), Outcome::MayHaveRun);
-    record.on_send();
-    assert_eq!(record.on_failure(&refused()), AfterFailure::RetryAllowed);
-    assert_eq!(record.outcome(), Outcome::MayHaveRun);
+    let mut tracker = RunTracker::new(true);
+    tracker.on_send();
+    tracker.on_failure(&UpstreamError::Interrupted(String::new()));
+    tracker.on_failure(&refused());
+    assert_eq!(tracker.outcome(), Outcome::MayHaveRun);
+    tracker.on_send();
+    assert_eq!(tracker.on_failure(&refused()), AfterFailure::RetryAllowed);
+    assert_eq!(tracker.outcome(), Outcome::MayHaveRun);
     let mut resumed = RunTracker::new(false);
     resumed.on_send();
     resumed.on_response_start();
--- a/tests/worlds/drain_world.rs
+++ b/tests/worlds/drain_world.rs
@@ -111,7 +111,7 @@
             let is_forced = self.signals.len() > 1 && code != 0;
             assert!(
                 is_orderly || is_forced,
-                "{} requests are cut off",
+                "{} requests are interrupted",
                 self.in_flight
             );
             self.exit = Some(code);
--- a/tests/worlds/manifest_world.rs
+++ b/tests/worlds/manifest_world.rs
@@ -158,7 +158,7 @@
                     let index = usize::try_from(in_force.generation.0 - 1).unwrap();
                     assert_eq!(
                         in_force.hash, self.published[index].hash,
-                        "the hash is that of another text"
+                        "the hash is not that of the published text"
                     );
                     let is_newer = self.hosts[at].cluster_view.advance_manifest(in_force);
                     assert!(is_newer, "entry-{at} reverts to an earlier manifest");
