--- a/src/control/manifests/controller.rs
+++ b/src/control/manifests/controller.rs
@@ -78,14 +78,20 @@
     validate: ManifestValidator,
     rng: StdRng,
     budget: TokenBucket,
+    /// The other live hosts of this failure domain.
     local_peers: Vec<HostId>,
+    /// The live hosts of other failure domains.
     remote_peers: Vec<HostId>,
     in_force: Option<StoredManifest>,
     refused: Option<ManifestRefusal>,
     confirmed_at: Option<Instant>,
+    /// The highest generation that the platform reported to this host: 0 if none was published,
+    /// `None` if the platform reported nothing yet.
     platform_generation: Option<Generation>,
+    /// The generation that each local peer reported last.
     peer_generations: IndexMap<HostId, Generation>,
     fetch: Option<Fetch>,
+    /// The host that holds the reservation for bulk answers, and the time of its last bulk request.
     bulk_receiver: Option<(HostId, Instant)>,
     next_query: Instant,
 }
--- a/src/control/membership/machine/mod.rs
+++ b/src/control/membership/machine/mod.rs
@@ -55,15 +55,21 @@
     seen_notices: SeenNotices,
     outbox: Outbox,
     seeds: IndexMap<HostId, PeerSeed>,
+    /// When each other failure domain was last heard from.
     domain_heard_at: IndexMap<FailureDomainId, Instant>,
+    /// The hosts that are still to be probed in the current round; the last one is next.
     probe_order: Vec<HostId>,
+    /// Counter of the digests sent, with a random start. It selects the next failure domain.
     digest_round: usize,
+    /// Whether a list of hosts was received.
     has_joined: bool,
+    /// Whether another host had the same view once.
     has_agreed: bool,
     join_attempts: usize,
     view_mismatch: Option<ViewMismatch>,
     last_pull_at: Option<Instant>,
     started_at: Instant,
+    /// The time of the last call, by which a pause of this process is detected.
     last_active: Instant,
     next_probe: Instant,
     next_digest: Instant,
--- a/src/control/orders/lease.rs
+++ b/src/control/orders/lease.rs
@@ -61,9 +61,11 @@
     incarnation: Incarnation,
     observed: Option<ObservedVersion>,
     held: Option<HeldLease>,
+    /// The write whose answer is outstanding or was lost.
     pending_write: Option<PendingWrite>,
     renewals: u64,
     is_reading: bool,
+    /// No read or write of the lease begins before this time.
     next_try: Instant,
 }
 
@@ -110,8 +112,8 @@
         }
     }
 
-    /// Returns the action that acquires or renews the lease, if one is due. A lease that is not
-    /// `wanted` is left to expire.
+    /// Returns the action that acquires or renews the lease, if one is due. A lease that is no
+    /// longer wanted is left to expire.
     pub fn tick(&mut self, is_wanted: bool, now: Instant) -> Option<LeaseAction> {
         if self.held.is_some() && self.fencing(now).is_none() {
             log::info!("orders: a lease held by this host has expired");
--- a/src/control/orders/reconciler.rs
+++ b/src/control/orders/reconciler.rs
@@ -87,6 +87,7 @@
 struct ManagedEngine {
     reported: Option<EngineState>,
     pending_order: Option<PendingOrder>,
+    /// When the last read was requested.
     read_at: Option<Instant>,
 }
 
--- a/src/control/outcome/run_tracker.rs
+++ b/src/control/outcome/run_tracker.rs
@@ -22,14 +22,16 @@
 /// resolved by a later one. A task that is dropped in between leaves the outcome "may have run".
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunTracker {
+    /// Whether the request may run twice.
     is_repeatable: bool,
+    /// Whether an attempt was sent and has not ended.
     is_in_flight: bool,
     may_have_run: bool,
     is_complete: bool,
 }
 
 impl RunTracker {
-    /// A request that was not sent to any upstream yet.
+    /// Tracks a request that was not sent to any upstream yet. `is_repeatable` if it may run twice.
     pub fn new(is_repeatable: bool) -> Self {
         Self {
             is_repeatable,
--- a/src/control/status/reporter.rs
+++ b/src/control/status/reporter.rs
@@ -36,11 +36,18 @@
 #[derive(Debug)]
 pub struct Reporter {
     rng: StdRng,
+    /// What the next write requires of the stored report; `None` if the stored version is not
+    /// known.
     expected: Option<Precondition>,
+    /// The hash of the report that was written last.
     written_hash: Option<u64>,
+    /// The hash of the current report.
     hash: u64,
+    /// No action is due before this time.
     next_at: Instant,
+    /// From this time on, an unchanged report is written again.
     refresh_at: Instant,
+    /// Whether the result of an action is outstanding.
     is_busy: bool,
 }
 
--- a/tests/manifests.rs
+++ b/tests/manifests.rs
@@ -66,14 +66,16 @@
     PublishedManifest::next_after(Generation(generation - 1), generation.into(), text)
 }
 
+/// Simulates the hosts of one failure domain; messages arrive at the next step.
 struct DomainSimulation {
     now: Instant,
     hosts: IndexMap<HostId, ManifestController>,
     in_flight: Vec<(HostId, HostId, Message)>,
     stopped: Vec<HostId>,
-    applied: Vec<(HostId, Generation)>,
+    /// The generations that hosts put in force, in order.
+    put_in_force: Vec<(HostId, Generation)>,
     /// The newest generation in force on any host when each process started.
-    started_at: IndexMap<HostId, Generation>,
+    generation_at_start: IndexMap<HostId, Generation>,
     sent_bytes: u64,
     seed: u64,
 }
@@ -85,8 +87,8 @@
             hosts: IndexMap::new(),
             in_flight: Vec::new(),
             stopped: Vec::new(),
-            applied: Vec::new(),
-            started_at: IndexMap::new(),
+            put_in_force: Vec::new(),
+            generation_at_start: IndexMap::new(),
             sent_bytes: 0,
             seed: 0,
         };
@@ -105,7 +107,7 @@
             .values()
             .filter_map(ManifestController::generation);
         let newest = generations.max().unwrap_or_default();
-        self.started_at.insert(host.clone(), newest);
+        self.generation_at_start.insert(host.clone(), newest);
         let rng = StdRng::seed_from_u64(self.seed);
         let manifests = ManifestController::new(validator(), 2_048, rng, self.now);
         self.hosts.insert(host.clone(), manifests);
@@ -159,7 +161,7 @@
                 // deliver.
                 ManifestAction::ReadPlatform => {}
                 ManifestAction::PutInForce(in_force) => {
-                    self.applied.push((host.clone(), in_force.generation));
+                    self.put_in_force.push((host.clone(), in_force.generation));
                 }
             }
         }
@@ -468,9 +470,9 @@
     Publish(Option<u64>),
 }
 
-struct ForwardRegister;
+struct IncreasingRegister;
 
-impl Specification for ForwardRegister {
+impl Specification for IncreasingRegister {
     type State = u64;
     type Operation = Op;
 
@@ -566,7 +568,7 @@
         });
         let history = std::mem::take(&mut *history.lock().unwrap());
         let is_linearizable =
-            WGLChecker::<ForwardRegister>::is_linearizable(History::from_actions(history));
+            WGLChecker::<IncreasingRegister>::is_linearizable(History::from_actions(history));
         assert!(is_linearizable, "seed {seed}");
         let log = platform.state.into_inner().unwrap().1;
         check_outcomes(&log, &outcomes.into_inner().unwrap(), seed);
@@ -600,7 +602,7 @@
         let read = reads.swap_remove(rng.random_range(0..reads.len()));
         let receiver = host(&format!("h{}", rng.random_range(0..5)));
         // A process reads only after its start, and the platform never reverts.
-        if read.generation >= domain.started_at[&receiver] {
+        if read.generation >= domain.generation_at_start[&receiver] {
             domain.deliver_read(&receiver, ManifestRead::Published(read));
         }
         domain.in_flight.retain(|_| rng.random_ratio(9, 10));
@@ -613,7 +615,7 @@
             .filter(|(other, _)| **other != restarted);
         let up_to_date = others.filter(|(_, other)| other.generation() >= generation);
         if up_to_date.count() == 4 {
-            domain.applied.retain(|(host, _)| *host != restarted);
+            domain.put_in_force.retain(|(host, _)| *host != restarted);
             domain.start(&restarted);
         }
         domain.run(STEP * rng.random_range(0..40));
@@ -631,7 +633,7 @@
         }
     }
     let mut last: IndexMap<HostId, Generation> = IndexMap::new();
-    for (host, generation) in &domain.applied {
+    for (host, generation) in &domain.put_in_force {
         let before = last.insert(host.clone(), *generation);
         assert!(before < Some(*generation), "seed {seed}: {host}");
     }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -30,6 +30,7 @@
 const STEP: Duration = Duration::from_millis(50);
 const BYTES_PER_SECOND: u64 = 2_048;
 
+/// Simulates the hosts of several failure domains.
 struct FleetSimulation {
     now: Instant,
     hosts: IndexMap<HostId, Membership>,
@@ -43,6 +44,7 @@
     /// Failure domains that cannot communicate with other domains.
     partitioned: Vec<FailureDomainId>,
     in_flight: Vec<(HostId, HostId, Gossip)>,
+    /// The actions of the hosts other than messages, in order.
     observed: Vec<(HostId, MembershipAction)>,
     sent_bytes: IndexMap<HostId, u64>,
 }
@@ -165,6 +167,7 @@
         observers.all(|at| self.state(at, of) == Some(state))
     }
 
+    /// Whether all running hosts see all hosts as alive.
     fn has_settled(&self) -> bool {
         self.hosts
             .keys()
@@ -181,6 +184,7 @@
     name.parse().unwrap()
 }
 
+/// A fleet in which all hosts know each other, with nothing recorded yet.
 fn settled_fleet(domains: usize, hosts_per_domain: usize) -> FleetSimulation {
     let mut fleet = FleetSimulation::new(domains, hosts_per_domain);
     fleet.run_until(Duration::from_secs(60), FleetSimulation::has_settled);
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -74,8 +74,11 @@
     engines: IndexMap<UpstreamId, FakeEngine>,
     lease: Option<(ObjectVersion, serde_json::Value)>,
     has_faults: bool,
+    /// Orders with their time of arrival and sending host.
     orders_in_flight: Vec<(Instant, usize, UpstreamId, Order)>,
+    /// The lowest number of engines that were loaded at the same time.
     loaded_min: usize,
+    /// Number of loads that engines began.
     loads: usize,
 }
 
--- a/tests/worlds/entry_host.rs
+++ b/tests/worlds/entry_host.rs
@@ -40,6 +40,7 @@
 struct Request {
     tokens: Tokens,
     sent_at: u64,
+    /// When the host last sent the request to its home.
     asked_at: Instant,
     state: State,
 }
@@ -52,6 +53,7 @@
     pub(crate) is_disconnected: bool,
     pub(crate) inbox: Vec<(usize, Option<HomeAnswer>)>,
     requests: IndexMap<RequestId, Request>,
+    /// The attempts that this process dispatched.
     used: IndexSet<AttemptId>,
 }
 
