--- a/tests/worlds/grant_world.rs
+++ b/tests/worlds/grant_world.rs
@@ -59,7 +59,7 @@
     /// A host dies, and a new process of the same name starts after `ticks`, possibly before the
     /// death is noticed, or never.
     Kill { host: usize, ticks: u64 },
-    /// A host loses the connections of its running answers; the engines go on.
+    /// A host loses the connections of its running answers; the engines continue.
     Disconnect { host: usize },
     /// A host switches to another home.
     SwitchHome { host: usize, home: usize },
@@ -119,6 +119,7 @@
 pub(crate) struct EngineMemory {
     pub(crate) held: IndexMap<AttemptId, RunningAttempt>,
     ran: IndexSet<AttemptId>,
+    /// The tick at which the engine was listed as leaving.
     left_at: Option<u64>,
 }
 
@@ -160,6 +161,7 @@
     in_transit: Vec<(u64, Message)>,
     delay_ticks: u64,
     messages_to_lose: u32,
+    /// The tick at which membership reports a dead host, and the host.
     deaths: Vec<(u64, usize)>,
     sent: u128,
     home_count: u128,
@@ -201,7 +203,7 @@
         HomeController::new(pool, policy, HomeConf::default(), self.clock.now())
     }
 
-    /// Tells a new home the living hosts and the upstreams.
+    /// Reports the living hosts and the upstreams to a new home.
     fn initialize_home(&mut self, home: usize) {
         for n in 0..HOSTS {
             // Membership has forgotten hosts that are gone for good.
@@ -209,10 +211,10 @@
                 self.handle(home, HomeEvent::HostAlive(host_id(n)));
             }
         }
-        self.tell_upstreams(home);
+        self.report_upstreams(home);
     }
 
-    fn tell_upstreams(&mut self, home: usize) {
+    fn report_upstreams(&mut self, home: usize) {
         let upstreams = self.engines.iter().map(|(id, memory)| {
             let health = match memory.left_at {
                 Some(_) => UpstreamHealth::Leaving,
@@ -259,7 +261,7 @@
             Step::CrashEngine { engine } => self.engines[engine].held.clear(),
             Step::SetLeaving { engine, is_leaving } => {
                 self.engines[engine].left_at = is_leaving.then_some(self.tick);
-                (0..HOMES).for_each(|home| self.tell_upstreams(home));
+                (0..HOMES).for_each(|home| self.report_upstreams(home));
             }
             Step::Advance { ticks } => (0..ticks).for_each(|_| self.advance_tick()),
         }
@@ -283,7 +285,7 @@
             .into_iter()
             .for_each(|message| self.send_message(message));
         self.check_memory();
-        self.tell_members();
+        self.report_members();
         (0..HOMES).for_each(|home| self.handle(home, HomeEvent::Tick));
     }
 
@@ -296,7 +298,7 @@
     }
 
     /// Reports deaths with the delay of membership, and restarts of hosts.
-    fn tell_members(&mut self) {
+    fn report_members(&mut self) {
         for (at, host) in std::mem::take(&mut self.deaths) {
             let is_back = self.hosts[host].paused_until <= self.tick;
             if self.hosts[host].is_gone() && at < self.tick {
