--- a/src/control/manifests/controller.rs
+++ b/src/control/manifests/controller.rs
@@ -106,6 +106,7 @@
 }
 
 impl StoredManifest {
+    /// Splits a text into parts and pages and computes their hashes.
     fn new(generation: Generation, text: &str) -> Self {
         let by_hash = |part: String| (ContentHash::of(part.as_bytes()), part);
         let parts = split_into_parts(text)
@@ -450,6 +451,7 @@
         })
     }
 
+    /// Passes a received index to the running fetch. A malformed index is ignored.
     fn on_index(&mut self, index: &ManifestIndex) {
         let hash = hashes_from_bytes(&index.hash).and_then(|hashes| hashes.first().copied());
         let pages = hashes_from_bytes(&index.pages);
--- a/src/control/manifests/parts.rs
+++ b/src/control/manifests/parts.rs
@@ -29,7 +29,8 @@
 /// Length of one hash on a page, in hexadecimal digits.
 const PAGE_HASH_LEN: usize = 32;
 
-/// Splits a text into its parts, in order.
+/// Splits a text into its parts, in order. Their concatenation is the text. Each part ends with a
+/// line, or with a piece of a line that is longer than a part.
 pub fn split_into_parts(text: &str) -> Vec<&str> {
     let mut parts = Vec::new();
     let mut window: Vec<&str> = Vec::new();
--- a/src/control/membership/host_table.rs
+++ b/src/control/membership/host_table.rs
@@ -94,10 +94,12 @@
         self.hosts.insert(entry.view.id.clone(), entry);
     }
 
+    /// The view of a host; `None` if the host is not known.
     pub(crate) fn get(&self, host: &HostId) -> Option<&HostView> {
         self.hosts.get(host).map(|entry| &entry.view)
     }
 
+    /// The views of all known hosts, including dead ones.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &HostView> {
         self.hosts.values().map(|entry| &entry.view)
     }
@@ -145,7 +147,7 @@
         self.hashes.get(domain).copied().unwrap_or(0)
     }
 
-    /// A hash of all hosts.
+    /// A hash of all hosts that are not dead; equal views give equal hashes.
     pub(crate) fn view_hash(&self) -> u64 {
         self.hashes.values().fold(0, |all, hash| all ^ hash)
     }
@@ -161,8 +163,8 @@
     (view.incarnation, view.state)
 }
 
-/// The hash of one host. Suspicions are often short, dead hosts are forgotten at different times,
-/// and generations change too often, so none of them affects the hash.
+/// The hash of one host, 0 if it is dead. Suspicions are often short, dead hosts are forgotten at
+/// different times, and generations change too often, so none of them affects the hash.
 fn hash(view: &HostView) -> u64 {
     let state = match view.state {
         HostState::Dead => return 0,
--- a/src/control/membership/seen_notices.rs
+++ b/src/control/membership/seen_notices.rs
@@ -6,8 +6,9 @@
 use crate::peer::message::LeavingUpstream;
 use crate::peer::message::PoisonNotice;
 
-/// Maximum number of remembered notices of each kind. The oldest are forgotten first. A forgotten
-/// notice that arrives again only causes its action to be repeated.
+/// Maximum number of remembered notices of each kind. Those whose subject was first seen longest
+/// ago are forgotten first. A forgotten notice that arrives again only causes its action to be
+/// repeated.
 const NOTICES_MAX: usize = 1_024;
 
 /// The notices received so far, so that each is handled and broadcast once.
--- a/src/control/orders/reconciler.rs
+++ b/src/control/orders/reconciler.rs
@@ -267,6 +267,7 @@
         }
     }
 
+    /// The observed states of all engines of the pool.
     fn observed(&self) -> Vec<ObservedEngine> {
         let engines = self.engines.iter();
         engines.map(|(id, engine)| engine.observed(id)).collect()
@@ -274,6 +275,7 @@
 }
 
 impl ManagedEngine {
+    /// The observed state of this engine, whose id is `id`.
     fn observed(&self, id: &UpstreamId) -> ObservedEngine {
         ObservedEngine {
             id: id.clone(),
@@ -283,7 +285,8 @@
     }
 }
 
-/// An empty budget of the bytes of weights that the engines may load.
+/// The budget of the bytes of weights that the engines may load. It is empty at first, and refills
+/// at the rate of the pool up to at least the weights of one engine.
 fn empty_load_budget(conf: &ReconcilerConf, now: Instant) -> TokenBucket {
     let rate = conf.load_size_per_second.0 as f64;
     // The burst has to allow the weights of one engine, or no load could ever start.
--- a/src/control/outcome/answer_check.rs
+++ b/src/control/outcome/answer_check.rs
@@ -98,6 +98,7 @@
         })
     }
 
+    /// Checks an event of the answer of a model to `attempt`.
     fn on_model_event(&mut self, attempt: AttemptId, event: ResponseEvent) -> AnswerStep {
         match event {
             ResponseEvent::Tokens {
@@ -149,6 +150,7 @@
         AnswerStep::Fault(fault)
     }
 
+    /// Checks an event of the answer of a plain service.
     fn on_service_event(&mut self, event: ResponseEvent) -> AnswerStep {
         match (self.expected, &event) {
             (ExpectedEvent::Head, ResponseEvent::Head { .. }) => {
--- a/src/control/status/report.rs
+++ b/src/control/status/report.rs
@@ -174,7 +174,7 @@
         }
     }
 
-    /// The part of the report that goes to the platform. Without the list of hosts its size does
+    /// The report for the platform, without the list of hosts and with fewer events. Its size does
     /// not grow with the fleet: 400 hosts that each list 400 would make 160,000 entries.
     pub fn for_platform(mut self) -> Self {
         self.hosts.clear();
@@ -183,6 +183,8 @@
     }
 }
 
+/// The number of hosts in each state, by failure domain. Dead hosts do not affect the lowest
+/// generation.
 fn domain_reports(views: &[HostView]) -> Vec<DomainReport> {
     let mut domains: IndexMap<&FailureDomainId, DomainReport> = IndexMap::new();
     for view in views {
@@ -216,6 +218,8 @@
     }
 }
 
+/// The number of upstreams in each state, by target and failure domain; at most [`LIST_MAX`]
+/// entries.
 fn target_reports(cluster_view: &ClusterView) -> Vec<TargetReport> {
     let mut targets: IndexMap<(TargetId, FailureDomainId), (usize, usize)> = IndexMap::new();
     for (_, view) in cluster_view.upstreams.snapshot() {
--- a/src/control/status/reporter.rs
+++ b/src/control/status/reporter.rs
@@ -32,7 +32,7 @@
     Write(Precondition),
 }
 
-/// Decides when the report of a host is written, as a state machine without I/O.
+/// Decides when the report of a host is written to the platform, as a state machine without I/O.
 #[derive(Debug)]
 pub struct Reporter {
     rng: StdRng,
@@ -83,7 +83,8 @@
         })
     }
 
-    /// Handles the result of a read; the write follows at the next tick.
+    /// Handles the result of a read. The write follows at the next tick, or after an error another
+    /// read at a later one.
     pub fn on_read(&mut self, result: &Result<Object, PlatformError>, now: Instant) {
         self.is_busy = false;
         match result {
@@ -93,7 +94,8 @@
         }
     }
 
-    /// Handles the result of a write.
+    /// Handles the result of a write. After a failure, the write is tried again later, and the
+    /// stored version is read first if it is not known.
     pub fn on_written(&mut self, result: &Result<ObjectVersion, PlatformError>, now: Instant) {
         self.is_busy = false;
         match result {
