--- a/src/control/membership/machine/digests.rs
+++ b/src/control/membership/machine/digests.rs
@@ -8,7 +8,7 @@
 use crate::control::home_assignment::rank;
 use crate::control::membership::Membership;
 use crate::control::membership::conf;
-use crate::control::membership::host_table::HostTable;
+use crate::control::membership::membership_table::MembershipTable;
 use crate::peer::message::DomainDigest;
 use crate::peer::message::GossipBody;
 use crate::units::FailureDomainId;
@@ -18,7 +18,7 @@
     /// Sends a digest of this failure domain to a host of the next other domain, and asks for its
     /// digest in return.
     pub(super) fn send_digest(&mut self, now: Instant) {
-        let mut domains: Vec<FailureDomainId> = self.host_table.domains().cloned().collect();
+        let mut domains: Vec<FailureDomainId> = self.membership_table.domains().cloned().collect();
         let seeds = self.seeds.values();
         domains.extend(seeds.map(|seed| seed.failure_domain.clone()));
         domains.sort_unstable();
@@ -43,11 +43,14 @@
     /// exchange digests, and in one case of four any known host there, since all known digest hosts
     /// may have been replaced during a network partition.
     fn digest_receiver(&mut self, domain: &FailureDomainId) -> Option<HostId> {
-        let digest_hosts = digest_hosts(&self.host_table, domain);
+        let digest_hosts = digest_hosts(&self.membership_table, domain);
         if !digest_hosts.is_empty() && self.rng.random_ratio(3, 4) {
             return digest_hosts.choose(&mut self.rng).cloned();
         }
-        let known = self.host_table.iter().filter(|view| view.domain == *domain);
+        let known = self
+            .membership_table
+            .iter()
+            .filter(|view| view.domain == *domain);
         let mut all: Vec<HostId> = known.map(|view| view.id.clone()).collect();
         let seeds = self.seeds.values();
         let seeds = seeds.filter(|seed| seed.failure_domain == *domain);
@@ -59,21 +62,21 @@
     pub(super) fn digest_of(&self, domain: &FailureDomainId) -> DomainDigest {
         DomainDigest {
             domain: domain.to_string(),
-            hash: self.host_table.domain_hash(domain),
+            hash: self.membership_table.domain_hash(domain),
             wants_reply: false,
         }
     }
 
     /// Whether this host exchanges digests with other failure domains.
     pub(super) fn is_digest_host(&self) -> bool {
-        digest_hosts(&self.host_table, &self.local_host.domain).contains(&self.local_host.id)
+        digest_hosts(&self.membership_table, &self.local_host.domain).contains(&self.local_host.id)
     }
 }
 
 /// The hosts of a failure domain that exchange digests with other domains. All hosts with the same
 /// view of that domain select the same hosts.
-fn digest_hosts(host_table: &HostTable, domain: &FailureDomainId) -> Vec<HostId> {
-    let names: Vec<&str> = host_table
+fn digest_hosts(membership_table: &MembershipTable, domain: &FailureDomainId) -> Vec<HostId> {
+    let names: Vec<&str> = membership_table
         .live_hosts(domain)
         .map(|view| view.id.as_str())
         .collect();
--- a/src/control/membership/machine/inbound.rs
+++ b/src/control/membership/machine/inbound.rs
@@ -11,8 +11,8 @@
 use crate::control::membership::MembershipAction;
 use crate::control::membership::broadcast_queue::Broadcast;
 use crate::control::membership::conf;
-use crate::control::membership::host_table::UpdateOutcome;
 use crate::control::membership::machine::ViewMismatch;
+use crate::control::membership::membership_table::UpdateOutcome;
 use crate::control::membership::record::from_record;
 use crate::peer::message::DomainDigest;
 use crate::peer::message::Gossip;
@@ -41,7 +41,7 @@
             GossipBody::IndirectProbe(request) => {
                 if let Ok(target) = request.target.parse::<HostId>() {
                     let seq = self.probes.begin_delegated(from.clone(), request.seq, now);
-                    let view_hash = self.host_table.view_hash();
+                    let view_hash = self.membership_table.view_hash();
                     self.send(&target, GossipBody::Probe(Probe { seq, view_hash }), now);
                 }
             }
@@ -64,7 +64,7 @@
         }
         // An answer does not end a suspicion that was broadcast: the suspect must refute it towards
         // all hosts.
-        let state = self.host_table.get(from).map(|view| view.state);
+        let state = self.membership_table.get(from).map(|view| view.state);
         if state != Some(HostState::Suspect) {
             self.suspicions.swap_remove(from);
         }
@@ -73,7 +73,7 @@
     /// Compares the view of another host with the own one, and pulls a list when they have differed
     /// for longer than broadcasts take to settle.
     fn compare_views(&mut self, from: &HostId, their_hash: u64, now: Instant) {
-        if their_hash == self.host_table.view_hash() {
+        if their_hash == self.membership_table.view_hash() {
             // Agreement with one host is enough, although others may have another view, for
             // instance when a few hosts know the same part of the fleet.
             self.has_agreed = true;
@@ -82,7 +82,7 @@
         let is_lasting = self.track_mismatch(now) >= conf::MISMATCH_MIN;
         // A new host knows few others and need not wait.
         if (is_lasting || self.is_new_host(now)) && self.try_begin_pull(now) {
-            let known = self.host_table.domains();
+            let known = self.membership_table.domains();
             let known = known.map(|domain| self.digest_of(domain)).collect();
             let only_known = false;
             self.send(from, GossipBody::Pull(Pull { known, only_known }), now);
@@ -92,7 +92,7 @@
     /// Records that another host reported a different view now, and returns how long other hosts
     /// have done so while the own view stayed the same.
     fn track_mismatch(&mut self, now: Instant) -> Duration {
-        let view_hash = self.host_table.view_hash();
+        let view_hash = self.membership_table.view_hash();
         let continues = |mismatch: &ViewMismatch| {
             let since_last = now.saturating_duration_since(mismatch.last_reported_at);
             mismatch.view_hash == view_hash && since_last < conf::MISMATCH_GAP_MAX
@@ -120,7 +120,7 @@
             let answer = self.digest_of(&self.local_host.domain);
             self.send(from, GossipBody::Digest(answer), now);
         }
-        if digest.hash != self.host_table.domain_hash(&domain) && self.try_begin_pull(now) {
+        if digest.hash != self.membership_table.domain_hash(&domain) && self.try_begin_pull(now) {
             let known = vec![self.digest_of(&domain)];
             let only_known = true;
             self.send(from, GossipBody::Pull(Pull { known, only_known }), now);
@@ -154,12 +154,12 @@
     fn send_join_list(&mut self, from: &HostId, record: &HostRecord, now: Instant) {
         let theirs = record.domain.parse().ok();
         let has_others =
-            |domain: &FailureDomainId| self.host_table.live_hosts(domain).nth(1).is_some();
+            |domain: &FailureDomainId| self.membership_table.live_hosts(domain).nth(1).is_some();
         let domain = theirs
             .filter(has_others)
             .unwrap_or(self.local_host.domain.clone());
         let mut hosts: Vec<HostId> = self
-            .host_table
+            .membership_table
             .live_hosts(&domain)
             .map(|view| view.id.clone())
             .collect();
@@ -167,7 +167,7 @@
         hosts.truncate(conf::RECORDS_PER_MESSAGE_MAX - 1);
         hosts.push(self.local_host.id.clone());
         let records = hosts.iter();
-        let records = records.filter_map(|host| self.host_table.record(host, now));
+        let records = records.filter_map(|host| self.membership_table.record(host, now));
         let records: Vec<HostRecord> = records.collect();
         self.outbox.send_list(from, &records, now);
     }
@@ -178,15 +178,15 @@
         let is_wanted = |domain: &FailureDomainId| {
             let known = &pull.known;
             match known.iter().find(|known| known.domain == domain.as_str()) {
-                Some(known) => known.hash != self.host_table.domain_hash(domain),
+                Some(known) => known.hash != self.membership_table.domain_hash(domain),
                 None => !pull.only_known,
             }
         };
         let mut records: Vec<HostRecord> = self
-            .host_table
+            .membership_table
             .iter()
             .filter(|view| is_wanted(&view.domain))
-            .filter_map(|view| self.host_table.record(&view.id, now))
+            .filter_map(|view| self.membership_table.record(&view.id, now))
             .collect();
         // The budget may truncate the list. Since the order is random, the next pull brings other
         // hosts.
@@ -200,12 +200,15 @@
         let incarnation = Incarnation(gossip.incarnation);
         let generation = Generation(gossip.generation);
         let applied = self
-            .host_table
+            .membership_table
             .apply_generation(from, incarnation, generation);
         if applied == UpdateOutcome::Generation {
             self.report_change(from);
         }
-        let domain = self.host_table.get(from).map(|view| view.domain.clone());
+        let domain = self
+            .membership_table
+            .get(from)
+            .map(|view| view.domain.clone());
         if let Some(domain) = domain.filter(|domain| *domain != self.local_host.domain) {
             self.domain_heard_at.insert(domain, now);
         }
@@ -226,7 +229,7 @@
         if dead_for >= conf::DEAD_RETENTION {
             return;
         }
-        let applied = self.host_table.apply(view.clone(), since);
+        let applied = self.membership_table.apply(view.clone(), since);
         if applied == UpdateOutcome::Stale {
             self.confirm_suspicion(&view);
             return;
@@ -255,7 +258,10 @@
     /// Records that another host also suspects a host, if both mean the same incarnation.
     fn confirm_suspicion(&mut self, view: &HostView) {
         if view.state == HostState::Suspect
-            && self.host_table.get(&view.id).map(|known| known.incarnation)
+            && self
+                .membership_table
+                .get(&view.id)
+                .map(|known| known.incarnation)
                 == Some(view.incarnation)
             && let Some(suspicion) = self.suspicions.get_mut(&view.id)
         {
--- a/src/control/membership/machine/mod.rs
+++ b/src/control/membership/machine/mod.rs
@@ -20,8 +20,8 @@
 use crate::control::membership::broadcast_queue::Broadcast;
 use crate::control::membership::conf;
 use crate::control::membership::conf::LOCAL_JOIN_ATTEMPTS;
-use crate::control::membership::host_table::HostTable;
-use crate::control::membership::host_table::UpdateOutcome;
+use crate::control::membership::membership_table::MembershipTable;
+use crate::control::membership::membership_table::UpdateOutcome;
 use crate::control::membership::outbox::Outbox;
 use crate::control::membership::probes::ProbeStep;
 use crate::control::membership::probes::Probes;
@@ -49,7 +49,7 @@
 pub struct Membership {
     local_host: HostView,
     rng: StdRng,
-    host_table: HostTable,
+    membership_table: MembershipTable,
     probes: Probes,
     suspicions: IndexMap<HostId, Suspicion>,
     seen_notices: SeenNotices,
@@ -104,7 +104,7 @@
         let mut membership = Self {
             local_host,
             rng,
-            host_table: HostTable::default(),
+            membership_table: MembershipTable::default(),
             probes: Probes::default(),
             suspicions: IndexMap::new(),
             seen_notices: SeenNotices::default(),
@@ -197,7 +197,7 @@
                 && view.state != HostState::Dead
                 && view.id != self.local_host.id
         };
-        if self.host_table.get(host).is_some_and(is_local_peer) {
+        if self.membership_table.get(host).is_some_and(is_local_peer) {
             self.probe(host, now);
         }
         self.outbox.take_actions()
@@ -218,7 +218,7 @@
     /// Sets the manifest generation that this host has in force.
     pub fn set_generation(&mut self, generation: Generation, now: Instant) {
         self.local_host.generation = generation;
-        self.host_table.set(self.local_host.clone(), now);
+        self.membership_table.set(self.local_host.clone(), now);
         self.outbox
             .set_sender(self.local_host.incarnation, generation);
     }
@@ -251,7 +251,7 @@
 
     /// All known hosts, including this one.
     pub fn hosts(&self) -> impl Iterator<Item = &HostView> {
-        self.host_table.iter()
+        self.membership_table.iter()
     }
 
     /// The hosts of a failure domain as candidates for homes. A suspect stays eligible: its pools
@@ -259,7 +259,7 @@
     pub fn members(&self, domain: &FailureDomainId) -> Vec<Member> {
         let is_eligible =
             |view: &HostView| matches!(view.state, HostState::Alive | HostState::Suspect);
-        self.host_table
+        self.membership_table
             .iter()
             .filter(|view| view.domain == *domain)
             .map(|view| Member {
@@ -346,7 +346,7 @@
             }
             ProbeStep::Failed { target } => {
                 let is_dead = |view: &HostView| view.state == HostState::Dead;
-                if self.host_table.get(&target).is_none_or(is_dead) {
+                if self.membership_table.get(&target).is_none_or(is_dead) {
                     return;
                 }
                 self.suspicion_or_new(&target, now).confirm_by_self();
@@ -366,7 +366,7 @@
                 return;
             };
             let is_gone = |view: &HostView| view.state == HostState::Dead;
-            if !self.host_table.get(&host).is_none_or(is_gone) {
+            if !self.membership_table.get(&host).is_none_or(is_gone) {
                 self.probe(&host, now);
                 return;
             }
@@ -379,7 +379,7 @@
             return;
         }
         let seq = self.probes.begin(host.clone(), now);
-        let view_hash = self.host_table.view_hash();
+        let view_hash = self.membership_table.view_hash();
         self.send(host, GossipBody::Probe(Probe { seq, view_hash }), now);
     }
 
@@ -408,7 +408,7 @@
     /// each other dead, and after it healed, neither probes the other.
     fn reconnect_one(&mut self, now: Instant) {
         let dead: Vec<HostId> = self
-            .host_table
+            .membership_table
             .iter()
             .filter(|view| view.state == HostState::Dead && view.domain == self.local_host.domain)
             .map(|view| view.id.clone())
@@ -419,7 +419,7 @@
         let unknown: Vec<HostId> = self
             .seeds
             .keys()
-            .filter(|host| self.host_table.get(host).is_none())
+            .filter(|host| self.membership_table.get(host).is_none())
             .cloned()
             .collect();
         if let Some(host) = unknown.choose(&mut self.rng).cloned() {
@@ -432,14 +432,14 @@
         let Some(before) = now.checked_sub(conf::DEAD_RETENTION) else {
             return;
         };
-        for host in self.host_table.remove_expired_dead(before) {
+        for host in self.membership_table.remove_expired_dead(before) {
             self.outbox.push(MembershipAction::HostRemoved { host });
         }
     }
 
     /// Stores and broadcasts the view of this host after it changed.
     fn broadcast_self(&mut self, now: Instant) {
-        self.host_table.set(self.local_host.clone(), now);
+        self.membership_table.set(self.local_host.clone(), now);
         self.outbox
             .set_sender(self.local_host.incarnation, self.local_host.generation);
         self.outbox
@@ -451,14 +451,14 @@
     /// Sets the state of a host within its incarnation, and broadcasts the change. Returns whether
     /// the state changed; a state cannot return to an earlier one within an incarnation.
     fn set_state(&mut self, host: &HostId, state: HostState, now: Instant) -> bool {
-        let Some(view) = self.host_table.get(host).cloned() else {
+        let Some(view) = self.membership_table.get(host).cloned() else {
             return false;
         };
-        if self.host_table.apply(HostView { state, ..view }, now) != UpdateOutcome::Changed {
+        if self.membership_table.apply(HostView { state, ..view }, now) != UpdateOutcome::Changed {
             return false;
         }
         self.report_change(host);
-        if let Some(record) = self.host_table.record(host, now) {
+        if let Some(record) = self.membership_table.record(host, now) {
             self.outbox.broadcast(Broadcast::Host(record));
         }
         true
@@ -468,7 +468,7 @@
     /// a broadcast to the number of hosts.
     fn report_change(&mut self, host: &HostId) {
         self.outbox.set_host_count(self.local_host_count());
-        if let Some(view) = self.host_table.get(host).cloned() {
+        if let Some(view) = self.membership_table.get(host).cloned() {
             self.outbox.push(MembershipAction::HostChanged { view });
         }
     }
@@ -479,7 +479,11 @@
     fn send(&mut self, to: &HostId, body: GossipBody, now: Instant) {
         let is_suspected =
             |view: &&HostView| matches!(view.state, HostState::Suspect | HostState::Dead);
-        let about_receiver = self.host_table.get(to).filter(is_suspected).map(to_record);
+        let about_receiver = self
+            .membership_table
+            .get(to)
+            .filter(is_suspected)
+            .map(to_record);
         self.outbox.send(to, body, about_receiver, now);
     }
 
@@ -493,13 +497,15 @@
 
     /// The number of hosts of this failure domain that are not dead, including this one.
     fn local_host_count(&self) -> usize {
-        self.host_table.live_hosts(&self.local_host.domain).count()
+        self.membership_table
+            .live_hosts(&self.local_host.domain)
+            .count()
     }
 
     /// Up to `count` other hosts of the failure domain that are not dead, in random order.
     fn local_peers(&mut self, count: usize) -> Vec<HostId> {
         let mut hosts: Vec<HostId> = self
-            .host_table
+            .membership_table
             .live_hosts(&self.local_host.domain)
             .filter(|view| view.id != self.local_host.id)
             .map(|view| view.id.clone())
--- a/src/control/membership/host_table.rs
+++ b/src/control/membership/membership_table.rs
@@ -30,20 +30,20 @@
 
 /// All known hosts by id, and a hash of each failure domain.
 #[derive(Debug, Default)]
-pub(crate) struct HostTable {
-    hosts: IndexMap<HostId, Entry>,
+pub(crate) struct MembershipTable {
+    hosts: IndexMap<HostId, MemberEntry>,
     hashes: IndexMap<FailureDomainId, u64>,
 }
 
 /// A known host.
 #[derive(Debug)]
-struct Entry {
+struct MemberEntry {
     view: HostView,
     /// The time since which the view has been valid.
     changed_at: Instant,
 }
 
-impl HostTable {
+impl MembershipTable {
     /// Applies a view of a host that has been valid since `since`. The higher incarnation wins;
     /// within one incarnation, the later state.
     pub(crate) fn apply(&mut self, view: HostView, since: Instant) -> UpdateOutcome {
@@ -87,7 +87,7 @@
             *self.hashes.entry(old.view.domain.clone()).or_default() ^= hash(&old.view);
         }
         *self.hashes.entry(view.domain.clone()).or_default() ^= hash(&view);
-        let entry = Entry {
+        let entry = MemberEntry {
             view,
             changed_at: since,
         };
@@ -130,7 +130,7 @@
     /// Removes hosts that died before `before`, and returns them.
     pub(crate) fn remove_expired_dead(&mut self, before: Instant) -> Vec<HostId> {
         let is_old =
-            |entry: &Entry| entry.view.state == HostState::Dead && entry.changed_at < before;
+            |entry: &MemberEntry| entry.view.state == HostState::Dead && entry.changed_at < before;
         let old: Vec<HostId> = self
             .hosts
             .values()
--- a/src/control/membership/mod.rs
+++ b/src/control/membership/mod.rs
@@ -9,8 +9,8 @@
 mod action;
 mod broadcast_queue;
 mod conf;
-mod host_table;
 mod machine;
+mod membership_table;
 mod outbox;
 mod probes;
 mod record;
