--- a/src/decide/rate_limit_tracker.rs
+++ b/src/decide/rate_limit_tracker.rs
@@ -51,7 +51,8 @@
 }
 
 impl ReportedSends {
-    /// Whether the limit window may still contain some of the sends.
+    /// Whether the limit window may still contain some of the sends, measured from when the report
+    /// was received, not from the sends.
     fn is_recent(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.received_at) < LIMIT_WINDOW
     }
--- a/src/exchange/exchange_state.rs
+++ b/src/exchange/exchange_state.rs
@@ -314,7 +314,8 @@
         }
     }
 
-    /// Whether this host acts as the collector of its failure domain.
+    /// Whether this host acts as the collector of its failure domain. A small fleet has no
+    /// collector; in a large one this host is the collector if no other host is elected.
     fn is_collector(&self) -> bool {
         self.is_large() && self.collector.is_none()
     }
@@ -325,7 +326,9 @@
     }
 
     /// Elects the collector of this host's failure domain, and monitors it. If it is this host,
-    /// chooses and monitors the collectors of the other domains as well.
+    /// chooses and monitors the collectors of the other domains as well, and after taking over from
+    /// another host marks its whole aggregate to be sent again. In a small fleet there is no
+    /// collector, and nothing is monitored.
     fn elect_collector(&mut self, now: Instant) {
         if !self.is_large() {
             self.collector = None;
--- a/src/exchange/message_scope.rs
+++ b/src/exchange/message_scope.rs
@@ -1,6 +1,8 @@
 //! The scope of a message.
 
-/// Whose state a message carries, and thus how its recipient handles it.
+/// Whose state a message carries, and thus how its recipient handles it: that of the sending host
+/// alone, the total of the sender's domain, or updates of other domains that are relayed within a
+/// domain without being summed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(prost::Enumeration)]
 #[repr(i32)]
--- a/src/exchange/received_limits.rs
+++ b/src/exchange/received_limits.rs
@@ -34,7 +34,8 @@
 }
 
 impl ReceivedLimits {
-    /// Records the limits of a message. Limits of upstreams that are not included stay unchanged.
+    /// Records the limits of a message. The recorded limits count as not yet forwarded, even if
+    /// equal ones were forwarded before. Limits of upstreams that are not included stay unchanged.
     pub(crate) fn record(&mut self, limits: Vec<RateLimitEntry>, now: Instant) {
         for entry in limits {
             let received = ReceivedLimit {
--- a/src/exchange/task.rs
+++ b/src/exchange/task.rs
@@ -33,7 +33,7 @@
     /// The failure domain of this host.
     fn domain(&self) -> FailureDomainId;
 
-    /// The update to send to other hosts now.
+    /// The complete update to send to other hosts now, not only what changed since the last call.
     fn local_update(&self) -> HostUpdate;
 
     /// Applies an update of another host.
@@ -52,7 +52,9 @@
     fn urgent_change_notify(&self) -> &Notify;
 }
 
-/// The task that exchanges updates over one socket.
+/// The task that exchanges updates over one socket. It holds the framed socket, the state of the
+/// protocol, the route that was last announced, and the handler, which supplies this host's update
+/// and host list and receives the accepted updates.
 pub struct Exchange {
     handler: Arc<dyn ExchangeHandler>,
     framed: UdpFramed<UpdateCodec>,
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -31,7 +31,9 @@
     pub weight: u32,
 }
 
-/// The settings of all calls under one host name and path prefix.
+/// The settings of all calls under one host name and path prefix: the weighted services, not
+/// upstreams, that the calls lead to, the time limits, the priority, the number of upstreams that
+/// may run one call, and whether a key is needed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// The name of the route in logs and metrics.
