--- a/src/control/claims/claim_outcome.rs
+++ b/src/control/claims/claim_outcome.rs
@@ -24,10 +24,11 @@
     },
 }
 
-/// Why a claim could not be recorded.
+/// Why a claim could not be recorded although no other attempt is known to hold its key. A key that
+/// another attempt holds is a [`ClaimOutcome`] of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimRefusal {
-    /// The last calls to the platform failed.
+    /// The last calls to the platform failed, at least [`super::ClaimConf::failures_max`] in a row.
     PlatformDown,
     /// The platform did not answer in time.
     Timeout,
--- a/src/control/claims/relay.rs
+++ b/src/control/claims/relay.rs
@@ -13,6 +13,7 @@
 use crate::peer::message::PlatformReply;
 use crate::units::ObjectVersion;
 
+// The status codes of a reply. Hosts of different versions exchange them, so they must not change.
 const STATUS_DONE: u32 = 0;
 const STATUS_ABSENT: u32 = 1;
 const STATUS_CONFLICT: u32 = 2;
@@ -20,7 +21,7 @@
 const STATUS_UNAVAILABLE: u32 = 4;
 const STATUS_UNKNOWN: u32 = 5;
 
-/// A call to the platform that a peer requests.
+/// A call to the platform that a host makes for a peer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RelayedCall {
     /// Read an object.
@@ -105,6 +106,7 @@
     }
 }
 
+/// Encodes a failed call, with the reason if there is one.
 fn encode_error(error: &PlatformError) -> PlatformReply {
     let (status, why) = match error {
         PlatformError::NotFound => (STATUS_ABSENT, ""),
@@ -146,7 +148,8 @@
     }
 }
 
-/// The platform error that stands for a failed call to a peer.
+/// The platform error for a failed call to a peer. If the call may have reached the peer, the
+/// outcome of the relayed call is unknown.
 pub fn map_peer_error(error: &PeerError) -> PlatformError {
     let why = error.to_string();
     match error {
--- a/src/control/claims/shard.rs
+++ b/src/control/claims/shard.rs
@@ -21,8 +21,8 @@
 use crate::units::AttemptId;
 use crate::units::ObjectVersion;
 
-/// The next action of a shard. The driver passes the result of a read or a write to
-/// [`ClaimShard::on_read`] or [`ClaimShard::on_written`] before the next step.
+/// An action that a shard asks its driver to carry out. The driver passes the result of a read or a
+/// write to [`ClaimShard::on_read`] or [`ClaimShard::on_written`] before the next step.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ShardAction {
     /// Read the shard object.
@@ -51,6 +51,7 @@
     may_be_written: bool,
 }
 
+/// The change of an existing claim.
 #[derive(Clone, Copy, Debug)]
 enum UpdateKind {
     GiveBack,
@@ -72,6 +73,7 @@
 struct PendingUpdate {
     key: ClaimKey,
     kind: UpdateKind,
+    /// The time from which the update may cause a write of its own.
     due: Instant,
 }
 
@@ -112,13 +114,16 @@
     /// The sequence number of the read that has no result yet.
     open_read: Option<u64>,
     open_write: Option<OpenWrite>,
-    /// The version that a write with an unknown effect expected.
+    /// The version that a write with an unknown effect expected; the inner `None` stands for an
+    /// object that does not exist.
     unconfirmed_write: Option<Option<ObjectVersion>>,
     pending_claims: IndexMap<AttemptId, PendingClaim>,
     pending_updates: IndexMap<AttemptId, PendingUpdate>,
     /// When this host first saw that a claim had finished.
     finished_seen_at: IndexMap<AttemptId, Instant>,
+    /// The outcomes that the driver has not taken yet.
     outcomes: Vec<(AttemptId, ClaimOutcome)>,
+    /// The number of consecutive failed calls to the platform.
     failures: u32,
     retry_at: Option<Instant>,
     next_write_at: Option<Instant>,
@@ -126,6 +131,7 @@
     /// write. In that case the object is read before each write, since a failed write costs as much
     /// as a successful one and a read costs less.
     is_contended: bool,
+    /// Whether the object was read since the last write.
     is_just_read: bool,
 }
 
@@ -152,7 +158,8 @@
         }
     }
 
-    /// Requests a claim. The outcome is returned by [`ClaimShard::take_outcomes`].
+    /// Requests a claim. The outcome is returned by [`ClaimShard::take_outcomes`]. The claim is
+    /// refused at once while the platform is down or too much is pending.
     pub fn claim(&mut self, key: ClaimKey, claim: Claim, now: Instant) {
         let attempt = claim.attempt;
         let is_down = self.failures >= self.conf.failures_max;
@@ -204,7 +211,7 @@
         !self.pending_claims.contains_key(&attempt) && !self.pending_updates.contains_key(&attempt)
     }
 
-    /// The number of claims that are still to be recorded, given back or ended. A draining host
+    /// The number of claims that are still to be recorded, given back or finished. A draining host
     /// waits until the number is zero.
     pub fn pending(&self) -> usize {
         self.pending_claims.len() + self.pending_updates.len()
@@ -220,7 +227,8 @@
         std::mem::take(&mut self.outcomes)
     }
 
-    /// Starts the next action. At most one read or write is open at a time.
+    /// Returns the next action, and records a read or write as started. At most one read or write
+    /// is open at a time; the shard is idle until its result is passed in.
     pub fn step(&mut self, now: Instant) -> ShardAction {
         if self.open_read.is_some() || self.open_write.is_some() || self.pending() == 0 {
             return ShardAction::Idle;
@@ -245,7 +253,12 @@
         self.start_write(value, applied, now)
     }
 
-    /// Handles the result of [`ShardAction::Read`].
+    /// Handles the result of [`ShardAction::Read`]. An object that does not exist counts as an
+    /// empty shard.
+    ///
+    /// After a successful read the pending claims that the object contains are resolved as
+    /// [`ClaimOutcome::Claimed`]. After a failure the read is retried with a growing delay, and all
+    /// pending claims are refused from [`ClaimConf::failures_max`] consecutive failures on.
     pub fn on_read(&mut self, result: Result<Object, PlatformError>, now: Instant) {
         let Some(seq) = self.open_read.take() else {
             return;
@@ -268,7 +281,10 @@
         }
     }
 
-    /// Handles the result of [`ShardAction::Write`].
+    /// Handles the result of [`ShardAction::Write`]. A conflict lets the shard read the object
+    /// again at once. Other failures are handled as in [`ClaimShard::on_read`]; if the effect of
+    /// the write is unknown, its claims stay unconfirmed until the object shows whether it took
+    /// effect.
     pub fn on_written(&mut self, result: Result<ObjectVersion, PlatformError>, now: Instant) {
         let Some(write) = self.open_write.take() else {
             return;
@@ -296,8 +312,8 @@
         ShardAction::Read
     }
 
-    /// The known content with the pending updates applied if a write is due, and the attempts whose
-    /// updates were applied.
+    /// The known content after the pending updates, and the attempts whose updates were applied. If
+    /// no update is due and no claim is pending, none is applied.
     fn updated_value(&self, known: &KnownValue, now: Instant) -> (ShardValue, Vec<AttemptId>) {
         let mut value = known.value.clone();
         let mut applied = Vec::new();
@@ -351,7 +367,7 @@
         }
     }
 
-    /// The time of the next write if it is not due yet.
+    /// The time of the next write, or None if a write is due now.
     fn write_delayed_until(&self, now: Instant) -> Option<Instant> {
         let due = self.pending_updates.values().map(|update| update.due).min();
         let due = if self.pending_claims.is_empty() {
@@ -363,6 +379,8 @@
         (now < at).then_some(at)
     }
 
+    /// Returns the write of the pending claims and of `value`, or [`ShardAction::Idle`] if there is
+    /// nothing to write; in that case the `applied` updates are done.
     fn start_write(
         &mut self,
         mut value: ShardValue,
@@ -417,8 +435,8 @@
         }
     }
 
-    /// Removes the claims that finished longer ago than they are kept. This never causes a write of
-    /// its own.
+    /// Removes the claims that this host saw as finished at least [`ClaimConf::finished_memory`]
+    /// ago. The removal is part of a write that is due anyway.
     fn collect_finished(&self, value: &mut ShardValue, now: Instant) {
         value.claims.retain(|_, claim| {
             let seen_at = self.finished_seen_at.get(&claim.attempt);
@@ -427,7 +445,9 @@
         });
     }
 
-    /// Records the content of the object as of the call `seq`, and resolves what it confirms.
+    /// Records the content of the object as of the call `seq`, which succeeded, and resolves the
+    /// pending claims that the content contains. If no write is unconfirmed, also forgets the
+    /// updates that are done and those whose claim the content does not contain.
     fn set_known(
         &mut self,
         version: Option<ObjectVersion>,
@@ -474,7 +494,8 @@
         });
     }
 
-    /// Updates the times at which this host first saw claims finished.
+    /// Updates the times at which this host first saw the claims in `value` as finished, and
+    /// forgets the times of claims that `value` no longer contains.
     fn record_finished(&mut self, value: &ShardValue, now: Instant) {
         let mut seen = IndexMap::new();
         for claim in value
@@ -506,7 +527,7 @@
         }
     }
 
-    /// Refuses a pending claim and gives back what may have been recorded for it.
+    /// Refuses a pending claim, and gives the claim back in case a write has recorded it.
     fn reject(&mut self, attempt: AttemptId, why: ClaimRefusal, now: Instant) {
         self.refuse(attempt, why);
         if let Some(key) = self.pending_claims.get(&attempt).map(|pending| pending.key) {
@@ -514,12 +535,14 @@
         }
     }
 
+    /// Queues a refusal for the driver. The claim itself is not changed.
     fn refuse(&mut self, attempt: AttemptId, why: ClaimRefusal) {
         let retry_after = self.retry_after();
         let outcome = ClaimOutcome::Unavailable { why, retry_after };
         self.outcomes.push((attempt, outcome));
     }
 
+    /// Removes a pending claim and queues its outcome for the driver.
     fn resolve(&mut self, attempt: AttemptId, outcome: ClaimOutcome) {
         self.pending_claims.shift_remove(&attempt);
         self.outcomes.push((attempt, outcome));
--- a/src/control/claims/store.rs
+++ b/src/control/claims/store.rs
@@ -47,7 +47,9 @@
 
 struct DriverState {
     shard: ClaimShard,
+    /// The callers that wait for the outcome of a claim.
     waiters: IndexMap<AttemptId, oneshot::Sender<ClaimOutcome>>,
+    /// Whether a task drives the shard.
     has_task: bool,
 }
 
@@ -77,8 +79,9 @@
         Self { conf, drivers }
     }
 
-    /// Records a claim before the first dispatch. The attempt may be dispatched only if the outcome
-    /// is [`ClaimOutcome::Claimed`].
+    /// Records a claim before the first dispatch, and waits for the outcome for at most
+    /// [`ClaimConf::claim_timeout`]. The attempt may be dispatched only if the outcome is
+    /// [`ClaimOutcome::Claimed`]; after a timeout the store gives the claim back.
     pub async fn claim(&self, key: ClaimKey, claim: Claim) -> ClaimOutcome {
         let driver = self.driver(key);
         let attempt = claim.attempt;
@@ -117,7 +120,7 @@
         self.driver(key).update(finish);
     }
 
-    /// The number of claims that are still to be recorded, given back or ended. A draining host
+    /// The number of claims that are still to be recorded, given back or finished. A draining host
     /// waits a limited time until the number is zero; requests resent for claims that it leaves
     /// behind are told "may have run".
     pub fn pending(&self) -> usize {
@@ -137,7 +140,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Updates the shard and ensures that a task drives it.
+    /// Updates the shard, sends the outcomes to their waiters and ensures that a task drives the
+    /// shard.
     fn update(self: &Arc<Self>, update: impl FnOnce(&mut DriverState, Instant)) {
         let mut state = self.lock();
         update(&mut state, self.clock.now());
@@ -155,6 +159,7 @@
         runtime.spawn(Arc::clone(self).run());
     }
 
+    /// Carries out the actions of the shard until nothing is pending.
     async fn run(self: Arc<Self>) {
         loop {
             let action = {
--- a/src/control/home/controller.rs
+++ b/src/control/home/controller.rs
@@ -41,6 +41,7 @@
 /// which is one second.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
+/// The phase of a home between its takeover and its handover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// The ledger may be incomplete.
@@ -48,6 +49,7 @@
         since: Instant,
     },
     Serving,
+    /// Another host is the home; requests are redirected.
     HandedOver,
 }
 
@@ -63,6 +65,7 @@
     /// The work of the requests in the policy's queue.
     queued_work: IndexMap<RequestId, Work>,
     ledger: GrantLedger,
+    /// The number of requests that were offered to the policy during the rebuild.
     rebuild_grants: usize,
     announcements_requested_at: Option<Instant>,
     /// The request being handled, whose decision goes into the reply and is not pushed.
@@ -167,6 +170,7 @@
         std::mem::take(&mut self.actions)
     }
 
+    /// Adds a new request or refreshes a known one, and replies with its status.
     fn handle_request(&mut self, from: &HostId, work: Work, now: Instant) -> Vec<HomeAction> {
         let request = work.request;
         self.replying_to = Some(request);
@@ -193,12 +197,14 @@
     }
 
     /// Forgets the request of a grant that must not be used any more, so that the repeated request
-    /// is decided anew.
+    /// is decided anew. Such a grant is orphaned, or its host has not announced it and one of its
+    /// upstreams is leaving.
     ///
-    /// A host repeats a request if it has not received its grant or found it stale. By then the
-    /// upstream may be leaving and must not get new work, or the grant may be orphaned, so that a
-    /// cancel on its way would end the attempt. The old grant stays in the ledger until its host or
-    /// the engine has shown that it is not used, since it may have crossed the repeated request.
+    /// A host repeats a request if it has not received the grant or found the grant stale. By then
+    /// an upstream of the grant may be leaving and must not get new work, or a cancel of the
+    /// orphaned grant may be on its way and would end the attempt. The old grant stays in the
+    /// ledger until its host or the engine has shown that the grant is not used, since the grant
+    /// may have crossed the repeated request.
     fn forget_unusable_grant(&mut self, request: RequestId) {
         let Some(RequestState::Granted(granted)) =
             self.requests.get(request).map(|entry| &entry.state)
@@ -233,13 +239,14 @@
         }
     }
 
+    /// Puts a request into the queue of the policy.
     fn offer(&mut self, work: Work, now: Instant) {
         self.queued_work.insert(work.request, work.clone());
         self.policy.offer(work, now);
     }
 
     /// Whether the request may be decided while the ledger is rebuilt; if so, the request is
-    /// counted against the limit. The ledger may not count all taken memory yet, but a few short
+    /// counted against the limit. The ledger may not count all held memory yet, but a few short
     /// requests nearly always fit, and their callers need not wait.
     fn take_rebuild_grant(&mut self, work: &Work) -> bool {
         let max = self.engines.live_count() * self.conf.rebuild_grants_per_upstream;
@@ -254,6 +261,8 @@
         self.apply_changes(changes, now);
     }
 
+    /// Ends a grant that its holder reports as ended. The report of another host is ignored. After
+    /// a failed attempt the grant is orphaned and its memory stays counted.
     fn handle_finish(&mut self, from: &HostId, grant: GrantId, done: AttemptSummary, now: Instant) {
         if self
             .ledger
@@ -273,7 +282,7 @@
             self.policy.finish(grant, done, now);
         }
         if ended != AttemptOutcome::Failed {
-            self.ledger.end(grant, true, now);
+            self.ledger.record_end(grant, true, now);
             return;
         }
         // The host has lost the stream, but the engine may go on with the attempt. The policy is
@@ -284,6 +293,7 @@
         }
     }
 
+    /// Forgets a request of a host. A grant that the host has not announced ends with it.
     fn withdraw(&mut self, from: &HostId, request: RequestId, now: Instant) {
         let is_owner = |entry: &RequestEntry| entry.host == *from;
         if !self.requests.get(request).is_some_and(is_owner) {
@@ -297,7 +307,7 @@
             RequestState::Queued => self.policy.withdraw(request, now),
             // The withdrawal crossed the grant, which the host will not use.
             RequestState::Granted(granted) if !self.ledger.is_announced(granted.grant) => {
-                if self.ledger.end(granted.grant, false, now) {
+                if self.ledger.record_end(granted.grant, false, now) {
                     self.policy
                         .finish(granted.grant, unmeasured_end(AttemptOutcome::NotSent), now);
                 }
@@ -325,7 +335,7 @@
     }
 
     fn set_upstreams(&mut self, upstreams: &[UpstreamInfo], now: Instant) {
-        let removed = self.engines.set(upstreams, now);
+        let removed = self.engines.replace(upstreams, now);
         self.policy.set_upstreams(upstreams, now);
         for upstream in removed {
             let changes = self.ledger.remove_upstream(&upstream, now);
@@ -333,11 +343,12 @@
         }
     }
 
+    /// Passes changes of the ledger on to the policy.
     fn apply_changes(&mut self, changes: Vec<LedgerChange>, now: Instant) {
         for change in changes {
             match change {
                 LedgerChange::Adopt(grant) => self.policy.adopt(grant, now),
-                LedgerChange::Drop(grant) => {
+                LedgerChange::Remove(grant) => {
                     self.requests.forget_grant(grant);
                     self.policy
                         .finish(grant, unmeasured_end(AttemptOutcome::Cancelled), now);
@@ -346,8 +357,10 @@
         }
     }
 
+    /// Withdraws requests that are no longer repeated, and forgets old refusals, ends and dead
+    /// hosts.
     fn tick(&mut self, now: Instant) {
-        for request in self.requests.abandoned(self.conf.reask_grace, now) {
+        for request in self.requests.abandoned_requests(self.conf.reask_grace, now) {
             let host = self.requests.get(request).map(|entry| entry.host.clone());
             if let Some(host) = host {
                 self.withdraw(&host, request, now);
@@ -364,9 +377,10 @@
         });
     }
 
-    /// Compares the ledger with hosts and engines, and repeats the actions that are still needed.
+    /// Detects orphaned grants and starts or repeats the actions that are due: cancels, queries of
+    /// engines and requests for announcements. Ends the rebuild if it is complete.
     fn reconcile(&mut self, now: Instant) {
-        self.ledger.mark_orphans(&self.hosts, &self.conf, now);
+        self.ledger.detect_orphans(&self.hosts, &self.conf, now);
         for (upstream, attempt) in self.ledger.start_cancels(self.conf.cancel_retry, now) {
             log::info!(
                 "home: {}: cancel attempt {attempt} on {upstream}: no host waits for its answer",
@@ -386,6 +400,9 @@
         }
     }
 
+    /// Requests announcements at most once per list interval: during the rebuild from the members
+    /// that have never announced, later from the hosts of grants that were not announced for too
+    /// long.
     fn request_announcements(&mut self, now: Instant) {
         let is_early = |at: Instant| now.duration_since(at) < self.conf.list_interval;
         if self.announcements_requested_at.is_some_and(is_early) {
@@ -404,6 +421,8 @@
         self.actions.extend(silent.into_iter().map(request));
     }
 
+    /// Ends the rebuild once all engines and hosts have reported or its time is over, and offers
+    /// the deferred requests to the policy.
     fn end_rebuild(&mut self, now: Instant) {
         let Phase::Rebuilding { since } = self.phase else {
             return;
@@ -418,7 +437,7 @@
             self.pool,
             self.ledger.len()
         );
-        for work in self.requests.deferred() {
+        for work in self.requests.deferred_work() {
             if let Some(entry) = self.requests.get_mut(work.request) {
                 entry.state = RequestState::Queued;
             }
@@ -426,6 +445,8 @@
         }
     }
 
+    /// Records the decisions of the policy and pushes them to the hosts. The decision on the
+    /// request being handled is not pushed, since it goes into the reply.
     fn decide(&mut self, now: Instant) {
         for decision in self.policy.poll(now) {
             match decision {
@@ -447,6 +468,7 @@
         }
     }
 
+    /// Records a grant in the ledger and sends it to its host.
     fn issue_grant(&mut self, grant: &Grant, now: Instant) {
         let Some(work) = self.queued_work.swap_remove(&grant.request) else {
             // The request was withdrawn while the policy decided.
@@ -488,7 +510,7 @@
     fn hand_over(&mut self, now: Instant) -> Vec<HomeAction> {
         self.phase = Phase::HandedOver;
         let mut actions = std::mem::take(&mut self.actions);
-        for (request, host) in self.requests.waiting() {
+        for (request, host) in self.requests.waiting_requests() {
             self.policy.withdraw(request, now);
             let status = GrantStatus::NotHome;
             let answer = HomeAnswer { request, status };
--- a/src/control/home/engine_table.rs
+++ b/src/control/home/engine_table.rs
@@ -9,12 +9,14 @@
 use crate::decide::UpstreamInfo;
 use crate::units::UpstreamId;
 
+/// The health of one engine, and the state of the queries for its attempts.
 #[derive(Clone, Debug)]
 struct EngineEntry {
     health: UpstreamHealth,
     /// The sequence number and the time of the query that has no answer yet.
     open_query: Option<(u64, Instant)>,
     next_list_at: Instant,
+    /// Whether the engine has answered a query.
     is_listed: bool,
 }
 
@@ -27,8 +29,9 @@
 }
 
 impl EngineTable {
-    /// Replaces the set of engines and returns those that were removed.
-    pub(crate) fn set(&mut self, upstreams: &[UpstreamInfo], now: Instant) -> Vec<UpstreamId> {
+    /// Replaces the set of engines and returns the removed ones. Engines that stay keep the state
+    /// of their queries.
+    pub(crate) fn replace(&mut self, upstreams: &[UpstreamInfo], now: Instant) -> Vec<UpstreamId> {
         let mut old = self.engines.take().unwrap_or_default();
         let mut engines = IndexMap::new();
         for info in upstreams {
@@ -52,6 +55,7 @@
         engine.is_some_and(|engine| engine.health == UpstreamHealth::Live)
     }
 
+    /// The number of engines that may get new work.
     pub(crate) fn live_count(&self) -> usize {
         let engines = self.engines.iter().flat_map(IndexMap::values);
         let live = engines.filter(|engine| engine.health == UpstreamHealth::Live);
@@ -64,7 +68,8 @@
         engines.is_some_and(|all| all.values().all(|engine| engine.is_listed))
     }
 
-    /// Starts the queries that are due and returns their engines and sequence numbers.
+    /// Returns the engines to query now, each with the sequence number of its query, and records
+    /// the queries as sent. An engine whose last query timed out is queried again.
     pub(crate) fn start_queries(
         &mut self,
         conf: &HomeConf,
@@ -84,8 +89,8 @@
         due
     }
 
-    /// Closes the query that an engine has answered and returns when the query was sent. The
-    /// answer to an earlier query is ignored, since it may show an older state.
+    /// Closes the query that an engine has answered and returns when the query was sent. Returns
+    /// None for the answer to an earlier query, which may show an older state.
     pub(crate) fn close_query(&mut self, upstream: &UpstreamId, seq: u64) -> Option<Instant> {
         let engine = self.engines.as_mut()?.get_mut(upstream)?;
         let (_, asked_at) = engine.open_query.take_if(|(open, _)| *open == seq)?;
--- a/src/control/home/grant_ledger.rs
+++ b/src/control/home/grant_ledger.rs
@@ -29,13 +29,14 @@
 /// first.
 const INFERRED_GRANT_DEADLINE: Duration = Duration::from_secs(3_600);
 
-/// A change of the ledger that the policy has to be told.
+/// A change of the ledger that the caller has to pass on to the policy.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum LedgerChange {
-    /// A grant that the policy does not know holds memory.
+    /// The policy must count the memory of a grant that it does not know.
     Adopt(LiveGrant),
-    /// A grant has ended without a report of its host.
-    Drop(GrantId),
+    /// The policy must stop counting a grant that has ended without a report of its host, or whose
+    /// contents are replaced by a [`LedgerChange::Adopt`] that follows.
+    Remove(GrantId),
 }
 
 /// The memory that a grant holds at one engine.
@@ -44,9 +45,11 @@
     /// Whether the engine is gone, or did not list the attempt in answer to a query that was sent
     /// late enough to show it.
     is_released: bool,
+    /// When the home last sent a cancel of the attempt to the engine.
     cancelled_at: Option<Instant>,
 }
 
+/// A grant, what the home knows of its owner, and the memory that the grant holds.
 #[derive(Clone, Debug)]
 struct LedgerEntry {
     grant: LiveGrant,
@@ -86,7 +89,7 @@
         }
         self.grant.upstreams.push(upstream.clone());
         vec![
-            LedgerChange::Drop(self.grant.id),
+            LedgerChange::Remove(self.grant.id),
             LedgerChange::Adopt(self.grant.clone()),
         ]
     }
@@ -105,6 +108,7 @@
     }
 }
 
+/// When a grant ended, and how the home learned of the end.
 #[derive(Clone, Copy, Debug)]
 struct EndRecord {
     at: Instant,
@@ -159,21 +163,25 @@
         self.entries.len()
     }
 
-    /// Removes the entry of a grant that has ended. Returns whether there was an entry.
-    pub(crate) fn end(&mut self, grant: GrantId, by_host: bool, now: Instant) -> bool {
+    /// Removes the entry of a grant that has ended, and remembers the end, also of an unknown
+    /// grant. The answer to an earlier query of an engine then does not restore the entry, nor does
+    /// an announcement if the host itself reported the end (`by_host`). Returns whether there was
+    /// an entry. The caller has to tell the policy of the end.
+    pub(crate) fn record_end(&mut self, grant: GrantId, by_host: bool, now: Instant) -> bool {
         self.ended.insert(grant, EndRecord { at: now, by_host });
         self.entries.swap_remove(&grant).is_some()
     }
 
-    /// Records that nobody waits for the answer any more although engines may still hold memory
-    /// for it. Returns the grant, whose memory stays counted.
+    /// Records that nobody waits for the answer any more although engines may still hold memory for
+    /// it. Returns the grant, whose memory stays counted.
     pub(crate) fn mark_orphaned(&mut self, grant: GrantId, now: Instant) -> Option<LiveGrant> {
         let entry = self.entries.get_mut(&grant)?;
         entry.orphaned_at.get_or_insert(now);
         Some(entry.grant.clone())
     }
 
-    /// Merges the grants that a host has announced.
+    /// Merges the grants that a host has announced, which have an owner again if they were
+    /// orphaned. Grants whose end the host has reported are ignored.
     pub(crate) fn apply_announcement(
         &mut self,
         grants: Vec<LiveGrant>,
@@ -200,7 +208,7 @@
         let known = self.entries.get(&id);
         if known.is_none_or(|entry| entry.is_inferred) {
             if known.is_some() {
-                changes.push(LedgerChange::Drop(id));
+                changes.push(LedgerChange::Remove(id));
             }
             changes.push(LedgerChange::Adopt(grant.clone()));
             self.entries.insert(id, LedgerEntry::new(grant, now));
@@ -213,6 +221,11 @@
     }
 
     /// Merges the attempts that an engine has listed in answer to a query sent at `asked_at`.
+    ///
+    /// Every listed attempt gets an entry unless it ended after the query. An attempt that is not
+    /// listed holds no memory at this engine if the query was sent after the grant was orphaned or,
+    /// for a grant with an owner, at least `grace` after the grant was last seen. An entry ends
+    /// once it holds no memory at any engine.
     pub(crate) fn apply_engine_list(
         &mut self,
         upstream: &UpstreamId,
@@ -233,13 +246,15 @@
             };
             hold.is_released = !is_listed && is_conclusive;
         }
-        let mut changes = self.drop_released(now);
+        let mut changes = self.end_released(now);
         for run in running {
             changes.extend(self.apply_listed_attempt(upstream, run, asked_at, now));
         }
         changes
     }
 
+    /// Adds the engine to the entry of a listed attempt, or adds an inferred entry. Does nothing if
+    /// the grant has ended since the query was sent.
     fn apply_listed_attempt(
         &mut self,
         upstream: &UpstreamId,
@@ -264,7 +279,8 @@
         vec![LedgerChange::Adopt(grant)]
     }
 
-    /// Records that an engine holds no memory for an attempt any more.
+    /// Records that an engine holds no memory for an orphaned attempt any more. Ignored if the host
+    /// of the attempt has announced it again meanwhile.
     pub(crate) fn confirm_cancel(
         &mut self,
         upstream: &UpstreamId,
@@ -277,10 +293,10 @@
         {
             entry.holds.swap_remove(upstream);
         }
-        self.drop_released(now)
+        self.end_released(now)
     }
 
-    /// Records that an upstream is gone, and its memory with it.
+    /// Records that an upstream was removed and holds no memory any more.
     pub(crate) fn remove_upstream(
         &mut self,
         upstream: &UpstreamId,
@@ -291,11 +307,13 @@
                 hold.is_released = true;
             }
         }
-        self.drop_released(now)
+        self.end_released(now)
     }
 
-    /// Marks the entries whose owner is lost as orphaned.
-    pub(crate) fn mark_orphans(&mut self, hosts: &HostTable, conf: &HomeConf, now: Instant) {
+    /// Marks as orphaned the grants that no host waits for: those of dead or unknown hosts after a
+    /// grace period, and those that their hosts have stopped announcing. [`Self::start_cancels`]
+    /// then returns cancels for them.
+    pub(crate) fn detect_orphans(&mut self, hosts: &HostTable, conf: &HomeConf, now: Instant) {
         for entry in self.entries.values_mut() {
             if entry.orphaned_at.is_none() && entry.has_lost_owner(hosts, conf, now) {
                 entry.orphaned_at = Some(now);
@@ -303,7 +321,8 @@
         }
     }
 
-    /// Returns the cancels that are due and records them as sent.
+    /// Returns the cancels of orphaned grants that are due, and records them as sent. A cancel is
+    /// due again `retry` after the last one.
     pub(crate) fn start_cancels(
         &mut self,
         retry: Duration,
@@ -345,14 +364,14 @@
     }
 
     /// Ends the grants that hold no memory at any engine.
-    fn drop_released(&mut self, now: Instant) -> Vec<LedgerChange> {
+    fn end_released(&mut self, now: Instant) -> Vec<LedgerChange> {
         let holds_nothing = |entry: &LedgerEntry| entry.holds.values().all(|hold| hold.is_released);
         let released = self.entries.values().filter(|entry| holds_nothing(entry));
         let ids: Vec<GrantId> = released.map(|entry| entry.grant.id).collect();
         for id in &ids {
-            self.end(*id, false, now);
+            self.record_end(*id, false, now);
         }
-        ids.into_iter().map(LedgerChange::Drop).collect()
+        ids.into_iter().map(LedgerChange::Remove).collect()
     }
 }
 
--- a/src/control/home/host_table.rs
+++ b/src/control/home/host_table.rs
@@ -8,11 +8,14 @@
 use crate::control::home::HomeConf;
 use crate::units::HostId;
 
-/// The state of one host.
+/// When a host last announced its grants, since when it is dead, and whether it is a living member.
 #[derive(Clone, Copy, Debug, Default)]
 struct HostEntry {
+    /// When the host last announced its grants.
     announced_at: Option<Instant>,
+    /// Since when membership considers the host dead.
     dead_since: Option<Instant>,
+    /// Whether membership considers the host alive.
     is_member: bool,
 }
 
@@ -39,6 +42,7 @@
         self.hosts.entry(host.clone()).or_default().announced_at = Some(now);
     }
 
+    /// When the host last announced its grants; None if it never did.
     pub(crate) fn announced_at(&self, host: &HostId) -> Option<Instant> {
         self.hosts.get(host).and_then(|entry| entry.announced_at)
     }
@@ -80,6 +84,7 @@
         self.hosts.values().filter(|entry| entry.is_member).count()
     }
 
+    /// Whether at least as many members are alive as have died.
     fn acts_on_deaths(&self) -> bool {
         let dead = self
             .hosts
@@ -101,14 +106,16 @@
         hosts.map(|(host, _)| host.clone()).collect()
     }
 
-    /// Forgets hosts that died longer ago than `after` and hold no grant.
+    /// Forgets hosts that died longer ago than `after` and hold no grant. Forgets none while more
+    /// hosts are dead than alive.
     pub(crate) fn forget_dead(
         &mut self,
         after: Duration,
         now: Instant,
         holds_grants: impl Fn(&HostId) -> bool,
     ) {
-        // Forgetting dead hosts one by one would let the remaining members outnumber the dead.
+        // Otherwise dead hosts would be forgotten one by one until the living outnumber the dead,
+        // and an isolated home would act on the remaining deaths.
         if !self.acts_on_deaths() {
             return;
         }
--- a/src/control/home/request_table.rs
+++ b/src/control/home/request_table.rs
@@ -60,6 +60,7 @@
 pub(crate) struct RequestTable {
     requests: IndexMap<RequestId, RequestEntry>,
     by_grant: IndexMap<GrantId, RequestId>,
+    /// When each refused request was refused.
     refused: IndexMap<RequestId, Instant>,
 }
 
@@ -72,6 +73,7 @@
         self.requests.get(&request)
     }
 
+    /// Adds a request. The table itself does not limit the number of requests.
     pub(crate) fn insert(&mut self, request: RequestId, entry: RequestEntry) {
         self.requests.insert(request, entry);
     }
@@ -116,23 +118,24 @@
         }
     }
 
-    /// The waiting requests that their hosts have not repeated for longer than `grace`.
-    pub(crate) fn abandoned(&self, grace: Duration, now: Instant) -> Vec<RequestId> {
+    /// The deferred and queued requests that their hosts have not repeated for longer than `grace`.
+    pub(crate) fn abandoned_requests(&self, grace: Duration, now: Instant) -> Vec<RequestId> {
         let is_old = |entry: &RequestEntry| now.duration_since(entry.asked_at) > grace;
         let abandoned = self.iter_waiting().filter(|(_, entry)| is_old(entry));
         abandoned.map(|(request, _)| *request).collect()
     }
 
-    /// All waiting requests with their hosts.
-    pub(crate) fn waiting(&self) -> Vec<(RequestId, HostId)> {
+    /// All requests that are deferred or queued, with their hosts.
+    pub(crate) fn waiting_requests(&self) -> Vec<(RequestId, HostId)> {
         let waiting = self.iter_waiting();
         waiting
             .map(|(request, entry)| (*request, entry.host.clone()))
             .collect()
     }
 
-    /// The requests that wait until the ledger is rebuilt, oldest first.
-    pub(crate) fn deferred(&self) -> Vec<Work> {
+    /// The work of the requests that wait until the ledger is rebuilt, in order of arrival unless
+    /// requests were removed meanwhile.
+    pub(crate) fn deferred_work(&self) -> Vec<Work> {
         let work = |entry: &RequestEntry| match &entry.state {
             RequestState::Deferred(work) => Some(work.clone()),
             _ => None,
--- a/src/control/home/wire.rs
+++ b/src/control/home/wire.rs
@@ -53,10 +53,12 @@
     id.to_be_bytes().to_vec()
 }
 
+/// Whole milliseconds, rounded down.
 fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
+/// Whole microseconds, rounded down.
 fn micros(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
@@ -70,7 +72,7 @@
     upstreams.iter().map(ToString::to_string).collect()
 }
 
-/// Encodes work, with its deadline relative to `now`.
+/// Encodes work, with the time from `now` to its deadline in milliseconds.
 pub fn encode_work(work: &Work, now: Instant) -> message::WorkItem {
     let prefix = |(hash, tokens): &(ContentHash, Tokens)| message::PrefixHash {
         hash: encode_id(hash.0),
@@ -89,7 +91,7 @@
     }
 }
 
-/// Decodes work, with its deadline relative to `now`.
+/// Decodes work, whose deadline is `now` plus the remaining time in the message.
 pub fn decode_work(item: &message::WorkItem, now: Instant) -> Result<Work, WireError> {
     let prefix = |prefix: &message::PrefixHash| {
         let hash = decode_id(&prefix.hash, "prefixes")?;
@@ -194,7 +196,7 @@
     Ok((pool, RequestId(decode_id(&withdraw.request, "request")?)))
 }
 
-/// Encodes the end of a grant.
+/// Encodes the report that a grant has ended, with the summary of its attempt.
 pub fn encode_finish(pool: &PoolId, grant: GrantId, done: &AttemptSummary) -> message::Finish {
     let report = message::AttemptReport {
         ended: encode_outcome(done.ended),
@@ -211,7 +213,7 @@
     }
 }
 
-/// Decodes the end of a grant.
+/// Decodes the report that a grant has ended, with the summary of its attempt.
 pub fn decode_finish(
     finish: &message::Finish,
 ) -> Result<(PoolId, GrantId, AttemptSummary), WireError> {
--- a/src/control/home_assignment/assignment.rs
+++ b/src/control/home_assignment/assignment.rs
@@ -8,7 +8,7 @@
 
 /// Assigns each key to one candidate, with at most `load_max` keys for each candidate.
 ///
-/// Pairs are considered by falling weight; a pair is used if its key is unassigned and its
+/// Pairs are considered by descending weight; a pair is used if its key is unassigned and its
 /// candidate is below `load_max`. The result depends only on the sets of keys and candidates, not
 /// on their order. If a candidate is removed, its keys move, and each may displace a key that the
 /// new candidate had at a lower weight.
@@ -25,7 +25,7 @@
     assignment
 }
 
-/// All pairs of a key and a candidate, sorted by falling weight.
+/// All pairs of a key and a candidate, sorted by descending weight.
 pub(crate) fn pairs_by_weight<'a>(
     keys: &[&'a str],
     candidates: &[&'a str],
--- a/src/control/home_assignment/home_table.rs
+++ b/src/control/home_assignment/home_table.rs
@@ -36,8 +36,8 @@
 impl HomeTable {
     /// Assigns `pools` to `members`. The order of either does not matter.
     pub fn new(pools: &[PoolId], members: &[Member]) -> Self {
-        let layout = Layout::new(pools, members);
-        let homes = layout.homes_without(&[]);
+        let assigner = PoolAssigner::new(pools, members);
+        let homes = assigner.homes_without(&[]);
         let mut candidates: IndexMap<PoolId, Vec<HostId>> = IndexMap::new();
         let mut homes_by_excluded: IndexMap<Vec<&str>, IndexMap<&str, &str>> = IndexMap::new();
         for pool in pools {
@@ -45,23 +45,24 @@
             while !ranked.is_empty() && ranked.len() < CANDIDATES_PER_POOL {
                 let homes = homes_by_excluded
                     .entry(ranked.clone())
-                    .or_insert_with(|| layout.homes_without(&ranked));
+                    .or_insert_with(|| assigner.homes_without(&ranked));
                 match homes.get(pool.as_str()) {
                     Some(next) => ranked.push(next),
                     None => break,
                 }
             }
-            candidates.insert(pool.clone(), layout.hosts(&ranked));
+            candidates.insert(pool.clone(), assigner.hosts(&ranked));
         }
         Self { candidates }
     }
 
-    /// The home of a pool, followed by the hosts that take over in turn; empty if there is none.
+    /// The home of a pool, followed by the hosts that take over in turn; empty if the pool has no
+    /// home or is unknown.
     pub fn candidates(&self, pool: &PoolId) -> &[HostId] {
         self.candidates.get(pool).map_or(&[], Vec::as_slice)
     }
 
-    /// The home of a pool, if a host is eligible.
+    /// The home of a pool; None if no host is eligible or the pool is unknown.
     pub fn home_of(&self, pool: &PoolId) -> Option<&HostId> {
         self.candidates(pool).first()
     }
@@ -75,14 +76,15 @@
     }
 }
 
-/// The pools, the members, and all pairs of both by falling weight.
-struct Layout<'a> {
+/// The pools, the members, and all pairs of both by descending weight, from which pools are
+/// assigned to members.
+struct PoolAssigner<'a> {
     pools: Vec<&'a str>,
     members: IndexMap<&'a str, &'a Member>,
     pairs: Vec<(&'a str, &'a str)>,
 }
 
-impl<'a> Layout<'a> {
+impl<'a> PoolAssigner<'a> {
     fn new(pools: &'a [PoolId], members: &'a [Member]) -> Self {
         let pools: Vec<&str> = pools.iter().map(PoolId::as_str).collect();
         let members: IndexMap<&str, &Member> = members
@@ -98,11 +100,12 @@
         }
     }
 
-    /// The home of each pool if the hosts in `excluded` are not eligible either.
+    /// The home of each pool if the hosts in `excluded` are treated as not eligible, like those
+    /// that are not eligible now. Empty if no eligible host is left.
     fn homes_without(&self, excluded: &[&str]) -> IndexMap<&'a str, &'a str> {
         let mut homes = IndexMap::new();
         let load_max = load_max_of(self.pools.len(), self.members.len());
-        self.assign_free_pools(&mut homes, load_max, |_| true);
+        self.assign_remaining_pools(&mut homes, load_max, |_| true);
         let is_eligible = |host: &str| {
             let member = self.members.get(host);
             member.is_some_and(|member| member.is_eligible) && !excluded.contains(&host)
@@ -110,12 +113,13 @@
         homes.retain(|_, host| is_eligible(host));
         let eligible = self.members.keys().filter(|host| is_eligible(host)).count();
         let load_max = load_max_of(self.pools.len(), eligible);
-        self.assign_free_pools(&mut homes, load_max, is_eligible);
+        self.assign_remaining_pools(&mut homes, load_max, is_eligible);
         homes
     }
 
-    /// Assigns the pools without a home to hosts that `is_allowed` accepts, by falling weight.
-    fn assign_free_pools(
+    /// Assigns the pools that have no home in `homes` to hosts that `is_allowed` accepts, by
+    /// descending weight.
+    fn assign_remaining_pools(
         &self,
         homes: &mut IndexMap<&'a str, &'a str>,
         load_max: usize,
@@ -140,7 +144,7 @@
     }
 }
 
-/// The maximum number of pools of one host.
+/// The maximum number of pools of one host if `pools` are spread over `hosts`.
 fn load_max_of(pools: usize, hosts: usize) -> usize {
     (pools * LOAD_PERCENT_MAX).div_ceil(hosts.max(1) * 100)
 }
--- a/src/control/home_assignment/rendezvous.rs
+++ b/src/control/home_assignment/rendezvous.rs
@@ -12,8 +12,8 @@
     hasher.digest()
 }
 
-/// Sorts the candidates by falling weight for the key. The order of the remaining candidates stays
-/// the same if one is removed.
+/// Sorts the candidates by descending weight for the key. The order of the remaining candidates
+/// stays the same if one is removed.
 pub fn rank<C: AsRef<str> + Clone>(key: &str, candidates: &[C]) -> Vec<C> {
     let mut ranked: Vec<C> = candidates.to_vec();
     ranked.sort_by_cached_key(|candidate| {
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -391,7 +391,7 @@
     conflict = { Err(PlatformError::Conflict) },
     refused = { Err(PlatformError::Refused("too large".to_owned())) },
     unavailable = { Err(PlatformError::Unavailable("down".to_owned())) },
-    in_doubt = { Err(unknown()) },
+    outcome_unknown = { Err(unknown()) },
 )]
 fn relayed_results_keep_their_kind(result: Result<ObjectVersion, PlatformError>) {
     let reply = relay::encode_put_result(&result);
--- a/tests/homes.rs
+++ b/tests/homes.rs
@@ -70,7 +70,7 @@
 }
 
 #[parameterized(
-    today = { 9, 3 },
+    small_site = { 9, 3 },
     few_pools = { 5, 7 },
     target_size = { 14, 67 },
     many_pools = { 200, 11 },
@@ -93,7 +93,7 @@
 /// A home dies, and the next candidates take over its pools. If other pools moved too, their
 /// ledgers would be rebuilt without need, and their callers would wait.
 #[parameterized(
-    today = { 9, 3 },
+    small_site = { 9, 3 },
     target_size = { 14, 67 },
     full_hosts = { 64, 8 },
 )]
@@ -127,7 +127,7 @@
 
 #[parameterized(
     one = { 1, 1 },
-    today = { 20, 2 },
+    small_site = { 20, 2 },
     full = { 24, 2 },
     target_size = { 152, 13 },
 )]
--- a/tests/worlds/claim_world.rs
+++ b/tests/worlds/claim_world.rs
@@ -252,8 +252,8 @@
             return;
         }
         let request = self.hosts[at].claimed.remove(0);
-        let mut record = RunTracker::new(false);
-        record.on_send();
+        let mut tracker = RunTracker::new(false);
+        tracker.on_send();
         if !matches!(
             result,
             EngineResult::Refuses | EngineResult::CrashesBeforeRun
@@ -261,15 +261,15 @@
             self.ran[request.key].push(request.attempt);
         }
         match result {
-            EngineResult::Completes => record.on_completed(),
+            EngineResult::Completes => tracker.on_completed(),
             EngineResult::Refuses => {
-                record.on_failure(&UpstreamError::NotSent("refused".to_owned()));
+                tracker.on_failure(&UpstreamError::NotSent("refused".to_owned()));
             }
             EngineResult::CrashesBeforeRun | EngineResult::CrashesAfterRun => {
-                record.on_failure(&UpstreamError::Interrupted("crash".to_owned()));
+                tracker.on_failure(&UpstreamError::Interrupted("crash".to_owned()));
             }
         }
-        let outcome = record.outcome();
+        let outcome = tracker.outcome();
         self.report(request, outcome);
         let state = match outcome {
             Outcome::NotRun => return self.give_back(at, request),
