--- a/src/control/home/grant_ledger.rs
+++ b/src/control/home/grant_ledger.rs
@@ -137,17 +137,20 @@
         }
     }
 
+    /// Whether the host of the grant has announced it. False if the grant is unknown.
     pub(crate) fn is_announced(&self, grant: GrantId) -> bool {
         self.entries
             .get(&grant)
             .is_some_and(|entry| entry.is_announced)
     }
 
+    /// Whether nobody waits for the answer. False if the grant is unknown.
     pub(crate) fn is_orphaned(&self, grant: GrantId) -> bool {
         let entry = self.entries.get(&grant);
         entry.is_some_and(|entry| entry.orphaned_at.is_some())
     }
 
+    /// The host that the grant was issued to; None if the grant is unknown.
     pub(crate) fn holder(&self, grant: GrantId) -> Option<&HostId> {
         self.entries.get(&grant).map(|entry| &entry.grant.work.host)
     }
@@ -194,6 +197,7 @@
         changes
     }
 
+    /// Replaces an inferred entry by the announced grant, or adds an entry for an unknown grant.
     fn apply_announced_grant(
         &mut self,
         grant: LiveGrant,
@@ -376,7 +380,8 @@
 }
 
 /// A grant that is inferred from an attempt that an engine lists, so that the memory is counted
-/// until the host announces the grant or the attempt is cancelled.
+/// until the host announces the grant or the attempt is cancelled. The host stands in for the
+/// unknown customer; None if its name is not a valid customer id.
 fn inferred_grant(upstream: &UpstreamId, run: &RunningAttempt, now: Instant) -> Option<LiveGrant> {
     let work = Work {
         request: RequestId(run.attempt.0),
--- a/src/control/home/host_table.rs
+++ b/src/control/home/host_table.rs
@@ -26,18 +26,22 @@
 }
 
 impl HostTable {
+    /// Records that membership considers the host alive, and forgets an earlier death.
     pub(crate) fn set_alive(&mut self, host: &HostId) {
         let entry = self.hosts.entry(host.clone()).or_default();
         entry.dead_since = None;
         entry.is_member = true;
     }
 
+    /// Records that membership considers the host dead; repeated reports keep the time of the
+    /// first.
     pub(crate) fn set_dead(&mut self, host: &HostId, now: Instant) {
         let entry = self.hosts.entry(host.clone()).or_default();
         entry.dead_since.get_or_insert(now);
         entry.is_member = false;
     }
 
+    /// Records an announcement of the host, which need not be a member.
     pub(crate) fn set_announced(&mut self, host: &HostId, now: Instant) {
         self.hosts.entry(host.clone()).or_default().announced_at = Some(now);
     }
@@ -80,6 +84,7 @@
         }
     }
 
+    /// The number of hosts that membership considers alive.
     fn member_count(&self) -> usize {
         self.hosts.values().filter(|entry| entry.is_member).count()
     }
--- a/src/control/home/request_table.rs
+++ b/src/control/home/request_table.rs
@@ -78,6 +78,7 @@
         self.requests.insert(request, entry);
     }
 
+    /// Forgets a request in any state and returns its entry.
     pub(crate) fn remove(&mut self, request: RequestId) -> Option<RequestEntry> {
         self.refused.swap_remove(&request);
         let entry = self.requests.swap_remove(&request)?;
@@ -87,6 +88,7 @@
         Some(entry)
     }
 
+    /// Records that a request is granted. Does nothing if the request is unknown.
     pub(crate) fn set_granted(&mut self, request: RequestId, granted: IssuedGrant) {
         if let Some(entry) = self.requests.get_mut(&request) {
             self.by_grant.insert(granted.grant, request);
@@ -94,6 +96,8 @@
         }
     }
 
+    /// Records that a request is refused; `state` holds the refusal. Does nothing if the request is
+    /// unknown.
     pub(crate) fn set_refused(&mut self, request: RequestId, state: RequestState, now: Instant) {
         if let Some(entry) = self.requests.get_mut(&request) {
             entry.state = state;
