--- a/soak/src/call.rs
+++ b/soak/src/call.rs
@@ -1,4 +1,4 @@
-//! The classes of calls, the manifest with their routes, and the expected responses.
+//! The classes of calls, the manifest with their routes, and the expected requests and responses.
 
 use std::time::Duration;
 
@@ -76,13 +76,14 @@
         }
     }
 
-    /// Returns the maximum number of upstreams that may be tried for one call.
+    /// Returns the maximum number of upstreams that may run one call.
     pub fn runs_max(self) -> u32 {
         // Calls that must run at most once may also be sent a second time if the first upstream did
         // not run them.
         2
     }
 
+    /// Returns the kind of the route in the manifest.
     fn call_kind(self) -> CallKind {
         match self {
             Self::Idempotent | Self::Moving => CallKind::Idempotent,
@@ -92,6 +93,7 @@
     }
 }
 
+/// Returns the performance model of the engines in the manifest.
 fn engine_model() -> EngineModel {
     EngineModel {
         slots: 16,
@@ -105,8 +107,8 @@
     }
 }
 
-/// Returns the manifest with this version number, service of the moving route and customers with
-/// their keys.
+/// Returns the manifest with this version. The route of [`CallClass::Moving`] leads to the service
+/// `moving_to`. Customers are given with their keys.
 pub fn manifest(
     version: u64,
     moving_to: &str,
@@ -156,7 +158,8 @@
     4 + u32::try_from(xxh3_64(request.as_bytes()) % 12).unwrap_or(0)
 }
 
-/// Returns the data of one event.
+/// Returns the data of the event with this id in the response to a prompt. The data is a hash,
+/// which is the same at every engine.
 pub fn event_data(request: &str, id: u32) -> String {
     format!("{:016x}", xxh3_64(format!("{request} {id}").as_bytes()))
 }
--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -30,7 +30,7 @@
 /// How long a caller waits for the final response beyond its deadline.
 const RESPONSE_GRACE: Duration = Duration::from_secs(2);
 
-/// A caller, with its open connection to one host.
+/// A caller, which sends one request at a time.
 #[derive(Default)]
 pub(crate) struct Caller {
     /// The open connection and the address of its host.
@@ -42,6 +42,7 @@
     /// The id of the request.
     pub(crate) request: &'a str,
     pub(crate) class: CallClass,
+    /// The API key that the caller presents.
     pub(crate) key: &'a str,
     /// The time after which the caller abandons the request; none if the caller waits for the
     /// response.
@@ -49,14 +50,15 @@
 }
 
 impl Caller {
-    /// Makes one attempt at a host.
+    /// Sends one request to a host and returns its outcome. A connection that is still open
+    /// afterwards is kept for the next request.
     pub(crate) async fn attempt(
         &mut self,
         host: SocketAddr,
         caller_request: &CallerRequest<'_>,
     ) -> CallerOutcome {
         let ends_at = Instant::now() + caller_request.class.timeout() + RESPONSE_GRACE;
-        let Some(mut sender) = self.connect(host).await else {
+        let Some(mut sender) = self.take_or_open_connection(host).await else {
             return CallerOutcome::NoConnection;
         };
         let exchange = async {
@@ -83,8 +85,13 @@
         outcome
     }
 
-    /// Returns the open connection if it goes to this host, else a new one.
-    async fn connect(&mut self, host: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
+    /// Takes the open connection out of the caller and returns it if it goes to this host and is
+    /// still usable. Otherwise closes it and returns a new one; none if connecting fails or times
+    /// out.
+    async fn take_or_open_connection(
+        &mut self,
+        host: SocketAddr,
+    ) -> Option<SendRequest<Full<Bytes>>> {
         if let Some((addr, mut sender)) = self.open_connection.take()
             && addr == host
             && sender.ready().await.is_ok()
@@ -100,6 +107,7 @@
     }
 }
 
+/// Returns the HTTP request for a request of a caller.
 fn build_request(caller_request: &CallerRequest<'_>) -> Request<Full<Bytes>> {
     let head = CallerHead {
         request: caller_request.request,
@@ -120,6 +128,7 @@
     req
 }
 
+/// Reads the body of a response and returns the outcome.
 async fn read_outcome(
     caller_request: &CallerRequest<'_>,
     res: Response<Incoming>,
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -90,7 +90,7 @@
     violations
 }
 
-/// Checks one attempt with its runs at upstreams.
+/// One attempt with its runs at upstreams, to be checked.
 struct AttemptCheck<'a> {
     observations: &'a Observations,
     request: &'a str,
@@ -108,7 +108,7 @@
             ),
             (
                 "a request reported as not run has not run",
-                self.is_not_run_status_true(),
+                self.is_not_run_status_correct(),
             ),
             (
                 "a request that must not be repeated runs at most once",
@@ -151,6 +151,7 @@
         self.violations(&checks)
     }
 
+    /// Returns a violation for each of the checks that failed.
     fn violations(&self, checks: &[(&'static str, bool)]) -> Vec<Violation> {
         let failed = checks.iter().filter(|(_, holds)| !holds);
         failed
@@ -178,6 +179,7 @@
         }
     }
 
+    /// Returns the body that the upstream must send, with one element for each event of a stream.
     fn expected_body(&self, signature: &str) -> Vec<String> {
         if !self.class().is_stream() {
             return vec![call::plain_response_body(self.request, signature)];
@@ -187,7 +189,8 @@
             .collect()
     }
 
-    fn is_not_run_status_true(&self) -> bool {
+    /// Whether a status that reports the request as not run is correct.
+    fn is_not_run_status_correct(&self) -> bool {
         match &self.attempt.outcome {
             CallerOutcome::Failure(status, _) if NOT_RUN_STATUSES.contains(status) => {
                 self.runs.is_empty()
@@ -207,6 +210,8 @@
         at_surviving.count() <= usize::try_from(self.class().runs_max()).unwrap_or(usize::MAX)
     }
 
+    /// Whether upstreams received the request without changes, with its customer and without its
+    /// key.
     fn are_requests_unchanged(&self) -> bool {
         let customer = self.attempt.key.split('-').nth(1).unwrap_or_default();
         let customer = format!("customer-{customer}");
@@ -215,6 +220,8 @@
             .all(|run| run.is_unchanged && !run.has_key && run.customer.as_ref() == Some(&customer))
     }
 
+    /// Whether the request has not run if its key had been revoked for longer than the revocation
+    /// delay.
     fn is_revoked_key_rejected(&self) -> bool {
         let revoked_at = self
             .observations
@@ -228,7 +235,7 @@
         !is_late || self.runs.is_empty()
     }
 
-    /// Whether no fault affected the host from before the attempt until its end.
+    /// Whether no fault affected the host from `SETTLING_TIME` before the attempt until its end.
     fn is_host_undisturbed(&self) -> bool {
         self.is_host_undisturbed_since(self.attempt.sent_at)
     }
@@ -244,11 +251,14 @@
             .is_none()
     }
 
+    /// Whether the attempt ended in time, unless a fault affected the host.
     fn ends_by_deadline(&self) -> bool {
         let duration = self.attempt.ended_at.saturating_sub(self.attempt.sent_at);
         duration <= self.attempt.deadline + LATENCY_SLACK || !self.is_host_undisturbed()
     }
 
+    /// Whether upstreams were given no more than the remaining time, unless a fault affected the
+    /// host.
     fn are_upstream_deadlines_valid(&self) -> bool {
         let ends_at = self.attempt.sent_at + self.attempt.deadline + DEADLINE_SLACK;
         let is_valid = |run: &UpstreamRun| {
@@ -261,7 +271,7 @@
     /// Whether the connection did not break, unless a fault other than a planned stop of the host
     /// may have broken it.
     fn is_uninterrupted_by_stop(&self) -> bool {
-        // A request that is sent while its connection is being closed is never read.
+        // A request that is sent while its connection is being closed may never be read.
         let duration = self.attempt.ended_at.saturating_sub(self.attempt.sent_at);
         let was_read = !self.runs.is_empty() || duration > CLOSE_RACE_TIME;
         if !matches!(self.attempt.outcome, CallerOutcome::ConnectionBroken(_)) || !was_read {
@@ -275,8 +285,8 @@
         !overlapping.all(|fault| fault.scope == FaultScope::PlannedStop(self.attempt.host))
     }
 
-    /// Whether all runs are at a service that was in force or may still have been when the attempt
-    /// was sent.
+    /// Whether all runs are at a service to which the route may have led when the attempt was sent,
+    /// unless a fault affected the host.
     fn is_routed_by_current_manifest(&self) -> bool {
         if self.class() != CallClass::Moving {
             return true;
@@ -305,6 +315,8 @@
         self.runs.iter().all(is_allowed) || !self.is_host_undisturbed()
     }
 
+    /// Whether no run started at a leaving upstream after the announcement had propagated, unless a
+    /// fault affected the host.
     fn is_leaving_upstream_avoided(&self) -> bool {
         self.runs.iter().all(|run| {
             let leaving_at =
--- a/soak/src/deployment.rs
+++ b/soak/src/deployment.rs
@@ -85,14 +85,15 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Returns a loopback address made from the process id, so that concurrent runs do not share
-/// addresses.
-fn ip(last: usize) -> IpAddr {
+/// Returns the loopback address with this index, which repeats from 250 on. The middle bytes come
+/// from the process id, so that concurrent runs do not share addresses.
+fn loopback_ip(index: usize) -> IpAddr {
     let [.., high, low] = std::process::id().to_be_bytes();
-    let last = u8::try_from(last % 250).unwrap_or(0) + 1;
+    let last = u8::try_from(index % 250).unwrap_or(0) + 1;
     IpAddr::V4(Ipv4Addr::new(127, high.max(1), low, last))
 }
 
+/// Returns an address of `ip` with a port that is free at the moment.
 async fn free_port(ip: IpAddr) -> io::Result<SocketAddr> {
     TcpListener::bind((ip, 0)).await?.local_addr()
 }
@@ -105,13 +106,13 @@
         dir: &Path,
     ) -> io::Result<Arc<Self>> {
         let store = StoreStandIn::default();
-        let links_ip = ip(249);
+        let links_ip = loopback_ip(249);
         let mut hosts = Vec::new();
         let mut caller_links = Vec::new();
         let mut store_links = Vec::new();
         let mut address_maps = Vec::new();
         for index in 0..size.hosts {
-            let own_ip = ip(index);
+            let own_ip = loopback_ip(index);
             let addresses = Arc::new(Mutex::new(AddressMap::default()));
             let store_addr = store.serve(links_ip, Arc::clone(&addresses)).await?;
             let store_link = LinkProxy::start(links_ip, store_addr).await?;
@@ -200,13 +201,13 @@
             id.clone(),
             service,
             domain,
-            ip(248),
+            loopback_ip(248),
             self.started_at,
             history,
         )
         .await?;
         for from in 0..DOMAINS {
-            let link = LinkProxy::start(ip(247), upstream.addr).await?;
+            let link = LinkProxy::start(loopback_ip(247), upstream.addr).await?;
             for host in (0..self.hosts.len()).filter(|host| host % DOMAINS == from) {
                 lock(&self.address_maps[host]).insert(upstream.addr, link.addr);
             }
@@ -224,7 +225,7 @@
         self.store.put(stand_in::UPSTREAMS_KIND, &upstream.id, spec);
     }
 
-    /// Ends an upstream and removes its entry from the store.
+    /// Ends an upstream for good, records its end and removes its entry from the store.
     pub(crate) fn end_upstream(&self, upstream: &UpstreamStandIn) {
         upstream.set_mode(UpstreamMode::Down);
         let now = self.now();
@@ -236,7 +237,8 @@
         lock(&self.upstreams).retain(|other| other.id != upstream.id);
     }
 
-    /// Changes the manifest, publishes it and records the change.
+    /// Applies `change` to the inputs of the manifest, publishes it under the next version and
+    /// records the store change that `change` returns, if any.
     pub(crate) fn publish_manifest(
         &self,
         change: impl FnOnce(&mut ManifestInputs) -> Option<StoreChange>,
@@ -263,6 +265,7 @@
         self.history.lock().changes.push((now, change));
     }
 
+    /// Returns the time since the start of the deployment.
     pub(crate) fn now(&self) -> Timestamp {
         self.started_at.elapsed()
     }
--- a/soak/src/fault_draws.rs
+++ b/soak/src/fault_draws.rs
@@ -16,7 +16,8 @@
 /// XORed with the seed of the run for the draws of restores of the store.
 const RESTORES_SEED_MASK: u64 = 0x5704_E7A0;
 
-/// Draws the faults of a seed, each with the pause before it.
+/// Draws the faults of a seed other than rate limits and restores of the store, each with the pause
+/// before it.
 pub fn draw_faults(conf: &SoakConf) -> Vec<(Duration, Fault)> {
     let mut rng = StdRng::seed_from_u64(conf.seed);
     let gap_ms: u64 = rng.random_range(300..1_500);
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -1,4 +1,6 @@
-//! Draws faults and injects them. Faults may overlap.
+//! Draws faults and injects them. Faults may overlap. Where several set the mode of the same link,
+//! upstream or store, the last one to set the mode decides, and the end of any of them restores
+//! normal operation.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,8 +31,9 @@
 /// How long a leaving upstream continues to serve.
 const LEAVING_TIME: Duration = Duration::from_millis(3_500);
 
-/// A fault with its parameters. Hosts and failure domains are given by index. Upstreams and
-/// customers are given by a number that is taken modulo their count.
+/// A disturbance with its parameters: a failure, or a planned change such as a stop, a route move
+/// or a key revocation. Hosts and failure domains are given by index. Upstreams and customers are
+/// given by a number that is taken modulo their count.
 #[derive(Clone, Debug)]
 pub enum Fault {
     /// A host is killed and started again after this time.
@@ -41,13 +44,13 @@
     StopHost(usize),
     /// The process of a host is paused for this time.
     PauseHost(usize, Duration),
-    /// A host gets SIGHUP, the signal to reload its settings.
-    HangUpHost(usize),
+    /// A host gets SIGHUP and reloads its settings.
+    ReloadHostSettings(usize),
     /// The store is in this mode for this time.
     Store(StoreMode, Duration),
-    /// The store is restored from a snapshot. After the snapshot the store runs for the first time
-    /// and does not respond for the second, before it is restored. Upstreams register again after
-    /// the third.
+    /// The store is restored from a snapshot. The times are, in order: how long the store runs
+    /// after the snapshot, how long it then does not respond before it is restored, and how long
+    /// after the restore upstreams register again.
     RestoreStore([Duration; 3]),
     /// The link from a host to the store is in this mode for this time.
     StoreLink(usize, LinkMode, Duration),
@@ -58,16 +61,16 @@
     /// The links from the first failure domain to the upstreams of the second are in this mode for
     /// this time.
     UpstreamLinks(usize, usize, LinkMode, Duration),
-    /// All links into and out of a failure domain are in this mode for this time, apart from those
-    /// of callers.
-    CutDomain(usize, LinkMode, Duration),
+    /// The links between a failure domain and the other domains and from its hosts to the store are
+    /// in this mode for this time.
+    DomainLinks(usize, LinkMode, Duration),
     /// An upstream is in this mode for this time.
     Upstream(usize, UpstreamMode, Duration),
     /// An upstream advertises this limit, in requests per second, for this time.
     LimitUpstream(usize, f64, Duration),
     /// An upstream crashes, and a replacement is started after this time.
     KillUpstream(usize, Duration),
-    /// An upstream announces that it leaves, and ends later.
+    /// An upstream gets a replacement, announces that it leaves, and ends later.
     LeaveUpstream(usize),
     /// The moving route is moved to the other plain service.
     MoveRoute,
@@ -78,8 +81,8 @@
 fn draw_link_mode(rng: &mut StdRng) -> LinkMode {
     match rng.random_range(0..4) {
         0 => LinkMode::Delayed(Duration::from_millis(rng.random_range(20..400))),
-        1 => LinkMode::Silent,
-        2 => LinkMode::OneWay,
+        1 => LinkMode::Stalled,
+        2 => LinkMode::StalledToTarget,
         _ => LinkMode::Reset,
     }
 }
@@ -88,22 +91,22 @@
     match rng.random_range(0..6) {
         0 => StoreMode::Slow(Duration::from_millis(rng.random_range(50..700))),
         1 => StoreMode::Unavailable,
-        2 => StoreMode::Busy,
-        3 => StoreMode::Silent,
-        4 => StoreMode::LosesAnswers,
-        _ => StoreMode::WritesLate,
+        2 => StoreMode::TooManyRequests,
+        3 => StoreMode::Unresponsive,
+        4 => StoreMode::DropsWriteResponses,
+        _ => StoreMode::DelaysWrites,
     }
 }
 
 fn draw_upstream_mode(rng: &mut StdRng) -> UpstreamMode {
     match rng.random_range(0..7) {
-        0 => UpstreamMode::Silent,
+        0 => UpstreamMode::Unresponsive,
         1 => UpstreamMode::Slow(Duration::from_millis(rng.random_range(50..1_500))),
-        2 => UpstreamMode::TurnsAway,
-        3 => UpstreamMode::LosesAnswers,
-        4 => UpstreamMode::CutsAnswers,
-        5 => UpstreamMode::Fails,
-        _ => UpstreamMode::AnswersOtherRequest,
+        2 => UpstreamMode::RejectsRequests,
+        3 => UpstreamMode::DropsResponses,
+        4 => UpstreamMode::TruncatesResponses,
+        5 => UpstreamMode::RespondsWithError,
+        _ => UpstreamMode::NamesOtherRequest,
     }
 }
 
@@ -120,13 +123,13 @@
             2 if rng.random_ratio(1, 4) => Self::KillAllHosts(time / 3),
             2..=4 => Self::StopHost(host),
             5 | 6 => Self::PauseHost(host, time),
-            7 => Self::HangUpHost(host),
+            7 => Self::ReloadHostSettings(host),
             8 | 9 => Self::Store(draw_store_mode(rng), time),
             10 => Self::StoreLink(host, draw_link_mode(rng), time),
             11 => Self::CallerLink(host, draw_link_mode(rng), time),
             12 | 13 => Self::PeerLinks(host, draw_link_mode(rng), time),
             14 | 15 => Self::UpstreamLinks(domain, other, draw_link_mode(rng), time),
-            16 => Self::CutDomain(domain, draw_link_mode(rng), time),
+            16 => Self::DomainLinks(domain, draw_link_mode(rng), time),
             17 | 18 => Self::Upstream(upstream, draw_upstream_mode(rng), time),
             19 | 20 => Self::KillUpstream(upstream, time / 2),
             21 => Self::LeaveUpstream(upstream),
@@ -137,7 +140,8 @@
 }
 
 impl Fault {
-    /// Returns the same fault with its durations multiplied by `factor`.
+    /// Returns the same fault with the times for which it lasts multiplied by `factor`. Delays
+    /// inside modes stay as they are.
     pub fn stretched(mut self, factor: f64) -> Self {
         match &mut self {
             Self::KillHost(_, time)
@@ -148,7 +152,7 @@
             | Self::CallerLink(_, _, time)
             | Self::PeerLinks(_, _, time)
             | Self::UpstreamLinks(_, _, _, time)
-            | Self::CutDomain(_, _, time)
+            | Self::DomainLinks(_, _, time)
             | Self::Upstream(_, _, time)
             | Self::LimitUpstream(_, _, time)
             | Self::KillUpstream(_, time) => *time = time.mul_f64(factor),
@@ -158,7 +162,7 @@
                 }
             }
             Self::StopHost(_)
-            | Self::HangUpHost(_)
+            | Self::ReloadHostSettings(_)
             | Self::LeaveUpstream(_)
             | Self::MoveRoute
             | Self::RevokeKey(_) => {}
@@ -179,7 +183,9 @@
     while running.join_next().await.is_some() {}
 }
 
-/// Injects one fault, waits for its end and records it.
+/// Injects one fault, waits for its end, undoes it and records it. Route moves and key revocations
+/// last no time and are recorded as store changes instead. A rate limit is also recorded as a limit
+/// period.
 async fn inject(deployment: &Arc<Deployment>, fault: Fault) {
     let from = deployment.now();
     let printed_fault = format!("{fault:?}");
@@ -216,7 +222,7 @@
             lock(&deployment.hosts[host]).signal(Signal::SIGCONT);
             FaultScope::Hosts(vec![host])
         }
-        Fault::HangUpHost(host) => {
+        Fault::ReloadHostSettings(host) => {
             lock(&deployment.hosts[host]).signal(Signal::SIGHUP);
             FaultScope::Hosts(Vec::new())
         }
@@ -229,7 +235,7 @@
         Fault::RestoreStore([running, down, unregistered]) => {
             let snapshot = deployment.store.snapshot();
             sleep(running).await;
-            deployment.store.set_mode(StoreMode::Silent);
+            deployment.store.set_mode(StoreMode::Unresponsive);
             sleep(down).await;
             deployment.store.restore(snapshot);
             deployment.store.set_mode(StoreMode::Healthy);
@@ -260,7 +266,7 @@
             set_link_mode_for(&links, mode, time).await;
             FaultScope::Hosts((0..deployment.hosts.len()).collect())
         }
-        Fault::CutDomain(domain, mode, time) => {
+        Fault::DomainLinks(domain, mode, time) => {
             let is_in = |host: usize| host % DOMAINS == domain;
             let crosses = |(from, to): &(usize, usize)| is_in(*from) != is_in(*to);
             let peers = deployment
@@ -343,8 +349,8 @@
     deployment.record_fault(&printed_fault, from, scope);
 }
 
-/// Sets links to a mode for some time. Where faults overlap on a link, each sets its own mode at
-/// its start and opens the link at its end.
+/// Sets links to a mode for some time and opens them again. Where faults overlap on a link, the end
+/// of any of them opens the link.
 async fn set_link_mode_for(links: &[LinkProxy], mode: LinkMode, time: Duration) {
     for link in links {
         link.set_mode(mode);
@@ -355,8 +361,8 @@
     }
 }
 
-/// Returns the links to upstreams for which `is_selected` is true of the failure domain of the
-/// hosts and of the failure domain of the upstream.
+/// Returns the links to current upstreams that `is_selected` accepts, given the failure domain of
+/// the hosts and that of the upstream.
 fn upstream_links(
     deployment: &Deployment,
     is_selected: impl Fn(usize, usize) -> bool,
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -18,7 +18,7 @@
 pub enum CallerOutcome {
     /// A complete successful response.
     Success {
-        /// The upstream that signed the response.
+        /// The id of the upstream that signed the response; empty if none did.
         signature: String,
         /// The body as a single element, or the events of a stream in order.
         body: Vec<String>,
@@ -30,7 +30,7 @@
     NoConnection,
     /// The connection broke or the response ended early, with the error.
     ConnectionBroken(String),
-    /// The caller timed out.
+    /// The caller received no complete response within the deadline and a grace time.
     TimedOut,
     /// The caller abandoned the attempt on purpose.
     Abandoned,
@@ -43,11 +43,11 @@
     pub class: CallClass,
     /// The index of the host.
     pub host: usize,
-    /// The key of the caller.
+    /// The API key that the caller presented.
     pub key: String,
-    /// How long the caller waits.
+    /// The deadline that the caller sends, as the time from the start of the attempt.
     pub deadline: Duration,
-    /// When the attempt was sent.
+    /// When the attempt started, before any connection was opened.
     pub sent_at: Timestamp,
     /// When the caller had the response or stopped waiting.
     pub ended_at: Timestamp,
@@ -112,12 +112,13 @@
 }
 
 impl FaultRecord {
-    /// Whether the fault overlaps an interval.
+    /// Whether the fault overlaps an interval, both ends included.
     pub fn overlaps(&self, from: Timestamp, to: Timestamp) -> bool {
         self.from <= to && self.to >= from
     }
 
-    /// Whether the fault affects what a host knows or does.
+    /// Whether the fault affects what a host knows or does. A fault of the store affects every
+    /// host, and a fault of an upstream affects none.
     pub fn affects(&self, host: usize) -> bool {
         match &self.scope {
             FaultScope::Hosts(hosts) => hosts.contains(&host),
@@ -152,14 +153,15 @@
     pub changes: Vec<(Timestamp, StoreChange)>,
     /// Faults that have ended.
     pub faults: Vec<FaultRecord>,
-    /// When upstreams ended, by upstream id.
+    /// When upstreams crashed or were ended, by upstream id.
     pub upstream_ends: IndexMap<String, Timestamp>,
     /// Limit periods that have ended.
     pub limit_periods: Vec<LimitPeriod>,
 }
 
 impl Observations {
-    /// Returns the faults that affected a host in an interval.
+    /// Returns the faults that affected a host and overlap an interval. A fault of the store
+    /// affects every host, and a fault of an upstream affects none.
     pub fn faults_affecting(
         &self,
         host: usize,
@@ -171,7 +173,8 @@
     }
 }
 
-/// The shared record of observations of a run.
+/// The observations of a run behind a mutex, shared by the callers, the upstreams and the fault
+/// injection.
 #[derive(Debug, Default)]
 pub struct History(Mutex<Observations>);
 
--- a/soak/src/host_process.rs
+++ b/soak/src/host_process.rs
@@ -13,12 +13,15 @@
 use nix::sys::signal::Signal;
 use nix::unistd::Pid;
 
-/// A host in a process of its own.
+/// A host in a process of its own. Dropping the value kills the process.
 #[derive(Debug)]
 pub(crate) struct HostProcess {
     pub(crate) conf: NodeConf,
+    /// The daemon program.
     program: PathBuf,
+    /// The directory for the settings and the logs.
     dir: PathBuf,
+    /// The process that was started last; none before the first start.
     process: Option<Child>,
     /// How often the process was started. The number is part of the names of its files.
     pub(crate) incarnation: u32,
--- a/soak/src/limit_checks.rs
+++ b/soak/src/limit_checks.rs
@@ -34,8 +34,10 @@
         .collect()
 }
 
-/// Returns a violation if any window of a limit period had too many requests. The period is checked
-/// until the first run that advertises another limit or none.
+/// Returns a violation if a sliding window within a limit period had more requests than the limit
+/// and the permitted excess. Only requests of hosts that must know the limit and were not affected
+/// by a fault are counted. Windows are checked from `ENFORCED_AFTER` after the first response that
+/// advertises the limit until the first run that advertises another limit or none.
 fn check_limit(observations: &Observations, limit: &LimitPeriod) -> Option<Violation> {
     let runs = observations.runs.iter().flat_map(|(request, runs)| {
         let host = observations
@@ -61,7 +63,7 @@
             let from = end.saturating_sub(WINDOW);
             let counted = |(host, run): &&(usize, &UpstreamRun)| {
                 (from..=end).contains(&run.arrived_at)
-                    && knows_limit(&runs, *host, limit, end)
+                    && must_know_limit(&runs, *host, limit, end)
                     && is_undisturbed(observations, *host, from.min(limit.from), end)
             };
             let count = runs.iter().filter(counted).count();
@@ -72,8 +74,10 @@
         })
 }
 
-/// Whether a host received a response that advertises the limit early enough before `at`.
-fn knows_limit(
+/// Whether a host must obey the limit at `at`: it had sent a request to the upstream within the
+/// limit period, early enough for the response to arrive and take effect. The response itself is
+/// not checked.
+fn must_know_limit(
     runs: &[(usize, &UpstreamRun)],
     host: usize,
     limit: &LimitPeriod,
@@ -84,8 +88,9 @@
         .any(|(run_host, run)| *run_host == host && (limit.from..=until).contains(&run.arrived_at))
 }
 
-/// Whether no fault other than of the store affected a host. Without the store a host still
-/// receives the messages of its peers.
+/// Whether no fault other than one of the store affected a host from `SETTLING_TIME` before `from`
+/// until `to`. Faults of the store are allowed because a host still learns of limits from its
+/// peers.
 fn is_undisturbed(
     observations: &Observations,
     host: usize,
--- a/soak/src/link_proxy.rs
+++ b/soak/src/link_proxy.rs
@@ -22,15 +22,16 @@
     Open,
     /// Traffic is forwarded with this delay.
     Delayed(Duration),
-    /// Traffic stalls in both directions, while connections stay open. Datagrams are dropped.
-    Silent,
-    /// Traffic to the target stalls; traffic from the target is forwarded. Datagrams are dropped.
-    OneWay,
+    /// Bytes stall in both directions while connections stay open. Datagrams are dropped.
+    Stalled,
+    /// Bytes to the target and new connections stall; bytes from the target are forwarded.
+    /// Datagrams are dropped.
+    StalledToTarget,
     /// Existing and new connections are reset. Datagrams are dropped.
     Reset,
 }
 
-/// A proxy for TCP and UDP on one address.
+/// A proxy for TCP connections and for UDP datagrams to the target, on one address.
 #[derive(Clone, Debug)]
 pub(crate) struct LinkProxy {
     /// The address on which the proxy listens.
@@ -46,7 +47,8 @@
 const BUFFER_BYTES: usize = 16 << 10;
 
 impl LinkProxy {
-    /// Starts a proxy on a free port of `ip`.
+    /// Starts a proxy for TCP connections and UDP datagrams on a port of `ip` that is free for
+    /// both.
     pub(crate) async fn start(ip: IpAddr, target: SocketAddr) -> std::io::Result<Self> {
         let mut failed_attempts = 0;
         let (listener, socket) = loop {
@@ -59,30 +61,33 @@
         };
         let addr = listener.local_addr()?;
         let mode = Arc::new(watch::Sender::new(LinkMode::Open));
-        tokio::spawn(accept(listener, target, mode.subscribe()));
+        tokio::spawn(accept_connections(listener, target, mode.subscribe()));
         tokio::spawn(proxy_datagrams(socket, target, mode.subscribe()));
         Ok(Self { addr, mode })
     }
 
-    /// Changes how the proxy treats the traffic of existing and new connections.
+    /// Changes how the proxy treats existing and new connections and datagrams. Connections that
+    /// were reset stay broken.
     pub(crate) fn set_mode(&self, mode: LinkMode) {
         self.mode.send_replace(mode);
     }
 }
 
-async fn accept(listener: TcpListener, target: SocketAddr, mode: ModeReceiver) {
+/// Accepts connections and forwards each to the target in a task of its own.
+async fn accept_connections(listener: TcpListener, target: SocketAddr, mode: ModeReceiver) {
     while let Ok((client, _)) = listener.accept().await {
         tokio::spawn(proxy_connection(client, target, mode.clone()));
     }
 }
 
-/// Connects to the target and forwards bytes in both directions.
+/// Connects to the target and forwards bytes until both directions have ended or the mode becomes
+/// [`LinkMode::Reset`].
 async fn proxy_connection(client: TcpStream, target: SocketAddr, mut mode: ModeReceiver) {
     if *mode.borrow() == LinkMode::Reset {
         return reset_on_drop(&client);
     }
-    // A stalled link lets no connection through, so the target must not see one either.
-    let is_open = |mode: &LinkMode| !matches!(mode, LinkMode::Silent | LinkMode::OneWay);
+    // While the link is stalled, the target must not receive new connections.
+    let is_open = |mode: &LinkMode| !matches!(mode, LinkMode::Stalled | LinkMode::StalledToTarget);
     if mode.wait_for(is_open).await.is_err() {
         return;
     }
@@ -116,7 +121,8 @@
     }
 }
 
-/// The halves that carried one direction, if it broke; none if it ended regularly.
+/// The read half and the write half of a direction that broke; none if the direction ended
+/// regularly.
 type BrokenHalves = (Option<OwnedReadHalf>, Option<OwnedWriteHalf>);
 
 /// Forwards bytes in one direction up to the end of the stream, and then the end itself. Returns
@@ -133,8 +139,8 @@
             return (Some(from), Some(to));
         };
         let is_passing = |mode: &LinkMode| match mode {
-            LinkMode::Silent => false,
-            LinkMode::OneWay => !is_to_target,
+            LinkMode::Stalled => false,
+            LinkMode::StalledToTarget => !is_to_target,
             _ => true,
         };
         let current = match mode.wait_for(is_passing).await {
@@ -154,7 +160,7 @@
     }
 }
 
-/// Forwards datagrams to the target. Modes other than open and delayed drop them.
+/// Forwards datagrams to the target in the modes open and delayed, and drops them in other modes.
 async fn proxy_datagrams(socket: UdpSocket, target: SocketAddr, mode: ModeReceiver) {
     let mut buffer = vec![0_u8; 1 << 16];
     let socket = Arc::new(socket);
@@ -173,7 +179,7 @@
     }
 }
 
-/// Makes the stream send a reset when it is dropped.
+/// Makes the stream send a TCP reset when it is dropped, by a linger time of zero.
 #[allow(deprecated)]
 fn reset_on_drop(stream: &TcpStream) {
     let _ = stream.set_linger(Some(Duration::ZERO));
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -38,16 +38,22 @@
 not found, or a run that failed to start or was interrupted.
 ";
 
+/// Exit code for an invalid command line and for a run that could not be started or completed.
 const EXIT_ERROR: u8 = 2;
 /// Maximum number of violations that are printed per seed.
 const PRINTED_VIOLATIONS_MAX: usize = 20;
 
 /// The parsed command line.
 struct Options {
+    /// The first seed.
     seed: u64,
+    /// Number of consecutive seeds.
     seeds: u64,
+    /// The configuration of each run, apart from its seed.
     conf: SoakConf,
+    /// The daemon program.
     node: PathBuf,
+    /// The directory for logs.
     logs: PathBuf,
 }
 
@@ -74,6 +80,9 @@
     }
 }
 
+/// Parses the command line and checks that the daemon program exists. Without `--seed` the first
+/// seed is drawn at random. The seed of `conf` is set later, for each run. Returns an error text
+/// for an invalid option or a missing program.
 fn parse_options(mut args: Arguments) -> Result<Options, String> {
     let error_text = |err: pico_args::Error| err.to_string();
     let seed = args.opt_value_from_str("--seed").map_err(error_text)?;
@@ -123,7 +132,8 @@
     Ok(std::env::current_exe()?.with_file_name("banyanarch-node"))
 }
 
-/// Runs all seeds. Returns the number of seeds that broke a guarantee.
+/// Runs all seeds and deletes the logs of those that broke no guarantee. Returns the number of
+/// seeds that broke one.
 fn run_all(options: &Options) -> io::Result<u64> {
     let mut failed = 0;
     for seed in options.seed..options.seed + options.seeds {
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -44,7 +44,7 @@
 /// The configuration of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct SoakConf {
-    /// The seed of all random draws.
+    /// The seed of the faults and of the callers' requests.
     pub seed: u64,
     /// How long new faults are injected.
     pub faults_for: Duration,
@@ -56,7 +56,7 @@
     pub guarantees: GuaranteeSet,
 }
 
-/// The result of a run.
+/// The counts of attempts and faults of a run, and the violations of guarantees.
 #[derive(Debug)]
 pub struct SoakReport {
     /// Number of attempts of callers.
--- a/soak/src/store.rs
+++ b/soak/src/store.rs
@@ -36,17 +36,17 @@
     /// The store responds with status 503 and applies nothing.
     Unavailable,
     /// The store responds with status 429 and applies nothing.
-    Busy,
+    TooManyRequests,
     /// The store neither responds nor applies anything.
-    Silent,
+    Unresponsive,
     /// The store applies writes but does not respond to them. Reads work.
-    LosesAnswers,
+    DropsWriteResponses,
     /// The store applies writes a second late, even if the connection has been closed, and does not
     /// respond to them. Reads work.
-    WritesLate,
+    DelaysWrites,
 }
 
-/// Delay of writes in [`StoreMode::WritesLate`].
+/// Delay of writes in [`StoreMode::DelaysWrites`].
 const LATE_WRITE_DELAY: Duration = Duration::from_secs(1);
 
 /// Objects by kind and name, each with its revision and spec.
@@ -57,22 +57,23 @@
 /// The content and the mode of the store.
 #[derive(Default)]
 struct StoreData {
+    /// The number of restores.
     era: u16,
     objects_by_kind: ObjectsByKind,
     revision: u64,
     mode: StoreMode,
-    /// Changes of upstream entries that a restore undid and that have not been made again yet, by
-    /// upstream id: the spec of the entry; none if the upstream has ended since the snapshot.
+    /// Changes of upstream entries that a restore undid and that are still to be repeated, by
+    /// upstream id: the spec to write again, or none if the entry is to be removed again.
     pending_registrations: IndexMap<String, Option<Value>>,
 }
 
-/// The content of the store at some time.
+/// A copy of the objects and the revision of the store, from which the store can be restored.
 pub(crate) struct StoreSnapshot {
     objects_by_kind: ObjectsByKind,
     revision: u64,
 }
 
-/// A stand-in for the store, shared by its listeners.
+/// A handle of a stand-in for the store. Clones share its content and its mode.
 #[derive(Clone, Default)]
 pub(crate) struct StoreStandIn(Arc<Mutex<StoreData>>);
 
@@ -127,17 +128,20 @@
         }
     }
 
-    /// Writes an object as the operator or an upstream does. The mode does not affect these writes.
+    /// Creates or replaces an object as the operator or an upstream does. The mode does not affect
+    /// these writes.
     pub(crate) fn put(&self, kind: &str, name: &str, spec: Value) {
         self.lock().put(kind, name, spec);
     }
 
-    /// Removes an object as an upstream does. The mode does not affect removals.
+    /// Removes an object as an upstream does, if it exists. An entry of an upstream that a restore
+    /// undid is no longer registered again. The mode does not affect removals.
     pub(crate) fn remove(&self, kind: &str, name: &str) {
         self.lock().remove(kind, name);
     }
 
-    /// Serves one host. Addresses in the responses are replaced as `address_map` says.
+    /// Starts a listener for one host on a free port of `ip`. Addresses in the responses are
+    /// replaced as `address_map` says.
     pub(crate) async fn serve(
         &self,
         ip: IpAddr,
@@ -164,6 +168,7 @@
         Ok(addr)
     }
 
+    /// Responds to a call as the mode says.
     async fn handle(
         &self,
         req: Request<Incoming>,
@@ -176,22 +181,24 @@
             .map(http_body_util::Collected::to_bytes);
         let body = body.unwrap_or_default();
         let Some(call) = StoreCall::parse(&head.method, head.uri.path(), &body) else {
-            return Ok(response(StatusCode::BAD_REQUEST, &Value::Null));
+            return Ok(json_response(StatusCode::BAD_REQUEST, &Value::Null));
         };
         let mode = self.lock().mode;
         match mode {
             StoreMode::Healthy => {}
             StoreMode::Slow(delay) => tokio::time::sleep(delay).await,
             StoreMode::Unavailable => {
-                return Ok(response(StatusCode::SERVICE_UNAVAILABLE, &Value::Null));
+                return Ok(json_response(StatusCode::SERVICE_UNAVAILABLE, &Value::Null));
             }
-            StoreMode::Busy => return Ok(response(StatusCode::TOO_MANY_REQUESTS, &Value::Null)),
-            StoreMode::Silent => std::future::pending().await,
-            StoreMode::LosesAnswers if call.is_write() => {
+            StoreMode::TooManyRequests => {
+                return Ok(json_response(StatusCode::TOO_MANY_REQUESTS, &Value::Null));
+            }
+            StoreMode::Unresponsive => std::future::pending().await,
+            StoreMode::DropsWriteResponses if call.is_write() => {
                 self.lock().apply(&call, &AddressMap::default());
                 std::future::pending::<()>().await;
             }
-            StoreMode::WritesLate if call.is_write() => {
+            StoreMode::DelaysWrites if call.is_write() => {
                 let (store, call) = (self.clone(), call.clone());
                 tokio::spawn(async move {
                     tokio::time::sleep(LATE_WRITE_DELAY).await;
@@ -199,14 +206,14 @@
                 });
                 std::future::pending::<()>().await;
             }
-            StoreMode::LosesAnswers | StoreMode::WritesLate => {}
+            StoreMode::DropsWriteResponses | StoreMode::DelaysWrites => {}
         }
         let address_map = address_map
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
         let (status, body) = self.lock().apply(&call, &address_map);
-        Ok(response(status, &body))
+        Ok(json_response(status, &body))
     }
 }
 
@@ -229,7 +236,8 @@
         }
     }
 
-    /// Applies a call and returns the status and the body of the response.
+    /// Applies a call whatever the mode, and returns the status and the body of the response.
+    /// Addresses in the body are replaced as `address_map` says.
     fn apply(&mut self, call: &StoreCall, address_map: &AddressMap) -> (StatusCode, Value) {
         let object = |name: &str, revision: u64, spec: &Value| {
             let mut spec = spec.clone();
@@ -274,7 +282,8 @@
     }
 }
 
-fn response(status: StatusCode, body: &Value) -> Response<Full<Bytes>> {
+/// Returns a response with a JSON body.
+fn json_response(status: StatusCode, body: &Value) -> Response<Full<Bytes>> {
     let mut res = Response::new(Full::new(Bytes::from(body.to_string())));
     *res.status_mut() = status;
     res
--- a/soak/src/upstream.rs
+++ b/soak/src/upstream.rs
@@ -45,19 +45,20 @@
     /// The upstream has crashed: its connections are reset and new ones are refused.
     Down,
     /// The upstream accepts connections but sends nothing.
-    Silent,
-    /// Responses start this much later.
+    Unresponsive,
+    /// The upstream starts each response later by this duration.
     Slow(Duration),
-    /// The upstream runs nothing and responds that the request was not run.
-    TurnsAway,
-    /// The upstream runs requests and breaks the connection in place of a response.
-    LosesAnswers,
-    /// The upstream breaks the connection in the middle of responses.
-    CutsAnswers,
+    /// The upstream runs no requests and reports each as not run.
+    RejectsRequests,
+    /// The upstream runs requests but breaks the connection before the response starts.
+    DropsResponses,
+    /// The upstream breaks the connection in the middle of each response.
+    TruncatesResponses,
     /// The upstream runs requests and responds with status 500.
-    Fails,
-    /// The response names another request than the one that was sent.
-    AnswersOtherRequest,
+    RespondsWithError,
+    /// The upstream runs requests, but its responses name another request than the one that was
+    /// sent.
+    NamesOtherRequest,
 }
 
 /// Time that a healthy upstream takes until a response starts.
@@ -77,10 +78,11 @@
     shared: Arc<UpstreamShared>,
 }
 
-/// The part of an upstream that its connections share.
+/// The state of an upstream that its connections share.
 struct UpstreamShared {
     id: String,
     service: &'static str,
+    /// When the run of the soak test started, from which timestamps count.
     started_at: Instant,
     history: Arc<History>,
     mode: watch::Sender<UpstreamMode>,
@@ -91,6 +93,7 @@
 }
 
 impl UpstreamStandIn {
+    /// Starts a healthy upstream on a free port of `ip`. Its runs are recorded in `history`.
     pub(crate) async fn start(
         id: String,
         service: &'static str,
@@ -110,7 +113,7 @@
             advertised_limit_per_s: Mutex::default(),
             reservation_ends: Mutex::default(),
         });
-        tokio::spawn(Arc::clone(&shared).accept(listener));
+        tokio::spawn(Arc::clone(&shared).accept_connections(listener));
         Ok(Self {
             id,
             service,
@@ -120,6 +123,8 @@
         })
     }
 
+    /// Changes how requests are handled. After [`UpstreamMode::Down`] the upstream accepts no
+    /// connections again.
     pub(crate) fn set_mode(&self, mode: UpstreamMode) {
         self.shared.mode.send_replace(mode);
     }
@@ -137,7 +142,7 @@
         }
     }
 
-    /// Returns the number of memory reservations that have not expired.
+    /// Discards expired memory reservations and returns the number of the others.
     pub(crate) fn reservation_count(&self) -> usize {
         let now = self.shared.started_at.elapsed();
         let mut reservation_ends = self.shared.reservation_ends();
@@ -147,7 +152,8 @@
 }
 
 impl UpstreamShared {
-    async fn accept(self: Arc<Self>, listener: TcpListener) {
+    /// Accepts connections until the upstream is down.
+    async fn accept_connections(self: Arc<Self>, listener: TcpListener) {
         let mut mode = self.mode.subscribe();
         loop {
             let accepted = tokio::select! {
@@ -159,6 +165,7 @@
         }
     }
 
+    /// Serves a connection until its end or until the upstream is down.
     async fn serve(self: Arc<Self>, stream: TcpStream) {
         // Dropping the stream sends a reset, so that a crash does not look like a regular close.
         #[allow(deprecated)]
@@ -174,12 +181,16 @@
         }
     }
 
+    /// Responds to an order to reserve or release memory, to a request for the load report or to a
+    /// forwarded call.
     async fn handle(
         self: Arc<Self>,
         req: Request<Incoming>,
     ) -> Result<Response<Body>, std::io::Error> {
         let mut mode = self.mode.subscribe();
-        let current = mode.wait_for(|mode| *mode != UpstreamMode::Silent).await;
+        let current = mode
+            .wait_for(|mode| *mode != UpstreamMode::Unresponsive)
+            .await;
         let mode = current.map_or(UpstreamMode::Down, |current| *current);
         let (head, body) = req.into_parts();
         let body = body
@@ -199,8 +210,8 @@
         let forwarded = ForwardedHead::parse(&head.headers);
         let request = forwarded.request.clone();
         let is_for_other = forwarded.upstream.as_ref().is_some_and(|id| *id != self.id);
-        let lacks_memory = !self.holds_reservation(&forwarded);
-        if is_for_other || lacks_memory || mode == UpstreamMode::TurnsAway {
+        let lacks_reservation = !self.holds_reservation(&forwarded);
+        if is_for_other || lacks_reservation || mode == UpstreamMode::RejectsRequests {
             let status = if is_for_other {
                 StatusCode::MISDIRECTED_REQUEST
             } else {
@@ -217,17 +228,19 @@
             Duration::ZERO
         };
         tokio::time::sleep(PROCESSING_TIME + delay).await;
-        if mode == UpstreamMode::LosesAnswers {
+        if mode == UpstreamMode::DropsResponses {
             return Err(std::io::Error::other(
                 "response dropped by the mode of the stand-in",
             ));
         }
         let mut res = match mode {
-            UpstreamMode::Fails => {
+            UpstreamMode::RespondsWithError => {
                 full_response(StatusCode::INTERNAL_SERVER_ERROR, "failed".to_owned())
             }
-            _ if self.service == call::ENGINE_SERVICE => self.event_stream(&forwarded, mode),
-            UpstreamMode::CutsAnswers => {
+            _ if self.service == call::ENGINE_SERVICE => {
+                self.event_stream_response(&forwarded, mode)
+            }
+            UpstreamMode::TruncatesResponses => {
                 truncated_response(&call::plain_response_body(&request, &self.id))
             }
             _ => full_response(
@@ -235,7 +248,7 @@
                 call::plain_response_body(&request, &self.id),
             ),
         };
-        let named_request = if mode == UpstreamMode::AnswersOtherRequest {
+        let named_request = if mode == UpstreamMode::NamesOtherRequest {
             "another"
         } else {
             request.as_str()
@@ -259,7 +272,7 @@
         reservation.is_none_or(|name| reservation_ends.get(name).is_some_and(|until| *until > now))
     }
 
-    /// Records a run of a request.
+    /// Records a run of a request and whether the request arrived unchanged.
     fn record(&self, head: &hyper::http::request::Parts, body: &Bytes, forwarded: &ForwardedHead) {
         let path = head.uri.path();
         let expected_body = call::request_body(&forwarded.request);
@@ -286,7 +299,7 @@
             .push(run);
     }
 
-    /// Executes an order to reserve or release memory.
+    /// Executes an order to reserve or release memory and discards expired reservations.
     fn execute_order(&self, order: EngineOrder) -> Response<Body> {
         let now = self.started_at.elapsed();
         let mut reservation_ends = self.reservation_ends();
@@ -303,8 +316,11 @@
         full_response(StatusCode::OK, "{}".to_owned())
     }
 
-    /// Returns a stream of the events after the last one that the caller has received.
-    fn event_stream(
+    /// Returns a response that streams the events after the last one that the caller has received.
+    /// The stream pauses while the upstream is unresponsive. With
+    /// [`UpstreamMode::TruncatesResponses`] as `mode` the stream fails in the middle of its third
+    /// event.
+    fn event_stream_response(
         self: &Arc<Self>,
         forwarded: &ForwardedHead,
         mode: UpstreamMode,
@@ -319,16 +335,16 @@
             for id in first..=last {
                 tokio::time::sleep(EVENT_INTERVAL).await;
                 if mode_updates
-                    .wait_for(|mode| *mode != UpstreamMode::Silent)
+                    .wait_for(|mode| *mode != UpstreamMode::Unresponsive)
                     .await
                     .is_err()
                 {
                     return;
                 }
                 let event = format!("id: {id}\ndata: {}\n\n", call::event_data(&request, id));
-                if mode == UpstreamMode::CutsAnswers && id == first + 2 {
-                    let half = Bytes::copy_from_slice(&event.as_bytes()[..9]);
-                    let _ = sender.send(Ok(Frame::data(half))).await;
+                if mode == UpstreamMode::TruncatesResponses && id == first + 2 {
+                    let partial_event = Bytes::copy_from_slice(&event.as_bytes()[..9]);
+                    let _ = sender.send(Ok(Frame::data(partial_event))).await;
                     let _ = sender.send(Err(std::io::Error::other("truncated"))).await;
                     return;
                 }
