--- a/soak/src/link_proxy.rs
+++ b/soak/src/link_proxy.rs
@@ -27,7 +27,7 @@
     /// Bytes to the target and new connections stall; bytes from the target are forwarded.
     /// Datagrams are dropped.
     StalledToTarget,
-    /// Existing and new connections are reset. Datagrams are dropped.
+    /// Existing connections are closed and new ones are reset. Datagrams are dropped.
     Reset,
 }
 
@@ -66,8 +66,8 @@
         Ok(Self { addr, mode })
     }
 
-    /// Changes how the proxy treats existing and new connections and datagrams. Connections that
-    /// were reset stay broken.
+    /// Changes how the proxy treats existing and new connections and datagrams. Connections
+    /// that [`LinkMode::Reset`] closed stay closed.
     pub(crate) fn set_mode(&self, mode: LinkMode) {
         self.mode.send_replace(mode);
     }
