--- a/benches/control.rs
+++ b/benches/control.rs
@@ -48,7 +48,9 @@
 const STEP: Duration = Duration::from_millis(100);
 /// Latency of a message: hosts respond at once, not at their next tick.
 const MESSAGE_LATENCY: Duration = Duration::from_millis(10);
+/// Number of message latencies in a step.
 const HOPS_PER_STEP: u32 = 10;
+/// Duration of the rounds in which results are given.
 const ROUND: Duration = Duration::from_millis(500);
 const COUNT_DURATION: Duration = Duration::from_secs(780);
 const CHANGE_INTERVAL: Duration = Duration::from_secs(78);
@@ -133,6 +135,8 @@
         }
     }
 
+    /// Runs until `condition` holds, and returns the time that this took in rounds of gossip.
+    /// Panics after `CONVERGENCE_TIMEOUT`.
     fn rounds_until(&mut self, condition: impl Fn(&Self) -> bool) -> f64 {
         let start = self.now;
         while !condition(self) {
@@ -145,6 +149,8 @@
         (self.now - start).as_secs_f64() / ROUND.as_secs_f64()
     }
 
+    /// Advances the clock by `STEP`: delivers messages every `MESSAGE_LATENCY`, then runs one tick
+    /// of each host.
     fn step(&mut self) {
         for _ in 0..HOPS_PER_STEP {
             self.now += MESSAGE_LATENCY;
@@ -278,11 +284,13 @@
             .collect()
     }
 
+    /// Returns whether each running host has this generation of the manifest or a later one.
     fn all_have(&self, generation: Generation) -> bool {
         let mut running = self.hosts.values().filter(|host| host.is_running);
         running.all(|host| host.manifests.generation() >= Some(generation))
     }
 
+    /// Returns whether each running host sees as many alive hosts as are running.
     fn has_converged(&self) -> bool {
         let is_alive = |view: &&banyanarch::cluster_view::HostView| view.state == HostState::Alive;
         let running = self.hosts.values().filter(|host| host.is_running);
@@ -314,6 +322,7 @@
             .all(|pool| table.home_of(pool).is_some_and(|home| home != gone))
     }
 
+    /// Restarts a random host with a new incarnation.
     fn restart(&mut self, incarnation: u64) {
         let index = self.rng.random_range(0..self.hosts.len());
         let known: Vec<PeerSeed> = self
@@ -329,6 +338,7 @@
     }
 }
 
+/// Returns the pools of a failure domain, with runners in proportion to the number of hosts.
 fn pools(domain: &FailureDomainId, host_count: usize) -> Vec<PoolId> {
     let runners = host_count * RUNNERS / HOSTS / DOMAINS / MODELS;
     let upstreams: Vec<_> = (0..runners.max(1))
@@ -377,6 +387,8 @@
     fleet.bytes.values().sum::<u64>() as f64 / host_seconds
 }
 
+/// Kills hosts one after the other, and returns the mean number of rounds until their domain sees
+/// them dead and has new homes.
 fn rounds_after_kill(fleet: &mut Fleet) -> f64 {
     let host_count = fleet.hosts.len();
     let mut rounds = 0.0;
--- a/benches/daemons/mod.rs
+++ b/benches/daemons/mod.rs
@@ -93,6 +93,8 @@
     );
 }
 
+/// Returns the control bytes a second and host over `COUNT_DURATION`, and prints the processor
+/// time, memory and platform calls to standard error.
 async fn measure_traffic(daemons: &[Daemon], platform: &PlatformFake) -> f64 {
     let (bytes_before, cpu_before) = (total_control_bytes(daemons).await, total_cpu_s(daemons));
     let (reads, writes) = (platform.stats().reads, platform.stats().writes);
@@ -205,6 +207,7 @@
     kib.and_then(|kib| kib.parse().ok()).unwrap_or(0)
 }
 
+/// Publishes the manifest as the generation after `published`, and returns it.
 async fn publish(platform: SocketAddr, published: Option<PublishedManifest>) -> PublishedManifest {
     let example = include_str!("../../examples/desai/manifest.yaml");
     let last = published.map_or(Generation(0), |published| published.generation);
@@ -262,6 +265,7 @@
     name.rsplit_once('-').map_or(name, |(domain, _)| domain)
 }
 
+/// Returns loopback addresses with ports that are free at the moment.
 fn free_addrs(count: usize) -> Vec<SocketAddr> {
     let listeners: Vec<TcpListener> = (0..count)
         .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -36,6 +36,8 @@
     }
 }
 
+/// Returns the mean times to read the loads, to read them and choose, and to record a message, in
+/// microseconds.
 fn measure(size: usize) -> (f64, f64, f64) {
     let ids: Vec<UpstreamId> = (0..size)
         .map(|index| format!("engine-{index:04}@1764720000000").parse().unwrap())
@@ -57,21 +59,22 @@
         };
         ids.iter().map(view).collect()
     };
-    let read = time_us(|| {
+    let read = mean_time_us(|| {
         black_box(views(&ledger));
     });
-    let choose = time_us(|| {
+    let choose = mean_time_us(|| {
         black_box(choose_engines(&model, &views(&ledger), &request));
     });
     let mut host = 0;
-    let record = time_us(|| {
+    let record = mean_time_us(|| {
         host = (host + 1) % size;
         record_message(&mut ledger, host, &ids, now);
     });
     (read, choose, record)
 }
 
-fn time_us(mut work: impl FnMut()) -> f64 {
+/// Returns the mean time of one call of `work` over `ROUNDS` calls, in microseconds.
+fn mean_time_us(mut work: impl FnMut()) -> f64 {
     let start = Instant::now();
     for _ in 0..ROUNDS {
         work();
--- a/examples/engine_loads/main.rs
+++ b/examples/engine_loads/main.rs
@@ -85,6 +85,8 @@
     );
 }
 
+/// Returns the period of slow engines. If it is known, hosts learn of it after 0.8 s, and otherwise
+/// never.
 fn slow_period(is_known: bool) -> SlowPeriod {
     let known_after = if is_known { 0.8 } else { 1e6 };
     SlowPeriod {
@@ -96,6 +98,8 @@
     }
 }
 
+/// Simulates each selected site with each rate of long prompts, and prints the mean results of
+/// callers.
 fn main() -> Result<(), pico_args::Error> {
     let mut args = Arguments::from_env();
     let seeds = args.opt_value_from_str("--seeds")?.unwrap_or(SEEDS_DEFAULT);
--- a/examples/sweep/main.rs
+++ b/examples/sweep/main.rs
@@ -141,6 +141,7 @@
     );
 }
 
+/// Runs three loads with each value of a threshold, and prints their figures.
 fn sweep_threshold(name: &str, values: &[u64], tuning: impl Fn(u64) -> Tuning) {
     println!("\n## threshold {name}");
     for value in values {
--- a/examples/sweep/timing.rs
+++ b/examples/sweep/timing.rs
@@ -30,6 +30,7 @@
     }
 }
 
+/// Returns the mean time of one round, in microseconds, with this many requests waiting.
 fn round_us(waiting: u64) -> f64 {
     let clock = ManualClock::new();
     let mut policy = policy_for(
--- a/standin/src/demo/mod.rs
+++ b/standin/src/demo/mod.rs
@@ -43,7 +43,8 @@
     pub keep: bool,
 }
 
-/// Runs the demo and prints its table.
+/// Runs the demo, killing an engine and an entry host, and prints its table. If a request was lost
+/// or ran twice, prints the end of the host logs to standard error and keeps all logs.
 pub async fn run(options: &DemoOptions) -> Result<Tally, FleetError> {
     let plan = FleetPlan::new(&[DOMAIN], ENGINES, SERVICES, HOSTS);
     println!("starting {ENGINES} engines, {SERVICES} service instances and {HOSTS} entry hosts");
@@ -70,6 +71,7 @@
     Ok(tally)
 }
 
+/// Kills the engine that lists the most attempts.
 async fn kill_busiest_engine(fleet: &mut Fleet) {
     let mut busiest = (0, 0);
     for (index, engine) in fleet.engines.iter().enumerate() {
@@ -83,6 +85,7 @@
     child.kill();
 }
 
+/// Kills the last entry host of the fleet.
 fn kill_host(fleet: &mut Fleet) {
     if let Some(host) = fleet.hosts.last_mut() {
         println!("killing {}", host.child.name);
--- a/standin/src/demo/resend.rs
+++ b/standin/src/demo/resend.rs
@@ -13,13 +13,14 @@
 use crate::caller::send;
 use crate::engine::unix_time_ms;
 
+/// Maximum number of times that a caller sends one request.
 const SENDS_MAX: u32 = 12;
 /// Pause before the request is sent again. The pause is longer than any work started by the
 /// previous send takes to reach an engine or service, so that the runs of two sends can be told
 /// apart by their times.
 const RESEND_PAUSE: Duration = Duration::from_millis(50);
 
-/// A request with everything that its caller was told.
+/// A request with its final outcome over all sends. The times are those of the last send.
 #[derive(Clone, Debug)]
 pub(crate) struct ResolvedRequest {
     pub(crate) request: CallerRequest,
@@ -29,7 +30,7 @@
     pub(crate) first_token: Option<Duration>,
     pub(crate) total: Duration,
     pub(crate) send_count: u32,
-    /// Begin and end, in milliseconds since the Unix epoch, of the sends whose outcome was `not
+    /// Begin and end, in milliseconds due_at the Unix epoch, of the sends whose outcome was `not
     /// run`.
     pub(crate) not_run_sends_ms: Vec<(u64, u64)>,
 }
@@ -41,11 +42,11 @@
     hosts: Arc<[SocketAddr]>,
     start: Instant,
 ) -> ResolvedRequest {
-    let since = start + request.arrival;
-    tokio::time::sleep_until(since.into()).await;
+    let due_at = start + request.arrival;
+    tokio::time::sleep_until(due_at.into()).await;
     let body = request.body();
     let body_hash = ContentHash::of(&body);
-    let deadline = since + request.timeout;
+    let deadline = due_at + request.timeout;
     let mut cut_off = None;
     let mut send_count = 0;
     let mut not_run_sends_ms = Vec::new();
@@ -56,7 +57,7 @@
             hosts[host_index % hosts.len()],
             &request,
             body.clone(),
-            since,
+            due_at,
         )
         .await;
         send_count += 1;
--- a/standin/src/demo/tally.rs
+++ b/standin/src/demo/tally.rs
@@ -28,6 +28,7 @@
     findings: Vec<String>,
 }
 
+/// Counts and times of one kind of request.
 #[derive(Clone, Debug, Default)]
 struct Row {
     name: String,
@@ -57,7 +58,10 @@
         let names = LengthClass::ALL.iter().map(|class| class.name());
         for name in names.chain(["service"]) {
             let mut row = Row::named(name);
-            for request in resolved.iter().filter(|request| kind_of(request) == name) {
+            for request in resolved
+                .iter()
+                .filter(|request| row_name_of(request) == name)
+            {
                 row.add(request);
                 tally.total.add(request);
             }
@@ -131,6 +135,7 @@
         *self.reasons.entry(reason).or_insert(0) += 1;
     }
 
+    /// Checks one request against the start times of its runs, and records a loss or a double run.
     fn check(&mut self, request: &ResolvedRequest, run_starts_ms: &[u64]) {
         let number = request.request.number;
         let run_count = run_starts_ms.len();
@@ -190,7 +195,7 @@
     }
 }
 
-fn kind_of(request: &ResolvedRequest) -> &'static str {
+fn row_name_of(request: &ResolvedRequest) -> &'static str {
     match request.request.kind {
         RequestKind::Service => "service",
         _ => request.request.class().name(),
--- a/standin/src/engine/api.rs
+++ b/standin/src/engine/api.rs
@@ -106,6 +106,8 @@
         }
     }
 
+    /// Submits the attempt of a completion call, and returns its answer whole or streamed. The
+    /// faults may fail, cut or truncate the answer.
     async fn complete(&self, head: &Parts, body: Bytes) -> Reply {
         let prompt = match Prompt::parse(&body) {
             Ok(prompt) => prompt,
@@ -122,7 +124,7 @@
             Err(SubmitError::Duplicate) => {
                 return Ok(http::text(
                     StatusCode::CONFLICT,
-                    "this attempt was taken in before",
+                    "an attempt with this id was accepted before",
                 ));
             }
             Err(SubmitError::NoCapacity(reason)) => return Ok(http::not_run(reason)),
@@ -134,8 +136,10 @@
             return Ok(http::text(StatusCode::INTERNAL_SERVER_ERROR, "failed"));
         }
         self.shared.work.notify_one();
-        let Some(source) = self.shared.source(&id) else {
-            return Err(io::Error::other("the attempt is gone"));
+        let Some(source) = self.shared.answer_source(&id) else {
+            return Err(io::Error::other(
+                "the attempt was removed before its answer was read",
+            ));
         };
         let truncation = match (
             is_nth(accepted_count, faults.cut_one_in),
@@ -189,6 +193,7 @@
         http::streamed("text/event-stream", events)
     }
 
+    /// Lists the attempts that run or hold memory, and the reservations.
     fn list_attempts(&self) -> Response<Body> {
         let batch = self.shared.batch();
         let attempts = batch
@@ -206,12 +211,13 @@
         http::json(StatusCode::OK, &listed)
     }
 
+    /// Streams the answer of an attempt from the offset in the `Last-Event-ID` header on.
     fn resume_stream(&self, id: &str, headers: &HeaderMap) -> Response<Body> {
         let last = http::header(headers, "last-event-id").unwrap_or("");
         let offset = last
             .rsplit_once(':')
             .and_then(|(_, offset)| offset.parse().ok());
-        match self.shared.source(id) {
+        match self.shared.answer_source(id) {
             Some(source) => self.stream_answer(source, offset.unwrap_or(0), Truncation::None),
             None => http::text(StatusCode::NOT_FOUND, "no such attempt"),
         }
@@ -248,7 +254,7 @@
         };
         match self.shared.loaded_state().apply(order, Instant::now()) {
             true => http::empty(StatusCode::OK),
-            false => http::text(StatusCode::CONFLICT, "the fencing number is old"),
+            false => http::text(StatusCode::CONFLICT, "the fencing number is outdated"),
         }
     }
 
@@ -271,7 +277,10 @@
         };
         let last = chain.last().map(|segment| segment.prefix.to_string());
         if last.as_deref() != Some(prefix) {
-            return http::text(StatusCode::BAD_REQUEST, "not this prefix");
+            return http::text(
+                StatusCode::BAD_REQUEST,
+                "the last segment does not end the prefix in the path",
+            );
         }
         self.wait_for_transfer(&chain).await;
         let mut batch = self.shared.batch();
@@ -280,6 +289,7 @@
         http::empty(StatusCode::OK)
     }
 
+    /// Sleeps for as long as the transfer of these segments takes.
     async fn wait_for_transfer(&self, chain: &[Segment]) {
         let tokens: u64 = chain.iter().map(|segment| segment.tokens).sum();
         let duration_s = tokens as f64 / self.shared.options.kv_tokens_per_second;
@@ -298,14 +308,14 @@
         };
         match self.shared.batch().reserve(id, reservation) {
             true => http::empty(StatusCode::OK),
-            false => http::text(StatusCode::CONFLICT, "no room"),
+            false => http::text(StatusCode::CONFLICT, "not enough free memory"),
         }
     }
 
     fn release_reservation(&self, id: &str) -> Response<Body> {
         match self.shared.batch().reservations.shift_remove(id) {
             Some(_) => http::empty(StatusCode::OK),
-            None => http::text(StatusCode::NOT_FOUND, "no such hold"),
+            None => http::text(StatusCode::NOT_FOUND, "no such reservation"),
         }
     }
 }
@@ -326,7 +336,7 @@
     if progress.end != Some(RunEnd::Completed) {
         return Ok(http::text(
             StatusCode::INTERNAL_SERVER_ERROR,
-            "it did not end well",
+            "the attempt did not complete",
         ));
     }
     let text = answer::tokens_text(source.body_hash, 0, progress.output_tokens);
--- a/standin/src/engine/attempt.rs
+++ b/standin/src/engine/attempt.rs
@@ -23,6 +23,7 @@
     /// The number of engines that hold the prompt together.
     pub(crate) gang_len: u64,
     pub(crate) deadline: Option<Instant>,
+    /// Whether the prompt crashes the engine when it is prefilled.
     pub(crate) crashes: bool,
 }
 
@@ -47,12 +48,14 @@
     Ended(Instant),
 }
 
+/// An attempt with its phase, memory and progress.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) spec: AttemptSpec,
     pub(crate) phase: Phase,
     /// The length of the answer in tokens, unless the attempt ends early.
     pub(crate) answer_tokens: u64,
+    /// The memory that the attempt holds, in tokens.
     pub(crate) held_tokens: u64,
     pub(crate) prefilled_tokens: u64,
     pub(crate) progress: watch::Sender<Progress>,
--- a/standin/src/engine/batch.rs
+++ b/standin/src/engine/batch.rs
@@ -82,7 +82,9 @@
         }
         let attempt = Attempt::new(spec);
         if attempt.required_tokens() > self.options.memory_tokens {
-            return Err(SubmitError::NoCapacity("larger than the memory"));
+            return Err(SubmitError::NoCapacity(
+                "the attempt is larger than the memory",
+            ));
         }
         let waiting = self.attempts.values().filter(|a| a.phase == Phase::Waiting);
         let fits_now = attempt.required_tokens() <= self.free_tokens_for(&attempt.spec.id);
@@ -129,7 +131,8 @@
         self.end(id, RunEnd::Failed, now);
     }
 
-    /// Returns the work of the next step, or `None` when there is nothing to do.
+    /// Removes what has expired, starts waiting attempts that fit, and returns the work of the next
+    /// step, or `None` when there is nothing to do.
     pub(crate) fn plan_step(&mut self, now: Instant) -> Option<Step> {
         self.remove_expired(now);
         self.admit();
@@ -176,7 +179,8 @@
             .saturating_sub(attempts + reservations)
     }
 
-    /// Returns the current load, altered by the faults. Callers of the API see an older one.
+    /// Returns the current load, altered by the faults. The API reports it only after the report
+    /// lag.
     pub(crate) fn load(&self) -> LoadReport {
         let count = |keep: fn(&Attempt) -> bool| self.attempts.values().filter(|a| keep(a)).count();
         let waiting = count(|a| a.phase == Phase::Waiting);
@@ -197,6 +201,8 @@
         }
     }
 
+    /// Removes expired reservations and attempts that ended long ago, and ends attempts whose
+    /// deadline has passed.
     fn remove_expired(&mut self, now: Instant) {
         self.reservations
             .retain(|_, reservation| reservation.until > now);
@@ -231,6 +237,8 @@
         }
     }
 
+    /// Prefills `chunk` tokens of an attempt. With the last chunk the prompt is cached and the
+    /// first token is generated.
     fn prefill(&mut self, id: &str, chunk: u64, now: Instant) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
@@ -251,6 +259,7 @@
         self.generate_token(id, now);
     }
 
+    /// Generates one token of an attempt, and ends the attempt with the last one.
     fn generate_token(&mut self, id: &str, now: Instant) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
--- a/standin/src/engine/cache.rs
+++ b/standin/src/engine/cache.rs
@@ -80,6 +80,7 @@
         Some(chain)
     }
 
+    /// Removes and returns the events recorded since the last call.
     pub(crate) fn drain_events(&mut self) -> Vec<CacheEvent> {
         std::mem::take(&mut self.events)
     }
--- a/standin/src/engine/mod.rs
+++ b/standin/src/engine/mod.rs
@@ -12,12 +12,12 @@
 mod faults;
 mod options;
 mod orders;
+mod processing_time;
 mod prompt;
 mod record;
 mod reports;
 mod shared;
 mod stream;
-mod throughput;
 
 use std::io;
 use std::net::SocketAddr;
@@ -29,12 +29,12 @@
 
 pub use faults::EngineFaults;
 pub use options::EngineOptions;
+pub use processing_time::processing_time;
 pub use record::RunEnd;
 pub use record::RunLog;
 pub use record::RunRecord;
 pub use record::read_runs;
 pub use record::unix_time_ms;
-pub use throughput::throughput;
 
 use crate::engine::api::Api;
 use crate::engine::shared::Shared;
@@ -54,7 +54,8 @@
 }
 
 impl Engine {
-    /// Starts the engine on the current runtime.
+    /// Binds the listener, opens the record file and runs the engine on the current runtime. A
+    /// crash exits the process if [`EngineOptions::exits`] is set, and otherwise closes the server.
     pub async fn start(options: EngineOptions) -> io::Result<Self> {
         let listen = options.listen;
         let exits = options.exits;
@@ -113,6 +114,7 @@
     }
 }
 
+/// Runs the steps of the engine until a fault or a prompt crashes it.
 async fn run_until_crash(shared: Arc<Shared>, server: Arc<Server>, exits: bool) {
     tokio::select! {
         () = shared.run_steps() => (),
--- a/standin/src/engine/throughput.rs
+++ b/standin/src/engine/processing_time.rs
@@ -1,4 +1,4 @@
-//! Throughput of an engine, computed in virtual time.
+//! Processing time of a batch of requests on an engine, computed in virtual time.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,7 +11,7 @@
 
 /// Returns how long an engine takes for prompts of these lengths, each with the longest answer,
 /// when all of them are queued at the start. Sizes are pairs of prompt and answer tokens.
-pub fn throughput(options: &EngineOptions, sizes: &[(u64, u64)], start: Instant) -> Duration {
+pub fn processing_time(options: &EngineOptions, sizes: &[(u64, u64)], start: Instant) -> Duration {
     let options = EngineOptions {
         queue_max: sizes.len(),
         record_file: None,
--- a/standin/src/engine/reports.rs
+++ b/standin/src/engine/reports.rs
@@ -31,6 +31,7 @@
         }
     }
 
+    /// Adds the load at `now` and removes loads that are no longer needed.
     pub(crate) fn add_load(&mut self, load: LoadReport, now: Instant) {
         self.loads.push_back((now, load));
         let is_old = |(at, _): &(Instant, LoadReport)| now >= *at + self.load_lag;
@@ -39,6 +40,7 @@
         }
     }
 
+    /// Adds events made at `now`, except those that the gap setting drops.
     pub(crate) fn add_events(&mut self, events: Vec<CacheEvent>, now: Instant) {
         let is_dropped =
             |event: &CacheEvent| self.gap_one_in > 0 && event.seq.is_multiple_of(self.gap_one_in);
@@ -49,14 +51,15 @@
         }
     }
 
-    /// Returns the newest load that is at least as old as the lag; `None` when the engine started
-    /// later than that.
+    /// Returns the newest load that is at least as old as the lag, or `None` if no load is old
+    /// enough.
     pub(crate) fn load(&self, now: Instant) -> Option<LoadReport> {
         let visible = self.loads.iter().rev();
         let mut old = visible.filter(|(at, _)| now >= *at + self.load_lag);
         old.next().map(|(_, load)| load.clone())
     }
 
+    /// Returns the events with a sequence number above `seq` that are at least as old as their lag.
     pub(crate) fn events_after(&self, seq: u64, now: Instant) -> Vec<CacheEvent> {
         let visible = self
             .events
--- a/standin/src/engine/shared.rs
+++ b/standin/src/engine/shared.rs
@@ -25,6 +25,7 @@
 /// up.
 const STEP_LATENESS_MAX: Duration = Duration::from_millis(50);
 
+/// State of one engine.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) options: EngineOptions,
@@ -37,6 +38,7 @@
 }
 
 impl Shared {
+    /// Creates the state of an idle engine and opens its record file.
     pub(crate) fn new(options: EngineOptions) -> io::Result<Self> {
         let reports = DelayedReports::new(
             Duration::from_millis(options.report_lag_ms),
@@ -76,6 +78,7 @@
         self.faults.borrow().clone()
     }
 
+    /// Replaces all faults.
     pub(crate) fn set_faults(&self, faults: EngineFaults) {
         self.batch().faults = faults.clone();
         self.faults.send_replace(faults);
@@ -87,7 +90,7 @@
         let _ = faults.wait_for(|faults| !faults.freeze).await;
     }
 
-    /// Waits for the `die` fault.
+    /// Waits until the `die` fault is set.
     pub(crate) async fn wait_for_die_fault(&self) {
         let mut faults = self.faults.subscribe();
         let _ = faults.wait_for(|faults| faults.die).await;
@@ -118,7 +121,8 @@
         }
     }
 
-    /// Records the current load and the new cache events for later reports.
+    /// Takes the new events out of the cache and records them with the current load, so that the
+    /// API can report both after their lags.
     pub(crate) fn record_reports(&self, now: Instant) {
         let (load, events) = {
             let mut batch = self.batch();
@@ -129,8 +133,8 @@
         reports.add_events(events, now);
     }
 
-    /// Returns what a reader of this attempt needs; `None` when there is no such attempt.
-    pub(crate) fn source(&self, id: &str) -> Option<AnswerSource> {
+    /// Returns the source of an attempt's answer, or `None` when there is no such attempt.
+    pub(crate) fn answer_source(&self, id: &str) -> Option<AnswerSource> {
         self.batch().attempts.get(id).map(answer_source_of)
     }
 
--- a/standin/src/engine/stream.rs
+++ b/standin/src/engine/stream.rs
@@ -18,7 +18,7 @@
 use crate::engine::attempt::Progress;
 use crate::engine::shared::Shared;
 
-/// What a reader needs of an attempt.
+/// The parts of an attempt from which its answer is rendered, with its progress.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerSource {
     pub(crate) id: String,
@@ -57,7 +57,7 @@
     MissingEndMark,
 }
 
-/// Returns the events of an answer, from the token at `offset` on.
+/// Returns the server-sent events of an answer, from the token at `offset` on.
 pub(crate) fn events(
     shared: Arc<Shared>,
     source: AnswerSource,
@@ -68,7 +68,7 @@
         Truncation::None => u64::MAX,
         Truncation::ConnectionCut | Truncation::MissingEndMark => source.answer_tokens.div_ceil(2),
     };
-    let reader = AnswerReader {
+    let event_stream = AnswerEventStream {
         shared,
         source,
         offset,
@@ -77,15 +77,17 @@
         queue: VecDeque::new(),
         is_finished: false,
     };
-    stream::unfold(reader, |mut reader| async move {
-        let piece = reader.next_piece().await?;
-        Some((piece, reader))
+    stream::unfold(event_stream, |mut event_stream| async move {
+        let piece = event_stream.next_piece().await?;
+        Some((piece, event_stream))
     })
 }
 
-struct AnswerReader {
+/// Produces the server-sent events of one answer while the engine generates it.
+struct AnswerEventStream {
     shared: Arc<Shared>,
     source: AnswerSource,
+    /// The number of tokens that have been sent or queued.
     offset: u64,
     truncation: Truncation,
     /// The number of tokens after which the answer is truncated.
@@ -94,7 +96,9 @@
     is_finished: bool,
 }
 
-impl AnswerReader {
+impl AnswerEventStream {
+    /// Waits for the next event; returns `None` at the end of the answer, and an error if the
+    /// connection is to be cut.
     async fn next_piece(&mut self) -> Option<io::Result<Bytes>> {
         loop {
             if let Some(piece) = self.queue.pop_front() {
@@ -114,7 +118,7 @@
                 self.apply_delay_faults().await;
                 self.queue_new_events(progress);
             } else if self.source.progress.changed().await.is_err() {
-                return Some(Err(io::Error::other("the attempt was forgotten")));
+                return Some(Err(io::Error::other("the attempt was removed")));
             }
         }
     }
--- a/standin/src/fleet/child.rs
+++ b/standin/src/fleet/child.rs
@@ -46,7 +46,8 @@
         })
     }
 
-    /// Waits until the process prints the line `listening ADDR`, and returns the address.
+    /// Waits until the process prints the line `listening ADDR`, and returns the address. Returns
+    /// an error after 30 seconds without this line.
     pub async fn wait_until_listening(&self) -> Result<SocketAddr, FleetError> {
         let deadline = Instant::now() + START_TIMEOUT;
         while Instant::now() < deadline {
@@ -59,7 +60,10 @@
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        Err(FleetError(format!("{} did not come up", self.name)))
+        Err(FleetError(format!(
+            "{} did not print its address before the timeout",
+            self.name
+        )))
     }
 
     /// Returns the process id.
--- a/standin/src/fleet/host.rs
+++ b/standin/src/fleet/host.rs
@@ -94,6 +94,8 @@
         Ok(hosts)
     }
 
+    /// Polls `/readyz` until it succeeds. Returns an error with the last lines of the log if the
+    /// process ends or the timeout passes.
     async fn wait_until_ready(&mut self, dir: &WorkDir) -> Result<(), FleetError> {
         let deadline = Instant::now() + READY_TIMEOUT;
         while Instant::now() < deadline && !self.child.has_ended() {
@@ -105,7 +107,7 @@
         }
         let log = dir.tail(&self.child.name);
         Err(FleetError(format!(
-            "{} did not get ready\n{log}",
+            "{} did not become ready\n{log}",
             self.child.name
         )))
     }
--- a/standin/src/fleet/mod.rs
+++ b/standin/src/fleet/mod.rs
@@ -49,7 +49,8 @@
     record_name: String,
 }
 
-/// A running fleet. Dropping it kills its processes.
+/// A running fleet. Dropping it kills its processes and removes the directory with their settings,
+/// records and logs, unless [`Fleet::keep_dir`] was called.
 #[derive(Debug)]
 pub struct Fleet {
     /// The fake platform.
--- a/standin/src/http/client.rs
+++ b/standin/src/http/client.rs
@@ -16,7 +16,7 @@
 use serde_json::Value;
 use tokio::net::TcpStream;
 
-/// Why a call did not return a successful response.
+/// Why a call did not return a successful response. Calls have no timeout of their own.
 #[derive(Debug)]
 pub enum CallError {
     /// The connection could not be established, so nothing was sent.
--- a/standin/src/load/arrivals.rs
+++ b/standin/src/load/arrivals.rs
@@ -1,4 +1,4 @@
-//! Open-loop arrivals from a seeded generator.
+//! Arrivals from a seeded generator. The load is open-loop: arrivals do not depend on responses.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::load::scenario::ArrivalPattern;
 use crate::load::scenario::Scenario;
 
-/// The shape of the requests of a length class.
+/// Bounds of the prompt length, answer limit and timeout of the requests of a length class.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestShape {
     prompt_tokens: (u64, u64),
@@ -36,6 +36,7 @@
         }
     }
 
+    /// Draws a prompt length between the bounds, in tokens.
     pub(crate) fn prompt_tokens(&self, rng: &mut StdRng) -> u64 {
         rng.random_range(self.prompt_tokens.0..=self.prompt_tokens.1)
     }
@@ -69,6 +70,7 @@
     requests
 }
 
+/// Appends the arrivals of one class; `rate` is the average number of requests a second.
 fn push_class_arrivals(
     scenario: &Scenario,
     class: LengthClass,
--- a/standin/src/load/capacity.rs
+++ b/standin/src/load/capacity.rs
@@ -9,9 +9,10 @@
 use rand::rngs::StdRng;
 
 use crate::engine::EngineOptions;
-use crate::engine::throughput;
+use crate::engine::processing_time;
 use crate::load::arrivals::RequestShape;
 
+/// Number of requests from which the rate of a class is computed.
 const REQUESTS: u64 = 60;
 /// Engine time over which a mix is evaluated, in seconds.
 const MIX_ENGINE_TIME_S: f64 = 8.0;
@@ -27,7 +28,7 @@
     let sizes: Vec<(u64, u64)> = (0..REQUESTS)
         .map(|_| (shape.prompt_tokens(rng), shape.max_tokens))
         .collect();
-    let duration = throughput(options, &sizes, Instant::now());
+    let duration = processing_time(options, &sizes, Instant::now());
     REQUESTS as f64 / duration.as_secs_f64()
 }
 
@@ -50,5 +51,5 @@
     }
     sizes.sort_unstable();
     let sizes: Vec<(u64, u64)> = sizes.into_iter().map(|(_, size)| size).collect();
-    separate_s / throughput(options, &sizes, Instant::now()).as_secs_f64()
+    separate_s / processing_time(options, &sizes, Instant::now()).as_secs_f64()
 }
--- a/standin/src/load/fairness.rs
+++ b/standin/src/load/fairness.rs
@@ -13,11 +13,11 @@
 }
 
 /// Returns Jain's index over customers, and the least fraction of its fair share that a customer
-/// got.
+/// received.
 ///
-/// The tokens that all customers got together are divided evenly, and what one customer does not
-/// demand goes to the others (max-min fairness). The figure of a customer is what it got divided by
-/// that share, at most 1.
+/// The prompt tokens that all customers received together are divided evenly, and what one customer
+/// does not demand goes to the others (max-min fairness). The fraction of a customer is what it
+/// received divided by its fair share, at most 1.
 pub(crate) fn fairness(samples: &[Sample]) -> (f64, f64) {
     let mut usages: IndexMap<&str, CustomerUsage> = IndexMap::new();
     for sample in samples {
@@ -41,6 +41,8 @@
     (jain_index(&fractions), least)
 }
 
+/// Sorts the customers by demand and sets the fair share of each: the tokens that all customers
+/// received together, divided by max-min fairness.
 fn compute_fair_shares(usages: &mut [CustomerUsage]) {
     usages.sort_by(|a, b| a.demanded.total_cmp(&b.demanded));
     let mut remaining: f64 = usages.iter().map(|usage| usage.received).sum();
@@ -51,6 +53,7 @@
     }
 }
 
+/// Returns Jain's fairness index: 1 if all fractions are equal, 0 if all of them are 0.
 fn jain_index(fractions: &[f64]) -> f64 {
     let sum: f64 = fractions.iter().sum();
     let squares: f64 = fractions.iter().map(|fraction| fraction * fraction).sum();
--- a/standin/src/load/html.rs
+++ b/standin/src/load/html.rs
@@ -35,11 +35,12 @@
     out
 }
 
+/// Plots, for each class, the fraction of requests whose first token arrived within a time.
 fn distribution_plot(samples: &[Sample], alone: &[Vec<Sample>]) -> String {
-    let mut plot = svg_start();
+    let mut plot = svg_open_tag();
     for decade in [0.0, 1.0, 2.0, 3.0, 4.0, 5.0] {
         let label = format!("{} ms", 10f64.powf(decade));
-        plot.push_str(&grid_line(x_of_ms(10f64.powf(decade)), &label));
+        plot.push_str(&vertical_grid_line(x_of_ms(10f64.powf(decade)), &label));
     }
     for (index, class) in LengthClass::ALL.into_iter().enumerate() {
         let mixed = first_tokens_ms(samples, class);
@@ -47,15 +48,16 @@
             .iter()
             .flat_map(|part| first_tokens_ms(part, class))
             .collect();
-        plot.push_str(&step_line(mixed, COLOURS[index], ""));
-        plot.push_str(&step_line(class_alone, COLOURS[index], "5,4"));
+        plot.push_str(&distribution_line(mixed, COLOURS[index], ""));
+        plot.push_str(&distribution_line(class_alone, COLOURS[index], "5,4"));
     }
     plot.push_str(&legend());
     plot + "</svg>"
 }
 
+/// Plots the time to first token of each request over its arrival.
 fn timeline_plot(samples: &[Sample]) -> String {
-    let mut plot = svg_start();
+    let mut plot = svg_open_tag();
     let last_s = samples
         .iter()
         .map(|sample| sample.request.arrival.as_secs_f64())
@@ -63,7 +65,7 @@
     let x_of = |at_s: f64| MARGIN + (WIDTH - 2.0 * MARGIN) * at_s / last_s;
     for tick in 0..=4 {
         let at_s = last_s * f64::from(tick) / 4.0;
-        plot.push_str(&grid_line(x_of(at_s), &format!("{at_s:.0} s")));
+        plot.push_str(&vertical_grid_line(x_of(at_s), &format!("{at_s:.0} s")));
     }
     for decade in 1..=5 {
         let y = y_of_ms(10f64.powi(decade));
@@ -105,7 +107,8 @@
     first.map(|first| first.as_secs_f64() * 1_000.0).collect()
 }
 
-fn step_line(mut values_ms: Vec<f64>, colour: &str, dashes: &str) -> String {
+/// Draws the cumulative distribution of the values as a polyline; `dashes` is the dash pattern.
+fn distribution_line(mut values_ms: Vec<f64>, colour: &str, dashes: &str) -> String {
     if values_ms.is_empty() {
         return String::new();
     }
@@ -135,11 +138,11 @@
     out
 }
 
-fn svg_start() -> String {
+fn svg_open_tag() -> String {
     format!("<svg width=\"{WIDTH}\" height=\"{HEIGHT}\" xmlns=\"http://www.w3.org/2000/svg\">")
 }
 
-fn grid_line(x: f64, label: &str) -> String {
+fn vertical_grid_line(x: f64, label: &str) -> String {
     let bottom = HEIGHT - MARGIN;
     format!(
         "<line x1=\"{x:.1}\" x2=\"{x:.1}\" y1=\"{MARGIN}\" y2=\"{bottom}\" stroke=\"#ddd\"/>\
--- a/standin/src/load/mod.rs
+++ b/standin/src/load/mod.rs
@@ -26,10 +26,10 @@
 use crate::load::player::play;
 use crate::load::scenario::Scenario;
 
-/// Offset between the request numbers of two parts of a run, so that no part profits from prefixes
-/// cached by the one before.
+/// Offset between the request numbers of two parts of a run, so that no part finds prefixes that
+/// an earlier part left in the cache.
 const PART_NUMBER_OFFSET: u64 = 10_000_000;
-/// Pause between the parts of a run, in which engines and queues become empty.
+/// Pause between the parts of a run, long enough for engines and queues to become empty.
 const PART_PAUSE: Duration = Duration::from_millis(500);
 
 /// Time for the homes to settle. A home starts with the first request and rebuilds its ledger for
@@ -51,12 +51,13 @@
     pub keep: bool,
 }
 
-/// Runs a scenario.
+/// Runs a scenario on a fleet of its own and returns its figures. Before the scenario, the fleet
+/// gets a warm-up, each class alone and, if the scenario has one, the baseline load.
 pub async fn run(options: &LoadOptions) -> Result<RunReport, FleetError> {
     if options.scenario == path_cost::NAME {
         return path_cost::run(options).await;
     }
-    let unknown = || FleetError(format!("no scenario `{}`", options.scenario));
+    let unknown = || FleetError(format!("scenario `{}` does not exist", options.scenario));
     let scenario = Scenario::named(options).ok_or_else(unknown)?;
     let mut fleet = Fleet::start(&scenario.plan).await?;
     if options.keep {
@@ -88,7 +89,7 @@
     tokio::time::sleep(HOMES_SETTLE_TIME).await;
 }
 
-/// Plays the first seconds of each class without the other classes.
+/// Plays the first seconds of the arrivals of each class without the other classes.
 async fn play_alone(
     scenario: &Scenario,
     fleet: &Fleet,
@@ -113,6 +114,7 @@
     parts
 }
 
+/// Plays the baseline load without faults; returns `None` if the scenario has no baseline.
 async fn play_baseline(scenario: &Scenario, fleet: &Fleet, seed: u64) -> Option<Vec<Sample>> {
     let load_factor = scenario.baseline_load?;
     let part = scenario.mix.len() as u64 + 1;
@@ -122,6 +124,7 @@
     Some(samples)
 }
 
+/// Offsets the request numbers and prefix groups, so that no two parts of a run share a prompt.
 fn renumber(mut requests: Vec<CallerRequest>, part: u64) -> Vec<CallerRequest> {
     for request in &mut requests {
         request.number += part * PART_NUMBER_OFFSET;
--- a/standin/src/load/path_cost.rs
+++ b/standin/src/load/path_cost.rs
@@ -34,6 +34,7 @@
 /// Clock ticks a second of the processor times in /proc. Linux fixes the value for user space.
 const TICKS_PER_SECOND: f64 = 100.0;
 
+/// Results and processor times of one path, summed over its rounds.
 #[derive(Debug, Default)]
 struct PathMeasurement {
     results: Vec<SendResult>,
@@ -54,6 +55,7 @@
     let (engine, host) = (fleet.engines[0].addr, fleet.hosts[0].callers_addr);
     let mut direct = PathMeasurement::default();
     let mut through_host = PathMeasurement::default();
+    // The first round warms up the path and is not counted.
     run_round(&fleet, host, 1_000, &mut PathMeasurement::default()).await?;
     for nth in 0..ROUNDS {
         run_round(&fleet, engine, 2 * nth, &mut direct).await?;
@@ -62,6 +64,7 @@
     Ok(report(&direct, &through_host))
 }
 
+/// Sends the calls of one round to `addr` and adds the results to `measurement`.
 async fn run_round(
     fleet: &Fleet,
     addr: SocketAddr,
@@ -131,8 +134,8 @@
         "host",
         "ratio",
         "completed",
-        direct.completed(),
-        through_host.completed(),
+        direct.completed_count(),
+        through_host.completed_count(),
         "ttft p50, ms",
         ttft.0,
         ttft.1,
@@ -164,7 +167,7 @@
             "tokens_per_s": [rate.0, rate.1],
             "engine_cpu_ms": [engine_cpu.0, engine_cpu.1],
             "host_cpu_ms": host_cpu,
-            "completed": [direct.completed(), through_host.completed()],
+            "completed": [direct.completed_count(), through_host.completed_count()],
         }),
         html: format!("<!doctype html><title>path-cost</title><pre>{text}</pre>\n"),
         text,
@@ -172,12 +175,12 @@
 }
 
 impl PathMeasurement {
-    fn completed(&self) -> usize {
-        let done = self
+    fn completed_count(&self) -> usize {
+        let completed = self
             .results
             .iter()
             .filter(|result| result.outcome == CallOutcome::Completed);
-        done.count()
+        completed.count()
     }
 
     fn ttft_ms(&self, percent: f64) -> f64 {
--- a/standin/src/load/player.rs
+++ b/standin/src/load/player.rs
@@ -21,10 +21,12 @@
 /// Time before its due instant at which the body of a request is built, so that building it does
 /// not add to the time to first token.
 const BODY_LEAD_TIME: Duration = Duration::from_millis(60);
+/// Maximum number of times that a caller sends one request.
 const SENDS_MAX: u32 = 6;
+/// Pause before a request is sent again when the response names none.
 const RESEND_PAUSE: Duration = Duration::from_millis(50);
 
-/// A request with the result that its caller got.
+/// A request with the result of its last send.
 #[derive(Clone, Debug)]
 pub(crate) struct Sample {
     pub(crate) request: CallerRequest,
@@ -49,12 +51,14 @@
     }
 }
 
-/// Sends all requests when they are due, and injects the faults of the scenario if `faulty` is set.
+/// Sends each request to an entry host when it is due, and waits for all results. Callers resend
+/// failed requests if the scenario says so. If `injects_faults` is set, the faults of the scenario
+/// are injected into the engines at their times.
 pub(crate) async fn play(
     scenario: &Scenario,
     fleet: &Fleet,
     requests: Vec<CallerRequest>,
-    faulty: bool,
+    injects_faults: bool,
 ) -> Vec<Sample> {
     let hosts: Arc<[SocketAddr]> = fleet.callers_addrs().into();
     let start = Instant::now() + BODY_LEAD_TIME;
@@ -75,7 +79,7 @@
         }
     };
     let inject_faults = async {
-        if faulty {
+        if injects_faults {
             inject_engine_faults(scenario, fleet, start).await;
         }
     };
@@ -83,6 +87,7 @@
     callers.join_all().await
 }
 
+/// Sends one request at `due_at`, and again to the next host while it fails and may be resent.
 async fn send_when_due(
     request: CallerRequest,
     due_at: Instant,
--- a/standin/src/platform/api.rs
+++ b/standin/src/platform/api.rs
@@ -46,21 +46,23 @@
     changed: watch::Sender<u64>,
 }
 
+/// State of the platform behind its lock.
 #[derive(Debug, Default)]
 struct Inner {
     store: Store,
     stats: CallStats,
     faults: PlatformFaults,
-    /// Start of the second in which `reads` and `writes` are counted.
+    /// Start of the current window of one second, in which `reads` and `writes` are counted.
     second_start: Option<Instant>,
     reads: u64,
     writes: u64,
 }
 
 impl Api {
+    /// Replaces all faults and wakes the watches, which end with an error during an outage.
     pub(crate) fn set_faults(&self, faults: PlatformFaults) {
         self.lock().faults = faults;
-        self.wake();
+        self.wake_watches();
     }
 
     pub(crate) fn stats(&self) -> CallStats {
@@ -96,13 +98,16 @@
         }
     }
 
+    /// Returns the refusal of a call during an outage or beyond a rate limit, and counts it.
+    /// Outside an outage, each call counts towards its rate limit.
     fn refuse_call(&self, is_read: bool) -> Option<Reply> {
         let mut inner = self.lock();
         let outage = inner.faults.outage;
         let reply = match outage {
-            Outage::None if inner.is_over_rate(is_read, Instant::now()) => {
-                Ok(http::text(StatusCode::TOO_MANY_REQUESTS, "over the rate"))
-            }
+            Outage::None if inner.is_over_rate(is_read, Instant::now()) => Ok(http::text(
+                StatusCode::TOO_MANY_REQUESTS,
+                "over the rate limit",
+            )),
             Outage::None => return None,
             Outage::Unavailable => Ok(http::text(StatusCode::SERVICE_UNAVAILABLE, "outage")),
             Outage::Closed => Err(io::Error::other("outage")),
@@ -155,13 +160,16 @@
             "DELETE" => inner.store.delete(kind, name, now),
             "POST" => {
                 let Some(name) = object["metadata"]["name"].as_str() else {
-                    return Ok(http::text(StatusCode::BAD_REQUEST, "no metadata.name"));
+                    return Ok(http::text(
+                        StatusCode::BAD_REQUEST,
+                        "metadata.name is missing",
+                    ));
                 };
                 inner.store.create(kind, name, spec, now)
             }
             _ => {
                 let Some(expected) = parse_version(&object["metadata"]["resourceVersion"]) else {
-                    let reason = "no metadata.resourceVersion";
+                    let reason = "metadata.resourceVersion is missing";
                     return Ok(http::text(StatusCode::BAD_REQUEST, reason));
                 };
                 inner.store.replace((kind, name), expected, spec, now)
@@ -169,7 +177,7 @@
         };
         let reply = inner.reply_to(call, written);
         drop(inner);
-        self.wake();
+        self.wake_watches();
         reply
     }
 
@@ -200,7 +208,7 @@
         })
     }
 
-    fn wake(&self) {
+    fn wake_watches(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
@@ -216,6 +224,7 @@
 }
 
 impl Inner {
+    /// Counts a call in the current second, and returns whether it exceeds the rate limit.
     fn is_over_rate(&mut self, is_read: bool, now: Instant) -> bool {
         if self.second_start.is_none_or(|start| now >= start + SECOND) {
             self.second_start = Some(now);
@@ -240,6 +249,7 @@
         now.checked_sub(lag).unwrap_or(now)
     }
 
+    /// Returns the response to a write, or an error if a fault drops the response.
     fn reply_to(&mut self, call: &str, written: WriteResult) -> Reply {
         let object = match written {
             WriteResult::Applied(object) => object,
@@ -254,7 +264,7 @@
         let one_in = self.faults.lose_answer_one_in;
         if one_in > 0 && self.stats.writes.is_multiple_of(one_in) {
             self.stats.lost_answers += 1;
-            return Err(io::Error::other("answer lost"));
+            return Err(io::Error::other("response dropped by a fault"));
         }
         let status = match call {
             "POST" => StatusCode::CREATED,
@@ -264,6 +274,7 @@
     }
 }
 
+/// An open watch, which sends its events as lines of JSON.
 struct Watcher {
     api: Arc<Api>,
     changed: watch::Receiver<u64>,
@@ -318,6 +329,7 @@
     }
 }
 
+/// Query parameters of a list or watch.
 struct Query {
     watch: bool,
     version: u64,
--- a/standin/src/platform/call_stats.rs
+++ b/standin/src/platform/call_stats.rs
@@ -22,11 +22,13 @@
 }
 
 impl CallStats {
+    /// Counts a get, list or watch of objects of a kind.
     pub(crate) fn count_read(&mut self, call: &str, kind: &str) {
         self.reads += 1;
         self.count(call, kind);
     }
 
+    /// Counts a create, replacement or deletion of an object of a kind.
     pub(crate) fn count_write(&mut self, call: &str, kind: &str) {
         self.writes += 1;
         self.count(call, kind);
--- a/standin/src/platform/mod.rs
+++ b/standin/src/platform/mod.rs
@@ -36,7 +36,7 @@
         self.server.addr()
     }
 
-    /// Replaces all faults.
+    /// Replaces all faults. During an outage, open watches end with an error.
     pub fn set_faults(&self, faults: PlatformFaults) {
         self.api.set_faults(faults);
     }
--- a/standin/src/platform/store.rs
+++ b/standin/src/platform/store.rs
@@ -44,6 +44,7 @@
 }
 
 impl Store {
+    /// Returns the newest revision of an object, or `None` if the object does not exist.
     pub(crate) fn get(&self, kind: &str, name: &str) -> Option<Value> {
         let revision = self.latest_revision(kind, name)?;
         let spec = revision.spec.as_ref()?;
@@ -66,6 +67,7 @@
         self.add_revision(kind, name, Some(spec), now)
     }
 
+    /// Replaces an object whose version is `expected`.
     pub(crate) fn replace(
         &mut self,
         (kind, name): (&str, &str),
@@ -126,6 +128,7 @@
         changes
     }
 
+    /// Returns the newest revision at `at` of each object of a kind, deletions included.
     fn visible_revisions(&self, kind: &str, at: Instant) -> Vec<(&str, &Revision)> {
         let of_kind = self.objects.iter().filter(|((k, _), _)| k == kind);
         of_kind
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -110,7 +110,7 @@
 }
 
 impl Service {
-    /// Starts the service on the current runtime.
+    /// Binds the listener, opens the record file and serves on the current runtime.
     pub async fn start(options: ServiceOptions) -> io::Result<Self> {
         let listen = options.listen;
         let api = Arc::new(Api {
@@ -163,7 +163,7 @@
         }
         let faults = self.faults.borrow().clone();
         if faults.refuse {
-            return Ok(http::not_run("told to refuse"));
+            return Ok(http::not_run("refused by a fault"));
         }
         // The call runs to its end when the caller disconnects, as it would in a real service.
         let call_task =
@@ -178,7 +178,9 @@
         Ok(http::text(StatusCode::OK, body))
     }
 
-    /// Runs a call and returns its number, counted from 1.
+    /// Records and runs a call: waits while the service is frozen, then for the latency, which
+    /// grows with the number of active calls. Returns the number of the call, counted from 1; the
+    /// caller fails or cuts the response by this number.
     async fn run_call(self: Arc<Self>, run: RunRecord, faults: ServiceFaults) -> u64 {
         let attempt = run.attempt.clone();
         let count = {
