--- a/standin/src/load/figures.rs
+++ b/standin/src/load/figures.rs
@@ -204,10 +204,10 @@
     reasons
 }
 
-/// Returns the fraction of the tokens that engines prefilled and generated for the requests of
-/// `samples` without use: the tokens are useful if they belong to an answer received within its
-/// timeout. Of several runs of one request only one completed run counts as useful. Runs of other
-/// requests are ignored. Returns 0 if no token was processed.
+/// Returns the wasted fraction of the tokens that engines prefilled and generated for the requests
+/// of `samples`: those that do not belong to an answer received within its timeout. Of several runs
+/// of one request only one completed run counts as useful. Runs of other requests are ignored.
+/// Returns 0 if no token was processed.
 fn wasted_fraction(samples: &[Sample], runs: &[RunRecord]) -> f64 {
     let mut is_good: IndexMap<ContentHash, bool> = samples
         .iter()
--- a/standin/src/load/player.rs
+++ b/standin/src/load/player.rs
@@ -52,13 +52,13 @@
 }
 
 /// Sends each request to an entry host when it is due, and waits for all results. Callers resend
-/// failed requests if the scenario says so. If `injects_faults` is set, the faults of the scenario
+/// failed requests if the scenario says so. If `with_faults` is set, the faults of the scenario
 /// are injected into the engines at their times.
 pub(crate) async fn play(
     scenario: &Scenario,
     fleet: &Fleet,
     requests: Vec<CallerRequest>,
-    injects_faults: bool,
+    with_faults: bool,
 ) -> Vec<Sample> {
     let hosts: Arc<[SocketAddr]> = fleet.callers_addrs().into();
     let start = Instant::now() + BODY_LEAD_TIME;
@@ -79,7 +79,7 @@
         }
     };
     let inject_faults = async {
-        if injects_faults {
+        if with_faults {
             inject_engine_faults(scenario, fleet, start).await;
         }
     };
--- a/standin/tests/engine.rs
+++ b/standin/tests/engine.rs
@@ -163,7 +163,7 @@
 
 /// A host reserves memory for a gang and does not return. The reservation must expire.
 #[tokio::test]
-async fn a_hold_expires() {
+async fn a_reservation_expires() {
     let engine = engine(EngineOptions::default()).await;
     let hold = json!({"tokens": 150_000, "hold_ms": 50, "host": "entry-1"});
     let path = "/v1/gang/00000000000000000000000000000009";
@@ -171,7 +171,7 @@
         .await
         .unwrap();
     let refused = call_json(engine.addr(), Method::POST, "/v1/gang/other", &hold).await;
-    assert!(refused.is_err(), "reserved twice");
+    assert!(refused.is_err(), "the memory was reserved twice");
     wait_until(|| engine.free_tokens() == 200_000).await;
 }
 
