--- a/standin/src/cmd/engine.rs
+++ b/standin/src/cmd/engine.rs
@@ -49,7 +49,7 @@
             machine.register(engine.addr()).await?;
         }
         println!("listening {}", engine.addr());
-        engine.died().await;
+        engine.stopped().await;
         Ok(ExitCode::SUCCESS)
     })
 }
--- a/standin/src/engine/mod.rs
+++ b/standin/src/engine/mod.rs
@@ -102,7 +102,7 @@
     }
 
     /// Waits until the engine has stopped.
-    pub async fn died(&self) {
+    pub async fn stopped(&self) {
         self.server.closed().await;
     }
 }
