--- a/src/control/home/request_table.rs
+++ b/src/control/home/request_table.rs
@@ -60,6 +60,7 @@
 pub(crate) struct RequestTable {
     requests: IndexMap<RequestId, RequestEntry>,
     by_grant: IndexMap<GrantId, RequestId>,
+    /// When each refused request was refused.
     refused: IndexMap<RequestId, Instant>,
 }
 
@@ -72,10 +73,12 @@
         self.requests.get(&request)
     }
 
+    /// Adds a request. The table itself does not limit the number of requests.
     pub(crate) fn insert(&mut self, request: RequestId, entry: RequestEntry) {
         self.requests.insert(request, entry);
     }
 
+    /// Forgets a request in any state and returns its entry.
     pub(crate) fn remove(&mut self, request: RequestId) -> Option<RequestEntry> {
         self.refused.swap_remove(&request);
         let entry = self.requests.swap_remove(&request)?;
@@ -85,6 +88,7 @@
         Some(entry)
     }
 
+    /// Records that a request is granted. Does nothing if the request is unknown.
     pub(crate) fn set_granted(&mut self, request: RequestId, granted: IssuedGrant) {
         if let Some(entry) = self.requests.get_mut(&request) {
             self.by_grant.insert(granted.grant, request);
@@ -92,6 +96,8 @@
         }
     }
 
+    /// Records that a request is refused; `state` holds the refusal. Does nothing if the request is
+    /// unknown.
     pub(crate) fn set_refused(&mut self, request: RequestId, state: RequestState, now: Instant) {
         if let Some(entry) = self.requests.get_mut(&request) {
             entry.state = state;
@@ -116,23 +122,24 @@
         }
     }
 
-    /// The waiting requests that their hosts have not repeated for longer than `grace`.
-    pub(crate) fn abandoned(&self, grace: Duration, now: Instant) -> Vec<RequestId> {
+    /// The deferred and queued requests that their hosts have not repeated for longer than `grace`.
+    pub(crate) fn abandoned_requests(&self, grace: Duration, now: Instant) -> Vec<RequestId> {
         let is_old = |entry: &RequestEntry| now.duration_since(entry.asked_at) > grace;
         let abandoned = self.iter_waiting().filter(|(_, entry)| is_old(entry));
         abandoned.map(|(request, _)| *request).collect()
     }
 
-    /// All waiting requests with their hosts.
-    pub(crate) fn waiting(&self) -> Vec<(RequestId, HostId)> {
+    /// All requests that are deferred or queued, with their hosts.
+    pub(crate) fn waiting_requests(&self) -> Vec<(RequestId, HostId)> {
         let waiting = self.iter_waiting();
         waiting
             .map(|(request, entry)| (*request, entry.host.clone()))
             .collect()
     }
 
-    /// The requests that wait until the ledger is rebuilt, oldest first.
-    pub(crate) fn deferred(&self) -> Vec<Work> {
+    /// The work of the requests that wait until the ledger is rebuilt, in order of arrival unless
+    /// requests were removed meanwhile.
+    pub(crate) fn deferred_work(&self) -> Vec<Work> {
         let work = |entry: &RequestEntry| match &entry.state {
             RequestState::Deferred(work) => Some(work.clone()),
             _ => None,
--- a/src/control/membership/machine/mod.rs
+++ b/src/control/membership/machine/mod.rs
@@ -20,8 +20,8 @@
 use crate::control::membership::broadcast_queue::Broadcast;
 use crate::control::membership::conf;
 use crate::control::membership::conf::LOCAL_JOIN_ATTEMPTS;
-use crate::control::membership::host_table::Applied;
-use crate::control::membership::host_table::HostTable;
+use crate::control::membership::membership_table::MembershipTable;
+use crate::control::membership::membership_table::UpdateOutcome;
 use crate::control::membership::outbox::Outbox;
 use crate::control::membership::probes::ProbeStep;
 use crate::control::membership::probes::Probes;
@@ -49,21 +49,27 @@
 pub struct Membership {
     local_host: HostView,
     rng: StdRng,
-    host_table: HostTable,
+    membership_table: MembershipTable,
     probes: Probes,
     suspicions: IndexMap<HostId, Suspicion>,
     seen_notices: SeenNotices,
     outbox: Outbox,
     seeds: IndexMap<HostId, PeerSeed>,
+    /// When each other failure domain was last heard from.
     domain_heard_at: IndexMap<FailureDomainId, Instant>,
+    /// The hosts that are still to be probed in the current round; the last one is next.
     probe_order: Vec<HostId>,
+    /// Counter of the digests sent, with a random start. It selects the next failure domain.
     digest_round: usize,
+    /// Whether a list of hosts was received.
     has_joined: bool,
+    /// Whether another host had the same view once.
     has_agreed: bool,
     join_attempts: usize,
     view_mismatch: Option<ViewMismatch>,
     last_pull_at: Option<Instant>,
     started_at: Instant,
+    /// The time of the last call, by which a pause of this process is detected.
     last_active: Instant,
     next_probe: Instant,
     next_digest: Instant,
@@ -75,8 +81,9 @@
 #[derive(Clone, Copy, Debug)]
 struct ViewMismatch {
     since: Instant,
-    last: Instant,
-    /// The hash of the own view, which stays the same while the difference lasts.
+    /// When another host last reported a different view.
+    last_reported_at: Instant,
+    /// The hash of the own view. A change of it starts a new difference.
     view_hash: u64,
 }
 
@@ -91,13 +98,13 @@
             state: HostState::Alive,
             generation: Generation::default(),
         };
-        // A random offset keeps hosts that start together from probing in step.
+        // Without a random offset, hosts that start together would probe at the same times.
         let offset = conf::PROBE_INTERVAL.mul_f64(rng.random());
         let digest_round = rng.random_range(0..60);
         let mut membership = Self {
             local_host,
             rng,
-            host_table: HostTable::default(),
+            membership_table: MembershipTable::default(),
             probes: Probes::default(),
             suspicions: IndexMap::new(),
             seen_notices: SeenNotices::default(),
@@ -131,24 +138,26 @@
         }
     }
 
-    /// Performs the work that is due.
+    /// Performs the work that is due, and returns all actions since the last call of a method that
+    /// returns actions.
     pub fn tick(&mut self, now: Instant) -> Vec<MembershipAction> {
         self.detect_pause(now);
         self.expire_suspicions(now);
-        for step in self.probes.due(now) {
+        for step in self.probes.take_due_steps(now) {
             self.on_probe_step(step, now);
         }
-        if is_due(&mut self.next_probe, conf::PROBE_INTERVAL, now) {
+        if reset_if_due(&mut self.next_probe, conf::PROBE_INTERVAL, now) {
             self.probe_next(now);
             self.remove_expired_dead(now);
         }
-        if !self.has_joined && is_due(&mut self.next_join, conf::JOIN_INTERVAL, now) {
+        if !self.has_joined && reset_if_due(&mut self.next_join, conf::JOIN_INTERVAL, now) {
             self.join_seeds(now);
         }
-        if is_due(&mut self.next_reconnect, conf::RECONNECT_INTERVAL, now) {
+        if reset_if_due(&mut self.next_reconnect, conf::RECONNECT_INTERVAL, now) {
             self.reconnect_one(now);
         }
-        if is_due(&mut self.next_digest, conf::DIGEST_INTERVAL, now) && self.is_digest_host() {
+        if reset_if_due(&mut self.next_digest, conf::DIGEST_INTERVAL, now) && self.is_digest_host()
+        {
             self.send_digest(now);
         }
         self.outbox.take_actions()
@@ -159,7 +168,7 @@
         self.detect_pause(now);
         self.on_sender(from, &gossip, now);
         let is_list = matches!(gossip.body, Some(GossipBody::Members(())));
-        // A new host receives a list of all others, which is news to no other host.
+        // A new host receives a list of all others, which the other hosts already know.
         let rebroadcasts = !is_list || self.has_agreed;
         for record in &gossip.hosts {
             self.on_host_record(record, rebroadcasts, now);
@@ -188,13 +197,14 @@
                 && view.state != HostState::Dead
                 && view.id != self.local_host.id
         };
-        if self.host_table.get(host).is_some_and(is_local_peer) {
+        if self.membership_table.get(host).is_some_and(is_local_peer) {
             self.probe(host, now);
         }
         self.outbox.take_actions()
     }
 
-    /// Announces that this host is draining and becomes the home of no further pool.
+    /// Announces that this host is draining, so that it becomes the home of no further pool. It
+    /// stays in the leaving state from then on.
     pub fn leave(&mut self, now: Instant) -> Vec<MembershipAction> {
         self.local_host.state = HostState::Leaving;
         self.local_host.incarnation = self.local_host.incarnation.next();
@@ -208,12 +218,13 @@
     /// Sets the manifest generation that this host has in force.
     pub fn set_generation(&mut self, generation: Generation, now: Instant) {
         self.local_host.generation = generation;
-        self.host_table.set(self.local_host.clone(), now);
+        self.membership_table.set(self.local_host.clone(), now);
         self.outbox
             .set_sender(self.local_host.incarnation, generation);
     }
 
-    /// Broadcasts that an upstream is leaving, as of a version of its object in the platform.
+    /// Broadcasts that an upstream is leaving, as of a version of its object in the platform. Does
+    /// nothing if a notice with this version or a later one is known.
     pub fn announce_leaving_upstream(&mut self, upstream: &UpstreamId, version: ObjectVersion) {
         let leaving = LeavingUpstream {
             upstream: upstream.to_string(),
@@ -224,9 +235,10 @@
         }
     }
 
-    /// Broadcasts that a request crashed upstreams.
+    /// Broadcasts that a request crashed upstreams, together with the attempts known from earlier
+    /// notices. Does nothing if the notice contains no new attempt.
     pub fn announce_poison(&mut self, notice: PoisonNotice) {
-        if let Some(merged) = self.seen_notices.merge(notice) {
+        if let Some(merged) = self.seen_notices.merge_poison(notice) {
             self.outbox.broadcast(Broadcast::Poison(merged));
         }
     }
@@ -239,7 +251,7 @@
 
     /// All known hosts, including this one.
     pub fn hosts(&self) -> impl Iterator<Item = &HostView> {
-        self.host_table.iter()
+        self.membership_table.iter()
     }
 
     /// The hosts of a failure domain as candidates for homes. A suspect stays eligible: its pools
@@ -247,7 +259,7 @@
     pub fn members(&self, domain: &FailureDomainId) -> Vec<Member> {
         let is_eligible =
             |view: &HostView| matches!(view.state, HostState::Alive | HostState::Suspect);
-        self.host_table
+        self.membership_table
             .iter()
             .filter(|view| view.domain == *domain)
             .map(|view| Member {
@@ -270,7 +282,9 @@
             .collect()
     }
 
-    /// Detects a pause of this process.
+    /// Detects a pause of this process. After a pause, it reports the pause, drops all probes,
+    /// gives suspects their whole time to refute again, and announces this host with a higher
+    /// incarnation.
     ///
     /// The failure this guards against: the process was stopped for a while, by SIGSTOP or a frozen
     /// machine, without noticing. A pause shows as a gap between calls. The homes that the process
@@ -295,6 +309,7 @@
         }
     }
 
+    /// Declares the suspects dead whose time to refute has expired.
     fn expire_suspicions(&mut self, now: Instant) {
         if self.suspicions.is_empty() {
             return;
@@ -314,6 +329,8 @@
         }
     }
 
+    /// Asks other hosts to probe a target that did not answer, or suspects it if none got an
+    /// answer.
     fn on_probe_step(&mut self, step: ProbeStep, now: Instant) {
         match step {
             ProbeStep::RequestIndirect { seq, target } => {
@@ -329,15 +346,17 @@
             }
             ProbeStep::Failed { target } => {
                 let is_dead = |view: &HostView| view.state == HostState::Dead;
-                if self.host_table.get(&target).is_none_or(is_dead) {
+                if self.membership_table.get(&target).is_none_or(is_dead) {
                     return;
                 }
-                self.suspicion(&target, now).confirm_by_self();
+                self.suspicion_or_new(&target, now).confirm_by_self();
                 self.set_state(&target, HostState::Suspect, now);
             }
         }
     }
 
+    /// Probes the next host of this failure domain. Each host is probed once before any is probed
+    /// again, in a random order.
     fn probe_next(&mut self, now: Instant) {
         loop {
             if self.probe_order.is_empty() {
@@ -347,22 +366,24 @@
                 return;
             };
             let is_gone = |view: &HostView| view.state == HostState::Dead;
-            if !self.host_table.get(&host).is_none_or(is_gone) {
+            if !self.membership_table.get(&host).is_none_or(is_gone) {
                 self.probe(&host, now);
                 return;
             }
         }
     }
 
+    /// Probes a host unless a probe of it is already waiting for an answer.
     fn probe(&mut self, host: &HostId, now: Instant) {
         if self.probes.is_probing(host) {
             return;
         }
         let seq = self.probes.begin(host.clone(), now);
-        let view_hash = self.host_table.view_hash();
+        let view_hash = self.membership_table.view_hash();
         self.send(host, GossipBody::Probe(Probe { seq, view_hash }), now);
     }
 
+    /// Asks some seeds for the hosts that they know.
     fn join_seeds(&mut self, now: Instant) {
         let (local, remote): (Vec<&PeerSeed>, Vec<&PeerSeed>) = self
             .seeds
@@ -387,7 +408,7 @@
     /// each other dead, and after it healed, neither probes the other.
     fn reconnect_one(&mut self, now: Instant) {
         let dead: Vec<HostId> = self
-            .host_table
+            .membership_table
             .iter()
             .filter(|view| view.state == HostState::Dead && view.domain == self.local_host.domain)
             .map(|view| view.id.clone())
@@ -398,7 +419,7 @@
         let unknown: Vec<HostId> = self
             .seeds
             .keys()
-            .filter(|host| self.host_table.get(host).is_none())
+            .filter(|host| self.membership_table.get(host).is_none())
             .cloned()
             .collect();
         if let Some(host) = unknown.choose(&mut self.rng).cloned() {
@@ -406,17 +427,19 @@
         }
     }
 
+    /// Forgets the hosts that have been dead for long enough.
     fn remove_expired_dead(&mut self, now: Instant) {
         let Some(before) = now.checked_sub(conf::DEAD_RETENTION) else {
             return;
         };
-        for host in self.host_table.remove_expired_dead(before) {
+        for host in self.membership_table.remove_expired_dead(before) {
             self.outbox.push(MembershipAction::HostRemoved { host });
         }
     }
 
+    /// Stores and broadcasts the view of this host after it changed.
     fn broadcast_self(&mut self, now: Instant) {
-        self.host_table.set(self.local_host.clone(), now);
+        self.membership_table.set(self.local_host.clone(), now);
         self.outbox
             .set_sender(self.local_host.incarnation, self.local_host.generation);
         self.outbox
@@ -425,51 +448,64 @@
         self.report_change(&id);
     }
 
-    /// Sets the state of a host within its incarnation; returns whether the state changed.
+    /// Sets the state of a host within its incarnation, and broadcasts the change. Returns whether
+    /// the state changed; a state cannot return to an earlier one within an incarnation.
     fn set_state(&mut self, host: &HostId, state: HostState, now: Instant) -> bool {
-        let Some(view) = self.host_table.get(host).cloned() else {
+        let Some(view) = self.membership_table.get(host).cloned() else {
             return false;
         };
-        if self.host_table.apply(HostView { state, ..view }, now) != Applied::Changed {
+        if self.membership_table.apply(HostView { state, ..view }, now) != UpdateOutcome::Changed {
             return false;
         }
         self.report_change(host);
-        if let Some(record) = self.host_table.record(host, now) {
+        if let Some(record) = self.membership_table.record(host, now) {
             self.outbox.broadcast(Broadcast::Host(record));
         }
         true
     }
 
+    /// Reports the current view of a host to the caller, and adapts the number of transmissions of
+    /// a broadcast to the number of hosts.
     fn report_change(&mut self, host: &HostId) {
         self.outbox.set_host_count(self.local_host_count());
-        if let Some(view) = self.host_table.get(host).cloned() {
+        if let Some(view) = self.membership_table.get(host).cloned() {
             self.outbox.push(MembershipAction::HostChanged { view });
         }
     }
 
-    /// Sends a message. A receiver that is suspected or dead in the view of this host is told so,
-    /// and can refute at once.
+    /// Sends a message, or drops it if the byte budget is used up. A receiver that is suspected or
+    /// dead in the view of this host gets this view with the message, so that it can refute at
+    /// once.
     fn send(&mut self, to: &HostId, body: GossipBody, now: Instant) {
         let is_suspected =
             |view: &&HostView| matches!(view.state, HostState::Suspect | HostState::Dead);
-        let about_receiver = self.host_table.get(to).filter(is_suspected).map(to_record);
+        let about_receiver = self
+            .membership_table
+            .get(to)
+            .filter(is_suspected)
+            .map(to_record);
         self.outbox.send(to, body, about_receiver, now);
     }
 
-    fn suspicion(&mut self, host: &HostId, now: Instant) -> &mut Suspicion {
+    /// The suspicion of a host. Without one, a new suspicion is started, and the time to refute
+    /// runs from `now` on.
+    fn suspicion_or_new(&mut self, host: &HostId, now: Instant) -> &mut Suspicion {
         self.suspicions
             .entry(host.clone())
             .or_insert_with(|| Suspicion::new(now))
     }
 
+    /// The number of hosts of this failure domain that are not dead, including this one.
     fn local_host_count(&self) -> usize {
-        self.host_table.live_hosts(&self.local_host.domain).count()
+        self.membership_table
+            .live_hosts(&self.local_host.domain)
+            .count()
     }
 
     /// Up to `count` other hosts of the failure domain that are not dead, in random order.
     fn local_peers(&mut self, count: usize) -> Vec<HostId> {
         let mut hosts: Vec<HostId> = self
-            .host_table
+            .membership_table
             .live_hosts(&self.local_host.domain)
             .filter(|view| view.id != self.local_host.id)
             .map(|view| view.id.clone())
@@ -480,8 +516,9 @@
     }
 }
 
-/// Whether a timer is due, and sets its next time. Missed intervals are not caught up.
-fn is_due(next: &mut Instant, interval: Duration, now: Instant) -> bool {
+/// Returns whether a timer is due. If it is, sets its next time. After a delay, at
+/// most one missed interval is caught up.
+fn reset_if_due(next: &mut Instant, interval: Duration, now: Instant) -> bool {
     if now < *next {
         return false;
     }
--- a/src/control/status/report.rs
+++ b/src/control/status/report.rs
@@ -126,7 +126,7 @@
     pub leaving: usize,
 }
 
-/// The state of one host.
+/// One host in the list of a report: its failure domain, its state, and its manifest generation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(serde::Serialize)]
 pub struct HostReport {
@@ -134,14 +134,15 @@
     pub host: HostId,
     /// Its failure domain.
     pub domain: FailureDomainId,
-    /// The state of the host.
+    /// The state of the host: `alive`, `suspect`, `leaving` or `dead`.
     pub state: &'static str,
     /// The manifest generation that the host was last known to have in force.
     pub generation: Generation,
 }
 
 impl StatusReport {
-    /// Builds the report of the current state.
+    /// Builds the report of the current state. The lists of hosts, homes, targets and events are
+    /// truncated.
     pub fn new(inputs: StatusInputs<'_>) -> Self {
         let mut views: Vec<HostView> = inputs
             .cluster_view
@@ -173,7 +174,7 @@
         }
     }
 
-    /// The part of the report that goes to the platform. Without the list of hosts its size does
+    /// The report for the platform, without the list of hosts and with fewer events. Its size does
     /// not grow with the fleet: 400 hosts that each list 400 would make 160,000 entries.
     pub fn for_platform(mut self) -> Self {
         self.hosts.clear();
@@ -182,6 +183,8 @@
     }
 }
 
+/// The number of hosts in each state, by failure domain. Dead hosts do not affect the lowest
+/// generation.
 fn domain_reports(views: &[HostView]) -> Vec<DomainReport> {
     let mut domains: IndexMap<&FailureDomainId, DomainReport> = IndexMap::new();
     for view in views {
@@ -198,8 +201,8 @@
                 continue;
             }
         }
-        let least = report.generation_min.unwrap_or(view.generation);
-        report.generation_min = Some(least.min(view.generation));
+        let lowest = report.generation_min.unwrap_or(view.generation);
+        report.generation_min = Some(lowest.min(view.generation));
     }
     domains.into_values().collect()
 }
@@ -215,6 +218,8 @@
     }
 }
 
+/// The number of upstreams in each state, by target and failure domain; at most [`LIST_MAX`]
+/// entries.
 fn target_reports(cluster_view: &ClusterView) -> Vec<TargetReport> {
     let mut targets: IndexMap<(TargetId, FailureDomainId), (usize, usize)> = IndexMap::new();
     for (_, view) in cluster_view.upstreams.snapshot() {
--- a/src/control/status/reporter.rs
+++ b/src/control/status/reporter.rs
@@ -32,15 +32,22 @@
     Write(Precondition),
 }
 
-/// Decides when the report of a host is written, as a state machine without I/O.
+/// Decides when the report of a host is written to the platform, as a state machine without I/O.
 #[derive(Debug)]
 pub struct Reporter {
     rng: StdRng,
+    /// What the next write requires of the stored report; `None` if the stored version is not
+    /// known.
     expected: Option<Precondition>,
+    /// The hash of the report that was written last.
     written_hash: Option<u64>,
+    /// The hash of the current report.
     hash: u64,
+    /// No action is due before this time.
     next_at: Instant,
+    /// From this time on, an unchanged report is written again.
     refresh_at: Instant,
+    /// Whether the result of an action is outstanding.
     is_busy: bool,
 }
 
@@ -60,7 +67,8 @@
         }
     }
 
-    /// Returns the action that is due. `hash` is the hash of the report without its ages.
+    /// Returns the action that is due. `hash` is the hash of the report without its ages. No
+    /// further action is due until the result of this one is handled.
     pub fn tick(&mut self, hash: u64, now: Instant) -> Option<ReporterAction> {
         self.hash = hash;
         let has_changed = self.written_hash != Some(hash);
@@ -75,7 +83,8 @@
         })
     }
 
-    /// Handles the result of a read; the write follows at the next tick.
+    /// Handles the result of a read. The write follows at the next tick, or after an error another
+    /// read at a later one.
     pub fn on_read(&mut self, result: &Result<Object, PlatformError>, now: Instant) {
         self.is_busy = false;
         match result {
@@ -85,7 +94,8 @@
         }
     }
 
-    /// Handles the result of a write.
+    /// Handles the result of a write. After a failure, the write is tried again later, and the
+    /// stored version is read first if it is not known.
     pub fn on_written(&mut self, result: &Result<ObjectVersion, PlatformError>, now: Instant) {
         self.is_busy = false;
         match result {
@@ -109,6 +119,7 @@
         }
     }
 
+    /// An interval extended at random by up to half of its length.
     fn jittered(&mut self, interval: Duration) -> Duration {
         interval.mul_f64(self.rng.random_range(1.0..1.5))
     }
--- a/src/entry/job.rs
+++ b/src/entry/job.rs
@@ -29,8 +29,9 @@
 use crate::units::TargetId;
 use crate::units::Tokens;
 
-/// The largest part of a time limit that is kept for telling the caller about a failure, so that a
-/// failure still arrives within the limit. The part is a twentieth of the limit, at most this.
+/// The upper bound of the margin that is reserved at the end of a time limit, so that a failure
+/// still reaches the caller within the limit. The margin is a twentieth of the limit, up to this
+/// bound.
 const REPLY_MARGIN_MAX: Duration = Duration::from_millis(100);
 
 /// A request that has been read and checked.
@@ -57,7 +58,7 @@
     /// The HTTP method.
     pub method: Method,
     /// The path with the query.
-    pub path: String,
+    pub path_and_query: String,
     /// The content type of the body.
     pub content_type: Option<String>,
     /// The body.
@@ -166,7 +167,8 @@
         find(name).or_else(|| find("default")).ok_or_else(unknown)
     }
 
-    /// When the caller must have the reply or the failure, less the time to deliver a failure.
+    /// The deadline of the request: the time limit of the caller or of the manifest, less a margin
+    /// in which a failure can still reach the caller.
     pub fn deadline(&self, manifest: &Manifest) -> Instant {
         let limits = &manifest.limits;
         let max_limit = Duration::from_millis(limits.deadline_max_ms);
@@ -230,12 +232,14 @@
             key: self.headers.key,
             content,
             method: self.method,
-            path: self.path_and_query,
+            path_and_query: self.path_and_query,
             content_type: self.content_type,
             body,
         })
     }
 
+    /// The rank of the request's priority. Rank 0 is the most urgent, and a request may not ask for
+    /// a more urgent rank than that of its customer.
     fn priority(
         &self,
         manifest: &Manifest,
@@ -262,6 +266,9 @@
         Ok(requested)
     }
 
+    /// The plan for a request to a plain service. Such a request has no token counts. The
+    /// service's entry in the manifest, or else the method, tells whether the request may run more
+    /// than once, unless a header of the caller does.
     fn service_plan(&self, service: &ServiceSpec) -> TargetPlan {
         let repeatable = match service.repeatable {
             RepeatRule::Always => true,
@@ -280,6 +287,7 @@
         }
     }
 
+    /// Hashes what makes two requests the same: customer, method, path with query, and body.
     fn content_hash(&self, customer: &CustomerId, body: &[u8]) -> ContentHash {
         let mut hasher = xxhash_rust::xxh3::Xxh3::new();
         for part in [
@@ -295,6 +303,7 @@
     }
 }
 
+/// What the target of a request determines: the rules, the reply format and the expected load.
 struct TargetPlan {
     target: TargetId,
     repeatable: bool,
@@ -306,6 +315,8 @@
     prefixes: Vec<(ContentHash, Tokens)>,
 }
 
+/// The plan for a model call. The call is rejected if the model is unknown, or if prompt and output
+/// exceed the model's context.
 fn model_plan(kind: CallKind, manifest: &Manifest, body: &[u8]) -> Result<TargetPlan, Rejection> {
     let call = ModelCall::read(kind, body).map_err(|why| (FailureReason::BadRequest, why))?;
     let unknown = || {
--- a/src/fleet/cluster_home_directory.rs
+++ b/src/fleet/cluster_home_directory.rs
@@ -20,14 +20,15 @@
 use crate::units::TargetId;
 use crate::units::UpstreamId;
 
-/// The input of the tables. They are computed again only when it has changed.
+/// The data from which the tables are computed. The tables are computed again only when the data
+/// has changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Inputs {
     upstreams: IndexMap<(FailureDomainId, TargetId), Vec<UpstreamId>>,
     members: IndexMap<FailureDomainId, Vec<Member>>,
 }
 
-/// The tables of pools and homes, together with their input.
+/// The tables of pools and homes, together with the data from which they were computed.
 #[derive(Debug, Default)]
 struct Tables {
     inputs: Inputs,
@@ -36,18 +37,20 @@
     homes: IndexMap<FailureDomainId, HomeTable>,
 }
 
-/// A [`HomeDirectory`] that follows the cluster view and the membership.
+/// A [`HomeDirectory`] that computes pools and homes from the cluster view and the membership.
 pub struct ClusterHomeDirectory {
     cluster_view: Arc<ClusterView>,
     membership: Arc<MembershipRunner>,
     host: HostId,
     domain: FailureDomainId,
     tables: RwLock<Arc<Tables>>,
+    /// The change counts of the hosts and of the upstreams at the last refresh.
     last_change_counts: Mutex<(u64, u64)>,
 }
 
 impl ClusterHomeDirectory {
-    /// A directory with empty tables for `host`, which belongs to `domain`.
+    /// A directory for `host`, which belongs to `domain`. The tables are empty until the first
+    /// [`Self::refresh`].
     pub fn new(
         cluster_view: Arc<ClusterView>,
         membership: Arc<MembershipRunner>,
@@ -77,9 +80,9 @@
         *self.tables.write().unwrap_or_else(PoisonError::into_inner) = tables;
     }
 
-    /// Whether the cluster view has changed since the last call. Comparing change counts is cheap;
-    /// comparing all hosts and upstreams ten times a second would take a share of a core that grows
-    /// with the number of hosts.
+    /// Whether hosts or upstreams of the cluster view have changed since the last call. Comparing
+    /// change counts is cheap; comparing all hosts and upstreams ten times a second would take a
+    /// share of a core that grows with the number of hosts.
     fn has_changed(&self) -> bool {
         let changes = (
             self.cluster_view.hosts.change_count(),
@@ -132,7 +135,7 @@
         let mut tables = Tables::default();
         let mut by_domain: IndexMap<FailureDomainId, Vec<PoolId>> = IndexMap::new();
         for ((domain, target), upstreams) in &inputs.upstreams {
-            for (pool, members) in partition_upstreams(domain, target, upstreams) {
+            for (pool, pool_upstreams) in partition_upstreams(domain, target, upstreams) {
                 by_domain
                     .entry(domain.clone())
                     .or_default()
@@ -142,7 +145,7 @@
                     .entry(target.clone())
                     .or_default()
                     .push(pool.clone());
-                tables.pools.insert(pool, members);
+                tables.pools.insert(pool, pool_upstreams);
             }
         }
         for pools in tables.by_target.values_mut() {
@@ -157,6 +160,7 @@
 }
 
 impl Tables {
+    /// The hosts that can be home of a pool, the home first; empty for an unknown pool.
     fn candidates(&self, pool: &PoolId) -> &[HostId] {
         let homes = pool.domain().and_then(|domain| self.homes.get(&domain));
         homes.map_or(&[], |homes| homes.candidates(pool))
@@ -194,6 +198,7 @@
     }
 }
 
+/// Rotates the pools to the left by `rotation` modulo their number.
 fn rotate(pools: &mut [PoolId], rotation: u64) {
     if let Some(by) = usize::try_from(rotation)
         .unwrap_or(0)
--- a/src/fleet/home_runner/actions.rs
+++ b/src/fleet/home_runner/actions.rs
@@ -21,7 +21,7 @@
 
 impl HomeRunner {
     /// Passes an event to the controller of a home, performs the actions of the controller, and
-    /// returns the reply if the event has one.
+    /// returns the reply if the event has one. Calls to upstreams are made in tasks of their own.
     pub(super) fn send_event(
         self: &Arc<Self>,
         pool: &PoolId,
@@ -49,9 +49,9 @@
                             return;
                         };
                         debug!("homes: cancelling attempt {attempt} at {upstream}");
-                        let is_free = client.cancel(attempt).await.is_ok()
+                        let is_released = client.cancel(attempt).await.is_ok()
                             && client.release_gang(attempt).await.is_ok();
-                        if is_free {
+                        if is_released {
                             runner.send_event(&pool, &home, event);
                         }
                     });
@@ -71,8 +71,8 @@
     }
 
     /// Reads the attempts that run on an upstream, and passes them to the home. A service cannot
-    /// list its attempts and reserves no memory for them: its list is taken as empty, so that the
-    /// home does not wait for a reply.
+    /// list its attempts and reserves no memory for them: the home gets an empty list at once, so
+    /// that it does not wait. If the upstream does not respond, the home gets nothing.
     pub(super) fn list_attempts(
         self: &Arc<Self>,
         pool: &PoolId,
@@ -80,13 +80,13 @@
         upstream: UpstreamId,
         seq: u64,
     ) {
-        let listed = |running| HomeEvent::EngineListed {
+        let listed_event = |running| HomeEvent::EngineListed {
             upstream: upstream.clone(),
             seq,
             running,
         };
         if home.is_service {
-            self.send_event(pool, home, listed(Vec::new()));
+            self.send_event(pool, home, listed_event(Vec::new()));
             return;
         }
         let Some(client) = self.upstreams.upstream(&upstream) else {
--- a/src/fleet/manifest_runner.rs
+++ b/src/fleet/manifest_runner.rs
@@ -34,8 +34,9 @@
     metrics: Arc<Metrics>,
     host: HostId,
     domain: FailureDomainId,
-    manifests: Mutex<ManifestController>,
+    controller: Mutex<ManifestController>,
     read_requested: Notify,
+    /// The change count of the cluster view's hosts at the last update of the controller.
     host_change_count: AtomicU64,
 }
 
@@ -59,7 +60,7 @@
 
 impl ManifestRunner {
     /// A runner of the given controller.
-    pub fn new(parts: ManifestRunnerParts, manifests: ManifestController) -> Self {
+    pub fn new(parts: ManifestRunnerParts, controller: ManifestController) -> Self {
         Self {
             clock: parts.clock,
             cluster_view: parts.cluster_view,
@@ -68,7 +69,7 @@
             metrics: parts.metrics,
             host: parts.host,
             domain: parts.domain,
-            manifests: Mutex::new(manifests),
+            controller: Mutex::new(controller),
             read_requested: Notify::new(),
             host_change_count: AtomicU64::new(u64::MAX),
         }
@@ -101,24 +102,25 @@
         self.lock().status(self.clock.now())
     }
 
-    /// Waits until the controller requests a read of the manifest from the platform.
+    /// Waits until the controller requests a read of the manifest from the platform. The caller
+    /// passes the result to [`Self::on_platform_read`].
     pub async fn wait_for_read_request(&self) {
         self.read_requested.notified().await;
     }
 
     /// Passes the hosts and their generations to the controller if any host has changed since the
-    /// last call.
+    /// last call. Returns the actions of the controller, which the caller must perform.
     fn update_hosts(&self, now: Instant) -> Vec<ManifestAction> {
         let changes = self.cluster_view.hosts.change_count();
         if self.host_change_count.swap(changes, Ordering::Relaxed) == changes {
             return Vec::new();
         }
-        let (neighbours, remote) = self.live_peers();
+        let (same_domain, remote) = self.live_peers();
         let generations = self.peer_generations();
-        let mut manifests = self.lock();
-        manifests.set_hosts(neighbours, remote);
-        let take_in = |(host, generation)| manifests.on_peer_generation(&host, generation, now);
-        generations.into_iter().flat_map(take_in).collect()
+        let mut controller = self.lock();
+        controller.set_hosts(same_domain, remote);
+        let report = |(host, generation)| controller.on_peer_generation(&host, generation, now);
+        generations.into_iter().flat_map(report).collect()
     }
 
     /// The other hosts that are not dead: those of this failure domain, and those of others.
@@ -130,9 +132,10 @@
             .into_iter()
             .map(|(_, view)| view);
         let others = views.filter(|view| view.id != self.host && view.state != HostState::Dead);
-        let (near, far): (Vec<_>, Vec<_>) = others.partition(|view| view.domain == self.domain);
+        let (same_domain, remote): (Vec<_>, Vec<_>) =
+            others.partition(|view| view.domain == self.domain);
         let ids = |views: Vec<crate::cluster_view::HostView>| views.into_iter().map(|view| view.id);
-        (ids(near).collect(), ids(far).collect())
+        (ids(same_domain).collect(), ids(remote).collect())
     }
 
     /// The other hosts, each with the generation that the host was last heard to have in force.
@@ -145,11 +148,12 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, ManifestController> {
-        self.manifests
+        self.controller
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Performs actions of the controller.
     fn perform(&self, actions: Vec<ManifestAction>) {
         for action in actions {
             match action {
--- a/src/fleet/reconciler_runner.rs
+++ b/src/fleet/reconciler_runner.rs
@@ -39,7 +39,8 @@
 /// order, and engines go on serving as they are.
 pub struct ReconcilerRunner {
     parts: ReconcilerRunnerParts,
-    pools: Mutex<IndexMap<PoolId, (ReconcilerConf, EngineReconciler)>>,
+    /// The reconciler of each pool, with the configuration that it was created with.
+    reconcilers: Mutex<IndexMap<PoolId, (ReconcilerConf, EngineReconciler)>>,
 }
 
 /// The dependencies of a [`ReconcilerRunner`].
@@ -67,11 +68,13 @@
     pub fn new(parts: ReconcilerRunnerParts) -> Self {
         Self {
             parts,
-            pools: Mutex::default(),
+            reconcilers: Mutex::default(),
         }
     }
 
-    /// Updates the reconcilers from the manifest and the directory, and performs their actions.
+    /// Updates the reconcilers from the manifest and the directory, and performs their actions in
+    /// tasks of their own. Removes the reconcilers of pools whose home is no longer this host. Does
+    /// nothing while there is no manifest.
     pub fn tick(self: &Arc<Self>) {
         let Some(in_force) = self.parts.cluster_view.manifest() else {
             return;
@@ -80,15 +83,15 @@
         let now = self.parts.clock.now();
         let mut due = Vec::new();
         {
-            let mut pools = self.lock();
-            pools.retain(|pool, _| pool_ids.contains(pool));
+            let mut reconcilers = self.lock();
+            reconcilers.retain(|pool, _| pool_ids.contains(pool));
             for pool in pool_ids {
                 let Some(model) = model_of(&in_force.manifest, &pool) else {
                     continue;
                 };
                 let conf = self.conf(&in_force.manifest, model);
                 let new_entry = || (conf.clone(), EngineReconciler::new(conf.clone(), now));
-                let entry = pools.entry(pool.clone()).or_insert_with(new_entry);
+                let entry = reconcilers.entry(pool.clone()).or_insert_with(new_entry);
                 // A manifest that changes the fencing or the weights of the model replaces the
                 // reconciler. The only cost is that the new one waits for its own lease to expire.
                 if entry.0 != conf {
@@ -109,8 +112,8 @@
 
     /// For each pool, the number of engines that are in the desired state, and the number of all.
     pub fn progress(&self) -> Vec<(PoolId, (usize, usize))> {
-        let pools = self.lock();
-        pools
+        let reconcilers = self.lock();
+        reconcilers
             .iter()
             .map(|(pool, (_, reconciler))| (pool.clone(), reconciler.progress()))
             .collect()
@@ -129,6 +132,7 @@
         }
     }
 
+    /// Performs an action in a task of its own.
     fn perform(self: &Arc<Self>, pool: &PoolId, action: ReconcilerAction) {
         let runner = Arc::clone(self);
         let pool = pool.clone();
@@ -147,7 +151,8 @@
         });
     }
 
-    /// Reads or writes the lease of a pool, and passes the result to its reconciler.
+    /// Reads or writes the lease of a pool, and passes the result to its reconciler, which acts on
+    /// it at its next tick. The result is dropped if the pool has no reconciler any more.
     async fn perform_lease_action(&self, pool: &PoolId, action: LeaseAction) {
         // Pool ids contain slashes, which separate the segments of a URL path.
         let key = ObjectKey::new(ObjectKind::Leases, pool.as_str().replace('/', "."));
@@ -168,7 +173,8 @@
         }
     }
 
-    /// Reads the state of an engine, and passes the state to the reconciler.
+    /// Reads the state of an engine, and passes the state to the reconciler. A failed read is only
+    /// logged.
     async fn read_engine(&self, pool: &PoolId, id: UpstreamId) {
         let asked_at = self.parts.clock.now();
         let Some(upstream) = self.parts.upstreams.upstream(&id) else {
@@ -209,6 +215,7 @@
         }
     }
 
+    /// Calls `update` with the reconciler of a pool, if there is one.
     fn with_reconciler(&self, pool: &PoolId, update: impl FnOnce(&mut EngineReconciler)) {
         if let Some((_, reconciler)) = self.lock().get_mut(pool) {
             update(reconciler);
@@ -216,7 +223,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, IndexMap<PoolId, (ReconcilerConf, EngineReconciler)>> {
-        self.pools.lock().unwrap_or_else(PoisonError::into_inner)
+        self.reconcilers
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/src/peer/handshake.rs
+++ b/src/peer/handshake.rs
@@ -30,6 +30,7 @@
 /// The largest frame of a handshake, in bytes. It bounds what an unauthenticated client can make
 /// this host read.
 const HANDSHAKE_FRAME_SIZE_MAX: usize = 1 << 10;
+/// The length of a nonce, in bytes.
 const NONCE_LEN: usize = 32;
 /// The version of the protocol. Both ends must have the same one.
 const PROTOCOL_VERSION: u32 = 1;
@@ -46,7 +47,8 @@
     Frame(FrameError),
     /// The server refused the handshake, for the given reason.
     Refused(String),
-    /// The other end has another name than expected, or did not prove that it holds the key.
+    /// The other end has another name than expected, did not prove that it holds the key, or named
+    /// a key or a protocol version that this host does not accept.
     NotAuthenticated(String),
     /// The settings hold no key.
     NoKey,
@@ -112,8 +114,8 @@
     proof: Vec<u8>,
 }
 
-/// What both ends have sent, with the key that they share. Proofs and session keys are derived from
-/// the transcript, each under a purpose of its own.
+/// The contents of a handshake without the proofs, and the key that both ends share.
+/// Each proof and each session key is an HMAC over the transcript and a purpose of its own.
 struct Transcript<'a> {
     key: &'a PeerKey,
     hello: &'a Hello,
@@ -139,6 +141,7 @@
         Ok(mac)
     }
 
+    /// The HMAC of the transcript for a purpose, as bytes.
     fn proof(&self, purpose: &str) -> Result<Vec<u8>, InvalidLength> {
         Ok(self.mac(purpose)?.finalize().into_bytes().to_vec())
     }
@@ -256,6 +259,7 @@
     nonce
 }
 
+/// Sends a message of the handshake.
 async fn write_message(
     stream: &mut HandshakeStream,
     message: &impl Message,
@@ -263,6 +267,7 @@
     Ok(stream.send(Bytes::from(message.encode_to_vec())).await?)
 }
 
+/// Receives a message of the handshake. Fails if the connection ends or the frame can't be decoded.
 async fn read_message<M: Message + Default>(
     stream: &mut HandshakeStream,
 ) -> Result<M, HandshakeError> {
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -41,7 +41,7 @@
 /// Length limit of a response, in bytes.
 const BODY_LEN_MAX: usize = 16 << 20;
 
-/// The manifest of every test. Publications of it differ only in their generation.
+/// The manifest that every test site starts with.
 pub(crate) const MANIFEST: &str = "
 deployment: test
 models:
@@ -147,7 +147,8 @@
         index
     }
 
-    /// Adds a host whose settings list the other hosts, so that it works without the platform.
+    /// Adds a host whose settings list the earlier hosts as seeds, so that it works without the
+    /// platform.
     /// Returns its index.
     pub(crate) async fn add_seeded_host(&mut self, domain: &str, platform: SocketAddr) -> usize {
         let index = self.hosts.len();
@@ -166,7 +167,7 @@
             .unwrap();
     }
 
-    /// Publishes a manifest, whatever generation the platform has.
+    /// Publishes a manifest as `generation`, even if the platform has a later one.
     pub(crate) async fn publish(&self, generation: u64, text: &str) {
         let spec = serde_json::json!({
             "generation": generation,
