--- a/src/control/claims/shard.rs
+++ b/src/control/claims/shard.rs
@@ -312,8 +312,9 @@
         ShardAction::Read
     }
 
-    /// The known content after the pending updates, and the attempts whose updates were applied. If
-    /// no update is due and no claim is pending, none is applied.
+    /// The known content after all pending updates (ends and releases of claims), due or not, and
+    /// the attempts whose updates were applied. If no update is due and no claim is pending, none
+    /// is applied. Pending claims are not added.
     fn updated_value(&self, known: &KnownValue, now: Instant) -> (ShardValue, Vec<AttemptId>) {
         let mut value = known.value.clone();
         let mut applied = Vec::new();
--- a/src/control/home/controller.rs
+++ b/src/control/home/controller.rs
@@ -468,7 +468,9 @@
         }
     }
 
-    /// Records a grant in the ledger and sends it to its host.
+    /// Records a grant in the ledger and sends it to its host. The request being handled gets the
+    /// grant in its reply, and nothing is pushed. If the request was withdrawn meanwhile, the grant
+    /// ends at once as not sent and is not recorded.
     fn issue_grant(&mut self, grant: &Grant, now: Instant) {
         let Some(work) = self.queued_work.swap_remove(&grant.request) else {
             // The request was withdrawn while the policy decided.
--- a/src/control/home/grant_ledger.rs
+++ b/src/control/home/grant_ledger.rs
@@ -39,7 +39,8 @@
     Remove(GrantId),
 }
 
-/// The memory that a grant holds at one engine.
+/// Whether one engine has released the memory of a grant, and when the home last sent the engine a
+/// cancel.
 #[derive(Clone, Copy, Debug, Default)]
 struct EngineHold {
     /// Whether the engine is gone, or did not list the attempt in answer to a query that was sent
--- a/src/control/home/request_table.rs
+++ b/src/control/home/request_table.rs
@@ -46,7 +46,8 @@
     }
 }
 
-/// A request, its entry host, and when the host last sent it.
+/// The state of a request (deferred, queued, granted or refused), its entry host, and when the host
+/// last sent it.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestEntry {
     pub(crate) host: HostId,
--- a/src/control/manifests/controller.rs
+++ b/src/control/manifests/controller.rs
@@ -229,7 +229,8 @@
         actions
     }
 
-    /// Performs the work that is due. To be called about every 100 ms.
+    /// Advances the fetch, accepts a manifest whose fetch is complete, and queries hosts for their
+    /// generation when that is due. To be called about every 100 ms.
     pub fn tick(&mut self, now: Instant) -> Vec<ManifestAction> {
         let mut actions = Vec::new();
         self.step_fetch(now, &mut actions);
--- a/src/control/membership/machine/inbound.rs
+++ b/src/control/membership/machine/inbound.rs
@@ -215,7 +215,10 @@
     }
 
     /// Applies a received record of a host. A record of this host is refuted if it is wrong. A
-    /// change of a known host is broadcast again, and a new host only if `rebroadcasts` is set.
+    /// change of a known host is broadcast again, and a new host only if `rebroadcasts` is set. A
+    /// change of the generation alone is reported but not broadcast again. A stale record may
+    /// confirm a suspicion, and a record of a host that has been dead for the retention time or
+    /// longer is ignored.
     pub(super) fn on_host_record(&mut self, record: &HostRecord, rebroadcasts: bool, now: Instant) {
         let Some(view) = from_record(record) else {
             return;
--- a/src/control/membership/machine/mod.rs
+++ b/src/control/membership/machine/mod.rs
@@ -402,7 +402,8 @@
         }
     }
 
-    /// Tries to reach one dead host and one unknown seed.
+    /// Probes one random dead host of this failure domain, and sends a join to one random seed that
+    /// is not a known host.
     ///
     /// The failure this guards against: a network partition lasted so long that both sides declared
     /// each other dead, and after it healed, neither probes the other.
@@ -437,7 +438,9 @@
         }
     }
 
-    /// Stores and broadcasts the view of this host after it changed.
+    /// Stores and broadcasts the view of this host after it changed, and reports the change to the
+    /// caller (`HostChanged`). Also sets the incarnation and generation that outgoing messages
+    /// carry.
     fn broadcast_self(&mut self, now: Instant) {
         self.membership_table.set(self.local_host.clone(), now);
         self.outbox
--- a/src/control/membership/membership_table.rs
+++ b/src/control/membership/membership_table.rs
@@ -15,7 +15,8 @@
 use crate::units::HostId;
 use crate::units::Incarnation;
 
-/// What an update changed about a host.
+/// What an update changed about a host: nothing (it was stale), only the manifest generation, the
+/// state, incarnation or address, or the host is new.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UpdateOutcome {
     /// Nothing: the update is older than the known view.
--- a/src/control/membership/suspicion.rs
+++ b/src/control/membership/suspicion.rs
@@ -5,7 +5,8 @@
 use crate::control::membership::conf::SUSPICION_MIN;
 use crate::control::membership::conf::SUSPICION_PER_DOUBLING;
 
-/// A suspicion of one host.
+/// A suspicion of one host: since when the host is suspected, and whether the probes of this host
+/// and whether other hosts have confirmed it.
 #[derive(Clone, Debug)]
 pub(crate) struct Suspicion {
     since: Instant,
--- a/src/control/orders/reconciler.rs
+++ b/src/control/orders/reconciler.rs
@@ -33,7 +33,9 @@
 /// Time between two reads of an engine that is not in the desired state.
 const READ_INTERVAL_PENDING: Duration = Duration::from_secs(1);
 
-/// The configuration of a reconciler.
+/// The configuration of a reconciler: this host and its incarnation, whether engines refuse
+/// outdated fencing numbers, the size of one engine's weights, and this pool's share of the weight
+/// store's rate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReconcilerConf {
     /// This host.
--- a/src/daemon/loops.rs
+++ b/src/daemon/loops.rs
@@ -90,7 +90,9 @@
     }
 }
 
-/// Reads the list of machines, applies it, and returns the version of the list.
+/// Reads the list of machines and returns its version. Updates the cluster view, adds the listed
+/// machines as seeds to the addresses and to the membership, and announces the leaving upstreams to
+/// other hosts.
 async fn read_machines(host: &Host) -> Result<ObjectVersion, PlatformError> {
     let list = host.platform.list(ObjectKind::Machines).await?;
     let listed = machine_list::apply(&host.cluster_view, &list);
--- a/src/entry/driver/dispatching.rs
+++ b/src/entry/driver/dispatching.rs
@@ -130,9 +130,13 @@
         }
     }
 
-    /// Reserves memory at all members of the gang except the leader. Members are asked in the order
-    /// of their ids, which prevents deadlock: two gangs that need the same engines compete at the
-    /// first common one, and neither waits while it holds memory that the other needs.
+    /// Reserves memory at all members of the gang except the leader: an equal share at each, until
+    /// the deadline. At the first failure this stops and returns `NotSent`; members that have
+    /// already reserved keep the memory until the reservation expires.
+    ///
+    /// Members are asked in the order of their ids, which prevents deadlock: two gangs that need
+    /// the same engines compete at the first common one, and neither waits while it holds memory
+    /// that the other needs.
     pub(super) async fn reserve_gang(&self, grant: &HeldGrant) -> Result<(), UpstreamError> {
         let mut members: Vec<&UpstreamId> = grant.upstreams.iter().skip(1).collect();
         members.sort();
--- a/src/entry/driver/hang_detection.rs
+++ b/src/entry/driver/hang_detection.rs
@@ -11,8 +11,10 @@
 /// longer than this, so an engine that sends nothing may still be working; a probe costs it little.
 const PROBE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Waits until an engine that sends nothing also fails to answer a load query. For a plain service,
-/// which has no such query, this waits forever.
+/// Sends a load query to the engine at each interval, and returns when a query is not sent or is
+/// interrupted; any other error counts as an answer. The queries go on whether or not the engine
+/// sends data, so the caller drops the call when data arrives. For a plain service, which has no
+/// such query, this waits forever.
 ///
 /// The connections of an engine that hangs, or whose machine hangs, stay open without any data.
 /// Without the probe, every request there would wait until its time limit although other engines
--- a/src/entry/lifecycle.rs
+++ b/src/entry/lifecycle.rs
@@ -152,7 +152,8 @@
     }
 }
 
-/// The step after a failed attempt.
+/// The step after a failed attempt: resume the stream of the same attempt, decide whether to retry,
+/// or fail the request.
 enum NextStep {
     Resume,
     DecideRetry,
--- a/src/entry/model_call.rs
+++ b/src/entry/model_call.rs
@@ -123,6 +123,8 @@
     }
 }
 
+/// The texts of the messages in order, without their roles. A part without text gives an empty
+/// piece, and a message without content gives none.
 fn chat_pieces(messages: Vec<ChatMessage<'_>>) -> Vec<Cow<'_, str>> {
     let mut pieces = Vec::new();
     for message in messages {
--- a/src/fleet/grant_waiters.rs
+++ b/src/fleet/grant_waiters.rs
@@ -26,7 +26,9 @@
         self.senders.remove(&request);
     }
 
-    /// Passes a decision to the request that waits for it. Returns whether the request still waits.
+    /// Passes a decision to the request that waits for it. The request stays registered, and may
+    /// get further decisions, until [`Self::unregister`]. Returns `false` if the request is not
+    /// registered or its receiver is gone.
     pub fn deliver(&self, answer: HomeAnswer) -> bool {
         let request = answer.request;
         let sent = self.senders.update(&request, |tx| tx.send(answer).is_ok());
--- a/src/fleet/membership_runner.rs
+++ b/src/fleet/membership_runner.rs
@@ -97,7 +97,8 @@
         self.perform(actions)
     }
 
-    /// Adds hosts from the platform's list of machines. The list lags behind the real machines.
+    /// Adds hosts from the platform's list of machines to the seeds of the membership only; their
+    /// addresses are added to `SeededAddrs` separately. The list lags behind the real machines.
     pub fn add_seeds(&self, seeds: &[PeerSeed]) {
         self.lock().add_seeds(seeds);
     }
@@ -125,7 +126,8 @@
         self.lock().announce_poison(notice);
     }
 
-    /// The hosts of a failure domain that can be homes.
+    /// All known hosts of a failure domain, dead ones included, each with whether it is eligible as
+    /// a home. A host is eligible if it is alive or suspected.
     pub fn members(&self, domain: &FailureDomainId) -> Vec<Member> {
         self.lock().members(domain)
     }
@@ -136,7 +138,8 @@
         self.lock().silent_domains(self.clock.now())
     }
 
-    /// Stores the generation in force in this host's own entry of the cluster view, if it differs.
+    /// Stores the generation in force in this host's own entry of the local cluster view, if it
+    /// differs. This tells no other host, and does nothing if the view has no entry for this host.
     fn record_own_generation(&self, generation: Generation) {
         let known = self
             .cluster_view
--- a/src/fleet/reconciler_runner.rs
+++ b/src/fleet/reconciler_runner.rs
@@ -190,9 +190,12 @@
         }
     }
 
-    /// Sends an order to an engine, unless the lease has expired. The time is checked once more
-    /// right before the call: if this process was paused since the decision, another host may have
-    /// taken the lease and ordered a newer version, which this order would replace by the old one.
+    /// Records an event and sends an order to an engine, unless the lease has expired. The engine's
+    /// answer is only logged, and an engine that is unknown to this host gets nothing.
+    ///
+    /// The time is checked once more right before the call: if this process was paused since the
+    /// decision, another host may have taken the lease and ordered a newer version, which this
+    /// order would replace by the old one.
     async fn send_order(&self, id: &UpstreamId, order: Order, not_after: Instant) {
         let Some(upstream) = self.parts.upstreams.upstream(id) else {
             return;
--- a/src/peer/message/gossip.rs
+++ b/src/peer/message/gossip.rs
@@ -105,7 +105,9 @@
     pub wants_reply: bool,
 }
 
-/// A request for the hosts that the receiver knows.
+/// A request for the hosts that the receiver knows, with digests of failure domains. The reply
+/// leaves out the domains whose digests agree; with `only_known`, it is limited to the domains in
+/// `known`.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Pull {
--- a/src/peer/message/mod.rs
+++ b/src/peer/message/mod.rs
@@ -38,7 +38,8 @@
 pub use relay::PlatformReply;
 pub use relay::PoisonNotice;
 
-/// The payload of a frame: one message, with its sender and its call id.
+/// The payload of a frame: one message, its sender (empty on the wire, set on decoding), its call
+/// id (0 if no reply is expected), and whether it is the reply to that call.
 #[derive(Clone, PartialEq)]
 #[derive(prost::Message)]
 pub struct Envelope {
--- a/src/peer/traffic.rs
+++ b/src/peer/traffic.rs
@@ -51,7 +51,9 @@
     }
 }
 
-/// Counts the traffic from this host to others, and limits the rate of control traffic.
+/// Counts the bytes sent to other hosts by class, the dropped messages, and the connections that
+/// were refused or failed the handshake. It also limits the rate of control traffic: a message
+/// above the limit is dropped.
 pub struct Traffic {
     clock: std::sync::Arc<dyn Clock>,
     control: Mutex<TokenBucket>,
