--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -166,7 +166,8 @@
         self.attempt.class
     }
 
-    /// Whether a success has the expected body and was signed by an upstream that ran the request.
+    /// Whether a success has the expected body and was signed by an upstream that ran the request,
+    /// and whether a signed failure has status 500. Other outcomes count as correct.
     fn is_response_correct(&self) -> bool {
         match &self.attempt.outcome {
             CallerOutcome::Success { signature, body } => {
@@ -336,7 +337,8 @@
     }
 }
 
-/// Returns a violation if fewer than 95% of the attempts after all faults had ended were served.
+/// Returns a violation if fewer than 95% of the attempts sent from `served_from` on were served, or
+/// if there are none. Abandoned attempts and those with status 401 do not count.
 fn check_recovery(observations: &Observations, served_from: Timestamp) -> Option<Violation> {
     let is_counted = |attempt: &&CallerAttempt| {
         attempt.sent_at >= served_from
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -98,6 +98,7 @@
     }
 }
 
+/// Draws any faulty mode other than `Down`.
 fn draw_upstream_mode(rng: &mut StdRng) -> UpstreamMode {
     match rng.random_range(0..7) {
         0 => UpstreamMode::Unresponsive,
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -87,7 +87,8 @@
     UpstreamLeaving(String),
 }
 
-/// What a fault affects.
+/// What a fault affects: hosts or any of their links, one planned stop of a host, the store, or an
+/// upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FaultScope {
     /// These hosts, or their links to callers, to each other, to the store or to upstreams.
--- a/soak/src/host_process.rs
+++ b/soak/src/host_process.rs
@@ -13,7 +13,8 @@
 use nix::sys::signal::Signal;
 use nix::unistd::Pid;
 
-/// A host in a process of its own. Dropping the value kills the process.
+/// A host that can be started several times, each time in a new process. Before the first start
+/// there is no process. Dropping the value kills the process.
 #[derive(Debug)]
 pub(crate) struct HostProcess {
     pub(crate) conf: NodeConf,
--- a/soak/src/link_proxy.rs
+++ b/soak/src/link_proxy.rs
@@ -31,7 +31,8 @@
     Reset,
 }
 
-/// A proxy for TCP connections and for UDP datagrams to the target, on one address.
+/// A handle to a proxy for TCP connections and for UDP datagrams to the target, on one address.
+/// Clones share the mode. Dropping the handle does not stop the proxy.
 #[derive(Clone, Debug)]
 pub(crate) struct LinkProxy {
     /// The address on which the proxy listens.
@@ -73,7 +74,8 @@
     }
 }
 
-/// Accepts connections and forwards each to the target in a task of its own.
+/// Accepts connections and forwards each to the target in a task of its own, which also follows
+/// later changes of the mode. Ends for good at the first failed accept.
 async fn accept_connections(listener: TcpListener, target: SocketAddr, mode: ModeReceiver) {
     while let Ok((client, _)) = listener.accept().await {
         tokio::spawn(proxy_connection(client, target, mode.clone()));
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -158,7 +158,9 @@
     Ok(failed)
 }
 
-/// Runs one seed and prints its violations. Returns whether all guarantees held.
+/// Runs one seed and prints a summary and at most [`PRINTED_VIOLATIONS_MAX`] violations. Returns
+/// whether all guarantees held. SIGTERM or Ctrl-C ends the run with an error and kills the host
+/// processes.
 fn run_seed(conf: &SoakConf, node: &Path, dir: &Path) -> io::Result<bool> {
     println!("seed {}", conf.seed);
     let runtime = Builder::new_multi_thread()
--- a/soak/src/upstream.rs
+++ b/soak/src/upstream.rs
@@ -68,7 +68,8 @@
 
 type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// A stand-in for one upstream, from its start to its end.
+/// A handle to a stand-in for one upstream, from its start to its end. Clones share the mode, the
+/// advertised limit and the reservations.
 #[derive(Clone)]
 pub(crate) struct UpstreamStandIn {
     pub(crate) id: String,
--- a/src/cmd/checked_files.rs
+++ b/src/cmd/checked_files.rs
@@ -75,7 +75,9 @@
     }
 }
 
-/// The conflicts between the settings of two hosts of one fleet, as errors in `this`.
+/// The conflicts between the settings of two hosts of one fleet, as errors in `this`: the same
+/// host, the same peer address, and a signing key of `this` that `other` does not accept. The key
+/// is checked only in this direction, so callers must check both orders.
 fn settings_conflicts(this: &SettingsFile, other: &SettingsFile) -> Vec<FileErrors> {
     let mut conflicts = Vec::new();
     let (mine, theirs) = (&this.settings, &other.settings);
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -51,7 +51,8 @@
     json: bool,
 }
 
-/// What to show from the decision logs.
+/// What to show from the decision logs: the requests that were not served, statistics over all
+/// requests, or the timeline of one request.
 enum LogQuery {
     /// The requests that were not served.
     Failed,
--- a/src/cmd/log_summary.rs
+++ b/src/cmd/log_summary.rs
@@ -149,7 +149,9 @@
         *self.outcomes.entry(outcome.to_owned()).or_default() += 1;
     }
 
-    /// Records a request that got a first event this long after its arrival, in ms.
+    /// Records a request that got a first event this long after its arrival, in ms, and the age of
+    /// the manifest at its last send. For a plain service, whose requests have no prompt, only the
+    /// age is recorded.
     fn record_first_event(&mut self, send: &LastSend, first_event_ms: u64) {
         self.manifest_ages_ms
             .push(to_signed_ms(send.manifest_age_ms));
@@ -219,7 +221,9 @@
         )
     }
 
-    /// Writes the table of refusals by prompt length and reason.
+    /// Writes the table of refusals: always the heading, then one line for each prompt length and
+    /// reason with the count, how many were refused at once, and the time that the requests had
+    /// waited.
     fn write_refusals(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "\nRefused requests by prompt length:")?;
         writeln!(
@@ -272,7 +276,8 @@
     }
 }
 
-/// The range of prompt lengths of the row at an index, as text.
+/// Names the row of prompt lengths at an index by its upper bound only, such as `under 4096`. The
+/// last row is `beyond`.
 fn row_name(index: usize) -> String {
     let max = PROMPT_TOKENS_BOUNDS.get(index);
     max.map_or_else(|| "beyond".to_owned(), |max| format!("under {max}"))
--- a/src/cmd/merged_explanation.rs
+++ b/src/cmd/merged_explanation.rs
@@ -22,7 +22,8 @@
     left_out: u64,
 }
 
-/// A step as the explanation page has it.
+/// A step as the explanation page has it: the time at the host, what happened, the upstream or host
+/// that it concerns, and the reason. The last two may be empty.
 #[derive(Deserialize)]
 struct PageStep {
     /// The time by the clock of the host, in ms since the Unix epoch.
--- a/src/cmd/publish.rs
+++ b/src/cmd/publish.rs
@@ -67,7 +67,10 @@
     }
 }
 
-/// Validates the manifest and publishes it under a random publish id. Writes the outcome to `out`.
+/// Validates the manifest and publishes it under a random publish id, with `--expect` only if that
+/// generation is published. Writes the outcome to `out`. An invalid manifest is an error, not an
+/// exit status. After an unanswered write, the command reads what is published and, if that does
+/// not tell the outcome, writes again, several times.
 pub(crate) fn run(args: Arguments, out: &mut dyn Write) -> Result<ExitStatus, CmdError> {
     let args = PublishArgs::parse(args)?;
     let file = read_manifest(&args.file)?;
--- a/src/cmd/request_timeline.rs
+++ b/src/cmd/request_timeline.rs
@@ -18,7 +18,9 @@
 }
 
 impl<'a> RequestTimeline<'a> {
-    /// Collects the events of a request from all lines, which must be sorted by time.
+    /// Collects the events of a request from all lines, which must be sorted by time, and the
+    /// state, at the first event, of the host that logged it. The timeline of an unknown request is
+    /// empty.
     pub(crate) fn new(request: &str, all: &'a [LogLine]) -> Self {
         let is_about = |line: &&LogLine| line.event.request() == Some(request);
         let lines: Vec<&LogLine> = all.iter().filter(is_about).collect();
@@ -39,9 +41,9 @@
     }
 }
 
-/// The lines of the manifest in force on a host at a time, and of the losses of the dependencies
-/// that the host could not reach then. A start of the host resets both. `all` must be sorted by
-/// time.
+/// Returns the line of the manifest in force on a host at a time, followed by the lines, in order
+/// of time, of the losses of the dependencies that the host could not reach then. A start of the
+/// host resets both. `all` must be sorted by time.
 fn host_state_at<'a>(host: &str, wall_ms: u64, all: &'a [LogLine]) -> Vec<&'a LogLine> {
     let mut manifest = None;
     let mut lost: Vec<&LogLine> = Vec::new();
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -70,7 +70,9 @@
     }
 }
 
-/// Reads the status from a host or from the platform and writes it to `out`.
+/// Reads the status from a host or from the platform and writes it to `out` as a readable report,
+/// or as JSON with `--json`. The exit status is success whenever the status could be read, whatever
+/// it says.
 pub(crate) fn run(args: Arguments, out: &mut dyn Write) -> Result<ExitStatus, CmdError> {
     let args = StatusArgs::parse(args)?;
     let report = match args.source {
--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -101,9 +101,10 @@
         polled
     }
 
+    /// Whether the end itself has been polled. Until then this is false, even for an empty body:
+    /// only polling the end returns the connection to the pool, and a reader may stop polling as
+    /// soon as this is true.
     fn is_end_stream(&self) -> bool {
-        // False until the end has been polled: only polling the end returns the connection to the
-        // pool, and a reader may stop polling as soon as this is true.
         self.sender.is_none()
     }
 
--- a/src/http/sse.rs
+++ b/src/http/sse.rs
@@ -26,7 +26,9 @@
 }
 
 impl SseParser {
-    /// Adds received bytes. Fails if the event that is being parsed exceeds the length limit.
+    /// Adds received bytes to the buffer; [`Self::next_event`] parses them. Fails if the bytes that
+    /// were buffered before, which include events not taken yet, exceed the length limit together
+    /// with the data of the event that is being parsed.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), String> {
         self.pending.extend_from_slice(bytes);
         if self.pending.len() + self.data.len() > EVENT_LEN_MAX + bytes.len() {
@@ -54,7 +56,9 @@
         Ok(None)
     }
 
-    /// Adds the field of one line to the event that is being parsed.
+    /// Adds the field of one line to the event that is being parsed. An `id` replaces the earlier
+    /// one, and a further `data` is joined to the earlier data with a line feed. Other fields are
+    /// ignored.
     fn process_field(&mut self, line: &str) {
         let (name, value) = line.split_once(':').unwrap_or((line, ""));
         let value = value.strip_prefix(' ').unwrap_or(value);
--- a/src/manifest/parse.rs
+++ b/src/manifest/parse.rs
@@ -159,6 +159,8 @@
 }
 
 impl Section for ServiceSpec {
+    /// A value that fails a check is reported in `fields`, but the section is still returned.
+    /// `None` only if a required value is missing or a value cannot be parsed.
     fn read(fields: &mut Fields<'_>) -> Option<Self> {
         let name = fields.required("name");
         let repeatable = fields.optional("repeatable", Default::default());
--- a/src/manifest/spec.rs
+++ b/src/manifest/spec.rs
@@ -51,7 +51,8 @@
     FirstToken,
 }
 
-/// A model and the engines that serve it.
+/// A model with its version and adapters, and what its engines need and are assumed to do, such as
+/// their role, memory, slots, speed and context length.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
@@ -128,7 +129,8 @@
     Always,
 }
 
-/// A customer with its share of the fleet and its rate limit.
+/// A customer with its share among the customers of the same priority, its rate limit and burst,
+/// and the priority that its requests get by default and cannot exceed.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -51,6 +51,8 @@
 }
 
 impl Section for Settings {
+    /// A value that fails a check is reported in `fields`, but the section is still returned.
+    /// `None` only if a required value is missing or a value cannot be parsed.
     fn read(fields: &mut Fields<'_>) -> Option<Self> {
         let host = fields.required("host");
         let deployment = fields.required("deployment");
@@ -98,6 +100,8 @@
 }
 
 impl Section for ListenSettings {
+    /// A value that fails a check is reported in `fields`, but the section is still returned.
+    /// `None` only if a required value is missing or a value cannot be parsed.
     fn read(fields: &mut Fields<'_>) -> Option<Self> {
         let callers = fields.required("callers");
         let peers = fields.required("peers");
@@ -184,6 +188,8 @@
 }
 
 impl Section for PeerKey {
+    /// A value that fails a check is reported in `fields`, but the section is still returned.
+    /// `None` only if a required value is missing or a value cannot be parsed.
     fn read(fields: &mut Fields<'_>) -> Option<Self> {
         let id = fields.required("id");
         let secret = fields.required("secret");
--- a/src/settings/spec.rs
+++ b/src/settings/spec.rs
@@ -68,7 +68,8 @@
     pub timeout_ms: u64,
 }
 
-/// How this host reaches and authenticates other hosts.
+/// How this host reaches and authenticates other hosts: the seeds, the shared keys, and the limit
+/// on what it sends for membership and manifests.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
--- a/src/upstream/http/mod.rs
+++ b/src/upstream/http/mod.rs
@@ -139,6 +139,8 @@
 }
 
 impl UpstreamClient for HttpUpstreamClient {
+    /// Sends an attempt. A refusal is an error. Any other response of a plain service is returned
+    /// with any status; a model's status other than 200 is [`UpstreamError::Failed`].
     fn start(&self, dispatch: Dispatch) -> BoxFuture<'_, Result<ResponseStream, UpstreamError>> {
         self.start_attempt(dispatch).boxed()
     }
--- a/src/upstream/order.rs
+++ b/src/upstream/order.rs
@@ -13,7 +13,8 @@
     pub state: EngineState,
 }
 
-/// What an engine has loaded, or should load.
+/// What an engine has loaded, or should load: the model with its version, the adapters and the
+/// role. A report also says whether the engine is still loading.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct EngineState {
--- a/src/yaml/scalar.rs
+++ b/src/yaml/scalar.rs
@@ -27,6 +27,7 @@
 impl<'de> serde::Deserializer<'de> for Scalar<'_> {
     type Error = Error;
 
+    /// Visits the text as a string, whatever it looks like, such as a number or `true`.
     fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Error> {
         visitor.visit_str(self.0)
     }
